--- a/cmd/cometrack/cluster.go
+++ b/cmd/cometrack/cluster.go
@@ -118,11 +118,11 @@
 		return
 	}
 	now := "caught up"
-	if k.Behind {
-		now = fmt.Sprintf("behind for %.1f s", k.For)
+	if k.CatchingUp {
+		now = fmt.Sprintf("behind for %.1f s", k.CatchingUpSeconds)
 	}
 	fmt.Fprintf(w, "facts: %d, %s; %d of its own not confirmed by all; %d bytes sent; %d messages that made no sense, %d repairs, %d lost for want of room\n",
-		k.Facts, now, k.Unsure, k.Bytes, k.Forged, k.Repairs, k.Lost+k.Dropped)
+		k.Facts, now, k.Unconfirmed, k.BytesSent, k.InvalidMessages, k.Repairs, k.Lost+k.Dropped)
 }
 
 func clusterFacts() *cobra.Command {
@@ -178,10 +178,10 @@
 	fmt.Fprintf(w, "differences from %s, as it last told: %d\n", diff, len(told.Lacks))
 	for _, g := range told.Lacks {
 		lacks := diff
-		if g.Here < g.There {
+		if g.Local < g.Remote {
 			lacks = "this sender"
 		}
-		fmt.Fprintf(w, "  of %s: known here up to %d, there up to %d; the higher number holds, %s is to have it\n", g.Origin, g.Here, g.There, lacks)
+		fmt.Fprintf(w, "  of %s: known here up to %d, there up to %d; the higher number holds, %s is to have it\n", g.Origin, g.Local, g.Remote, lacks)
 	}
 }
 
--- a/cmd/measure/knowledge_virtual.go
+++ b/cmd/measure/knowledge_virtual.go
@@ -18,7 +18,7 @@
 
 // knowledgeOptions are those of plays in virtual time.
 func knowledgeOptions(seed uint64) play.Options {
-	return play.Options{Seed: seed, Senders: 2 + int(seed%5), Every: 100 * time.Millisecond, Rate: 1 << 20, Drift: 0.01,
+	return play.Options{Seed: seed, Senders: 2 + int(seed%5), DigestInterval: 100 * time.Millisecond, Rate: 1 << 20, Drift: 0.01,
 		Delay: time.Millisecond, Jitter: 4 * time.Millisecond, Zones: 1 + int(seed%2)}
 }
 
@@ -26,14 +26,14 @@
 	var mu sync.Mutex
 	bad, equal, caught := 0, []time.Duration(nil), []time.Duration(nil)
 	sideBySide(plays, parallel, func(i uint64) {
-		o := play.Draw(knowledgeOptions(seed+i), 20*time.Second)
+		o := play.RunRandom(knowledgeOptions(seed+i), 20*time.Second)
 		mu.Lock()
 		defer mu.Unlock()
-		if text := o.Bad(); text != "" {
+		if text := o.Violation(); text != "" {
 			bad++
 			fmt.Printf("seed %d: %s\n", seed+i, text)
 		}
-		equal, caught = append(equal, o.Equal), append(caught, o.Caught)
+		equal, caught = append(equal, o.ConvergenceTime), append(caught, o.CatchUpTime)
 	})
 	fmt.Printf("%d plays, %d of which broke something; copies equal after the faults: %s; caught up after a return or 1 s of pause: %s\n",
 		plays, bad, fine(equal), fine(caught))
@@ -70,15 +70,15 @@
 				lose := func() {
 					for a := range n {
 						for b := range n {
-							w.Lose(a, b, loss)
+							w.SetLoss(a, b, loss)
 						}
 					}
 				}
 				lose()
 				for k := range 10 {
-					w.Wait(k%n, fmt.Sprint("e", k), 100*time.Second)
+					w.PublishWait(k%n, fmt.Sprint("e", k), 100*time.Second)
 					from := w.Now
-					for !w.Equal() && w.Now-from < 20*time.Second {
+					for !w.Converged() && w.Now-from < 20*time.Second {
 						w.Run(time.Millisecond / 2)
 					}
 					known = append(known, w.Now-from)
@@ -91,13 +91,13 @@
 					}
 				}
 				for k := range 60 {
-					w.Wait(k%n, fmt.Sprint("x", k), 100*time.Second)
+					w.PublishWait(k%n, fmt.Sprint("x", k), 100*time.Second)
 					w.Run(500 * time.Millisecond)
 				}
 				w.Heal()
 				lose()
 				from := w.Now
-				for !w.Equal() && w.Now-from < 60*time.Second {
+				for !w.Converged() && w.Now-from < 60*time.Second {
 					w.Run(time.Millisecond)
 				}
 				healed = append(healed, w.Now-from)
@@ -129,10 +129,10 @@
 			o.Senders, o.Drift, o.Jitter = 5, 0, 0 // datagrams of one link stay in order
 			w := play.New(o)
 			w.Run(time.Second)
-			w.Fill(0, n, time.Hour)
+			w.PublishWaits(0, n, time.Hour)
 			w.Run(time.Duration(n) * 2 * time.Millisecond / 4 * 2)
 			w.Run(5 * time.Second)
-			if !w.Full(n) {
+			if !w.AllHave(n) {
 				return fmt.Errorf("the others do not have %d facts", n)
 			}
 			w.SizeOf = sizeInCBOR
@@ -145,7 +145,7 @@
 				}
 			}
 			before := w.Bytes
-			for p.Caught == 0 && w.Now-from < 10*time.Minute {
+			for p.CaughtUpAt == 0 && w.Now-from < 10*time.Minute {
 				w.Run(time.Millisecond)
 			}
 			took[k] = w.Now - from
@@ -168,15 +168,15 @@
 	var known []time.Duration
 	from := w.Now
 	for i := range 100 {
-		w.Fill(0, all/100*(i+1), time.Hour) // and all before once more
+		w.PublishWaits(0, all/100*(i+1), time.Hour) // and all before once more
 		at := w.Now
-		w.Wait(1, fmt.Sprint("now", i), time.Hour)
-		took, _ := w.Until(10*time.Second, func() bool { return w.Knows(1) })
+		w.PublishWait(1, fmt.Sprint("now", i), time.Hour)
+		took, _ := w.Until(10*time.Second, func() bool { return w.AllKnowOwnFacts(1) })
 		known = append(known, took)
 		w.Run(max(10*time.Millisecond-(w.Now-at), 0))
 	}
 	told := w.Now - from
-	if _, ok := w.Until(time.Minute, func() bool { return w.Full(all + 100) }); !ok {
+	if _, ok := w.Until(time.Minute, func() bool { return w.AllHave(all + 100) }); !ok {
 		return fmt.Errorf("not all have %d facts", all)
 	}
 	fmt.Printf("%d facts and half a million changes of them told within %v by one sender of five: all have all after %v; a wait told meanwhile by another is known by all after %s\n\n",
@@ -198,11 +198,11 @@
 				continue
 			}
 			o := knowledgeOptions(seed)
-			o.Senders, o.Every = n, 300*time.Millisecond
+			o.Senders, o.DigestInterval = n, 300*time.Millisecond
 			w := play.New(o)
 			w.Run(time.Second)
 			for i := range n {
-				w.Fill(i, held/n+1, time.Hour)
+				w.PublishWaits(i, held/n+1, time.Hour)
 			}
 			w.Run(20 * time.Second)
 			w.SizeOf = sizeInCBOR
@@ -214,10 +214,10 @@
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
-	c := facts.New(facts.Origin{Name: "s0", Life: 1}, "", 0)
+	c := facts.New(facts.Origin{Name: "s0", Incarnation: 1}, "", 0)
 	const many = 50_000
 	for i := range many {
-		c.Tell(time.Second, facts.Subject{Kind: facts.Wait, Partner: fmt.Sprint("partner-", i), Endpoint: fmt.Sprint("partner-", i, "/127.0.0.1:9000")}, facts.Value{}, 0, time.Hour)
+		c.Publish(time.Second, facts.Subject{Kind: facts.RequestedWait, Partner: fmt.Sprint("partner-", i), Endpoint: fmt.Sprint("partner-", i, "/127.0.0.1:9000")}, facts.Value{}, 0, time.Hour)
 	}
 	runtime.GC()
 	runtime.ReadMemStats(&after)
--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -119,7 +119,7 @@
 // that is so at once, before the loop has seen that there was one.
 func (c *Cluster) Allowed() float64 {
 	t := c.opts.now()
-	if c.opts.Facts && t-time.Duration(c.ran.Load()) > replicate.Missed*c.opts.Every {
+	if c.opts.Facts && t-time.Duration(c.ran.Load()) > replicate.MaxMissedTicks*c.opts.Every {
 		return 0
 	}
 	if least := time.Duration(c.behind.Load()); least > 0 && t < least {
@@ -274,7 +274,7 @@
 		case m := <-c.in:
 			c.follow(c.machine.Take(c.opts.now(), m))
 		case m := <-c.lore.in:
-			c.spread(c.lore.machine.Take(c.opts.now(), m))
+			c.spread(c.lore.machine.Receive(c.opts.now(), m))
 		case f := <-c.lore.tells:
 			c.learn(f)
 		case <-timer.C:
@@ -287,10 +287,10 @@
 			next = min(next, p.Until)
 		}
 		if m := c.lore.machine; m != nil {
-			if c.opts.now() >= m.Next() {
+			if c.opts.now() >= m.NextTick() {
 				c.spread(m.Tick(c.opts.now()))
 			}
-			next = min(next, m.Next())
+			next = min(next, m.NextTick())
 			if least := time.Duration(c.behind.Load()); least > c.opts.now() {
 				next = min(next, least)
 			} else if least > 0 && !c.lean {
--- a/internal/cluster/knowledge.go
+++ b/internal/cluster/knowledge.go
@@ -26,7 +26,7 @@
 )
 
 // finding is a fact that this sender is to tell. Mark is given back with what it has
-// found itself; see [facts.Copy.Cover].
+// found itself; see [facts.Replica.ObservedOutages].
 type finding struct {
 	subject facts.Subject
 	value   facts.Value
@@ -58,8 +58,8 @@
 // open makes the machine. It begins behind.
 func (k *knowledge) open(o Options) {
 	if o.Facts {
-		k.machine = replicate.New(replicate.Config{Own: facts.Origin{Name: o.Name, Life: rand.Uint64() | 1}, Zone: o.Zone, Drift: o.Drift,
-			Every: o.Every, Patience: o.Lease, Rate: spreadRate, Seed: rand.Uint64()}, o.now())
+		k.machine = replicate.New(replicate.Config{Self: facts.Origin{Name: o.Name, Incarnation: rand.Uint64() | 1}, Zone: o.Zone, Drift: o.Drift,
+			DigestInterval: o.Every, CatchUpTimeout: o.Lease, Rate: spreadRate, Seed: rand.Uint64()}, o.now())
 	}
 }
 
@@ -127,13 +127,13 @@
 
 // TellWait has the others told that an endpoint has told to be left alone for a span.
 func (c *Cluster) TellWait(partner, endpoint string, d time.Duration) {
-	c.lore.tell(finding{at: c.opts.now(), subject: facts.Subject{Kind: facts.Wait, Partner: partner, Endpoint: endpoint}, span: min(d, facts.MostFor)})
+	c.lore.tell(finding{at: c.opts.now(), subject: facts.Subject{Kind: facts.RequestedWait, Partner: partner, Endpoint: endpoint}, span: min(d, facts.MaxTTL)})
 }
 
 // TellHealth has the others told that this sender has found an endpoint out, or has
 // had an answer to a call that was begun after the lesson with that mark.
 func (c *Cluster) TellHealth(partner, endpoint string, out bool, mark uint64) {
-	c.lore.tell(finding{at: c.opts.now(), subject: facts.Subject{Kind: facts.Health, Partner: partner, Endpoint: endpoint}, value: facts.Value{Out: out}, span: outFor, mark: mark})
+	c.lore.tell(finding{at: c.opts.now(), subject: facts.Subject{Kind: facts.Health, Partner: partner, Endpoint: endpoint}, value: facts.Value{InOutage: out}, span: outFor, mark: mark})
 }
 
 // learn puts a finding into this sender's copy, and out to the others.
@@ -144,18 +144,18 @@
 	}
 	t := c.opts.now()
 	if f.subject.Kind == facts.Health {
-		own, left := m.Copy().Says(t, f.subject)
-		if f.value.Out && own.Out && left > outFor-outAgain {
+		own, left := m.Replica().OwnValue(t, f.subject)
+		if f.value.InOutage && own.InOutage && left > outFor-outAgain {
 			return
 		}
-		if !f.value.Out {
-			f.value.Covers = m.Copy().Cover(f.subject, f.mark)
-			if len(f.value.Covers) == 0 && !own.Out {
+		if !f.value.InOutage {
+			f.value.Refutes = m.Replica().ObservedOutages(f.subject, f.mark)
+			if len(f.value.Refutes) == 0 && !own.InOutage {
 				return // nobody says otherwise
 			}
 		}
 	}
-	r, err := m.Tell(t, f.subject, f.value, max(t-f.at, 0), f.span)
+	r, err := m.Publish(t, f.subject, f.value, max(t-f.at, 0), f.span)
 	if err != nil {
 		c.log.Error("cluster: what was learnt can't be told", "partner", f.subject.Partner, "endpoint", f.subject.Endpoint, "err", err)
 	}
@@ -177,11 +177,11 @@
 		}
 		c.udp.WriteToUDP(b, to)
 	}
-	c.lore.put(r.Lessons)
+	c.lore.put(r.Observations)
 	if r.Event != "" {
 		c.log.Info("cluster: facts", "what", r.Event)
 	}
-	behind, since := c.lore.machine.Behind()
+	behind, since := c.lore.machine.CatchingUp()
 	least := int64(0)
 	if behind {
 		least = int64(since + patience*c.opts.Every)
@@ -202,7 +202,7 @@
 	}
 	if !slices.Equal(list, c.lore.peers) {
 		c.lore.peers = list
-		c.lore.machine.Peers(list)
+		c.lore.machine.SetPeers(list)
 	}
 }
 
@@ -223,7 +223,7 @@
 	Facts []Said `json:"facts"`
 	More  bool   `json:"more"` // there are more than are listed
 	// Of a comparison with another sender: whose facts it lacks here, and the other way.
-	Lacks []replicate.Gap `json:"lacks,omitempty"`
+	Lacks []replicate.Difference `json:"lacks,omitempty"`
 }
 
 // Said is one sender's word on something.
@@ -250,7 +250,7 @@
 			err = fmt.Errorf("this sender shares no facts: its file says facts = false")
 			return
 		}
-		list := m.Copy().List(c.opts.now(), partner, mostListed+1)
+		list := m.Replica().List(c.opts.now(), partner, mostListed+1)
 		if out.More = len(list) > mostListed; out.More {
 			list = list[:mostListed]
 		}
@@ -258,7 +258,7 @@
 			out.Facts = append(out.Facts, said(s))
 		}
 		if other != "" {
-			out.Lacks, err = m.Gaps(other)
+			out.Lacks, err = m.Differences(other)
 		}
 	})
 	if e != nil {
@@ -267,23 +267,23 @@
 	return out, err
 }
 
-func said(s facts.Statement) Said {
+func said(s facts.FactStatus) Said {
 	out := Said{Kind: fmt.Sprint("kind ", s.Kind), Partner: s.Partner, Endpoint: s.Endpoint, By: s.Origin.Name, Number: s.Seq, Zone: s.Zone,
-		Age: [2]float64{s.Least.Seconds(), s.Most.Seconds()}, Left: s.Left.Seconds(), Rule: "passed on; this version does not know the kind"}
+		Age: [2]float64{s.MinAge.Seconds(), s.MaxAge.Seconds()}, Left: s.Remaining.Seconds(), Rule: "passed on; this version does not know the kind"}
 	switch {
-	case s.Kind == facts.Wait:
+	case s.Kind == facts.RequestedWait:
 		out.Kind, out.Says, out.Rule = "wait", "leave it alone", "a longer one holds"
-		if s.Holds {
+		if s.Effective {
 			out.Rule = "the longest holds"
 		}
-	case s.Kind == facts.Health && !s.Value.Out:
-		out.Kind, out.Says, out.Rule = "health", "answers", fmt.Sprintf("refutes %d that were known when its call began, in its zone", len(s.Value.Covers))
+	case s.Kind == facts.Health && !s.Value.InOutage:
+		out.Kind, out.Says, out.Rule = "health", "answers", fmt.Sprintf("refutes %d that were known when its call began, in its zone", len(s.Value.Refutes))
 	case s.Kind == facts.Health:
 		out.Kind, out.Says, out.Rule = "health", "out", "holds: no answer here to a call begun since it was known"
 		switch {
-		case s.Covered:
+		case s.Refuted:
 			out.Rule = "refuted by an answer in this zone"
-		case s.Turn:
+		case s.TrialOwner:
 			out.Rule += "; it is its turn to try it"
 		}
 	}
--- a/internal/cluster/packet_test.go
+++ b/internal/cluster/packet_test.go
@@ -64,9 +64,9 @@
 // changes no copy.
 func TestFactPackets(t *testing.T) {
 	key := keys{[]byte("one key of many letters")}
-	own, other := facts.Origin{Name: "a", Life: 1}, facts.Origin{Name: "b", Life: 2}
-	good := &replicate.Message{Wire: replicate.Wire, From: other, Stamp: 1, Deltas: []facts.Delta{{Origin: other, UpTo: 1, End: 1,
-		Facts: []facts.Fact{{Seq: 1, Subject: facts.Subject{Kind: facts.Wait, Partner: "acme", Endpoint: "e"}, For: time.Second}}}}}
+	own, other := facts.Origin{Name: "a", Incarnation: 1}, facts.Origin{Name: "b", Incarnation: 2}
+	good := &replicate.Message{Version: replicate.Version, From: other, SentAt: 1, Deltas: []facts.Delta{{Origin: other, UpTo: 1, ConsistentAt: 1,
+		Facts: []facts.Fact{{Seq: 1, Subject: facts.Subject{Kind: facts.RequestedWait, Partner: "acme", Endpoint: "e"}, TTL: time.Second}}}}}
 	whole, err := key.packAs(lore, good)
 	if err != nil {
 		t.Fatal(err)
@@ -83,16 +83,16 @@
 		t.Errorf("one of the view, turned: %v", err)
 	}
 	for i := range 4000 { // flipped behind the seal, as one with the key might send it
-		m, b := replicate.New(replicate.Config{Own: own, Every: time.Second, Patience: time.Second, Rate: 1}, 0), bytes.Clone(whole)
-		m.Peers([]replicate.Peer{{Name: "b", Addr: "b:1"}})
+		m, b := replicate.New(replicate.Config{Self: own, DigestInterval: time.Second, CatchUpTimeout: time.Second, Rate: 1}, 0), bytes.Clone(whole)
+		m.SetPeers([]replicate.Peer{{Name: "b", Addr: "b:1"}})
 		bit := headSize*8 + i%(8*(len(b)-headSize))
 		b[bit/8] ^= 1 << (bit % 8)
 		copy(b[len(lore):headSize], sealAs(lore, key[0], b[headSize:]))
 		got := &replicate.Message{}
 		if key.open(b, got) == nil {
-			m.Take(2, got)
-			for _, s := range m.Copy().List(2, "", 10) {
-				if s.Left > facts.MostFor || s.Partner == "" {
+			m.Receive(2, got)
+			for _, s := range m.Replica().List(2, "", 10) {
+				if s.Remaining > facts.MaxTTL || s.Partner == "" {
 					t.Fatalf("bit %d: %+v", bit, s)
 				}
 			}
--- a/internal/daemon/others.go
+++ b/internal/daemon/others.go
@@ -58,7 +58,7 @@
 	x.Cluster.Hear(ctx, func(list []facts.Observation) {
 		out := make([]core.Observation, 0, len(list))
 		for _, l := range list {
-			out = append(out, core.Observation{Partner: l.Partner, Endpoint: l.Endpoint, Wait: l.Left, Out: l.Out, Back: l.Back, Turn: l.Turn, Mark: l.Mark})
+			out = append(out, core.Observation{Partner: l.Partner, Endpoint: l.Endpoint, Wait: l.Remaining, Out: l.OutageReported, Back: l.OutageEnded, Turn: l.TrialSpacing, Mark: l.Mark})
 		}
 		take(out)
 	})
--- a/internal/facts/copy.go
+++ b/internal/facts/copy.go
@@ -10,9 +10,9 @@
 
 // Bounds of a copy.
 const (
-	MostFacts   = 200_000 // of all origins; a delta that would bring more is refused
-	MostOwn     = 100_000 // of this sender; the one that ends first makes room
-	MostOrigins = 4096    // lives of which something is known
+	MaxFacts    = 200_000 // of all origins; a delta that would bring more is refused
+	MaxOwnFacts = 100_000 // of this sender; the one that ends first makes room
+	MaxOrigins  = 4096    // lives of which something is known
 	slackOwn    = 256     // ended facts among its own before those that keep them are told anew
 
 	renewEvery = 5 * time.Second
@@ -51,8 +51,8 @@
 	until        Time   // when the last of its facts ends
 }
 
-// Copy is one sender's copy of all that is known. It is not safe for concurrent use.
-type Copy struct {
+// Replica is one sender's copy of all that is known. It is not safe for concurrent use.
+type Replica struct {
 	own     *origin
 	zone    string
 	drift   float64
@@ -69,13 +69,13 @@
 
 // New makes an empty copy. Clocks of senders run at 1-drift to 1+drift of the true
 // pace.
-func New(own Origin, zone string, drift float64) *Copy {
-	c := &Copy{zone: zone, drift: drift, origins: map[Origin]*origin{}, subject: map[Subject][]*entry{}, told: map[Subject]told{}}
+func New(own Origin, zone string, drift float64) *Replica {
+	c := &Replica{zone: zone, drift: drift, origins: map[Origin]*origin{}, subject: map[Subject][]*entry{}, told: map[Subject]told{}}
 	c.own = c.origin(own)
 	return c
 }
 
-func (c *Copy) origin(id Origin) *origin {
+func (c *Replica) origin(id Origin) *origin {
 	o := c.origins[id]
 	if o == nil {
 		o = &origin{Origin: id, facts: map[Subject]*entry{}}
@@ -84,21 +84,21 @@
 	return o
 }
 
-// Own is this sender's origin and the number of its last fact.
-func (c *Copy) Own() (Origin, uint64) { return c.own.Origin, c.own.known }
+// LocalVersion is this sender's origin and the number of its last fact.
+func (c *Replica) LocalVersion() (Origin, uint64) { return c.own.Origin, c.own.known }
 
 // Len is how many facts stand.
-func (c *Copy) Len() int { return c.count }
+func (c *Replica) Len() int { return c.count }
 
-// Tell writes a fact of this sender. Age is how long ago that was of which it tells.
-func (c *Copy) Tell(now Time, s Subject, v Value, age, span Time) error {
-	f := Fact{Seq: c.own.known + 1, Subject: s, Zone: c.zone, For: span, Value: v}
+// Publish writes a fact of this sender. Age is how long ago that was of which it tells.
+func (c *Replica) Publish(now Time, s Subject, v Value, age, span Time) error {
+	f := Fact{Seq: c.own.known + 1, Subject: s, Zone: c.zone, TTL: span, Value: v}
 	if err := f.check(); err != nil {
 		return err
 	}
-	if len(c.own.facts) >= MostOwn && c.own.facts[s] == nil {
+	if len(c.own.facts) >= MaxOwnFacts && c.own.facts[s] == nil {
 		list := slices.SortedFunc(maps.Values(c.own.facts), func(a, b *entry) int { return cmp.Compare(a.end(), b.end()) })
-		for _, e := range list[:MostOwn/16] {
+		for _, e := range list[:MaxOwnFacts/16] {
 			c.remove(c.own, e)
 			c.Dropped++
 		}
@@ -112,7 +112,7 @@
 // Merge takes what another copy has sent. Most is the most time that the delta can
 // have been on its way. It returns the subjects of which something new stands. A
 // delta that makes no sense, or that there is no room for, changes nothing.
-func (c *Copy) Merge(now Time, d *Delta, most Time) ([]Subject, error) {
+func (c *Replica) Merge(now Time, d *Delta, most Time) ([]Subject, error) {
 	if err := d.check(); err != nil {
 		return nil, err
 	}
@@ -120,13 +120,13 @@
 		return nil, nil
 	}
 	o := c.origins[d.Origin]
-	if o == nil && len(c.origins) >= MostOrigins || c.count+len(d.Facts) > MostFacts {
+	if o == nil && len(c.origins) >= MaxOrigins || c.count+len(d.Facts) > MaxFacts {
 		return nil, forged("no room for %d facts of %s", len(d.Facts), d.Origin.Name)
 	}
 	o = c.origin(d.Origin)
 	c.raise(o, d.Floor)
 	if len(d.Facts) > 0 || d.UpTo > o.known {
-		o.end = max(o.end, d.End)
+		o.end = max(o.end, d.ConsistentAt)
 	}
 	var changed []Subject
 	for i := range d.Facts {
@@ -134,9 +134,9 @@
 		if f.Seq <= o.floor {
 			continue
 		}
-		e := &entry{Fact: f, from: o, lo: now - c.long(f.Most+most), hi: now - c.short(f.Least)}
-		e.until = e.hi + c.long(f.For)
-		e.Least, e.Most = 0, 0
+		e := &entry{Fact: f, from: o, lo: now - c.long(f.MaxAge+most), hi: now - c.short(f.MinAge)}
+		e.until = e.hi + c.long(f.TTL)
+		e.MinAge, e.MaxAge = 0, 0
 		if was := o.facts[f.Subject]; was != nil && was.Seq >= f.Seq {
 			if was.Seq == f.Seq { // the same by another way
 				was.lo, was.hi, was.until = max(was.lo, e.lo), min(was.hi, e.hi), min(was.until, e.until)
@@ -157,11 +157,11 @@
 }
 
 // long and short are how long another clock's span may have lasted by this one.
-func (c *Copy) long(d Time) Time  { return Time(float64(d) * (1 + c.drift) / (1 - c.drift)) }
-func (c *Copy) short(d Time) Time { return Time(float64(d) * (1 - c.drift) / (1 + c.drift)) }
+func (c *Replica) long(d Time) Time  { return Time(float64(d) * (1 + c.drift) / (1 - c.drift)) }
+func (c *Replica) short(d Time) Time { return Time(float64(d) * (1 - c.drift) / (1 + c.drift)) }
 
 // put has a fact stand in the place of the one of its subject before.
-func (c *Copy) put(o *origin, e *entry) {
+func (c *Replica) put(o *origin, e *entry) {
 	if was := o.facts[e.Subject]; was != nil {
 		c.remove(o, was)
 	}
@@ -181,7 +181,7 @@
 }
 
 // remove has a fact stand no longer.
-func (c *Copy) remove(o *origin, e *entry) {
+func (c *Replica) remove(o *origin, e *entry) {
 	if e.dead {
 		return
 	}
@@ -202,7 +202,7 @@
 }
 
 // learn notes that all of an origin is known up to a number.
-func (c *Copy) learn(o *origin, upTo uint64) {
+func (c *Replica) learn(o *origin, upTo uint64) {
 	at, _ := slices.BinarySearchFunc(o.order, o.known+1, func(x *entry, seq uint64) int { return cmp.Compare(x.Seq, seq) })
 	for _, e := range o.order[at:] {
 		if e.Seq <= upTo && !e.dead && !e.summed {
@@ -213,7 +213,7 @@
 }
 
 // raise takes it that all of an origin up to a number has ended.
-func (c *Copy) raise(o *origin, floor uint64) {
+func (c *Replica) raise(o *origin, floor uint64) {
 	if floor <= o.floor {
 		return
 	}
@@ -232,7 +232,7 @@
 // Expire drops what has ended, as far as no fact that stands lies beneath it; the
 // rest says nothing any more, and goes later. It returns the subjects that have lost
 // something.
-func (c *Copy) Expire(now Time) (changed []Subject) {
+func (c *Replica) Expire(now Time) (changed []Subject) {
 	c.renew(now)
 	for id, o := range c.origins {
 		floor := o.floor
@@ -264,7 +264,7 @@
 }
 
 // renew tells own facts anew that keep many ended ones from being dropped.
-func (c *Copy) renew(now Time) {
+func (c *Replica) renew(now Time) {
 	if now < c.renewAt {
 		return
 	}
@@ -291,26 +291,26 @@
 
 // Digest is what this copy has, by origin in order; those of which nothing stands are
 // left out.
-func (c *Copy) Digest() []Row {
-	out := make([]Row, 0, len(c.origins))
+func (c *Replica) Digest() []DigestRow {
+	out := make([]DigestRow, 0, len(c.origins))
 	for _, o := range c.origins {
 		if len(o.facts) > 0 || o == c.own && o.known > 0 {
 			out = append(out, o.row())
 		}
 	}
-	slices.SortFunc(out, func(a, b Row) int {
-		return cmp.Or(cmp.Compare(a.Origin.Name, b.Origin.Name), cmp.Compare(a.Origin.Life, b.Origin.Life))
+	slices.SortFunc(out, func(a, b DigestRow) int {
+		return cmp.Or(cmp.Compare(a.Origin.Name, b.Origin.Name), cmp.Compare(a.Origin.Incarnation, b.Origin.Incarnation))
 	})
 	return out
 }
 
-func (o *origin) row() Row {
-	r := Row{Origin: o.Origin, Known: o.known, Floor: o.floor, Sum: o.sum}
-	if r.Top = o.top(); r.Top <= o.known {
-		r.Top = 0
+func (o *origin) row() DigestRow {
+	r := DigestRow{Origin: o.Origin, Watermark: o.known, Floor: o.floor, Checksum: o.sum}
+	if r.Highest = o.top(); r.Highest <= o.known {
+		r.Highest = 0
 	}
-	if o.known < o.end || r.Top > 0 { // what came ahead may have taken the place of what is summed
-		r.Sum = 0
+	if o.known < o.end || r.Highest > 0 { // what came ahead may have taken the place of what is summed
+		r.Checksum = 0
 	}
 	return r
 }
@@ -325,10 +325,10 @@
 	return 0
 }
 
-// Ahead is what this copy has of an origin beyond what it knows whole, one fact in
+// OutOfOrderDeltas is what this copy has of an origin beyond what it knows whole, one fact in
 // each delta, of those above a number, in about so many bytes at most. Their author
 // may be gone, and nobody have what lies between.
-func (c *Copy) Ahead(now Time, id Origin, above uint64, bytes int) (out []Delta) {
+func (c *Replica) OutOfOrderDeltas(now Time, id Origin, above uint64, bytes int) (out []Delta) {
 	o := c.origins[id]
 	if o == nil {
 		return nil
@@ -339,7 +339,7 @@
 			continue
 		}
 		f := e.travels(now)
-		d := Delta{Origin: id, Since: f.Seq - 1, UpTo: f.Seq, End: max(o.end, f.Seq), Facts: []Fact{f}}
+		d := Delta{Origin: id, Since: f.Seq - 1, UpTo: f.Seq, ConsistentAt: max(o.end, f.Seq), Facts: []Fact{f}}
 		if bytes -= d.Size(); bytes < 0 && len(out) > 0 {
 			break
 		}
@@ -351,28 +351,28 @@
 // travels is a fact with its ages.
 func (e *entry) travels(now Time) Fact {
 	f := e.Fact
-	f.Least, f.Most = max(now-e.hi, 0), max(now-e.lo, 0)
+	f.MinAge, f.MaxAge = max(now-e.hi, 0), max(now-e.lo, 0)
 	return f
 }
 
-// Known is up to where all of an origin is known.
-func (c *Copy) Known(id Origin) uint64 {
+// Watermark is up to where all of an origin is known.
+func (c *Replica) Watermark(id Origin) uint64 {
 	if o := c.origins[id]; o != nil {
 		return o.known
 	}
 	return 0
 }
 
-// Since is what this copy has of an origin above a number, in about so many bytes at
+// DeltaSince is what this copy has of an origin above a number, in about so many bytes at
 // most, but at least one fact.
-func (c *Copy) Since(now Time, id Origin, since uint64, bytes int) Delta {
+func (c *Replica) DeltaSince(now Time, id Origin, since uint64, bytes int) Delta {
 	o := c.origins[id]
 	if o == nil {
-		return Delta{Origin: id, Since: since, UpTo: since, End: since}
+		return Delta{Origin: id, Since: since, UpTo: since, ConsistentAt: since}
 	}
 	d := Delta{Origin: id, Since: since, UpTo: max(o.known, since), Floor: min(o.floor, max(o.known, since))}
 	at, _ := slices.BinarySearchFunc(o.order, since+1, func(x *entry, seq uint64) int { return cmp.Compare(x.Seq, seq) })
-	d.End = max(o.end, d.UpTo)
+	d.ConsistentAt = max(o.end, d.UpTo)
 	last := since
 	for _, e := range o.order[at:] {
 		if e.Seq > o.known {
@@ -394,16 +394,16 @@
 // Compare says of a row of another copy whether this one lacks something of that
 // origin, and whether the other does. Two that know all up to the same number and
 // yet differ are joined anew: this one counts as knowing nothing of what it has.
-func (c *Copy) Compare(r Row) (lacks, ahead bool) {
+func (c *Replica) Compare(r DigestRow) (lacks, ahead bool) {
 	o := c.origins[r.Origin]
 	if o == nil {
-		return r.Known > 0, false
+		return r.Watermark > 0, false
 	}
-	if o != c.own && r.Floor > o.floor && r.Floor <= r.Known {
+	if o != c.own && r.Floor > o.floor && r.Floor <= r.Watermark {
 		c.raise(o, r.Floor)
 	}
 	mine := o.row()
-	if o != c.own && mine.Known == r.Known && mine.Floor == r.Floor && mine.Sum != r.Sum && mine.Sum != 0 && r.Sum != 0 {
+	if o != c.own && mine.Watermark == r.Watermark && mine.Floor == r.Floor && mine.Checksum != r.Checksum && mine.Checksum != 0 && r.Checksum != 0 {
 		c.Repairs++
 		for _, e := range o.order {
 			e.summed = false
@@ -411,6 +411,6 @@
 		o.known, o.sum = o.floor, 0
 		return true, false
 	}
-	top := max(r.Known, r.Top)
-	return r.Known > o.known || top > max(o.known, o.top()), o.known > r.Known || mine.Floor > r.Floor || o.top() > top
+	top := max(r.Watermark, r.Highest)
+	return r.Watermark > o.known || top > max(o.known, o.top()), o.known > r.Watermark || mine.Floor > r.Floor || o.top() > top
 }
--- a/internal/facts/copy_test.go
+++ b/internal/facts/copy_test.go
@@ -13,13 +13,13 @@
 
 const sec = time.Second
 
-func wait(ep string) Subject   { return Subject{Wait, "acme", ep} }
+func wait(ep string) Subject   { return Subject{RequestedWait, "acme", ep} }
 func health(ep string) Subject { return Subject{Health, "acme", ep} }
 
 // world is some copies, each on a clock of its own, and what they have sent.
 type world struct {
 	now     Time
-	copies  []*Copy
+	copies  []*Replica
 	offsets []Time
 	lost    []sent
 	ends    map[Dot]Time // of waits, in true time
@@ -52,11 +52,11 @@
 		pick := func(name string) int { return rapid.IntRange(0, n-1).Draw(t, name) }
 		pull := func(from, to int) { // and lose some of it
 			for _, r := range w.copies[from].Digest() {
-				since := w.copies[to].Known(r.Origin)
+				since := w.copies[to].Watermark(r.Origin)
 				if rapid.IntRange(0, 3).Draw(t, "anew") == 0 {
 					since = 0
 				}
-				d := w.copies[from].Since(w.local(from), r.Origin, since, rapid.IntRange(1, 400).Draw(t, "bytes"))
+				d := w.copies[from].DeltaSince(w.local(from), r.Origin, since, rapid.IntRange(1, 400).Draw(t, "bytes"))
 				w.lost = append(w.lost, sent{d, w.now})
 				if rapid.Bool().Draw(t, "comes") {
 					w.copies[to].Merge(w.local(to), &d, 0)
@@ -69,10 +69,10 @@
 				i := pick("teller")
 				span := Time(rapid.IntRange(1, 20).Draw(t, "for")) * sec
 				s := Subject{Kind(rapid.IntRange(1, 2).Draw(t, "kind")), "acme", fmt.Sprint(rapid.IntRange(0, 3).Draw(t, "endpoint"))}
-				if err := w.copies[i].Tell(w.local(i), s, Value{Out: s.Kind == Health}, 0, span); err != nil {
+				if err := w.copies[i].Publish(w.local(i), s, Value{InOutage: s.Kind == Health}, 0, span); err != nil {
 					t.Fatal(err)
 				}
-				own, seq := w.copies[i].Own()
+				own, seq := w.copies[i].LocalVersion()
 				w.ends[Dot{own, seq}] = w.now + span
 			case 2:
 				pull(pick("from"), pick("to"))
@@ -107,7 +107,7 @@
 							if lacks, _ := w.copies[k].Compare(r); !lacks {
 								break
 							}
-							d := w.copies[i].Since(w.local(i), r.Origin, w.copies[k].Known(r.Origin), 500)
+							d := w.copies[i].DeltaSince(w.local(i), r.Origin, w.copies[k].Watermark(r.Origin), 500)
 							if _, err := w.copies[k].Merge(w.local(k), &d, 0); err != nil {
 								t.Fatal(err)
 							}
@@ -148,7 +148,7 @@
 		for i, c := range w.copies {
 			for _, r := range c.Digest() {
 				for k, to := range w.copies {
-					d := c.Since(w.local(i), r.Origin, to.Known(r.Origin), 1<<20)
+					d := c.DeltaSince(w.local(i), r.Origin, to.Watermark(r.Origin), 1<<20)
 					to.Merge(w.local(k), &d, 0)
 				}
 			}
@@ -157,7 +157,7 @@
 }
 
 func (w *world) learn(i int, s Subject) Observation {
-	list := w.copies[i].Learn(w.local(i), []Subject{s})
+	list := w.copies[i].Observe(w.local(i), []Subject{s})
 	if len(list) == 0 {
 		return Observation{}
 	}
@@ -167,16 +167,16 @@
 // Of two waits the longer holds, whichever comes first; each is told once.
 func TestWaits(t *testing.T) {
 	w := newWorld(3)
-	w.copies[0].Tell(w.local(0), wait("a"), Value{}, 0, 3*sec)
-	w.copies[1].Tell(w.local(1), wait("a"), Value{}, 2*sec, 10*sec)
+	w.copies[0].Publish(w.local(0), wait("a"), Value{}, 0, 3*sec)
+	w.copies[1].Publish(w.local(1), wait("a"), Value{}, 2*sec, 10*sec)
 	w.exchange()
-	if l := w.learn(2, wait("a")); l.Left != 8*sec || l.By != "s1" {
+	if l := w.learn(2, wait("a")); l.Remaining != 8*sec || l.Source != "s1" {
 		t.Errorf("%+v", l)
 	}
-	if l := w.learn(2, wait("a")); l.Left != 0 {
+	if l := w.learn(2, wait("a")); l.Remaining != 0 {
 		t.Errorf("told twice: %+v", l)
 	}
-	if l := w.learn(1, wait("a")); l.Left != 3*sec { // its own it knows
+	if l := w.learn(1, wait("a")); l.Remaining != 3*sec { // its own it knows
 		t.Errorf("%+v", l)
 	}
 }
@@ -187,36 +187,36 @@
 	w := newWorld(5) // zones z0: 0, 2, 4; z1: 1, 3
 	s := health("a")
 	mark := w.learn(2, s).Mark
-	w.copies[0].Tell(w.local(0), s, Value{Out: true}, 0, 60*sec)
+	w.copies[0].Publish(w.local(0), s, Value{InOutage: true}, 0, 60*sec)
 	w.exchange()
 	for i := 1; i < 5; i++ {
-		if l := w.learn(i, s); !l.Out || l.By != "s0" {
+		if l := w.learn(i, s); !l.OutageReported || l.Source != "s0" {
 			t.Fatalf("%d: %+v", i, l)
 		}
 	}
-	w.copies[2].Tell(w.local(2), s, Value{Covers: w.copies[2].Cover(s, mark)}, 0, 60*sec)
+	w.copies[2].Publish(w.local(2), s, Value{Refutes: w.copies[2].ObservedOutages(s, mark)}, 0, 60*sec)
 	w.exchange()
-	if l := w.learn(4, s); l.Back {
+	if l := w.learn(4, s); l.OutageEnded {
 		t.Error("an answer to a call from before has ended it")
 	}
-	w.copies[3].Tell(w.local(3), s, Value{Covers: w.copies[3].Cover(s, math.MaxUint64)}, 0, 60*sec)
+	w.copies[3].Publish(w.local(3), s, Value{Refutes: w.copies[3].ObservedOutages(s, math.MaxUint64)}, 0, 60*sec)
 	w.exchange()
-	if l := w.learn(1, s); !l.Back {
+	if l := w.learn(1, s); !l.OutageEnded {
 		t.Errorf("in the zone of the answer: %+v", l)
 	}
-	if l := w.learn(4, s); l.Back {
+	if l := w.learn(4, s); l.OutageEnded {
 		t.Error("an answer in another zone has ended it")
 	}
-	w.copies[4].Tell(w.local(4), s, Value{Out: true}, 0, 60*sec) // found out once more, at the same time as
-	w.copies[2].Tell(w.local(2), s, Value{Covers: w.copies[2].Cover(s, math.MaxUint64)}, 0, 60*sec)
+	w.copies[4].Publish(w.local(4), s, Value{InOutage: true}, 0, 60*sec) // found out once more, at the same time as
+	w.copies[2].Publish(w.local(2), s, Value{Refutes: w.copies[2].ObservedOutages(s, math.MaxUint64)}, 0, 60*sec)
 	w.exchange()
-	if l := w.learn(2, s); !l.Out || l.By != "s4" {
+	if l := w.learn(2, s); !l.OutageReported || l.Source != "s4" {
 		t.Errorf("what was found out beside the answer: %+v", l)
 	}
 	w.now += 61 * sec
 	for i, c := range w.copies {
 		lost := c.Expire(w.local(i))
-		c.Learn(w.local(i), lost)
+		c.Observe(w.local(i), lost)
 		if c.Len() != 0 || len(c.told) != 0 {
 			t.Errorf("%d holds %d facts, %d told, after their ends", i, c.Len(), len(c.told))
 		}
@@ -226,9 +226,9 @@
 // A fact that no sender can have made changes nothing; one of a kind that is not
 // known is kept and passed on.
 func TestForged(t *testing.T) {
-	good := Fact{Seq: 1, Subject: wait("a"), For: sec}
+	good := Fact{Seq: 1, Subject: wait("a"), TTL: sec}
 	with := func(f func(d *Delta)) *Delta {
-		d := &Delta{Origin: Origin{"x", 9}, UpTo: 1, End: 1, Facts: []Fact{good}}
+		d := &Delta{Origin: Origin{"x", 9}, UpTo: 1, ConsistentAt: 1, Facts: []Fact{good}}
 		f(d)
 		return d
 	}
@@ -237,32 +237,32 @@
 		"no number":       fact(func(f *Fact) { f.Seq = 0 }),
 		"no kind":         fact(func(f *Fact) { f.Subject.Kind = 0 }),
 		"no partner":      fact(func(f *Fact) { f.Subject.Partner = "" }),
-		"a long name":     fact(func(f *Fact) { f.Subject.Endpoint = string(make([]byte, MostName+1)) }),
-		"no end":          fact(func(f *Fact) { f.For = MostFor + 1 }),
-		"over at once":    fact(func(f *Fact) { f.For = 0 }),
-		"from the future": fact(func(f *Fact) { f.Least = -1 }),
-		"ages crossed":    fact(func(f *Fact) { f.Least, f.Most = 2, 1 }),
-		"many covers":     fact(func(f *Fact) { f.Value.Covers = make([]Dot, MostCovers+1) }),
-		"much more":       fact(func(f *Fact) { f.Value.More = make([]byte, MostValue+1) }),
+		"a long name":     fact(func(f *Fact) { f.Subject.Endpoint = string(make([]byte, MaxNameBytes+1)) }),
+		"no end":          fact(func(f *Fact) { f.TTL = MaxTTL + 1 }),
+		"over at once":    fact(func(f *Fact) { f.TTL = 0 }),
+		"from the future": fact(func(f *Fact) { f.MinAge = -1 }),
+		"ages crossed":    fact(func(f *Fact) { f.MinAge, f.MaxAge = 2, 1 }),
+		"many covers":     fact(func(f *Fact) { f.Value.Refutes = make([]Dot, MaxRefutedDots+1) }),
+		"much more":       fact(func(f *Fact) { f.Value.Opaque = make([]byte, MaxOpaqueBytes+1) }),
 		"no origin":       with(func(d *Delta) { d.Origin.Name = "" }),
-		"no life":         with(func(d *Delta) { d.Origin.Life = 0 }),
+		"no life":         with(func(d *Delta) { d.Origin.Incarnation = 0 }),
 		"over its end":    with(func(d *Delta) { d.UpTo = 0 }),
-		"drawn from less": with(func(d *Delta) { d.End = 0 }),
+		"drawn from less": with(func(d *Delta) { d.ConsistentAt = 0 }),
 		"floor over all":  with(func(d *Delta) { d.Floor = 2 }),
-		"back in order":   with(func(d *Delta) { d.UpTo, d.End, d.Facts = 3, 3, append(d.Facts, good) }),
+		"back in order":   with(func(d *Delta) { d.UpTo, d.ConsistentAt, d.Facts = 3, 3, append(d.Facts, good) }),
 	} {
 		c := New(Origin{"a", 1}, "", 0)
-		if _, err := c.Merge(sec, d, 0); !errors.Is(err, ErrForged) || c.Len() != 0 || c.Known(d.Origin) != 0 {
+		if _, err := c.Merge(sec, d, 0); !errors.Is(err, ErrInvalid) || c.Len() != 0 || c.Watermark(d.Origin) != 0 {
 			t.Errorf("%s: %v, %d facts", name, err, c.Len())
 		}
 	}
 	a, b := New(Origin{"a", 1}, "", 0), New(Origin{"b", 1}, "", 0)
-	d := fact(func(f *Fact) { f.Subject.Kind, f.Value.More = 200, []byte("later") })
+	d := fact(func(f *Fact) { f.Subject.Kind, f.Value.Opaque = 200, []byte("later") })
 	if _, err := a.Merge(sec, d, 0); err != nil {
 		t.Fatal(err)
 	}
-	on := a.Since(sec, d.Origin, 0, 1<<20)
-	if _, err := b.Merge(sec, &on, 0); err != nil || b.Len() != 1 || string(on.Facts[0].Value.More) != "later" {
+	on := a.DeltaSince(sec, d.Origin, 0, 1<<20)
+	if _, err := b.Merge(sec, &on, 0); err != nil || b.Len() != 1 || string(on.Facts[0].Value.Opaque) != "later" {
 		t.Errorf("%v, %+v", err, on)
 	}
 }
@@ -270,10 +270,10 @@
 // Two copies that know the same numbers and differ, by a fault, are made equal.
 func TestRepair(t *testing.T) {
 	w := newWorld(3)
-	w.copies[0].Tell(w.local(0), wait("a"), Value{}, 0, 9*sec)
-	w.copies[0].Tell(w.local(0), wait("b"), Value{}, 0, 9*sec)
+	w.copies[0].Publish(w.local(0), wait("a"), Value{}, 0, 9*sec)
+	w.copies[0].Publish(w.local(0), wait("b"), Value{}, 0, 9*sec)
 	w.exchange()
-	own, _ := w.copies[0].Own()
+	own, _ := w.copies[0].LocalVersion()
 	o := w.copies[1].origins[own]
 	w.copies[1].remove(o, o.facts[wait("a")])
 	for _, r := range w.copies[2].Digest() {
@@ -290,29 +290,29 @@
 // Nobody else writes a sender's own facts.
 func TestDrawnFrom(t *testing.T) {
 	a, b, c, d := New(Origin{"a", 1}, "", 0), New(Origin{"b", 2}, "", 0), New(Origin{"c", 3}, "", 0), New(Origin{"d", 4}, "", 0)
-	own, _ := a.Own()
-	pass := func(from, to *Copy, since uint64, bytes int) {
-		x := from.Since(sec, own, since, bytes)
+	own, _ := a.LocalVersion()
+	pass := func(from, to *Replica, since uint64, bytes int) {
+		x := from.DeltaSince(sec, own, since, bytes)
 		if _, err := to.Merge(sec, &x, 0); err != nil {
 			t.Fatal(err)
 		}
 	}
 	for _, ep := range []string{"x", "y", "z"} {
-		a.Tell(sec, wait(ep), Value{}, 0, 9*sec)
+		a.Publish(sec, wait(ep), Value{}, 0, 9*sec)
 	}
 	pass(a, b, 0, 1<<20) // b knows 1 to 3
-	a.Tell(sec, wait("x"), Value{}, 0, 9*sec)
+	a.Publish(sec, wait("x"), Value{}, 0, 9*sec)
 	pass(a, c, 0, 1)     // c knows 1 to 2 as they are by now: x is told anew, as number 4
 	pass(b, c, 2, 1<<20) // and 3
-	if row := c.Digest()[0]; row.Known != 3 || row.Sum != 0 {
+	if row := c.Digest()[0]; row.Watermark != 3 || row.Checksum != 0 {
 		t.Errorf("%+v; its sum may not count", row)
 	}
 	pass(a, c, 3, 1<<20)
 	pass(a, d, 0, 1<<20)
-	if x, y := c.Digest()[0], d.Digest()[0]; x != y || x.Sum == 0 {
+	if x, y := c.Digest()[0], d.Digest()[0]; x != y || x.Checksum == 0 {
 		t.Errorf("%+v, %+v", x, y)
 	}
-	forged := Delta{Origin: own, UpTo: 99, End: 99, Facts: []Fact{{Seq: 99, Subject: wait("q"), For: sec}}}
+	forged := Delta{Origin: own, UpTo: 99, ConsistentAt: 99, Facts: []Fact{{Seq: 99, Subject: wait("q"), TTL: sec}}}
 	if list, _ := a.Merge(sec, &forged, 0); len(list) != 0 || a.Len() != 3 {
 		t.Errorf("another has written facts of a: %v", list)
 	}
@@ -323,26 +323,26 @@
 func TestBounds(t *testing.T) {
 	c := New(Origin{"a", 1}, "", 0)
 	now := sec
-	c.Tell(now, Subject{Wait, "long", ""}, Value{}, 0, time.Hour)
+	c.Publish(now, Subject{RequestedWait, "long", ""}, Value{}, 0, time.Hour)
 	for i := range 10_000 {
 		now += time.Millisecond
-		c.Tell(now, wait(fmt.Sprint(i%10)), Value{}, 0, sec)
+		c.Publish(now, wait(fmt.Sprint(i%10)), Value{}, 0, sec)
 	}
 	if c.Len() != 11 || len(c.own.order) > 100 {
 		t.Errorf("%d facts in %d places", c.Len(), len(c.own.order))
 	}
 	for i := range 3000 {
 		now += 10 * time.Millisecond
-		c.Tell(now, wait(fmt.Sprint("x", i)), Value{}, 0, sec)
+		c.Publish(now, wait(fmt.Sprint("x", i)), Value{}, 0, sec)
 		c.Expire(now)
 	}
 	if c.Len() > 1200 {
 		t.Errorf("%d facts, of which about 100 hold", c.Len())
 	}
-	for i := range MostOwn + 10 {
-		c.Tell(now, wait(fmt.Sprint("y", i)), Value{}, 0, time.Hour)
+	for i := range MaxOwnFacts + 10 {
+		c.Publish(now, wait(fmt.Sprint("y", i)), Value{}, 0, time.Hour)
 	}
-	if c.Len() > MostOwn || c.Dropped == 0 {
+	if c.Len() > MaxOwnFacts || c.Dropped == 0 {
 		t.Errorf("%d facts, %d dropped", c.Len(), c.Dropped)
 	}
 }
@@ -375,7 +375,7 @@
 	}
 	for i, c := range w.copies {
 		for k := range endpoints {
-			c.Tell(w.local(i), health(fmt.Sprint(k)), Value{Out: true}, 0, 60*sec)
+			c.Publish(w.local(i), health(fmt.Sprint(k)), Value{InOutage: true}, 0, 60*sec)
 		}
 	}
 	w.exchange()
@@ -388,13 +388,13 @@
 	}
 	for i, c := range w.copies {
 		for k := range endpoints {
-			c.Learn(w.local(i), []Subject{health(fmt.Sprint(k))})
+			c.Observe(w.local(i), []Subject{health(fmt.Sprint(k))})
 		}
 	}
 	w.now += 50 * sec
 	for i, c := range w.copies[1:] { // sender 0 says so no more
 		for k := range endpoints {
-			c.Tell(w.local(i+1), health(fmt.Sprint(k)), Value{Out: true}, 0, 60*sec)
+			c.Publish(w.local(i+1), health(fmt.Sprint(k)), Value{InOutage: true}, 0, 60*sec)
 		}
 	}
 	w.exchange()
@@ -410,7 +410,7 @@
 		if before[k] != 0 && is != before[k] || is < 0 {
 			t.Fatalf("endpoint %d: the turn of %d is now that of %d", k, before[k], is)
 		}
-		if list := w.copies[is].Learn(w.local(is), []Subject{s}); before[k] == 0 && (len(list) != 1 || list[0].Turn != 1) {
+		if list := w.copies[is].Observe(w.local(is), []Subject{s}); before[k] == 0 && (len(list) != 1 || list[0].TrialSpacing != 1) {
 			t.Fatalf("endpoint %d: the turn has come to %d, which hears %+v", k, is, list)
 		}
 	}
--- a/internal/facts/fact.go
+++ b/internal/facts/fact.go
@@ -19,16 +19,16 @@
 
 // The kinds.
 const (
-	Wait   Kind = iota + 1 // an endpoint has told to be left alone; For says how long
-	Health                 // a sender has found an endpoint out, or has had an answer since
+	RequestedWait Kind = iota + 1 // an endpoint has told to be left alone; For says how long
+	Health                        // a sender has found an endpoint out, or has had an answer since
 )
 
 // Bounds of a fact.
 const (
-	MostName   = 256            // bytes of a name
-	MostCovers = 64             // dots that one fact covers
-	MostFor    = 24 * time.Hour // from what it tells of until its end
-	MostValue  = 4096           // bytes of the value of a kind that is not known
+	MaxNameBytes   = 256            // bytes of a name
+	MaxRefutedDots = 64             // dots that one fact covers
+	MaxTTL         = 24 * time.Hour // from what it tells of until its end
+	MaxOpaqueBytes = 4096           // bytes of the value of a kind that is not known
 )
 
 // Subject is what a fact is of. An endpoint is meant by its name, not its address.
@@ -40,8 +40,8 @@
 
 // Origin is one life of the process of a sender, which alone writes its facts.
 type Origin struct {
-	Name string `cbor:"1,keyasint"`
-	Life uint64 `cbor:"2,keyasint"`
+	Name        string `cbor:"1,keyasint"`
+	Incarnation uint64 `cbor:"2,keyasint"`
 }
 
 // Dot names one fact: the number that its origin gave it.
@@ -52,9 +52,9 @@
 
 // Value is what a fact says, by its kind.
 type Value struct {
-	Out    bool   `cbor:"1,keyasint,omitempty"` // Health: it is out
-	Covers []Dot  `cbor:"2,keyasint,omitempty"` // Health: an answer came to a call that was begun when these were known
-	More   []byte `cbor:"4,keyasint,omitempty"` // of kinds that are not known here
+	InOutage bool   `cbor:"1,keyasint,omitempty"` // Health: it is out
+	Refutes  []Dot  `cbor:"2,keyasint,omitempty"` // Health: an answer came to a call that was begun when these were known
+	Opaque   []byte `cbor:"4,keyasint,omitempty"` // of kinds that are not known here
 }
 
 // Fact is one fact as it travels. Ages are those when it was sent: the least and the
@@ -63,9 +63,9 @@
 	Seq     uint64  `cbor:"1,keyasint"`
 	Subject Subject `cbor:"2,keyasint"`
 	Zone    string  `cbor:"3,keyasint,omitempty"` // of its origin
-	For     Time    `cbor:"4,keyasint"`           // from what it tells of until its end
-	Least   Time    `cbor:"5,keyasint,omitempty"`
-	Most    Time    `cbor:"6,keyasint,omitempty"`
+	TTL     Time    `cbor:"4,keyasint"`           // from what it tells of until its end
+	MinAge  Time    `cbor:"5,keyasint,omitempty"`
+	MaxAge  Time    `cbor:"6,keyasint,omitempty"`
 	Value   Value   `cbor:"7,keyasint,omitempty"`
 }
 
@@ -77,27 +77,27 @@
 	UpTo   uint64 `cbor:"3,keyasint"`
 	Floor  uint64 `cbor:"4,keyasint,omitempty"`
 	Facts  []Fact `cbor:"5,keyasint,omitempty"`
-	// End is up to where the giver's knowledge was drawn from. Short of that a copy may
+	// ConsistentAt is up to where the giver's knowledge was drawn from. Short of that a copy may
 	// lack what has been replaced since.
-	End uint64 `cbor:"6,keyasint"`
+	ConsistentAt uint64 `cbor:"6,keyasint"`
 }
 
-// Row is what a copy has of one origin: all up to Known, of which nothing stands at
+// DigestRow is what a copy has of one origin: all up to Known, of which nothing stands at
 // or below Floor. Sum is of what stands; 0 if that may differ from what the origin
 // had then.
-type Row struct {
-	Origin Origin `cbor:"1,keyasint"`
-	Known  uint64 `cbor:"2,keyasint"`
-	Floor  uint64 `cbor:"3,keyasint,omitempty"`
-	Sum    uint64 `cbor:"4,keyasint,omitempty"`
-	Top    uint64 `cbor:"5,keyasint,omitempty"` // the highest number that stands, if above Known: what lies between may be lost
+type DigestRow struct {
+	Origin    Origin `cbor:"1,keyasint"`
+	Watermark uint64 `cbor:"2,keyasint"`
+	Floor     uint64 `cbor:"3,keyasint,omitempty"`
+	Checksum  uint64 `cbor:"4,keyasint,omitempty"`
+	Highest   uint64 `cbor:"5,keyasint,omitempty"` // the highest number that stands, if above Known: what lies between may be lost
 }
 
-// ErrForged says that a fact or delta can't have been made by a sender.
-var ErrForged = errors.New("facts: makes no sense")
+// ErrInvalid says that a fact or delta can't have been made by a sender.
+var ErrInvalid = errors.New("facts: makes no sense")
 
 func forged(format string, args ...any) error {
-	return fmt.Errorf("%w: "+format, append([]any{ErrForged}, args...)...)
+	return fmt.Errorf("%w: "+format, append([]any{ErrInvalid}, args...)...)
 }
 
 // check says what is wrong with a fact.
@@ -106,20 +106,20 @@
 	switch {
 	case f.Seq == 0 || s.Kind == 0 || s.Partner == "":
 		return forged("no number, kind or partner")
-	case len(s.Partner) > MostName || len(s.Endpoint) > MostName || len(f.Zone) > MostName:
-		return forged("a name of over %d bytes", MostName)
-	case f.For <= 0 || f.For > MostFor:
-		return forged("it is to hold for %v", f.For)
-	case f.Least < 0 || f.Most < f.Least:
-		return forged("its age is %v to %v", f.Least, f.Most)
-	case len(v.Covers) > MostCovers || len(v.More) > MostValue:
-		return forged("a value of over %d dots or %d bytes", MostCovers, MostValue)
+	case len(s.Partner) > MaxNameBytes || len(s.Endpoint) > MaxNameBytes || len(f.Zone) > MaxNameBytes:
+		return forged("a name of over %d bytes", MaxNameBytes)
+	case f.TTL <= 0 || f.TTL > MaxTTL:
+		return forged("it is to hold for %v", f.TTL)
+	case f.MinAge < 0 || f.MaxAge < f.MinAge:
+		return forged("its age is %v to %v", f.MinAge, f.MaxAge)
+	case len(v.Refutes) > MaxRefutedDots || len(v.Opaque) > MaxOpaqueBytes:
+		return forged("a value of over %d dots or %d bytes", MaxRefutedDots, MaxOpaqueBytes)
 	}
 	return nil
 }
 
 func (d *Delta) check() error {
-	if d.Origin.Name == "" || len(d.Origin.Name) > MostName || d.Origin.Life == 0 || d.Since > d.UpTo || d.Floor > d.UpTo || d.End < d.UpTo {
+	if d.Origin.Name == "" || len(d.Origin.Name) > MaxNameBytes || d.Origin.Incarnation == 0 || d.Since > d.UpTo || d.Floor > d.UpTo || d.ConsistentAt < d.UpTo {
 		return forged("a delta of %q from %d to %d over %d", d.Origin.Name, d.Since, d.UpTo, d.Floor)
 	}
 	last := d.Since
@@ -138,8 +138,8 @@
 
 // size is about how many bytes a fact takes as it travels.
 func (f *Fact) size() int {
-	n := 48 + len(f.Subject.Partner) + len(f.Subject.Endpoint) + len(f.Zone) + len(f.Value.More)
-	for _, d := range f.Value.Covers {
+	n := 48 + len(f.Subject.Partner) + len(f.Subject.Endpoint) + len(f.Zone) + len(f.Value.Opaque)
+	for _, d := range f.Value.Refutes {
 		n += 24 + len(d.Origin.Name)
 	}
 	return n
@@ -148,13 +148,13 @@
 // hash tells facts of one origin apart, whatever their age.
 func (f *Fact) hash() uint64 {
 	h := xxhash.New()
-	fmt.Fprintf(h, "%d %d %t %d ", f.Seq, f.Subject.Kind, f.Value.Out, len(f.Value.Covers))
-	for _, s := range []string{f.Subject.Partner, f.Subject.Endpoint, f.Zone, string(f.Value.More)} {
+	fmt.Fprintf(h, "%d %d %t %d ", f.Seq, f.Subject.Kind, f.Value.InOutage, len(f.Value.Refutes))
+	for _, s := range []string{f.Subject.Partner, f.Subject.Endpoint, f.Zone, string(f.Value.Opaque)} {
 		io.WriteString(h, s)
 		h.Write([]byte{0})
 	}
-	for _, d := range f.Value.Covers {
-		fmt.Fprintf(h, "%s %d %d ", d.Origin.Name, d.Origin.Life, d.Seq)
+	for _, d := range f.Value.Refutes {
+		fmt.Fprintf(h, "%s %d %d ", d.Origin.Name, d.Origin.Incarnation, d.Seq)
 	}
 	return h.Sum64()
 }
--- a/internal/lab/capacity/virtual.go
+++ b/internal/lab/capacity/virtual.go
@@ -49,7 +49,7 @@
 }
 
 func factsWorld(senders int) *replicateplay.World {
-	w := replicateplay.New(replicateplay.Options{Seed: 1, Senders: senders, Every: every, Rate: 1 << 20, Drift: 0.01, Delay: time.Millisecond, Jitter: 4 * time.Millisecond})
+	w := replicateplay.New(replicateplay.Options{Seed: 1, Senders: senders, DigestInterval: every, Rate: 1 << 20, Drift: 0.01, Delay: time.Millisecond, Jitter: 4 * time.Millisecond})
 	w.Run(time.Second)
 	return w
 }
@@ -80,13 +80,13 @@
 		}, Run: func(r *Rig, size int) ([]float64, error) {
 			w := factsWorld(size)
 			for i := range size {
-				w.Fill(i, max(100/size, 1), time.Hour)
+				w.PublishWaits(i, max(100/size, 1), time.Hour)
 			}
 			w.Run(10 * time.Second)
 			calm := counted(w, 20*time.Second)
 			for i := range size {
 				for k := range 5 * told {
-					w.After(time.Duration(k)*time.Second/told, func() { w.Wait(i, fmt.Sprint("out-", k), time.Minute) })
+					w.After(time.Duration(k)*time.Second/told, func() { w.PublishWait(i, fmt.Sprint("out-", k), time.Minute) })
 				}
 			}
 			return []float64{calm, counted(w, 5*time.Second)}, nil
@@ -102,7 +102,7 @@
 		}, Run: func(r *Rig, size int) ([]float64, error) {
 			w := factsWorld(10)
 			for i := range 10 {
-				w.Fill(i, max(size/10, 1), time.Hour)
+				w.PublishWaits(i, max(size/10, 1), time.Hour)
 			}
 			w.Run(20 * time.Second)
 			return []float64{counted(w, 20*time.Second)}, nil
@@ -124,10 +124,10 @@
 				return m.HeapAlloc
 			}
 			before := heap()
-			c := facts.New(facts.Origin{Name: "s0", Life: 1}, "", 0)
+			c := facts.New(facts.Origin{Name: "s0", Incarnation: 1}, "", 0)
 			for i := range size {
 				s := facts.Subject{Kind: facts.Health, Partner: fmt.Sprint("partner-", i), Endpoint: fmt.Sprint("partner-", i, "/127.0.0.1:9000")}
-				if err := c.Tell(time.Second, s, facts.Value{Out: true}, 0, time.Minute); err != nil {
+				if err := c.Publish(time.Second, s, facts.Value{InOutage: true}, 0, time.Minute); err != nil {
 					return nil, err
 				}
 			}
@@ -148,20 +148,20 @@
 			{Slope: Slope{Name: "facts-catchup-bytes", Measures: "sent by all meanwhile", Unit: "MB", Target: factsAtOnce,
 				From: "670 destinations out, told by each of 560 senders; no bound is given"}},
 		}, Run: func(r *Rig, size int) ([]float64, error) {
-			w := replicateplay.New(replicateplay.Options{Seed: 1, Senders: 5, Every: every, Rate: 1 << 20, Delay: time.Millisecond})
+			w := replicateplay.New(replicateplay.Options{Seed: 1, Senders: 5, DigestInterval: every, Rate: 1 << 20, Delay: time.Millisecond})
 			w.Run(time.Second)
-			w.Fill(0, size, time.Hour)
+			w.PublishWaits(0, size, time.Hour)
 			w.Run(time.Duration(size)*time.Millisecond + 5*time.Second)
-			if !w.Full(size) {
+			if !w.AllHave(size) {
 				return nil, fmt.Errorf("the others do not have %d facts", size)
 			}
 			w.SizeOf = factSize
 			from, before := w.Now, w.Bytes
 			p := w.Start(4)
-			for p.Caught == 0 && w.Now-from < 10*time.Minute {
+			for p.CaughtUpAt == 0 && w.Now-from < 10*time.Minute {
 				w.Run(time.Millisecond)
 			}
-			if p.Caught == 0 {
+			if p.CaughtUpAt == 0 {
 				return nil, fmt.Errorf("it has not caught up within 10 min")
 			}
 			return []float64{(w.Now - from).Seconds(), float64(w.Bytes-before) / 1e6}, nil
--- a/internal/replicate/catchup.go
+++ b/internal/replicate/catchup.go
@@ -42,7 +42,7 @@
 		default:
 			if p.asked != 0 {
 				p.asked = 0
-				m.Reasked++
+				m.PullRetries++
 			}
 			list = append(list, p)
 		}
@@ -50,19 +50,19 @@
 	switch {
 	case done >= sources, done > 0 && (done == len(m.order) || now > m.firstAt+settle):
 		m.behind = false
-		m.out.Event = fmt.Sprintf("caught up with %d others after %v: %d facts", done, (now - m.since).Round(time.Millisecond), m.copy.Len())
+		m.out.Event = fmt.Sprintf("caught up with %d others after %v: %d facts", done, (now - m.since).Round(time.Millisecond), m.replica.Len())
 		return
-	case len(m.order) == 0 && now > m.since+m.cfg.Patience, len(m.order) > 0 && m.firstAt == 0 && m.unanswered() && now > m.since+m.cfg.Patience:
+	case len(m.order) == 0 && now > m.since+m.cfg.CatchUpTimeout, len(m.order) > 0 && m.firstAt == 0 && m.unanswered() && now > m.since+m.cfg.CatchUpTimeout:
 		m.behind = false
-		m.Alone++
-		m.out.Event = fmt.Sprintf("nobody has answered for %v: it goes on with what it knows itself", m.cfg.Patience)
+		m.CatchUpTimeouts++
+		m.out.Event = fmt.Sprintf("nobody has answered for %v: it goes on with what it knows itself", m.cfg.CatchUpTimeout)
 		return
 	}
 	m.rng.Shuffle(len(list), func(i, k int) { list[i], list[k] = list[k], list[i] })
 	slices.SortStableFunc(list, func(a, b *peer) int {
 		fresh := func(p *peer) int {
 			switch {
-			case now-p.heard > 3*m.cfg.Every:
+			case now-p.heard > 3*m.cfg.DigestInterval:
 				return 2
 			case p.behind:
 				return 1
@@ -93,15 +93,15 @@
 	p.again = max(p.again, now+askAgain) // when to look again
 	out := m.common(p)
 	m.whole(out)
-	out.Ask = m.nonce
+	out.PullRequest = m.nonce
 	m.send(p, out)
 }
 
 // aim notes what a peer had when it first answered.
-func (p *peer) aim(rows []facts.Row) {
+func (p *peer) aim(rows []facts.DigestRow) {
 	p.goal = make(map[facts.Origin]uint64, len(rows))
 	for _, r := range rows {
-		p.goal[r.Origin] = r.Known
+		p.goal[r.Origin] = r.Watermark
 	}
 }
 
@@ -111,7 +111,7 @@
 		return
 	}
 	for id, known := range p.goal {
-		if id != m.cfg.Own && m.copy.Known(id) < known {
+		if id != m.cfg.Self && m.replica.Watermark(id) < known {
 			return
 		}
 	}
--- a/internal/replicate/machine.go
+++ b/internal/replicate/machine.go
@@ -22,19 +22,19 @@
 	hotRate    = 200 // facts a second that are sent to all at once; others go as the budget allows
 )
 
-// Missed is for how many ticks a sender may not run before it counts as having missed
+// MaxMissedTicks is for how many ticks a sender may not run before it counts as having missed
 // what was told meanwhile.
-const Missed = 3
+const MaxMissedTicks = 3
 
 // Config is what a sender is told at its start.
 type Config struct {
-	Own      facts.Origin
-	Zone     string
-	Drift    float64 // clocks of senders run at 1-Drift to 1+Drift of the true pace
-	Every    Time    // between two digests
-	Patience Time    // after which one that is behind, and whom nobody answers, goes on alone
-	Rate     float64 // bytes a second for all but what binds
-	Seed     uint64
+	Self           facts.Origin
+	Zone           string
+	Drift          float64 // clocks of senders run at 1-Drift to 1+Drift of the true pace
+	DigestInterval Time    // between two digests
+	CatchUpTimeout Time    // after which one that is behind, and whom nobody answers, goes on alone
+	Rate           float64 // bytes a second for all but what binds
+	Seed           uint64
 }
 
 // Peer is another sender, as the view has it.
@@ -62,20 +62,20 @@
 
 // Ready is what is to be done after a step.
 type Ready struct {
-	Send    []Envelope
-	Lessons []facts.Observation
-	Event   string // for the log; empty for none
+	Send         []Envelope
+	Observations []facts.Observation
+	Event        string // for the log; empty for none
 }
 
 // Machine is one sender's part in it. It is not safe for concurrent use.
 type Machine struct {
-	cfg    Config
-	rng    *rand.Rand
-	copy   *facts.Copy
-	peers  map[string]*peer
-	order  []string // of peers
-	last   Time
-	tickAt Time
+	cfg     Config
+	rng     *rand.Rand
+	replica *facts.Replica
+	peers   map[string]*peer
+	order   []string // of peers
+	last    Time
+	tickAt  Time
 
 	behind  bool
 	since   Time // that it is behind
@@ -87,32 +87,32 @@
 	nonce    uint64
 	out      Ready
 
-	Forged  int   // messages that made no sense
-	Short   int   // times that the budget held something back
-	Alone   int   // times that it went on without having caught up
-	Bytes   int64 // sent, about
-	Reasked int   // times that another peer was asked for want of an answer
+	InvalidMessages int   // messages that made no sense
+	Throttled       int   // times that the budget held something back
+	CatchUpTimeouts int   // times that it went on without having caught up
+	BytesSent       int64 // sent, about
+	PullRetries     int   // times that another peer was asked for want of an answer
 }
 
 // New makes a machine at a time. It is behind.
 func New(cfg Config, now Time) *Machine {
-	m := &Machine{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, cfg.Own.Life)), copy: facts.New(cfg.Own, cfg.Zone, cfg.Drift),
+	m := &Machine{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, cfg.Self.Incarnation)), replica: facts.New(cfg.Self, cfg.Zone, cfg.Drift),
 		peers: map[string]*peer{}, last: now, tickAt: now, filledAt: now, hot: hotRate, budget: cfg.Rate}
 	m.fallBehind(now)
 	return m
 }
 
-// Copy is the copy of this sender, for those who only look.
-func (m *Machine) Copy() *facts.Copy { return m.copy }
+// Replica is the copy of this sender, for those who only look.
+func (m *Machine) Replica() *facts.Replica { return m.replica }
 
-// Behind says whether this copy may lack what others knew when this process
+// CatchingUp says whether this copy may lack what others knew when this process
 // returned, and since when.
-func (m *Machine) Behind() (bool, Time) { return m.behind, m.since }
+func (m *Machine) CatchingUp() (bool, Time) { return m.behind, m.since }
 
-// Next is when Tick is to be called at the latest.
-func (m *Machine) Next() Time {
+// NextTick is when Tick is to be called at the latest.
+func (m *Machine) NextTick() Time {
 	next := m.tickAt
-	_, seq := m.copy.Own()
+	_, seq := m.replica.LocalVersion()
 	for _, p := range m.peers {
 		if p.acked < seq || m.behind && p.asked != 0 {
 			next = min(next, max(p.again, m.last+firstAgain/4))
@@ -125,7 +125,7 @@
 // meanwhile.
 func (m *Machine) begin(now Time) {
 	m.out = Ready{}
-	if now-m.last > Missed*m.cfg.Every {
+	if now-m.last > MaxMissedTicks*m.cfg.DigestInterval {
 		m.fallBehind(now)
 	}
 	m.last = max(m.last, now)
@@ -133,8 +133,8 @@
 	m.budget, m.hot, m.filledAt = min(m.budget+d*m.cfg.Rate, m.cfg.Rate), min(m.hot+d*hotRate, hotRate), now
 }
 
-// Peers says which senders there are to talk to.
-func (m *Machine) Peers(list []Peer) {
+// SetPeers says which senders there are to talk to.
+func (m *Machine) SetPeers(list []Peer) {
 	now := map[string]bool{}
 	for _, x := range list {
 		now[x.Name] = true
@@ -151,20 +151,20 @@
 	m.order = slices.Sorted(maps.Keys(m.peers))
 }
 
-// Tell takes what this sender has learnt itself. What binds others goes out at once.
-func (m *Machine) Tell(now Time, s facts.Subject, v facts.Value, age, span Time) (Ready, error) {
+// Publish takes what this sender has learnt itself. What binds others goes out at once.
+func (m *Machine) Publish(now Time, s facts.Subject, v facts.Value, age, span Time) (Ready, error) {
 	m.begin(now)
-	if err := m.copy.Tell(now, s, v, age, span); err != nil {
+	if err := m.replica.Publish(now, s, v, age, span); err != nil {
 		return m.out, err
 	}
-	m.out.Lessons = m.copy.Learn(now, []facts.Subject{s}) // whose turn it is may have changed
-	own, seq := m.copy.Own()
-	if m.hot >= 1 && (s.Kind == facts.Wait || s.Kind == facts.Health) {
+	m.out.Observations = m.replica.Observe(now, []facts.Subject{s}) // whose turn it is may have changed
+	own, seq := m.replica.LocalVersion()
+	if m.hot >= 1 && (s.Kind == facts.RequestedWait || s.Kind == facts.Health) {
 		m.hot--
 		for _, name := range m.order {
 			if p := m.peers[name]; p.acked < seq-1 { // it lacks others too; they follow
 				out := m.common(p)
-				out.Deltas = []facts.Delta{m.copy.Since(now, own, seq-1, packet)}
+				out.Deltas = []facts.Delta{m.replica.DeltaSince(now, own, seq-1, packet)}
 				m.send(p, out)
 			}
 		}
@@ -175,18 +175,18 @@
 
 // push sends own facts to those who have not confirmed them.
 func (m *Machine) push(now Time) {
-	own, seq := m.copy.Own()
+	own, seq := m.replica.LocalVersion()
 	for _, name := range m.order {
 		p := m.peers[name]
 		if p.acked >= seq || now < p.again || p.behind && now-p.heard < behindFor { // one that is behind asks by itself
 			continue
 		}
 		out := m.common(p)
-		out.Deltas = []facts.Delta{m.copy.Since(now, own, p.acked, packet)}
+		out.Deltas = []facts.Delta{m.replica.DeltaSince(now, own, p.acked, packet)}
 		if !m.spend(out) {
 			continue
 		}
-		p.gap = min(max(2*p.gap, firstAgain), max(m.cfg.Every, firstAgain))
+		p.gap = min(max(2*p.gap, firstAgain), max(m.cfg.DigestInterval, firstAgain))
 		p.again = now + p.gap
 		m.send(p, out)
 		if p.tries++; p.tries > triesAlone {
@@ -201,8 +201,8 @@
 	for _, i := range m.rng.Perm(len(m.order)) {
 		if p := m.peers[m.order[i]]; p != to && p.tries <= triesAlone {
 			out := m.common(p)
-			own, _ := m.copy.Own()
-			out.On, out.Deltas = []string{to.Name}, []facts.Delta{m.copy.Since(m.last, own, to.acked, packet)}
+			own, _ := m.replica.LocalVersion()
+			out.RelayTo, out.Deltas = []string{to.Name}, []facts.Delta{m.replica.DeltaSince(m.last, own, to.acked, packet)}
 			if m.spend(out) {
 				m.send(p, out)
 			}
@@ -215,8 +215,8 @@
 func (m *Machine) Tick(now Time) Ready {
 	m.begin(now)
 	if now >= m.tickAt {
-		m.tickAt = now + m.cfg.Every*Time(80+m.rng.IntN(41))/100
-		m.out.Lessons = m.copy.Learn(now, m.copy.Expire(now))
+		m.tickAt = now + m.cfg.DigestInterval*Time(80+m.rng.IntN(41))/100
+		m.out.Observations = m.replica.Observe(now, m.replica.Expire(now))
 		if len(m.order) > 0 {
 			p := m.peers[m.order[m.rng.IntN(len(m.order))]]
 			out := m.common(p)
@@ -229,23 +229,23 @@
 	return m.out
 }
 
-// Take takes a message of another sender. One that makes no sense changes nothing.
-func (m *Machine) Take(now Time, msg *Message) Ready {
+// Receive takes a message of another sender. One that makes no sense changes nothing.
+func (m *Machine) Receive(now Time, msg *Message) Ready {
 	m.begin(now)
-	if msg.Wire != Wire || msg.From.Name == "" || msg.From.Life == 0 || len(msg.Rows) > MostRows || len(msg.Deltas) > MostDeltas ||
-		len(msg.On) > MostOn || msg.Stamp < 0 {
-		m.Forged++
+	if msg.Version != Version || msg.From.Name == "" || msg.From.Incarnation == 0 || len(msg.DigestRows) > MaxDigestRows || len(msg.Deltas) > MaxDeltas ||
+		len(msg.RelayTo) > MaxRelayTargets || msg.SentAt < 0 {
+		m.InvalidMessages++
 		return m.out
 	}
 	p := m.peers[msg.From.Name]
 	if p == nil { // the view does not have it yet
 		return m.out
 	}
-	if p.life != msg.From.Life {
+	if p.life != msg.From.Incarnation {
 		addr := p.Peer
-		*p = peer{Peer: addr, life: msg.From.Life, askedAt: facts.Never, rows: map[facts.Origin]uint64{}}
+		*p = peer{Peer: addr, life: msg.From.Incarnation, askedAt: facts.Never, rows: map[facts.Origin]uint64{}}
 	}
-	p.heard, p.stamp, p.behind = now, max(p.stamp, msg.Stamp), msg.Behind
+	p.heard, p.stamp, p.behind = now, max(p.stamp, msg.SentAt), msg.CatchingUp
 	most := Time(unknown)
 	if msg.Echo > 0 && msg.Echo <= now { // else it echoes an earlier life, on another machine's clock
 		most = now - msg.Echo
@@ -253,27 +253,27 @@
 	var changed []facts.Subject
 	confirm := false
 	for i := range msg.Deltas {
-		list, err := m.copy.Merge(now, &msg.Deltas[i], most)
+		list, err := m.replica.Merge(now, &msg.Deltas[i], most)
 		if err != nil {
-			m.Forged++
+			m.InvalidMessages++
 			continue
 		}
 		changed = append(changed, list...)
 		confirm = confirm || msg.Deltas[i].Origin == msg.From
 	}
-	m.out.Lessons = m.copy.Learn(now, changed)
+	m.out.Observations = m.replica.Observe(now, changed)
 	m.compare(now, p, msg)
 	if confirm {
 		out := m.common(p)
-		out.Rows = []facts.Row{{Origin: msg.From, Known: m.copy.Known(msg.From)}}
+		out.DigestRows = []facts.DigestRow{{Origin: msg.From, Watermark: m.replica.Watermark(msg.From)}}
 		m.send(p, out)
 	}
-	for _, name := range msg.On {
+	for _, name := range msg.RelayTo {
 		if to := m.peers[name]; to != nil && to != p {
-			m.give(now, to, facts.Row{Origin: msg.From, Known: to.rows[msg.From]})
+			m.give(now, to, facts.DigestRow{Origin: msg.From, Watermark: to.rows[msg.From]})
 		}
 	}
-	if msg.Ask != 0 {
+	if msg.PullRequest != 0 {
 		m.answer(now, p, msg)
 	}
 	m.push(now)
@@ -283,39 +283,39 @@
 
 // compare takes the rows of a message.
 func (m *Machine) compare(now Time, p *peer, msg *Message) {
-	own, seq := m.copy.Own()
+	own, seq := m.replica.LocalVersion()
 	lacks := false
-	if len(p.rows) > facts.MostOrigins { // lives that are long over, most of them
+	if len(p.rows) > facts.MaxOrigins { // lives that are long over, most of them
 		clear(p.rows)
 	}
-	answered := msg.Answer != 0 && msg.Answer == p.asked && msg.Whole
+	answered := msg.PullComplete != 0 && msg.PullComplete == p.asked && msg.DigestComplete
 	if answered && m.behind && p.goal == nil {
-		p.aim(msg.Rows)
+		p.aim(msg.DigestRows)
 	}
-	for _, r := range msg.Rows {
-		p.rows[r.Origin] = max(p.rows[r.Origin], r.Known)
+	for _, r := range msg.DigestRows {
+		p.rows[r.Origin] = max(p.rows[r.Origin], r.Watermark)
 		if r.Origin == own {
-			if known := min(r.Known, seq); known > p.acked {
+			if known := min(r.Watermark, seq); known > p.acked {
 				p.acked, p.gap, p.tries, p.again = known, 0, 0, now
 			}
 		}
-		if !msg.Whole {
+		if !msg.DigestComplete {
 			continue
 		}
-		l, ahead := m.copy.Compare(r)
+		l, ahead := m.replica.Compare(r)
 		lacks = lacks || l
-		if ahead && msg.Ask == 0 && r.Origin != own {
+		if ahead && msg.PullRequest == 0 && r.Origin != own {
 			m.give(now, p, r)
 		}
 	}
-	if msg.Whole && msg.Ask == 0 {
+	if msg.DigestComplete && msg.PullRequest == 0 {
 		has := map[facts.Origin]bool{}
-		for _, r := range msg.Rows {
+		for _, r := range msg.DigestRows {
 			has[r.Origin] = true
 		}
-		for _, r := range m.copy.Digest() {
-			if !has[r.Origin] && r.Origin != own && (r.Known > r.Floor || r.Top > 0) {
-				m.give(now, p, facts.Row{Origin: r.Origin})
+		for _, r := range m.replica.Digest() {
+			if !has[r.Origin] && r.Origin != own && (r.Watermark > r.Floor || r.Highest > 0) {
+				m.give(now, p, facts.DigestRow{Origin: r.Origin})
 			}
 		}
 	}
@@ -337,12 +337,12 @@
 }
 
 // give sends what a peer lacks of one origin by its row, as far as a packet holds.
-func (m *Machine) give(now Time, p *peer, theirs facts.Row) {
+func (m *Machine) give(now Time, p *peer, theirs facts.DigestRow) {
 	out := m.common(p)
-	if theirs.Known < m.copy.Known(theirs.Origin) {
-		out.Deltas = []facts.Delta{m.copy.Since(now, theirs.Origin, theirs.Known, packet)}
+	if theirs.Watermark < m.replica.Watermark(theirs.Origin) {
+		out.Deltas = []facts.Delta{m.replica.DeltaSince(now, theirs.Origin, theirs.Watermark, packet)}
 	} else { // its author may be gone, with what lies between
-		out.Deltas = m.copy.Ahead(now, theirs.Origin, max(theirs.Known, theirs.Top), packet)
+		out.Deltas = m.replica.OutOfOrderDeltas(now, theirs.Origin, max(theirs.Watermark, theirs.Highest), packet)
 	}
 	if len(out.Deltas) > 0 && m.spend(out) {
 		m.send(p, out)
@@ -352,8 +352,8 @@
 // answer sends what an asker lacks by its rows, and closes with what this one has.
 // Without room for any of it nothing is said: the asker goes to another then.
 func (m *Machine) answer(now Time, p *peer, msg *Message) {
-	has := map[facts.Origin]facts.Row{}
-	for _, r := range msg.Rows {
+	has := map[facts.Origin]facts.DigestRow{}
+	for _, r := range msg.DigestRows {
 		has[r.Origin] = r
 	}
 	packets := 0
@@ -372,17 +372,17 @@
 		return true
 	}
 	func() {
-		for _, r := range m.copy.Digest() {
+		for _, r := range m.replica.Digest() {
 			theirs := has[r.Origin]
-			if top := max(theirs.Known, theirs.Top); r.Top > top {
-				out.Deltas = append(out.Deltas, m.copy.Ahead(now, r.Origin, top, room)...)
+			if top := max(theirs.Watermark, theirs.Highest); r.Highest > top {
+				out.Deltas = append(out.Deltas, m.replica.OutOfOrderDeltas(now, r.Origin, top, room)...)
 			}
-			for since := theirs.Known; since < r.Known; {
-				d := m.copy.Since(now, r.Origin, since, room)
+			for since := theirs.Watermark; since < r.Watermark; {
+				d := m.replica.DeltaSince(now, r.Origin, since, room)
 				out.Deltas = append(out.Deltas, d)
 				room -= d.Size()
 				since = d.UpTo
-				if (room < packet/4 || len(out.Deltas) == MostDeltas) && !flush() {
+				if (room < packet/4 || len(out.Deltas) == MaxDeltas) && !flush() {
 					return
 				}
 			}
@@ -393,28 +393,28 @@
 		return
 	}
 	last := m.common(p)
-	last.Answer = msg.Ask
+	last.PullComplete = msg.PullRequest
 	m.whole(last)
 	m.send(p, last)
 }
 
 // whole puts a digest of the whole copy into a message.
 func (m *Machine) whole(out *Message) {
-	out.Rows = m.copy.Digest()
-	if out.Whole = len(out.Rows) <= MostRows; !out.Whole { // some of them, others the next time
-		at := m.rng.IntN(len(out.Rows) - MostRows + 1)
-		out.Rows = out.Rows[at : at+MostRows]
+	out.DigestRows = m.replica.Digest()
+	if out.DigestComplete = len(out.DigestRows) <= MaxDigestRows; !out.DigestComplete { // some of them, others the next time
+		at := m.rng.IntN(len(out.DigestRows) - MaxDigestRows + 1)
+		out.DigestRows = out.DigestRows[at : at+MaxDigestRows]
 	}
 }
 
 func (m *Machine) common(p *peer) *Message {
-	return &Message{Wire: Wire, From: m.cfg.Own, Stamp: m.last, Echo: p.stamp, Behind: m.behind}
+	return &Message{Version: Version, From: m.cfg.Self, SentAt: m.last, Echo: p.stamp, CatchingUp: m.behind}
 }
 
 // spend takes a message out of the budget, if there is room for it.
 func (m *Machine) spend(out *Message) bool {
 	if m.budget <= 0 {
-		m.Short++
+		m.Throttled++
 		return false
 	}
 	m.budget -= float64(sizeOf(out))
@@ -422,6 +422,6 @@
 }
 
 func (m *Machine) send(p *peer, out *Message) {
-	m.Bytes += int64(sizeOf(out))
+	m.BytesSent += int64(sizeOf(out))
 	m.out.Send = append(m.out.Send, Envelope{p.Addr, out})
 }
--- a/internal/replicate/play/play_test.go
+++ b/internal/replicate/play/play_test.go
@@ -8,7 +8,7 @@
 const every = 100 * time.Millisecond
 
 func options(seed uint64) Options {
-	return Options{Seed: seed, Senders: 2 + int(seed%5), Every: every, Rate: 1e6, Drift: 0.01, Delay: time.Millisecond, Jitter: 4 * time.Millisecond, Zones: 1 + int(seed%2)}
+	return Options{Seed: seed, Senders: 2 + int(seed%5), DigestInterval: every, Rate: 1e6, Drift: 0.01, Delay: time.Millisecond, Jitter: 4 * time.Millisecond, Zones: 1 + int(seed%2)}
 }
 
 // Whatever is lost, cut, paused and killed: no wait ends early in a copy, none is
@@ -16,7 +16,7 @@
 // returns knows what all others knew once it says so.
 func TestPlays(t *testing.T) {
 	for seed := range uint64(60) {
-		if bad := Draw(options(seed), 20*time.Second).Bad(); bad != "" {
+		if bad := RunRandom(options(seed), 20*time.Second).Violation(); bad != "" {
 			t.Errorf("seed %d: %s", seed, bad)
 		}
 	}
@@ -25,14 +25,14 @@
 // The same plays find faults that are planted.
 func TestPlaysFindFaults(t *testing.T) {
 	for name, plant := range map[string]func(*Options){
-		"ages are left out":               func(o *Options) { o.NoAges = true },
-		"one that returns counts at once": func(o *Options) { o.NeverBehind = true },
+		"ages are left out":               func(o *Options) { o.ZeroAges = true },
+		"one that returns counts at once": func(o *Options) { o.SkipCatchUp = true },
 	} {
 		found := 0
 		for seed := range uint64(30) {
 			o := options(seed)
 			plant(&o)
-			if Draw(o, 20*time.Second).Bad() != "" {
+			if RunRandom(o, 20*time.Second).Violation() != "" {
 				found++
 			}
 		}
--- a/internal/replicate/play/world.go
+++ b/internal/replicate/play/world.go
@@ -15,33 +15,33 @@
 
 // Options say what a world is like.
 type Options struct {
-	Seed    uint64
-	Senders int
-	Every   time.Duration
-	Rate    float64 // bytes a second
-	Drift   float64
-	Delay   time.Duration
-	Jitter  time.Duration
-	Zones   int // 0 for one
+	Seed           uint64
+	Senders        int
+	DigestInterval time.Duration
+	Rate           float64 // bytes a second
+	Drift          float64
+	Delay          time.Duration
+	Jitter         time.Duration
+	Zones          int // 0 for one
 
 	// Planted faults.
-	NoAges      bool // facts travel as if they were told right now
-	NeverBehind bool // one that returns counts as knowing at once
+	ZeroAges    bool // facts travel as if they were told right now
+	SkipCatchUp bool // one that returns counts as knowing at once
 }
 
 // Proc is one process of a sender.
 type Proc struct {
-	N       int
+	Index   int
 	Machine *replicate.Machine
-	Own     facts.Origin
+	Self    facts.Origin
 	Running bool
 	Paused  bool
 
-	offset  time.Duration
-	pace    float64
-	token   int
-	backlog []*replicate.Message
-	Caught  time.Duration // when it last caught up; 0 while it is behind
+	offset     time.Duration
+	pace       float64
+	token      int
+	backlog    []*replicate.Message
+	CaughtUpAt time.Duration // when it last caught up; 0 while it is behind
 }
 
 // told is a wait as the partner knows it.
@@ -57,10 +57,10 @@
 	Bytes int64
 	Sent  int
 
-	Early int           // waits that a copy took to end before they did
-	Long  int           // waits that a copy took to last longer than the ways that they came can explain
-	Blind int           // waits that one lacked which had caught up, and which all others had known for long
-	Worst time.Duration // of a wait, past its true end
+	EarlyWaits   int           // waits that a copy took to end before they did
+	LongWaits    int           // waits that a copy took to last longer than the ways that they came can explain
+	MissingWaits int           // waits that one lacked which had caught up, and which all others had known for long
+	MaxOverrun   time.Duration // of a wait, past its true end
 
 	opts   Options
 	rng    *rand.Rand
@@ -99,11 +99,11 @@
 		old.Running = false
 	}
 	w.lives++
-	p := &Proc{N: i, Own: facts.Origin{Name: fmt.Sprint("s", i), Life: w.lives}, Running: true,
+	p := &Proc{Index: i, Self: facts.Origin{Name: fmt.Sprint("s", i), Incarnation: w.lives}, Running: true,
 		offset: time.Duration(1 + w.rng.Int64N(int64(time.Hour))), pace: 1 + w.opts.Drift*(2*w.rng.Float64()-1)}
-	p.Machine = replicate.New(replicate.Config{Own: p.Own, Zone: fmt.Sprint("z", i%w.opts.Zones), Drift: w.opts.Drift, Every: w.opts.Every,
-		Patience: 10 * w.opts.Every, Rate: w.opts.Rate, Seed: w.rng.Uint64()}, p.local(w))
-	p.Machine.Peers(w.peers(i))
+	p.Machine = replicate.New(replicate.Config{Self: p.Self, Zone: fmt.Sprint("z", i%w.opts.Zones), Drift: w.opts.Drift, DigestInterval: w.opts.DigestInterval,
+		CatchUpTimeout: 10 * w.opts.DigestInterval, Rate: w.opts.Rate, Seed: w.rng.Uint64()}, p.local(w))
+	p.Machine.SetPeers(w.peers(i))
 	w.Procs[i] = p
 	w.do(p, func() replicate.Ready { return p.Machine.Tick(p.local(w)) })
 	return p
@@ -128,7 +128,7 @@
 		late := p.backlog
 		p.backlog = nil
 		for _, m := range late {
-			w.do(p, func() replicate.Ready { return p.Machine.Take(p.local(w), m) })
+			w.do(p, func() replicate.Ready { return p.Machine.Receive(p.local(w), m) })
 		}
 		w.do(p, func() replicate.Ready { return p.Machine.Tick(p.local(w)) })
 	})
@@ -137,8 +137,8 @@
 // Cut cuts a link, Lose has it lose a share of its messages, Heal heals all.
 func (w *World) Cut(from, to int, cut bool) { w.cut[[2]int{from, to}] = cut }
 
-// Lose has a link lose a share of its messages.
-func (w *World) Lose(from, to int, share float64) { w.loss[[2]int{from, to}] = share }
+// SetLoss has a link lose a share of its messages.
+func (w *World) SetLoss(from, to int, share float64) { w.loss[[2]int{from, to}] = share }
 
 // Heal heals all links.
 func (w *World) Heal() {
@@ -146,46 +146,46 @@
 	clear(w.loss)
 }
 
-// Wait has a partner tell a sender that an endpoint is to be left alone.
-func (w *World) Wait(i int, endpoint string, d time.Duration) {
+// PublishWait has a partner tell a sender that an endpoint is to be left alone.
+func (w *World) PublishWait(i int, endpoint string, d time.Duration) {
 	p := w.Procs[i]
 	if !p.Running || p.Paused {
 		return
 	}
 	w.do(p, func() replicate.Ready {
-		s := facts.Subject{Kind: facts.Wait, Partner: "acme", Endpoint: endpoint}
-		r, err := p.Machine.Tell(p.local(w), s, facts.Value{}, 0, d)
+		s := facts.Subject{Kind: facts.RequestedWait, Partner: "acme", Endpoint: endpoint}
+		r, err := p.Machine.Publish(p.local(w), s, facts.Value{}, 0, d)
 		if err != nil {
 			panic(err)
 		}
-		own, seq := p.Machine.Copy().Own()
+		own, seq := p.Machine.Replica().LocalVersion()
 		w.waits[facts.Dot{Origin: own, Seq: seq}] = told{w.Now, w.Now + d, i}
 		return r
 	})
 }
 
-// Fill has one sender tell waits for so many endpoints, all at once.
-func (w *World) Fill(i, n int, d time.Duration) {
+// PublishWaits has one sender tell waits for so many endpoints, all at once.
+func (w *World) PublishWaits(i, n int, d time.Duration) {
 	for k := range n {
-		w.Wait(i, fmt.Sprint("f", i, "-", k), d)
+		w.PublishWait(i, fmt.Sprint("f", i, "-", k), d)
 	}
 }
 
-// Knows says whether all that run know all that a sender has told.
-func (w *World) Knows(i int) bool {
-	own, seq := w.Procs[i].Machine.Copy().Own()
+// AllKnowOwnFacts says whether all that run know all that a sender has told.
+func (w *World) AllKnowOwnFacts(i int) bool {
+	own, seq := w.Procs[i].Machine.Replica().LocalVersion()
 	for _, p := range w.running() {
-		if p.Machine.Copy().Known(own) < seq {
+		if p.Machine.Replica().Watermark(own) < seq {
 			return false
 		}
 	}
 	return true
 }
 
-// Full says whether all that run have so many facts.
-func (w *World) Full(n int) bool {
+// AllHave says whether all that run have so many facts.
+func (w *World) AllHave(n int) bool {
 	for _, p := range w.running() {
-		if p.Machine.Copy().Len() != n {
+		if p.Machine.Replica().Len() != n {
 			return false
 		}
 	}
@@ -202,17 +202,17 @@
 		return
 	}
 	r := step()
-	if behind, _ := p.Machine.Behind(); behind && !w.opts.NeverBehind {
-		p.Caught = 0
-	} else if p.Caught == 0 {
-		p.Caught = w.Now
+	if behind, _ := p.Machine.CatchingUp(); behind && !w.opts.SkipCatchUp {
+		p.CaughtUpAt = 0
+	} else if p.CaughtUpAt == 0 {
+		p.CaughtUpAt = w.Now
 	}
 	for _, out := range r.Send {
 		w.send(p, out)
 	}
 	p.token++
 	token := p.token
-	w.After(max(time.Duration(float64(p.Machine.Next()-p.local(w))/p.pace), 0)+time.Microsecond, func() {
+	w.After(max(time.Duration(float64(p.Machine.NextTick()-p.local(w))/p.pace), 0)+time.Microsecond, func() {
 		if token == p.token {
 			w.do(p, func() replicate.Ready { return p.Machine.Tick(p.local(w)) })
 		}
@@ -222,7 +222,7 @@
 func (w *World) send(p *Proc, out replicate.Envelope) {
 	var to int
 	fmt.Sscan(out.To, &to)
-	link := [2]int{p.N, to}
+	link := [2]int{p.Index, to}
 	w.Sent++
 	if w.SizeOf != nil {
 		w.Bytes += int64(w.SizeOf(out.Message))
@@ -235,8 +235,8 @@
 	for i := range m.Deltas {
 		m.Deltas[i].Facts = slices.Clone(m.Deltas[i].Facts)
 		for k := range m.Deltas[i].Facts {
-			if f := &m.Deltas[i].Facts[k]; w.opts.NoAges {
-				f.Least, f.Most = 0, 0
+			if f := &m.Deltas[i].Facts[k]; w.opts.ZeroAges {
+				f.MinAge, f.MaxAge = 0, 0
 			}
 		}
 	}
@@ -258,7 +258,7 @@
 					x.backlog = append(x.backlog, &m)
 				}
 			default:
-				w.do(x, func() replicate.Ready { return x.Machine.Take(x.local(w), &m) })
+				w.do(x, func() replicate.Ready { return x.Machine.Receive(x.local(w), &m) })
 			}
 		})
 	}
@@ -275,8 +275,8 @@
 			continue
 		}
 		now := p.local(w)
-		for _, s := range p.Machine.Copy().List(now, "", 1<<20) {
-			if s.Kind != facts.Wait {
+		for _, s := range p.Machine.Replica().List(now, "", 1<<20) {
+			if s.Kind != facts.RequestedWait {
 				continue
 			}
 			d := facts.Dot{Origin: s.Origin, Seq: s.Seq}
@@ -287,29 +287,29 @@
 			left := x.until - w.Now
 			drift := time.Duration(8 * w.opts.Drift * float64(w.Now-x.at+left))
 			least := left - time.Microsecond
-			if s.Origin == p.Own { // it has nothing but its own clock
+			if s.Origin == p.Self { // it has nothing but its own clock
 				least -= drift / 8
 			}
-			if s.Left < least {
-				w.Early++
+			if s.Remaining < least {
+				w.EarlyWaits++
 			}
-			if past := s.Left - max(left, 0) - drift; past > way && left > 0 {
-				w.Long++
-				w.Worst = max(w.Worst, past)
+			if past := s.Remaining - max(left, 0) - drift; past > way && left > 0 {
+				w.LongWaits++
+				w.MaxOverrun = max(w.MaxOverrun, past)
 			}
 		}
 	}
 }
 
-// Lack counts what those that run, and have caught up, lack of the waits that are in
+// CountMissing counts what those that run, and have caught up, lack of the waits that are in
 // force and were told before a time.
-func (w *World) Lack(before time.Duration) (n int) {
+func (w *World) CountMissing(before time.Duration) (n int) {
 	for d, x := range w.waits {
 		if x.at >= before || x.until <= w.Now || !w.newest(d, x) {
 			continue
 		}
 		for _, p := range w.Procs {
-			if p.Running && !p.Paused && p.Caught > 0 && p.Own != d.Origin && !w.has(p, d) {
+			if p.Running && !p.Paused && p.CaughtUpAt > 0 && p.Self != d.Origin && !w.has(p, d) {
 				n++
 			}
 		}
@@ -320,11 +320,11 @@
 // newest says whether no later wait has taken the place of one.
 func (w *World) newest(d facts.Dot, x told) bool {
 	p := w.Procs[x.by]
-	return p.Own == d.Origin && w.has(p, d)
+	return p.Self == d.Origin && w.has(p, d)
 }
 
 func (w *World) has(p *Proc, d facts.Dot) bool {
-	for _, s := range p.Machine.Copy().List(p.local(w), "", 1<<20) {
+	for _, s := range p.Machine.Replica().List(p.local(w), "", 1<<20) {
 		if s.Origin == d.Origin && s.Seq == d.Seq {
 			return true
 		}
@@ -332,14 +332,14 @@
 	return false
 }
 
-// Equal says whether the copies of all that run hold the same.
-func (w *World) Equal() bool {
+// Converged says whether the copies of all that run hold the same.
+func (w *World) Converged() bool {
 	first := []string(nil)
 	for i, p := range w.running() {
 		var list []string
-		for _, s := range p.Machine.Copy().List(p.local(w), "", 1<<20) {
+		for _, s := range p.Machine.Replica().List(p.local(w), "", 1<<20) {
 			// What is about to end may have ended by one clock and not by another.
-			if s.Left > 2*time.Duration(w.opts.Senders)*(w.opts.Delay+w.opts.Jitter)+100*time.Millisecond {
+			if s.Remaining > 2*time.Duration(w.opts.Senders)*(w.opts.Delay+w.opts.Jitter)+100*time.Millisecond {
 				list = append(list, fmt.Sprint(s.Subject, s.Origin, s.Seq, s.Value))
 			}
 		}
--- a/internal/standin/fleet/knowledge.go
+++ b/internal/standin/fleet/knowledge.go
@@ -51,7 +51,7 @@
 			continue
 		}
 		k := x.Knowledge
-		if k == nil || k.Behind {
+		if k == nil || k.CatchingUp {
 			return false
 		}
 		for _, p := range k.Peers {
--- a/internal/standin/hollow/fleet.go
+++ b/internal/standin/hollow/fleet.go
@@ -156,7 +156,7 @@
 		s := f.senders[rng.IntN(len(f.senders))]
 		s.mu.Lock()
 		if s.life != nil {
-			s.life.TellWait(fmt.Sprintf("partner-%d", n), "192.0.2.1:443", facts.MostFor)
+			s.life.TellWait(fmt.Sprintf("partner-%d", n), "192.0.2.1:443", facts.MaxTTL)
 		}
 		s.mu.Unlock()
 	}
