--- a/internal/facts/fact.go
+++ b/internal/facts/fact.go
@@ -96,7 +96,7 @@
 // ErrInvalid says that a fact or delta can't have been made by a sender.
 var ErrInvalid = errors.New("facts: makes no sense")
 
-func forged(format string, args ...any) error {
+func invalid(format string, args ...any) error {
 	return fmt.Errorf("%w: "+format, append([]any{ErrInvalid}, args...)...)
 }
 
@@ -105,22 +105,22 @@
 	s, v := f.Subject, f.Value
 	switch {
 	case f.Seq == 0 || s.Kind == 0 || s.Partner == "":
-		return forged("no number, kind or partner")
+		return invalid("no number, kind or partner")
 	case len(s.Partner) > MaxNameBytes || len(s.Endpoint) > MaxNameBytes || len(f.Zone) > MaxNameBytes:
-		return forged("a name of over %d bytes", MaxNameBytes)
+		return invalid("a name of over %d bytes", MaxNameBytes)
 	case f.TTL <= 0 || f.TTL > MaxTTL:
-		return forged("it is to hold for %v", f.TTL)
+		return invalid("it is to hold for %v", f.TTL)
 	case f.MinAge < 0 || f.MaxAge < f.MinAge:
-		return forged("its age is %v to %v", f.MinAge, f.MaxAge)
+		return invalid("its age is %v to %v", f.MinAge, f.MaxAge)
 	case len(v.Refutes) > MaxRefutedDots || len(v.Opaque) > MaxOpaqueBytes:
-		return forged("a value of over %d dots or %d bytes", MaxRefutedDots, MaxOpaqueBytes)
+		return invalid("a value of over %d dots or %d bytes", MaxRefutedDots, MaxOpaqueBytes)
 	}
 	return nil
 }
 
 func (d *Delta) check() error {
 	if d.Origin.Name == "" || len(d.Origin.Name) > MaxNameBytes || d.Origin.Incarnation == 0 || d.Since > d.UpTo || d.Floor > d.UpTo || d.ConsistentAt < d.UpTo {
-		return forged("a delta of %q from %d to %d over %d", d.Origin.Name, d.Since, d.UpTo, d.Floor)
+		return invalid("a delta of %q from %d to %d over %d", d.Origin.Name, d.Since, d.UpTo, d.Floor)
 	}
 	last := d.Since
 	for i := range d.Facts {
@@ -129,7 +129,7 @@
 			return err
 		}
 		if f.Seq <= last || f.Seq > d.UpTo {
-			return forged("number %d after %d, up to %d", f.Seq, last, d.UpTo)
+			return invalid("number %d after %d, up to %d", f.Seq, last, d.UpTo)
 		}
 		last = f.Seq
 	}
--- a/internal/facts/rules.go
+++ b/internal/facts/rules.go
@@ -24,53 +24,53 @@
 	Mark uint64
 }
 
-// told is what was last told of a subject.
-type told struct {
-	wait Time
-	mark uint64
-	out  bool
-	turn int
+// reportedState is what was last reportedState of a subject.
+type reportedState struct {
+	waitUntil    Time
+	mark         uint64
+	inOutage     bool
+	trialSpacing int
 }
 
-// othersTry is how many times more rarely all others together try an endpoint that is
+// otherTrialSpacing is how many times more rarely all others together try an endpoint that is
 // out than the one whose turn it is: in case that one does not.
-const othersTry = 4
+const otherTrialSpacing = 4
 
-// turn is how rarely this sender is to try an endpoint that some find out.
-func (c *Replica) turn(now Time, s Subject) int {
-	holder, n := c.holder(now, s)
+// trialSpacing is how rarely this sender is to try an endpoint that some find out.
+func (c *Replica) trialSpacing(now Time, s Subject) int {
+	holder, n := c.trialOwner(now, s)
 	if n == 0 || holder == c.own.Name {
 		return 1
 	}
-	return othersTry * n
+	return otherTrialSpacing * n
 }
 
-// holder is who has the turn to try an endpoint, and how many find it out: of those the
+// trialOwner is who has the turn to try an endpoint, and how many find it out: of those the
 // first by a hash of its name and the endpoint's, so that each has it for some
 // endpoints, and it moves only as those who find it out come and go.
-func (c *Replica) holder(now Time, s Subject) (name string, n int) {
+func (c *Replica) trialOwner(now Time, s Subject) (name string, n int) {
 	best := uint64(0)
-	for _, e := range c.subject[s] {
-		if now >= e.end() || !e.Value.InOutage || c.covered(s, e.dot()) {
+	for _, e := range c.bySubject[s] {
+		if now >= e.expiry() || !e.Value.InOutage || c.refuted(s, e.dot()) {
 			continue
 		}
 		n++
-		if w := xxhash.Sum64String(e.from.Name + "\x00" + s.Partner + "\x00" + s.Endpoint); n == 1 || w > best {
-			name, best = e.from.Name, w
+		if w := xxhash.Sum64String(e.origin.Name + "\x00" + s.Partner + "\x00" + s.Endpoint); n == 1 || w > best {
+			name, best = e.origin.Name, w
 		}
 	}
 	return name, n
 }
 
-// holds lists what others say of a subject and is not over, newest arrival last.
-func (c *Replica) holds(now Time, s Subject) []*entry {
+// validFromOthers lists what others say of a subject and is not over, newest arrival last.
+func (c *Replica) validFromOthers(now Time, s Subject) []*entry {
 	var out []*entry
-	for _, e := range c.subject[s] {
-		if now < e.end() && e.from != c.own {
+	for _, e := range c.bySubject[s] {
+		if now < e.expiry() && e.origin != c.own {
 			out = append(out, e)
 		}
 	}
-	slices.SortFunc(out, func(a, b *entry) int { return cmp.Compare(a.arrived, b.arrived) })
+	slices.SortFunc(out, func(a, b *entry) int { return cmp.Compare(a.arrival, b.arrival) })
 	return out
 }
 
@@ -78,48 +78,48 @@
 // sender has told itself is left out.
 func (c *Replica) Observe(now Time, subjects []Subject) (out []Observation) {
 	for _, s := range subjects {
-		was, is, lesson := c.told[s], told{}, Observation{Subject: s}
-		list := c.holds(now, s)
+		previous, current, observation := c.reported[s], reportedState{}, Observation{Subject: s}
+		list := c.validFromOthers(now, s)
 		for _, e := range list {
 			switch s.Kind {
 			case RequestedWait: // the longest
-				if e.end() > is.wait {
-					is.wait, lesson.Source = e.end(), e.from.Name
+				if e.expiry() > current.waitUntil {
+					current.waitUntil, observation.Source = e.expiry(), e.origin.Name
 				}
 			case Health: // out, unless an answer since: an answer counts where it came
-				if e.Value.InOutage && !c.covered(s, e.dot()) {
-					is.out, is.mark, lesson.Source = true, e.arrived, e.from.Name
+				if e.Value.InOutage && !c.refuted(s, e.dot()) {
+					current.inOutage, current.mark, observation.Source = true, e.arrival, e.origin.Name
 				}
 			}
 		}
-		lesson.Mark = c.arrival
-		lesson.Remaining = max(is.wait-now, 0)
-		lesson.OutageReported = is.out && is.mark > was.mark
-		lesson.OutageEnded = was.out && !is.out
+		observation.Mark = c.lastArrival
+		observation.Remaining = max(current.waitUntil-now, 0)
+		observation.OutageReported = current.inOutage && current.mark > previous.mark
+		observation.OutageEnded = previous.inOutage && !current.inOutage
 		if s.Kind == Health {
-			is.mark, is.turn = max(is.mark, was.mark), c.turn(now, s)
-			lesson.TrialSpacing = is.turn
+			current.mark, current.trialSpacing = max(current.mark, previous.mark), c.trialSpacing(now, s)
+			observation.TrialSpacing = current.trialSpacing
 		}
 		switch {
-		case s.Kind == RequestedWait && is.wait <= was.wait+1e6: // by another way, or a shorter one
-			is.wait = max(was.wait, is.wait)
-		case s.Kind == RequestedWait, lesson.OutageReported, lesson.OutageEnded, s.Kind == Health && is.turn != max(was.turn, 1):
-			out = append(out, lesson)
+		case s.Kind == RequestedWait && current.waitUntil <= previous.waitUntil+1e6: // by another way, or a shorter one
+			current.waitUntil = max(previous.waitUntil, current.waitUntil)
+		case s.Kind == RequestedWait, observation.OutageReported, observation.OutageEnded, s.Kind == Health && current.trialSpacing != max(previous.trialSpacing, 1):
+			out = append(out, observation)
 		}
-		if len(c.subject[s]) == 0 {
-			delete(c.told, s)
+		if len(c.bySubject[s]) == 0 {
+			delete(c.reported, s)
 		} else {
-			c.told[s] = is
+			c.reported[s] = current
 		}
 	}
 	return out
 }
 
-// covered says whether a sender of this zone has had an answer to a call that it
+// refuted says whether a sender of this zone has had an answer to a call that it
 // began when it knew of a fact. Where a partner is out for one zone only, an answer
 // in another proves nothing.
-func (c *Replica) covered(s Subject, d Dot) bool {
-	for _, e := range c.subject[s] {
+func (c *Replica) refuted(s Subject, d Dot) bool {
+	for _, e := range c.bySubject[s] {
 		if e.Zone == c.zone && slices.Contains(e.Value.Refutes, d) {
 			return true
 		}
@@ -130,8 +130,8 @@
 // ObservedOutages lists what others say of an endpoint being out, as far as it had arrived by
 // a mark: what an answer to a call begun after that refutes.
 func (c *Replica) ObservedOutages(s Subject, mark uint64) (out []Dot) {
-	for _, e := range c.subject[s] {
-		if e.Value.InOutage && e.arrived <= mark && e.from != c.own && len(out) < MaxRefutedDots {
+	for _, e := range c.bySubject[s] {
+		if e.Value.InOutage && e.arrival <= mark && e.origin != c.own && len(out) < MaxRefutedDots {
 			out = append(out, e.dot())
 		}
 	}
@@ -141,8 +141,8 @@
 // OwnValue is what this sender itself says of a subject, and for how long that holds
 // still; nothing if it says nothing.
 func (c *Replica) OwnValue(now Time, s Subject) (Value, Time) {
-	if e := c.own.facts[s]; e != nil && now < e.end() {
-		return e.Value, e.end() - now
+	if e := c.own.facts[s]; e != nil && now < e.expiry() {
+		return e.Value, e.expiry() - now
 	}
 	return Value{}, 0
 }
@@ -167,11 +167,11 @@
 func (c *Replica) List(now Time, partner string, most int) (out []FactStatus) {
 	for id, o := range c.origins {
 		for s, e := range o.facts {
-			if now >= e.end() || partner != "" && s.Partner != partner {
+			if now >= e.expiry() || partner != "" && s.Partner != partner {
 				continue
 			}
-			out = append(out, FactStatus{Subject: s, Origin: id, Seq: e.Seq, Zone: e.Zone, MinAge: max(now-e.hi, 0), MaxAge: max(now-e.lo, 0),
-				Remaining: e.end() - now, Value: e.Value, Refuted: e.Value.InOutage && c.covered(s, Dot{id, e.Seq})})
+			out = append(out, FactStatus{Subject: s, Origin: id, Seq: e.Seq, Zone: e.Zone, MinAge: max(now-e.latest, 0), MaxAge: max(now-e.earliest, 0),
+				Remaining: e.expiry() - now, Value: e.Value, Refuted: e.Value.InOutage && c.refuted(s, Dot{id, e.Seq})})
 		}
 	}
 	slices.SortFunc(out, func(a, b FactStatus) int {
@@ -186,7 +186,7 @@
 			out[i].Effective = first
 		case Health:
 			out[i].Effective = out[i].Value.InOutage && !out[i].Refuted
-			if holder, _ := c.holder(now, out[i].Subject); out[i].Effective {
+			if holder, _ := c.trialOwner(now, out[i].Subject); out[i].Effective {
 				out[i].TrialOwner = holder == out[i].Origin.Name
 			}
 		}
--- a/internal/replicate/message.go
+++ b/internal/replicate/message.go
@@ -11,7 +11,7 @@
 	MaxDigestRows   = 1000
 	MaxDeltas       = 64
 	MaxRelayTargets = 8    // peers that a message is to be passed on to
-	packet          = 1200 // bytes of facts in a message, about; less than what a network carries whole
+	packetBytes     = 1200 // bytes of facts in a message, about; less than what a network carries whole
 )
 
 // Message is what one sender tells another about facts.
--- a/internal/replicate/play/cases_test.go
+++ b/internal/replicate/play/cases_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// calm is a world whose digests come every ten seconds, so that what reaches a copy
+// newWorld is a world whose digests come every ten seconds, so that what reaches a copy
 // sooner has come by other ways.
-func calm(n int, with ...func(*Options)) *World {
+func newWorld(n int, with ...func(*Options)) *World {
 	o := Options{Seed: 1, Senders: n, DigestInterval: 10 * time.Second, Rate: 1e6, Delay: time.Millisecond}
 	for _, f := range with {
 		f(&o)
@@ -17,43 +17,43 @@
 	return w
 }
 
-// knows waits until a process has a fact of each of so many endpoints.
-func knows(w *World, i, n int, d time.Duration) (time.Duration, bool) {
+// waitForFacts waits until a process has a fact of each of so many endpoints.
+func waitForFacts(w *World, i, n int, d time.Duration) (time.Duration, bool) {
 	return w.Until(d, func() bool { return w.Procs[i].Machine.Replica().Len() >= n })
 }
 
 // What gets lost is sent again, by another sender if need be, or found by digests;
 // what binds does not wait behind what does not fit into the bytes a second; and one
 // that was paused is behind until it has asked.
-func TestWays(t *testing.T) {
-	w := calm(2)
+func TestDeliveryPaths(t *testing.T) {
+	w := newWorld(2)
 	w.SetLoss(0, 1, 1)
 	w.PublishWait(0, "a", time.Hour)
 	w.Run(30 * time.Millisecond)
 	w.Heal()
-	if took, ok := knows(w, 1, 1, 200*time.Millisecond); !ok {
+	if took, ok := waitForFacts(w, 1, 1, 200*time.Millisecond); !ok {
 		t.Errorf("a lost message was not sent again within %v", took)
 	}
 
-	w = calm(3)
+	w = newWorld(3)
 	w.Cut(0, 1, true)
 	w.PublishWait(0, "a", time.Hour)
-	if took, ok := knows(w, 1, 1, time.Second); !ok {
+	if took, ok := waitForFacts(w, 1, 1, time.Second); !ok {
 		t.Errorf("one that is cut off from the teller only has not heard within %v", took)
 	}
 
-	w = calm(3, func(o *Options) { o.DigestInterval = 100 * time.Millisecond })
+	w = newWorld(3, func(o *Options) { o.DigestInterval = 100 * time.Millisecond })
 	w.Cut(0, 1, true)
 	w.Cut(2, 1, true)
 	w.PublishWait(0, "a", time.Hour)
 	w.Run(time.Second)
 	w.Kill(0)
 	w.Heal()
-	if took, ok := knows(w, 1, 1, 3*time.Second); !ok {
+	if took, ok := waitForFacts(w, 1, 1, 3*time.Second); !ok {
 		t.Errorf("what a dead sender had told has not come by digests within %v", took)
 	}
 
-	w = calm(3, func(o *Options) { o.DigestInterval = 100 * time.Millisecond })
+	w = newWorld(3, func(o *Options) { o.DigestInterval = 100 * time.Millisecond })
 	w.Cut(0, 2, true)
 	w.Cut(0, 1, true)
 	w.PublishWait(0, "lost", time.Hour)
@@ -61,12 +61,12 @@
 	w.PublishWait(0, "a", time.Hour) // comes to 1 ahead of the one before, whose teller dies
 	w.Run(2 * time.Millisecond)
 	w.Kill(0)
-	if took, ok := knows(w, 2, 1, time.Second); !ok {
+	if took, ok := waitForFacts(w, 2, 1, time.Second); !ok {
 		t.Errorf("what came ahead of what is lost has not been passed on within %v", took)
 	}
 
 	const many = 3000 // more than one answer holds
-	w = calm(3, func(o *Options) { o.DigestInterval = 100 * time.Millisecond })
+	w = newWorld(3, func(o *Options) { o.DigestInterval = 100 * time.Millisecond })
 	w.PublishWaits(0, many, time.Hour)
 	if took, ok := w.Until(20*time.Second, func() bool { return w.AllHave(many) }); !ok {
 		t.Fatalf("not all have all within %v", took)
@@ -76,16 +76,16 @@
 		t.Errorf("caught up at %v with %d of %d facts", p.CaughtUpAt, p.Machine.Replica().Len(), many)
 	}
 
-	w = calm(2, func(o *Options) { o.Rate = 10 })
+	w = newWorld(2, func(o *Options) { o.Rate = 10 })
 	w.PublishWaits(0, 400, time.Hour) // more than goes out at once, and than there are bytes for
 	w.Run(2 * time.Second)
 	had := w.Procs[1].Machine.Replica().Len()
 	w.PublishWait(0, "now", time.Hour)
-	if _, ok := knows(w, 1, had+1, 20*time.Millisecond); !ok || had >= 400 {
+	if _, ok := waitForFacts(w, 1, had+1, 20*time.Millisecond); !ok || had >= 400 {
 		t.Errorf("what binds waits behind %d others", 400-had)
 	}
 
-	w = calm(2, func(o *Options) { o.DigestInterval = 100 * time.Millisecond })
+	w = newWorld(2, func(o *Options) { o.DigestInterval = 100 * time.Millisecond })
 	w.Cut(0, 1, true)
 	w.Cut(1, 0, true)
 	w.Pause(1, time.Second)
--- a/internal/replicate/play/world.go
+++ b/internal/replicate/play/world.go
@@ -37,17 +37,17 @@
 	Running bool
 	Paused  bool
 
-	offset     time.Duration
-	pace       float64
-	token      int
-	backlog    []*replicate.Message
-	CaughtUpAt time.Duration // when it last caught up; 0 while it is behind
+	clockOffset     time.Duration
+	clockRate       float64
+	timerGeneration int
+	received        []*replicate.Message
+	CaughtUpAt      time.Duration // when it last caught up; 0 while it is behind
 }
 
-// told is a wait as the partner knows it.
-type told struct {
-	at, until time.Duration
-	by        int
+// publishedWait is a wait as the partner knows it.
+type publishedWait struct {
+	publishedAt, endsAt time.Duration
+	sender              int
 }
 
 // World is senders in virtual time.
@@ -62,20 +62,20 @@
 	MissingWaits int           // waits that one lacked which had caught up, and which all others had known for long
 	MaxOverrun   time.Duration // of a wait, past its true end
 
-	opts   Options
-	rng    *rand.Rand
-	loss   map[[2]int]float64
-	cut    map[[2]int]bool
-	waits  map[facts.Dot]told
-	lives  uint64
-	paused time.Duration // the longest
-	SizeOf func(*replicate.Message) int
+	opts         Options
+	rng          *rand.Rand
+	loss         map[[2]int]float64
+	cut          map[[2]int]bool
+	waits        map[facts.Dot]publishedWait
+	incarnations uint64
+	longestPause time.Duration // the longest
+	SizeOf       func(*replicate.Message) int
 }
 
 // New makes a world and starts all senders.
 func New(opts Options) *World {
 	w := &World{opts: opts, rng: rand.New(rand.NewPCG(opts.Seed, 3)), loss: map[[2]int]float64{}, cut: map[[2]int]bool{},
-		waits: map[facts.Dot]told{}, Procs: make([]*Proc, opts.Senders)}
+		waits: map[facts.Dot]publishedWait{}, Procs: make([]*Proc, opts.Senders)}
 	w.opts.Zones = max(opts.Zones, 1)
 	for i := range opts.Senders {
 		w.Start(i)
@@ -98,14 +98,14 @@
 	if old := w.Procs[i]; old != nil {
 		old.Running = false
 	}
-	w.lives++
-	p := &Proc{Index: i, Self: facts.Origin{Name: fmt.Sprint("s", i), Incarnation: w.lives}, Running: true,
-		offset: time.Duration(1 + w.rng.Int64N(int64(time.Hour))), pace: 1 + w.opts.Drift*(2*w.rng.Float64()-1)}
+	w.incarnations++
+	p := &Proc{Index: i, Self: facts.Origin{Name: fmt.Sprint("s", i), Incarnation: w.incarnations}, Running: true,
+		clockOffset: time.Duration(1 + w.rng.Int64N(int64(time.Hour))), clockRate: 1 + w.opts.Drift*(2*w.rng.Float64()-1)}
 	p.Machine = replicate.New(replicate.Config{Self: p.Self, Zone: fmt.Sprint("z", i%w.opts.Zones), Drift: w.opts.Drift, DigestInterval: w.opts.DigestInterval,
-		CatchUpTimeout: 10 * w.opts.DigestInterval, Rate: w.opts.Rate, Seed: w.rng.Uint64()}, p.local(w))
+		CatchUpTimeout: 10 * w.opts.DigestInterval, Rate: w.opts.Rate, Seed: w.rng.Uint64()}, p.localTime(w))
 	p.Machine.SetPeers(w.peers(i))
 	w.Procs[i] = p
-	w.do(p, func() replicate.Ready { return p.Machine.Tick(p.local(w)) })
+	w.step(p, func() replicate.Ready { return p.Machine.Tick(p.localTime(w)) })
 	return p
 }
 
@@ -119,18 +119,18 @@
 		return
 	}
 	p.Paused = true
-	w.paused = max(w.paused, d)
+	w.longestPause = max(w.longestPause, d)
 	w.After(d, func() {
 		if !p.Paused || !p.Running {
 			return
 		}
 		p.Paused = false
-		late := p.backlog
-		p.backlog = nil
+		late := p.received
+		p.received = nil
 		for _, m := range late {
-			w.do(p, func() replicate.Ready { return p.Machine.Receive(p.local(w), m) })
+			w.step(p, func() replicate.Ready { return p.Machine.Receive(p.localTime(w), m) })
 		}
-		w.do(p, func() replicate.Ready { return p.Machine.Tick(p.local(w)) })
+		w.step(p, func() replicate.Ready { return p.Machine.Tick(p.localTime(w)) })
 	})
 }
 
@@ -152,14 +152,14 @@
 	if !p.Running || p.Paused {
 		return
 	}
-	w.do(p, func() replicate.Ready {
+	w.step(p, func() replicate.Ready {
 		s := facts.Subject{Kind: facts.RequestedWait, Partner: "acme", Endpoint: endpoint}
-		r, err := p.Machine.Publish(p.local(w), s, facts.Value{}, 0, d)
+		r, err := p.Machine.Publish(p.localTime(w), s, facts.Value{}, 0, d)
 		if err != nil {
 			panic(err)
 		}
 		own, seq := p.Machine.Replica().LocalVersion()
-		w.waits[facts.Dot{Origin: own, Seq: seq}] = told{w.Now, w.Now + d, i}
+		w.waits[facts.Dot{Origin: own, Seq: seq}] = publishedWait{w.Now, w.Now + d, i}
 		return r
 	})
 }
@@ -192,12 +192,12 @@
 	return true
 }
 
-func (p *Proc) local(w *World) time.Duration {
-	return p.offset + time.Duration(float64(w.Now)*p.pace)
+func (p *Proc) localTime(w *World) time.Duration {
+	return p.clockOffset + time.Duration(float64(w.Now)*p.clockRate)
 }
 
-// do makes a step of a process and carries out what it asks for.
-func (w *World) do(p *Proc, step func() replicate.Ready) {
+// step makes a step of a process and carries out what it asks for.
+func (w *World) step(p *Proc, step func() replicate.Ready) {
 	if !p.Running || p.Paused {
 		return
 	}
@@ -210,11 +210,11 @@
 	for _, out := range r.Send {
 		w.send(p, out)
 	}
-	p.token++
-	token := p.token
-	w.After(max(time.Duration(float64(p.Machine.NextTick()-p.local(w))/p.pace), 0)+time.Microsecond, func() {
-		if token == p.token {
-			w.do(p, func() replicate.Ready { return p.Machine.Tick(p.local(w)) })
+	p.timerGeneration++
+	token := p.timerGeneration
+	w.After(max(time.Duration(float64(p.Machine.NextTick()-p.localTime(w))/p.clockRate), 0)+time.Microsecond, func() {
+		if token == p.timerGeneration {
+			w.step(p, func() replicate.Ready { return p.Machine.Tick(p.localTime(w)) })
 		}
 	})
 }
@@ -254,11 +254,11 @@
 			switch {
 			case !x.Running:
 			case x.Paused:
-				if len(x.backlog) < 500 {
-					x.backlog = append(x.backlog, &m)
+				if len(x.received) < 500 {
+					x.received = append(x.received, &m)
 				}
 			default:
-				w.do(x, func() replicate.Ready { return x.Machine.Receive(x.local(w), &m) })
+				w.step(x, func() replicate.Ready { return x.Machine.Receive(x.localTime(w), &m) })
 			}
 		})
 	}
@@ -269,12 +269,12 @@
 func (w *World) Check() {
 	// What came while a process was paused has waited for it, which nobody can tell from a long way; and so at
 	// the one who passed it on.
-	way := time.Duration(w.opts.Senders)*(w.opts.Delay+w.opts.Jitter) + 2*w.paused
+	way := time.Duration(w.opts.Senders)*(w.opts.Delay+w.opts.Jitter) + 2*w.longestPause
 	for _, p := range w.Procs {
 		if !p.Running || p.Paused {
 			continue
 		}
-		now := p.local(w)
+		now := p.localTime(w)
 		for _, s := range p.Machine.Replica().List(now, "", 1<<20) {
 			if s.Kind != facts.RequestedWait {
 				continue
@@ -284,8 +284,8 @@
 			if !ok {
 				panic("a wait that nobody told")
 			}
-			left := x.until - w.Now
-			drift := time.Duration(8 * w.opts.Drift * float64(w.Now-x.at+left))
+			left := x.endsAt - w.Now
+			drift := time.Duration(8 * w.opts.Drift * float64(w.Now-x.publishedAt+left))
 			least := left - time.Microsecond
 			if s.Origin == p.Self { // it has nothing but its own clock
 				least -= drift / 8
@@ -305,7 +305,7 @@
 // force and were told before a time.
 func (w *World) CountMissing(before time.Duration) (n int) {
 	for d, x := range w.waits {
-		if x.at >= before || x.until <= w.Now || !w.newest(d, x) {
+		if x.publishedAt >= before || x.endsAt <= w.Now || !w.isCurrent(d, x) {
 			continue
 		}
 		for _, p := range w.Procs {
@@ -317,14 +317,14 @@
 	return n
 }
 
-// newest says whether no later wait has taken the place of one.
-func (w *World) newest(d facts.Dot, x told) bool {
-	p := w.Procs[x.by]
+// isCurrent says whether no later wait has taken the place of one.
+func (w *World) isCurrent(d facts.Dot, x publishedWait) bool {
+	p := w.Procs[x.sender]
 	return p.Self == d.Origin && w.has(p, d)
 }
 
 func (w *World) has(p *Proc, d facts.Dot) bool {
-	for _, s := range p.Machine.Replica().List(p.local(w), "", 1<<20) {
+	for _, s := range p.Machine.Replica().List(p.localTime(w), "", 1<<20) {
 		if s.Origin == d.Origin && s.Seq == d.Seq {
 			return true
 		}
@@ -337,7 +337,7 @@
 	first := []string(nil)
 	for i, p := range w.running() {
 		var list []string
-		for _, s := range p.Machine.Replica().List(p.local(w), "", 1<<20) {
+		for _, s := range p.Machine.Replica().List(p.localTime(w), "", 1<<20) {
 			// What is about to end may have ended by one clock and not by another.
 			if s.Remaining > 2*time.Duration(w.opts.Senders)*(w.opts.Delay+w.opts.Jitter)+100*time.Millisecond {
 				list = append(list, fmt.Sprint(s.Subject, s.Origin, s.Seq, s.Value))
--- a/internal/replicate/status.go
+++ b/internal/replicate/status.go
@@ -31,17 +31,17 @@
 
 // Status tells of the copy at a time.
 func (m *Machine) Status(now Time) Status {
-	s := Status{CatchingUp: m.behind, Facts: m.replica.Len(), InvalidMessages: m.InvalidMessages, Repairs: m.replica.Repairs, Throttled: m.Throttled, CatchUpTimeouts: m.CatchUpTimeouts, BytesSent: m.BytesSent,
+	s := Status{CatchingUp: m.catchingUp, Facts: m.replica.Len(), InvalidMessages: m.InvalidMessages, Repairs: m.replica.Repairs, Throttled: m.Throttled, CatchUpTimeouts: m.CatchUpTimeouts, BytesSent: m.BytesSent,
 		Dropped: m.replica.Dropped, Peers: []Lag{}}
-	if m.behind {
-		s.CatchingUpSeconds = (now - m.since).Seconds()
+	if m.catchingUp {
+		s.CatchingUpSeconds = (now - m.catchUpStart).Seconds()
 	}
 	_, seq := m.replica.LocalVersion()
 	for _, name := range m.order {
 		p := m.peers[name]
-		l := Lag{Name: name, Lag: seq - p.acked, SecondsSinceReceipt: -1, CatchingUp: p.behind}
-		if p.heard != facts.Never {
-			l.SecondsSinceReceipt = (now - p.heard).Seconds()
+		l := Lag{Name: name, Lag: seq - p.acked, SecondsSinceReceipt: -1, CatchingUp: p.catchingUp}
+		if p.receivedAt != facts.Never {
+			l.SecondsSinceReceipt = (now - p.receivedAt).Seconds()
 		}
 		s.Unconfirmed = max(s.Unconfirmed, int(l.Lag))
 		s.Peers = append(s.Peers, l)
@@ -68,7 +68,7 @@
 	out = []Difference{}
 	own, seq := m.replica.LocalVersion()
 	there := map[facts.Origin]uint64{}
-	for id, known := range p.rows {
+	for id, known := range p.watermarks {
 		there[id] = known
 	}
 	there[own] = p.acked
--- a/internal/virtual/clock.go
+++ b/internal/virtual/clock.go
@@ -7,26 +7,26 @@
 
 // Clock is virtual time with what is to happen in it.
 type Clock struct {
-	Now   time.Duration
-	queue queue
-	n     int
+	Now       time.Duration
+	queue     eventQueue
+	scheduled int
 }
 
 type event struct {
-	at   time.Duration
-	n    int // of two at one time the one that was asked for first goes first
-	what func()
+	at     time.Duration
+	order  int // of two at one time the one that was asked for first goes first
+	action func()
 }
 
-type queue []event
+type eventQueue []event
 
-func (q queue) Len() int { return len(q) }
-func (q queue) Less(i, j int) bool {
-	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].n < q[j].n
+func (q eventQueue) Len() int { return len(q) }
+func (q eventQueue) Less(i, j int) bool {
+	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].order < q[j].order
 }
-func (q queue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
-func (q *queue) Push(x any)   { *q = append(*q, x.(event)) }
-func (q *queue) Pop() any {
+func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
+func (q *eventQueue) Push(x any)   { *q = append(*q, x.(event)) }
+func (q *eventQueue) Pop() any {
 	old := *q
 	e := old[len(old)-1]
 	*q = old[:len(old)-1]
@@ -35,8 +35,8 @@
 
 // After has something happen after a span.
 func (c *Clock) After(d time.Duration, what func()) {
-	c.n++
-	heap.Push(&c.queue, event{c.Now + d, c.n, what})
+	c.scheduled++
+	heap.Push(&c.queue, event{c.Now + d, c.scheduled, what})
 }
 
 // Run lets time pass.
@@ -45,7 +45,7 @@
 	for len(c.queue) > 0 && c.queue[0].at <= end {
 		e := heap.Pop(&c.queue).(event)
 		c.Now = e.at
-		e.what()
+		e.action()
 	}
 	c.Now = end
 }
