--- a/bench/cluster/main.go
+++ b/bench/cluster/main.go
@@ -135,11 +135,11 @@
 		all.mu.Lock()
 		for name, state := range all.state {
 			if name != f.Name {
-				s.Others = append(s.Others, view.StatusSender{Name: name, State: state})
+				s.Peers = append(s.Peers, view.PeerStatus{Name: name, State: state})
 			}
 		}
 		all.mu.Unlock()
-		s.Part = 1 / float64(1+len(s.Others)) // it knows nothing of parts; the cases ask for their sum
+		s.Share = 1 / float64(1+len(s.Peers)) // it knows nothing of shares; the cases ask for their sum
 		json.NewEncoder(w).Encode(s)
 	})
 	ln, err := net.Listen("tcp", f.Console.Listen)
--- a/cmd/cometrack/cluster.go
+++ b/cmd/cometrack/cluster.go
@@ -84,31 +84,31 @@
 
 // shape is what of a view is worth a new print.
 func shape(s cluster.Status) string {
-	text := fmt.Sprintf("%s %d %.3f", s.State, s.Incarnation, s.Part)
-	for _, x := range s.Others {
+	text := fmt.Sprintf("%s %d %.3f", s.State, s.Incarnation, s.Share)
+	for _, x := range s.Peers {
 		text += fmt.Sprintf(" %s %s %d", x.Name, x.State, x.Incarnation)
 	}
 	return text
 }
 
 func printStatus(w io.Writer, s cluster.Status) {
-	fmt.Fprintf(w, "%s at %s, incarnation %d: %s; it may use %.1f%% of each rate", s.Name, s.Addr, s.Incarnation, s.State, 100*s.Part)
+	fmt.Fprintf(w, "%s at %s, incarnation %d: %s; it may use %.1f%% of each rate", s.Name, s.Addr, s.Incarnation, s.State, 100*s.Share)
 	switch {
-	case s.Among > 0:
-		fmt.Fprintf(w, ", shared by %d, for %.1f s more\n", s.Among, s.For)
+	case s.CountedSenders > 0:
+		fmt.Fprintf(w, ", shared by %d, for %.1f s more\n", s.CountedSenders, s.ShareValidSeconds)
 	default:
 		fmt.Fprint(w, ", the least\n")
 	}
 	var b bytes.Buffer
 	t := tabwriter.NewWriter(&b, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "SENDER\tSTATE\tFOR\tHEARD\tINCARNATION\tADDRESS\tZONE\tVERSION\tGRANTS\tNOT HEARD BY")
-	for _, x := range s.Others {
+	for _, x := range s.Peers {
 		heard := "never"
-		if x.Heard >= 0 {
-			heard = fmt.Sprintf("%.1f s ago", x.Heard)
+		if x.SecondsSinceHeard >= 0 {
+			heard = fmt.Sprintf("%.1f s ago", x.SecondsSinceHeard)
 		}
-		fmt.Fprintf(t, "%s\t%s\t%.0f s\t%s\t%d\t%s\t%s\t%s\t%v\t%s\n", x.Name, x.State, x.Since, heard, x.Incarnation, x.Addr, x.Zone, x.Version, x.Grants,
-			strings.Join(x.NotBy, ","))
+		fmt.Fprintf(t, "%s\t%s\t%.0f s\t%s\t%d\t%s\t%s\t%s\t%v\t%s\n", x.Name, x.State, x.SecondsInState, heard, x.Incarnation, x.Addr, x.Zone, x.Version, x.GrantInForce,
+			strings.Join(x.NotHeardBy, ","))
 	}
 	t.Flush()
 	w.Write(b.Bytes())
--- a/cmd/measure/cluster.go
+++ b/cmd/measure/cluster.go
@@ -199,7 +199,7 @@
 }
 
 func virtualOptions(seed uint64, n int) play.Options {
-	return play.Options{Seed: seed, Senders: n, Least: 0.1, Lease: 3 * time.Second, Every: 300 * time.Millisecond, Drift: 0.01,
+	return play.Options{Seed: seed, Senders: n, MinShareTotal: 0.1, Lease: 3 * time.Second, Interval: 300 * time.Millisecond, MaxClockDrift: 0.01,
 		Delay: time.Millisecond, Jitter: 5 * time.Millisecond, Guards: seed%2 == 0}
 }
 
@@ -211,11 +211,11 @@
 	for range 4 {
 		all.Go(func() {
 			for s := range seeds {
-				w := play.Draw(virtualOptions(s, 2+int(s%6)), time.Minute)
+				w := play.RunRandomFaults(virtualOptions(s, 2+int(s%6)), time.Minute)
 				mu.Lock()
-				if worst, gone = max(worst, w.Worst), gone+w.False; w.Worst > play.Most {
+				if worst, gone = max(worst, w.MaxSum), gone+w.HeardAfterGone; w.MaxSum > play.MaxAllowedSum {
 					over++
-					fmt.Printf("seed %d: the parts add up to %.3f at %v\n", s, w.Worst, w.When)
+					fmt.Printf("seed %d: the parts add up to %.3f at %v\n", s, w.MaxSum, w.MaxSumAt)
 				}
 				mu.Unlock()
 			}
@@ -243,20 +243,20 @@
 		w := play.New(o)
 		enc, _ := cbor.EncOptions{}.EncMode()
 		w.Run(10 * time.Second)
-		met, sent := w.Sum(), w.Sent
+		met, sent := w.ShareSum(), w.Sent
 		w.SizeOf = func(m *view.Message) int { b, _ := enc.Marshal(m); return len(b) }
 		w.Run(time.Second)
 		w.SizeOf = nil
 		bytes := 0
-		for _, p := range w.All {
-			bytes += p.Bytes
+		for _, p := range w.Running {
+			bytes += p.SentBytes
 		}
 		messages := w.Sent - sent
-		for _, p := range slices.Clone(w.Procs[:n*4/10]) {
+		for _, p := range slices.Clone(w.Newest[:n*4/10]) {
 			w.Kill(p)
 		}
-		known, ok := w.Until(30*time.Second, w.Agree)
-		back, again := w.Until(30*time.Second, func() bool { return w.Sum() > 0.9 })
+		known, ok := w.Until(30*time.Second, w.Converged)
+		back, again := w.Until(30*time.Second, func() bool { return w.ShareSum() > 0.9 })
 		fmt.Printf("%d senders: %.3f of the rate in use after 10 s; each sends %d messages and %d bytes a second; four in ten killed known by all after %v (%v), their part in use %v later (%v); this took %v\n",
 			n, met, messages/n, bytes/n, known, ok, back, again, time.Since(start).Round(time.Millisecond))
 	}
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -47,7 +47,7 @@
 
 // Epoch ties the sender's time to a boot of the machine.
 type Epoch struct {
-	Boot   string // the boot's id; empty if it has none
+	BootID string // the boot's id; empty if it has none
 	Offset int64  // of the sender's time before the clock of the boot, in microseconds
 }
 
@@ -116,9 +116,9 @@
 }
 
 func start(kept *Epoch, latest int64, b boot) (c *Clock, epoch Epoch, known bool) {
-	if kept != nil && b.id != "" && kept.Boot == b.id {
+	if kept != nil && b.id != "" && kept.BootID == b.id {
 		return New(b.since+kept.Offset, b.moment), *kept, true
 	}
 	now := max(b.moment.UnixMicro(), latest)
-	return New(now, b.moment), Epoch{Boot: b.id, Offset: now - b.since}, kept == nil && latest == 0
+	return New(now, b.moment), Epoch{BootID: b.id, Offset: now - b.since}, kept == nil && latest == 0
 }
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -54,7 +54,7 @@
 		"same boot, and many days": {&Epoch{"a", 1 << 50}, 5, "a", 1<<50 + 3, true},
 	} {
 		c, epoch, known := start(x.kept, x.latest, boot{x.id, 3, moment})
-		if got := c.At(moment); got != x.want || known != x.known || epoch.Offset != x.want-3 || epoch.Boot != x.id {
+		if got := c.At(moment); got != x.want || known != x.known || epoch.Offset != x.want-3 || epoch.BootID != x.id {
 			t.Errorf("%s: %d, epoch %+v, known %v", name, got, epoch, known)
 		}
 	}
--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -51,7 +51,7 @@
 	opts   Options
 	log    *slog.Logger
 	ring   *keyring
-	part   atomic.Pointer[view.Part]
+	part   atomic.Pointer[view.Share]
 	change chan struct{} // has one entry after the part has changed
 	cmds   chan func()
 	in     chan *view.Message
@@ -101,7 +101,7 @@
 	if c.stamp, err = newStamp(opts.Dir); err != nil {
 		return nil, fmt.Errorf("cluster: %w", err)
 	}
-	c.part.Store(&view.Part{})
+	c.part.Store(&view.Share{})
 	ctx, stop := context.WithCancel(context.Background())
 	c.stop = stop
 	go c.run(ctx)
@@ -135,7 +135,7 @@
 func (c *Cluster) share(t time.Duration) float64 {
 	p := c.part.Load()
 	if least := time.Duration(c.behind.Load()); least > 0 && t >= least {
-		return min(p.At(t), p.Least)
+		return min(p.At(t), p.Min)
 	}
 	return p.At(t)
 }
@@ -198,7 +198,7 @@
 func (c *Cluster) Forget(name string) error {
 	var err error
 	if e := c.within(func() {
-		var r view.Ready
+		var r view.Actions
 		r, err = c.machine.Forget(c.opts.now(), name)
 		c.follow(r)
 	}); e != nil {
@@ -272,17 +272,17 @@
 		case f := <-c.cmds:
 			f()
 		case m := <-c.in:
-			c.follow(c.machine.Take(c.opts.now(), m))
+			c.follow(c.machine.HandleMessage(c.opts.now(), m))
 		case m := <-c.lore.in:
 			c.spread(c.lore.machine.Take(c.opts.now(), m))
 		case f := <-c.lore.tells:
 			c.learn(f)
 		case <-timer.C:
-			if t := c.opts.now(); t >= c.machine.Next() || c.lore.machine == nil || t >= c.part.Load().Until {
+			if t := c.opts.now(); t >= c.machine.NextTick() || c.lore.machine == nil || t >= c.part.Load().Until {
 				c.follow(c.machine.Tick(t))
 			}
 		}
-		next := c.machine.Next()
+		next := c.machine.NextTick()
 		if p := c.part.Load(); p.Until > c.opts.now() { // what the others hear of it comes with a tick; the part ends when it ends
 			next = min(next, p.Until)
 		}
@@ -305,22 +305,22 @@
 func (c *Cluster) newMachine() *view.Machine {
 	o := c.opts
 	return view.New(view.Config{Name: o.Name, Addr: o.Advertise, Zone: o.Zone, Version: o.Version, ID: rand.Uint64() | 1, Incarnation: c.home.Incarnation,
-		Seats: o.Seats, Least: o.Least, Lease: o.Lease, Every: o.Every, Drift: o.Drift, Join: o.Join, Kept: c.home.Senders, Home: c.home.Home,
+		MaxSenders: o.Seats, MinShareTotal: o.Least, Lease: o.Lease, Interval: o.Every, MaxClockDrift: o.Drift, Join: o.Join, KnownPeers: c.home.Senders, AdmittedAddr: c.home.Home,
 		Seed: rand.Uint64()}, c.opts.now())
 }
 
 // follow does what a step asks for, in its order.
-func (c *Cluster) follow(r view.Ready) {
-	old := c.part.Swap(&r.Part)
-	id, ran := c.machine.Life()
+func (c *Cluster) follow(r view.Actions) {
+	old := c.part.Swap(&r.Share)
+	id, ran := c.machine.Liveness()
 	c.stamp.set(id, ran)
 	c.ran.Store(int64(ran))
-	if t := c.opts.now(); old.At(t) != r.Part.At(t) || old.Now != r.Part.Now {
+	if t := c.opts.now(); old.At(t) != r.Share.At(t) || old.Current != r.Share.Current {
 		c.notify()
 	}
 	if r.Save {
 		k := kept{}
-		k.Incarnation, k.Home, k.Senders = c.machine.Kept()
+		k.Incarnation, k.Home, k.Senders = c.machine.SavedState()
 		select { // the latest takes the place of one that waits
 		case <-c.saves:
 		default:
--- a/internal/cluster/kept.go
+++ b/internal/cluster/kept.go
@@ -18,7 +18,7 @@
 type kept struct {
 	Incarnation uint64      `json:"incarnation"`
 	Home        string      `json:"home"` // address at which all others last took this sender in
-	Senders     []view.Kept `json:"senders"`
+	Senders     []view.Peer `json:"senders"`
 }
 
 const maxKept = 1 << 20 // bytes
--- a/internal/cluster/knowledge.go
+++ b/internal/cluster/knowledge.go
@@ -197,7 +197,7 @@
 		return
 	}
 	var list []replicate.Peer
-	for _, x := range c.machine.Kin() {
+	for _, x := range c.machine.LivePeers() {
 		list = append(list, replicate.Peer{Name: x.Name, Addr: x.Addr})
 	}
 	if !slices.Equal(list, c.lore.peers) {
--- a/internal/cluster/packet.go
+++ b/internal/cluster/packet.go
@@ -48,7 +48,7 @@
 		return m
 	})
 	decMode = sync.OnceValue(func() cbor.DecMode {
-		m, err := cbor.DecOptions{MaxArrayElements: view.MostSeats + 16, MaxMapPairs: 64, MaxNestedLevels: 12, DupMapKey: cbor.DupMapKeyEnforcedAPF}.DecMode()
+		m, err := cbor.DecOptions{MaxArrayElements: view.MaxSenders + 16, MaxMapPairs: 64, MaxNestedLevels: 12, DupMapKey: cbor.DupMapKeyEnforcedAPF}.DecMode()
 		if err != nil {
 			panic(err)
 		}
--- a/internal/cluster/packet_test.go
+++ b/internal/cluster/packet_test.go
@@ -16,7 +16,7 @@
 
 func TestPackets(t *testing.T) {
 	one, two := keys{[]byte("one key of many letters")}, keys{[]byte("another key of letters")}
-	whole, err := one.pack(&view.Message{Wire: 1, From: "a", ID: 1, Names: []string{"a", "b"}})
+	whole, err := one.pack(&view.Message{WireVersion: 1, From: "a", ID: 1, RosterNames: []string{"a", "b"}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -39,7 +39,7 @@
 		"too large":       {one, make([]byte, maxPacket+1), errOversize},
 	} {
 		m := &view.Message{}
-		if err := x.keys.unpack(x.b, m); !errors.Is(err, x.want) || err == nil && (m.From != "a" || len(m.Names) != 2) {
+		if err := x.keys.unpack(x.b, m); !errors.Is(err, x.want) || err == nil && (m.From != "a" || len(m.RosterNames) != 2) {
 			t.Errorf("%s: %v, %+v; want %v", name, err, m, x.want)
 		}
 	}
@@ -47,7 +47,7 @@
 
 // Whatever comes with a good seal, reading it does no harm.
 func FuzzPacket(f *testing.F) {
-	b, _ := keys(nil).pack(&view.Message{Wire: 1, From: "a", Rows: []view.Row{{Name: "b"}}})
+	b, _ := keys(nil).pack(&view.Message{WireVersion: 1, From: "a", PeerReports: []view.PeerReport{{Name: "b"}}})
 	f.Add(b[headSize:])
 	f.Fuzz(func(t *testing.T, payload []byte) {
 		if len(payload)+headSize > maxPacket {
@@ -55,7 +55,7 @@
 		}
 		m := &view.Message{}
 		keys(nil).unpack(append(append([]byte(magic), seal(nil, payload)...), payload...), m)
-		view.New(view.Config{Name: "x", Addr: "x:1", ID: 1, Incarnation: 1, Seats: 3, Least: 0.1, Lease: 1e9, Every: 1e8}, 0).Take(1, m)
+		view.New(view.Config{Name: "x", Addr: "x:1", ID: 1, Incarnation: 1, MaxSenders: 3, MinShareTotal: 0.1, Lease: 1e9, Interval: 1e8}, 0).HandleMessage(1, m)
 	})
 }
 
@@ -77,7 +77,7 @@
 	if err := key.unpack(whole, &view.Message{}); !errors.Is(err, errForeign) {
 		t.Errorf("as one of the view: %v", err)
 	}
-	turned, _ := key.pack(&view.Message{Wire: 1, From: "a", ID: 1})
+	turned, _ := key.pack(&view.Message{WireVersion: 1, From: "a", ID: 1})
 	copy(turned, lore)
 	if err := key.open(turned, &replicate.Message{}); !errors.Is(err, errKey) {
 		t.Errorf("one of the view, turned: %v", err)
@@ -104,7 +104,7 @@
 // stranger. A file of keys says its line.
 func TestFiles(t *testing.T) {
 	dir := t.TempDir()
-	k := kept{Incarnation: 4, Home: "a:1", Senders: []view.Kept{{Name: "b", Addr: "b:1", ID: 3, Incarnation: 2}}}
+	k := kept{Incarnation: 4, Home: "a:1", Senders: []view.Peer{{Name: "b", Addr: "b:1", ID: 3, Incarnation: 2}}}
 	if err := k.write(dir); err != nil {
 		t.Fatal(err)
 	}
@@ -145,7 +145,7 @@
 		"behind for longer":      {true, 0, -time.Second, 0.1},
 	} {
 		c := &Cluster{opts: Options{Facts: x.facts, Every: time.Second}}
-		c.part.Store(&view.Part{Now: 0.9, Until: at + time.Hour, Least: 0.1, Dead: at + time.Hour})
+		c.part.Store(&view.Share{Current: 0.9, Until: at + time.Hour, Min: 0.1, StopAt: at + time.Hour})
 		c.ran.Store(int64(at - x.ran))
 		if x.behind != 0 {
 			c.behind.Store(int64(at + x.behind))
--- a/internal/cluster/probe.go
+++ b/internal/cluster/probe.go
@@ -12,12 +12,12 @@
 // probe asks at an address whether a life goes on.
 func (c *Cluster) probe(p view.Probe) {
 	tell := func(found view.End) {
-		go c.within(func() { c.follow(c.machine.Probed(c.opts.now(), p, found)) })
+		go c.within(func() { c.follow(c.machine.HandleProbe(c.opts.now(), p, found)) })
 	}
 	select {
 	case c.asks <- struct{}{}:
 	default:
-		tell(view.Lives)
+		tell(view.NotEnded)
 		return
 	}
 	go func() {
@@ -35,22 +35,22 @@
 	}
 	conn, err := c.opts.dial(&d, p.Addr)
 	if isRefused(err) {
-		return view.Refused
+		return view.ConnectionRefused
 	}
 	if err != nil {
-		return view.Lives
+		return view.NotEnded
 	}
 	defer conn.Close()
 	conn.SetDeadline(time.Now().Add(askTime))
 	ring := c.ring.get()
 	q, a := ask{Nonce: rand.Uint64(), ID: p.ID}, answer{}
 	if writeFrame(conn, ring, q) != nil || readFrame(conn, ring, &a) != nil || a.Nonce != q.Nonce {
-		return view.Lives
+		return view.NotEnded
 	}
 	if a.ID == p.ID && a.Over {
 		return view.Fenced
 	}
-	return view.Lives
+	return view.NotEnded
 }
 
 // exe is the path of this program.
--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -378,7 +378,7 @@
 	if c.f.Name == "" || c.f.lines.line("name") == 0 {
 		c.bad("cluster", "name must be given, another one for each sender")
 	}
-	within(c, "senders", c.f.Senders, 1, view.MostSeats)
+	within(c, "senders", c.f.Senders, 1, view.MaxSenders)
 	c.address("cluster.listen", x.Listen, false)
 	c.address("cluster.advertise", x.Advertise, false)
 	for _, a := range [][2]string{{"cluster.listen", x.Listen}, {"cluster.advertise", x.Advertise}} {
@@ -389,8 +389,8 @@
 	if host, _, err := net.SplitHostPort(x.Advertise); err == nil && net.ParseIP(host).IsUnspecified() {
 		c.bad("cluster.advertise", "%q is an address that nobody can call: say where the others reach this sender", x.Advertise)
 	}
-	if len(x.Join) > view.MostSeats {
-		c.bad("cluster.join", "over %d", view.MostSeats)
+	if len(x.Join) > view.MaxSenders {
+		c.bad("cluster.join", "over %d", view.MaxSenders)
 	}
 	for i, a := range x.Join {
 		path := fmt.Sprintf("cluster.join[%d]", i)
--- a/internal/console/console.go
+++ b/internal/console/console.go
@@ -32,10 +32,10 @@
 	maxText    = 4 << 20 // of an answer, as its caller reads it
 )
 
-// Life is what the console asks and tells. [lifecycle.Life] is one.
+// Life is what the console asks and tells. [lifecycle.Controller] is one.
 type Life interface {
-	View() lifecycle.View
-	Tell(ev lifecycle.Event) bool
+	Behavior() lifecycle.Behavior
+	HandleEvent(ev lifecycle.Event) bool
 }
 
 // Cluster is what the console asks of other senders. [cluster.Cluster] is one.
@@ -116,7 +116,7 @@
 	}
 	routes := map[string]route{
 		"/_ready": {http.MethodGet, func(w http.ResponseWriter) {
-			v := life.View()
+			v := life.Behavior()
 			code := http.StatusOK
 			if !v.Ready {
 				code = http.StatusServiceUnavailable
@@ -128,18 +128,18 @@
 			if f := c.metrics.Load(); f != nil {
 				m = (*f)()
 			}
-			m.State = life.View().State.String()
+			m.State = life.Behavior().State.String()
 			w.Header().Set("Content-Type", "application/json")
 			w.Header().Set("Cache-Control", "no-store")
 			json.NewEncoder(w).Encode(m)
 		}},
 		"/_lameduck/on": {http.MethodPost, func(w http.ResponseWriter) {
-			life.Tell(lifecycle.DrainOn)
-			say(w, http.StatusOK, life.View().State.String())
+			life.HandleEvent(lifecycle.DrainOn)
+			say(w, http.StatusOK, life.Behavior().State.String())
 		}},
 		"/_lameduck/off": {http.MethodPost, func(w http.ResponseWriter) {
-			life.Tell(lifecycle.DrainOff)
-			v := life.View()
+			life.HandleEvent(lifecycle.DrainOff)
+			v := life.Behavior()
 			if v.State == lifecycle.Leaving || v.State == lifecycle.HandedOver {
 				say(w, http.StatusConflict, v.State.String()+": it does not come back")
 				return
--- a/internal/console/console_test.go
+++ b/internal/console/console_test.go
@@ -15,10 +15,10 @@
 	"cometrack/internal/netutil"
 )
 
-func start(t *testing.T) (*Console, *lifecycle.Life) {
+func start(t *testing.T) (*Console, *lifecycle.Controller) {
 	t.Helper()
 	log := slog.New(slog.DiscardHandler)
-	life := lifecycle.NewLife(lifecycle.Times{Door: time.Minute, Stop: time.Hour}, log)
+	life := lifecycle.NewController(lifecycle.Timeouts{DrainGrace: time.Minute, StopTimeout: time.Hour}, log)
 	c, err := Listen("127.0.0.1:0", life, log)
 	if err != nil {
 		t.Fatal(err)
@@ -77,7 +77,7 @@
 	}
 	for _, s := range steps {
 		if s.text == "" {
-			life.Tell(lifecycle.Started)
+			life.HandleEvent(lifecycle.Started)
 			continue
 		}
 		r := raw(t, c, s.text)
@@ -91,7 +91,7 @@
 			t.Errorf("%.40q: the connection is kept", s.text)
 		}
 	}
-	life.Tell(lifecycle.Terminate)
+	life.HandleEvent(lifecycle.Terminate)
 	if r := raw(t, c, call("POST", "/_lameduck/off")); r.StatusCode != 409 {
 		t.Errorf("back to work while it leaves: %d", r.StatusCode)
 	}
@@ -100,7 +100,7 @@
 // Callers that say nothing, or half a call, hold places only until others come.
 func TestSilentCallers(t *testing.T) {
 	c, life := start(t)
-	life.Tell(lifecycle.Started)
+	life.HandleEvent(lifecycle.Started)
 	for i := range 1000 {
 		conn, err := net.Dial("tcp", c.Addr().String())
 		if err != nil {
--- a/internal/core/console_test.go
+++ b/internal/core/console_test.go
@@ -57,7 +57,7 @@
 			t.Errorf("%s: answered after %v", path, d)
 		}
 	}
-	if v := r.life.View(); v.State != lifecycle.LameDuck {
+	if v := r.life.Behavior(); v.State != lifecycle.LameDuck {
 		t.Errorf("%v", v.State)
 	}
 	close(store.release)
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -47,8 +47,8 @@
 	Source    Source
 	Sink      EndSink
 	Log       *slog.Logger
-	Life      *lifecycle.Life // nil for one of its own
-	Monitor   *permit.Monitor // counts what was refused and what must not be; nil for none
+	Life      *lifecycle.Controller // nil for one of its own
+	Monitor   *permit.Monitor       // counts what was refused and what must not be; nil for none
 	// Reopen opens the store again that was closed for a handover; nil if nothing is
 	// ever handed over.
 	Reopen func() (Store, error)
@@ -66,7 +66,7 @@
 }
 
 // Times are those of the lifecycle that the core keeps to.
-var Times = lifecycle.Times{Door: 500 * time.Millisecond, Stop: 3400 * time.Millisecond}
+var Times = lifecycle.Timeouts{DrainGrace: 500 * time.Millisecond, StopTimeout: 3400 * time.Millisecond}
 
 // held is a message that the module has and that is not over.
 type held struct {
@@ -105,7 +105,7 @@
 	transport  Transport
 	source     Source
 	sink       EndSink
-	life       *lifecycle.Life
+	life       *lifecycle.Controller
 	sender     *logic.Sender
 	openBehind func(Store, func(any, <-chan struct{})) (Backlog, error)
 	events     chan any
@@ -150,7 +150,7 @@
 		return nil, err
 	}
 	if parts.Life == nil {
-		parts.Life = lifecycle.NewLife(Times, parts.Log)
+		parts.Life = lifecycle.NewController(Times, parts.Log)
 	}
 	c := &Core{cfg: cfg, life: parts.Life, reopen: parts.Reopen, allowed: parts.Allowed, others: parts.Others, marks: map[logic.EndpointID]uint64{}, early: map[string]earlyWait{}, from: parts.From, openBehind: parts.Behind, remote: map[string]*held{}, log: parts.Log, monitor: parts.Monitor, clock: parts.Store.Clock(), store: parts.Store,
 		transport: parts.Transport, source: parts.Source, sink: parts.Sink, sender: sender,
@@ -214,14 +214,14 @@
 		go c.others.Hear(deciding, func(list []Observation) { c.post(observationsEvent(list)) })
 	}
 	c.log.Info("ready", attrs...)
-	c.life.Tell(lifecycle.Started)
+	c.life.HandleEvent(lifecycle.Started)
 	close(c.ready)
 	served := make(chan struct{}) // closed when no client is left
 	stopped := make(chan struct{})
 	go func() {
 		select {
 		case <-ctx.Done():
-			c.life.Tell(lifecycle.Terminate)
+			c.life.HandleEvent(lifecycle.Terminate)
 		case <-work.Done():
 		}
 	}()
@@ -252,25 +252,25 @@
 			leaving = true
 			c.post(closingEvent{stopSends})
 		}
-		if v.Keep != keep {
-			keep = v.Keep
+		if v.KeepAlive != keep {
+			keep = v.KeepAlive
 			for _, f := range fronts {
 				f.Retire(!keep)
 			}
 		}
-		if open && !v.Open {
+		if open && !v.AcceptConnections {
 			open = false
 			var left sync.WaitGroup
 			for _, f := range fronts {
 				f.CloseListener()
-				left.Go(func() { f.Shutdown(grace, v.Hurry) })
+				left.Go(func() { f.Shutdown(grace, v.ShortenDeadlines) })
 			}
 			go func() {
 				left.Wait()
 				close(served)
 			}()
 		}
-		if v.Over {
+		if v.ExitNow {
 			close(stopped)
 			return
 		}
--- a/internal/core/handover.go
+++ b/internal/core/handover.go
@@ -53,8 +53,8 @@
 		ev.done <- fmt.Errorf("not now: another process is being handed over to, or this one can't hand over")
 	case len(c.remote) > 0:
 		ev.done <- fmt.Errorf("not now: calls of the process before this one are still out")
-	case !c.life.Tell(lifecycle.SuccessorCame):
-		ev.done <- fmt.Errorf("not now: this process is %v", c.life.View().State)
+	case !c.life.HandleEvent(lifecycle.HandoverRequested):
+		ev.done <- fmt.Errorf("not now: this process is %v", c.life.Behavior().State)
 	default:
 		c.successor = &ev
 	}
@@ -66,7 +66,7 @@
 	at := time.Now()
 	snapshot, err := c.snapshot(fronts)
 	if err != nil { // what can't be written can't be handed over
-		c.life.Tell(lifecycle.SuccessorGone)
+		c.life.HandleEvent(lifecycle.HandoverAborted)
 		ev.done <- fmt.Errorf("not handed over: %w", err)
 		return false, nil
 	}
@@ -81,7 +81,7 @@
 	}
 	if taken {
 		c.log.Info("handed over", "held", c.open, "calls_out", len(snapshot.Calls), "took", time.Since(at))
-		c.life.Tell(lifecycle.TakenOver)
+		c.life.HandleEvent(lifecycle.HandoverCompleted)
 		ev.done <- nil
 		return true, nil
 	}
@@ -90,7 +90,7 @@
 	if err := c.comeBack(snapshot); err != nil {
 		return false, err
 	}
-	c.life.Tell(lifecycle.SuccessorGone)
+	c.life.HandleEvent(lifecycle.HandoverAborted)
 	return false, nil
 }
 
--- a/internal/daemon/console.go
+++ b/internal/daemon/console.go
@@ -15,7 +15,7 @@
 
 // OpenConsole serves a console at an address until it is closed; there is none without
 // an address.
-func OpenConsole(addr string, life *lifecycle.Life, log *slog.Logger) (*Console, error) {
+func OpenConsole(addr string, life *lifecycle.Controller, log *slog.Logger) (*Console, error) {
 	if addr == "" {
 		return &Console{}, nil
 	}
--- a/internal/daemon/drain_test.go
+++ b/internal/daemon/drain_test.go
@@ -18,7 +18,7 @@
 	idle.do("PING")
 	c.put("held", "safe", "+OK")
 	in := byhand.Await(t, e[0].Calls, "call")
-	n.life.Tell(lifecycle.DrainOn)
+	n.life.HandleEvent(lifecycle.DrainOn)
 	if got := c.do("PING"); got == "+PONG" {
 		t.Error("PING says yes")
 	}
@@ -48,9 +48,9 @@
 	late.put("later", "safe", "+OK")
 	byhand.Await(t, e[0].Calls, "call").Reply(200)
 	in.Reply(200)
-	n.life.Tell(lifecycle.DrainOff)
-	n.life.Tell(lifecycle.DrainOn) // in quick succession
-	n.life.Tell(lifecycle.DrainOff)
+	n.life.HandleEvent(lifecycle.DrainOff)
+	n.life.HandleEvent(lifecycle.DrainOn) // in quick succession
+	n.life.HandleEvent(lifecycle.DrainOff)
 	back := dial(t, n.addr)
 	for range 2 { // and connections are kept again
 		if got := back.do("PING"); got != "+PONG" {
@@ -65,12 +65,12 @@
 	n, c, _, e := world(t, 1)
 	c.put("held", "safe", "+OK")
 	in := byhand.Await(t, e[0].Calls, "call")
-	n.life.Tell(lifecycle.DrainOn)
+	n.life.HandleEvent(lifecycle.DrainOn)
 	if got := c.line(); got != "" {
 		t.Errorf("kept: %q", got)
 	}
 	n.stop()
-	n.life.Tell(lifecycle.DrainOff)
+	n.life.HandleEvent(lifecycle.DrainOff)
 	in.Reply(200)
 	stopClean(t, n)
 }
--- a/internal/daemon/platform.go
+++ b/internal/daemon/platform.go
@@ -34,7 +34,7 @@
 	front  *resp.Front
 	source *platform.Source
 	sink   *notices.Sink
-	life   *lifecycle.Life
+	life   *lifecycle.Controller
 	log    *slog.Logger
 
 	monitor *permit.Monitor
@@ -42,7 +42,7 @@
 
 // NewPlatform makes a sender and replays its journal. If another process has that,
 // it takes over from it, or waits for its end.
-func NewPlatform(ctx context.Context, cfg *config.Platform, life *lifecycle.Life, log *slog.Logger) (*Platform, error) {
+func NewPlatform(ctx context.Context, cfg *config.Platform, life *lifecycle.Controller, log *slog.Logger) (*Platform, error) {
 	set := cfg.Deploy.Settings
 	log.Debug("settings", "set", set)
 	for _, x := range cfg.Known.Instances {
@@ -84,7 +84,7 @@
 	}
 	p.front = resp.New(p.core, resp.Options{Listen: cfg.Listen, Connections: share.clients, Ending: share.ending,
 		Memory: int64(memory * (1 << 20) / largeShare), Numbers: true, Monitor: monitor,
-		Ready: func() bool { return life.View().Ready }, Log: log})
+		Ready: func() bool { return life.Behavior().Ready }, Log: log})
 	return p, nil
 }
 
--- a/internal/daemon/standalone.go
+++ b/internal/daemon/standalone.go
@@ -36,14 +36,14 @@
 	http    *httpfront.Front // nil if it is not served
 	resp    *resp.Front      // nil if it is not served
 	fronts  []core.Front
-	life    *lifecycle.Life
+	life    *lifecycle.Controller
 	monitor *permit.Monitor
 	log     *slog.Logger
 }
 
 // NewStandalone makes a daemon and replays its journal. If another process has
 // that, it takes over from it, or waits for its end.
-func NewStandalone(ctx context.Context, f *config.File, life *lifecycle.Life, log *slog.Logger) (*Standalone, error) {
+func NewStandalone(ctx context.Context, f *config.File, life *lifecycle.Controller, log *slog.Logger) (*Standalone, error) {
 	if err := os.MkdirAll(f.State, 0o700); err != nil {
 		return nil, fmt.Errorf("state folder: %w", err)
 	}
@@ -145,7 +145,7 @@
 	if r := f.Front.RESP; r != nil {
 		s.resp = resp.New(s.core.Door(n), resp.Options{Listen: r.Listen, Connections: share.clients / n, Ending: share.ending / n, Memory: memory, Monitor: s.monitor,
 			Tenant: tenant,
-			Ready:  func() bool { return s.life.View().Ready }, Log: s.log})
+			Ready:  func() bool { return s.life.Behavior().Ready }, Log: s.log})
 		s.fronts = append(s.fronts, s.resp)
 	}
 }
--- a/internal/front/resp/crossing_test.go
+++ b/internal/front/resp/crossing_test.go
@@ -222,7 +222,7 @@
 			at := time.Now()
 			f.CloseListener()
 			f.Shutdown(ctx, hurry)
-			took, most := time.Since(at), core.Times.Stop-core.Times.Door
+			took, most := time.Since(at), core.Times.StopTimeout-core.Times.DrainGrace
 			if took > most {
 				t.Errorf("ended after %v, and has %v", took, most)
 			}
--- a/internal/journal/clock_test.go
+++ b/internal/journal/clock_test.go
@@ -36,7 +36,7 @@
 		accept("done", 10), Record{Op: OpDone, ID: "done", At: over},
 		accept("back", 10), Record{Op: OpEnd, ID: "back", End: &message.End{ID: "back", State: message.Returned, At: over + 1}})
 	keep := j.Ended("done").Until - over
-	j.epoch, j.newEpoch = clock.Epoch{Boot: "another", Offset: 3}, true
+	j.epoch, j.newEpoch = clock.Epoch{BootID: "another", Offset: 3}, true
 	mustAppend(t, j, accept("b", 10))
 	for range 2 { // the first start in a boot says what the next one knows
 		j = reopen(t, j, fs)
--- a/internal/journal/journal.go
+++ b/internal/journal/journal.go
@@ -151,7 +151,7 @@
 			if err := decode(key, value, &r); err != nil {
 				return err
 			}
-			kept = &clock.Epoch{Boot: r.Boot, Offset: r.Offset}
+			kept = &clock.Epoch{BootID: r.Boot, Offset: r.Offset}
 		case keyTerms:
 			t := &Terms{}
 			if err := decode(key, value, t); err != nil {
--- a/internal/journal/write.go
+++ b/internal/journal/write.go
@@ -59,7 +59,7 @@
 		return err
 	}
 	if j.newEpoch { // before all that has times
-		b.Put(keyClock, encode(&j.buf, &clockRecord{j.epoch.Boot, j.epoch.Offset}))
+		b.Put(keyClock, encode(&j.buf, &clockRecord{j.epoch.BootID, j.epoch.Offset}))
 	}
 	for n := range j.dirtyTerms { // before the messages that name them
 		if err := commit(mostTermsBytes); err != nil {
--- a/internal/lab/capacity/virtual.go
+++ b/internal/lab/capacity/virtual.go
@@ -27,9 +27,9 @@
 				From: sendersFrom + "; 14 KB a second for control"}},
 			{Slope: Slope{Name: "view-messages", Measures: "messages sent by each, facts apart", Unit: "a second", Target: fleetSenders, From: sendersFrom + "; no bound is given"}},
 		}, Run: func(r *Rig, size int) ([]float64, error) {
-			w := viewplay.New(viewplay.Options{Seed: 1, Senders: size, Least: 0.1, Lease: 10 * every, Every: every, Drift: 0.01, Delay: time.Millisecond, Jitter: 5 * time.Millisecond})
+			w := viewplay.New(viewplay.Options{Seed: 1, Senders: size, MinShareTotal: 0.1, Lease: 10 * every, Interval: every, MaxClockDrift: 0.01, Delay: time.Millisecond, Jitter: 5 * time.Millisecond})
 			w.Run(10 * time.Second)
-			if !w.Agree() {
+			if !w.Converged() {
 				return nil, fmt.Errorf("%d senders have not met within 10 s", size)
 			}
 			enc, err := cbor.EncOptions{}.EncMode()
@@ -40,8 +40,8 @@
 			w.SizeOf = func(m *view.Message) int { b, _ := enc.Marshal(m); return len(b) + sealed + heads }
 			span := 2 * time.Second
 			w.Run(span)
-			for _, p := range w.All {
-				bytes += p.Bytes
+			for _, p := range w.Running {
+				bytes += p.SentBytes
 			}
 			each := span.Seconds() * float64(size)
 			return []float64{float64(bytes) / each, float64(w.Sent-sent) / each}, nil
--- a/internal/lifecycle/life.go
+++ b/internal/lifecycle/life.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// Life is a machine that many may ask and tell at once. It is driven by the clock
+// Controller is a machine that many may ask and tell at once. It is driven by the clock
 // of the process; nothing in it waits.
-type Life struct {
+type Controller struct {
 	log *slog.Logger
 
 	mu      sync.Mutex
@@ -17,13 +17,13 @@
 	timer   *time.Timer
 }
 
-// NewLife makes the life of a process that is starting.
-func NewLife(times Times, log *slog.Logger) *Life {
-	return &Life{log: log, machine: New(times, time.Now()), changed: make(chan struct{})}
+// NewController makes the life of a process that is starting.
+func NewController(times Timeouts, log *slog.Logger) *Controller {
+	return &Controller{log: log, machine: New(times, time.Now()), changed: make(chan struct{})}
 }
 
-// Tell hands it an event and reports whether its state has changed.
-func (l *Life) Tell(ev Event) bool {
+// HandleEvent hands it an event and reports whether its state has changed.
+func (l *Controller) HandleEvent(ev Event) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	from := l.machine.state
@@ -38,14 +38,14 @@
 
 // wake tells those who wait, and sets the timer of the next change. It is called
 // under the lock.
-func (l *Life) wake() {
+func (l *Controller) wake() {
 	close(l.changed)
 	l.changed = make(chan struct{})
 	if l.timer != nil {
 		l.timer.Stop()
 	}
 	now := time.Now()
-	if at := l.machine.Changes(now); !at.IsZero() {
+	if at := l.machine.NextChange(now); !at.IsZero() {
 		l.timer = time.AfterFunc(at.Sub(now), func() {
 			l.mu.Lock()
 			defer l.mu.Unlock()
@@ -54,16 +54,16 @@
 	}
 }
 
-// View tells what to do now.
-func (l *Life) View() View {
+// Behavior tells what to do now.
+func (l *Controller) Behavior() Behavior {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.machine.View(time.Now())
+	return l.machine.Behavior(time.Now())
 }
 
 // Watch tells what to do now, and gives a channel that is closed when that changes.
-func (l *Life) Watch() (View, <-chan struct{}) {
+func (l *Controller) Watch() (Behavior, <-chan struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.machine.View(time.Now()), l.changed
+	return l.machine.Behavior(time.Now()), l.changed
 }
--- a/internal/lifecycle/machine.go
+++ b/internal/lifecycle/machine.go
@@ -30,13 +30,13 @@
 
 // The events.
 const (
-	Started       Event = iota // it can serve
-	DrainOn                    // an operator takes it out of service
-	DrainOff                   // and back
-	SuccessorCame              // another process asks for what this one holds
-	SuccessorGone              // and has gone away, or failed, before it had it
-	TakenOver                  // the successor has all of it and decides from here on
-	Terminate                  // the process is to end (SIGTERM)
+	Started           Event = iota // it can serve
+	DrainOn                        // an operator takes it out of service
+	DrainOff                       // and back
+	HandoverRequested              // another process asks for what this one holds
+	HandoverAborted                // and has gone away, or failed, before it had it
+	HandoverCompleted              // the successor has all of it and decides from here on
+	Terminate                      // the process is to end (SIGTERM)
 	events
 )
 
@@ -49,32 +49,32 @@
 	return "unknown"
 }
 
-// Times are the spans that a deployment sets.
-type Times struct {
-	// Door is how long clients may go on coming after PING has first said no: until
+// Timeouts are the spans that a deployment sets.
+type Timeouts struct {
+	// DrainGrace is how long clients may go on coming after PING has first said no: until
 	// then they are served as before.
-	Door time.Duration
-	// Stop is how long a process that is told to end may take at most.
-	Stop time.Duration
+	DrainGrace time.Duration
+	// StopTimeout is how long a process that is told to end may take at most.
+	StopTimeout time.Duration
 }
 
-// View is what a process does for now.
-type View struct {
-	State State
-	Ready bool // PING and /_ready say yes
-	Open  bool // new connections are taken
-	// Hurry says that requests that have begun to come have little time left.
-	Hurry bool
-	Keep  bool // connections may rest between requests; else they are closed once nothing is under way
-	// End says that the process ends once nothing is owed by it.
-	End bool
-	// Over says that it ends whatever is owed.
-	Over bool
+// Behavior is what a process does for now.
+type Behavior struct {
+	State             State
+	Ready             bool // PING and /_ready say yes
+	AcceptConnections bool // new connections are taken
+	// ShortenDeadlines says that requests that have begun to come have little time left.
+	ShortenDeadlines bool
+	KeepAlive        bool // connections may rest between requests; else they are closed once nothing is under way
+	// ExitWhenIdle says that the process ends once nothing is owed by it.
+	ExitWhenIdle bool
+	// ExitNow says that it ends whatever is owed.
+	ExitNow bool
 }
 
 // Machine is the lifecycle of one process. The zero value is not usable; see [New].
 type Machine struct {
-	times   Times
+	times   Timeouts
 	state   State
 	since   time.Time // when it came into this state
 	drained bool      // an operator has taken it out of service and not put it back
@@ -82,7 +82,7 @@
 }
 
 // New makes the machine of a process that is starting.
-func New(times Times, now time.Time) *Machine {
+func New(times Timeouts, now time.Time) *Machine {
 	return &Machine{times: times, state: Starting, since: now}
 }
 
@@ -90,10 +90,10 @@
 // nothing: the event is too late, too early, or said before.
 var next = [states][events]State{
 	Starting: {Started: Serving, Terminate: Leaving},
-	Serving:  {DrainOn: LameDuck, SuccessorCame: HandingOver, Terminate: Leaving},
-	LameDuck: {DrainOff: Serving, SuccessorCame: HandingOver, Terminate: Leaving},
+	Serving:  {DrainOn: LameDuck, HandoverRequested: HandingOver, Terminate: Leaving},
+	LameDuck: {DrainOff: Serving, HandoverRequested: HandingOver, Terminate: Leaving},
 	// A drain that begins or ends meanwhile counts from when the successor is gone.
-	HandingOver: {SuccessorGone: Serving, TakenOver: HandedOver, Terminate: Leaving},
+	HandingOver: {HandoverAborted: Serving, HandoverCompleted: HandedOver, Terminate: Leaving},
 	HandedOver:  {Terminate: Leaving},
 }
 
@@ -120,35 +120,35 @@
 	return true
 }
 
-// View tells what to do at a time.
-func (m *Machine) View(now time.Time) View {
-	v := View{State: m.state}
-	late := now.Sub(m.since) >= m.times.Door
+// Behavior tells what to do at a time.
+func (m *Machine) Behavior(now time.Time) Behavior {
+	v := Behavior{State: m.state}
+	late := now.Sub(m.since) >= m.times.DrainGrace
 	switch m.state {
 	case Serving:
-		v.Ready, v.Open, v.Keep = true, true, true
+		v.Ready, v.AcceptConnections, v.KeepAlive = true, true, true
 	case LameDuck:
-		v.Open, v.Keep = true, !late
+		v.AcceptConnections, v.KeepAlive = true, !late
 	case HandingOver:
-		v.Ready, v.Open, v.Keep = !m.drained, true, !m.drained
+		v.Ready, v.AcceptConnections, v.KeepAlive = !m.drained, true, !m.drained
 	case HandedOver: // the successor answers new clients; those that are here have to go there
-		v.Ready, v.End = !m.drained, true
+		v.Ready, v.ExitWhenIdle = !m.drained, true
 	case Leaving:
-		v.Open, v.Keep = m.began && !late, m.began && !late
-		v.Hurry = true
-		v.End, v.Over = !v.Open, now.Sub(m.since) >= m.times.Stop
+		v.AcceptConnections, v.KeepAlive = m.began && !late, m.began && !late
+		v.ShortenDeadlines = true
+		v.ExitWhenIdle, v.ExitNow = !v.AcceptConnections, now.Sub(m.since) >= m.times.StopTimeout
 	}
 	return v
 }
 
-// Changes is when the view changes next if nothing happens; zero for never.
-func (m *Machine) Changes(now time.Time) time.Time {
+// NextChange is when the view changes next if nothing happens; zero for never.
+func (m *Machine) NextChange(now time.Time) time.Time {
 	var at []time.Time
 	switch m.state {
 	case LameDuck:
-		at = []time.Time{m.since.Add(m.times.Door)}
+		at = []time.Time{m.since.Add(m.times.DrainGrace)}
 	case Leaving:
-		at = []time.Time{m.since.Add(m.times.Door), m.since.Add(m.times.Stop)}
+		at = []time.Time{m.since.Add(m.times.DrainGrace), m.since.Add(m.times.StopTimeout)}
 	}
 	for _, t := range at {
 		if t.After(now) {
--- a/internal/lifecycle/machine_test.go
+++ b/internal/lifecycle/machine_test.go
@@ -7,12 +7,12 @@
 	"pgregory.net/rapid"
 )
 
-var testTimes = Times{Door: 500 * time.Millisecond, Stop: 3400 * time.Millisecond}
+var testTimes = Timeouts{DrainGrace: 500 * time.Millisecond, StopTimeout: 3400 * time.Millisecond}
 
 // Every pair of state and event has a stated result; "" is no change.
 func TestEveryPair(t *testing.T) {
-	reach := map[State][]Event{Starting: nil, Serving: {Started}, LameDuck: {Started, DrainOn}, HandingOver: {Started, SuccessorCame},
-		HandedOver: {Started, SuccessorCame, TakenOver}, Leaving: {Started, Terminate}}
+	reach := map[State][]Event{Starting: nil, Serving: {Started}, LameDuck: {Started, DrainOn}, HandingOver: {Started, HandoverRequested},
+		HandedOver: {Started, HandoverRequested, HandoverCompleted}, Leaving: {Started, Terminate}}
 	want := map[State][events]string{
 		//             started    on           off        came            gone       taken over     terminate
 		Starting:    {"serving", "", "", "", "", "", "leaving"},
@@ -51,30 +51,30 @@
 	for _, c := range []struct {
 		name   string
 		events []Event
-		want   map[int]View
+		want   map[int]Behavior
 	}{
-		{"drain", []Event{Started, DrainOn}, map[int]View{
-			0: {State: LameDuck, Open: true, Keep: true}, 499: {State: LameDuck, Open: true, Keep: true}, 500: {State: LameDuck, Open: true}}},
-		{"drain and back", []Event{Started, DrainOn, DrainOff}, map[int]View{0: {State: Serving, Ready: true, Open: true, Keep: true}}},
-		{"on again within the door", []Event{Started, DrainOn, DrainOff, DrainOn}, map[int]View{
-			0: {State: LameDuck, Open: true, Keep: true}, 500: {State: LameDuck, Open: true}}},
-		{"told to drain before it serves", []Event{DrainOn, Started}, map[int]View{0: {State: LameDuck, Open: true, Keep: true}}},
-		{"drained while it hands over", []Event{Started, SuccessorCame, DrainOn}, map[int]View{0: {State: HandingOver, Open: true}}},
-		{"drained while it hands over in vain", []Event{Started, SuccessorCame, DrainOn, SuccessorGone}, map[int]View{
-			0: {State: LameDuck, Open: true, Keep: true}}},
-		{"handed over", []Event{Started, SuccessorCame, TakenOver}, map[int]View{0: {State: HandedOver, Ready: true, End: true}}},
-		{"end", []Event{Started, Terminate}, map[int]View{0: {State: Leaving, Hurry: true, Open: true, Keep: true},
-			500: {State: Leaving, Hurry: true, End: true}, 3400: {State: Leaving, Hurry: true, End: true, Over: true}}},
-		{"end under a drain", []Event{Started, DrainOn, Terminate, DrainOff}, map[int]View{0: {State: Leaving, Hurry: true, Open: true, Keep: true},
-			500: {State: Leaving, Hurry: true, End: true}}},
-		{"end before it serves", []Event{Terminate, Started}, map[int]View{0: {State: Leaving, Hurry: true, End: true}}},
+		{"drain", []Event{Started, DrainOn}, map[int]Behavior{
+			0: {State: LameDuck, AcceptConnections: true, KeepAlive: true}, 499: {State: LameDuck, AcceptConnections: true, KeepAlive: true}, 500: {State: LameDuck, AcceptConnections: true}}},
+		{"drain and back", []Event{Started, DrainOn, DrainOff}, map[int]Behavior{0: {State: Serving, Ready: true, AcceptConnections: true, KeepAlive: true}}},
+		{"on again within the door", []Event{Started, DrainOn, DrainOff, DrainOn}, map[int]Behavior{
+			0: {State: LameDuck, AcceptConnections: true, KeepAlive: true}, 500: {State: LameDuck, AcceptConnections: true}}},
+		{"told to drain before it serves", []Event{DrainOn, Started}, map[int]Behavior{0: {State: LameDuck, AcceptConnections: true, KeepAlive: true}}},
+		{"drained while it hands over", []Event{Started, HandoverRequested, DrainOn}, map[int]Behavior{0: {State: HandingOver, AcceptConnections: true}}},
+		{"drained while it hands over in vain", []Event{Started, HandoverRequested, DrainOn, HandoverAborted}, map[int]Behavior{
+			0: {State: LameDuck, AcceptConnections: true, KeepAlive: true}}},
+		{"handed over", []Event{Started, HandoverRequested, HandoverCompleted}, map[int]Behavior{0: {State: HandedOver, Ready: true, ExitWhenIdle: true}}},
+		{"end", []Event{Started, Terminate}, map[int]Behavior{0: {State: Leaving, ShortenDeadlines: true, AcceptConnections: true, KeepAlive: true},
+			500: {State: Leaving, ShortenDeadlines: true, ExitWhenIdle: true}, 3400: {State: Leaving, ShortenDeadlines: true, ExitWhenIdle: true, ExitNow: true}}},
+		{"end under a drain", []Event{Started, DrainOn, Terminate, DrainOff}, map[int]Behavior{0: {State: Leaving, ShortenDeadlines: true, AcceptConnections: true, KeepAlive: true},
+			500: {State: Leaving, ShortenDeadlines: true, ExitWhenIdle: true}}},
+		{"end before it serves", []Event{Terminate, Started}, map[int]Behavior{0: {State: Leaving, ShortenDeadlines: true, ExitWhenIdle: true}}},
 	} {
 		m := New(testTimes, at)
 		for _, ev := range c.events {
 			m.Handle(ev, at)
 		}
 		for n, want := range c.want {
-			if got := m.View(ms(n)); got != want {
+			if got := m.Behavior(ms(n)); got != want {
 				t.Errorf("%s after %d ms: %+v, want %+v", c.name, n, got, want)
 			}
 		}
@@ -89,10 +89,10 @@
 		m := New(testTimes, now)
 		drained, served, gone, leaving := false, false, false, time.Time{}
 		for range rapid.IntRange(1, 40).Draw(t, "events") {
-			before, due := m.View(now), m.Changes(now)
+			before, due := m.Behavior(now), m.NextChange(now)
 			now = now.Add(time.Duration(rapid.IntRange(0, 1500).Draw(t, "ms")) * time.Millisecond)
-			if (due.IsZero() || now.Before(due)) && m.View(now) != before {
-				t.Fatalf("the view changed from %+v to %+v by itself", before, m.View(now))
+			if (due.IsZero() || now.Before(due)) && m.Behavior(now) != before {
+				t.Fatalf("the view changed from %+v to %+v by itself", before, m.Behavior(now))
 			}
 			ev := Event(rapid.IntRange(-1, int(events)).Draw(t, "event"))
 			m.Handle(ev, now)
@@ -106,7 +106,7 @@
 					leaving = now
 				}
 			}
-			v := m.View(now)
+			v := m.Behavior(now)
 			served = served || v.State == Serving
 			if gone && v.State != HandedOver && v.State != Leaving {
 				t.Fatalf("back from the end: %v", v.State)
@@ -118,7 +118,7 @@
 			if (v.State == Leaving) != !leaving.IsZero() {
 				t.Fatalf("%v, told to end at %v", v.State, leaving)
 			}
-			if !leaving.IsZero() && v.Over != (now.Sub(leaving) >= testTimes.Stop) {
+			if !leaving.IsZero() && v.ExitNow != (now.Sub(leaving) >= testTimes.StopTimeout) {
 				t.Fatalf("%v after it was told to end: %+v", now.Sub(leaving), v)
 			}
 		}
--- a/internal/standin/fleet/cases.go
+++ b/internal/standin/fleet/cases.go
@@ -145,7 +145,7 @@
 			continue
 		}
 		n := 0
-		for _, o := range x.Others {
+		for _, o := range x.Peers {
 			if dead[o.Name] && o.State == "gone" {
 				n++
 			}
@@ -179,7 +179,7 @@
 			continue
 		}
 		now := map[string]string{}
-		for _, o := range x.Others {
+		for _, o := range x.Peers {
 			now[o.Name] = o.State
 			if was := w.last[i][o.Name]; was == "" || was == o.State || w.dead[o.Name] {
 				continue
--- a/internal/standin/fleet/faults_test.go
+++ b/internal/standin/fleet/faults_test.go
@@ -35,10 +35,10 @@
 func noneGone(t *testing.T, what string) func([]Seen) bool {
 	return func(list []Seen) bool {
 		for _, x := range list {
-			if x.Wrong > 0 {
+			if x.HeardAfterGone > 0 {
 				t.Errorf("%s: %s has taken a living sender for gone", what, x.Name)
 			}
-			for _, o := range x.Others {
+			for _, o := range x.Peers {
 				if o.State == view.Gone.String() {
 					t.Errorf("%s: %s takes %s for gone", what, x.Name, o.Name)
 				}
@@ -51,7 +51,7 @@
 // sum of the parts, as far as they are told.
 func sum(list []Seen) (all float64) {
 	for _, x := range list {
-		all += x.Part
+		all += x.Share
 	}
 	return all
 }
@@ -73,7 +73,7 @@
 	}
 	state := func(n int, name string, s view.State) func([]Seen) bool {
 		return func(list []Seen) bool {
-			for _, o := range list[n].Others {
+			for _, o := range list[n].Peers {
 				if o.Name == name {
 					return o.State == s.String()
 				}
@@ -88,11 +88,11 @@
 	}{
 		{"s0 does not reach s1", func(i, k int) Faults { return Faults{Cut: i == 0 && k == 1} }, state(1, "s0", view.Unreachable)},
 		{"nobody reaches s0", func(i, k int) Faults { return Faults{Cut: k == 0} }, func(list []Seen) bool {
-			return list[0].Among == 0 && list[1].Among == 4
+			return list[0].CountedSenders == 0 && list[1].CountedSenders == 4
 		}},
 		{"a ring", func(i, k int) Faults { return Faults{Cut: k != (i+1)%5} }, func(list []Seen) bool { return sum(list) < 0.11 }},
 		{"two pieces", func(i, k int) Faults { return Faults{Cut: (i < 2) != (k < 2)} }, func(list []Seen) bool {
-			return list[0].Among == 0 && list[1].Among == 0 && list[2].Among == 3 && state(2, "s0", view.Suspected)(list)
+			return list[0].CountedSenders == 0 && list[1].CountedSenders == 0 && list[2].CountedSenders == 3 && state(2, "s0", view.Suspected)(list)
 		}},
 		{"30% lost", func(i, k int) Faults { return Faults{Loss: 0.3, Double: 0.1, Reorder: 0.1} }, nil},
 		{"200 ms late", func(i, k int) Faults { return Faults{Delay: 200 * time.Millisecond, Jitter: 50 * time.Millisecond} }, nil},
@@ -194,7 +194,7 @@
 	if err := double.Restart(false); err != nil {
 		t.Fatal(err)
 	}
-	await(t, f, "the second with a name is refused", func(list []Seen) bool { return list[3].State == "refused" && list[3].Part == 0 })
+	await(t, f, "the second with a name is refused", func(list []Seen) bool { return list[3].State == "refused" && list[3].Share == 0 })
 	for _, s := range []*Sender{first, double} {
 		if err := s.Says("another process uses this name"); err != nil {
 			t.Error(err)
--- a/internal/standin/fleet/views.go
+++ b/internal/standin/fleet/views.go
@@ -53,15 +53,15 @@
 // noteView puts a view on the time line if it differs from the one before.
 func (s *Sender) noteView(x Seen) {
 	sees := map[string]string{x.Name: x.State}
-	for _, o := range x.Others {
+	for _, o := range x.Peers {
 		sees[o.Name] = o.State
 	}
 	s.mu.Lock()
-	same := maps.Equal(s.sees, sees) && s.part == x.Part
-	s.sees, s.part = sees, x.Part
+	same := maps.Equal(s.sees, sees) && s.part == x.Share
+	s.sees, s.part = sees, x.Share
 	s.mu.Unlock()
 	if !same {
-		s.fleet.Time.note(Entry{Do: "view", Who: []int{s.N}, Sees: sees, Part: x.Part})
+		s.fleet.Time.note(Entry{Do: "view", Who: []int{s.N}, Sees: sees, Part: x.Share})
 	}
 }
 
@@ -86,22 +86,22 @@
 func AllHere(list []Seen) bool {
 	sum := 0.0
 	for _, x := range list {
-		if !x.OK || len(x.Others) != len(list)-1 {
+		if !x.OK || len(x.Peers) != len(list)-1 {
 			return false
 		}
-		for _, o := range x.Others {
-			if o.State != view.Here.String() {
+		for _, o := range x.Peers {
+			if o.State != view.Reachable.String() {
 				return false
 			}
 		}
-		sum += x.Part
+		sum += x.Share
 	}
 	return sum > 0.99
 }
 
 // Has holds once a sender has a part.
 func Has(n int, least float64) func([]Seen) bool {
-	return func(list []Seen) bool { return list[n].OK && list[n].Part >= least }
+	return func(list []Seen) bool { return list[n].OK && list[n].Share >= least }
 }
 
 // Believes holds once each sender that answers has all of some in a state.
@@ -112,7 +112,7 @@
 				continue
 			}
 			n := 0
-			for _, o := range x.Others {
+			for _, o := range x.Peers {
 				for _, name := range who {
 					if o.Name == name && o.State == state.String() {
 						n++
--- a/internal/standin/hollow/fleet.go
+++ b/internal/standin/hollow/fleet.go
@@ -289,9 +289,9 @@
 			b.agree = false
 			continue
 		}
-		b.wrong += status.Wrong
-		b.agree = b.agree && len(status.Others) == len(f.senders)-1
-		for _, o := range status.Others {
+		b.wrong += status.HeardAfterGone
+		b.agree = b.agree && len(status.Peers) == len(f.senders)-1
+		for _, o := range status.Peers {
 			b.agree = b.agree && (o.State == "here") == runs[o.Name]
 		}
 	}
--- a/internal/standin/hollow/measure.go
+++ b/internal/standin/hollow/measure.go
@@ -94,7 +94,7 @@
 	defer func() {
 		r.Highest, r.Over, r.Looks, r.Timeline, r.Took = w.peak, w.over, len(w.samples), w.rows(), time.Since(began).Seconds()
 		if world, ok := s.(*world); ok {
-			r.Highest = max(r.Highest, world.Worst) // at every instant
+			r.Highest = max(r.Highest, world.MaxSum) // at every instant
 		}
 	}()
 	w.note("start")
--- a/internal/standin/hollow/virtual.go
+++ b/internal/standin/hollow/virtual.go
@@ -23,18 +23,18 @@
 type world struct{ *play.World }
 
 func newWorld(o Options) *world {
-	w := &world{play.New(play.Options{Seed: o.Seed, Senders: o.Senders, Least: virtualLeast, Lease: o.Lease, Every: o.Lease / config.Ticks, Drift: o.Drift,
+	w := &world{play.New(play.Options{Seed: o.Seed, Senders: o.Senders, MinShareTotal: virtualLeast, Lease: o.Lease, Interval: o.Lease / config.Ticks, MaxClockDrift: o.Drift,
 		Delay: virtualDelay, Jitter: virtualJitter})}
-	for i := range w.Procs {
+	for i := range w.Newest {
 		if o.Pace != nil && o.Pace(i) > 0 {
-			w.Pace(i, o.Pace(i))
+			w.SetClockRate(i, o.Pace(i))
 		}
 	}
 	w.SizeOf = func(m *view.Message) int {
 		whole := *m // with addresses, a zone and a version as long as those of hollow senders
-		whole.Addr, whole.Zone, whole.Version, whole.Rows = likeAddr, "z0", version, slices.Clone(m.Rows)
-		for i := range whole.Rows {
-			whole.Rows[i].Addr = likeAddr
+		whole.Addr, whole.Zone, whole.Version, whole.PeerReports = likeAddr, "z0", version, slices.Clone(m.PeerReports)
+		for i := range whole.PeerReports {
+			whole.PeerReports[i].Addr = likeAddr
 		}
 		size, _ := cluster.PacketSize(&whole) // what a machine has made can be written
 		return size + udpHead
@@ -42,7 +42,7 @@
 	return w
 }
 
-func (w *world) size() int          { return len(w.Procs) }
+func (w *world) size() int          { return len(w.Newest) }
 func (w *world) now() time.Duration { return w.Now }
 
 func (w *world) run(d time.Duration, look func()) {
@@ -54,8 +54,8 @@
 
 func (w *world) start(list []int) error {
 	for _, i := range list {
-		if !w.Procs[i].Running {
-			w.Start(i, play.Kept)
+		if !w.Newest[i].Running {
+			w.Start(i, play.SameFolder)
 		}
 	}
 	return nil
@@ -63,17 +63,17 @@
 
 func (w *world) kill(list []int) {
 	for _, i := range list {
-		w.Kill(w.Procs[i])
+		w.Kill(w.Newest[i])
 	}
 }
 
 func (w *world) cut(from, to int, cut bool) { w.Cut(from, to, cut) }
 
 func (w *world) parts(out []float64) {
-	for i, p := range w.Procs {
+	for i, p := range w.Newest {
 		out[i] = -1
 		if p.Running {
-			out[i] = w.PartOf(p)
+			out[i] = w.ShareOf(p)
 		}
 	}
 }
@@ -84,6 +84,6 @@
 	}
 }
 
-func (w *world) believes() belief { return belief{agree: w.Agree(), wrong: w.False} }
+func (w *world) believes() belief { return belief{agree: w.Converged(), wrong: w.HeardAfterGone} }
 
 func (w *world) close() {}
--- a/internal/view/lease.go
+++ b/internal/view/lease.go
@@ -34,31 +34,31 @@
 	claimed Time   // when it last asked
 }
 
-// Part is which part of each rate a sender may use.
-type Part struct {
-	Now   float64 // until Until
-	Until Time
-	Least float64 // after that, until Dead
-	Dead  Time    // this process has not run for a lease: nothing is sent before it has looked
-	Among int     // senders that it shares with, itself counted; 0 if it has its least part
+// Share is which part of each rate a sender may use.
+type Share struct {
+	Current        float64 // until Until
+	Until          Time
+	Min            float64 // after that, until Dead
+	StopAt         Time    // this process has not run for a lease: nothing is sent before it has looked
+	CountedSenders int     // senders that it shares with, itself counted; 0 if it has its least part
 }
 
 // At is the part at a time.
-func (p Part) At(now Time) float64 {
+func (p Share) At(now Time) float64 {
 	switch {
-	case now >= p.Dead:
+	case now >= p.StopAt:
 		return 0
 	case now < p.Until:
-		return p.Now
+		return p.Current
 	}
-	return p.Least
+	return p.Min
 }
 
 // most is how many senders there may be: the most that any of them says.
 func (m *Machine) most() int {
-	n := m.cfg.Seats
+	n := m.cfg.MaxSenders
 	for _, s := range m.seats {
-		if s.end == Lives {
+		if s.end == NotEnded {
 			n = max(n, s.seats)
 		}
 	}
@@ -67,14 +67,14 @@
 
 // granted takes the grant of a message in answer to one of ours.
 func (m *Machine) granted(s *seat, msg *Message) {
-	at, ok := m.sent[msg.Echo]
-	if !msg.Grant || !ok || !msg.Voter || s.end != Lives {
+	at, ok := m.sent[msg.AckSeq]
+	if !msg.Grant || !ok || !msg.Voter || s.end != NotEnded {
 		return
 	}
 	switch {
-	case msg.Roster == s.grant.version && msg.Roster != 0:
-	case msg.Roster > s.grant.version && len(msg.Names) > 0:
-		s.grant.version, s.grant.names, s.grant.sum, m.dirty = msg.Roster, slices.Clone(msg.Names), sumOf(msg.Names), true
+	case msg.RosterVersion == s.grant.version && msg.RosterVersion != 0:
+	case msg.RosterVersion > s.grant.version && len(msg.RosterNames) > 0:
+		s.grant.version, s.grant.names, s.grant.sum, m.dirty = msg.RosterVersion, slices.Clone(msg.RosterNames), sumOf(msg.RosterNames), true
 	default:
 		return
 	}
@@ -84,9 +84,9 @@
 
 // claim notes that another asks for a grant, and whom it counts.
 func (m *Machine) claim(s *seat, msg *Message) {
-	s.has = msg.Has
-	at, heard := m.sent[msg.Echo]
-	if !msg.Voter || msg.Left || s.end != Lives || !heard || m.last-at > m.cfg.Lease { // one who does not hear us can use no grant
+	s.has = msg.AckRosterVersion
+	at, heard := m.sent[msg.AckSeq]
+	if !msg.Voter || msg.Left || s.end != NotEnded || !heard || m.last-at > m.cfg.Lease { // one who does not hear us can use no grant
 		return
 	}
 	p := m.roster[s.Name]
@@ -102,7 +102,7 @@
 		}
 		p.id, p.counted = s.ID, 0
 	}
-	p.counted = max(p.counted, min(msg.Has, m.rosterVer))
+	p.counted = max(p.counted, min(msg.AckRosterVersion, m.rosterVer))
 	p.claimed = m.last
 }
 
@@ -119,9 +119,9 @@
 		p.counted = m.rosterVer
 	}
 	p.until = now + m.hold()
-	out.Grant, out.Roster = true, m.rosterVer
+	out.Grant, out.RosterVersion = true, m.rosterVer
 	if s.has != m.rosterVer {
-		out.Names = m.onRoster()
+		out.RosterNames = m.onRoster()
 	}
 }
 
@@ -171,7 +171,7 @@
 func (m *Machine) expire(now Time) {
 	for name, p := range m.roster {
 		s := m.seats[name]
-		if now >= p.until && (s == nil || s.end != Lives || now-p.claimed > m.hold()) {
+		if now >= p.until && (s == nil || s.end != NotEnded || now-p.claimed > m.hold()) {
 			delete(m.roster, name)
 			m.rosterVer++
 		}
@@ -193,25 +193,27 @@
 			return
 		}
 	}
-	m.voter, m.cfg.Home, m.out.Save = true, m.cfg.Addr, true
+	m.voter, m.cfg.AdmittedAddr, m.out.Save = true, m.cfg.Addr, true
 	m.tickAt = now
 	m.event(Event{Name: m.cfg.Name, Text: "taken in by all"})
 }
 
 // settled says whether a sender is proven to have ended, and all that it granted is
 // over.
-func (m *Machine) settled(now Time, s *seat) bool { return s.end != Lives && now >= s.endAt+m.hold() }
+func (m *Machine) settled(now Time, s *seat) bool {
+	return s.end != NotEnded && now >= s.endAt+m.hold()
+}
 
 // part is which part this sender may use.
-func (m *Machine) part(now Time) Part {
+func (m *Machine) part(now Time) Share {
 	n := m.most()
-	p := Part{Least: m.cfg.Least / float64(n), Until: now, Dead: m.last + m.cfg.Lease}
-	p.Now = p.Least
+	p := Share{Min: m.cfg.MinShareTotal / float64(n), Until: now, StopAt: m.last + m.cfg.Lease}
+	p.Current = p.Min
 	// A name that is used twice is told apart once another sender has been met: until
 	// then nothing is sent, but by one who has its own folder and address and has met
 	// nobody for a while.
 	if m.refused != nil || n > 1 && (m.strange() || now < m.born+m.hold()) && !m.taken() {
-		return Part{Until: now}
+		return Share{Until: now}
 	}
 	if !m.voter || m.left {
 		return p
@@ -231,7 +233,7 @@
 	lists := map[uint64]bool{}
 	untils := []Time{m.last + m.cfg.Lease} // its own: it holds while this process runs
 	for _, s := range m.seats {
-		if s.end != Lives || now >= s.grant.until {
+		if s.end != NotEnded || now >= s.grant.until {
 			continue
 		}
 		untils = append(untils, s.grant.until)
@@ -255,8 +257,8 @@
 		p.Until = max(p.Until, untils[len(untils)-need])
 	}
 	if p.Until > now {
-		p.Among = len(counted)
-		p.Now = p.Least + (1-m.cfg.Least)/float64(p.Among)
+		p.CountedSenders = len(counted)
+		p.Current = p.Min + (1-m.cfg.MinShareTotal)/float64(p.CountedSenders)
 	}
 	return p
 }
@@ -266,7 +268,7 @@
 	if name == m.cfg.Name {
 		return m.last + m.cfg.Lease
 	}
-	if s := m.seats[name]; s != nil && s.end == Lives {
+	if s := m.seats[name]; s != nil && s.end == NotEnded {
 		return s.grant.until
 	}
 	return never
--- a/internal/view/machine.go
+++ b/internal/view/machine.go
@@ -17,22 +17,22 @@
 	Name, Addr, Zone, Version string
 	ID                        uint64 // of this life; not 0
 	Incarnation               uint64 // above all that went before
-	Seats                     int    // the most senders there may be, this one counted
-	Least                     float64
-	Lease, Every              Time
-	Drift                     float64 // clocks of senders run at 1-Drift to 1+Drift of the true pace
+	MaxSenders                int    // the most senders there may be, this one counted
+	MinShareTotal             float64
+	Lease, Interval           Time
+	MaxClockDrift             float64 // clocks of senders run at 1-Drift to 1+Drift of the true pace
 	Join                      []string
-	Kept                      []Kept
-	// Home is the address at which all others last took this sender in, as its folder
+	KnownPeers                []Peer
+	// AdmittedAddr is the address at which all others last took this sender in, as its folder
 	// says. At another one, or with an emptied folder, it is strange: what it keeps of
 	// the others may be of no use, and another process may have its name.
-	Home string
-	Seed uint64
-	Wire int // 0 for Wire
+	AdmittedAddr string
+	Seed         uint64
+	WireVersion  int // 0 for Wire
 }
 
-// Kept is what a sender keeps of another over a restart.
-type Kept struct {
+// Peer is what a sender keeps of another over a restart.
+type Peer struct {
 	Name        string `json:"name"`
 	Addr        string `json:"addr"`
 	Zone        string `json:"zone,omitempty"`
@@ -55,10 +55,10 @@
 	Text     string // the evidence
 }
 
-// Ready is what is to be done after a step, in this order: Part holds from now on;
+// Actions is what is to be done after a step, in this order: Part holds from now on;
 // then Kept is written, if Save says so; then all else.
-type Ready struct {
-	Part   Part
+type Actions struct {
+	Share  Share
 	Save   bool
 	Send   []Envelope
 	Probe  []Probe
@@ -80,7 +80,7 @@
 	voter    bool
 	left     bool
 	dirty    bool // something has happened that may change the view or make the part smaller
-	known    Part
+	known    Share
 	newcomer *seat // whose first message this step has taken
 	turn     int   // of the rows
 
@@ -88,23 +88,23 @@
 	rosterVer uint64
 	lows      lows
 
-	rivalSaid Time
-	refused   *Refuse // this life is not taken for the sender of its name
-	refusedAt Time
-	out       Ready
-	Wrong     int // senders that were taken for gone and were heard again in the same life
+	rivalSaid      Time
+	refused        *Refusal // this life is not taken for the sender of its name
+	refusedAt      Time
+	out            Actions
+	HeardAfterGone int // senders that were taken for gone and were heard again in the same life
 }
 
 // New makes a machine at a time.
 func New(cfg Config, now Time) *Machine {
-	if cfg.Wire == 0 {
-		cfg.Wire = Wire
+	if cfg.WireVersion == 0 {
+		cfg.WireVersion = WireVersion
 	}
 	m := &Machine{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, cfg.ID)), seats: map[string]*seat{}, born: now, last: now, base: now,
 		sent: map[uint64]Time{}, roster: map[string]*place{}, rosterVer: 1}
-	for _, k := range cfg.Kept {
+	for _, k := range cfg.KnownPeers {
 		if k.Name != cfg.Name && k.Name != "" {
-			m.seats[k.Name] = &seat{Kept: k, heard: never, state: Suspected, reports: map[string]report{}}
+			m.seats[k.Name] = &seat{Peer: k, heard: never, state: Suspected, reports: map[string]report{}}
 		}
 	}
 	return m
@@ -112,56 +112,56 @@
 
 const never = Time(-1 << 62)
 
-// MostSeats is the most senders that there may be.
-const MostSeats = 1000
+// MaxSenders is the most senders that there may be.
+const MaxSenders = 1000
 
-func (m *Machine) strange() bool { return m.cfg.Home != m.cfg.Addr }
+func (m *Machine) strange() bool { return m.cfg.AdmittedAddr != m.cfg.Addr }
 
 // hold is how long a grant may be in force by the clock of whoever gave it.
 func (m *Machine) hold() Time {
-	return Time(float64(m.cfg.Lease)*(1+m.cfg.Drift)/(1-m.cfg.Drift)) + 1
+	return Time(float64(m.cfg.Lease)*(1+m.cfg.MaxClockDrift)/(1-m.cfg.MaxClockDrift)) + 1
 }
 
 // fresh is how long a sender counts as heard after a message of it.
-func (m *Machine) fresh() Time { return max(6*m.cfg.Every, m.cfg.Lease*6/10) }
+func (m *Machine) fresh() Time { return max(6*m.cfg.Interval, m.cfg.Lease*6/10) }
 
 // next is when Step is to be called again at the latest.
-func (m *Machine) Next() Time { return m.tickAt }
+func (m *Machine) NextTick() Time { return m.tickAt }
 
-// Take hands over a message that came. One that makes no sense is dropped.
-func (m *Machine) Take(now Time, msg *Message) Ready {
+// HandleMessage hands over a message that came. One that makes no sense is dropped.
+func (m *Machine) HandleMessage(now Time, msg *Message) Actions {
 	m.begin(now)
 	m.take(now, msg)
 	return m.end(now)
 }
 
 // Tick lets time pass.
-func (m *Machine) Tick(now Time) Ready {
+func (m *Machine) Tick(now Time) Actions {
 	m.begin(now)
 	return m.end(now)
 }
 
-// Probed hands over what a probe has found: Refused, Fenced, or Lives for all else.
-func (m *Machine) Probed(now Time, p Probe, found End) Ready {
+// HandleProbe hands over what a probe has found: Refused, Fenced, or Lives for all else.
+func (m *Machine) HandleProbe(now Time, p Probe, found End) Actions {
 	m.begin(now)
 	if s := m.seats[p.Name]; s != nil {
-		s.probing, m.dirty = false, m.dirty || found != Lives
-		if s.ID == p.ID && s.end == Lives && s.heard < s.probedAt && (found == Refused || found == Fenced) {
+		s.probing, m.dirty = false, m.dirty || found != NotEnded
+		if s.ID == p.ID && s.end == NotEnded && s.heard < s.probedAt && (found == ConnectionRefused || found == Fenced) {
 			m.ends(now, s, found, "by a probe of its address "+p.Addr)
 		}
-		if s.ID == p.ID && s.end != Lives && (found == Refused || found == Fenced) {
+		if s.ID == p.ID && s.end != NotEnded && (found == ConnectionRefused || found == Fenced) {
 			s.checked = true
-			s.vacant = s.vacant || found == Refused
+			s.vacant = s.vacant || found == ConnectionRefused
 		}
 	}
 	return m.end(now)
 }
 
-// Life is the life of this process, and when its last step began.
-func (m *Machine) Life() (id uint64, at Time) { return m.cfg.ID, m.last }
+// Liveness is the life of this process, and when its last step began.
+func (m *Machine) Liveness() (id uint64, at Time) { return m.cfg.ID, m.last }
 
 // Leave has this sender give up all but its least part, for good.
-func (m *Machine) Leave(now Time) Ready {
+func (m *Machine) Leave(now Time) Actions {
 	m.begin(now)
 	m.left, m.voter, m.dirty = true, false, true
 	m.tickAt = now
@@ -170,13 +170,13 @@
 
 // Forget has another sender taken for ended, by an operator's word. It is wrong for
 // one that runs.
-func (m *Machine) Forget(now Time, name string) (Ready, error) {
+func (m *Machine) Forget(now Time, name string) (Actions, error) {
 	m.begin(now)
 	s := m.seats[name]
 	switch {
 	case s == nil:
 		return m.end(now), fmt.Errorf("no sender %q is known", name)
-	case s.end == Lives && now-s.heard < m.fresh():
+	case s.end == NotEnded && now-s.heard < m.fresh():
 		return m.end(now), fmt.Errorf("%s was heard %v ago: it runs", name, (now - s.heard).Round(time.Millisecond))
 	}
 	m.ends(now, s, Forgotten, "by an operator")
@@ -184,8 +184,8 @@
 	return m.end(now), nil
 }
 
-// FencedBy says that this process's guard has had it taken for ended.
-func (m *Machine) FencedBy(now Time) Ready {
+// HandleFenced says that this process's guard has had it taken for ended.
+func (m *Machine) HandleFenced(now Time) Actions {
 	m.begin(now)
 	m.rebirth(now, "its guard has fenced it")
 	return m.end(now)
@@ -194,11 +194,11 @@
 // begin sees whether this process was paused. After a pause of more than a lease it
 // is a new life: others may have taken the one before for ended.
 func (m *Machine) begin(now Time) {
-	m.out = Ready{}
+	m.out = Actions{}
 	switch gap := now - m.last; {
 	case gap >= m.cfg.Lease:
 		m.rebirth(now, fmt.Sprintf("it did not run for %v", gap.Round(time.Millisecond)))
-	case gap > 3*m.cfg.Every:
+	case gap > 3*m.cfg.Interval:
 		m.base = now
 	}
 	m.last = max(m.last, now)
@@ -212,8 +212,8 @@
 	clear(m.sent)
 	for _, s := range m.seats {
 		s.welcomed, s.grant, s.probing = false, grant{}, false
-		if s.end != Lives { // a later life of it may be there by now, and may have had this one taken for ended
-			s.end, s.vacant, s.checked, s.heard, s.state = Lives, false, false, never, Suspected
+		if s.end != NotEnded { // a later life of it may be there by now, and may have had this one taken for ended
+			s.end, s.vacant, s.checked, s.heard, s.state = NotEnded, false, false, never, Suspected
 		}
 	}
 	m.out.Save = true
@@ -223,7 +223,7 @@
 func (m *Machine) event(e Event) { m.out.Events = append(m.out.Events, e) }
 
 // end does what is due and tells what is to be done.
-func (m *Machine) end(now Time) Ready {
+func (m *Machine) end(now Time) Actions {
 	// What only adds to a part can wait for the next tick.
 	look := m.dirty || now >= m.tickAt
 	m.dirty = false
@@ -233,7 +233,7 @@
 		m.judge(now)
 	}
 	if now >= m.tickAt {
-		m.tickAt = now + m.cfg.Every
+		m.tickAt = now + m.cfg.Interval
 		m.tell(now)
 	} else if s := m.newcomer; s != nil && m.seq > 0 { // it is told at once whom it has reached
 		m.address(now, s, m.common())
@@ -242,34 +242,34 @@
 	if look || m.dirty {
 		m.known = m.part(now)
 	}
-	if m.known.Dead > 0 {
-		m.known.Dead = m.last + m.cfg.Lease
+	if m.known.StopAt > 0 {
+		m.known.StopAt = m.last + m.cfg.Lease
 	}
-	m.out.Part = m.known
+	m.out.Share = m.known
 	return m.out
 }
 
 // Lists the others by name.
 func (m *Machine) names() []string { return slices.Sorted(maps.Keys(m.seats)) }
 
-// Kin lists the others that are not proven to have ended, by name.
-func (m *Machine) Kin() (list []Kept) {
+// LivePeers lists the others that are not proven to have ended, by name.
+func (m *Machine) LivePeers() (list []Peer) {
 	for _, name := range m.names() {
-		if s := m.seats[name]; s.end == Lives && s.ID != 0 && s.alien == 0 {
-			list = append(list, s.Kept)
+		if s := m.seats[name]; s.end == NotEnded && s.ID != 0 && s.alien == 0 {
+			list = append(list, s.Peer)
 		}
 	}
 	return list
 }
 
-// Kept is what is to be kept over a restart.
-func (m *Machine) Kept() (incarnation uint64, home string, list []Kept) {
+// SavedState is what is to be kept over a restart.
+func (m *Machine) SavedState() (incarnation uint64, home string, list []Peer) {
 	for _, name := range m.names() {
 		if s := m.seats[name]; s.end != Forgotten && s.ID != 0 {
-			list = append(list, s.Kept)
+			list = append(list, s.Peer)
 		}
 	}
-	return m.cfg.Incarnation, m.cfg.Home, list
+	return m.cfg.Incarnation, m.cfg.AdmittedAddr, list
 }
 
 // tell makes the messages of a tick.
@@ -278,11 +278,11 @@
 	m.sent[m.seq] = now
 	maps.DeleteFunc(m.sent, func(_ uint64, at Time) bool { return now-at > 2*m.cfg.Lease })
 	base := m.common()
-	base.Rows = m.rows(now)
+	base.PeerReports = m.rows(now)
 	known := map[string]bool{m.cfg.Addr: true}
 	for _, name := range m.names() {
 		s := m.seats[name]
-		if s.end == Forgotten || s.end != Lives && now < s.callAt {
+		if s.end == Forgotten || s.end != NotEnded && now < s.callAt {
 			known[s.Addr] = s.end != Forgotten
 			continue
 		}
@@ -311,30 +311,30 @@
 
 // common is what all messages say.
 func (m *Machine) common() Message {
-	return Message{Wire: m.cfg.Wire, From: m.cfg.Name, ID: m.cfg.ID, Incarnation: m.cfg.Incarnation, Addr: m.cfg.Addr, Zone: m.cfg.Zone,
-		Version: m.cfg.Version, Seats: m.cfg.Seats, Seq: m.seq, Voter: m.voter, Left: m.left}
+	return Message{WireVersion: m.cfg.WireVersion, From: m.cfg.Name, ID: m.cfg.ID, Incarnation: m.cfg.Incarnation, Addr: m.cfg.Addr, Zone: m.cfg.Zone,
+		Version: m.cfg.Version, MaxSenders: m.cfg.MaxSenders, Seq: m.seq, Voter: m.voter, Left: m.left}
 }
 
 // address sends a message to another sender, with what is for it alone.
 func (m *Machine) address(now Time, s *seat, out Message) {
-	if s.heard != never && s.end == Lives && s.alien == 0 {
-		out.EchoID, out.Echo, out.Has = s.ID, s.seq, s.grant.version
+	if s.heard != never && s.end == NotEnded && s.alien == 0 {
+		out.RecognizedID, out.AckSeq, out.AckRosterVersion = s.ID, s.seq, s.grant.version
 		m.give(now, s, &out)
 	}
 	if now < s.rivalTill {
-		out.Rival = s.rival
+		out.RivalAddr = s.rival
 	}
 	m.out.Send = append(m.out.Send, Envelope{s.Addr, &out})
 }
 
 // rows tells what this sender knows of the others: news first, then all in turn.
-func (m *Machine) rows(now Time) []Row {
+func (m *Machine) rows(now Time) []PeerReport {
 	names := m.names()
-	n := min(len(names), MostRows)
-	out := make([]Row, 0, n)
+	n := min(len(names), MaxPeerReports)
+	out := make([]PeerReport, 0, n)
 	add := func(s *seat) {
 		if s.ID != 0 {
-			out = append(out, Row{Name: s.Name, ID: s.ID, Incarnation: s.Incarnation, Addr: s.Addr, Hears: now-s.heard <= m.fresh(), End: s.end})
+			out = append(out, PeerReport{Name: s.Name, ID: s.ID, Incarnation: s.Incarnation, Addr: s.Addr, Heard: now-s.heard <= m.fresh(), End: s.end})
 		}
 	}
 	news := 0
--- a/internal/view/play/draw.go
+++ b/internal/view/play/draw.go
@@ -6,21 +6,21 @@
 	"cometrack/internal/view"
 )
 
-// Most is what a sum of parts may be, rounding apart.
-const Most = 1 + 1e-9
+// MaxAllowedSum is what a sum of parts may be, rounding apart.
+const MaxAllowedSum = 1 + 1e-9
 
-// Draw plays random faults over a fleet for a span. The same options give the same
+// RunRandomFaults plays random faults over a fleet for a span. The same options give the same
 // play. In one of three plays names are used twice; in the others senders also move
 // and lose their folders. Both at once can make two fleets that never hear of each
 // other, which nobody could tell.
-func Draw(opts Options, d time.Duration) *World {
+func RunRandomFaults(opts Options, d time.Duration) *World {
 	w := New(opts)
 	doubles := opts.Seed%3 == 0
-	how := func() How {
+	how := func() StartMode {
 		if doubles {
-			return []How{Kept, Aged}[w.rng.IntN(2)]
+			return []StartMode{SameFolder, OldFolder}[w.rng.IntN(2)]
 		}
-		return How(w.rng.IntN(int(Aged) + 1))
+		return StartMode(w.rng.IntN(int(OldFolder) + 1))
 	}
 	w.Run(time.Duration(w.rng.Int64N(int64(3 * opts.Lease))))
 	for end := w.Now + d; w.Now < end; {
@@ -28,7 +28,7 @@
 			w.Run(time.Duration(w.rng.Int64N(int64(opts.Lease))))
 		}
 		i, k := w.rng.IntN(opts.Senders), w.rng.IntN(opts.Senders)
-		p := w.Procs[i]
+		p := w.Newest[i]
 		switch w.rng.IntN(14) {
 		case 0, 1:
 			w.Kill(p)
@@ -39,7 +39,7 @@
 			w.Start(i, how())
 		case 4:
 			if !p.Running {
-				w.Start(i, Kept)
+				w.Start(i, SameFolder)
 			}
 		case 5, 6:
 			w.Pause(p, time.Duration(w.rng.Int64N(int64(4*opts.Lease))))
@@ -58,11 +58,11 @@
 				}
 			}
 		case 10:
-			w.Lose(i, k, w.rng.Float64())
+			w.SetLoss(i, k, w.rng.Float64())
 		case 11:
 			w.Heal()
 		case 12:
-			w.Slow(time.Duration(w.rng.Int64N(int64(opts.Lease / 4))))
+			w.SetDelay(time.Duration(w.rng.Int64N(int64(opts.Lease / 4))))
 		case 13:
 			switch w.rng.IntN(4) {
 			case 0: // a second process of a name
@@ -71,13 +71,13 @@
 				}
 			case 1: // many at once
 				for n := range opts.Senders * 4 / 10 {
-					w.Kill(w.Procs[(i+n)%opts.Senders])
+					w.Kill(w.Newest[(i+n)%opts.Senders])
 				}
 			case 2:
-				w.do(p, func() view.Ready { return p.Machine.Leave(p.local(w)) })
+				w.do(p, func() view.Actions { return p.Machine.Leave(p.local(w)) })
 			case 3: // an operator has one forgotten that is dead or has long been paused
-				if x := w.Procs[k]; !doubles && w.stands(x.Name) {
-					w.do(p, func() view.Ready { r, _ := p.Machine.Forget(p.local(w), x.Name); return r })
+				if x := w.Newest[k]; !doubles && w.stands(x.Name) {
+					w.do(p, func() view.Actions { r, _ := p.Machine.Forget(p.local(w), x.Name); return r })
 				}
 			}
 		}
@@ -87,7 +87,7 @@
 
 // stands says whether each process with a name is dead or has long been paused.
 func (w *World) stands(name string) bool {
-	for _, p := range w.All {
+	for _, p := range w.Running {
 		if p.Name == name && !(p.Paused && w.Now-p.pausedAt > w.opts.Lease) {
 			return false
 		}
--- a/internal/view/play/long_test.go
+++ b/internal/view/play/long_test.go
@@ -22,8 +22,8 @@
 			for seed := range next {
 				o := options(seed, 2+int(seed%6))
 				o.Guards = seed%2 == 0
-				if w := Draw(o, time.Minute); w.Worst > Most {
-					t.Errorf("seed %d, %d senders: the parts add up to %.3f at %v", seed, o.Senders, w.Worst, w.When)
+				if w := RunRandomFaults(o, time.Minute); w.MaxSum > MaxAllowedSum {
+					t.Errorf("seed %d, %d senders: the parts add up to %.3f at %v", seed, o.Senders, w.MaxSum, w.MaxSumAt)
 				}
 			}
 		})
--- a/internal/view/play/play_test.go
+++ b/internal/view/play/play_test.go
@@ -9,7 +9,7 @@
 )
 
 func options(seed uint64, n int) Options {
-	return Options{Seed: seed, Senders: n, Least: 0.1, Lease: 3 * time.Second, Every: 300 * time.Millisecond, Drift: 0.01,
+	return Options{Seed: seed, Senders: n, MinShareTotal: 0.1, Lease: 3 * time.Second, Interval: 300 * time.Millisecond, MaxClockDrift: 0.01,
 		Delay: time.Millisecond, Jitter: 5 * time.Millisecond}
 }
 
@@ -24,11 +24,11 @@
 	for seed := range uint64(plays) {
 		o := options(seed, 2+int(seed%6))
 		o.Guards = seed%2 == 0
-		w := Draw(o, time.Minute)
-		if w.Worst > Most {
-			t.Fatalf("seed %d, %d senders: the parts add up to %.3f at %v", seed, o.Senders, w.Worst, w.When)
+		w := RunRandomFaults(o, time.Minute)
+		if w.MaxSum > MaxAllowedSum {
+			t.Fatalf("seed %d, %d senders: the parts add up to %.3f at %v", seed, o.Senders, w.MaxSum, w.MaxSumAt)
 		}
-		if w.Worst > 0.99 {
+		if w.MaxSum > 0.99 {
 			active++
 		}
 	}
@@ -45,7 +45,7 @@
 		for seed := range uint64(200) {
 			o := options(seed, 2+int(seed%6))
 			plant(&o)
-			if Draw(o, time.Minute).Worst > Most {
+			if RunRandomFaults(o, time.Minute).MaxSum > MaxAllowedSum {
 				found++
 			}
 		}
@@ -58,18 +58,18 @@
 
 func settle(t *testing.T, w *World) {
 	t.Helper()
-	if _, ok := w.Until(30*time.Second, w.Agree); !ok {
+	if _, ok := w.Until(30*time.Second, w.Converged); !ok {
 		dump(t, w)
 		t.Fatal("the views are not equal after 30 s")
 	}
-	if took, ok := w.Until(10*time.Second, func() bool { return w.Sum() > 0.999 }); !ok {
+	if took, ok := w.Until(10*time.Second, func() bool { return w.ShareSum() > 0.999 }); !ok {
 		dump(t, w)
-		t.Fatalf("the rate is not used up after %v: %.3f", took, w.Sum())
+		t.Fatalf("the rate is not used up after %v: %.3f", took, w.ShareSum())
 	}
 }
 
 func dump(t *testing.T, w *World) {
-	for _, p := range w.All {
+	for _, p := range w.Running {
 		t.Logf("%+v", p.Machine.Status(p.local(w)))
 	}
 }
@@ -85,8 +85,8 @@
 		return out
 	}
 	pairs := func(w *World, f func(i, k int)) {
-		for _, i := range all(len(w.Procs)) {
-			for _, k := range all(len(w.Procs)) {
+		for _, i := range all(len(w.Newest)) {
+			for _, k := range all(len(w.Newest)) {
 				if i != k {
 					f(i, k)
 				}
@@ -95,24 +95,24 @@
 	}
 	cases := map[string]func(w *World){
 		"lone cut": func(w *World) { w.Cut(0, 1, true); w.Run(20 * time.Second) },
-		"loss 1%":  func(w *World) { pairs(w, func(i, k int) { w.Lose(i, k, 0.01) }); w.Run(60 * time.Second) },
-		"loss 10%": func(w *World) { pairs(w, func(i, k int) { w.Lose(i, k, 0.1) }); w.Run(60 * time.Second) },
-		"loss 30%": func(w *World) { pairs(w, func(i, k int) { w.Lose(i, k, 0.3) }); w.Run(60 * time.Second) },
-		"one link": func(w *World) { w.Lose(0, 1, 0.5); w.Run(60 * time.Second) },
-		"late":     func(w *World) { w.Slow(200 * time.Millisecond); w.Run(30 * time.Second) },
+		"loss 1%":  func(w *World) { pairs(w, func(i, k int) { w.SetLoss(i, k, 0.01) }); w.Run(60 * time.Second) },
+		"loss 10%": func(w *World) { pairs(w, func(i, k int) { w.SetLoss(i, k, 0.1) }); w.Run(60 * time.Second) },
+		"loss 30%": func(w *World) { pairs(w, func(i, k int) { w.SetLoss(i, k, 0.3) }); w.Run(60 * time.Second) },
+		"one link": func(w *World) { w.SetLoss(0, 1, 0.5); w.Run(60 * time.Second) },
+		"late":     func(w *World) { w.SetDelay(200 * time.Millisecond); w.Run(30 * time.Second) },
 		"unheard":  func(w *World) { pairs(w, func(i, k int) { w.Cut(i, k, k == 0) }); w.Run(20 * time.Second) },
 		"ring": func(w *World) {
-			pairs(w, func(i, k int) { w.Cut(i, k, k != (i+1)%len(w.Procs)) })
+			pairs(w, func(i, k int) { w.Cut(i, k, k != (i+1)%len(w.Newest)) })
 			w.Run(20 * time.Second)
 		},
 		"two":       func(w *World) { pairs(w, func(i, k int) { w.Cut(i, k, (i < 2) != (k < 2)) }); w.Run(20 * time.Second) },
 		"zone away": func(w *World) { pairs(w, func(i, k int) { w.Cut(i, k, i < 2 && k >= 2) }); w.Run(20 * time.Second) },
-		"fast":      func(w *World) { w.Pace(0, 1.01); w.Run(60 * time.Second) },
+		"fast":      func(w *World) { w.SetClockRate(0, 1.01); w.Run(60 * time.Second) },
 	}
 	for _, d := range []time.Duration{200 * time.Millisecond, time.Second, 5 * time.Second, 30 * time.Second} {
-		cases[fmt.Sprint("pause of one for ", d)] = func(w *World) { w.Pause(w.Procs[1], d); w.Run(d + time.Second) }
+		cases[fmt.Sprint("pause of one for ", d)] = func(w *World) { w.Pause(w.Newest[1], d); w.Run(d + time.Second) }
 		cases[fmt.Sprint("pause of half for ", d)] = func(w *World) {
-			for _, p := range w.Procs[:3] {
+			for _, p := range w.Newest[:3] {
 				w.Pause(p, d)
 			}
 			w.Run(d + time.Second)
@@ -120,7 +120,7 @@
 	}
 	cases["ten times a minute"] = func(w *World) {
 		for range 20 {
-			w.Pause(w.Procs[2], 3*time.Second)
+			w.Pause(w.Newest[2], 3*time.Second)
 			w.Run(6 * time.Second)
 		}
 	}
@@ -128,18 +128,18 @@
 		t.Run(name, func(t *testing.T) {
 			w := New(options(3, 5))
 			settle(t, w)
-			flaps := w.Flaps
+			flaps := w.StateChanges
 			f(w)
-			if w.Wrong > 0 {
-				t.Errorf("%d times a living sender was taken for gone", w.Wrong)
+			if w.GoneWhileRunning > 0 {
+				t.Errorf("%d times a living sender was taken for gone", w.GoneWhileRunning)
 			}
-			sum := w.Sum()
+			sum := w.ShareSum()
 			w.Heal()
 			settle(t, w)
-			if w.Worst > Most {
-				t.Errorf("the parts add up to %.3f at %v", w.Worst, w.When)
+			if w.MaxSum > MaxAllowedSum {
+				t.Errorf("the parts add up to %.3f at %v", w.MaxSum, w.MaxSumAt)
 			}
-			t.Logf("%d changes of state; in use at the end of it: %.2f", w.Flaps-flaps, sum)
+			t.Logf("%d changes of state; in use at the end of it: %.2f", w.StateChanges-flaps, sum)
 		})
 	}
 }
@@ -148,27 +148,27 @@
 // who is left, be it one; they come back with their folders, without, and elsewhere.
 func TestDeaths(t *testing.T) {
 	for _, x := range []struct{ n, kill int }{{4, 3}, {4, 1}, {5, 2}, {20, 8}, {20, 19}} {
-		for _, how := range []How{Kept, Empty, Moved, Aged} {
+		for _, how := range []StartMode{SameFolder, EmptyFolder, NewAddress, OldFolder} {
 			w := New(options(uint64(x.n), x.n))
 			settle(t, w)
-			for _, p := range append([]*Proc{}, w.Procs[:x.kill]...) {
+			for _, p := range append([]*Process{}, w.Newest[:x.kill]...) {
 				w.Kill(p)
 			}
-			took, ok := w.Until(30*time.Second, w.Agree)
+			took, ok := w.Until(30*time.Second, w.Converged)
 			if !ok || took > 5*time.Second {
 				t.Errorf("%+v: known by all after %v, %v", x, took, ok)
 			}
-			back, ok := w.Until(20*time.Second, func() bool { return w.Sum() >= 0.9 })
+			back, ok := w.Until(20*time.Second, func() bool { return w.ShareSum() >= 0.9 })
 			t.Logf("%d of %d killed: known by all after %v, rate in use again after %v more", x.kill, x.n, took, back)
 			if !ok {
-				t.Errorf("%+v: %.2f in use %v later", x, w.Sum(), back)
+				t.Errorf("%+v: %.2f in use %v later", x, w.ShareSum(), back)
 			}
 			for i := range x.kill {
 				w.Start(i, how)
 			}
 			settle(t, w)
-			if w.Worst > Most {
-				t.Errorf("%+v, %v: the parts add up to %.3f at %v", x, how, w.Worst, w.When)
+			if w.MaxSum > MaxAllowedSum {
+				t.Errorf("%+v, %v: the parts add up to %.3f at %v", x, how, w.MaxSum, w.MaxSumAt)
 			}
 		}
 	}
@@ -178,22 +178,22 @@
 func TestNameTwice(t *testing.T) {
 	said := map[int]int{}
 	var w *World
-	var first *Proc
+	var first *Process
 	o := options(9, 4)
-	o.Log = func(_ time.Duration, p *Proc, e view.Event) {
+	o.Log = func(_ time.Duration, p *Process, e view.Event) {
 		if first != nil && p.Name == first.Name && p.Machine.Status(p.local(w)).Name == e.Name {
-			said[p.Num]++
+			said[p.Number]++
 		}
 	}
 	w = New(o)
 	settle(t, w)
-	first = w.Procs[1]
-	second := w.Start(1, Kept)
+	first = w.Newest[1]
+	second := w.Start(1, SameFolder)
 	w.Run(30 * time.Second)
-	if a, b := w.PartOf(first), w.PartOf(second); a < 0.2 || b != 0 {
+	if a, b := w.ShareOf(first), w.ShareOf(second); a < 0.2 || b != 0 {
 		t.Errorf("the first has %.2f, the second %.2f", a, b)
 	}
-	if said[first.Num] == 0 || said[second.Num] == 0 || said[first.Num]+said[second.Num] > 20 {
+	if said[first.Number] == 0 || said[second.Number] == 0 || said[first.Number]+said[second.Number] > 20 {
 		t.Errorf("said: %v", said)
 	}
 }
--- a/internal/view/play/world.go
+++ b/internal/view/play/world.go
@@ -13,57 +13,57 @@
 
 // Options say what a world is like.
 type Options struct {
-	Seed        uint64
-	Senders     int
-	Seats       int // 0 for Senders
-	Least       float64
-	Lease       time.Duration
-	Every       time.Duration
-	Drift       float64 // clocks run at random paces within this; one may be set by Pace
-	Delay       time.Duration
-	Jitter      time.Duration
-	IgnoreLease bool // a planted fault: parts are used although they have run out
-	FrozenClock bool // a planted fault: clocks stand still during a pause
-	Log         func(at time.Duration, p *Proc, e view.Event)
-	Guards      bool // a paused process is fenced by its guard
+	Seed          uint64
+	Senders       int
+	MaxSenders    int // 0 for Senders
+	MinShareTotal float64
+	Lease         time.Duration
+	Interval      time.Duration
+	MaxClockDrift float64 // clocks run at random paces within this; one may be set by Pace
+	Delay         time.Duration
+	Jitter        time.Duration
+	IgnoreLease   bool // a planted fault: parts are used although they have run out
+	FrozenClock   bool // a planted fault: clocks stand still during a pause
+	Log           func(at time.Duration, p *Process, e view.Event)
+	Guards        bool // a paused process is fenced by its guard
 }
 
-// Proc is one process of a sender.
-type Proc struct {
-	N, Num  int
-	Name    string
-	Addr    string
-	Machine *view.Machine
-	Part    view.Part
-	Running bool // else it has been killed
-	Paused  bool
-	BornAt  time.Duration
-
-	offset   time.Duration
-	pace     float64
-	frozen   time.Duration
-	pausedAt time.Duration
-	backlog  []*view.Message
-	kept     []view.Kept
-	inc      uint64
-	token    int // of its tick
-	wrong    int // of its machine, as last seen
-	fenced   bool
-	Bytes    int
+// Process is one process of a sender.
+type Process struct {
+	Sender, Number int
+	Name           string
+	Addr           string
+	Machine        *view.Machine
+	Share          view.Share
+	Running        bool // else it has been killed
+	Paused         bool
+	StartedAt      time.Duration
+
+	offset    time.Duration
+	pace      float64
+	frozen    time.Duration
+	pausedAt  time.Duration
+	backlog   []*view.Message
+	kept      []view.Peer
+	inc       uint64
+	token     int // of its tick
+	wrong     int // of its machine, as last seen
+	fenced    bool
+	SentBytes int
 }
 
 // World is senders in virtual time.
 type World struct {
 	virtual.Clock
-	Procs  []*Proc // of each sender the newest
-	All    []*Proc // those that run
-	Worst  float64 // the largest sum of parts that was seen
-	When   time.Duration
-	Wrong  int // times that a sender whose newest process runs was taken for gone, an earlier life perhaps
-	False  int // times that a life was taken for gone and heard again
-	Flaps  int // changes of state of senders that ran throughout
-	Sent   int
-	SizeOf func(m *view.Message) int // bytes; nil for not counted
+	Newest           []*Process // of each sender the newest
+	Running          []*Process // those that run
+	MaxSum           float64    // the largest sum of parts that was seen
+	MaxSumAt         time.Duration
+	GoneWhileRunning int // times that a sender whose newest process runs was taken for gone, an earlier life perhaps
+	HeardAfterGone   int // times that a life was taken for gone and heard again
+	StateChanges     int // changes of state of senders that ran throughout
+	Sent             int
+	SizeOf           func(m *view.Message) int // bytes; nil for not counted
 	// Traffic is what each sender has sent and taken.
 	Traffic []Traffic
 
@@ -72,7 +72,7 @@
 	loss    map[[2]int]float64
 	cut     map[[2]int]bool
 	delay   time.Duration
-	at      map[string]*Proc // who listens at an address; nil for nobody
+	at      map[string]*Process // who listens at an address; nil for nobody
 	addrs   int
 	started int   // processes
 	twice   int   // processes beside another of their name
@@ -90,38 +90,38 @@
 // home is a sender's folder.
 type home struct {
 	inc  uint64
-	kept []view.Kept
+	kept []view.Peer
 	home string
 	addr string
 }
 
 // New makes a world and starts all senders.
 func New(opts Options) *World {
-	if opts.Seats == 0 {
-		opts.Seats = opts.Senders
+	if opts.MaxSenders == 0 {
+		opts.MaxSenders = opts.Senders
 	}
 	w := &World{opts: opts, rng: rand.New(rand.NewPCG(opts.Seed, 1)), loss: map[[2]int]float64{}, cut: map[[2]int]bool{},
-		at: map[string]*Proc{}, homes: map[int]home{}, delay: opts.Delay, Procs: make([]*Proc, opts.Senders), lives: make([]int, opts.Senders),
+		at: map[string]*Process{}, homes: map[int]home{}, delay: opts.Delay, Newest: make([]*Process, opts.Senders), lives: make([]int, opts.Senders),
 		Traffic: make([]Traffic, opts.Senders),
 		numbers: make(map[string]int, opts.Senders)}
 	for i := range opts.Senders {
 		w.numbers[w.name(i)] = i
 	}
 	for i := range opts.Senders {
-		w.Start(i, Kept)
+		w.Start(i, SameFolder)
 	}
 	return w
 }
 
-// How says what a process starts with.
-type How int
+// StartMode says what a process starts with.
+type StartMode int
 
 // The ways to start.
 const (
-	Kept  How = iota // with its folder, where it was
-	Empty            // with an emptied folder
-	Moved            // with its folder, at a new address
-	Aged             // with a copy of its folder as it was at the first start
+	SameFolder  StartMode = iota // with its folder, where it was
+	EmptyFolder                  // with an emptied folder
+	NewAddress                   // with its folder, at a new address
+	OldFolder                    // with a copy of its folder as it was at the first start
 )
 
 func (w *World) name(i int) string { return fmt.Sprintf("s%03d", i) }
@@ -132,59 +132,59 @@
 }
 
 // Start starts a process of sender i; one that runs is not ended.
-func (w *World) Start(i int, how How) *Proc {
+func (w *World) Start(i int, how StartMode) *Process {
 	h, had := w.homes[i]
 	addr := h.addr
-	if !had || how == Moved || w.at[addr] != nil {
+	if !had || how == NewAddress || w.at[addr] != nil {
 		addr = w.fresh(i)
 	}
-	if how == Empty {
+	if how == EmptyFolder {
 		h = home{}
 	}
-	if how == Aged {
+	if how == OldFolder {
 		h.inc = 0
 	}
 	h.inc++
 	h.addr = addr
 	w.homes[i] = h
 	w.started++
-	p := &Proc{N: i, Num: w.started, Name: w.name(i), Addr: addr, Running: true, BornAt: w.Now, kept: h.kept, inc: h.inc,
-		offset: time.Duration(w.rng.Int64N(int64(time.Hour))), pace: 1 + w.opts.Drift*(2*w.rng.Float64()-1)}
+	p := &Process{Sender: i, Number: w.started, Name: w.name(i), Addr: addr, Running: true, StartedAt: w.Now, kept: h.kept, inc: h.inc,
+		offset: time.Duration(w.rng.Int64N(int64(time.Hour))), pace: 1 + w.opts.MaxClockDrift*(2*w.rng.Float64()-1)}
 	var join []string
-	for k, x := range w.Procs {
+	for k, x := range w.Newest {
 		if k != i && x != nil {
 			join = append(join, x.Addr)
 		}
 	}
-	p.Machine = view.New(view.Config{Name: p.Name, Addr: addr, ID: w.rng.Uint64() | 1, Incarnation: h.inc, Seats: w.opts.Seats, Least: w.opts.Least,
-		Lease: w.opts.Lease, Every: w.opts.Every, Drift: w.opts.Drift, Join: join, Kept: h.kept, Home: h.home, Seed: w.rng.Uint64()}, p.local(w))
-	w.Procs[i], w.at[addr] = p, p
-	w.All = append(w.All, p)
+	p.Machine = view.New(view.Config{Name: p.Name, Addr: addr, ID: w.rng.Uint64() | 1, Incarnation: h.inc, MaxSenders: w.opts.MaxSenders, MinShareTotal: w.opts.MinShareTotal,
+		Lease: w.opts.Lease, Interval: w.opts.Interval, MaxClockDrift: w.opts.MaxClockDrift, Join: join, KnownPeers: h.kept, AdmittedAddr: h.home, Seed: w.rng.Uint64()}, p.local(w))
+	w.Newest[i], w.at[addr] = p, p
+	w.Running = append(w.Running, p)
 	if w.lives[i]++; w.lives[i] > 1 {
 		w.twice++
 	}
-	w.do(p, func() view.Ready { return p.Machine.Tick(p.local(w)) })
+	w.do(p, func() view.Actions { return p.Machine.Tick(p.local(w)) })
 	return p
 }
 
-// Pace sets how fast the clock of a sender's newest process runs.
-func (w *World) Pace(i int, pace float64) {
-	p := w.Procs[i]
+// SetClockRate sets how fast the clock of a sender's newest process runs.
+func (w *World) SetClockRate(i int, pace float64) {
+	p := w.Newest[i]
 	now := p.local(w)
 	p.pace = pace
 	p.offset += now - p.local(w)
 }
 
 // Kill ends a process.
-func (w *World) Kill(p *Proc) {
+func (w *World) Kill(p *Process) {
 	p.Running = false
 	if w.at[p.Addr] == p {
 		delete(w.at, p.Addr)
 	}
-	for i, x := range w.All {
+	for i, x := range w.Running {
 		if x == p {
-			w.All = append(w.All[:i], w.All[i+1:]...)
-			if w.lives[p.N]--; w.lives[p.N] > 0 {
+			w.Running = append(w.Running[:i], w.Running[i+1:]...)
+			if w.lives[p.Sender]--; w.lives[p.Sender] > 0 {
 				w.twice--
 			}
 			break
@@ -194,7 +194,7 @@
 }
 
 // Pause stops a process, which goes on after a span if it still runs.
-func (w *World) Pause(p *Proc, d time.Duration) {
+func (w *World) Pause(p *Process, d time.Duration) {
 	if p.Paused || !p.Running {
 		return
 	}
@@ -202,7 +202,7 @@
 	w.After(d, func() { w.resume(p) })
 }
 
-func (w *World) resume(p *Proc) {
+func (w *World) resume(p *Process) {
 	if !p.Paused || !p.Running {
 		return
 	}
@@ -213,25 +213,25 @@
 	w.check()
 	if p.fenced {
 		p.fenced = false
-		w.do(p, func() view.Ready { return p.Machine.FencedBy(p.local(w)) })
+		w.do(p, func() view.Actions { return p.Machine.HandleFenced(p.local(w)) })
 		w.check()
 	}
 	late := p.backlog
 	p.backlog = nil
 	for _, m := range late { // what its socket has kept comes first
-		w.do(p, func() view.Ready { return p.Machine.Take(p.local(w), m) })
+		w.do(p, func() view.Actions { return p.Machine.HandleMessage(p.local(w), m) })
 	}
-	w.do(p, func() view.Ready { return p.Machine.Tick(p.local(w)) })
+	w.do(p, func() view.Actions { return p.Machine.Tick(p.local(w)) })
 }
 
 // Cut cuts a link, or heals it.
 func (w *World) Cut(from, to int, cut bool) { w.cut[[2]int{from, to}] = cut }
 
-// Lose has a link lose a share of its messages.
-func (w *World) Lose(from, to int, share float64) { w.loss[[2]int{from, to}] = share }
+// SetLoss has a link lose a share of its messages.
+func (w *World) SetLoss(from, to int, share float64) { w.loss[[2]int{from, to}] = share }
 
-// Slow sets the delay of all messages.
-func (w *World) Slow(d time.Duration) { w.delay = d }
+// SetDelay sets the delay of all messages.
+func (w *World) SetDelay(d time.Duration) { w.delay = d }
 
 // Heal heals all links.
 func (w *World) Heal() {
@@ -241,7 +241,7 @@
 }
 
 // local is a process's own clock.
-func (p *Proc) local(w *World) time.Duration {
+func (p *Process) local(w *World) time.Duration {
 	at := w.Now
 	if w.opts.FrozenClock && p.Paused {
 		at = p.pausedAt
@@ -250,23 +250,23 @@
 }
 
 // do makes a step of a process and carries out what it asks for.
-func (w *World) do(p *Proc, step func() view.Ready) {
+func (w *World) do(p *Process, step func() view.Actions) {
 	if !p.Running || p.Paused {
 		return
 	}
 	before := w.part(p)
 	r := step()
-	p.Part = r.Part
-	w.False += p.Machine.Wrong - p.wrong
-	p.wrong = p.Machine.Wrong
+	p.Share = r.Share
+	w.HeardAfterGone += p.Machine.HeardAfterGone - p.wrong
+	p.wrong = p.Machine.HeardAfterGone
 	if w.part(p) > before {
 		w.check()
 	}
 	if r.Save {
-		h := w.homes[p.N]
+		h := w.homes[p.Sender]
 		if h.addr == p.Addr {
-			h.inc, h.home, h.kept = p.Machine.Kept()
-			w.homes[p.N] = h
+			h.inc, h.home, h.kept = p.Machine.SavedState()
+			w.homes[p.Sender] = h
 		}
 	}
 	for _, e := range r.Events {
@@ -283,8 +283,8 @@
 			size = w.SizeOf(out.Message)
 		}
 		w.Sent++
-		p.Bytes += size
-		t := &w.Traffic[p.N]
+		p.SentBytes += size
+		t := &w.Traffic[p.Sender]
 		t.Out, t.OutBytes = t.Out+1, t.OutBytes+int64(size)
 		w.send(p, out, int64(size))
 	}
@@ -293,9 +293,9 @@
 	}
 	p.token++
 	token := p.token
-	w.After(max(time.Duration(float64(p.Machine.Next()-p.local(w))/p.pace), 0)+time.Microsecond, func() {
+	w.After(max(time.Duration(float64(p.Machine.NextTick()-p.local(w))/p.pace), 0)+time.Microsecond, func() {
 		if token == p.token {
-			w.do(p, func() view.Ready { return p.Machine.Tick(p.local(w)) })
+			w.do(p, func() view.Actions { return p.Machine.Tick(p.local(w)) })
 		}
 	})
 }
@@ -303,16 +303,16 @@
 // note counts beliefs about processes that run.
 func (w *World) note(e view.Event) {
 	if p := w.named(e.Name); p != nil && p.Running {
-		w.Flaps++
+		w.StateChanges++
 		if e.To == view.Gone {
-			w.Wrong++
+			w.GoneWhileRunning++
 		}
 	}
 }
 
-func (w *World) named(name string) *Proc {
+func (w *World) named(name string) *Process {
 	if i, ok := w.numbers[name]; ok {
-		return w.Procs[i]
+		return w.Newest[i]
 	}
 	return nil
 }
@@ -337,15 +337,15 @@
 	return d
 }
 
-func (w *World) send(p *Proc, out view.Envelope, size int64) {
-	if !w.path(p.N, owner(out.To)) {
+func (w *World) send(p *Process, out view.Envelope, size int64) {
+	if !w.path(p.Sender, owner(out.To)) {
 		return
 	}
 	m := *out.Message
 	w.After(w.wait(), func() {
 		to := w.at[out.To]
 		if to != nil {
-			t := &w.Traffic[to.N]
+			t := &w.Traffic[to.Sender]
 			t.In, t.InBytes = t.In+1, t.InBytes+size
 		}
 		switch {
@@ -355,72 +355,72 @@
 				to.backlog = append(to.backlog, &m)
 			}
 		default:
-			w.do(to, func() view.Ready { return to.Machine.Take(to.local(w), &m) })
+			w.do(to, func() view.Actions { return to.Machine.HandleMessage(to.local(w), &m) })
 		}
 	})
 }
 
 // probe opens a stream: a kernel that runs answers for a process that does not.
-func (w *World) probe(p *Proc, x view.Probe) {
+func (w *World) probe(p *Process, x view.Probe) {
 	to := owner(x.Addr)
-	found, after := view.Lives, time.Second
-	if !w.cut[[2]int{p.N, to}] && !w.cut[[2]int{to, p.N}] { // lost segments are sent again
+	found, after := view.NotEnded, time.Second
+	if !w.cut[[2]int{p.Sender, to}] && !w.cut[[2]int{to, p.Sender}] { // lost segments are sent again
 		at := w.at[x.Addr]
 		switch {
 		case at == nil:
-			found, after = view.Refused, 2*w.wait()
+			found, after = view.ConnectionRefused, 2*w.wait()
 		case w.opts.Guards && at.Paused && w.Now-at.pausedAt > w.opts.Lease:
 			at.fenced = true
 			found, after = view.Fenced, 2*w.wait()
 		}
 	}
 	w.After(after, func() {
-		w.do(p, func() view.Ready { return p.Machine.Probed(p.local(w), x, found) })
+		w.do(p, func() view.Actions { return p.Machine.HandleProbe(p.local(w), x, found) })
 	})
 }
 
-// Sum is what the parts of all processes add up to now.
-func (w *World) Sum() float64 {
+// ShareSum is what the parts of all processes add up to now.
+func (w *World) ShareSum() float64 {
 	sum := 0.0
-	for _, p := range w.All {
+	for _, p := range w.Running {
 		sum += w.part(p)
 	}
 	return sum
 }
 
-func (w *World) part(p *Proc) float64 {
+func (w *World) part(p *Process) float64 {
 	if w.opts.IgnoreLease {
-		return p.Part.Now
+		return p.Share.Current
 	}
 	if p.fenced {
 		return 0
 	}
-	return p.Part.At(p.local(w))
+	return p.Share.At(p.local(w))
 }
 
-// PartOf is what a process may use now.
-func (w *World) PartOf(p *Proc) float64 { return w.part(p) }
+// ShareOf is what a process may use now.
+func (w *World) ShareOf(p *Process) float64 { return w.part(p) }
 
 // check is made whenever a part may have grown. A second process with a name that is
 // cut off from all who know the first may have its least part beside it.
 func (w *World) check() {
-	second := float64(w.twice) * w.opts.Least / float64(w.opts.Seats)
-	if sum := w.Sum() - second; sum > w.Worst {
-		w.Worst, w.When = sum, w.Now
+	second := float64(w.twice) * w.opts.MinShareTotal / float64(w.opts.MaxSenders)
+	if sum := w.ShareSum() - second; sum > w.MaxSum {
+		w.MaxSum, w.MaxSumAt = sum, w.Now
 	}
 }
 
-// Agree says whether all that run take each other for here, and all others for
+// Converged says whether all that run take each other for here, and all others for
 // ended.
-func (w *World) Agree() bool {
-	for _, p := range w.All {
-		for name, state := range p.Machine.Sees() {
+func (w *World) Converged() bool {
+	for _, p := range w.Running {
+		for name, state := range p.Machine.PeerStates() {
 			x := w.named(name)
 			runs := x != nil && x.Running
 			if runs && x.Paused && state == view.Paused {
 				continue
 			}
-			if runs && state != view.Here || !runs && state != view.Gone && state != view.HasLeft && state != view.IsForgotten {
+			if runs && state != view.Reachable || !runs && state != view.Gone && state != view.HasLeft && state != view.IsForgotten {
 				return false
 			}
 		}
--- a/internal/view/seat.go
+++ b/internal/view/seat.go
@@ -14,7 +14,7 @@
 const (
 	Suspected    State = iota // nobody that is heard hears it, and nothing proves that it has ended
 	Joining                   // it is heard, and not all have taken it in yet
-	Here                      // it is heard
+	Reachable                 // it is heard
 	Unreachable               // not heard from here, but by others
 	Gone                      // nobody listens at its address any more
 	HasLeft                   // in order
@@ -40,7 +40,7 @@
 
 // seat is another sender.
 type seat struct {
-	Kept
+	Peer
 	version   string
 	seats     int    // the most senders, as it says
 	seq       uint64 // of its last message
@@ -68,19 +68,19 @@
 // over says whether the process is no more: one that has left, or was fenced, may be
 // there still.
 func (s *seat) over() bool {
-	return s.end == Refused || s.end == Forgotten || s.end != Lives && s.vacant
+	return s.end == ConnectionRefused || s.end == Forgotten || s.end != NotEnded && s.vacant
 }
 
 // take takes a message.
 func (m *Machine) take(now Time, msg *Message) {
-	if msg.From == "" || msg.ID == 0 || msg.Addr == "" || len(msg.Rows) > MostRows || len(msg.Names) > MostSeats {
+	if msg.From == "" || msg.ID == 0 || msg.Addr == "" || len(msg.PeerReports) > MaxPeerReports || len(msg.RosterNames) > MaxSenders {
 		return
 	}
 	if msg.From == m.cfg.Name {
 		m.namesake(now, msg)
 		return
 	}
-	if r := msg.Refuse; r != nil && r.ID == m.cfg.ID {
+	if r := msg.Refusal; r != nil && r.ID == m.cfg.ID {
 		m.refusedFor(now, msg.From, r)
 	}
 	s := m.accept(now, msg)
@@ -90,30 +90,30 @@
 	if msg.Seq <= s.seq { // late, doubled or replayed
 		return
 	}
-	if s.end == Refused { // sent before its end perhaps: it lives if it has heard us since
-		if at, ok := m.sent[msg.Echo]; !ok || msg.EchoID != m.cfg.ID || at <= s.endAt {
+	if s.end == ConnectionRefused { // sent before its end perhaps: it lives if it has heard us since
+		if at, ok := m.sent[msg.AckSeq]; !ok || msg.RecognizedID != m.cfg.ID || at <= s.endAt {
 			return
 		}
 	}
-	m.dirty = m.dirty || s.state != Here || now-s.heard > m.fresh()/2 || msg.Voter != s.voter || msg.Seats != s.seats || msg.Wire != m.cfg.Wire
+	m.dirty = m.dirty || s.state != Reachable || now-s.heard > m.fresh()/2 || msg.Voter != s.voter || msg.MaxSenders != s.seats || msg.WireVersion != m.cfg.WireVersion
 	s.seq, s.heard = msg.Seq, now
-	if s.alien = 0; msg.Wire != m.cfg.Wire {
-		s.alien = msg.Wire
+	if s.alien = 0; msg.WireVersion != m.cfg.WireVersion {
+		s.alien = msg.WireVersion
 		return
 	}
-	s.voter, s.Zone, s.version, s.seats = msg.Voter, msg.Zone, msg.Version, msg.Seats
+	s.voter, s.Zone, s.version, s.seats = msg.Voter, msg.Zone, msg.Version, msg.MaxSenders
 	switch {
-	case msg.Left && s.end == Lives:
+	case msg.Left && s.end == NotEnded:
 		m.ends(now, s, Left, "it said so")
 	case s.end == Forgotten || s.end == Fenced:
-		m.refuse(s.Addr, &Refuse{ID: s.ID, Why: WasRejected})
+		m.refuse(s.Addr, &Refusal{ID: s.ID, Reason: KnownEnded})
 		return
-	case s.end == Refused:
-		m.Wrong++
+	case s.end == ConnectionRefused:
+		m.HeardAfterGone++
 		m.event(Event{Name: s.Name, Text: "taken for gone, and heard again in the same life"})
-		s.end = Lives
+		s.end = NotEnded
 	}
-	if msg.EchoID == m.cfg.ID {
+	if msg.RecognizedID == m.cfg.ID {
 		s.welcomed = true
 		if m.refused != nil && now-m.refusedAt > 2*m.cfg.Lease { // whoever refused it has found that the name is free
 			m.refused = nil
@@ -122,11 +122,11 @@
 		m.granted(s, msg)
 		m.claim(s, msg)
 	}
-	if msg.Rival != "" && m.refused == nil && now >= m.rivalSaid {
+	if msg.RivalAddr != "" && m.refused == nil && now >= m.rivalSaid {
 		m.rivalSaid = now + 10*m.cfg.Lease
-		m.event(Event{Name: m.cfg.Name, Text: fmt.Sprintf("another process uses this name, at %s; %s has refused it", msg.Rival, s.Name)})
+		m.event(Event{Name: m.cfg.Name, Text: fmt.Sprintf("another process uses this name, at %s; %s has refused it", msg.RivalAddr, s.Name)})
 	}
-	for _, r := range msg.Rows {
+	for _, r := range msg.PeerReports {
 		m.report(now, s, r)
 	}
 }
@@ -137,10 +137,10 @@
 	s := m.seats[msg.From]
 	if s == nil {
 		if !m.room() {
-			m.refuse(msg.Addr, &Refuse{ID: msg.ID, Why: NoSeat})
+			m.refuse(msg.Addr, &Refusal{ID: msg.ID, Reason: TooManySenders})
 			return nil
 		}
-		s = &seat{Kept: Kept{Name: msg.From}, heard: never, state: Suspected, reports: map[string]report{}}
+		s = &seat{Peer: Peer{Name: msg.From}, heard: never, state: Suspected, reports: map[string]report{}}
 		m.seats[msg.From] = s
 	}
 	if s.ID == msg.ID {
@@ -152,16 +152,16 @@
 		m.rivals(now, s, msg)
 		return nil
 	case msg.Incarnation <= s.Incarnation:
-		m.refuse(msg.Addr, &Refuse{ID: msg.ID, Why: Old, Incarnation: s.Incarnation})
+		m.refuse(msg.Addr, &Refusal{ID: msg.ID, Reason: StaleIncarnation, Incarnation: s.Incarnation})
 		return nil
 	}
 	again := s.ID != 0
 	end := s.end
-	s.Kept = Kept{Name: msg.From, Addr: msg.Addr, Zone: msg.Zone, ID: msg.ID, Incarnation: msg.Incarnation}
-	s.seq, s.has, s.voter, s.welcomed, s.grant, s.end, s.vacant, s.checked, s.hint = 0, 0, false, false, grant{}, Lives, false, false, ""
+	s.Peer = Peer{Name: msg.From, Addr: msg.Addr, Zone: msg.Zone, ID: msg.ID, Incarnation: msg.Incarnation}
+	s.seq, s.has, s.voter, s.welcomed, s.grant, s.end, s.vacant, s.checked, s.hint = 0, 0, false, false, grant{}, NotEnded, false, false, ""
 	m.out.Save, m.dirty = true, true
 	m.newcomer = s
-	if again && end == Lives {
+	if again && end == NotEnded {
 		m.event(Event{Name: s.Name, Text: fmt.Sprintf("starts again, as incarnation %d at %s", s.Incarnation, s.Addr)})
 	}
 	return s
@@ -169,7 +169,7 @@
 
 // rivals refuses a second process with a name, and has both told.
 func (m *Machine) rivals(now Time, s *seat, msg *Message) {
-	m.refuse(msg.Addr, &Refuse{ID: msg.ID, Why: InUse, Addr: s.Addr})
+	m.refuse(msg.Addr, &Refusal{ID: msg.ID, Reason: NameInUse, Addr: s.Addr})
 	if now >= s.rivalTill {
 		m.event(Event{Name: s.Name, Text: fmt.Sprintf("two processes use this name: the one at %s is refused, the one at %s stays", msg.Addr, s.Addr)})
 	}
@@ -190,29 +190,29 @@
 	return false
 }
 
-func (m *Machine) refuse(addr string, r *Refuse) {
+func (m *Machine) refuse(addr string, r *Refusal) {
 	out := m.common()
-	out.Refuse = r
+	out.Refusal = r
 	m.out.Send = append(m.out.Send, Envelope{addr, &out})
 }
 
 // refusedFor takes it that another does not take this life for the sender of its
 // name.
-func (m *Machine) refusedFor(now Time, by string, r *Refuse) {
-	switch r.Why {
-	case Old: // an old copy of its folder: it goes on above all that is known
+func (m *Machine) refusedFor(now Time, by string, r *Refusal) {
+	switch r.Reason {
+	case StaleIncarnation: // an old copy of its folder: it goes on above all that is known
 		if r.Incarnation >= m.cfg.Incarnation {
 			m.cfg.Incarnation = r.Incarnation
 			m.rebirth(now, by+" knows a later life of it")
 		}
 		return
-	case WasRejected:
+	case KnownEnded:
 		m.rebirth(now, by+" has it for ended")
 		return
 	}
 	if m.refused == nil {
 		text := fmt.Sprintf("refused by %s: another process uses this name, at %s", by, r.Addr)
-		if r.Why == NoSeat {
+		if r.Reason == TooManySenders {
 			text = fmt.Sprintf("refused by %s: there are as many senders as there may be", by)
 		}
 		m.event(Event{Name: m.cfg.Name, Text: text + "; it sends nothing"})
@@ -226,14 +226,14 @@
 	if msg.ID == m.cfg.ID || msg.Addr == m.cfg.Addr { // its own, or of an earlier life
 		return
 	}
-	if r := msg.Refuse; r != nil && r.ID == m.cfg.ID {
+	if r := msg.Refusal; r != nil && r.ID == m.cfg.ID {
 		m.refusedFor(now, msg.Addr, r)
 		return
 	}
 	if m.refused != nil || !m.taken() && msg.ID < m.cfg.ID {
 		return
 	}
-	m.refuse(msg.Addr, &Refuse{ID: msg.ID, Why: InUse, Addr: m.cfg.Addr})
+	m.refuse(msg.Addr, &Refusal{ID: msg.ID, Reason: NameInUse, Addr: m.cfg.Addr})
 }
 
 // taken says whether another counts this life.
@@ -247,7 +247,7 @@
 }
 
 // report takes what another says of a third.
-func (m *Machine) report(now Time, by *seat, r Row) {
+func (m *Machine) report(now Time, by *seat, r PeerReport) {
 	if r.Name == m.cfg.Name || r.Name == "" || r.ID == 0 {
 		return
 	}
@@ -256,19 +256,19 @@
 		if !m.room() {
 			return
 		}
-		s = &seat{Kept: Kept{Name: r.Name, Addr: r.Addr, ID: r.ID, Incarnation: r.Incarnation}, heard: never, state: Suspected, reports: map[string]report{}}
+		s = &seat{Peer: Peer{Name: r.Name, Addr: r.Addr, ID: r.ID, Incarnation: r.Incarnation}, heard: never, state: Suspected, reports: map[string]report{}}
 		m.seats[r.Name] = s
 		m.out.Save = true
 	}
 	switch {
 	case r.ID == s.ID:
-		if r.End != Lives && s.end == Lives && now-s.heard > m.fresh()/2 {
+		if r.End != NotEnded && s.end == NotEnded && now-s.heard > m.fresh()/2 {
 			m.ends(now, s, r.End, "as "+by.Name+" found")
 		}
-		s.reported(by.Name, report{r.Hears && r.End == Lives, now})
-	case r.Incarnation > s.Incarnation && r.End == Lives:
+		s.reported(by.Name, report{r.Heard && r.End == NotEnded, now})
+	case r.Incarnation > s.Incarnation && r.End == NotEnded:
 		s.hint = r.Addr
-		s.reported(by.Name, report{r.Hears, now})
+		s.reported(by.Name, report{r.Heard, now})
 	}
 }
 
@@ -292,7 +292,7 @@
 
 // heardElsewhere says whether another sender that is heard hears s.
 func (m *Machine) heardElsewhere(now Time, s *seat) bool {
-	span := max(2*m.fresh(), Time(2+len(m.seats)/MostRows)*2*m.cfg.Every)
+	span := max(2*m.fresh(), Time(2+len(m.seats)/MaxPeerReports)*2*m.cfg.Interval)
 	for by, r := range s.reports {
 		x := m.seats[by]
 		if r.hears && now-r.at <= span && x != nil && now-x.heard <= m.fresh() {
@@ -333,17 +333,17 @@
 		s := m.seats[name]
 		again := m.cfg.Lease
 		if !m.voter && !s.checked {
-			again = 2 * m.cfg.Every
+			again = 2 * m.cfg.Interval
 		}
-		if s.end != Lives && !(s.vacant && s.checked) && !s.probing && now >= s.probedAt+again {
+		if s.end != NotEnded && !(s.vacant && s.checked) && !s.probing && now >= s.probedAt+again {
 			s.probing, s.probedAt = true, now
 			m.out.Probe = append(m.out.Probe, Probe{s.Name, s.ID, s.Addr})
 		}
-		if s.end != Lives {
+		if s.end != NotEnded {
 			continue
 		}
 		age := now - max(s.heard, m.base)
-		if (age > 5*m.cfg.Every/2 || s.heard == never) && s.Addr != "" && !s.probing && now >= s.probedAt+2*m.cfg.Every {
+		if (age > 5*m.cfg.Interval/2 || s.heard == never) && s.Addr != "" && !s.probing && now >= s.probedAt+2*m.cfg.Interval {
 			s.probing, s.probedAt = true, now
 			m.out.Probe = append(m.out.Probe, Probe{s.Name, s.ID, s.Addr})
 		}
@@ -352,9 +352,9 @@
 			switch {
 			case now-s.heard > m.fresh(): // nothing is known since this process's own pause
 			case s.alien != 0:
-				m.becomes(now, s, OtherVersion, fmt.Sprintf("its messages are of version %d, ours of %d", s.alien, m.cfg.Wire))
+				m.becomes(now, s, OtherVersion, fmt.Sprintf("its messages are of version %d, ours of %d", s.alien, m.cfg.WireVersion))
 			case s.voter:
-				m.becomes(now, s, Here, "heard")
+				m.becomes(now, s, Reachable, "heard")
 			default:
 				m.becomes(now, s, Joining, "heard")
 			}
