--- a/cmd/cometrack/commands.go
+++ b/cmd/cometrack/commands.go
@@ -95,7 +95,7 @@
 			ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 			defer stop()
 			log := slog.New(slog.NewTextHandler(os.Stderr, nil))
-			life := lifecycle.NewLife(core.Times, log)
+			life := lifecycle.NewLife(core.LifecycleTimes, log)
 			console, err := daemon.OpenConsole(f.Console.Listen, life, log)
 			if err != nil {
 				return &exit{exitError, err}
--- a/cmd/cometrack/main.go
+++ b/cmd/cometrack/main.go
@@ -81,7 +81,7 @@
 		log.Error("the configuration can't be used; the last good one stands", "err", reason)
 	}
 	limit(int(math.Ceil(cfg.Limits.Cores)), cfg.Limits.MemoryMB)
-	life := lifecycle.NewLife(core.Times, log)
+	life := lifecycle.NewLife(core.LifecycleTimes, log)
 	console, err := daemon.OpenConsole(cfg.Console, life, log) // first: it answers while the journal is read
 	if err != nil {
 		return err
--- a/internal/config/file_test.go
+++ b/internal/config/file_test.go
@@ -181,7 +181,7 @@
 		t.Errorf("%+v", s)
 	}
 	l := f.List(f.Even())
-	if !l.Whole || len(l.Endpoints) != 1 || l.Endpoints[0].Name != "acme/127.0.0.1:9001" || l.Endpoints[0].Partner != "acme" {
+	if !l.Complete || len(l.Endpoints) != 1 || l.Endpoints[0].Name != "acme/127.0.0.1:9001" || l.Endpoints[0].Partner != "acme" {
 		t.Errorf("%+v", l)
 	}
 }
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -64,8 +64,8 @@
 // a part of each rate. A partner's weight lies so far under its rate that what a
 // pace saves up, and calls that bunch on their way, keep within the rate in any
 // second.
-func (f *File) List(part float64) core.List {
-	out := core.List{Whole: true, Part: part}
+func (f *File) List(part float64) core.EndpointList {
+	out := core.EndpointList{Complete: true, Share: part}
 	for _, p := range f.Partners {
 		weight := p.Rate * part / (1 + pacing.Seconds() + slack)
 		if p.Rate > 0 {
--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -70,11 +70,11 @@
 		return nil
 	}
 	to := c.dir.eps[a.Endpoint]
-	out := &Attempt{Message: h.msg, Number: h.tries, Endpoint: a.Endpoint, Addr: to.addr, GiveUp: span(a.GiveUp), at: time.Now(), first: a.ID,
+	out := &Attempt{Message: h.msg, Number: h.tries, Endpoint: a.Endpoint, Addr: to.addr, Timeout: span(a.GiveUp), at: time.Now(), first: a.ID,
 		part: c.part, allowed: c.allowed, monitor: c.monitor}
 	h.tries++
 	class := cmp.Or(h.class, &logic.Class{Effect: logic.Unsafe})
-	out.Fragile = class.Effect == logic.Unsafe
+	out.Unrepeatable = class.Effect == logic.Unsafe
 	out.Expires = c.clock.Moment(h.msg.Deadline)
 	if e := c.store.Entry(a.ID); e != nil && e.MayRun {
 		out.Repeat = permit.Repeat{MayHaveRun: true, Effect: class.Effect, Window: span(class.Window), Age: out.at.Sub(c.clock.Moment(e.FirstMay))}
@@ -111,7 +111,7 @@
 		took := time.Since(at)
 		ev, local := make(replyEvent, len(call)), false
 		for i, out := range call {
-			ev[i], local = reply{out, results[i], took}, local || results[i].Local || out.Reason() == permit.LeaseReduced
+			ev[i], local = reply{out, results[i], took}, local || results[i].LocalFailure || out.Reason() == permit.LeaseReduced
 		}
 		if local {
 			pause(ctx, retryPause) // descriptors, say: room may come
@@ -128,7 +128,7 @@
 			if out.Withhold(permit.NotWritten) && ctx.Err() == nil {
 				c.log.Error("a message can't be sent", "id", out.Message.ID, "err", err)
 			}
-			results[i] = Result{Outcome: logic.Moot, Local: true}
+			results[i] = Result{Outcome: logic.Moot, LocalFailure: true}
 			continue
 		}
 		whole, at = append(whole, out), append(at, i)
@@ -185,12 +185,12 @@
 	}
 	c.traceReply(ev)
 	r := ev.result
-	if r.Wait > 0 {
-		c.waits(ev.attempt.Endpoint, r.Wait)
-		c.share(Observation{Wait: r.Wait}, ev.attempt.Endpoint)
+	if r.RequestedWait > 0 {
+		c.waits(ev.attempt.Endpoint, r.RequestedWait)
+		c.share(Observation{RequestedWait: r.RequestedWait}, ev.attempt.Endpoint)
 	}
 	ended := h.over
-	done := r.Outcome == logic.Completed || r.Over
+	done := r.Outcome == logic.Completed || r.MessageEnded
 	switch {
 	case ended:
 	case done:
@@ -202,14 +202,14 @@
 		delete(c.held, id)
 	}
 	c.next = append(c.next, logic.Reply{ID: id, NoMore: ended || done, Endpoint: ev.attempt.Endpoint,
-		Attempt: ev.attempt.Number, Outcome: r.Outcome, Took: micros(ev.took), Wait: micros(r.Wait), Load: r.Load})
+		Attempt: ev.attempt.Number, Outcome: r.Outcome, Took: micros(ev.took), Wait: micros(r.RequestedWait), Load: r.Load})
 }
 
 // deliver ends a message that an attempt has ended.
 func (c *Core) deliver(id string, h *held, r Result) {
 	now := c.clock.Now()
 	end := message.End{ID: id, State: message.Delivered, At: now, Tries: h.tries}
-	heard := c.cfg.TellDelivered && r.Outcome == logic.Completed // by the sink
+	heard := c.cfg.NotifyDelivered && r.Outcome == logic.Completed // by the sink
 	if heard {
 		c.records = append(c.records, journal.Record{Op: journal.OpEnd, ID: id, End: &end})
 	} else {
--- a/internal/core/backlog.go
+++ b/internal/core/backlog.go
@@ -134,7 +134,7 @@
 	case v == backlog.InWindow:
 		return false
 	case v == backlog.Turned || !b.Room(len(m.Body)):
-		ev.tell(Answer{Verdict: Busy})
+		ev.tell(SubmitResponse{Status: Busy})
 		return true
 	}
 	b.Put(&disk.Record{Message: *m, Accepted: c.clock.Now(), Terms: c.terms.n, Digest: m.Digest(), Ordered: ordered})
@@ -174,13 +174,13 @@
 		_, here := c.known(ev.msg.ID) // it may have come into its window meanwhile
 		switch {
 		case err != nil && !here:
-			ev.tell(Answer{Verdict: Busy})
+			ev.tell(SubmitResponse{Status: Busy})
 		case here || r == nil:
 			c.put(ev)
 		case r.Digest != ev.msg.Digest():
-			ev.tell(Answer{Verdict: Conflict})
+			ev.tell(SubmitResponse{Status: Conflict})
 		default:
-			ev.tell(Answer{Verdict: Accepted, Again: true})
+			ev.tell(SubmitResponse{Status: Accepted, Duplicate: true})
 		}
 	})
 	return true
@@ -206,7 +206,7 @@
 
 // stateBehind is what is known of a message behind a window.
 func (c *Core) stateBehind(r *disk.Record) State {
-	return State{ID: r.ID, Name: StateAccepted, Tenant: r.Tenant, Partner: r.Partner, Class: r.Class, Accepted: c.wall(r.Accepted), Deadline: c.wall(r.Deadline)}
+	return State{ID: r.ID, Name: StateAccepted, Tenant: r.Tenant, Partner: r.Partner, Class: r.Class, AcceptedAt: c.wall(r.Accepted), Deadline: c.wall(r.Deadline)}
 }
 
 // fromBehind takes an event of the backlog's; false if it is none.
--- a/internal/core/backlog_test.go
+++ b/internal/core/backlog_test.go
@@ -18,9 +18,9 @@
 )
 
 // behindOf has a core keep what is behind windows of one message in a folder.
-func behindOf(fs vfs.FS) func(*Parts) {
-	return func(p *Parts) {
-		p.Behind = func(s Store, tell func(any, <-chan struct{})) (Backlog, error) {
+func behindOf(fs vfs.FS) func(*Dependencies) {
+	return func(p *Dependencies) {
+		p.OpenBacklog = func(s Store, tell func(any, <-chan struct{})) (Backlog, error) {
 			return spill.Open(fs, s, spill.Options{Window: 1, Disk: 3e6, Sync: store.SyncAlways, Log: slog.New(slog.DiscardHandler)}, tell)
 		}
 	}
@@ -30,7 +30,7 @@
 func (r *rig) accepted(list ...*message.Message) {
 	r.t.Helper()
 	for _, m := range list {
-		if a := r.put(m); a.Verdict != Accepted || a.Again {
+		if a := r.put(m); a.Status != Accepted || a.Duplicate {
 			r.t.Fatalf("%s: %+v", m.ID, a)
 		}
 	}
@@ -59,12 +59,12 @@
 	if s, _ := r.State(t.Context(), "c", false); s.Name != StateAccepted || s.Partner != "acme" || s.Class != "safe" || s.Tenant != "north" || s.Deadline.UnixMicro() != large.Deadline {
 		t.Errorf("the state behind the window is %+v", s)
 	}
-	if again := r.put(newMessage("b", "unsafe")); again.Verdict != Accepted || !again.Again {
+	if again := r.put(newMessage("b", "unsafe")); again.Status != Accepted || !again.Duplicate {
 		t.Errorf("handed in again behind the window: %+v", again)
 	}
 	other := newMessage("b", "unsafe")
 	other.Body = []byte("other")
-	if v := r.put(other).Verdict; v != Conflict {
+	if v := r.put(other).Status; v != Conflict {
 		t.Errorf("another message of an id behind the window: %v", v)
 	}
 	a.result <- Result{Outcome: logic.Completed}
@@ -95,7 +95,7 @@
 	t.Parallel()
 	fs := vfs.NewMem()
 	var log trail
-	r := newRig(t, t.TempDir(), testConfig(), behindOf(fs), func(p *Parts) { p.Log = slog.New(slog.NewTextHandler(&log, nil)) }).run()
+	r := newRig(t, t.TempDir(), testConfig(), behindOf(fs), func(p *Dependencies) { p.Log = slog.New(slog.NewTextHandler(&log, nil)) }).run()
 	r.accepted(newMessage("a", "safe"), newMessage("b", "safe"), newMessage("c", "safe"))
 	a := r.next("a")
 	r.store.set(true)
@@ -135,7 +135,7 @@
 	if early := short.Deadline - x.At; x.ID != "b" || x.State != message.Returned || early < 0 || early > 150_000 {
 		t.Errorf("told %+v, %d µs before its time", x, early)
 	}
-	if again := r.put(short); again.Verdict != Accepted || !again.Again {
+	if again := r.put(short); again.Status != Accepted || !again.Duplicate {
 		t.Errorf("handed in again after its end: %+v", again)
 	}
 	if s := r.state("b"); s != message.Returned {
@@ -157,7 +157,7 @@
 	t.Parallel()
 	fs := vfs.NewMem()
 	var log trail
-	r := newRig(t, t.TempDir(), testConfig(), behindOf(fs), func(p *Parts) { p.Log = slog.New(slog.NewTextHandler(&log, nil)) }).run()
+	r := newRig(t, t.TempDir(), testConfig(), behindOf(fs), func(p *Dependencies) { p.Log = slog.New(slog.NewTextHandler(&log, nil)) }).run()
 	r.accepted(newMessage("a", "unsafe"), newMessage("b", "unsafe"), newMessage("c", "unsafe"))
 	a := r.next("a")
 	names, _ := fs.List()
@@ -190,14 +190,14 @@
 	t.Parallel()
 	fs := vfs.NewMem()
 	cfg := testConfig()
-	cfg.Known.Endpoints = append(cfg.Known.Endpoints, Endpoint{Name: "e2", Addr: "h:2", Zone: "a", Kind: "std", Partner: "other", Weight: 1000})
+	cfg.CachedEndpoints.Endpoints = append(cfg.CachedEndpoints.Endpoints, Endpoint{Name: "e2", Addr: "h:2", Zone: "a", Kind: "std", Partner: "other", Weight: 1000})
 	r := newRig(t, t.TempDir(), cfg, behindOf(fs)).run()
 	fs.Limit(512)
 	r.accepted(newMessage("a", "unsafe"))
 	a := r.next("a")
 	big := newMessage("b", "unsafe")
 	big.Body = append(big.Body, make([]byte, 2000)...)
-	if v := r.put(big).Verdict; v != Busy {
+	if v := r.put(big).Status; v != Busy {
 		t.Errorf("with a full disk: %v", v)
 	}
 	other := newMessage("o", "unsafe")
@@ -219,7 +219,7 @@
 func TestOrderKeyBehindTheWindow(t *testing.T) {
 	t.Parallel()
 	cfg := testConfig()
-	cfg.Known.Endpoints = append(cfg.Known.Endpoints, Endpoint{Name: "e2", Addr: "h:2", Zone: "a", Kind: "std", Partner: "other", Weight: 1000})
+	cfg.CachedEndpoints.Endpoints = append(cfg.CachedEndpoints.Endpoints, Endpoint{Name: "e2", Addr: "h:2", Zone: "a", Kind: "std", Partner: "other", Weight: 1000})
 	cfg.Settings.Classes[0].KeepOrder = true
 	r := newRig(t, t.TempDir(), cfg, behindOf(vfs.NewMem())).run()
 	ordered := func(id, partner string) *message.Message {
@@ -229,7 +229,7 @@
 	}
 	r.accepted(newMessage("a", "unsafe"), ordered("b", "acme"))
 	a := r.next("a")
-	if v := r.put(ordered("c", "other")).Verdict; v != Busy {
+	if v := r.put(ordered("c", "other")).Status; v != Busy {
 		t.Errorf("of the same key for another partner: %v", v)
 	}
 	a.result <- Result{Outcome: logic.Completed}
@@ -252,14 +252,14 @@
 	r.accepted(newMessage("a", "unsafe"), newMessage("b", "unsafe"))
 	a := r.next("a")
 	fs.FailAt(1, vfs.ErrCrashed)
-	if v := r.put(newMessage("b", "unsafe")).Verdict; v != Busy {
+	if v := r.put(newMessage("b", "unsafe")).Status; v != Busy {
 		t.Errorf("while it can't be read: %v", v)
 	}
 	fs.FailAt(1, vfs.ErrCrashed)
 	if s := r.state("b"); s != StateAccepted {
 		t.Errorf("while it can't be read its state is %q", s)
 	}
-	if x := r.put(newMessage("b", "unsafe")); x.Verdict != Accepted || !x.Again {
+	if x := r.put(newMessage("b", "unsafe")); x.Status != Accepted || !x.Duplicate {
 		t.Errorf("after that: %+v", x)
 	}
 	a.result <- Result{Outcome: logic.Completed}
@@ -280,14 +280,14 @@
 	a := r.next("a")
 	by := time.Now().Add(1500 * time.Millisecond).UnixMicro()
 	const many = 1000
-	answers := make(chan Answer, many)
+	answers := make(chan SubmitResponse, many)
 	for i := range many {
 		m := newMessage(fmt.Sprint("m", i), "unsafe")
 		m.Deadline = by
 		r.Submit(m, answers)
 	}
 	for range many {
-		if x := byhand.Await(t, answers, "answer"); x.Verdict != Accepted {
+		if x := byhand.Await(t, answers, "answer"); x.Status != Accepted {
 			t.Fatalf("%+v", x)
 		}
 	}
--- a/internal/core/check.go
+++ b/internal/core/check.go
@@ -8,8 +8,8 @@
 	"cometrack/logic"
 )
 
-// MaxHold is the longest time that anybody may name.
-const MaxHold = 24 * time.Hour
+// MaxRequestedTime is the longest time that anybody may name.
+const MaxRequestedTime = 24 * time.Hour
 
 // holdTimes is the longest time that a message may ask for, in times of its
 // class's deadline.
@@ -61,7 +61,7 @@
 	if class.Effect == logic.Keyed && m.Key == "" {
 		return bad("key", "must be given in a keyed class")
 	}
-	if most := min(holdTimes*span(class.Deadline), MaxHold); hold < 0 || hold > most {
+	if most := min(holdTimes*span(class.Deadline), MaxRequestedTime); hold < 0 || hold > most {
 		return bad("deadline", "not within 0 and %v from now", most)
 	}
 	if _, ok := stated.tenants[m.Tenant]; !ok && m.Tenant != "" {
--- a/internal/core/console_test.go
+++ b/internal/core/console_test.go
@@ -43,7 +43,7 @@
 	}
 	go c.Serve()
 	defer c.Close()
-	go r.Submit(newMessage("a", "safe"), make(chan Answer, 1))
+	go r.Submit(newMessage("a", "safe"), make(chan SubmitResponse, 1))
 	byhand.Await(t, store.entered, "write")
 	for path, want := range map[string]string{"/_ready": "GET", "/_lameduck/on": "POST"} {
 		at := time.Now()
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -28,45 +28,45 @@
 
 // Config is what the core needs to know of a deployment.
 type Config struct {
-	Name     string
-	Settings logic.Settings
-	Seed     uint64
-	Zones    []string // names, in the order of logic.Entry.Zone
-	Known    *List    // the endpoints as last known, perhaps old; nil if none are
-	// TellDelivered has the end sink told of deliveries too; else it hears of
+	Name            string
+	Settings        logic.Settings
+	Seed            uint64
+	Zones           []string      // names, in the order of logic.Entry.Zone
+	CachedEndpoints *EndpointList // the endpoints as last known, perhaps old; nil if none are
+	// NotifyDelivered has the end sink told of deliveries too; else it hears of
 	// messages that ended otherwise.
-	TellDelivered bool
-	// KeepWaits keeps waits that endpoints have told over a restart.
-	KeepWaits bool
+	NotifyDelivered bool
+	// PersistWaits keeps waits that endpoints have told over a restart.
+	PersistWaits bool
 }
 
-// Parts are what a core works with. It owns the store from New on.
-type Parts struct {
+// Dependencies are what a core works with. It owns the store from New on.
+type Dependencies struct {
 	Store     Store
 	Transport Transport
 	Source    Source
 	Sink      EndSink
 	Log       *slog.Logger
-	Life      *lifecycle.Life // nil for one of its own
+	Lifecycle *lifecycle.Life // nil for one of its own
 	Monitor   *permit.Monitor // counts what was refused and what must not be; nil for none
-	// Reopen opens the store again that was closed for a handover; nil if nothing is
+	// ReopenStore opens the store again that was closed for a handover; nil if nothing is
 	// ever handed over.
-	Reopen func() (Store, error)
-	// Allowed is which part of each partner's rate may be used now, 0 to 1; nil for all
+	ReopenStore func() (Store, error)
+	// AllowedShare is which part of each partner's rate may be used now, 0 to 1; nil for all
 	// that the source's weights tell. It may fall at any time.
-	Allowed func() float64
-	// Others are the senders with which observations are shared; nil for none.
-	Others Others
-	// Behind opens what keeps messages behind the windows of their destinations, once
+	AllowedShare func() float64
+	// Peers are the senders with which observations are shared; nil for none.
+	Peers Peers
+	// OpenBacklog opens what keeps messages behind the windows of their destinations, once
 	// the store is open; nil, or a nil Backlog, for none: all are in the module. What is
 	// told belongs to that Backlog's Take.
-	Behind func(s Store, tell func(event any, quit <-chan struct{})) (Backlog, error)
-	// From is what another process hands over; nil for a start from the store alone.
-	From *Takeover
+	OpenBacklog func(s Store, tell func(event any, quit <-chan struct{})) (Backlog, error)
+	// Takeover is what another process hands over; nil for a start from the store alone.
+	Takeover *Takeover
 }
 
-// Times are those of the lifecycle that the core keeps to.
-var Times = lifecycle.Times{Door: 500 * time.Millisecond, Stop: 3400 * time.Millisecond}
+// LifecycleTimes are those of the lifecycle that the core keeps to.
+var LifecycleTimes = lifecycle.Times{Door: 500 * time.Millisecond, Stop: 3400 * time.Millisecond}
 
 // held is a message that the module has and that is not over.
 type held struct {
@@ -76,7 +76,7 @@
 	terms    int64              // the number of the terms that it is held to
 	class    *logic.Class       // of these; nil if it is not known
 	left     bool               // its body is in the store only
-	door     *Door              // that it came through; nil after a restart
+	door     *FrontLimiter      // that it came through; nil after a restart
 	over     bool               // ended; an attempt is still out
 	stop     context.CancelFunc // of the attempt that is out
 	attempt  *Attempt           // that attempt
@@ -94,7 +94,7 @@
 	cfg        Config
 	reopen     func() (Store, error)
 	allowed    func() float64
-	others     Others // nil for none
+	others     Peers // nil for none
 	from       *Takeover
 	stated     atomic.Pointer[terms] // what clients are held to
 	log        *slog.Logger
@@ -130,7 +130,7 @@
 	fresh     map[string]*message.Message // of puts, those that are new, by id
 	asks      []stateEvent
 	records   []journal.Record
-	doors     []*Door
+	doors     []*FrontLimiter
 	untold    []toldEnd // ends that are to be told once the journal holds them; no more than messages are held
 	ended     []string  // messages that are over since the last step
 	watchers  map[string][]chan State
@@ -144,15 +144,15 @@
 }
 
 // New makes a core. Run starts it.
-func New(cfg Config, parts Parts) (*Core, error) {
+func New(cfg Config, parts Dependencies) (*Core, error) {
 	sender, err := logic.New(cfg.Settings, cfg.Seed)
 	if err != nil {
 		return nil, err
 	}
-	if parts.Life == nil {
-		parts.Life = lifecycle.NewLife(Times, parts.Log)
+	if parts.Lifecycle == nil {
+		parts.Lifecycle = lifecycle.NewLife(LifecycleTimes, parts.Log)
 	}
-	c := &Core{cfg: cfg, life: parts.Life, reopen: parts.Reopen, allowed: parts.Allowed, others: parts.Others, marks: map[logic.EndpointID]uint64{}, early: map[string]earlyWait{}, from: parts.From, openBehind: parts.Behind, remote: map[string]*held{}, log: parts.Log, monitor: parts.Monitor, clock: parts.Store.Clock(), store: parts.Store,
+	c := &Core{cfg: cfg, life: parts.Lifecycle, reopen: parts.ReopenStore, allowed: parts.AllowedShare, others: parts.Peers, marks: map[logic.EndpointID]uint64{}, early: map[string]earlyWait{}, from: parts.Takeover, openBehind: parts.OpenBacklog, remote: map[string]*held{}, log: parts.Log, monitor: parts.Monitor, clock: parts.Store.Clock(), store: parts.Store,
 		transport: parts.Transport, source: parts.Source, sink: parts.Sink, sender: sender,
 		events: make(chan any, eventRoom), done: make(chan struct{}), ready: make(chan struct{}),
 		dir: newDirectory(cfg.Zones, cfg.Settings.Kinds), start: time.Now(), due: time.NewTimer(time.Hour),
@@ -211,7 +211,7 @@
 		go f.Serve()
 	}
 	if c.others != nil {
-		go c.others.Hear(deciding, func(list []Observation) { c.post(observationsEvent(list)) })
+		go c.others.Receive(deciding, func(list []Observation) { c.post(observationsEvent(list)) })
 	}
 	c.log.Info("ready", attrs...)
 	c.life.Tell(lifecycle.Started)
@@ -228,7 +228,7 @@
 	go c.follow(work, fronts, served, stopped)
 	if c.from != nil {
 		c.from.close()
-		go c.hear(c.from.Link)
+		go c.hear(c.from.Predecessor)
 	}
 	successor, err := c.loop(work, fronts, served, stopped)
 	if successor != nil && err == nil {
@@ -255,7 +255,7 @@
 		if v.Keep != keep {
 			keep = v.Keep
 			for _, f := range fronts {
-				f.Retire(!keep)
+				f.DisableKeepAlives(!keep)
 			}
 		}
 		if open && !v.Open {
@@ -284,7 +284,7 @@
 
 // watch follows the endpoints, as long as this process decides.
 func (c *Core) watch() {
-	c.source.Watch(c.deciding, func(n News) { c.post(n) })
+	c.source.Watch(c.deciding, func(n EndpointUpdate) { c.post(n) })
 }
 
 // turnAway answers what has come too late for the loop, until no client is left.
@@ -295,7 +295,7 @@
 		select {
 		case ev := <-c.events:
 			if put, ok := ev.(putEvent); ok {
-				put.tell(Answer{Verdict: Stopped})
+				put.tell(SubmitResponse{Status: Stopped})
 			}
 			continue
 		case <-served:
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -33,11 +33,11 @@
 		s, _ := r.State(t.Context(), "a", true)
 		over <- s
 	}()
-	in.result <- Result{Outcome: logic.Full, Wait: 300 * time.Millisecond}
+	in.result <- Result{Outcome: logic.Full, RequestedWait: 300 * time.Millisecond}
 	for r.state("a") != StateAccepted { // until the outcome has come
 	}
 	(byhand.Await(t, r.hand.attempts, "attempt after the wait")).result <- Result{Outcome: logic.Completed}
-	if s := byhand.Await(t, over, "state of a message that is over"); s.Name != message.Delivered || s.Tries != 2 || s.Over.IsZero() || s.Partner != "acme" {
+	if s := byhand.Await(t, over, "state of a message that is over"); s.Name != message.Delivered || s.Attempts != 2 || s.EndedAt.IsZero() || s.Partner != "acme" {
 		t.Errorf("over: %+v", s)
 	}
 	if x := byhand.Await(t, r.ends.told, "end"); x.ID != "a" || x.State != message.Delivered || x.Tries != 2 {
@@ -64,7 +64,7 @@
 	}
 	check("after the restart")
 	r.ends.confirm <- "a"
-	if a := r.put(newMessage("b", "unsafe")); a.Verdict != Accepted || !a.Again {
+	if a := r.put(newMessage("b", "unsafe")); a.Status != Accepted || !a.Duplicate {
 		t.Errorf("handed in again after its end: %+v", a)
 	}
 	r.halt()
@@ -75,13 +75,13 @@
 	r := newRig(t, t.TempDir(), testConfig()).run()
 	other := newMessage("a", "safe")
 	other.Body = []byte("another")
-	answers := make(chan Answer, 3)
+	answers := make(chan SubmitResponse, 3)
 	r.Submit(newMessage("a", "safe"), answers)
 	r.Submit(newMessage("a", "safe"), answers)
 	r.Submit(other, answers)
-	count := map[Verdict]int{}
+	count := map[SubmitStatus]int{}
 	for range 3 {
-		count[byhand.Await(t, answers, "answer").Verdict]++
+		count[byhand.Await(t, answers, "answer").Status]++
 	}
 	if count[Accepted] != 2 || count[Conflict] != 1 {
 		t.Errorf("answers %v", count)
@@ -92,7 +92,7 @@
 	}
 	in.result <- Result{Outcome: logic.Completed}
 	byhand.Await(t, r.ends.told, "end")
-	if a := r.put(other); a.Verdict != Conflict {
+	if a := r.put(other); a.Status != Conflict {
 		t.Errorf("another message under the id of one that is over: %+v", a)
 	}
 	r.ends.confirm <- "a"
@@ -115,7 +115,7 @@
 	}()
 	for i := range 1000 {
 		id := fmt.Sprint("m", i)
-		answers := make(chan Answer, 2)
+		answers := make(chan SubmitResponse, 2)
 		for range 2 {
 			go r.Submit(newMessage(id, "unsafe"), answers)
 		}
@@ -132,10 +132,10 @@
 		again := 0
 		for range 2 {
 			a := byhand.Await(t, answers, "answer")
-			if a.Verdict != Accepted {
+			if a.Status != Accepted {
 				t.Fatalf("answer %+v", a)
 			}
-			if a.Again {
+			if a.Duplicate {
 				again++
 			}
 		}
@@ -145,7 +145,7 @@
 		if s := byhand.Await(t, seen, "state"); s != StateSending && s != message.Delivered && s != StateAccepted {
 			t.Fatalf("state %q", s)
 		}
-		if s, err := r.State(t.Context(), id, true); err != nil || s.Name != message.Delivered || s.Tries != 1 {
+		if s, err := r.State(t.Context(), id, true); err != nil || s.Name != message.Delivered || s.Attempts != 1 {
 			t.Fatalf("state %+v, %v", s, err)
 		}
 	}
@@ -186,13 +186,13 @@
 func TestDoor(t *testing.T) {
 	r := newRig(t, t.TempDir(), testConfig())
 	r.resume()
-	put := func() Answer {
-		answer := make(chan Answer, 1)
+	put := func() SubmitResponse {
+		answer := make(chan SubmitResponse, 1)
 		r.Core.put(putEvent{msg: newMessage("a", "safe"), answer: answer})
 		return byhand.Await(t, answer, "answer")
 	}
 	r.open = r.cfg.Settings.MaxOpen
-	if a := put(); a.Verdict != Busy {
+	if a := put(); a.Status != Busy {
 		t.Errorf("above max_open: %+v", a)
 	}
 	r.open = 0
@@ -202,7 +202,7 @@
 			t.Fatal(err)
 		}
 	}
-	if a := put(); a.Verdict != Busy {
+	if a := put(); a.Status != Busy {
 		t.Errorf("without room in the store: %+v", a)
 	}
 }
@@ -213,7 +213,7 @@
 	r := newRig(t, t.TempDir(), testConfig()).run()
 	r.store.set(true)
 	for i := range 10 { // more than there are slots
-		if a := r.put(newMessage(fmt.Sprint("x", i), "safe")); a.Verdict != Busy {
+		if a := r.put(newMessage(fmt.Sprint("x", i), "safe")); a.Status != Busy {
 			t.Fatalf("answer %+v", a)
 		}
 	}
@@ -221,7 +221,7 @@
 		t.Error("sent without a record")
 	}
 	r.store.set(false)
-	if a := r.put(newMessage("a", "safe")); a.Verdict != Accepted {
+	if a := r.put(newMessage("a", "safe")); a.Status != Accepted {
 		t.Fatalf("answer %+v", a)
 	}
 	in := byhand.Await(t, r.hand.attempts, "attempt")
@@ -256,17 +256,17 @@
 		{"wait, one limit", false, func(c *Core) { c.holdWait(1) }, [4]bool{true, true, false, false}, "[]"},
 		{"wait, routes apart", true, func(c *Core) { c.holdWait(1) }, [4]bool{true, false, false, false}, "[]"},
 		{"drain", false, func(c *Core) {
-			c.news(News{List: List{Endpoints: []Endpoint{{Name: "b", Partner: "p", State: logic.Draining}}}})
+			c.news(EndpointUpdate{List: EndpointList{Endpoints: []Endpoint{{Name: "b", Partner: "p", State: logic.Draining}}}})
 		}, [4]bool{false, true, false, false}, "[2]"},
 		{"whole list", false, func(c *Core) {
-			c.news(News{List: List{Whole: true, Endpoints: []Endpoint{{Name: "a", Partner: "p"}}}})
+			c.news(EndpointUpdate{List: EndpointList{Complete: true, Endpoints: []Endpoint{{Name: "a", Partner: "p"}}}})
 		}, [4]bool{false, true, true, false}, "[2 3]"},
 	} {
 		cfg := testConfig()
 		cfg.Settings.Kinds[0].Apart = x.apart
 		r := newRig(t, t.TempDir(), cfg)
 		c := r.Core
-		c.dir.take(List{Endpoints: []Endpoint{{Name: "a", Addr: "h:1", Kind: "std", Partner: "p"},
+		c.dir.take(EndpointList{Endpoints: []Endpoint{{Name: "a", Addr: "h:1", Kind: "std", Partner: "p"},
 			{Name: "b", Addr: "h:2", Kind: "std", Partner: "p"}, {Name: "c", Addr: "h:3", Kind: "std", Partner: "q"}}})
 		var out []*Attempt
 		for i, ep := range []logic.EndpointID{1, 2, 3, 1} {
@@ -304,7 +304,7 @@
 	now := time.Now()
 	for i := range 1000 {
 		at := fmt.Sprintf("127.0.0.1:%d", 1+i%3) // at the address of one that has gone
-		l := List{Endpoints: []Endpoint{{Name: fmt.Sprint("s-", i), Addr: at, Partner: "p"}}}
+		l := EndpointList{Endpoints: []Endpoint{{Name: fmt.Sprint("s-", i), Addr: at, Partner: "p"}}}
 		if i > 0 {
 			l.Endpoints = append(l.Endpoints, Endpoint{Name: fmt.Sprint("s-", i-1), Partner: "p", State: logic.Gone})
 		}
@@ -331,7 +331,7 @@
 			t.Fatal("the wrong partners are known")
 		}
 	}
-	d.take(List{Whole: true})
+	d.take(EndpointList{Complete: true})
 	later := time.Now().Add(2 * keepGone)
 	d.forget(later, nil, nil)
 	if d.serves("p") || len(d.eps)+len(d.ids) != 0 {
@@ -414,10 +414,10 @@
 	r.allowed = func() float64 { return math.Float64frombits(allowed.Load()) }
 	set(0.5)
 	r.run()
-	list := *testConfig().Known
+	list := *testConfig().CachedEndpoints
 	weigh := func(part float64) {
-		list.Part = part
-		r.post(News{List: list})
+		list.Share = part
+		r.post(EndpointUpdate{List: list})
 	}
 	weigh(0.5)
 	r.put(newMessage("first", "safe"))
@@ -442,11 +442,11 @@
 // While every partner has endpoints and none has long been gone, nothing that is held has to be looked at each second.
 func TestDirectorySparesNothing(t *testing.T) {
 	d, now := newDirectory(nil, nil), time.Now()
-	d.take(List{Whole: true, Endpoints: []Endpoint{{Name: "a", Partner: "p"}, {Name: "b", Partner: "q"}}})
+	d.take(EndpointList{Complete: true, Endpoints: []Endpoint{{Name: "a", Partner: "p"}, {Name: "b", Partner: "q"}}})
 	if d.spare(now) {
 		t.Error("all are listed")
 	}
-	d.take(List{Endpoints: []Endpoint{{Name: "a", Partner: "p", State: logic.Gone}}})
+	d.take(EndpointList{Endpoints: []Endpoint{{Name: "a", Partner: "p", State: logic.Gone}}})
 	gone := d.spare(now.Add(keepGone / 2))
 	long := d.spare(now.Add(2 * keepGone))
 	if gone || !long {
--- a/internal/core/directory.go
+++ b/internal/core/directory.go
@@ -127,10 +127,10 @@
 
 // take turns a list into the module's entries. An endpoint keeps its number as long
 // as it is on the list, whatever its address, and for a while after.
-func (d *directory) take(l List) []logic.Entry {
+func (d *directory) take(l EndpointList) []logic.Entry {
 	rows := make([]logic.Entry, 0, len(l.Endpoints))
 	now := time.Now()
-	if l.Whole {
+	if l.Complete {
 		on := map[string]bool{}
 		for _, in := range l.Endpoints {
 			on[in.Name] = true
--- a/internal/core/disk_test.go
+++ b/internal/core/disk_test.go
@@ -42,7 +42,7 @@
 func flakyRig(t *testing.T, dir string) (r *rig, fail *atomic.Bool) {
 	t.Helper()
 	fail = &atomic.Bool{}
-	r = newRig(t, t.TempDir(), testConfig(), func(p *Parts) {
+	r = newRig(t, t.TempDir(), testConfig(), func(p *Dependencies) {
 		p.Store.Close()
 		j, err := journal.OpenOn(flaky{vfs.Dir(dir), fail}, journal.Options{Disk: 3e6, KeepEnded: time.Hour, MostEnded: 100, Bodies: 100})
 		if err != nil {
@@ -58,7 +58,7 @@
 func TestEndThatIsNotWrittenIsNotTold(t *testing.T) {
 	r, fail := flakyRig(t, t.TempDir())
 	r.run()
-	if a := r.put(newMessage("a", "unsafe")); a.Verdict != Accepted {
+	if a := r.put(newMessage("a", "unsafe")); a.Status != Accepted {
 		t.Fatalf("%+v", a)
 	}
 	call := byhand.Await(t, r.hand.attempts, "attempt")
@@ -69,7 +69,7 @@
 	}()
 	fail.Store(true)
 	call.result <- Result{Outcome: logic.Errored} // unsafe: it has failed
-	if a := r.put(newMessage("b", "safe")); a.Verdict != Busy {
+	if a := r.put(newMessage("b", "safe")); a.Status != Busy {
 		t.Errorf("taken on without a journal: %+v", a)
 	}
 	byhand.Until(t, "end of the attempt", func() bool { return r.state("a") == StateAccepted })
@@ -97,7 +97,7 @@
 	r.run()
 	m := newMessage("a", "unsafe")
 	m.Deadline = time.Now().Add(time.Second).UnixMicro()
-	if a := r.put(m); a.Verdict != Accepted {
+	if a := r.put(m); a.Status != Accepted {
 		t.Fatalf("%+v", a)
 	}
 	call := byhand.Await(t, r.hand.attempts, "attempt")
@@ -119,7 +119,7 @@
 	r, fail := flakyRig(t, dir)
 	r.run()
 	for _, id := range []string{"a", "b"} {
-		if a := r.put(newMessage(id, "unsafe")); a.Verdict != Accepted {
+		if a := r.put(newMessage(id, "unsafe")); a.Status != Accepted {
 			t.Fatalf("%+v", a)
 		}
 	}
--- a/internal/core/door.go
+++ b/internal/core/door.go
@@ -8,54 +8,56 @@
 	"cometrack/internal/message"
 )
 
-// Door is the way of one front to the core. It bounds what the front may have
+// FrontLimiter is the way of one front to the core. It bounds what the front may have
 // under way, so that one that is flooded leaves the others their part: of the
 // questions that wait for the loop each has an even share, and half of its even
 // share of the messages held is kept free for it.
-type Door struct {
+type FrontLimiter struct {
 	core *Core
 	room chan struct{} // a place for each request that the loop has yet to answer
 
 	open int // messages held that came through it; the loop's
 }
 
-// Door makes a way for one of so many fronts. It is called before Run.
-func (c *Core) Door(fronts int) *Door {
-	d := &Door{core: c, room: make(chan struct{}, max(eventRoom/2/max(fronts, 1), 1))}
+// NewFrontLimiter makes a way for one of so many fronts. It is called before Run.
+func (c *Core) NewFrontLimiter(fronts int) *FrontLimiter {
+	d := &FrontLimiter{core: c, room: make(chan struct{}, max(eventRoom/2/max(fronts, 1), 1))}
 	c.doors = append(c.doors, d)
 	return d
 }
 
 // Check is [Core.Check].
-func (d *Door) Check(m *message.Message, hold time.Duration) error { return d.core.Check(m, hold) }
+func (d *FrontLimiter) Check(m *message.Message, hold time.Duration) error {
+	return d.core.Check(m, hold)
+}
 
 // Clock is [Core.Clock].
-func (d *Door) Clock() *clock.Clock { return d.core.clock }
+func (d *FrontLimiter) Clock() *clock.Clock { return d.core.clock }
 
 // Submit is [Core.Submit]; it waits while too many of the front's requests are
 // unanswered.
-func (d *Door) Submit(m *message.Message, answer chan<- Answer) {
+func (d *FrontLimiter) Submit(m *message.Message, answer chan<- SubmitResponse) {
 	d.room <- struct{}{}
 	if !d.core.post(putEvent{msg: m, door: d, answer: answer}) {
 		<-d.room
-		answer <- Answer{Verdict: Stopped}
+		answer <- SubmitResponse{Status: Stopped}
 	}
 }
 
 // State is [Core.State]; it waits while too many of the front's requests are
 // unanswered.
-func (d *Door) State(ctx context.Context, id string, wait bool) (State, error) {
+func (d *FrontLimiter) State(ctx context.Context, id string, wait bool) (State, error) {
 	d.room <- struct{}{}
 	s, err := d.core.State(ctx, id, false)
 	<-d.room
-	if err != nil || !wait || s.IsOver() {
+	if err != nil || !wait || s.IsFinal() {
 		return s, err
 	}
 	return d.core.State(ctx, id, true)
 }
 
 // tell gives a message that was handed in its answer.
-func (ev putEvent) tell(a Answer) {
+func (ev putEvent) tell(a SubmitResponse) {
 	ev.answer <- a
 	if ev.door != nil {
 		<-ev.door.room
@@ -63,7 +65,7 @@
 }
 
 // roomFor says whether another message may be held that comes through d.
-func (c *Core) roomFor(d *Door) bool {
+func (c *Core) roomFor(d *FrontLimiter) bool {
 	most := c.terms.set.MaxOpen
 	if most == 0 {
 		return true
--- a/internal/core/handover.go
+++ b/internal/core/handover.go
@@ -27,11 +27,11 @@
 // Successor is a process that has asked for the snapshot of this one.
 type Successor interface {
 	Link
-	// Give sends the snapshot with the listeners and says whether the successor decides from
+	// Transfer sends the snapshot with the listeners and says whether the successor decides from
 	// then on; else it is certain that it does not, and never will.
-	Give(snapshot *handover.Snapshot, listeners []net.Listener) (taken bool, err error)
-	// Listen tells what the successor sends from then on, until it ends: then gone is called.
-	Listen(tell func(m any), gone func(error))
+	Transfer(snapshot *handover.Snapshot, listeners []net.Listener) (taken bool, err error)
+	// ReceiveMessages tells what the successor sends from then on, until it ends: then gone is called.
+	ReceiveMessages(tell func(m any), gone func(error))
 }
 
 // successorEvent says that a successor has come.
@@ -77,7 +77,7 @@
 		for _, f := range fronts {
 			listeners = append(listeners, f.Listener())
 		}
-		taken, err = ev.successor.Give(snapshot, listeners)
+		taken, err = ev.successor.Transfer(snapshot, listeners)
 	}
 	if taken {
 		c.log.Info("handed over", "held", c.open, "calls_out", len(snapshot.Calls), "took", time.Since(at))
@@ -139,7 +139,7 @@
 			out.Endpoints = append(out.Endpoints, handover.Endpoint{Gone: !to.gone.IsZero(), Name: to.name, Addr: to.addr, Zone: c.dir.zone(to.zone),
 				Kind: c.dir.kindName(to.kind), Partner: to.partner, Drains: to.state != logic.Ready, Weight: to.weight})
 		}
-		c.transport.Release(id)
+		c.transport.CloseIdle(id)
 	}
 	all, keys := c.sender.HandOver(micros(time.Since(c.start)))
 	for _, m := range all {
--- a/internal/core/harness_test.go
+++ b/internal/core/harness_test.go
@@ -47,15 +47,15 @@
 	h.probes <- ep
 	return logic.Completed
 }
-func (h *hand) Release(ep logic.EndpointID) { h.released = append(h.released, ep) }
-func (h *hand) Sweep()                      {}
+func (h *hand) CloseIdle(ep logic.EndpointID) { h.released = append(h.released, ep) }
+func (h *hand) CloseStale()                   {}
 
 // still is a source that has no news.
 type still struct{}
 
-func (still) Watch(context.Context, func(News)) {}
-func (still) Takes(News) bool                   { return true }
-func (still) Version() int64                    { return 0 }
+func (still) Watch(context.Context, func(EndpointUpdate)) {}
+func (still) AcceptUpdate(EndpointUpdate) bool            { return true }
+func (still) Version() int64                              { return 0 }
 
 // ends keeps what it is told until a test confirms it.
 type ends struct {
@@ -161,8 +161,8 @@
 }
 
 func testConfig() Config {
-	return Config{Name: "t", Zones: []string{"a", "b"}, TellDelivered: true,
-		Known: &List{Whole: true, Endpoints: []Endpoint{{Name: "e1", Addr: "h:1", Zone: "a", Kind: "std", Partner: "acme", Weight: 1000}}},
+	return Config{Name: "t", Zones: []string{"a", "b"}, NotifyDelivered: true,
+		CachedEndpoints: &EndpointList{Complete: true, Endpoints: []Endpoint{{Name: "e1", Addr: "h:1", Zone: "a", Kind: "std", Partner: "acme", Weight: 1000}}},
 		Settings: logic.Settings{Senders: 1, Zones: 2, Slots: 8, MaxOpen: 8, MaxTries: 3, Tick: 1000, MayCancel: true, RetryAfter: true,
 			MaxRetryAfter: 2 * logic.Second, Weights: logic.WeightsNominal, ConnIdle: 10 * logic.Second, ConnCalls: 1, Halves: true,
 			DrainGrace: 2 * logic.Second, FallMultiple: 2, FallWindow: 3 * logic.Second, ColdFrom: 0.2, WarmAfter: 14 * logic.Second,
@@ -173,7 +173,7 @@
 				{Name: "unsafe", Aim: 2 * logic.Second, Deadline: 16 * logic.Second, Worth: 1, LateWorth: 0.4, Effect: logic.Unsafe}}}}
 }
 
-func newRig(t *testing.T, dir string, cfg Config, with ...func(*Parts)) *rig {
+func newRig(t *testing.T, dir string, cfg Config, with ...func(*Dependencies)) *rig {
 	t.Helper()
 	j, err := journal.Open(dir, journal.Options{Disk: 3e6, KeepEnded: time.Hour, MostEnded: 100, Partners: cfg.Settings.Remember, Bodies: 100})
 	if err != nil {
@@ -181,7 +181,7 @@
 	}
 	r := &rig{t: t, hand: &hand{attempts: make(chan sent, 64), probes: make(chan logic.EndpointID, 1)}, store: &failing{Store: j, sick: map[string]bool{}},
 		ends: &ends{make(chan message.End, 64), make(chan string, 64)}, done: make(chan error, 1)}
-	parts := Parts{Store: r.store, Transport: r.hand, Source: still{}, Sink: r.ends, Log: slog.New(slog.DiscardHandler)}
+	parts := Dependencies{Store: r.store, Transport: r.hand, Source: still{}, Sink: r.ends, Log: slog.New(slog.DiscardHandler)}
 	for _, f := range with {
 		f(&parts)
 	}
@@ -218,9 +218,9 @@
 		Deadline: time.Now().Add(10 * time.Second).UnixMicro(), Body: []byte("body of " + id)}
 }
 
-func (r *rig) put(m *message.Message) Answer {
+func (r *rig) put(m *message.Message) SubmitResponse {
 	r.t.Helper()
-	answer := make(chan Answer, 1)
+	answer := make(chan SubmitResponse, 1)
 	r.Submit(m, answer)
 	return byhand.Await(r.t, answer, "answer to "+m.ID)
 }
--- a/internal/core/inherit.go
+++ b/internal/core/inherit.go
@@ -18,25 +18,25 @@
 // The side of a handover that takes over.
 
 const (
-	// DyingTime is how long the journal's lock of a process that dies may be found taken.
-	DyingTime = 150 * time.Millisecond
+	// LockReleaseTime is how long the journal's lock of a process that dies may be found taken.
+	LockReleaseTime = 150 * time.Millisecond
 	// remoteGrace is for the process that handed over to see that the link has broken and to
 	// call off what it has out, though it is held up meanwhile.
-	remoteGrace = DyingTime + permit.MaxStall + 100*time.Millisecond
+	remoteGrace = LockReleaseTime + permit.MaxStall + 100*time.Millisecond
 )
 
 // Takeover is what another process hands over to this one.
 type Takeover struct {
-	Snapshot  *handover.Snapshot
-	Listeners []net.Listener // of the fronts, in their order
-	Link      Predecessor
+	Snapshot    *handover.Snapshot
+	Listeners   []net.Listener // of the fronts, in their order
+	Predecessor Predecessor
 }
 
 // Predecessor is the link to the process that hands over.
 type Predecessor interface {
 	Link
-	// Listen tells what that process sends, until it ends: then gone is called.
-	Listen(tell func(m any), gone func(error))
+	// ReceiveMessages tells what that process sends, until it ends: then gone is called.
+	ReceiveMessages(tell func(m any), gone func(error))
 }
 
 // listen gives a front its listener, if there is one.
@@ -45,7 +45,7 @@
 		return
 	}
 	for i, ln := range in.Listeners {
-		if f.Use(ln) {
+		if f.AdoptListener(ln) {
 			in.Listeners = slices.Delete(in.Listeners, i, i+1)
 			return
 		}
@@ -61,8 +61,8 @@
 }
 
 // list is the endpoints that were handed over.
-func (in *Takeover) list() List {
-	out := List{Whole: true}
+func (in *Takeover) list() EndpointList {
+	out := EndpointList{Complete: true}
 	for _, x := range in.Snapshot.Endpoints {
 		e := Endpoint{Name: x.Name, Addr: x.Addr, Zone: x.Zone, Kind: x.Kind, Partner: x.Partner, Weight: x.Weight}
 		if x.Drains || x.Gone {
@@ -86,10 +86,10 @@
 	for i, x := range l.Endpoints { // it was on the list, for its calls that are out
 		if x.Gone {
 			list.Endpoints[i].State = logic.Gone
-			c.next = append(c.next, logic.Endpoints{Form: logic.ListDelta, Entries: c.dir.take(List{Endpoints: list.Endpoints[i : i+1]})})
+			c.next = append(c.next, logic.Endpoints{Form: logic.ListDelta, Entries: c.dir.take(EndpointList{Endpoints: list.Endpoints[i : i+1]})})
 		}
 	}
-	c.cfg.Known = nil
+	c.cfg.CachedEndpoints = nil
 	c.store.AddUnsaved(l.Ended)
 	age := logic.Micros(c.clock.Now() - l.At)
 	for name, known := range l.Partners {
@@ -117,7 +117,7 @@
 	}
 	a := &Attempt{Message: h.msg, Number: call.Number, Endpoint: ep, at: c.clock.Moment(now - age), first: call.ID}
 	a.state.Store(attemptBegun)
-	h.attempt, h.stop = a, func() { c.from.Link.Send(&handover.Cancel{ID: call.ID, Number: call.Number}) }
+	h.attempt, h.stop = a, func() { c.from.Predecessor.Send(&handover.Cancel{ID: call.ID, Number: call.Number}) }
 	h.tries = call.Number + 1
 	c.remote[call.ID] = h
 	if e != nil {
@@ -146,9 +146,9 @@
 	return events
 }
 
-// ErrNotTaken says that the process that hands over can't be told that this one decides.
+// ErrPredecessorUnreachable says that the process that hands over can't be told that this one decides.
 // Nothing has been written; a core that is made anew may ask again.
-var ErrNotTaken = errors.New("the process that hands over can't be told that this one takes over")
+var ErrPredecessorUnreachable = errors.New("the process that hands over can't be told that this one takes over")
 
 // takenOver says to the other process that this one decides. One that has not heard so
 // takes the journal back, and knows nothing of what this one would write to it.
@@ -157,10 +157,10 @@
 		return nil
 	}
 	c.log.Info("taken over", "held", len(c.held), "calls_out", len(c.remote), "endpoints", len(c.dir.eps))
-	if err := c.from.Link.Send(&handover.Taken{}); err != nil {
-		c.from.Link.Close()
+	if err := c.from.Predecessor.Send(&handover.Taken{}); err != nil {
+		c.from.Predecessor.Close()
 		c.from.close()
-		return fmt.Errorf("%w: %w", ErrNotTaken, err)
+		return fmt.Errorf("%w: %w", ErrPredecessorUnreachable, err)
 	}
 	return nil
 }
@@ -173,7 +173,7 @@
 
 // hear takes what the process that handed over sends.
 func (c *Core) hear(link Predecessor) {
-	link.Listen(func(m any) {
+	link.ReceiveMessages(func(m any) {
 		switch m := m.(type) {
 		case *handover.Outcomes:
 			c.post(remoteOutcomesEvent{m.List})
@@ -182,8 +182,8 @@
 		case *handover.AskState:
 			go func() {
 				s, _ := c.State(context.Background(), m.ID, false)
-				link.Send(&handover.State{Seq: m.Seq, Name: s.Name, Tenant: s.Tenant, Partner: s.Partner, Class: s.Class, Tries: s.Tries,
-					After: s.After, Accepted: micro(s.Accepted), Deadline: micro(s.Deadline), Over: micro(s.Over)})
+				link.Send(&handover.State{Seq: m.Seq, Name: s.Name, Tenant: s.Tenant, Partner: s.Partner, Class: s.Class, Tries: s.Attempts,
+					After: s.RetryAfter, Accepted: micro(s.AcceptedAt), Deadline: micro(s.Deadline), Over: micro(s.EndedAt)})
 			}()
 		}
 	}, func(error) {
@@ -195,11 +195,11 @@
 
 // forwarded takes a message that a client has handed in at the other process.
 func (c *Core) forwarded(link Link, m *handover.Put) {
-	answer := make(chan Answer, 1)
+	answer := make(chan SubmitResponse, 1)
 	msg := m.Message
 	c.Submit(&msg, answer)
 	a := <-answer
-	link.Send(&handover.Answer{Seq: m.Seq, Verdict: int(a.Verdict), After: a.After, Again: a.Again})
+	link.Send(&handover.Answer{Seq: m.Seq, Verdict: int(a.Status), After: a.RetryAfter, Again: a.Duplicate})
 }
 
 func micro(t time.Time) int64 {
@@ -219,7 +219,7 @@
 		delete(c.remote, o.ID)
 		h.stop = func() {}
 		c.reply(reply{attempt: h.attempt, took: o.Took,
-			result: Result{Outcome: logic.Outcome(o.Outcome), Wait: o.Wait, Over: o.Over, Load: o.Load}})
+			result: Result{Outcome: logic.Outcome(o.Outcome), RequestedWait: o.Wait, MessageEnded: o.Over, Load: o.Load}})
 	}
 }
 
--- a/internal/core/loop.go
+++ b/internal/core/loop.go
@@ -17,8 +17,8 @@
 	// putEvent is a message that a client hands in. It gets one answer.
 	putEvent struct {
 		msg    *message.Message
-		door   *Door // nil if the front has none
-		answer chan<- Answer
+		door   *FrontLimiter // nil if the front has none
+		answer chan<- SubmitResponse
 		sure   bool // no message of its id is behind a window
 	}
 	// stateEvent asks for the state of a message. With watch, the answer waits
@@ -115,7 +115,7 @@
 
 // sweep drops what is of no more use.
 func (c *Core) sweep(now time.Time) {
-	c.transport.Sweep()
+	c.transport.CloseStale()
 	if c.behind.Backlog != nil {
 		c.behind.Tidy()
 	}
@@ -159,16 +159,16 @@
 // what another process has handed over.
 func (c *Core) resume() error {
 	out := c.restoreSnapshot()
-	if c.cfg.Known != nil {
-		c.next = append(c.next, logic.Endpoints{Form: logic.ListCached, Entries: c.dir.take(*c.cfg.Known)})
+	if c.cfg.CachedEndpoints != nil {
+		c.next = append(c.next, logic.Endpoints{Form: logic.ListCached, Entries: c.dir.take(*c.cfg.CachedEndpoints)})
 	}
 	now := c.clock.Now()
-	if c.cfg.KeepWaits {
+	if c.cfg.PersistWaits {
 		for name, until := range c.store.Waits() {
 			if id, ok := c.dir.ids[name]; ok {
 				c.next = append(c.next, logic.Told{Endpoint: id, Left: logic.Micros(until - now)})
 				if left := time.Duration(until-now) * time.Microsecond; left > 0 { // the others may not have heard of it
-					c.share(Observation{Wait: left}, id)
+					c.share(Observation{RequestedWait: left}, id)
 				}
 			}
 		}
@@ -203,7 +203,7 @@
 		} else if e.Open { // whoever reads the journal next must not take its outcome for a later one's
 			c.records = append(c.records, journal.Record{Op: journal.OpOutcome, ID: e.ID, MayRun: true})
 		}
-		if c.cfg.Known != nil && !c.dir.serves(e.Partner) {
+		if c.cfg.CachedEndpoints != nil && !c.dir.serves(e.Partner) {
 			orphans[e.Partner]++
 		}
 		if h.class == nil {
@@ -249,7 +249,7 @@
 		}
 	case healthEvent:
 		c.next = append(c.next, logic.HealthResult{Endpoint: ev.ep, Outcome: ev.outcome})
-	case News:
+	case EndpointUpdate:
 		c.news(ev)
 	case observationsEvent:
 		c.hears(ev)
@@ -278,13 +278,13 @@
 	}
 }
 
-func (c *Core) news(ev News) {
-	if !c.source.Takes(ev) {
+func (c *Core) news(ev EndpointUpdate) {
+	if !c.source.AcceptUpdate(ev) {
 		return
 	}
-	c.heard, c.part = true, ev.List.Part
+	c.heard, c.part = true, ev.List.Share
 	form := logic.ListDelta
-	if ev.List.Whole {
+	if ev.List.Complete {
 		form = logic.ListFull
 	}
 	rows := c.dir.take(ev.List)
@@ -294,16 +294,16 @@
 	}
 	c.withhold(permit.EndpointLeaving, func(ep logic.EndpointID) bool {
 		up, listed := ready[ep]
-		return listed && !up || !listed && ev.List.Whole
+		return listed && !up || !listed && ev.List.Complete
 	})
 	for _, row := range rows {
 		if row.State != logic.Ready {
-			c.transport.Release(row.Endpoint)
+			c.transport.CloseIdle(row.Endpoint)
 		}
 	}
 	for id, to := range c.dir.eps { // a whole list leaves out what is gone
 		if !to.gone.IsZero() {
-			c.transport.Release(id)
+			c.transport.CloseIdle(id)
 		}
 	}
 	c.logList(ev, rows)
@@ -316,8 +316,8 @@
 const mostNamed = 16
 
 // logList logs a list that is taken: how many endpoints it has in each state, and by name those that want no new calls.
-func (c *Core) logList(ev News, rows []logic.Entry) {
-	if len(rows) == 0 && !ev.List.Whole {
+func (c *Core) logList(ev EndpointUpdate, rows []logic.Entry) {
+	if len(rows) == 0 && !ev.List.Complete {
 		return
 	}
 	states, leaving := map[logic.Readiness]int{}, []string{}
@@ -327,6 +327,6 @@
 			leaving = append(leaving, c.dir.eps[row.Endpoint].name)
 		}
 	}
-	c.log.Info("list", "version", ev.Version, "whole", ev.List.Whole, "ready", states[logic.Ready], "draining", states[logic.Draining], "gone", states[logic.Gone],
+	c.log.Info("list", "version", ev.Version, "whole", ev.List.Complete, "ready", states[logic.Ready], "draining", states[logic.Draining], "gone", states[logic.Gone],
 		"leaving", leaving)
 }
--- a/internal/core/others.go
+++ b/internal/core/others.go
@@ -19,8 +19,8 @@
 	if c.others == nil || !ok {
 		return
 	}
-	l.Partner, l.Endpoint, l.Mark = to.partner, to.name, c.marks[ep]
-	c.others.Tell(l)
+	l.Partner, l.Endpoint, l.CausalMark = to.partner, to.name, c.marks[ep]
+	c.others.Publish(l)
 }
 
 // mostEarly bounds waits that are kept of endpoints that are not on the list.
@@ -39,18 +39,18 @@
 	for _, l := range list {
 		id, ok := c.dir.ids[l.Endpoint]
 		if !ok || c.dir.eps[id].partner != l.Partner {
-			if at := time.Now().Add(l.Wait); l.Wait > 0 && (len(c.early) < mostEarly || c.early[l.Endpoint].partner != "") {
+			if at := time.Now().Add(l.RequestedWait); l.RequestedWait > 0 && (len(c.early) < mostEarly || c.early[l.Endpoint].partner != "") {
 				c.early[l.Endpoint] = earlyWait{l.Partner, at}
 			}
 			continue
 		}
-		if l.Wait > 0 {
-			c.next = append(c.next, logic.Told{Endpoint: id, Left: micros(l.Wait)})
-			c.waits(id, l.Wait)
+		if l.RequestedWait > 0 {
+			c.next = append(c.next, logic.Told{Endpoint: id, Left: micros(l.RequestedWait)})
+			c.waits(id, l.RequestedWait)
 			continue
 		}
-		c.marks[id] = l.Mark
-		c.next = append(c.next, logic.Heard{Endpoint: id, Out: l.Out, Try: l.Back || l.Turn == 1 && !l.Out, Turn: l.Turn})
+		c.marks[id] = l.CausalMark
+		c.next = append(c.next, logic.Heard{Endpoint: id, Out: l.Outage, Try: l.Recovered || l.TrialIntervalFactor == 1 && !l.Outage, Turn: l.TrialIntervalFactor})
 	}
 }
 
@@ -74,7 +74,7 @@
 // it outlive this process.
 func (c *Core) waits(ep logic.EndpointID, d time.Duration) {
 	c.holdWait(ep)
-	if to, ok := c.dir.eps[ep]; ok && c.cfg.KeepWaits {
+	if to, ok := c.dir.eps[ep]; ok && c.cfg.PersistWaits {
 		c.records = append(c.records, journal.Record{Op: journal.OpWait, ID: to.name, At: c.clock.Now() + d.Microseconds()})
 	}
 }
--- a/internal/core/others_test.go
+++ b/internal/core/others_test.go
@@ -12,8 +12,8 @@
 // crowd stands for the other senders.
 type crowd struct{ told, say chan Observation }
 
-func (c crowd) Tell(l Observation) { c.told <- l }
-func (c crowd) Hear(ctx context.Context, take func([]Observation)) {
+func (c crowd) Publish(l Observation) { c.told <- l }
+func (c crowd) Receive(ctx context.Context, take func([]Observation)) {
 	for {
 		select {
 		case l := <-c.say:
@@ -28,7 +28,7 @@
 // what it learns itself is told; what concerns no endpoint of its own does nothing.
 func TestOthers(t *testing.T) {
 	cfg, dir := testConfig(), t.TempDir()
-	cfg.KeepWaits, cfg.Settings.Share = true, true
+	cfg.PersistWaits, cfg.Settings.Share = true, true
 	others := crowd{make(chan Observation, 64), make(chan Observation)}
 	start := func() *rig {
 		r := newRig(t, dir, cfg)
@@ -36,40 +36,40 @@
 		return r.run()
 	}
 	r := start()
-	others.say <- Observation{Partner: "acme", Endpoint: "e9", Wait: time.Hour}
-	others.say <- Observation{Partner: "later", Endpoint: "e8", Wait: time.Hour}
-	others.say <- Observation{Partner: "other", Endpoint: "e1", Wait: time.Hour}
+	others.say <- Observation{Partner: "acme", Endpoint: "e9", RequestedWait: time.Hour}
+	others.say <- Observation{Partner: "later", Endpoint: "e8", RequestedWait: time.Hour}
+	others.say <- Observation{Partner: "other", Endpoint: "e1", RequestedWait: time.Hour}
 	const wait = 400 * time.Millisecond
 	at := time.Now()
-	others.say <- Observation{Partner: "acme", Endpoint: "e1", Wait: wait}
-	others.say <- Observation{Partner: "acme", Endpoint: "e1", Wait: wait / 2} // the longer one holds; and the loop has had the first
+	others.say <- Observation{Partner: "acme", Endpoint: "e1", RequestedWait: wait}
+	others.say <- Observation{Partner: "acme", Endpoint: "e1", RequestedWait: wait / 2} // the longer one holds; and the loop has had the first
 	r.put(newMessage("a", "safe"))
 	in := byhand.Await(t, r.hand.attempts, "attempt")
 	if d := time.Since(at); d < wait {
 		t.Errorf("called %v after the news of a wait of %v", d, wait)
 	}
-	in.result <- Result{Outcome: logic.Full, Wait: 100 * time.Millisecond}
-	if l := byhand.Await(t, others.told, "lesson"); l != (Observation{Partner: "acme", Endpoint: "e1", Wait: 100 * time.Millisecond}) {
+	in.result <- Result{Outcome: logic.Full, RequestedWait: 100 * time.Millisecond}
+	if l := byhand.Await(t, others.told, "lesson"); l != (Observation{Partner: "acme", Endpoint: "e1", RequestedWait: 100 * time.Millisecond}) {
 		t.Errorf("told %+v", l)
 	}
 	in = byhand.Await(t, r.hand.attempts, "attempt")
-	others.say <- Observation{Partner: "acme", Endpoint: "e1", Out: true, Mark: 7}
-	others.say <- Observation{Partner: "acme", Endpoint: "e9", Out: true} // the loop has had the one before
+	others.say <- Observation{Partner: "acme", Endpoint: "e1", Outage: true, CausalMark: 7}
+	others.say <- Observation{Partner: "acme", Endpoint: "e9", Outage: true} // the loop has had the one before
 	r.state("a")
 	in.result <- Result{Outcome: logic.Completed} // to a call from before: tells nothing
 	byhand.Await(t, r.ends.told, "end")
 	r.put(newMessage("b", "safe"))
 	(byhand.Await(t, r.hand.attempts, "attempt")).result <- Result{Outcome: logic.Completed}
-	if l := byhand.Await(t, others.told, "lesson"); l != (Observation{Partner: "acme", Endpoint: "e1", Back: true, Mark: 7}) {
+	if l := byhand.Await(t, others.told, "lesson"); l != (Observation{Partner: "acme", Endpoint: "e1", Recovered: true, CausalMark: 7}) {
 		t.Errorf("told %+v", l)
 	}
 
-	r.post(News{List: List{Endpoints: []Endpoint{{Name: "e8", Addr: "h:8", Zone: "a", Kind: "std", Partner: "later", Weight: 1000}}}}) // it comes onto the list
+	r.post(EndpointUpdate{List: EndpointList{Endpoints: []Endpoint{{Name: "e8", Addr: "h:8", Zone: "a", Kind: "std", Partner: "later", Weight: 1000}}}}) // it comes onto the list
 	d := newMessage("d", "safe")
 	d.Partner = "later"
 	r.put(d)
-	others.say <- Observation{Partner: "acme", Endpoint: "e1", Wait: time.Hour}
-	others.say <- Observation{Partner: "acme", Endpoint: "e1", Wait: time.Second}
+	others.say <- Observation{Partner: "acme", Endpoint: "e1", RequestedWait: time.Hour}
+	others.say <- Observation{Partner: "acme", Endpoint: "e1", RequestedWait: time.Second}
 	r.put(newMessage("c", "safe")) // the journal has it by now
 	select {                       // nothing goes to either endpoint
 	case in := <-r.hand.attempts:
@@ -78,7 +78,7 @@
 	}
 	r.halt()
 	r = start()
-	if l := byhand.Await(t, others.told, "lesson"); l.Wait < 50*time.Minute || l.Endpoint != "e1" {
+	if l := byhand.Await(t, others.told, "lesson"); l.RequestedWait < 50*time.Minute || l.Endpoint != "e1" {
 		t.Errorf("after a restart: told %+v", l)
 	}
 	select {
--- a/internal/core/outgoing.go
+++ b/internal/core/outgoing.go
@@ -15,10 +15,10 @@
 	Number   int // of the message's attempts, from 0
 	Endpoint logic.EndpointID
 	Addr     string
-	GiveUp   time.Duration // no answer counts after this
-	// Fragile says that a break would end the message for good, so that a
+	Timeout  time.Duration // no answer counts after this
+	// Unrepeatable says that a break would end the message for good, so that a
 	// connection which may break is to be avoided.
-	Fragile bool
+	Unrepeatable bool
 	// Expires is the end of the message's time; zero for none.
 	Expires time.Time
 	// Repeat is what allows the attempt where an earlier one may have run, as it stood
@@ -78,9 +78,9 @@
 	return permit.Send(x)
 }
 
-// Written notes that the last byte has been written. That this was too late can't be
+// MarkWritten notes that the last byte has been written. That this was too late can't be
 // undone, but it is counted.
-func (a *Attempt) Written() {
+func (a *Attempt) MarkWritten() {
 	if a.Message == nil {
 		return
 	}
--- a/internal/core/relay.go
+++ b/internal/core/relay.go
@@ -52,7 +52,7 @@
 // run takes what comes, until nothing is under way any more.
 func (r *relay) run(served, stopped <-chan struct{}) {
 	told, gone := make(chan any, mostForwarded), make(chan struct{})
-	go r.successor.Listen(func(m any) {
+	go r.successor.ReceiveMessages(func(m any) {
 		select {
 		case told <- m:
 		case <-r.core.done:
@@ -98,7 +98,7 @@
 // it.
 func (r *relay) lose() {
 	for seq, ev := range r.puts {
-		ev.tell(Answer{Verdict: Failed})
+		ev.tell(SubmitResponse{Status: Failed})
 		delete(r.puts, seq)
 	}
 	for seq, ask := range r.asks {
@@ -139,7 +139,7 @@
 // put forwards a message that a client hands in. If that fails, the successor is gone.
 func (r *relay) put(ev putEvent) {
 	if r.closed() || len(r.puts) >= mostForwarded {
-		ev.tell(Answer{Verdict: Busy}) // the successor has never had it
+		ev.tell(SubmitResponse{Status: Busy}) // the successor has never had it
 		return
 	}
 	r.seq++
@@ -168,7 +168,7 @@
 		}
 		delete(r.out, id)
 		list.List = append(list.List, handover.Outcome{ID: id, Number: x.attempt.Number, Outcome: int(x.result.Outcome),
-			Took: x.took, Wait: x.result.Wait, Over: x.result.Over, Load: x.result.Load})
+			Took: x.took, Wait: x.result.RequestedWait, Over: x.result.MessageEnded, Load: x.result.Load})
 	}
 	if len(list.List) > 0 {
 		r.successor.Send(&list)
@@ -181,13 +181,13 @@
 	case *handover.Answer:
 		if ev, ok := r.puts[m.Seq]; ok {
 			delete(r.puts, m.Seq)
-			ev.tell(Answer{Verdict: Verdict(m.Verdict), After: m.After, Again: m.Again})
+			ev.tell(SubmitResponse{Status: SubmitStatus(m.Verdict), RetryAfter: m.After, Duplicate: m.Again})
 		}
 	case *handover.State:
 		if ask, ok := r.asks[m.Seq]; ok {
 			delete(r.asks, m.Seq)
-			ask.answer <- State{ID: ask.id, Name: m.Name, Tenant: m.Tenant, Partner: m.Partner, Class: m.Class, Tries: m.Tries,
-				After: m.After, Accepted: moment(m.Accepted), Deadline: moment(m.Deadline), Over: moment(m.Over)}
+			ask.answer <- State{ID: ask.id, Name: m.Name, Tenant: m.Tenant, Partner: m.Partner, Class: m.Class, Attempts: m.Tries,
+				RetryAfter: m.After, AcceptedAt: moment(m.Accepted), Deadline: moment(m.Deadline), EndedAt: moment(m.Over)}
 		}
 	case *handover.Cancel:
 		if h := r.out[m.ID]; h != nil && h.attempt.Number == m.Number {
--- a/internal/core/relay_test.go
+++ b/internal/core/relay_test.go
@@ -22,10 +22,10 @@
 
 func (s *successorByHand) Send(m any) error { s.sent <- m; return nil }
 func (s *successorByHand) Close() error     { return nil }
-func (s *successorByHand) Give(*handover.Snapshot, []net.Listener) (bool, error) {
+func (s *successorByHand) Transfer(*handover.Snapshot, []net.Listener) (bool, error) {
 	return true, nil
 }
-func (s *successorByHand) Listen(tell func(any), gone func(error)) {
+func (s *successorByHand) ReceiveMessages(tell func(any), gone func(error)) {
 	for m := range s.tell {
 		tell(m)
 	}
@@ -44,7 +44,7 @@
 		if _, ok := (<-c.events).(predecessorGoneEvent); !ok {
 			t.Fatal("another event")
 		}
-		if took := time.Since(from); took < DyingTime+permit.MaxStall {
+		if took := time.Since(from); took < LockReleaseTime+permit.MaxStall {
 			t.Errorf("taken for ended after %v", took)
 		}
 	})
@@ -59,7 +59,7 @@
 		c := &Core{events: make(chan any, 4), done: make(chan struct{}), log: slog.New(slog.DiscardHandler)}
 		served := make(chan struct{})
 		go c.relay(&successorEvent{successor: s}, served, nil)
-		answer := make(chan Answer, 1)
+		answer := make(chan SubmitResponse, 1)
 		c.post(putEvent{msg: &message.Message{ID: "m"}, answer: answer})
 		<-s.sent
 		from := time.Now()
@@ -83,8 +83,8 @@
 		defer close(over)
 		c.relay(&successorEvent{successor: s}, nil, stopped)
 	}()
-	put := func(id string) chan Answer {
-		answer := make(chan Answer, 1)
+	put := func(id string) chan SubmitResponse {
+		answer := make(chan SubmitResponse, 1)
 		c.post(putEvent{msg: &message.Message{ID: id}, answer: answer})
 		return answer
 	}
@@ -96,11 +96,11 @@
 		t.Errorf("answered as %+v before the successor has", a)
 	case <-time.After(permit.MaxStall):
 	}
-	if a := byhand.Await(t, put("second"), "answer to the second"); a.Verdict != Busy {
+	if a := byhand.Await(t, put("second"), "answer to the second"); a.Status != Busy {
 		t.Errorf("one that comes as the process ends gets %+v", a)
 	}
 	s.tell <- &handover.Answer{Seq: forwarded.Seq, Verdict: int(Accepted)}
-	if a := byhand.Await(t, first, "answer to the first"); a.Verdict != Accepted {
+	if a := byhand.Await(t, first, "answer to the first"); a.Status != Accepted {
 		t.Errorf("the first gets %+v", a)
 	}
 	<-over
--- a/internal/core/restart_test.go
+++ b/internal/core/restart_test.go
@@ -21,13 +21,13 @@
 // A wait that was told before a restart is heeded after it.
 func TestWaitOutlivesRestart(t *testing.T) {
 	dir, cfg := t.TempDir(), testConfig()
-	cfg.KeepWaits = true
+	cfg.PersistWaits = true
 	r := newRig(t, dir, cfg).run()
 	r.put(newMessage("a", "unsafe"))
 	in := byhand.Await(t, r.hand.attempts, "attempt")
 	const wait = 1500 * time.Millisecond
 	told := time.Now()
-	in.result <- Result{Outcome: logic.Full, Wait: wait}
+	in.result <- Result{Outcome: logic.Full, RequestedWait: wait}
 	for r.state("a") != StateAccepted { // until the outcome is in the journal
 	}
 	r.kill()
@@ -47,8 +47,8 @@
 // nothing up from before the start, so that the first call comes after one span of it.
 func TestPaceHoldsOverRestart(t *testing.T) {
 	dir, cfg := t.TempDir(), testConfig()
-	cfg.KeepWaits = true
-	cfg.Known.Endpoints[0].Weight = 2
+	cfg.PersistWaits = true
+	cfg.CachedEndpoints.Endpoints[0].Weight = 2
 	r := newRig(t, dir, cfg).run()
 	r.put(newMessage("a", "unsafe"))
 	byhand.Await(t, r.hand.attempts, "attempt").result <- Result{Outcome: logic.Completed}
@@ -95,7 +95,7 @@
 func TestDoorShares(t *testing.T) {
 	cfg := testConfig() // holds 8
 	r := newRig(t, t.TempDir(), cfg)
-	a, b := r.Door(2), r.Door(2)
+	a, b := r.NewFrontLimiter(2), r.NewFrontLimiter(2)
 	taken := 0
 	for a.open = 0; r.roomFor(a) && taken < 100; taken++ {
 		a.open++
@@ -139,13 +139,13 @@
 				r.put(newMessage("a", "safe"))
 			}
 			r.kill()
-			list := *cfg.Known
+			list := *cfg.CachedEndpoints
 			if x.late {
-				cfg.Known = nil
+				cfg.CachedEndpoints = nil
 			}
 			r = newRig(t, dir, cfg).run()
 			if x.late {
-				r.post(News{List: list})
+				r.post(EndpointUpdate{List: list})
 			}
 			for _, id := range []string{"b", "c"} {
 				r.put(newMessage(id, "safe"))
@@ -189,12 +189,12 @@
 	if e := r.store.Entry("a"); e.Left != 3000 || e.Body != nil {
 		t.Errorf("%d bytes left on the disk, %d in memory", e.Left, len(e.Body))
 	}
-	if a, b := r.put(big("x")), r.put(big("y")); a.Verdict != Accepted || !a.Again || b.Verdict != Conflict {
+	if a, b := r.put(big("x")), r.put(big("y")); a.Status != Accepted || !a.Duplicate || b.Status != Conflict {
 		t.Errorf("again: %+v, with another body: %+v", a, b)
 	}
 	r.kill()
 	r = newRig(t, dir, testConfig()).run()
-	if a, b := r.put(big("x")), r.put(big("y")); a.Verdict != Accepted || b.Verdict != Conflict {
+	if a, b := r.put(big("x")), r.put(big("y")); a.Status != Accepted || b.Status != Conflict {
 		t.Errorf("after the restart, again: %+v, with another body: %+v", a, b)
 	}
 	attempt(logic.Completed)
--- a/internal/core/seams.go
+++ b/internal/core/seams.go
@@ -16,18 +16,18 @@
 type Front interface {
 	// Listen opens the listener, unless Use has given one. Nothing is served before.
 	Listen() error
-	// Use gives a listener that another process has listened on, before Listen. It
+	// AdoptListener gives a listener that another process has listened on, before Listen. It
 	// says whether that is the front's own address; if not, it is not taken.
-	Use(ln net.Listener) bool
+	AdoptListener(ln net.Listener) bool
 	// Listener is what it listens on; valid after Listen.
 	Listener() net.Listener
 	// Addr is where it listens; valid after Listen.
 	Addr() net.Addr
 	// Serve takes clients until CloseListener.
 	Serve()
-	// Retire says whether connections are to be closed once no request is under way
+	// DisableKeepAlives says whether connections are to be closed once no request is under way
 	// on them. New ones are taken all the same, for one request.
-	Retire(on bool)
+	DisableKeepAlives(on bool)
 	// CloseListener ends the taking of new clients.
 	CloseListener()
 	// Shutdown closes each client's connection once no request is under way on
@@ -53,20 +53,20 @@
 	Batch(ctx context.Context, call []*Attempt) []Result
 	// Probe asks an endpoint whether it is well.
 	Probe(ctx context.Context, ep logic.EndpointID, addr string) logic.Outcome
-	// Release closes the idle connections to an endpoint.
-	Release(ep logic.EndpointID)
-	// Sweep closes idle connections that are no good any more; it is called about
+	// CloseIdle closes the idle connections to an endpoint.
+	CloseIdle(ep logic.EndpointID)
+	// CloseStale closes idle connections that are no good any more; it is called about
 	// once a second.
-	Sweep()
+	CloseStale()
 }
 
 // Result is how an attempt ended.
 type Result struct {
-	Outcome logic.Outcome
-	Wait    time.Duration // told by the answer; it binds whatever the outcome
-	Over    bool          // the peer says that the message is over
-	Local   bool          // nothing was sent for want of something at this end
-	Load    []float64     // what the answer reports of the load, in the order of the settings; nil for nothing
+	Outcome       logic.Outcome
+	RequestedWait time.Duration // told by the answer; it binds whatever the outcome
+	MessageEnded  bool          // the peer says that the message is over
+	LocalFailure  bool          // nothing was sent for want of something at this end
+	Load          []float64     // what the answer reports of the load, in the order of the settings; nil for nothing
 }
 
 // Endpoint is one endpoint of a partner as a source names it.
@@ -80,16 +80,16 @@
 	Weight  float64 // the partner's rate in calls a second over all senders; 0 if not told
 }
 
-// List is news of the endpoints.
-type List struct {
-	Whole     bool // what is not in it is gone; else changes only
+// EndpointList is news of the endpoints.
+type EndpointList struct {
+	Complete  bool // what is not in it is gone; else changes only
 	Endpoints []Endpoint
-	Part      float64 // of each partner's rate that the weights are made for; see [Parts.Allowed]
+	Share     float64 // of each partner's rate that the weights are made for; see [Dependencies.AllowedShare]
 }
 
-// News is what a source has to tell.
-type News struct {
-	List List
+// EndpointUpdate is what a source has to tell.
+type EndpointUpdate struct {
+	List EndpointList
 	// Epoch and Version are the source's own marks of where the news came from.
 	Epoch   int
 	Version int64
@@ -100,33 +100,33 @@
 	// Watch begins to follow the endpoints, unless it does so already. News come
 	// through tell, in order, until ctx is over. That single calls for them fail is
 	// the source's own affair: it goes on asking.
-	Watch(ctx context.Context, tell func(News))
-	// Takes says whether news that Watch has told are still good. The core asks
+	Watch(ctx context.Context, tell func(EndpointUpdate))
+	// AcceptUpdate says whether news that Watch has told are still good. The core asks
 	// right before it uses them.
-	Takes(n News) bool
+	AcceptUpdate(n EndpointUpdate) bool
 	// Version is the mark of the last news that were taken; 0 if there were none.
 	Version() int64
 }
 
 // Observation is what a sender has learnt of an endpoint, itself or from another one.
 type Observation struct {
-	Partner  string
-	Endpoint string        // its name
-	Wait     time.Duration // it has told to be left alone for so long from now
-	Out      bool          // it is out
-	Back     bool          // it has answered again, to a call that was begun when that was known
-	Turn     int           // heard: how many times more rarely than one alone it is to try it while it is out; 0 for 1
-	// Mark stands for what others had told when this was heard, and comes back with
+	Partner             string
+	Endpoint            string        // its name
+	RequestedWait       time.Duration // it has told to be left alone for so long from now
+	Outage              bool          // it is out
+	Recovered           bool          // it has answered again, to a call that was begun when that was known
+	TrialIntervalFactor int           // heard: how many times more rarely than one alone it is to try it while it is out; 0 for 1
+	// CausalMark stands for what others had told when this was heard, and comes back with
 	// what was found since.
-	Mark uint64
+	CausalMark uint64
 }
 
-// Others are senders with which observations are shared.
-type Others interface {
-	// Tell has the others told what this sender has learnt itself. It never waits.
-	Tell(Observation)
-	// Hear has what others have learnt handed to take, in order, until ctx is over.
-	Hear(ctx context.Context, take func([]Observation))
+// Peers are senders with which observations are shared.
+type Peers interface {
+	// Publish has the others told what this sender has learnt itself. It never waits.
+	Publish(Observation)
+	// Receive has what others have learnt handed to take, in order, until ctx is over.
+	Receive(ctx context.Context, take func([]Observation))
 }
 
 // EndSink is told how messages ended.
--- a/internal/core/step.go
+++ b/internal/core/step.go
@@ -44,12 +44,12 @@
 	clear(c.behind.placed)
 	c.tellStates()
 	c.workBehind()
-	c.metrics.Held.Store(int64(c.open))
-	c.metrics.EndsWaiting.Store(int64(len(c.untold)))
+	c.metrics.Pending.Store(int64(c.open))
+	c.metrics.EndsAwaitingWrite.Store(int64(len(c.untold)))
 }
 
 // record adds what the module has decided to what the journal is to get.
-func (c *Core) record(actions []logic.Action, answers map[string]Answer, now int64) {
+func (c *Core) record(actions []logic.Action, answers map[string]SubmitResponse, now int64) {
 	for _, p := range c.puts {
 		id := p.msg.ID
 		if _, told := answers[id]; !told && c.fresh[id] == p.msg && !c.behind.placed[id] {
@@ -76,29 +76,29 @@
 
 // answerPuts tells clients what became of the messages that they have handed in. err
 // is what became of the journal, notBehind of what goes behind windows.
-func (c *Core) answerPuts(answers map[string]Answer, err, notBehind error) {
+func (c *Core) answerPuts(answers map[string]SubmitResponse, err, notBehind error) {
 	for _, p := range c.puts {
 		id := p.msg.ID
 		switch answer, told := answers[id]; {
 		case told:
-			c.metrics.TurnedAway.Add(1)
+			c.metrics.Rejected.Add(1)
 			p.tell(answer)
 		case c.behind.placed[id]:
 			if notBehind != nil {
-				p.tell(Answer{Verdict: Busy})
+				p.tell(SubmitResponse{Status: Busy})
 			} else {
-				p.tell(Answer{Verdict: Accepted, Again: c.fresh[id] != p.msg})
+				p.tell(SubmitResponse{Status: Accepted, Duplicate: c.fresh[id] != p.msg})
 			}
 		case err != nil && c.store.Entry(id) == nil: // not written, so not taken on
-			c.metrics.TurnedAway.Add(1)
-			p.tell(Answer{Verdict: Busy})
+			c.metrics.Rejected.Add(1)
+			p.tell(SubmitResponse{Status: Busy})
 			if c.fresh[id] == p.msg {
 				c.drop(id)
 				c.next = append(c.next, logic.ClientGone{ID: id})
 			}
 		default:
 			c.metrics.Accepted.Add(1)
-			p.tell(Answer{Verdict: Accepted, Again: c.fresh[id] != p.msg})
+			p.tell(SubmitResponse{Status: Accepted, Duplicate: c.fresh[id] != p.msg})
 		}
 	}
 	clear(c.puts)
@@ -215,7 +215,7 @@
 }
 
 // act carries out one word of the module that is no call.
-func (c *Core) act(work context.Context, a logic.Action, answers map[string]Answer, now int64) {
+func (c *Core) act(work context.Context, a logic.Action, answers map[string]SubmitResponse, now int64) {
 	switch a := a.(type) {
 	case logic.Cancel:
 		if h := c.held[a.ID]; h != nil && h.stop != nil && h.tries-1 == a.Attempt {
@@ -245,11 +245,11 @@
 	case logic.Probe:
 		c.probe(work, a.Endpoint)
 	case logic.Release:
-		c.transport.Release(a.Endpoint)
+		c.transport.CloseIdle(a.Endpoint)
 	case logic.Listen:
 		c.watch()
 	case logic.Learnt:
-		c.share(Observation{Out: a.Out, Back: !a.Out}, a.Endpoint)
+		c.share(Observation{Outage: a.Out, Recovered: !a.Out}, a.Endpoint)
 	case logic.Log:
 		c.log.Info(a.Text)
 	}
--- a/internal/core/submit.go
+++ b/internal/core/submit.go
@@ -9,32 +9,32 @@
 	"cometrack/logic"
 )
 
-// Verdict says what became of a message that was handed in.
-type Verdict int
+// SubmitStatus says what became of a message that was handed in.
+type SubmitStatus int
 
 // The verdicts.
 const (
-	Accepted  Verdict = iota // taken on: the sender owes it its end
-	Busy                     // turned away; handing it in again is harmless
-	Failed                   // ended at once, and not to be handed in again
-	NoPartner                // no endpoint of this partner is known
-	Conflict                 // its id belongs to another message
-	Stopped                  // the sender has stopped; not taken on
+	Accepted       SubmitStatus = iota // taken on: the sender owes it its end
+	Busy                               // turned away; handing it in again is harmless
+	Failed                             // ended at once, and not to be handed in again
+	UnknownPartner                     // no endpoint of this partner is known
+	Conflict                           // its id belongs to another message
+	Stopped                            // the sender has stopped; not taken on
 )
 
-// Answer is the one answer to a message that was handed in.
-type Answer struct {
-	Verdict Verdict
-	After   time.Duration // Busy: when to come again; 0 if that is not told
-	Again   bool          // Accepted: the message was known already
+// SubmitResponse is the one answer to a message that was handed in.
+type SubmitResponse struct {
+	Status     SubmitStatus
+	RetryAfter time.Duration // Busy: when to come again; 0 if that is not told
+	Duplicate  bool          // Accepted: the message was known already
 }
 
 // Submit hands a message in that [Core.Check] has passed. The answer comes as
 // soon as the message is journalled, or the module has given it up; answer must
 // have room for it.
-func (c *Core) Submit(m *message.Message, answer chan<- Answer) {
+func (c *Core) Submit(m *message.Message, answer chan<- SubmitResponse) {
 	if !c.post(putEvent{msg: m, answer: answer}) {
-		answer <- Answer{Verdict: Stopped}
+		answer <- SubmitResponse{Status: Stopped}
 	}
 }
 
@@ -64,11 +64,11 @@
 	if digest, ok := c.known(m.ID); ok {
 		switch {
 		case digest != m.Digest():
-			ev.tell(Answer{Verdict: Conflict})
+			ev.tell(SubmitResponse{Status: Conflict})
 		case c.fresh[m.ID] != nil:
 			c.puts = append(c.puts, ev) // it gets the answer of the first
 		default:
-			ev.tell(Answer{Verdict: Accepted, Again: true})
+			ev.tell(SubmitResponse{Status: Accepted, Duplicate: true})
 		}
 		return
 	}
@@ -77,26 +77,26 @@
 	}
 	class := c.terms.class(m.Class)
 	if class == nil { // dropped since it was checked: its client is told when it comes again
-		ev.tell(Answer{Verdict: Busy})
+		ev.tell(SubmitResponse{Status: Busy})
 		return
 	}
 	if !c.dir.serves(m.Partner) {
 		if c.heard {
-			ev.tell(Answer{Verdict: NoPartner})
+			ev.tell(SubmitResponse{Status: UnknownPartner})
 		} else { // nobody has told yet what there is
-			ev.tell(Answer{Verdict: Busy, After: time.Second})
+			ev.tell(SubmitResponse{Status: Busy, RetryAfter: time.Second})
 		}
 		return
 	}
 	if !c.roomFor(ev.door) {
-		ev.tell(Answer{Verdict: Busy})
+		ev.tell(SubmitResponse{Status: Busy})
 		return
 	}
 	if c.place(ev, class) {
 		return
 	}
 	if !c.store.Room(len(m.Body)) {
-		ev.tell(Answer{Verdict: Busy})
+		ev.tell(SubmitResponse{Status: Busy})
 		return
 	}
 	now := c.clock.Now()
@@ -117,12 +117,12 @@
 
 // answers finds the messages that the module ends in the step in which they came:
 // their clients are told at once.
-func (c *Core) answers(actions []logic.Action) map[string]Answer {
-	var out map[string]Answer
-	tell := func(id string, a Answer) {
+func (c *Core) answers(actions []logic.Action) map[string]SubmitResponse {
+	var out map[string]SubmitResponse
+	tell := func(id string, a SubmitResponse) {
 		if c.fresh[id] != nil {
 			if out == nil {
-				out = map[string]Answer{}
+				out = map[string]SubmitResponse{}
 			}
 			out[id] = a
 		}
@@ -133,9 +133,9 @@
 	for _, a := range actions {
 		switch a := a.(type) {
 		case logic.Refuse:
-			tell(a.ID, Answer{Verdict: Busy, After: span(a.RetryIn)})
+			tell(a.ID, SubmitResponse{Status: Busy, RetryAfter: span(a.RetryIn)})
 		case logic.Fail:
-			tell(a.ID, Answer{Verdict: Failed})
+			tell(a.ID, SubmitResponse{Status: Failed})
 		}
 	}
 	return out
@@ -150,20 +150,20 @@
 
 // State is what the sender knows of a message.
 type State struct {
-	ID       string
-	Name     string // empty if nothing is known of it
-	Tenant   string
-	Partner  string
-	Class    string
-	Tries    int
-	After    time.Duration // returned: when to come again; 0 if not told
-	Accepted time.Time     // zero if not known
-	Deadline time.Time     // zero once it is over
-	Over     time.Time     // zero while it is not
+	ID         string
+	Name       string // empty if nothing is known of it
+	Tenant     string
+	Partner    string
+	Class      string
+	Attempts   int
+	RetryAfter time.Duration // returned: when to come again; 0 if not told
+	AcceptedAt time.Time     // zero if not known
+	Deadline   time.Time     // zero once it is over
+	EndedAt    time.Time     // zero while it is not
 }
 
-// IsOver says whether the message has had its end, or nothing is known of it.
-func (s *State) IsOver() bool { return s.Name != StateAccepted && s.Name != StateSending }
+// IsFinal says whether the message has had its end, or nothing is known of it.
+func (s *State) IsFinal() bool { return s.Name != StateAccepted && s.Name != StateSending }
 
 // ErrStopped says that the sender has stopped.
 var ErrStopped = errors.New("the sender has stopped")
@@ -194,23 +194,23 @@
 func (c *Core) state(id string) State {
 	if h := c.held[id]; h != nil && !h.over {
 		s := State{ID: id, Name: StateAccepted, Tenant: h.msg.Tenant, Partner: h.msg.Partner, Class: h.msg.Class,
-			Tries: h.tries, Accepted: c.wall(h.accepted), Deadline: c.wall(h.msg.Deadline)}
+			Attempts: h.tries, AcceptedAt: c.wall(h.accepted), Deadline: c.wall(h.msg.Deadline)}
 		if h.attempt != nil {
 			s.Name = StateSending
 		}
 		return s
 	}
 	if x := c.untoldEnd(id); x != nil { // to others it is not over yet
-		return State{ID: id, Name: StateAccepted, Tenant: x.msg.Tenant, Partner: x.msg.Partner, Class: x.msg.Class, Tries: x.end.Tries,
+		return State{ID: id, Name: StateAccepted, Tenant: x.msg.Tenant, Partner: x.msg.Partner, Class: x.msg.Class, Attempts: x.end.Tries,
 			Deadline: c.wall(x.msg.Deadline)}
 	}
 	if e := c.store.Entry(id); e != nil && e.End != nil {
-		return State{ID: id, Name: e.End.State, Tenant: e.Tenant, Partner: e.Partner, Class: e.Class, Tries: e.Tries,
-			After: time.Duration(e.End.AfterMS) * time.Millisecond, Accepted: c.wall(e.Accepted), Over: c.wall(e.End.At)}
+		return State{ID: id, Name: e.End.State, Tenant: e.Tenant, Partner: e.Partner, Class: e.Class, Attempts: e.Tries,
+			RetryAfter: time.Duration(e.End.AfterMS) * time.Millisecond, AcceptedAt: c.wall(e.Accepted), EndedAt: c.wall(e.End.At)}
 	}
 	if e := c.store.Ended(id); e != nil {
-		return State{ID: id, Name: e.State, Tenant: e.Tenant, Partner: e.Partner, Class: e.Class, Tries: e.Tries,
-			After: time.Duration(e.AfterMS) * time.Millisecond, Accepted: c.wall(e.Accepted), Over: c.wall(e.Over)}
+		return State{ID: id, Name: e.State, Tenant: e.Tenant, Partner: e.Partner, Class: e.Class, Attempts: e.Tries,
+			RetryAfter: time.Duration(e.AfterMS) * time.Millisecond, AcceptedAt: c.wall(e.Accepted), EndedAt: c.wall(e.Over)}
 	}
 	return State{ID: id}
 }
@@ -242,7 +242,7 @@
 		} else if s.Name == "" && c.lookState(ask) {
 			continue
 		}
-		if ask.watch && !s.IsOver() {
+		if ask.watch && !s.IsFinal() {
 			c.watchers[ask.id] = append(c.watchers[ask.id], ask.answer)
 			continue
 		}
--- a/internal/core/terms.go
+++ b/internal/core/terms.go
@@ -86,14 +86,14 @@
 	n     int        // of the change that the overlap is of
 }
 
-// Retune puts other settings in the place of those that hold, whole or not at all.
+// UpdateSettings puts other settings in the place of those that hold, whole or not at all.
 // Messages that are held keep the terms that they were taken on under.
-func (c *Core) Retune(set logic.Settings, zones []string) error {
+func (c *Core) UpdateSettings(set logic.Settings, zones []string) error {
 	ev := retuneEvent{set: set, zones: zones, done: make(chan error, 1)}
 	return c.settle(ev, ev.done)
 }
 
-// retune is [Core.Retune] in the loop.
+// retune is [Core.UpdateSettings] in the loop.
 func (c *Core) retune(ev retuneEvent) {
 	if ev.done == nil {
 		if ev.n == c.retunes {
--- a/internal/core/terms_test.go
+++ b/internal/core/terms_test.go
@@ -45,7 +45,7 @@
 					r.kill()
 					cfg.Settings = set
 					r = newRig(t, dir, cfg).run()
-				} else if err := r.Retune(set, cfg.Zones); err != nil {
+				} else if err := r.UpdateSettings(set, cfg.Zones); err != nil {
 					t.Fatal(err)
 				}
 				cfg.Settings = set
@@ -65,7 +65,7 @@
 			}
 			// A refusal each: neither has run, and each has one attempt left.
 			for _, in := range calls {
-				in.result <- Result{Outcome: logic.Full, Wait: 2500e6}
+				in.result <- Result{Outcome: logic.Full, RequestedWait: 2500e6}
 			}
 			for r.state("x1") != StateAccepted || r.state("y1") != StateAccepted { // until the outcomes are in the journal
 			}
@@ -77,14 +77,14 @@
 			check("x", true)
 			bad := with(cfg, 1, "x unsafe")
 			bad.Classes[0].Deadline = 0
-			if err := r.Retune(bad, cfg.Zones); err == nil {
+			if err := r.UpdateSettings(bad, cfg.Zones); err == nil {
 				t.Error("a class without a deadline is taken up")
 			}
-			if err := r.Retune(with(cfg, 1, "x unsafe"), []string{"b", "a"}); err == nil {
+			if err := r.UpdateSettings(with(cfg, 1, "x unsafe"), []string{"b", "a"}); err == nil {
 				t.Error("zones that change places are taken up")
 			}
 			check("y", true) // a refusal changes nothing
-			if got := r.put(newMessage("x1", "x")); got.Verdict != Accepted || !got.Again {
+			if got := r.put(newMessage("x1", "x")); got.Status != Accepted || !got.Duplicate {
 				t.Errorf("handed in again: %+v", got)
 			}
 			// x1 was safe and y1 unsafe when they were taken on: after a break the one is sent again no more than
@@ -116,7 +116,7 @@
 	cfg := testConfig()
 	cfg.Settings = with(cfg, 3, "x unsafe")
 	r := newRig(t, t.TempDir(), cfg).run()
-	if err := r.Retune(with(cfg, 3, "x safe"), cfg.Zones); err != nil {
+	if err := r.UpdateSettings(with(cfg, 3, "x safe"), cfg.Zones); err != nil {
 		t.Fatal(err)
 	}
 	r.put(newMessage("early", "x"))
--- a/internal/core/trace.go
+++ b/internal/core/trace.go
@@ -27,7 +27,7 @@
 	if c.tracing() {
 		a := ev.attempt
 		c.log.Debug("reply", "id", a.Message.ID, "partner", a.Message.Partner, "ep", c.dir.eps[a.Endpoint].name, "outcome", ev.result.Outcome.String(),
-			"took", ev.took.Milliseconds(), "wait", ev.result.Wait.Milliseconds())
+			"took", ev.took.Milliseconds(), "wait", ev.result.RequestedWait.Milliseconds())
 	}
 }
 
--- a/internal/daemon/handover.go
+++ b/internal/daemon/handover.go
@@ -25,7 +25,7 @@
 	takenTime   = 2 * time.Second        // for a successor to say that it has taken a snapshot
 	fencePause  = 20 * time.Millisecond  // between two looks at the lock of one that was ended
 	fenceTime   = 5 * time.Second        // for the lock to come free
-	dyingTime   = core.DyingTime         // for that of a process whose socket has broken
+	dyingTime   = core.LockReleaseTime   // for that of a process whose socket has broken
 	acceptRetry = 200 * time.Millisecond // after a failed accept
 )
 
@@ -40,7 +40,7 @@
 			if kept, err = open(); err == nil {
 				return kept, in, nil
 			}
-			in.Link.Close()
+			in.Predecessor.Close()
 			closeAll(in.Listeners)
 		case errors.Is(err, errNobody):
 			if kept, err = open(); err == nil {
@@ -67,7 +67,7 @@
 func UntilTaken(log *slog.Logger, run func() error) error {
 	for {
 		err := run()
-		if !errors.Is(err, core.ErrNotTaken) {
+		if !errors.Is(err, core.ErrPredecessorUnreachable) {
 			return err
 		}
 		log.Error("the handover is asked for again", "err", err)
@@ -112,7 +112,7 @@
 		if m.Format != handover.Format || m.Listeners != len(files) {
 			return nil, fmt.Errorf("a snapshot of format %d with %d of %d listeners", m.Format, len(files), m.Listeners)
 		}
-		in := &core.Takeover{Snapshot: m, Link: link{c}}
+		in := &core.Takeover{Snapshot: m, Predecessor: link{c}}
 		for _, f := range files {
 			ln, err := net.FileListener(f)
 			if err != nil {
@@ -139,8 +139,8 @@
 // link is a connection as the core uses it.
 type link struct{ *handover.Conn }
 
-// Listen tells what comes until the connection ends.
-func (l link) Listen(tell func(m any), gone func(error)) {
+// ReceiveMessages tells what comes until the connection ends.
+func (l link) ReceiveMessages(tell func(m any), gone func(error)) {
 	for {
 		m, files, err := l.Receive()
 		for _, f := range files { // none is due
@@ -162,8 +162,8 @@
 	given bool // it has been sent the snapshot, or may have been
 }
 
-// Give is [core.Successor.Give].
-func (h *successor) Give(snapshot *handover.Snapshot, listeners []net.Listener) (taken bool, err error) {
+// Transfer is [core.Successor.Transfer].
+func (h *successor) Transfer(snapshot *handover.Snapshot, listeners []net.Listener) (taken bool, err error) {
 	h.given = true
 	s := handover.Situation{}
 	var files []int
--- a/internal/daemon/harness_test.go
+++ b/internal/daemon/harness_test.go
@@ -76,7 +76,7 @@
 		t.Fatal(err)
 	}
 	cfg.StateDir = dir
-	n, err := NewPlatform(t.Context(), cfg, lifecycle.NewLife(core.Times, slog.New(slog.DiscardHandler)), slog.New(slog.DiscardHandler))
+	n, err := NewPlatform(t.Context(), cfg, lifecycle.NewLife(core.LifecycleTimes, slog.New(slog.DiscardHandler)), slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/daemon/others.go
+++ b/internal/daemon/others.go
@@ -44,21 +44,21 @@
 // observations is how the core hears of other senders, and they of it.
 type observations struct{ *cluster.Cluster }
 
-// Tell has the others told.
-func (x observations) Tell(l core.Observation) {
-	if l.Wait > 0 {
-		x.TellWait(l.Partner, l.Endpoint, l.Wait)
+// Publish has the others told.
+func (x observations) Publish(l core.Observation) {
+	if l.RequestedWait > 0 {
+		x.TellWait(l.Partner, l.Endpoint, l.RequestedWait)
 		return
 	}
-	x.TellHealth(l.Partner, l.Endpoint, l.Out, l.Mark)
+	x.TellHealth(l.Partner, l.Endpoint, l.Outage, l.CausalMark)
 }
 
-// Hear hands on what the others tell.
-func (x observations) Hear(ctx context.Context, take func([]core.Observation)) {
+// Receive hands on what the others tell.
+func (x observations) Receive(ctx context.Context, take func([]core.Observation)) {
 	x.Cluster.Hear(ctx, func(list []facts.Observation) {
 		out := make([]core.Observation, 0, len(list))
 		for _, l := range list {
-			out = append(out, core.Observation{Partner: l.Partner, Endpoint: l.Endpoint, Wait: l.Left, Out: l.Out, Back: l.Back, Turn: l.Turn, Mark: l.Mark})
+			out = append(out, core.Observation{Partner: l.Partner, Endpoint: l.Endpoint, RequestedWait: l.Left, Outage: l.Out, Recovered: l.Back, TrialIntervalFactor: l.Turn, CausalMark: l.Mark})
 		}
 		take(out)
 	})
--- a/internal/daemon/platform.go
+++ b/internal/daemon/platform.go
@@ -66,14 +66,14 @@
 	conf := core.Config{Name: cfg.Name, Settings: set, Seed: cfg.Seed, Zones: cfg.Deploy.Zones}
 	if cfg.Known.Generation != 0 || len(cfg.Known.Instances) > 0 {
 		known := cfg.Known.List()
-		known.Whole = true
-		conf.Known = &known
+		known.Complete = true
+		conf.CachedEndpoints = &known
 	}
 	transport := httptransport.New(span(cfg.Deploy.ConnectTimeout), span(set.ConnIdle),
 		httptransport.Limits{Open: share.calls, Idle: share.idle, PerEndpoint: set.Slots})
 	transport.Reports = cfg.Deploy.Reports
-	p.core, err = core.New(conf, core.Parts{Store: kept, Source: p.source, Sink: p.sink, Log: log, Transport: transport, Life: life, Monitor: monitor,
-		From: from, Reopen: func() (core.Store, error) { return open() }})
+	p.core, err = core.New(conf, core.Dependencies{Store: kept, Source: p.source, Sink: p.sink, Log: log, Transport: transport, Lifecycle: life, Monitor: monitor,
+		Takeover: from, ReopenStore: func() (core.Store, error) { return open() }})
 	if err != nil {
 		kept.Close()
 		return nil, err
@@ -143,7 +143,7 @@
 			err = p.cfg.CanFollow(cfg)
 		}
 		if err == nil {
-			err = p.core.Retune(cfg.Deploy.Settings, cfg.Deploy.Zones)
+			err = p.core.UpdateSettings(cfg.Deploy.Settings, cfg.Deploy.Zones)
 		}
 		if err != nil {
 			p.log.Error("reload: the old configuration stands", "err", err)
--- a/internal/daemon/standalone.go
+++ b/internal/daemon/standalone.go
@@ -56,16 +56,16 @@
 	if err != nil {
 		return nil, err
 	}
-	parts := core.Parts{Monitor: permit.NewMonitor(log), Behind: behind(f, log), Store: kept, Life: life, From: from, Reopen: func() (core.Store, error) { return open() }, Log: log}
+	parts := core.Dependencies{Monitor: permit.NewMonitor(log), OpenBacklog: behind(f, log), Store: kept, Lifecycle: life, Takeover: from, ReopenStore: func() (core.Store, error) { return open() }, Log: log}
 	var others *cluster.Cluster
 	if f.Cluster != nil {
 		if others, err = cluster.Open(meet(f, log)); err != nil {
 			kept.Close()
 			return nil, err
 		}
-		parts.Allowed = others.Allowed
+		parts.AllowedShare = others.Allowed
 		if f.Shares() {
-			parts.Others = observations{others}
+			parts.Peers = observations{others}
 		}
 	}
 	s, err := assemble(f, others, parts)
@@ -79,8 +79,8 @@
 }
 
 // assemble puts a daemon together from its file, and those parts that are there.
-func assemble(f *config.File, others *cluster.Cluster, parts core.Parts) (*Standalone, error) {
-	s := &Standalone{file: f, cluster: others, life: parts.Life, monitor: parts.Monitor, log: parts.Log}
+func assemble(f *config.File, others *cluster.Cluster, parts core.Dependencies) (*Standalone, error) {
+	s := &Standalone{file: f, cluster: others, life: parts.Lifecycle, monitor: parts.Monitor, log: parts.Log}
 	list, log := f.List(s.part()), parts.Log
 	s.source = static.New(list)
 	files := store.MostFiles(int64(f.Limits.DiskMB)*1e6) + backlogFiles(f)
@@ -113,7 +113,7 @@
 	parts.Transport, parts.Source, parts.Sink = transport, s.source, sink
 	var err error
 	s.core, err = core.New(core.Config{Name: f.Name, Settings: f.Settings(), Seed: binary.LittleEndian.Uint64(seed[:]), Zones: f.Zones,
-		Known: &list, TellDelivered: true, KeepWaits: true}, parts)
+		CachedEndpoints: &list, NotifyDelivered: true, PersistWaits: true}, parts)
 	if err != nil {
 		return nil, err
 	}
@@ -137,13 +137,13 @@
 	}
 	memory := int64(f.Limits.MemoryMB) << 20 / largeShare / int64(n)
 	if h := f.Front.HTTP; h != nil {
-		s.http = httpfront.New(s.core.Door(n), httpfront.Options{Listen: h.Listen, Certificate: h.Certificate, Key: h.Key,
+		s.http = httpfront.New(s.core.NewFrontLimiter(n), httpfront.Options{Listen: h.Listen, Certificate: h.Certificate, Key: h.Key,
 			Connections: (share.clients + share.ending) / n, Memory: memory, LongPolls: h.LongPolls, Streams: h.Streams,
 			MaxWait: time.Duration(h.MaxWait), Tenant: tenant, Stream: stream, Defaults: s.core.Deadline, Log: s.log})
 		s.fronts = append(s.fronts, s.http)
 	}
 	if r := f.Front.RESP; r != nil {
-		s.resp = resp.New(s.core.Door(n), resp.Options{Listen: r.Listen, Connections: share.clients / n, Ending: share.ending / n, Memory: memory, Monitor: s.monitor,
+		s.resp = resp.New(s.core.NewFrontLimiter(n), resp.Options{Listen: r.Listen, Connections: share.clients / n, Ending: share.ending / n, Memory: memory, Monitor: s.monitor,
 			Tenant: tenant,
 			Ready:  func() bool { return s.life.View().Ready }, Log: s.log})
 		s.fronts = append(s.fronts, s.resp)
@@ -209,7 +209,7 @@
 		s.log.Error("reload: the old configuration stands", "err", err)
 		return
 	}
-	if err := s.core.Retune(f.Settings(), f.Zones); err != nil {
+	if err := s.core.UpdateSettings(f.Settings(), f.Zones); err != nil {
 		s.log.Error("reload: the old configuration stands", "err", err)
 		return
 	}
--- a/internal/daemon/standalone_test.go
+++ b/internal/daemon/standalone_test.go
@@ -49,7 +49,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s, err := NewStandalone(t.Context(), f, lifecycle.NewLife(core.Times, slog.New(slog.DiscardHandler)), slog.New(slog.DiscardHandler))
+	s, err := NewStandalone(t.Context(), f, lifecycle.NewLife(core.LifecycleTimes, slog.New(slog.DiscardHandler)), slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -115,7 +115,7 @@
 	}
 	defer log.Close()
 	logger := slog.New(slog.NewTextHandler(log, nil))
-	d, err := daemon.NewStandalone(ctx, f, lifecycle.NewLife(core.Times, logger), logger)
+	d, err := daemon.NewStandalone(ctx, f, lifecycle.NewLife(core.LifecycleTimes, logger), logger)
 	if err != nil {
 		return fmt.Errorf("demo: %w", err)
 	}
--- a/internal/front/http/batch.go
+++ b/internal/front/http/batch.go
@@ -44,7 +44,7 @@
 // pending is a line whose answer may not be there yet.
 type pending struct {
 	batchResult
-	answer chan core.Answer
+	answer chan core.SubmitResponse
 }
 
 // batch takes one message a line and answers one result a line, in order, each as
@@ -133,7 +133,7 @@
 		bad.ID = q.msg.ID
 		return failed(n, bad)
 	}
-	p := pending{batchResult: batchResult{Line: n, ID: q.msg.ID}, answer: make(chan core.Answer, 1)}
+	p := pending{batchResult: batchResult{Line: n, ID: q.msg.ID}, answer: make(chan core.SubmitResponse, 1)}
 	f.core.Submit(&q.msg, p.answer)
 	return p
 }
@@ -166,7 +166,7 @@
 	}
 }
 
-func (p *pending) answered(a core.Answer) {
+func (p *pending) answered(a core.SubmitResponse) {
 	if bad := refusal(p.ID, a); bad != nil {
 		bad.Title = http.StatusText(bad.Status)
 		p.Status, p.Problem = bad.Status, bad
--- a/internal/front/http/front.go
+++ b/internal/front/http/front.go
@@ -37,11 +37,11 @@
 	lastAnswers = permit.MaxStall + 100*time.Millisecond
 )
 
-// Core is what the front hands requests to. [core.Door] is one.
+// Core is what the front hands requests to. [core.FrontLimiter] is one.
 type Core interface {
 	Clock() *clock.Clock
 	Check(m *message.Message, hold time.Duration) error
-	Submit(m *message.Message, answer chan<- core.Answer)
+	Submit(m *message.Message, answer chan<- core.SubmitResponse)
 	State(ctx context.Context, id string, wait bool) (core.State, error)
 }
 
@@ -191,9 +191,9 @@
 	return nil
 }
 
-// Use gives the front a listener that another process has listened on, if it is at
+// AdoptListener gives the front a listener that another process has listened on, if it is at
 // the front's address.
-func (f *Front) Use(ln net.Listener) bool {
+func (f *Front) AdoptListener(ln net.Listener) bool {
 	if !netutil.Serves(f.opts.Listen, ln.Addr()) {
 		return false
 	}
@@ -229,7 +229,7 @@
 }
 
 // Retire has connections closed between requests, or no longer.
-func (f *Front) Retire(on bool) { f.server.SetKeepAlivesEnabled(!on) }
+func (f *Front) DisableKeepAlives(on bool) { f.server.SetKeepAlivesEnabled(!on) }
 
 // CloseListener ends the taking of new clients, but for those that wait to be accepted
 // already.
--- a/internal/front/http/front_test.go
+++ b/internal/front/http/front_test.go
@@ -29,7 +29,7 @@
 // scripted is a core whose answers a test sets.
 type scripted struct {
 	check  error
-	answer core.Answer
+	answer core.SubmitResponse
 	state  core.State
 	got    chan *message.Message
 	wait   chan struct{} // closed when a state that is waited for is there
@@ -48,7 +48,7 @@
 // Clock shows about Unix time.
 func (s *scripted) Clock() *clock.Clock { now := time.Now(); return clock.New(now.UnixMicro(), now) }
 
-func (s *scripted) Submit(m *message.Message, answer chan<- core.Answer) {
+func (s *scripted) Submit(m *message.Message, answer chan<- core.SubmitResponse) {
 	if s.got != nil {
 		s.got <- m
 	}
@@ -157,16 +157,16 @@
 	router := spec(t, base)
 	const good = "/v1/messages?partner=p&class=c&id=a"
 	for _, x := range []struct {
-		answer core.Answer
+		answer core.SubmitResponse
 		check  error
 		status int
 		retry  string
 	}{
-		{core.Answer{}, nil, 202, ""}, {core.Answer{Again: true}, nil, 202, ""},
-		{core.Answer{Verdict: core.Busy, After: 1500 * time.Millisecond}, nil, 429, "2"}, {core.Answer{Verdict: core.Busy}, nil, 503, ""},
-		{core.Answer{Verdict: core.Failed}, nil, 422, ""}, {core.Answer{Verdict: core.NoPartner}, nil, 400, ""},
-		{core.Answer{Verdict: core.Conflict}, nil, 409, ""}, {core.Answer{Verdict: core.Stopped}, nil, 503, ""},
-		{core.Answer{}, &core.FieldError{Field: "class", Reason: "unknown class"}, 400, ""}, {core.Answer{}, errors.New("other"), 400, ""},
+		{core.SubmitResponse{}, nil, 202, ""}, {core.SubmitResponse{Duplicate: true}, nil, 202, ""},
+		{core.SubmitResponse{Status: core.Busy, RetryAfter: 1500 * time.Millisecond}, nil, 429, "2"}, {core.SubmitResponse{Status: core.Busy}, nil, 503, ""},
+		{core.SubmitResponse{Status: core.Failed}, nil, 422, ""}, {core.SubmitResponse{Status: core.UnknownPartner}, nil, 400, ""},
+		{core.SubmitResponse{Status: core.Conflict}, nil, 409, ""}, {core.SubmitResponse{Status: core.Stopped}, nil, 503, ""},
+		{core.SubmitResponse{}, &core.FieldError{Field: "class", Reason: "unknown class"}, 400, ""}, {core.SubmitResponse{}, errors.New("other"), 400, ""},
 	} {
 		s.answer, s.check = x.answer, x.check
 		resp, fields := do(t, router, "POST", base+good, strings.NewReader("x"))
@@ -187,9 +187,9 @@
 	if resp, _ := do(t, router, "GET", base+"/v1/messages/a", nil); resp.StatusCode != 404 {
 		t.Errorf("unknown: %d", resp.StatusCode)
 	}
-	for _, st := range []core.State{{Name: core.StateAccepted, Partner: "p", Class: "c", Accepted: time.Now(), Deadline: time.Now()},
-		{Name: core.StateSending, Tries: 1, Accepted: time.Now(), Deadline: time.Now()}, {Name: message.Delivered, Tries: 2, Over: time.Now()},
-		{Name: message.Returned, After: time.Second, Over: time.Now(), Tenant: "t"}, {Name: message.Failed, Over: time.Now()}} {
+	for _, st := range []core.State{{Name: core.StateAccepted, Partner: "p", Class: "c", AcceptedAt: time.Now(), Deadline: time.Now()},
+		{Name: core.StateSending, Attempts: 1, AcceptedAt: time.Now(), Deadline: time.Now()}, {Name: message.Delivered, Attempts: 2, EndedAt: time.Now()},
+		{Name: message.Returned, RetryAfter: time.Second, EndedAt: time.Now(), Tenant: "t"}, {Name: message.Failed, EndedAt: time.Now()}} {
 		s.state = st
 		if resp, fields := do(t, router, "GET", base+"/v1/messages/a", nil); resp.StatusCode != 200 || fields["state"] != st.Name {
 			t.Errorf("%+v: %d %v", st, resp.StatusCode, fields)
@@ -539,7 +539,7 @@
 func TestRetire(t *testing.T) {
 	f, base := newFront(t, &scripted{})
 	for _, retire := range []bool{false, true, false} {
-		f.Retire(retire)
+		f.DisableKeepAlives(retire)
 		resp, _ := do(t, nil, "GET", base+"/openapi.json", nil)
 		if resp.Close != retire {
 			t.Errorf("retiring %v: the connection is closed: %v", retire, resp.Close)
--- a/internal/front/http/messages.go
+++ b/internal/front/http/messages.go
@@ -38,8 +38,8 @@
 		t = t.UTC()
 		return &t
 	}
-	return stateJSON{ID: s.ID, State: s.Name, Partner: s.Partner, Class: s.Class, Tenant: s.Tenant, Tries: s.Tries,
-		Accepted: at(s.Accepted), Deadline: at(s.Deadline), Over: at(s.Over), RetryAfterMS: s.After.Milliseconds()}
+	return stateJSON{ID: s.ID, State: s.Name, Partner: s.Partner, Class: s.Class, Tenant: s.Tenant, Tries: s.Attempts,
+		Accepted: at(s.AcceptedAt), Deadline: at(s.Deadline), Over: at(s.EndedAt), RetryAfterMS: s.RetryAfter.Milliseconds()}
 }
 
 func writeJSON(w http.ResponseWriter, status int, v any) {
@@ -141,7 +141,7 @@
 		bad.write(w)
 		return
 	}
-	answer := make(chan core.Answer, 1)
+	answer := make(chan core.SubmitResponse, 1)
 	f.core.Submit(&q.msg, answer)
 	if bad := refusal(q.msg.ID, <-answer); bad != nil {
 		bad.write(w)
@@ -218,7 +218,7 @@
 	}
 	http.NewResponseController(w).SetWriteDeadline(time.Now().Add(wait + answerTime))
 	s, err := f.core.State(r.Context(), id, false)
-	if err == nil && wait > 0 && !s.IsOver() && by.sees(s.Tenant) {
+	if err == nil && wait > 0 && !s.IsFinal() && by.sees(s.Tenant) {
 		select {
 		case f.polls <- struct{}{}:
 		default:
--- a/internal/front/http/problem.go
+++ b/internal/front/http/problem.go
@@ -46,17 +46,17 @@
 }
 
 // refusal is the problem that an answer stands for; nil if the message is taken on.
-func refusal(id string, a core.Answer) *problem {
-	switch a.Verdict {
+func refusal(id string, a core.SubmitResponse) *problem {
+	switch a.Status {
 	case core.Accepted:
 		return nil
 	case core.Busy:
-		if a.After > 0 {
+		if a.RetryAfter > 0 {
 			return &problem{Status: http.StatusTooManyRequests, ID: id, Detail: "turned away; nothing has been sent",
-				RetryAfterMS: (a.After + time.Millisecond - 1).Milliseconds()}
+				RetryAfterMS: (a.RetryAfter + time.Millisecond - 1).Milliseconds()}
 		}
 		return &problem{Status: http.StatusServiceUnavailable, ID: id, Detail: "no room for the message; nothing has been sent"}
-	case core.NoPartner:
+	case core.UnknownPartner:
 		return &problem{Status: http.StatusBadRequest, ID: id, Field: "partner", Detail: "unknown partner"}
 	case core.Conflict:
 		return &problem{Status: http.StatusConflict, ID: id, Field: "id", Detail: "the id belongs to another message"}
--- a/internal/front/http/shutdown_test.go
+++ b/internal/front/http/shutdown_test.go
@@ -20,15 +20,15 @@
 // later has messages answered by the test.
 type later struct {
 	scripted
-	asked chan chan<- core.Answer
+	asked chan chan<- core.SubmitResponse
 }
 
-func (l *later) Submit(_ *message.Message, answer chan<- core.Answer) { l.asked <- answer }
+func (l *later) Submit(_ *message.Message, answer chan<- core.SubmitResponse) { l.asked <- answer }
 
 // serveLater starts a front whose answers the test gives.
 func serveLater(t *testing.T) (*Front, *later) {
 	t.Helper()
-	c := &later{asked: make(chan chan<- core.Answer, 1)}
+	c := &later{asked: make(chan chan<- core.SubmitResponse, 1)}
 	f, _ := newFront(t, &c.scripted)
 	f.core = c
 	return f, c
@@ -73,7 +73,7 @@
 		t.Error("the front is shut down with a request unanswered")
 	case <-time.After(permit.MaxStall):
 	}
-	answer <- core.Answer{Verdict: core.Stopped}
+	answer <- core.SubmitResponse{Status: core.Stopped}
 	if line := byhand.Await(t, got, "answer"); !strings.Contains(line, fmt.Sprint(http.StatusServiceUnavailable)) {
 		t.Errorf("answer %q", line)
 	}
@@ -82,7 +82,7 @@
 
 // A connection that waited to be accepted was reset with its request as the listener closed: it is served.
 func TestDrainAcceptsWhoWaits(t *testing.T) {
-	c := &later{asked: make(chan chan<- core.Answer, 1)}
+	c := &later{asked: make(chan chan<- core.SubmitResponse, 1)}
 	f := New(c, Options{Listen: "127.0.0.1:0", Connections: 4, Stream: NewStream(1), Log: slog.New(slog.DiscardHandler),
 		Defaults: func(string) (time.Duration, bool) { return time.Minute, true }})
 	if err := f.Listen(); err != nil {
@@ -105,7 +105,7 @@
 	close(f.ln.(lateListener).goOn)
 	select {
 	case answer := <-c.asked:
-		answer <- core.Answer{}
+		answer <- core.SubmitResponse{}
 	case line := <-got:
 		t.Fatalf("the request ends with %q", line)
 	}
--- a/internal/front/resp/clients.go
+++ b/internal/front/resp/clients.go
@@ -30,7 +30,7 @@
 type Core interface {
 	Clock() *clock.Clock
 	Check(m *message.Message, hold time.Duration) error
-	Submit(m *message.Message, answer chan<- core.Answer)
+	Submit(m *message.Message, answer chan<- core.SubmitResponse)
 	State(ctx context.Context, id string, wait bool) (core.State, error)
 }
 
@@ -87,9 +87,9 @@
 	return err
 }
 
-// Use gives the front a listener that another process has listened on, if it is at
+// AdoptListener gives the front a listener that another process has listened on, if it is at
 // the front's address.
-func (c *Front) Use(ln net.Listener) bool {
+func (c *Front) AdoptListener(ln net.Listener) bool {
 	if !netutil.Serves(c.opts.Listen, ln.Addr()) {
 		return false
 	}
@@ -248,8 +248,8 @@
 	delete(c.sessions, s)
 }
 
-// Retire has connections closed between requests, or no longer.
-func (c *Front) Retire(on bool) {
+// DisableKeepAlives has connections closed between requests, or no longer.
+func (c *Front) DisableKeepAlives(on bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.closing || c.retiring == on {
--- a/internal/front/resp/commands.go
+++ b/internal/front/resp/commands.go
@@ -23,13 +23,13 @@
 )
 
 // lineOf is the answer to a message that was handed in, as a line.
-func lineOf(a core.Answer) string {
-	switch a.Verdict {
+func lineOf(a core.SubmitResponse) string {
+	switch a.Status {
 	case core.Accepted:
 		return answerOK
 	case core.Busy:
-		return busyLine(a.After)
-	case core.NoPartner:
+		return busyLine(a.RetryAfter)
+	case core.UnknownPartner:
 		return answerUnknown
 	case core.Conflict:
 		return answerConflict
@@ -76,7 +76,7 @@
 		if err != nil {
 			return errLine(err.Error())
 		}
-		later := make(chan core.Answer, 1)
+		later := make(chan core.SubmitResponse, 1)
 		s.c.core.Submit(m, later)
 		return answer{later: later}
 	case "MSG.STATE":
@@ -191,14 +191,14 @@
 	add("state", st.Name)
 	add("partner", st.Partner)
 	add("class", st.Class)
-	add("tries", strconv.Itoa(st.Tries))
-	if st.After > 0 {
-		add("after_ms", strconv.FormatInt(st.After.Milliseconds(), 10))
+	add("tries", strconv.Itoa(st.Attempts))
+	if st.RetryAfter > 0 {
+		add("after_ms", strconv.FormatInt(st.RetryAfter.Milliseconds(), 10))
 	}
 	for _, t := range [...]struct {
 		name string
 		at   time.Time
-	}{{"accepted", st.Accepted}, {"deadline", st.Deadline}, {"over", st.Over}} {
+	}{{"accepted", st.AcceptedAt}, {"deadline", st.Deadline}, {"over", st.EndedAt}} {
 		if !t.at.IsZero() {
 			add(t.name, t.at.UTC().Format(time.RFC3339Nano))
 		}
@@ -236,7 +236,7 @@
 			m.Key = value
 		case "d":
 			ms, err := strconv.ParseInt(value, 10, 64)
-			if err != nil || ms < 0 || ms > core.MaxHold.Milliseconds() {
+			if err != nil || ms < 0 || ms > core.MaxRequestedTime.Milliseconds() {
 				return nil, 0, errors.New("bad time")
 			}
 			hold = time.Duration(ms) * time.Millisecond
--- a/internal/front/resp/crossing_test.go
+++ b/internal/front/resp/crossing_test.go
@@ -26,7 +26,7 @@
 	n  int
 }
 
-func (c *counting) Submit(m *message.Message, answer chan<- core.Answer) {
+func (c *counting) Submit(m *message.Message, answer chan<- core.SubmitResponse) {
 	c.mu.Lock()
 	c.n++
 	c.mu.Unlock()
@@ -88,7 +88,7 @@
 	t.Cleanup(func() { ln.Close() })
 	opts.Listen, opts.Log = "127.0.0.1:0", slog.New(slog.DiscardHandler)
 	f, l := New(c, opts), crossing{ln, make(chan *net.TCPConn, 16), make(chan func(net.Conn), 16)}
-	if !f.Use(l) {
+	if !f.AdoptListener(l) {
 		t.Fatal("the front does not take the listener")
 	}
 	go f.Serve()
@@ -107,7 +107,7 @@
 				t.Errorf("the new client gets %q", got)
 			}
 		},
-		"at a drain": func(t *testing.T, f *Front) { f.Retire(true) },
+		"at a drain": func(t *testing.T, f *Front) { f.DisableKeepAlives(true) },
 		"at the end of the process": func(t *testing.T, f *Front) {
 			f.CloseListener()
 			go f.Shutdown(t.Context(), true)
@@ -222,7 +222,7 @@
 			at := time.Now()
 			f.CloseListener()
 			f.Shutdown(ctx, hurry)
-			took, most := time.Since(at), core.Times.Stop-core.Times.Door
+			took, most := time.Since(at), core.LifecycleTimes.Stop-core.LifecycleTimes.Door
 			if took > most {
 				t.Errorf("ended after %v, and has %v", took, most)
 			}
@@ -239,14 +239,14 @@
 // An answer that is on its way as connections begin to be closed between requests: its connection is closed right after
 // it, not only when it has rested for long.
 func TestAnswerCrossesDrain(t *testing.T) {
-	later := later{yes{}, make(chan chan<- core.Answer, 1)}
+	later := later{yes{}, make(chan chan<- core.SubmitResponse, 1)}
 	f, _ := serveCrossing(t, later, Options{Connections: 2})
 	c := dial(t, f)
 	io.WriteString(c.conn, putLate)
 	answer := byhand.Await(t, later.asked, "message")
-	f.Retire(true)
+	f.DisableKeepAlives(true)
 	at := time.Now()
-	answer <- core.Answer{}
+	answer <- core.SubmitResponse{}
 	if got := c.ended(); got != "+OK\r\n" {
 		t.Errorf("got %q", got)
 	}
@@ -258,10 +258,10 @@
 // later has messages answered by the test.
 type later struct {
 	yes
-	asked chan chan<- core.Answer
+	asked chan chan<- core.SubmitResponse
 }
 
-func (l later) Submit(_ *message.Message, answer chan<- core.Answer) { l.asked <- answer }
+func (l later) Submit(_ *message.Message, answer chan<- core.SubmitResponse) { l.asked <- answer }
 
 // What a client sends on and on after the end is read up to a bound.
 func TestEndingReadsNotMuch(t *testing.T) {
@@ -340,7 +340,7 @@
 	f **Front
 }
 
-func (c lastMoment) Submit(m *message.Message, answer chan<- core.Answer) {
+func (c lastMoment) Submit(m *message.Message, answer chan<- core.SubmitResponse) {
 	(*c.f).over.Store(true)
 	c.yes.Submit(m, answer)
 }
@@ -380,7 +380,7 @@
 // A request was read, and the process ended before its answer came, since it was held up for 0.15 s: the end waits for
 // the answer.
 func TestEndWaitsForAnswers(t *testing.T) {
-	asked := make(chan chan<- core.Answer, 1)
+	asked := make(chan chan<- core.SubmitResponse, 1)
 	f, _ := serveCrossing(t, later{asked: asked}, Options{Connections: 1})
 	c := dial(t, f)
 	io.WriteString(c.conn, putLate)
@@ -393,7 +393,7 @@
 		t.Error("the front is shut down with a request unanswered")
 	case <-time.After(permit.MaxStall):
 	}
-	answer <- core.Answer{}
+	answer <- core.SubmitResponse{}
 	if got := c.line(); got != "+OK" {
 		t.Errorf("answer %q", got)
 	}
@@ -409,7 +409,7 @@
 	asked, goOn chan struct{}
 }
 
-func (b *busy) Submit(m *message.Message, answer chan<- core.Answer) {
+func (b *busy) Submit(m *message.Message, answer chan<- core.SubmitResponse) {
 	b.asked <- struct{}{}
 	<-b.goOn
 	b.counting.Submit(m, answer)
--- a/internal/front/resp/front_test.go
+++ b/internal/front/resp/front_test.go
@@ -26,12 +26,14 @@
 
 func (yes) Clock() *clock.Clock { now := time.Now(); return clock.New(now.UnixMicro(), now) }
 
-func (yes) Submit(_ *message.Message, answer chan<- core.Answer) { answer <- core.Answer{} }
+func (yes) Submit(_ *message.Message, answer chan<- core.SubmitResponse) {
+	answer <- core.SubmitResponse{}
+}
 
 func (yes) State(_ context.Context, id string, _ bool) (core.State, error) {
 	if id == "known" {
-		return core.State{ID: id, Name: message.Returned, Tenant: "acme", Partner: "p", Class: "c", Tries: 2,
-			After: 1500 * time.Millisecond, Over: time.UnixMilli(1)}, nil
+		return core.State{ID: id, Name: message.Returned, Tenant: "acme", Partner: "p", Class: "c", Attempts: 2,
+			RetryAfter: 1500 * time.Millisecond, EndedAt: time.UnixMilli(1)}, nil
 	}
 	return core.State{ID: id}, nil
 }
--- a/internal/front/resp/session.go
+++ b/internal/front/resp/session.go
@@ -70,7 +70,7 @@
 // answer is the answer to a request: at once, or as soon as it is there.
 type answer struct {
 	line  string
-	later <-chan core.Answer
+	later <-chan core.SubmitResponse
 	ask   func() string // gives the answer when its turn has come
 	large bool          // the request holds a place among the large ones
 	last  bool          // the connection ends after it
--- a/internal/soak/plant.go
+++ b/internal/soak/plant.go
@@ -51,7 +51,7 @@
 		{File: "internal/front/resp/session.go", Old: "// readers are those of", New: "var planted atomic.Int64\n\n// readers are those of"},
 	}, Faults: []string{"endpoint"}},
 	{Name: "told wait dropped", Changes: []faultbuild.Change{
-		{File: "internal/transport/http/answer.go", Old: "	return time.Duration(min(ms, core.MaxHold.Milliseconds())) * time.Millisecond", New: "	return 0"},
+		{File: "internal/transport/http/answer.go", Old: "	return time.Duration(min(ms, core.MaxRequestedTime.Milliseconds())) * time.Millisecond", New: "	return 0"},
 	}, Faults: []string{"endpoint"}},
 	{Name: "one try within the time of a list", Changes: []faultbuild.Change{
 		{File: pacing, Old: "	minInterval  = 300 * time.Millisecond", New: "	minInterval  = 5400 * time.Millisecond"},
@@ -63,7 +63,7 @@
 		{File: "internal/source/platform/list.go", Old: "			e.State = logic.Draining", New: "			e.State = logic.Ready"},
 	}, Faults: aboutLists},
 	{Name: "list one generation old", Changes: []faultbuild.Change{
-		{File: "internal/source/platform/follow.go", Old: "	f.tell(core.News{List: r.list.List(),", New: "	r.list, planted = planted, r.list\n	f.tell(core.News{List: r.list.List(),"},
+		{File: "internal/source/platform/follow.go", Old: "	f.tell(core.EndpointUpdate{List: r.list.List(),", New: "	r.list, planted = planted, r.list\n	f.tell(core.News{List: r.list.List(),"},
 		{File: "internal/source/platform/follow.go", Old: "// now is the time as", New: "var planted List\n\n// now is the time as"},
 	}, Faults: aboutLists},
 }
--- a/internal/source/platform/agent_test.go
+++ b/internal/source/platform/agent_test.go
@@ -26,9 +26,9 @@
 			io.WriteString(w, `{"generation":7,"reset":true,"instances":[{"instanceId":"s","lifecycle":"draining"}]}`)
 		}))
 		defer srv.Close()
-		news := make(chan core.News, 1024)
+		news := make(chan core.EndpointUpdate, 1024)
 		s := New(Options{Addr: strings.TrimPrefix(srv.URL, "http://"), Poll: poll.Settings{Senders: 3, Agent: agent}, Log: slog.New(slog.DiscardHandler)})
-		s.Watch(t.Context(), func(n core.News) { news <- n })
+		s.Watch(t.Context(), func(n core.EndpointUpdate) { news <- n })
 		if n := byhand.Await(t, news, "news"); n.Version != 7 || asked.Load() < 4 {
 			t.Errorf("agent %v: told %+v after %d calls", agent, n, asked.Load())
 		}
--- a/internal/source/platform/follow.go
+++ b/internal/source/platform/follow.go
@@ -19,7 +19,7 @@
 	client *http.Client
 	addr   string
 	epoch  int
-	tell   func(core.News)
+	tell   func(core.EndpointUpdate)
 	log    *slog.Logger
 
 	origin  time.Time // of the poller's times
@@ -128,7 +128,7 @@
 		f.end(id)
 	}
 	f.answered(r, len(giveUp), now)
-	f.tell(core.News{List: r.list.List(), Version: r.list.Generation, Epoch: f.epoch})
+	f.tell(core.EndpointUpdate{List: r.list.List(), Version: r.list.Generation, Epoch: f.epoch})
 }
 
 // failed logs a failure; while discovery goes on failing, most of them quietly.
--- a/internal/source/platform/harness_test.go
+++ b/internal/source/platform/harness_test.go
@@ -84,7 +84,7 @@
 type stage struct {
 	source *Source
 	start  time.Time
-	news   chan core.News
+	news   chan core.EndpointUpdate
 	stop   context.CancelFunc
 
 	mu      sync.Mutex
@@ -98,7 +98,7 @@
 // newStage begins to follow the list on a stage.
 func newStage(t *testing.T, known List, settings poll.Settings, seed uint64, fates []fate) *stage {
 	t.Helper()
-	s := &stage{start: time.Now(), news: make(chan core.News, 1024), fates: fates}
+	s := &stage{start: time.Now(), news: make(chan core.EndpointUpdate, 1024), fates: fates}
 	s.source = New(Options{Addr: "agent:1", Known: known, Poll: settings, Seed: seed, Log: slog.New(slog.DiscardHandler)})
 	s.source.client.Transport = &http.Transport{DisableKeepAlives: true, MaxConnsPerHost: maxConns, DialContext: s.dial}
 	return s
@@ -108,8 +108,8 @@
 func (s *stage) follow(t *testing.T) {
 	ctx, stop := context.WithCancel(t.Context())
 	s.stop = stop
-	s.source.Watch(ctx, func(n core.News) {
-		if s.source.Takes(n) {
+	s.source.Watch(ctx, func(n core.EndpointUpdate) {
+		if s.source.AcceptUpdate(n) {
 			s.news <- n
 		}
 	})
--- a/internal/source/platform/list.go
+++ b/internal/source/platform/list.go
@@ -26,8 +26,8 @@
 }
 
 // List is the answer in the core's terms.
-func (l List) List() core.List {
-	out := core.List{Whole: l.Reset, Endpoints: make([]core.Endpoint, len(l.Instances))}
+func (l List) List() core.EndpointList {
+	out := core.EndpointList{Complete: l.Reset, Endpoints: make([]core.Endpoint, len(l.Instances))}
 	for i, in := range l.Instances {
 		e := core.Endpoint{Name: in.ID, Addr: in.HostPort, Zone: in.Zone, Kind: in.Kind,
 			Partner: strconv.FormatInt(in.Dest, 10), Weight: in.Weight}
--- a/internal/source/platform/source.go
+++ b/internal/source/platform/source.go
@@ -38,7 +38,7 @@
 // run is a follower at work.
 type run struct {
 	ctx  context.Context // of the one who watches
-	tell func(core.News)
+	tell func(core.EndpointUpdate)
 	stop context.CancelFunc
 	tune chan poll.Settings // the last settings that it has not taken up yet
 }
@@ -50,7 +50,7 @@
 }
 
 // Watch begins to follow the list, unless it is followed already.
-func (s *Source) Watch(ctx context.Context, tell func(core.News)) {
+func (s *Source) Watch(ctx context.Context, tell func(core.EndpointUpdate)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.running == nil || s.running.ctx.Err() != nil {
@@ -59,7 +59,7 @@
 }
 
 // follow starts a follower at the address that holds.
-func (s *Source) follow(ctx context.Context, tell func(core.News)) {
+func (s *Source) follow(ctx context.Context, tell func(core.EndpointUpdate)) {
 	following, stop := context.WithCancel(ctx)
 	s.running = &run{ctx: ctx, tell: tell, stop: stop, tune: make(chan poll.Settings, 1)}
 	f := &follower{poller: poll.New(s.settings, s.known, s.generation, s.seed+uint64(s.epoch), 0), client: s.client, addr: s.addr, epoch: s.epoch,
@@ -103,9 +103,9 @@
 	s.running.tune <- settings
 }
 
-// Takes notes what a call has brought, and says whether it is news: a call to an address left behind has nothing to
+// AcceptUpdate notes what a call has brought, and says whether it is news: a call to an address left behind has nothing to
 // tell.
-func (s *Source) Takes(n core.News) bool {
+func (s *Source) AcceptUpdate(n core.EndpointUpdate) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if n.Epoch != s.epoch {
--- a/internal/source/static/static.go
+++ b/internal/source/static/static.go
@@ -11,16 +11,16 @@
 // Source tells one list until it is given another.
 type Source struct {
 	mu      sync.Mutex
-	list    core.List
+	list    core.EndpointList
 	version int
-	tell    func(core.News)
+	tell    func(core.EndpointUpdate)
 }
 
 // New makes a source of a whole list.
-func New(list core.List) *Source { return &Source{list: list, version: 1} }
+func New(list core.EndpointList) *Source { return &Source{list: list, version: 1} }
 
 // Watch tells the list, and each that follows.
-func (s *Source) Watch(_ context.Context, tell func(core.News)) {
+func (s *Source) Watch(_ context.Context, tell func(core.EndpointUpdate)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.tell == nil {
@@ -30,7 +30,7 @@
 }
 
 // Set puts another whole list in the place of the one before.
-func (s *Source) Set(list core.List) {
+func (s *Source) Set(list core.EndpointList) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.list = list
@@ -42,12 +42,12 @@
 // the call that brought it here.
 func (s *Source) news() {
 	if s.tell != nil {
-		go s.tell(core.News{List: s.list, Epoch: s.version})
+		go s.tell(core.EndpointUpdate{List: s.list, Epoch: s.version})
 	}
 }
 
-// Takes says whether no list has followed the one that was told.
-func (s *Source) Takes(n core.News) bool {
+// AcceptUpdate says whether no list has followed the one that was told.
+func (s *Source) AcceptUpdate(n core.EndpointUpdate) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return n.Epoch == s.version
--- a/internal/transport/http/answer.go
+++ b/internal/transport/http/answer.go
@@ -70,7 +70,7 @@
 		if err != nil && status != http.StatusInternalServerError {
 			out := limit.broken(err)
 			if status == http.StatusTooManyRequests { // the wait is told, whatever became of the rest
-				out.Wait = toldWait(header)
+				out.RequestedWait = toldWait(header)
 			}
 			return out, false
 		}
@@ -78,8 +78,8 @@
 		if body != nil {
 			out = outcomeOfBatch(status, header)
 		}
-		if later && out.Outcome == logic.Full && out.Wait == 0 && (status == http.StatusTooManyRequests || status == http.StatusServiceUnavailable) {
-			out.Wait = retryAfter(header, time.Now())
+		if later && out.Outcome == logic.Full && out.RequestedWait == 0 && (status == http.StatusTooManyRequests || status == http.StatusServiceUnavailable) {
+			out.RequestedWait = retryAfter(header, time.Now())
 		}
 		out.Load = readReport(header, reports)
 		return out, keep && err == nil
@@ -180,9 +180,9 @@
 	if digits(text) {
 		s, err := strconv.ParseInt(text, 10, 64)
 		if err != nil { // more than there are numbers for
-			return core.MaxHold
+			return core.MaxRequestedTime
 		}
-		return time.Duration(min(s, int64(core.MaxHold/time.Second))) * time.Second
+		return time.Duration(min(s, int64(core.MaxRequestedTime/time.Second))) * time.Second
 	}
 	at, err := http.ParseTime(text)
 	if err != nil {
@@ -191,14 +191,14 @@
 	if sent, err := http.ParseTime(header.Get("Date")); err == nil {
 		now = sent
 	}
-	return min(max(at.Sub(now), 0), core.MaxHold)
+	return min(max(at.Sub(now), 0), core.MaxRequestedTime)
 }
 
 // outcomeOf reads an answer that came whole.
 func outcomeOf(status int, header http.Header) core.Result {
 	switch status {
 	case http.StatusTooManyRequests:
-		return core.Result{Outcome: logic.Full, Wait: toldWait(header)}
+		return core.Result{Outcome: logic.Full, RequestedWait: toldWait(header)}
 	case http.StatusServiceUnavailable:
 		if header.Get("X-Line-Busy") == "1" {
 			return core.Result{Outcome: logic.Moot}
@@ -207,7 +207,7 @@
 	case http.StatusGatewayTimeout:
 		return core.Result{Outcome: logic.Moot}
 	case http.StatusGone:
-		return core.Result{Outcome: logic.Moot, Over: true}
+		return core.Result{Outcome: logic.Moot, MessageEnded: true}
 	}
 	return core.Result{Outcome: logic.Errored}
 }
@@ -218,7 +218,7 @@
 	if err != nil || ms < 0 {
 		return 0
 	}
-	return time.Duration(min(ms, core.MaxHold.Milliseconds())) * time.Millisecond
+	return time.Duration(min(ms, core.MaxRequestedTime.Milliseconds())) * time.Millisecond
 }
 
 // readReport is the load report that an answer brings, its values in the order of
--- a/internal/transport/http/answer_test.go
+++ b/internal/transport/http/answer_test.go
@@ -49,7 +49,7 @@
 			got := goDo(t.Context(), c, newCall(e.Addr(), "hello", byhand.Patience))
 			in := byhand.Await(t, e.Calls, "call")
 			io.WriteString(in.Conn, text)
-			if r := byhand.Await(t, got, "result"); r.Outcome != logic.Spoilt || r.Over {
+			if r := byhand.Await(t, got, "result"); r.Outcome != logic.Spoilt || r.MessageEnded {
 				t.Errorf("got %+v, want Spoilt", r)
 			}
 			in.AwaitEnd(t)
@@ -154,7 +154,7 @@
 	e, c := byhand.NewEndpoint(t), New(time.Second, time.Hour, Limits{Open: 1, Idle: 1, PerEndpoint: 4})
 	got := goDo(t.Context(), c, newCall(e.Addr(), "hello", byhand.Patience))
 	in := byhand.Await(t, e.Calls, "call")
-	if r := c.Attempt(t.Context(), newCall(e.Addr(), "hello", byhand.Patience)); r.Outcome != logic.Moot || !r.Local {
+	if r := c.Attempt(t.Context(), newCall(e.Addr(), "hello", byhand.Patience)); r.Outcome != logic.Moot || !r.LocalFailure {
 		t.Errorf("got %+v, want Moot for a local cause", r)
 	}
 	in.Reply(200)
@@ -165,9 +165,9 @@
 	got = goDo(t.Context(), c, call)
 	byhand.Await(t, other.Calls, "call where an idle connection made room").Reply(200)
 	byhand.Await(t, got, "result")
-	c.Release(2)
+	c.CloseIdle(2)
 	c.dialer.Control = func(_, _ string, _ syscall.RawConn) error { return syscall.EMFILE }
-	if r := c.Attempt(t.Context(), newCall(e.Addr(), "hello", byhand.Patience)); r.Outcome != logic.Moot || !r.Local {
+	if r := c.Attempt(t.Context(), newCall(e.Addr(), "hello", byhand.Patience)); r.Outcome != logic.Moot || !r.LocalFailure {
 		t.Errorf("got %+v, want Moot for a local cause", r)
 	}
 	if c.open != 0 || c.count != 0 {
@@ -203,7 +203,7 @@
 	call := func(fragile bool, end func(*byhand.InCall)) (*byhand.InCall, core.Result) {
 		t.Helper()
 		in := newCall(e.Addr(), "hello", byhand.Patience)
-		in.Fragile = fragile
+		in.Unrepeatable = fragile
 		got := goDo(t.Context(), c, in)
 		out := byhand.Await(t, e.Calls, "call")
 		end(out)
@@ -241,14 +241,14 @@
 		"the other goes":     {"429", "X-Come-Back-Ms: 250\r\nRetry-After: 3", true, 250 * time.Millisecond},
 		"negative":           {"429", "Retry-After: -3", true, 0},
 		"no number":          {"429", "Retry-After: soon", true, 0},
-		"a year":             {"429", "Retry-After: 31536000", true, core.MaxHold},
-		"no number for that": {"429", "Retry-After: 99999999999999999999", true, core.MaxHold},
+		"a year":             {"429", "Retry-After: 31536000", true, core.MaxRequestedTime},
+		"no number for that": {"429", "Retry-After: 99999999999999999999", true, core.MaxRequestedTime},
 	} {
 		text := "HTTP/1.1 " + x.status + " x\r\n" + x.head + "\r\nContent-Length: 0\r\n\r\n"
 		a, b := net.Pipe()
 		limit := &cutoff{conn: a, by: time.Now().Add(time.Minute)}
-		if r, _ := readAnswer(newReader(text), limit, nil, x.heeded, nil); r.Wait != x.want {
-			t.Errorf("%s: %v, want %v", name, r.Wait, x.want)
+		if r, _ := readAnswer(newReader(text), limit, nil, x.heeded, nil); r.RequestedWait != x.want {
+			t.Errorf("%s: %v, want %v", name, r.RequestedWait, x.want)
 		}
 		a.Close()
 		b.Close()
@@ -264,11 +264,11 @@
 		cancel            bool // between the two
 		want              core.Result
 	}{
-		{"cut off in the body", "HTTP/1.1 429 x\r\n", told + "Content-Length: 9\r\n\r\nab", false, core.Result{Outcome: logic.Severed, Wait: 700 * time.Millisecond}},
-		{"cut off in the head", "HTTP/1.1 429 x\r\n", told, false, core.Result{Outcome: logic.Severed, Wait: 700 * time.Millisecond}},
-		{"bad length", "HTTP/1.1 429 x\r\n", told + "Content-Length: -9\r\n\r\n", false, core.Result{Outcome: logic.Spoilt, Wait: 700 * time.Millisecond}},
-		{"called off after the first line", "HTTP/1.1 429 x\r\n", told + "Content-Length: 0\r\n\r\n", true, core.Result{Outcome: logic.Full, Wait: 700 * time.Millisecond}},
-		{"called off in the first line", "HTTP/1.1 4", "29 x\r\n" + told + "Content-Length: 0\r\n\r\n", true, core.Result{Outcome: logic.Full, Wait: 700 * time.Millisecond}},
+		{"cut off in the body", "HTTP/1.1 429 x\r\n", told + "Content-Length: 9\r\n\r\nab", false, core.Result{Outcome: logic.Severed, RequestedWait: 700 * time.Millisecond}},
+		{"cut off in the head", "HTTP/1.1 429 x\r\n", told, false, core.Result{Outcome: logic.Severed, RequestedWait: 700 * time.Millisecond}},
+		{"bad length", "HTTP/1.1 429 x\r\n", told + "Content-Length: -9\r\n\r\n", false, core.Result{Outcome: logic.Spoilt, RequestedWait: 700 * time.Millisecond}},
+		{"called off after the first line", "HTTP/1.1 429 x\r\n", told + "Content-Length: 0\r\n\r\n", true, core.Result{Outcome: logic.Full, RequestedWait: 700 * time.Millisecond}},
+		{"called off in the first line", "HTTP/1.1 4", "29 x\r\n" + told + "Content-Length: 0\r\n\r\n", true, core.Result{Outcome: logic.Full, RequestedWait: 700 * time.Millisecond}},
 		{"called off, and a delivery", "HTTP/1.1 2", "00 x\r\nContent-Length: 0\r\n\r\n", true, core.Result{Outcome: logic.Completed}},
 		{"called off, then cut off", "HTTP/1.1 2", "", true, core.Result{Outcome: logic.Recalled}},
 	} {
--- a/internal/transport/http/batch.go
+++ b/internal/transport/http/batch.go
@@ -52,9 +52,9 @@
 			n++
 		}
 		var part []core.Result
-		left := rest[0].GiveUp // the least of what the messages have, less what earlier calls took
+		left := rest[0].Timeout // the least of what the messages have, less what earlier calls took
 		for _, a := range rest[:n] {
-			left = min(left, a.GiveUp)
+			left = min(left, a.Timeout)
 		}
 		switch left -= time.Since(start); {
 		case left <= 0: // never sent; the endpoint is not to blame
@@ -68,7 +68,7 @@
 			part = c.batch(ctx, rest[:n], left)
 		}
 		out, rest = append(out, part...), rest[n:]
-		if slices.ContainsFunc(part, func(r core.Result) bool { return r.Outcome != logic.Completed || r.Wait > 0 }) {
+		if slices.ContainsFunc(part, func(r core.Result) bool { return r.Outcome != logic.Completed || r.RequestedWait > 0 }) {
 			for range rest { // the endpoint had better be asked again first
 				out = append(out, core.Result{Outcome: logic.Moot})
 			}
@@ -82,9 +82,9 @@
 func (c *Transport) batch(ctx context.Context, call []*core.Attempt, left time.Duration) []core.Result {
 	// The call has the time of the message that has least: one answer speaks for all, and what comes after the time of
 	// one of them is late.
-	head := &core.Attempt{Endpoint: call[0].Endpoint, Addr: call[0].Addr, GiveUp: left}
+	head := &core.Attempt{Endpoint: call[0].Endpoint, Addr: call[0].Addr, Timeout: left}
 	for _, a := range call {
-		head.Fragile = head.Fragile || a.Fragile
+		head.Unrepeatable = head.Unrepeatable || a.Unrepeatable
 	}
 	var sent []item
 	begun := make([]bool, len(call))
@@ -102,7 +102,7 @@
 		written: func() {
 			for i, a := range call {
 				if begun[i] {
-					a.Written()
+					a.MarkWritten()
 				}
 			}
 		},
@@ -121,7 +121,7 @@
 		case told:
 			out[i] = itemResult
 		default: // it may have run, as far as the answer goes
-			out[i] = core.Result{Outcome: logic.Spoilt, Wait: whole.Wait}
+			out[i] = core.Result{Outcome: logic.Spoilt, RequestedWait: whole.RequestedWait}
 		}
 	}
 	return out
@@ -136,7 +136,7 @@
 	}
 	out, seen := map[string]core.Result{}, map[string]bool{}
 	for _, f := range list {
-		r, ok := core.Result{Wait: whole.Wait, Load: whole.Load}, true
+		r, ok := core.Result{RequestedWait: whole.RequestedWait, Load: whole.Load}, true
 		switch f.State {
 		case "done":
 			r.Outcome = logic.Completed
@@ -145,7 +145,7 @@
 		case "busy":
 			r.Outcome = logic.Full
 		case "void":
-			r.Outcome, r.Over = logic.Moot, true
+			r.Outcome, r.MessageEnded = logic.Moot, true
 		case "used_up":
 			r.Outcome = logic.Moot
 		default:
@@ -165,7 +165,7 @@
 func outcomeOfBatch(status int, header http.Header) core.Result {
 	switch status {
 	case http.StatusOK:
-		return core.Result{Outcome: logic.Completed, Wait: toldWait(header)}
+		return core.Result{Outcome: logic.Completed, RequestedWait: toldWait(header)}
 	case http.StatusBadRequest, http.StatusRequestEntityTooLarge: // none of them has run
 		return core.Result{Outcome: logic.Full}
 	}
--- a/internal/transport/http/batch_test.go
+++ b/internal/transport/http/batch_test.go
@@ -72,16 +72,16 @@
 	}{
 		"each its own": {list("", "done", "failed", "busy"), []core.Result{result(logic.Completed), result(logic.Errored), result(logic.Full)}},
 		"over": {list("", "void", "used_up", "done"),
-			[]core.Result{{Outcome: logic.Moot, Over: true}, result(logic.Moot), result(logic.Completed)}},
+			[]core.Result{{Outcome: logic.Moot, MessageEnded: true}, result(logic.Moot), result(logic.Completed)}},
 		"a wait and a report": {list("X-Come-Back-Ms: 300\r\nEndpoint-Load-Metrics: x1=25,x0=0.5\r\n", "done", "done", "busy"), []core.Result{
-			{Outcome: logic.Completed, Wait: wait, Load: []float64{0.5, 25}}, {Outcome: logic.Completed, Wait: wait, Load: []float64{0.5, 25}},
-			{Outcome: logic.Full, Wait: wait, Load: []float64{0.5, 25}}}},
+			{Outcome: logic.Completed, RequestedWait: wait, Load: []float64{0.5, 25}}, {Outcome: logic.Completed, RequestedWait: wait, Load: []float64{0.5, 25}},
+			{Outcome: logic.Full, RequestedWait: wait, Load: []float64{0.5, 25}}}},
 		"one left out":   {list("", "done", "done"), []core.Result{result(logic.Completed), result(logic.Completed), result(logic.Spoilt)}},
 		"unknown word":   {list("", "done", "perhaps", "done"), []core.Result{result(logic.Completed), result(logic.Spoilt), result(logic.Completed)}},
 		"no list":        {ok + "Content-Length: 2\r\n\r\n{}", all(result(logic.Spoilt))},
 		"cut short":      {ok + "Content-Length: 40\r\n\r\n[{\"id\":\"m0\",\"state\":\"done\"}", all(result(logic.Spoilt))},
 		"two words":      {ok + "Content-Length: 52\r\n\r\n" + `[{"id":"m0","state":"done"},{"id":"m0","state":"?"}]`, all(result(logic.Spoilt))},
-		"refused":        {"HTTP/1.1 429 x\r\nX-Come-Back-Ms: 300\r\nContent-Length: 0\r\n\r\n", all(core.Result{Outcome: logic.Full, Wait: wait})},
+		"refused":        {"HTTP/1.1 429 x\r\nX-Come-Back-Ms: 300\r\nContent-Length: 0\r\n\r\n", all(core.Result{Outcome: logic.Full, RequestedWait: wait})},
 		"error":          {"HTTP/1.1 500 x\r\nContent-Length: 0\r\n\r\n", all(result(logic.Errored))},
 		"too many":       {"HTTP/1.1 413 x\r\nContent-Length: 0\r\n\r\n", all(result(logic.Full))},
 		"not understood": {"HTTP/1.1 400 x\r\nContent-Length: 0\r\n\r\n", all(result(logic.Full))},
@@ -191,7 +191,7 @@
 	e, c := byhand.NewEndpoint(t), testCaller()
 	c.linger = time.Millisecond
 	call := newBatch(e.Addr(), 2, "b")
-	call[1].GiveUp = 50 * time.Millisecond
+	call[1].Timeout = 50 * time.Millisecond
 	got := goBatch(t.Context(), c, call)
 	in := byhand.Await(t, e.Calls, "call")
 	if ms, _ := strconv.Atoi(in.Req.Header.Get("X-Expires-In-Ms")); ms < 1 || ms > 50 {
--- a/internal/transport/http/calls.go
+++ b/internal/transport/http/calls.go
@@ -85,20 +85,20 @@
 
 // Attempt makes a call that hands a message to an endpoint.
 func (c *Transport) Attempt(ctx context.Context, a *core.Attempt) core.Result {
-	return c.single(ctx, a, a.GiveUp)
+	return c.single(ctx, a, a.Timeout)
 }
 
 func (c *Transport) single(ctx context.Context, a *core.Attempt, giveUp time.Duration) core.Result {
-	head := &core.Attempt{Endpoint: a.Endpoint, Addr: a.Addr, Fragile: a.Fragile, GiveUp: giveUp}
-	return c.do(ctx, request{Attempt: head, begin: a.Begin, written: a.Written, reason: a.Reason, write: func(b []byte, left time.Duration) []byte {
+	head := &core.Attempt{Endpoint: a.Endpoint, Addr: a.Addr, Unrepeatable: a.Unrepeatable, Timeout: giveUp}
+	return c.do(ctx, request{Attempt: head, begin: a.Begin, written: a.MarkWritten, reason: a.Reason, write: func(b []byte, left time.Duration) []byte {
 		return appendDeliver(b, a.Message, a.Addr, left)
 	}})
 }
 
 // Probe asks an endpoint whether it is well.
 func (c *Transport) Probe(ctx context.Context, ep logic.EndpointID, addr string) logic.Outcome {
-	a := &core.Attempt{Endpoint: ep, Addr: addr, GiveUp: probeTime}
-	return c.do(ctx, request{Attempt: a, begin: a.Begin, written: a.Written, reason: a.Reason, write: func(b []byte, _ time.Duration) []byte { return appendProbe(b, addr) }}).Outcome
+	a := &core.Attempt{Endpoint: ep, Addr: addr, Timeout: probeTime}
+	return c.do(ctx, request{Attempt: a, begin: a.Begin, written: a.MarkWritten, reason: a.Reason, write: func(b []byte, _ time.Duration) []byte { return appendProbe(b, addr) }}).Outcome
 }
 
 // request is one call. Its attempt says where to, for how long and how carefully.
@@ -113,7 +113,7 @@
 
 // do makes a call. When ctx is cancelled it is called off.
 func (c *Transport) do(ctx context.Context, in request) core.Result {
-	deadline := time.Now().Add(in.GiveUp)
+	deadline := time.Now().Add(in.Timeout)
 	conn, err := c.connect(ctx, in.Attempt, deadline)
 	if !in.begin() {
 		if err == nil && !c.putBack(in.Endpoint, conn) {
@@ -126,7 +126,7 @@
 	}
 	if err != nil {
 		if ownFault(err) {
-			return core.Result{Outcome: logic.Moot, Local: true}
+			return core.Result{Outcome: logic.Moot, LocalFailure: true}
 		}
 		return core.Result{Outcome: logic.RefusedConn}
 	}
@@ -355,7 +355,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	ep, addr := in.Endpoint, in.Addr
-	if in.Fragile && time.Since(c.brokeAt) < brokeTime {
+	if in.Unrepeatable && time.Since(c.brokeAt) < brokeTime {
 		return nil
 	}
 	list := slices.Clone(c.idle[ep])
@@ -411,8 +411,8 @@
 	return true
 }
 
-// Release closes the kept connections to ep.
-func (c *Transport) Release(ep logic.EndpointID) {
+// CloseIdle closes the kept connections to ep.
+func (c *Transport) CloseIdle(ep logic.EndpointID) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, conn := range c.idle[ep] {
@@ -421,8 +421,8 @@
 	delete(c.idle, ep)
 }
 
-// Sweep closes kept connections that are no good any more.
-func (c *Transport) Sweep() {
+// CloseStale closes kept connections that are no good any more.
+func (c *Transport) CloseStale() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for ep, list := range c.idle {
--- a/internal/transport/http/calls_test.go
+++ b/internal/transport/http/calls_test.go
@@ -19,7 +19,7 @@
 )
 
 func newCall(addr, body string, giveUp time.Duration) *core.Attempt {
-	return &core.Attempt{Message: &message.Message{ID: "m1", Key: "k1", Body: []byte(body)}, Endpoint: 1, Addr: addr, GiveUp: giveUp}
+	return &core.Attempt{Message: &message.Message{ID: "m1", Key: "k1", Body: []byte(body)}, Endpoint: 1, Addr: addr, Timeout: giveUp}
 }
 
 func testCaller() *Transport {
@@ -45,13 +45,13 @@
 		{200, nil, core.Result{Outcome: logic.Completed}},
 		{500, nil, core.Result{Outcome: logic.Errored}},
 		{400, nil, core.Result{Outcome: logic.Errored}},
-		{429, []string{"X-Come-Back-Ms: 250"}, core.Result{Outcome: logic.Full, Wait: 250 * time.Millisecond}},
+		{429, []string{"X-Come-Back-Ms: 250"}, core.Result{Outcome: logic.Full, RequestedWait: 250 * time.Millisecond}},
 		{429, []string{"X-Come-Back-Ms: -1"}, core.Result{Outcome: logic.Full}},
 		{429, []string{"X-Come-Back-Ms: soon"}, core.Result{Outcome: logic.Full}},
 		{503, nil, core.Result{Outcome: logic.Full}},
 		{503, []string{"X-Line-Busy: 1"}, core.Result{Outcome: logic.Moot}},
 		{504, nil, core.Result{Outcome: logic.Moot}},
-		{410, nil, core.Result{Outcome: logic.Moot, Over: true}},
+		{410, nil, core.Result{Outcome: logic.Moot, MessageEnded: true}},
 	} {
 		got := goDo(t.Context(), c, newCall(e.Addr(), "hello", byhand.Patience))
 		in := byhand.Await(t, e.Calls, "call")
@@ -162,7 +162,7 @@
 	c.mu.Lock()
 	c.idle[1][0].since = time.Now().Add(-2 * time.Hour)
 	c.mu.Unlock()
-	c.Sweep()
+	c.CloseStale()
 	if c.count != 0 || len(c.idle) != 0 {
 		t.Errorf("an old connection is kept after a sweep")
 	}
@@ -322,7 +322,7 @@
 	if second := call(2); second.Conn == first.Conn {
 		t.Error("the new endpoint is called over a connection of the old one")
 	}
-	c.Release(1)
+	c.CloseIdle(1)
 	if c.count != 1 || c.open != 1 {
 		t.Errorf("%d idle, %d open", c.count, c.open)
 	}
