--- a/cmd/measure/backlog.go
+++ b/cmd/measure/backlog.go
@@ -51,11 +51,11 @@
 	}
 	before := heap()
 	b := backlog.New(backlog.Options{Window: 1})
-	var lanes []backlog.LaneID
+	var lanes []backlog.QueueID
 	for i := range partners {
 		name := fmt.Sprint("p", i)
-		b.Enter(name)
-		lanes = append(lanes, b.Lane(backlog.Lane{Destination: name, Class: "safe"}))
+		b.EnterWindow(name)
+		lanes = append(lanes, b.Queue(backlog.Queue{Destination: name, Class: "safe"}))
 	}
 	const segment = 1 << 16
 	for i := range n {
@@ -63,15 +63,15 @@
 		if i%segment == 0 {
 			first, entries := b.Close()
 			if entries != nil {
-				_, byDeadline, runs := backlog.Sort(entries)
+				_, byDeadline, runs := backlog.SortEntries(entries)
 				b.Seal(first, byDeadline, runs)
 			}
 			b.Open(seq)
 		}
-		b.Add(backlog.Entry{Seq: seq, ID: seq * 0x9e3779b97f4a7c15, Lane: lanes[i%partners], Deadline: int64(i)})
+		b.Add(backlog.Entry{Seq: seq, IDHash: seq * 0x9e3779b97f4a7c15, Queue: lanes[i%partners], Deadline: int64(i)})
 	}
 	first, entries := b.Close()
-	_, byDeadline, runs := backlog.Sort(entries)
+	_, byDeadline, runs := backlog.SortEntries(entries)
 	b.Seal(first, byDeadline, runs)
 	each := float64(heap()-before) / float64(n)
 	runtime.KeepAlive(b)
--- a/internal/backlog/backlog.go
+++ b/internal/backlog/backlog.go
@@ -5,18 +5,18 @@
 	"slices"
 )
 
-// LaneID is the number of a lane in one process.
-type LaneID int32
+// QueueID is the number of a lane in one process.
+type QueueID int32
 
-// Lane is what is kept in order behind the window: the messages of one tenant and
+// Queue is what is kept in order behind the window: the messages of one tenant and
 // class for one destination.
-type Lane struct{ Destination, Tenant, Class string }
+type Queue struct{ Destination, Tenant, Class string }
 
 // Options bound a backlog.
 type Options struct {
-	Window int // messages of a destination in the module; at least 1
-	Batch  int // messages in one read at most; 0 for a default
-	Out    int // messages that reads may have out at once; 0 for a default
+	Window      int // messages of a destination in the module; at least 1
+	Batch       int // messages in one read at most; 0 for a default
+	MaxInFlight int // messages that reads may have out at once; 0 for a default
 }
 
 const (
@@ -24,30 +24,30 @@
 	defaultOut   = 1024
 	// lowPart is the part of the window that has to be free before a read is worth it.
 	lowPart = 8
-	// Ahead is how long before its time is over a message's end is read, in
+	// LookaheadMicros is how long before its time is over a message's end is read, in
 	// microseconds.
-	Ahead = 1_000_000
+	LookaheadMicros = 1_000_000
 	// dueBatch is the most ends that are read at once.
 	dueBatch = 1024
 )
 
-// Verdict says where a new message goes.
-type Verdict int
+// Placement says where a new message goes.
+type Placement int
 
 // The verdicts.
 const (
-	InWindow Verdict = iota // into the module
-	Behind                  // to the disk
-	// Turned is that of a message whose order key has messages behind the window of
+	InWindow  Placement = iota // into the module
+	InBacklog                  // to the disk
+	// Rejected is that of a message whose order key has messages behind the window of
 	// another lane: no order over lanes is kept behind it, so it is not taken on yet.
-	Turned
+	Rejected
 )
 
 // Backlog decides what comes into the window. It is not safe for concurrent use.
 type Backlog struct {
 	opts     Options
 	lanes    []*lane
-	byName   map[Lane]LaneID
+	byName   map[Queue]QueueID
 	dests    map[string]*destination
 	keys     map[uint64]*keyCount // order keys that have messages behind the window
 	ids      ids
@@ -71,8 +71,8 @@
 }
 
 type lane struct {
-	id      LaneID
-	name    Lane
+	id      QueueID
+	name    Queue
 	dest    *destination
 	runs    []run // those that are not read, in order
 	behind  int
@@ -92,7 +92,7 @@
 
 // keyCount is where the messages of an order key are that wait behind the window.
 type keyCount struct {
-	lane LaneID
+	lane QueueID
 	n    int
 }
 
@@ -102,37 +102,37 @@
 	if opts.Batch <= 0 {
 		opts.Batch = defaultBatch
 	}
-	if opts.Out <= 0 {
-		opts.Out = defaultOut
+	if opts.MaxInFlight <= 0 {
+		opts.MaxInFlight = defaultOut
 	}
-	return &Backlog{opts: opts, byName: map[Lane]LaneID{}, dests: map[string]*destination{}, keys: map[uint64]*keyCount{}, soonest: math.MaxInt64}
+	return &Backlog{opts: opts, byName: map[Queue]QueueID{}, dests: map[string]*destination{}, keys: map[uint64]*keyCount{}, soonest: math.MaxInt64}
 }
 
 // Len is the number of messages behind the window.
 func (b *Backlog) Len() int { return b.behind }
 
-// Behind is the number of messages behind the window of a destination, and In of
+// BacklogLen is the number of messages behind the window of a destination, and In of
 // those in it.
-func (b *Backlog) Behind(destination string) int {
+func (b *Backlog) BacklogLen(destination string) int {
 	if d := b.dests[destination]; d != nil {
 		return d.behind
 	}
 	return 0
 }
 
-// In is the number of messages of a destination that the module has.
-func (b *Backlog) In(destination string) int {
+// WindowLen is the number of messages of a destination that the module has.
+func (b *Backlog) WindowLen(destination string) int {
 	if d := b.dests[destination]; d != nil {
 		return d.in
 	}
 	return 0
 }
 
-// Lane gives a lane its number.
-func (b *Backlog) Lane(name Lane) LaneID {
+// Queue gives a lane its number.
+func (b *Backlog) Queue(name Queue) QueueID {
 	id, ok := b.byName[name]
 	if !ok {
-		id = LaneID(len(b.lanes))
+		id = QueueID(len(b.lanes))
 		b.byName[name] = id
 		d := b.dest(name.Destination)
 		d.named = true
@@ -142,7 +142,7 @@
 }
 
 // Name is the lane of a number.
-func (b *Backlog) Name(id LaneID) Lane { return b.lanes[id].name }
+func (b *Backlog) Name(id QueueID) Queue { return b.lanes[id].name }
 
 func (b *Backlog) dest(name string) *destination {
 	d := b.dests[name]
@@ -155,24 +155,24 @@
 
 // Place says where a new message goes. One of a destination that has messages
 // behind its window goes behind it too: what came first goes first.
-func (b *Backlog) Place(destination string, name Lane, order uint64) Verdict {
+func (b *Backlog) Place(destination string, name Queue, order uint64) Placement {
 	if order != 0 {
 		if k := b.keys[order]; k != nil && b.lanes[k.lane].name != name {
-			return Turned
+			return Rejected
 		}
 	}
 	d := b.dests[destination]
 	if d == nil || d.behind == 0 && d.in+d.coming < b.opts.Window {
 		return InWindow
 	}
-	return Behind
+	return InBacklog
 }
 
-// Enter counts a message that the module has been given past the backlog.
-func (b *Backlog) Enter(destination string) { b.dest(destination).in++ }
+// EnterWindow counts a message that the module has been given past the backlog.
+func (b *Backlog) EnterWindow(destination string) { b.dest(destination).in++ }
 
-// Leave counts a message out that the module has had, whichever way it came.
-func (b *Backlog) Leave(destination string) {
+// LeaveWindow counts a message out that the module has had, whichever way it came.
+func (b *Backlog) LeaveWindow(destination string) {
 	d := b.dests[destination]
 	if d == nil || d.in == 0 {
 		return
@@ -203,7 +203,7 @@
 // closed with it.
 func (b *Backlog) Open(first uint64) {
 	b.Close()
-	b.segments = append(b.segments, &segment{first: first, lists: map[LaneID][]uint32{}})
+	b.segments = append(b.segments, &segment{first: first, lists: map[QueueID][]uint32{}})
 }
 
 // Close closes the segment that is written: nothing is added to it any more. Its
@@ -234,12 +234,12 @@
 		s.gone = append(s.gone, 0)
 	}
 	s.entries = append(s.entries, e)
-	l := b.lanes[e.Lane]
-	if len(s.lists[e.Lane]) == 0 {
+	l := b.lanes[e.Queue]
+	if len(s.lists[e.Queue]) == 0 {
 		l.runs = append(l.runs, run{seg: s})
 	}
 	l.runs[len(l.runs)-1].n++ // that of the segment: it is the last one as long as it is written
-	s.lists[e.Lane] = append(s.lists[e.Lane], at)
+	s.lists[e.Queue] = append(s.lists[e.Queue], at)
 	s.waiting = push(s.waiting, at, s.sooner)
 	b.noteTerms(s, e.Terms)
 	b.count(&e)
@@ -267,16 +267,16 @@
 
 // count books a message as behind the window.
 func (b *Backlog) count(e *Entry) {
-	b.ids.add(e.ID, e.Seq)
-	if e.Order != 0 {
-		k := b.keys[e.Order]
+	b.ids.add(e.IDHash, e.Seq)
+	if e.OrderHash != 0 {
+		k := b.keys[e.OrderHash]
 		if k == nil {
-			k = &keyCount{lane: e.Lane}
-			b.keys[e.Order] = k
+			k = &keyCount{lane: e.Queue}
+			b.keys[e.OrderHash] = k
 		}
 		k.n++
 	}
-	l := b.lanes[e.Lane]
+	l := b.lanes[e.Queue]
 	if !l.listed {
 		l.listed = true
 		l.dest.lanes = append(l.dest.lanes, l)
@@ -293,13 +293,13 @@
 		return false
 	}
 	s.setGone(e.Seq, true)
-	b.ids.remove(e.ID, e.Seq)
-	if k := b.keys[e.Order]; e.Order != 0 && k != nil {
+	b.ids.remove(e.IDHash, e.Seq)
+	if k := b.keys[e.OrderHash]; e.OrderHash != 0 && k != nil {
 		if k.n--; k.n == 0 {
-			delete(b.keys, e.Order)
+			delete(b.keys, e.OrderHash)
 		}
 	}
-	l := b.lanes[e.Lane]
+	l := b.lanes[e.Queue]
 	l.behind--
 	l.dest.behind--
 	b.behind--
@@ -373,7 +373,7 @@
 	return 0, 0, nil, false
 }
 
-// Seal tells that a closed segment's index block is on the disk, with what [Sort]
+// Seal tells that a closed segment's index block is on the disk, with what [SortEntries]
 // has made of its entries. Its entries are forgotten.
 func (b *Backlog) Seal(first uint64, byDeadline []uint32, runs []Run) {
 	s := b.exact(first)
@@ -381,7 +381,7 @@
 		return
 	}
 	for _, r := range runs {
-		l := b.lanes[r.Lane]
+		l := b.lanes[r.Queue]
 		for i := range l.runs {
 			if l.runs[i].seg == s && l.runs[i].back == nil {
 				l.runs[i].from = r.From
@@ -425,7 +425,7 @@
 		b.count(&entries[i])
 	}
 	for _, r := range runs {
-		l := b.lanes[r.Lane]
+		l := b.lanes[r.Queue]
 		l.runs = append(l.runs, run{seg: s, from: r.From, n: r.N})
 		b.want(l.dest)
 	}
@@ -436,18 +436,18 @@
 	b.soonest = min(b.soonest, s.due)
 }
 
-// Lives says whether a segment has one of the numbers from first to last.
-func (b *Backlog) Lives(first, last uint64) bool {
+// Overlaps says whether a segment has one of the numbers from first to last.
+func (b *Backlog) Overlaps(first, last uint64) bool {
 	return slices.ContainsFunc(b.segments, func(s *segment) bool { return s.first <= last && first < s.first+uint64(s.n) })
 }
 
-// Finished is a segment of which nothing is behind the window any more: its first
+// ReclaimedSegment is a segment of which nothing is behind the window any more: its first
 // number, and how many it has.
-type Finished struct{ First, N uint64 }
+type ReclaimedSegment struct{ First, N uint64 }
 
-// Finished lists the closed segments of which nothing is behind the window any more,
+// Reclaim lists the closed segments of which nothing is behind the window any more,
 // and that no read is out for: their files may go. They are forgotten.
-func (b *Backlog) Finished() (list []Finished) {
+func (b *Backlog) Reclaim() (list []ReclaimedSegment) {
 	b.segments = slices.DeleteFunc(b.segments, func(s *segment) bool {
 		if s.left > 0 || !s.closed || s.reading || s.out > 0 || !s.sealed {
 			return false
@@ -455,7 +455,7 @@
 		for _, l := range b.lanes {
 			l.runs = slices.DeleteFunc(l.runs, func(r run) bool { return r.seg == s })
 		}
-		list = append(list, Finished{s.first, uint64(s.n)})
+		list = append(list, ReclaimedSegment{s.first, uint64(s.n)})
 		return true
 	})
 	return list
--- a/internal/backlog/deadlines.go
+++ b/internal/backlog/deadlines.go
@@ -2,32 +2,32 @@
 
 import "math"
 
-// DueRead asks for messages whose time is over soon: N from the place From on of
+// ExpiryRead asks for messages whose time is over soon: N from the place From on of
 // the order of deadlines, or, of a segment without an index block, Entries.
-type DueRead struct {
+type ExpiryRead struct {
 	Segment uint64
 	From, N uint32
 	Entries []Entry
 }
 
-// DueReads tells which ends are to be read, as their time comes within [Ahead]. Each
-// is to be answered by [Backlog.DueCame].
-func (b *Backlog) DueReads(now int64) (out []DueRead) {
-	if b.soonest > now+Ahead {
+// ExpiryReads tells which ends are to be read, as their time comes within [LookaheadMicros]. Each
+// is to be answered by [Backlog.ExpiryReadDone].
+func (b *Backlog) ExpiryReads(now int64) (out []ExpiryRead) {
+	if b.soonest > now+LookaheadMicros {
 		return nil
 	}
 	b.soonest = math.MaxInt64
 	for _, s := range b.segments {
-		if s.next() > now+Ahead {
+		if s.next() > now+LookaheadMicros {
 			b.soonest = min(b.soonest, s.next())
 			continue
 		}
-		r := DueRead{Segment: s.first}
+		r := ExpiryRead{Segment: s.first}
 		if s.sealed {
 			r.From, r.N = s.asked, min(s.n-s.asked, dueBatch)
 			s.asked += r.N
 		} else {
-			for len(s.waiting) > 0 && len(r.Entries) < dueBatch && s.next() <= now+Ahead {
+			for len(s.waiting) > 0 && len(r.Entries) < dueBatch && s.next() <= now+LookaheadMicros {
 				var at uint32
 				at, s.waiting = pop(s.waiting, s.sooner)
 				if e := s.entries[at]; !s.isGone(e.Seq) {
@@ -45,9 +45,9 @@
 	return out
 }
 
-// DueCame takes the ends that were read: the messages that were asked for, and the
+// ExpiryReadDone takes the ends that were read: the messages that were asked for, and the
 // deadline of the one after them in a segment with an index block, if there is one.
-func (b *Backlog) DueCame(r DueRead, items []Item, after int64) {
+func (b *Backlog) ExpiryReadDone(r ExpiryRead, items []Item, after int64) {
 	s := b.exact(r.Segment)
 	if s == nil {
 		return
@@ -64,8 +64,8 @@
 	b.soonest = min(b.soonest, s.next())
 }
 
-// DueFailed takes a read of ends that could not be made. It is made again.
-func (b *Backlog) DueFailed(r DueRead) {
+// ExpiryReadFailed takes a read of ends that could not be made. It is made again.
+func (b *Backlog) ExpiryReadFailed(r ExpiryRead) {
 	s := b.exact(r.Segment)
 	if s == nil {
 		return
@@ -84,9 +84,9 @@
 	b.soonest = min(b.soonest, s.next())
 }
 
-// Over returns the next message behind the window whose time is over by now, as no
+// PopExpired returns the next message behind the window whose time is over by now, as no
 // longer behind it; false if there is none.
-func (b *Backlog) Over(now int64) (Item, bool) {
+func (b *Backlog) PopExpired(now int64) (Item, bool) {
 	for len(b.near) > 0 && b.near[0].Deadline <= now {
 		var e Item
 		if e, b.near = pop(b.near, sooner); b.take(&e.Entry) {
@@ -96,12 +96,12 @@
 	return Item{}, false
 }
 
-// Wake is when something is to be done next for the ends of messages, Unix time in
+// WakeTime is when something is to be done next for the ends of messages, Unix time in
 // microseconds; the largest number if nothing is.
-func (b *Backlog) Wake() int64 {
+func (b *Backlog) WakeTime() int64 {
 	at := int64(math.MaxInt64)
 	if b.soonest != math.MaxInt64 {
-		at = b.soonest - Ahead
+		at = b.soonest - LookaheadMicros
 	}
 	if len(b.near) > 0 {
 		at = min(at, b.near[0].Deadline)
--- a/internal/backlog/deadlines_test.go
+++ b/internal/backlog/deadlines_test.go
@@ -9,33 +9,33 @@
 func TestDueReadFailsAfterTheSeal(t *testing.T) {
 	for _, sealed := range []bool{false, true} {
 		b := New(Options{Window: 1})
-		b.Enter("d")
-		lane := b.Lane(Lane{Destination: "d"})
+		b.EnterWindow("d")
+		lane := b.Queue(Queue{Destination: "d"})
 		b.Open(16)
 		for i := range uint64(5) {
-			b.Add(Entry{Seq: 16 + i, ID: i, Lane: lane, Deadline: int64(100 - i)})
+			b.Add(Entry{Seq: 16 + i, IDHash: i, Queue: lane, Deadline: int64(100 - i)})
 		}
-		first := b.DueReads(0)
+		first := b.ExpiryReads(0)
 		if len(first) != 1 || len(first[0].Entries) != 5 || first[0].Entries[0].Seq != 20 {
 			t.Fatalf("asked for %+v", first)
 		}
 		_, entries := b.Close()
-		_, byDeadline, runs := Sort(entries)
+		_, byDeadline, runs := SortEntries(entries)
 		if sealed {
 			b.Seal(16, byDeadline, runs)
 		}
-		b.DueFailed(first[0])
-		again := b.DueReads(0)
+		b.ExpiryReadFailed(first[0])
+		again := b.ExpiryReads(0)
 		if len(again) != 1 || !sealed && len(again[0].Entries) != 5 || sealed && (again[0].From != 0 || again[0].N != 5) {
 			t.Fatalf("sealed %v: asked again for %+v", sealed, again)
 		}
-		b.DueFailed(again[0])
-		if again = b.DueReads(0); len(again) != 1 {
+		b.ExpiryReadFailed(again[0])
+		if again = b.ExpiryReads(0); len(again) != 1 {
 			t.Fatalf("sealed %v: after the second failure it asks for %+v", sealed, again)
 		}
-		b.DueCame(again[0], items(entries), math.MaxInt64)
+		b.ExpiryReadDone(again[0], items(entries), math.MaxInt64)
 		for want := uint64(20); want >= 16; want-- {
-			if e, ok := b.Over(100); !ok || e.Seq != want {
+			if e, ok := b.PopExpired(100); !ok || e.Seq != want {
 				t.Fatalf("%+v ends, want %d", e, want)
 			}
 		}
--- a/internal/backlog/disk/crash_test.go
+++ b/internal/backlog/disk/crash_test.go
@@ -17,7 +17,7 @@
 	"cometrack/internal/vfs"
 )
 
-var small = Options{Limit: 1 << 20, Segment: 1500}
+var small = Options{MaxBytes: 1 << 20, SegmentBytes: 1500}
 
 // held is what a test knows of the messages: by id, whether they were acknowledged, and
 // which are in a segment whose removal was begun, and has returned.
@@ -46,18 +46,18 @@
 
 // lanes gives lanes their numbers.
 type lanes struct {
-	by    map[backlog.Lane]backlog.LaneID
-	names map[backlog.LaneID]backlog.Lane
+	by    map[backlog.Queue]backlog.QueueID
+	names map[backlog.QueueID]backlog.Queue
 }
 
 func newLanes() *lanes {
-	return &lanes{by: map[backlog.Lane]backlog.LaneID{}, names: map[backlog.LaneID]backlog.Lane{}}
+	return &lanes{by: map[backlog.Queue]backlog.QueueID{}, names: map[backlog.QueueID]backlog.Queue{}}
 }
 
-func (x *lanes) id(l backlog.Lane) backlog.LaneID {
+func (x *lanes) id(l backlog.Queue) backlog.QueueID {
 	id, ok := x.by[l]
 	if !ok {
-		id = backlog.LaneID(len(x.by))
+		id = backlog.QueueID(len(x.by))
 		x.by[l], x.names[id] = id, l
 	}
 	return id
@@ -72,7 +72,7 @@
 			list = append(list, record(n))
 			n++
 		}
-		first, begins := l.Begins()
+		first, begins := l.StartsSegment()
 		entries, err := l.Append(list)
 		if err != nil {
 			for _, r := range list {
@@ -85,7 +85,7 @@
 		}
 		now := h.firsts[len(h.firsts)-1]
 		for i := range entries {
-			entries[i].ID, entries[i].Order, entries[i].Lane = Hash(list[i].ID), list[i].OrderHash(), h.lanes.id(list[i].Lane())
+			entries[i].IDHash, entries[i].OrderHash, entries[i].Queue = HashID(list[i].ID), list[i].OrderHash(), h.lanes.id(list[i].Queue())
 			h.acked[list[i].ID], h.seqs[list[i].ID] = true, entries[i].Seq
 			h.ids[now] = append(h.ids[now], list[i].ID)
 		}
@@ -135,15 +135,15 @@
 	defer l.Close()
 	found := map[string]bool{}
 	ln := newLanes()
-	var list []Segment
-	if err := l.Restore(ln.id, func(s Segment) { list = append(list, s) }); err != nil {
+	var list []RestoredSegment
+	if err := l.Restore(ln.id, func(s RestoredSegment) { list = append(list, s) }); err != nil {
 		t.Fatalf("%s: %v", what, err)
 	}
 	for _, s := range list {
 		for _, run := range s.Runs {
 			last := uint64(0)
 			for from := uint32(0); from < run.N; {
-				got, err := l.Read(backlog.Read{Lane: run.Lane, Segment: s.First, From: run.From + from, N: run.N - from})
+				got, err := l.Read(backlog.RefillRead{Queue: run.Queue, Segment: s.First, From: run.From + from, N: run.N - from})
 				if err != nil || len(got) == 0 {
 					t.Fatalf("%s: %d read, %v", what, len(got), err)
 				}
@@ -155,8 +155,8 @@
 					fmt.Sscanf(g.Record.ID, "m%d", &i)
 					want := record(i)
 					want.Seq = g.Record.Seq
-					if !sameRecord(g.Record, want) || g.Entry.Lane != ln.id(want.Lane()) || g.Entry.Seq <= last || g.Entry.ID != Hash(want.ID) ||
-						g.Entry.Order != want.OrderHash() || g.Entry.Terms != 1 || found[want.ID] || run.Lane != g.Entry.Lane {
+					if !sameRecord(g.Record, want) || g.Entry.Queue != ln.id(want.Queue()) || g.Entry.Seq <= last || g.Entry.IDHash != HashID(want.ID) ||
+						g.Entry.OrderHash != want.OrderHash() || g.Entry.Terms != 1 || found[want.ID] || run.Queue != g.Entry.Queue {
 						t.Fatalf("%s: read %+v %+v", what, g.Entry, g.Record)
 					}
 					if n, ok := h.seqs[want.ID]; ok && n != want.Seq {
@@ -170,11 +170,11 @@
 		if len(s.Entries) == 0 {
 			continue
 		}
-		due, after, err := l.Due(backlog.DueRead{Segment: s.First, N: uint32(len(s.Entries)) - 1})
+		due, after, err := l.ReadExpiring(backlog.ExpiryRead{Segment: s.First, N: uint32(len(s.Entries)) - 1})
 		if err != nil || len(due) != len(s.Entries)-1 || after != s.Entries[s.ByDeadline[len(due)]].Deadline {
 			t.Fatalf("%s: %d ends, %d after, %v", what, len(due), after, err)
 		}
-		if !slices.IsSortedFunc(due, func(a, b Got) int { return int(a.Record.Deadline - b.Record.Deadline) }) {
+		if !slices.IsSortedFunc(due, func(a, b ReadResult) int { return int(a.Record.Deadline - b.Record.Deadline) }) {
 			t.Fatalf("%s: ends out of order", what)
 		}
 	}
@@ -217,7 +217,7 @@
 		return err
 	}
 	defer l.Close()
-	return l.Restore(newLanes().id, func(Segment) {})
+	return l.Restore(newLanes().id, func(RestoredSegment) {})
 }
 
 // A crash at any call, under each kind of loss, loses nothing that was acknowledged and brings nothing back whose
@@ -248,7 +248,7 @@
 				m, h := vfs.NewMem(), newHeld()
 				m.CrashAt(n)
 				if l, err := Open(m, 0, opts); err == nil {
-					if err := l.Restore(newLanes().id, func(Segment) {}); err == nil {
+					if err := l.Restore(newLanes().id, func(RestoredSegment) {}); err == nil {
 						play(l, h, 0, batches)
 					}
 				}
@@ -297,7 +297,7 @@
 		}
 		before := len(h.acked)
 		err = play(l, h, 500, 5) // on it goes
-		if failed := l.Stats().Failed; failed != errors.Is(err, ErrFailed) || !failed && (err != nil || len(h.acked) <= before) {
+		if failed := l.Stats().Failed; failed != errors.Is(err, ErrSyncFailed) || !failed && (err != nil || len(h.acked) <= before) {
 			t.Fatalf("call %d: then %v", n, err)
 		}
 		l.Close()
@@ -332,7 +332,7 @@
 // What a write that was refused has left in part does not come back behind a message of the size of its first.
 func TestRefusedInPart(t *testing.T) {
 	opts := small
-	opts.Segment = 1 << 20
+	opts.SegmentBytes = 1 << 20
 	for room := int64(512); room <= 2048; room += 512 {
 		m := vfs.NewMem()
 		l, _ := Open(m, 0, opts)
@@ -354,7 +354,7 @@
 		}
 		l.Close()
 		l, _ = Open(m, 0, opts)
-		if err := l.Restore(newLanes().id, func(s Segment) {
+		if err := l.Restore(newLanes().id, func(s RestoredSegment) {
 			if want := 2; err != nil && len(s.Entries) != want {
 				t.Fatalf("room for %d: %d messages, want %d", room, len(s.Entries), want)
 			}
@@ -367,7 +367,7 @@
 
 // lastWrite is where the last write of a segment begins.
 func lastWrite(b []byte) (off int) {
-	salt, _, _ := parseHeader(b, Align)
+	salt, _, _ := parseHeader(b, SegmentAlignment)
 	list, _ := walk(b, salt)
 	for _, p := range list {
 		if p.start {
@@ -382,7 +382,7 @@
 func TestDamage(t *testing.T) {
 	for _, sealed := range []bool{false, true} {
 		opts, _ := logged(small)
-		opts.Segment, opts.Sync = 1<<20, store.SyncAlways
+		opts.SegmentBytes, opts.Sync = 1<<20, store.SyncAlways
 		m := vfs.NewMem()
 		l, err := Open(m, 0, opts)
 		if err != nil {
@@ -398,7 +398,7 @@
 				t.Fatal(err)
 			}
 		}
-		data := name(Align, dataSuffix)
+		data := name(SegmentAlignment, dataSuffix)
 		last := lastWrite(m.Data(data)) // it can't be told from one that a crash cut short, until there is an index block
 		if sealed {
 			last = len(m.Data(data))
@@ -414,8 +414,8 @@
 				t.Fatal(err)
 			}
 			whole, named := map[string]bool{}, map[string]bool{}
-			if err := l.Restore(newLanes().id, func(s Segment) {
-				got, err := l.Read(backlog.Read{Segment: s.First, N: uint32(len(s.Entries))})
+			if err := l.Restore(newLanes().id, func(s RestoredSegment) {
+				got, err := l.Read(backlog.RefillRead{Segment: s.First, N: uint32(len(s.Entries))})
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -459,7 +459,7 @@
 	torn := name(h.firsts[len(h.firsts)-1], dataSuffix)
 	m.Set(torn, append(m.Data(torn), make([]byte, 99)...))
 	l, _ = Open(m, 0, opts)
-	if err := l.Restore(newLanes().id, func(Segment) {}); err != nil {
+	if err := l.Restore(newLanes().id, func(RestoredSegment) {}); err != nil {
 		t.Fatal(err)
 	}
 	if err := play(l, h, 700, 1); err != nil {
--- a/internal/backlog/disk/index.go
+++ b/internal/backlog/disk/index.go
@@ -46,10 +46,10 @@
 )
 
 func (g *file) appendEntry(b []byte, e *backlog.Entry, lane, head uint32) []byte {
-	for _, v := range []uint64{e.ID, e.Order, uint64(e.Deadline), uint64(e.Terms)} {
+	for _, v := range []uint64{e.IDHash, e.OrderHash, uint64(e.Deadline), uint64(e.Terms)} {
 		b = binary.LittleEndian.AppendUint64(b, v)
 	}
-	for _, v := range []uint32{e.Offset, e.Head, e.Size, lane, head} {
+	for _, v := range []uint32{e.Offset, e.HeadSize, e.Size, lane, head} {
 		b = binary.LittleEndian.AppendUint32(b, v)
 	}
 	return b
@@ -63,18 +63,18 @@
 	if int(lane) >= len(g.lanes) {
 		return e, 0, false
 	}
-	return backlog.Entry{Seq: g.first + uint64(at), ID: u64(0), Order: u64(8), Deadline: int64(u64(16)), Terms: int64(u64(24)), Offset: u32(32),
-		Head: u32(36), Size: u32(40), Lane: g.lanes[lane]}, u32(48), true
+	return backlog.Entry{Seq: g.first + uint64(at), IDHash: u64(0), OrderHash: u64(8), Deadline: int64(u64(16)), Terms: int64(u64(24)), Offset: u32(32),
+		HeadSize: u32(36), Size: u32(40), Queue: g.lanes[lane]}, u32(48), true
 }
 
 // Seal writes the index block of a segment that is not written any more. lanes names
 // the lanes of its entries.
-func (l *Log) Seal(first uint64, entries []backlog.Entry, lanes map[backlog.LaneID]backlog.Lane) (byDeadline []uint32, runs []backlog.Run, err error) {
+func (l *Log) Seal(first uint64, entries []backlog.Entry, lanes map[backlog.QueueID]backlog.Queue) (byDeadline []uint32, runs []backlog.Run, err error) {
 	g := l.file(first)
 	if g == nil {
 		return nil, nil, fmt.Errorf("backlog: no segment %d", first)
 	}
-	byLane, byDeadline, runs := backlog.Sort(entries)
+	byLane, byDeadline, runs := backlog.SortEntries(entries)
 	if err := l.seal(g, entries, byLane, byDeadline, runs, lanes); err != nil {
 		return nil, nil, fmt.Errorf("backlog: %w", err)
 	}
@@ -87,14 +87,14 @@
 	return l.files[first]
 }
 
-func (l *Log) seal(g *file, entries []backlog.Entry, byLane, byDeadline []uint32, runs []backlog.Run, lanes map[backlog.LaneID]backlog.Lane) error {
-	local := map[backlog.LaneID]uint32{}
-	var names []backlog.Lane
+func (l *Log) seal(g *file, entries []backlog.Entry, byLane, byDeadline []uint32, runs []backlog.Run, lanes map[backlog.QueueID]backlog.Queue) error {
+	local := map[backlog.QueueID]uint32{}
+	var names []backlog.Queue
 	g.lanes = nil
 	for _, r := range runs {
-		local[r.Lane] = uint32(len(g.lanes))
-		g.lanes = append(g.lanes, r.Lane)
-		names = append(names, lanes[r.Lane])
+		local[r.Queue] = uint32(len(g.lanes))
+		g.lanes = append(g.lanes, r.Queue)
+		names = append(names, lanes[r.Queue])
 	}
 	data := make([]byte, g.size)
 	if _, err := readFull(g.data, data, 0); err != nil {
@@ -104,11 +104,11 @@
 	for i := range entries {
 		e := &entries[i]
 		at := len(sections[partHeads])
-		if end := int64(e.Offset) + int64(e.Head); end <= int64(len(data)) && e.Head >= recordHead {
+		if end := int64(e.Offset) + int64(e.HeadSize); end <= int64(len(data)) && e.HeadSize >= recordHead {
 			raw := data[e.Offset:end]
 			sections[partHeads] = append(sections[partHeads], raw...)
 		}
-		sections[partEntries] = g.appendEntry(sections[partEntries], e, local[e.Lane], uint32(at))
+		sections[partEntries] = g.appendEntry(sections[partEntries], e, local[e.Queue], uint32(at))
 	}
 	for _, at := range byLane {
 		sections[partByLane] = binary.LittleEndian.AppendUint32(sections[partByLane], at)
@@ -117,7 +117,7 @@
 		sections[partByDeadline] = binary.LittleEndian.AppendUint32(sections[partByDeadline], at)
 	}
 	for _, r := range runs {
-		for _, v := range []uint32{local[r.Lane], r.From, r.N} {
+		for _, v := range []uint32{local[r.Queue], r.From, r.N} {
 			sections[partRuns] = binary.LittleEndian.AppendUint32(sections[partRuns], v)
 		}
 	}
@@ -181,7 +181,7 @@
 
 // loadIndex reads an index block whole and checks it; false if there is none that
 // is good. lane gives a lane its number.
-func (l *Log) loadIndex(g *file, b []byte, lane func(backlog.Lane) backlog.LaneID) (s Segment, ok bool, err error) {
+func (l *Log) loadIndex(g *file, b []byte, lane func(backlog.Queue) backlog.QueueID) (s RestoredSegment, ok bool, err error) {
 	if len(b) < indexHead || string(b[:8]) != indexMagic || crc32.Checksum(b[:indexHead-4], castagnoli) != binary.LittleEndian.Uint32(b[indexHead-4:]) {
 		return s, false, nil
 	}
@@ -211,16 +211,16 @@
 	if len(sections[partEntries]) != n*entrySize || len(sections[partByLane]) != n*4 || len(sections[partByDeadline]) != n*4 {
 		return s, false, nil
 	}
-	var names []backlog.Lane
+	var names []backlog.Queue
 	if err := cbor.Unmarshal(sections[partLanes], &names); err != nil {
 		return s, false, nil
 	}
-	g.lanes = make([]backlog.LaneID, len(names))
+	g.lanes = make([]backlog.QueueID, len(names))
 	for i := range names {
 		g.lanes[i] = lane(names[i])
 	}
 	g.salt, g.n, g.layout = binary.LittleEndian.Uint64(b[24:]), x.n, x
-	s = Segment{First: g.first, Entries: make([]backlog.Entry, n), ByDeadline: make([]uint32, n)}
+	s = RestoredSegment{First: g.first, Entries: make([]backlog.Entry, n), ByDeadline: make([]uint32, n)}
 	for i := range n {
 		e, _, ok := g.parseEntry(sections[partEntries][i*entrySize:], uint32(i))
 		if !ok {
@@ -234,7 +234,7 @@
 		if int(local) >= len(g.lanes) {
 			return s, false, nil
 		}
-		s.Runs = append(s.Runs, backlog.Run{Lane: g.lanes[local], From: binary.LittleEndian.Uint32(raw[4:]), N: binary.LittleEndian.Uint32(raw[8:])})
+		s.Runs = append(s.Runs, backlog.Run{Queue: g.lanes[local], From: binary.LittleEndian.Uint32(raw[4:]), N: binary.LittleEndian.Uint32(raw[8:])})
 	}
 	return s, true, nil
 }
--- a/internal/backlog/disk/log.go
+++ b/internal/backlog/disk/log.go
@@ -18,11 +18,11 @@
 
 // Options bound a log.
 type Options struct {
-	Limit   int64 // bytes of all files; 0 for no limit
-	Segment int64 // bytes of a segment at most, but for its last batch; 0 for a default
-	Sync    store.Sync
-	Every   time.Duration // store.SyncInterval: how often [Log.Flush] is called; for the books only
-	Log     *slog.Logger  // nil for none
+	MaxBytes      int64 // bytes of all files; 0 for no limit
+	SegmentBytes  int64 // bytes of a segment at most, but for its last batch; 0 for a default
+	Sync          store.Sync
+	FlushInterval time.Duration // store.SyncInterval: how often [Log.Flush] is called; for the books only
+	Log           *slog.Logger  // nil for none
 }
 
 const (
@@ -31,17 +31,17 @@
 	segments   = 64 // of the limit
 	// mostEntries bounds what a segment without an index block takes in memory.
 	mostEntries = 64 << 10
-	// Align is what the first number of a segment is a multiple of.
-	Align    = 1024
-	lockName = "lock"
+	// SegmentAlignment is what the first number of a segment is a multiple of.
+	SegmentAlignment = 1024
+	lockName         = "lock"
 )
 
 // Errors of a log. They come wrapped.
 var (
-	ErrFull   = errors.New("the room behind the window is full")
-	ErrFailed = errors.New("nothing goes behind the window since a sync failed")
-	ErrNewer  = errors.New("the backlog is of a later format")
-	ErrClosed = errors.New("the backlog is closed")
+	ErrFull       = errors.New("the room behind the window is full")
+	ErrSyncFailed = errors.New("nothing goes behind the window since a sync failed")
+	ErrNewer      = errors.New("the backlog is of a later format")
+	ErrClosed     = errors.New("the backlog is closed")
 	// ErrDamaged says that a message can't be read back.
 	ErrDamaged = errors.New("damaged record")
 )
@@ -78,22 +78,22 @@
 
 	index  vfs.File // nil until it has an index block
 	layout layout
-	lanes  []backlog.LaneID // by their number in the index block
+	lanes  []backlog.QueueID // by their number in the index block
 }
 
 // Stats tells how a log stands.
 type Stats struct {
-	Segments int
-	Used     int64 // bytes of all files
-	Failed   bool
+	Segments  int
+	UsedBytes int64 // bytes of all files
+	Failed    bool
 }
 
 // Open opens the log in a folder that it has for itself. What an earlier process has
 // left is told by [Log.Restore], which is to be called next. Numbers of new messages
 // begin above least.
 func Open(dir vfs.FS, least uint64, opts Options) (*Log, error) {
-	if opts.Segment <= 0 {
-		opts.Segment = segmentSize(opts.Limit)
+	if opts.SegmentBytes <= 0 {
+		opts.SegmentBytes = segmentSize(opts.MaxBytes)
 	}
 	if opts.Log == nil {
 		opts.Log = slog.New(slog.DiscardHandler)
@@ -112,30 +112,30 @@
 	return min(max(limit/segments, minSegment), maxSegment)
 }
 
-// MostFiles is about how many files a log of that limit has open at once.
-func MostFiles(limit int64) int { return 2*int(limit/segmentSize(limit)) + 4 }
+// MaxOpenFiles is about how many files a log of that limit has open at once.
+func MaxOpenFiles(limit int64) int { return 2*int(limit/segmentSize(limit)) + 4 }
 
 // Stats tells how the log stands.
 func (l *Log) Stats() Stats {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return Stats{Segments: len(l.files), Used: l.used, Failed: l.failure != nil}
+	return Stats{Segments: len(l.files), UsedBytes: l.used, Failed: l.failure != nil}
 }
 
-// Room says whether messages of so many bytes, bodies and heads, are taken.
-func (l *Log) Room(more int64) bool {
+// HasRoom says whether messages of so many bytes, bodies and heads, are taken.
+func (l *Log) HasRoom(more int64) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	// An index block is smaller than its segment; one may be owed.
-	return l.failure == nil && !l.closed && (l.opts.Limit <= 0 || l.used+more+l.opts.Segment <= l.opts.Limit)
+	return l.failure == nil && !l.closed && (l.opts.MaxBytes <= 0 || l.used+more+l.opts.SegmentBytes <= l.opts.MaxBytes)
 }
 
-// Begins says whether the next Append begins a segment, and gives its first number.
-func (l *Log) Begins() (first uint64, yes bool) {
-	if a := l.active; a != nil && a.size < l.opts.Segment && a.n < mostEntries {
+// StartsSegment says whether the next Append begins a segment, and gives its first number.
+func (l *Log) StartsSegment() (first uint64, yes bool) {
+	if a := l.active; a != nil && a.size < l.opts.SegmentBytes && a.n < mostEntries {
 		return 0, false
 	}
-	return (l.next + Align - 1) / Align * Align, true
+	return (l.next + SegmentAlignment - 1) / SegmentAlignment * SegmentAlignment, true
 }
 
 // Append writes messages, as safe as the setting says once it returns, and gives each
@@ -155,7 +155,7 @@
 		return nil, fmt.Errorf("backlog: %w", err)
 	}
 	g := l.active
-	first, begins := l.Begins()
+	first, begins := l.StartsSegment()
 	if begins {
 		if g, err = l.begin(first); err != nil {
 			return nil, fmt.Errorf("backlog: %w", err)
@@ -177,7 +177,7 @@
 		next++
 		off := base + int64(l.buf.Len())
 		head := appendRecord(&l.buf, g.salt, off, r, i == 0 && safe)
-		entries[i] = backlog.Entry{Seq: r.Seq, Deadline: r.Deadline, Terms: r.Terms, Offset: uint32(off), Head: uint32(head),
+		entries[i] = backlog.Entry{Seq: r.Seq, Deadline: r.Deadline, Terms: r.Terms, Offset: uint32(off), HeadSize: uint32(head),
 			Size: uint32(head + len(r.Body))}
 	}
 	if err := l.write(g, begins); err != nil {
@@ -284,7 +284,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.failure == nil {
-		l.failure = fmt.Errorf("%w: %w", ErrFailed, err)
+		l.failure = fmt.Errorf("%w: %w", ErrSyncFailed, err)
 		l.opts.Log.Error("backlog", "err", l.failure)
 	}
 	return l.failure
--- a/internal/backlog/disk/read.go
+++ b/internal/backlog/disk/read.go
@@ -11,8 +11,8 @@
 	"cometrack/internal/vfs"
 )
 
-// Got is a message that was read.
-type Got struct {
+// ReadResult is a message that was read.
+type ReadResult struct {
 	Entry  backlog.Entry
 	Record *Record // nil if not even its head can be read
 	Err    error   // it is damaged: the record has no body
@@ -27,7 +27,7 @@
 
 // Read reads messages back, bodies included: those that were asked for, or the first
 // of them if they are large.
-func (l *Log) Read(r backlog.Read) ([]Got, error) {
+func (l *Log) Read(r backlog.RefillRead) ([]ReadResult, error) {
 	entries, heads, err := l.entries(r.Segment, r.Entries, partByLane, r.From, r.N)
 	if err != nil {
 		return nil, err
@@ -40,7 +40,7 @@
 			break
 		}
 	}
-	out := make([]Got, len(entries))
+	out := make([]ReadResult, len(entries))
 	for i := 0; i < len(entries); {
 		to := i + 1
 		end := int64(entries[i].Offset) + int64(entries[i].Size)
@@ -65,12 +65,12 @@
 }
 
 // got makes a message of its record's bytes, or names it by its head in the index block.
-func (l *Log) got(g *file, e backlog.Entry, heads []uint32, i int, b []byte) Got {
+func (l *Log) got(g *file, e backlog.Entry, heads []uint32, i int, b []byte) ReadResult {
 	p, ok := parseHead(b, g.salt, int64(e.Offset))
 	if ok = ok && p.Seq == e.Seq; ok && p.body(b) {
-		return Got{Entry: e, Record: &p.Record}
+		return ReadResult{Entry: e, Record: &p.Record}
 	}
-	out := Got{Entry: e, Err: fmt.Errorf("backlog: %s at %d: %w", name(g.first, dataSuffix), e.Offset, ErrDamaged)}
+	out := ReadResult{Entry: e, Err: fmt.Errorf("backlog: %s at %d: %w", name(g.first, dataSuffix), e.Offset, ErrDamaged)}
 	if ok {
 		out.Record = &p.Record
 	} else if i < len(heads) {
@@ -83,10 +83,10 @@
 
 // head reads the head of a record from the index block; nil if it can't be read.
 func (l *Log) head(g *file, e backlog.Entry, at uint32) *Record {
-	if g.index == nil || e.Head < recordHead || e.Head > recordHead+mostHead {
+	if g.index == nil || e.HeadSize < recordHead || e.HeadSize > recordHead+mostHead {
 		return nil
 	}
-	b := make([]byte, e.Head)
+	b := make([]byte, e.HeadSize)
 	if n, err := readFull(g.index, b, g.layout.parts[partHeads]+int64(at)); err != nil || n < len(b) {
 		return nil
 	}
@@ -147,9 +147,9 @@
 	return list, heads, nil
 }
 
-// Due reads the messages whose ends were asked for, without their bodies, and the
+// ReadExpiring reads the messages whose ends were asked for, without their bodies, and the
 // deadline of the one after them; the largest number if there is none.
-func (l *Log) Due(r backlog.DueRead) (list []Got, after int64, err error) {
+func (l *Log) ReadExpiring(r backlog.ExpiryRead) (list []ReadResult, after int64, err error) {
 	n := r.N
 	g := l.file(r.Segment)
 	if r.Entries == nil && g != nil && r.From+n < g.layout.n {
@@ -176,43 +176,43 @@
 
 // gotHead makes a message of a record's head. What the disk does not give now is an
 // error; what it gives and is no record is damage.
-func (l *Log) gotHead(g *file, e backlog.Entry, heads []uint32, i int) (Got, error) {
+func (l *Log) gotHead(g *file, e backlog.Entry, heads []uint32, i int) (ReadResult, error) {
 	if i < len(heads) {
 		if h := l.head(g, e, heads[i]); h != nil {
-			return Got{Entry: e, Record: h}, nil
+			return ReadResult{Entry: e, Record: h}, nil
 		}
 	}
-	b := make([]byte, e.Head)
+	b := make([]byte, e.HeadSize)
 	n, err := readFull(g.data, b, int64(e.Offset))
 	if err != nil {
-		return Got{}, fmt.Errorf("backlog: %s: %w", name(g.first, dataSuffix), err)
+		return ReadResult{}, fmt.Errorf("backlog: %s: %w", name(g.first, dataSuffix), err)
 	}
 	if p, ok := parseHead(b[:n], g.salt, int64(e.Offset)); ok && p.Seq == e.Seq {
-		return Got{Entry: e, Record: &p.Record}, nil
+		return ReadResult{Entry: e, Record: &p.Record}, nil
 	}
-	return Got{Entry: e, Err: fmt.Errorf("backlog: %s at %d: %w", name(g.first, dataSuffix), e.Offset, ErrDamaged)}, nil
+	return ReadResult{Entry: e, Err: fmt.Errorf("backlog: %s at %d: %w", name(g.first, dataSuffix), e.Offset, ErrDamaged)}, nil
 }
 
 // Lookup reads the head of the message at a place of a segment, of which the entry is
 // given if there is no index block yet.
-func (l *Log) Lookup(first uint64, at uint32, given *backlog.Entry) (Got, error) {
+func (l *Log) Lookup(first uint64, at uint32, given *backlog.Entry) (ReadResult, error) {
 	g := l.file(first)
 	if g == nil {
-		return Got{}, fmt.Errorf("backlog: no segment %d", first)
+		return ReadResult{}, fmt.Errorf("backlog: no segment %d", first)
 	}
 	if given != nil {
 		return l.gotHead(g, *given, nil, 0)
 	}
 	if g.index == nil || at >= g.layout.n {
-		return Got{}, fmt.Errorf("backlog: segment %d has no index block, or a smaller one", first)
+		return ReadResult{}, fmt.Errorf("backlog: segment %d has no index block, or a smaller one", first)
 	}
 	var raw [entrySize]byte
 	if err := readAll(g.index, raw[:], g.layout.parts[partEntries]+int64(at)*entrySize); err != nil {
-		return Got{}, fmt.Errorf("backlog: %s: %w", name(first, indexSuffix), err)
+		return ReadResult{}, fmt.Errorf("backlog: %s: %w", name(first, indexSuffix), err)
 	}
 	e, head, ok := g.parseEntry(raw[:], at)
 	if !ok {
-		return Got{}, fmt.Errorf("backlog: %s: entry %d: %w", name(first, indexSuffix), at, ErrDamaged)
+		return ReadResult{}, fmt.Errorf("backlog: %s: entry %d: %w", name(first, indexSuffix), at, ErrDamaged)
 	}
 	return l.gotHead(g, e, []uint32{head}, 0)
 }
--- a/internal/backlog/disk/record.go
+++ b/internal/backlog/disk/record.go
@@ -43,9 +43,9 @@
 	Ordered  bool   // its class keeps order, and it has an order key
 }
 
-// Lane is the lane that it waits in.
-func (r *Record) Lane() backlog.Lane {
-	return backlog.Lane{Destination: r.Partner, Tenant: r.Tenant, Class: r.Class}
+// Queue is the lane that it waits in.
+func (r *Record) Queue() backlog.Queue {
+	return backlog.Queue{Destination: r.Partner, Tenant: r.Tenant, Class: r.Class}
 }
 
 // OrderHash stands for its order key; 0 if no order is kept.
@@ -56,8 +56,8 @@
 	return max(xxhash.Sum64String(r.Order), 1)
 }
 
-// Hash stands for the id of a message.
-func Hash(id string) uint64 { return xxhash.Sum64String(id) }
+// HashID stands for the id of a message.
+func HashID(id string) uint64 { return xxhash.Sum64String(id) }
 
 type headRecord struct {
 	Seq      uint64 `cbor:"1,keyasint"`
--- a/internal/backlog/disk/restore.go
+++ b/internal/backlog/disk/restore.go
@@ -9,9 +9,9 @@
 	"cometrack/internal/backlog"
 )
 
-// Segment is what an earlier process has left, with its index block. An entry
+// RestoredSegment is what an earlier process has left, with its index block. An entry
 // without a head is of a message that can't be read at all.
-type Segment struct {
+type RestoredSegment struct {
 	First      uint64
 	Entries    []backlog.Entry
 	ByDeadline []uint32
@@ -21,7 +21,7 @@
 // Restore reads what an earlier process has left, segment by segment in the order of
 // their numbers, and gives each an index block that has none. Lanes get their numbers
 // from lane.
-func (l *Log) Restore(lane func(backlog.Lane) backlog.LaneID, take func(Segment)) error {
+func (l *Log) Restore(lane func(backlog.Queue) backlog.QueueID, take func(RestoredSegment)) error {
 	names, err := l.fs.List()
 	if err != nil {
 		return fmt.Errorf("backlog: %w", err)
@@ -57,7 +57,7 @@
 	return n, err == nil && name(n, suffix) == file
 }
 
-func (l *Log) restore(first uint64, last, indexed bool, lane func(backlog.Lane) backlog.LaneID, take func(Segment)) error {
+func (l *Log) restore(first uint64, last, indexed bool, lane func(backlog.Queue) backlog.QueueID, take func(RestoredSegment)) error {
 	f, err := l.fs.Open(name(first, dataSuffix), false)
 	if err != nil {
 		return err
@@ -79,7 +79,7 @@
 		return err
 	}
 	g.salt, g.lost = salt, !ok
-	var s Segment
+	var s RestoredSegment
 	if good := false; indexed {
 		if s, good, err = l.openIndex(g, lane); err != nil {
 			return err
@@ -103,7 +103,7 @@
 	return nil
 }
 
-func (l *Log) openIndex(g *file, lane func(backlog.Lane) backlog.LaneID) (s Segment, ok bool, err error) {
+func (l *Log) openIndex(g *file, lane func(backlog.Queue) backlog.QueueID) (s RestoredSegment, ok bool, err error) {
 	f, err := l.fs.Open(name(g.first, indexSuffix), false)
 	if err != nil {
 		return s, false, err
@@ -147,7 +147,7 @@
 
 // scan reads a segment that has no index block, cuts off what a crash has left of a
 // write at its end, and makes the index block.
-func (l *Log) scan(g *file, last bool, lane func(backlog.Lane) backlog.LaneID) (s Segment, err error) {
+func (l *Log) scan(g *file, last bool, lane func(backlog.Queue) backlog.QueueID) (s RestoredSegment, err error) {
 	b := make([]byte, g.size)
 	if _, err := readFull(g.data, b, 0); err != nil {
 		return s, err
@@ -181,22 +181,22 @@
 			l.opts.Log.Error("backlog: damage", "file", name(g.first, dataSuffix), "at", at)
 		}
 	}
-	names := map[backlog.LaneID]backlog.Lane{}
+	names := map[backlog.QueueID]backlog.Queue{}
 	for i := range list {
 		p := &list[i]
 		if p.off >= cut || p.Seq < g.first+uint64(len(s.Entries)) {
 			continue
 		}
 		for g.first+uint64(len(s.Entries)) < p.Seq { // not even its head can be read
-			s.Entries = append(s.Entries, backlog.Entry{Seq: g.first + uint64(len(s.Entries)), Lane: lane(p.Lane()), Deadline: p.Deadline})
+			s.Entries = append(s.Entries, backlog.Entry{Seq: g.first + uint64(len(s.Entries)), Queue: lane(p.Queue()), Deadline: p.Deadline})
 		}
-		id := lane(p.Lane())
-		names[id] = p.Lane()
-		s.Entries = append(s.Entries, backlog.Entry{Seq: p.Seq, ID: Hash(p.ID), Order: p.OrderHash(), Lane: id, Deadline: p.Deadline, Offset: uint32(p.off),
-			Head: uint32(p.head), Size: uint32(p.size), Terms: p.Terms})
+		id := lane(p.Queue())
+		names[id] = p.Queue()
+		s.Entries = append(s.Entries, backlog.Entry{Seq: p.Seq, IDHash: HashID(p.ID), OrderHash: p.OrderHash(), Queue: id, Deadline: p.Deadline, Offset: uint32(p.off),
+			HeadSize: uint32(p.head), Size: uint32(p.size), Terms: p.Terms})
 	}
 	g.n, s.First = uint32(len(s.Entries)), g.first
-	byLane, byDeadline, runs := backlog.Sort(s.Entries)
+	byLane, byDeadline, runs := backlog.SortEntries(s.Entries)
 	s.ByDeadline, s.Runs = byDeadline, runs
 	return s, l.seal(g, s.Entries, byLane, byDeadline, runs, names)
 }
--- a/internal/backlog/model_test.go
+++ b/internal/backlog/model_test.go
@@ -12,7 +12,7 @@
 // message is a message as the model knows it.
 type message struct {
 	entry   Entry
-	lane    Lane
+	lane    Queue
 	order   uint64
 	arrived int
 	state   state
@@ -39,11 +39,11 @@
 	seq      uint64
 	written  uint64 // the first number of the segment that is written; 0 for none
 	files    map[uint64]*file
-	reads    []Read
-	dues     []DueRead
-	failed   []LaneID
+	reads    []RefillRead
+	dues     []ExpiryRead
+	failed   []QueueID
 	arrivals int
-	skipped  map[LaneID]int // reads of the destination since this lane had one, while it could have
+	skipped  map[QueueID]int // reads of the destination since this lane had one, while it could have
 }
 
 type file struct {
@@ -55,16 +55,16 @@
 
 func newModel(t *rapid.T) *model {
 	m := &model{t: t, window: rapid.IntRange(1, 6).Draw(t, "window"), now: 1_000_000, bySeq: map[uint64]*message{}, files: map[uint64]*file{}, seq: 1,
-		skipped: map[LaneID]int{}}
+		skipped: map[QueueID]int{}}
 	m.b = New(m.opts())
 	return m
 }
 
-func (m *model) opts() Options { return Options{Window: m.window, Batch: 3, Out: 12} }
+func (m *model) opts() Options { return Options{Window: m.window, Batch: 3, MaxInFlight: 12} }
 
 // put hands a message in.
 func (m *model) put() {
-	lane := Lane{fmt.Sprint("d", rapid.IntRange(0, 2).Draw(m.t, "destination")), fmt.Sprint("t", rapid.IntRange(0, 1).Draw(m.t, "tenant")),
+	lane := Queue{fmt.Sprint("d", rapid.IntRange(0, 2).Draw(m.t, "destination")), fmt.Sprint("t", rapid.IntRange(0, 1).Draw(m.t, "tenant")),
 		fmt.Sprint("c", rapid.IntRange(0, 1).Draw(m.t, "class"))}
 	order := uint64(0)
 	if lane.Class == "c1" {
@@ -75,7 +75,7 @@
 		return x.state == stateBehind && x.order == order && order != 0 && x.lane != lane
 	})
 	verdict := m.b.Place(lane.Destination, lane, order)
-	if (verdict == Turned) != elsewhere {
+	if (verdict == Rejected) != elsewhere {
 		m.t.Fatalf("verdict %v of a message of %v with key %d", verdict, lane, order)
 	}
 	m.arrivals++
@@ -84,10 +84,10 @@
 		if n := m.count(lane.Destination, stateBehind); n > 0 {
 			m.t.Fatalf("a message went into the window past %d", n)
 		}
-		m.b.Enter(lane.Destination)
+		m.b.EnterWindow(lane.Destination)
 		msg.state = stateIn
 		m.all = append(m.all, msg)
-	case Behind:
+	case InBacklog:
 		if m.written == 0 || len(m.files[m.written].entries) == 7 {
 			m.written = (m.seq + 15) / 16 * 16
 			m.seq = m.written
@@ -97,7 +97,7 @@
 			m.b.Open(m.written)
 			m.files[m.written] = &file{}
 		}
-		msg.entry = Entry{Seq: m.seq, ID: m.seq * 0x9e3779b97f4a7c15, Order: order, Lane: m.b.Lane(lane), Terms: int64(m.seq % 2),
+		msg.entry = Entry{Seq: m.seq, IDHash: m.seq * 0x9e3779b97f4a7c15, OrderHash: order, Queue: m.b.Queue(lane), Terms: int64(m.seq % 2),
 			Deadline: m.now + int64(rapid.IntRange(0, 4_000_000).Draw(m.t, "time"))}
 		m.seq++
 		f := m.files[m.written]
@@ -121,7 +121,7 @@
 func (m *model) seal() {
 	for first, f := range m.files {
 		if f.closed && !f.sealed {
-			f.byLane, f.byDeadline, f.runs = Sort(f.entries)
+			f.byLane, f.byDeadline, f.runs = SortEntries(f.entries)
 			f.sealed = true
 			m.b.Seal(first, f.byDeadline, f.runs)
 			return
@@ -131,11 +131,11 @@
 
 // ask takes what is to be read.
 func (m *model) ask() {
-	for _, r := range m.b.Reads() {
+	for _, r := range m.b.RefillReads() {
 		m.fair(r)
 		m.reads = append(m.reads, r)
 	}
-	m.dues = append(m.dues, m.b.DueReads(m.now)...)
+	m.dues = append(m.dues, m.b.ExpiryReads(m.now)...)
 	for d, n := range m.inFlight() {
 		if in := m.count(d, stateIn); in+n > max(m.window, in) {
 			m.t.Fatalf("%s has %d in the window of %d and %d coming", d, in, m.window, n)
@@ -146,18 +146,18 @@
 func (m *model) inFlight() map[string]int {
 	out := map[string]int{}
 	for _, r := range m.reads {
-		out[m.b.Name(r.Lane).Destination] += int(r.N)
+		out[m.b.Name(r.Queue).Destination] += int(r.N)
 	}
 	return out
 }
 
 // fair sees that no lane waits while the others of its destination are read again and again.
-func (m *model) fair(r Read) {
-	d := m.b.Name(r.Lane).Destination
+func (m *model) fair(r RefillRead) {
+	d := m.b.Name(r.Queue).Destination
 	for _, l := range m.b.lanes {
 		switch {
 		case l.name.Destination != d:
-		case l.id == r.Lane || l.reading || l.behind == 0:
+		case l.id == r.Queue || l.reading || l.behind == 0:
 			m.skipped[l.id] = 0
 		default:
 			if m.skipped[l.id]++; m.skipped[l.id] > 4 {
@@ -168,7 +168,7 @@
 }
 
 // entries are what a read finds on the disk.
-func (m *model) entries(r Read) []Entry {
+func (m *model) entries(r RefillRead) []Entry {
 	if r.Entries != nil {
 		return r.Entries
 	}
@@ -193,8 +193,8 @@
 	m.reads = slices.Delete(m.reads, i, i+1)
 	switch rapid.IntRange(0, 5).Draw(m.t, "answer") {
 	case 0:
-		m.b.Failed(r)
-		m.failed = append(m.failed, r.Lane)
+		m.b.RefillFailed(r)
+		m.failed = append(m.failed, r.Queue)
 	case 1:
 		m.came(r, m.entries(r)[:1], true)
 	default:
@@ -202,9 +202,9 @@
 	}
 }
 
-func (m *model) came(r Read, entries []Entry, back bool) {
+func (m *model) came(r RefillRead, entries []Entry, back bool) {
 	var returned []Item
-	for i, in := range m.b.Came(r, entries) {
+	for i, in := range m.b.RefillDone(r, entries) {
 		e := entries[i]
 		x := m.bySeq[e.Seq]
 		if !in {
@@ -228,11 +228,11 @@
 			m.answerDue()
 		}
 		m.end()
-		m.b.Back(r.Lane, returned)
+		m.b.PutBack(r.Queue, returned)
 		for _, e := range returned {
 			m.bySeq[e.Seq].state = stateBehind
 		}
-		m.failed = append(m.failed, r.Lane)
+		m.failed = append(m.failed, r.Queue)
 	}
 }
 
@@ -244,11 +244,11 @@
 	r := m.dues[0]
 	m.dues = m.dues[1:]
 	if rapid.IntRange(0, 4).Draw(m.t, "fails") == 0 {
-		m.b.DueFailed(r)
+		m.b.ExpiryReadFailed(r)
 		return
 	}
 	if r.Entries != nil {
-		m.b.DueCame(r, items(r.Entries), math.MaxInt64)
+		m.b.ExpiryReadDone(r, items(r.Entries), math.MaxInt64)
 		return
 	}
 	f := m.files[r.Segment]
@@ -263,7 +263,7 @@
 	if int(r.From+r.N) < len(f.byDeadline) {
 		after = f.entries[f.byDeadline[r.From+r.N]].Deadline
 	}
-	m.b.DueCame(r, items(list), after)
+	m.b.ExpiryReadDone(r, items(list), after)
 }
 
 // items has the number wanted back of each message.
@@ -277,7 +277,7 @@
 // end ends what is over behind the window.
 func (m *model) end() {
 	for {
-		e, ok := m.b.Over(m.now)
+		e, ok := m.b.PopExpired(m.now)
 		if !ok {
 			return
 		}
@@ -297,7 +297,7 @@
 	for _, x := range m.all {
 		if x.state == stateIn && rapid.IntRange(0, 2).Draw(m.t, "ends") == 0 {
 			x.state = stateOver
-			m.b.Leave(x.lane.Destination)
+			m.b.LeaveWindow(x.lane.Destination)
 			return
 		}
 	}
@@ -311,7 +311,7 @@
 }
 
 func (m *model) tidy() {
-	for _, x := range m.b.Finished() {
+	for _, x := range m.b.Reclaim() {
 		first := x.First
 		delete(m.files, first)
 		for _, r := range m.reads {
@@ -326,7 +326,7 @@
 // window first.
 func (m *model) restart() {
 	m.b = New(m.opts())
-	m.reads, m.dues, m.failed, m.written, m.skipped = nil, nil, nil, 0, map[LaneID]int{}
+	m.reads, m.dues, m.failed, m.written, m.skipped = nil, nil, nil, 0, map[QueueID]int{}
 	firsts := []uint64{}
 	for first := range m.files {
 		firsts = append(firsts, first)
@@ -335,15 +335,15 @@
 	for _, first := range firsts {
 		f := m.files[first]
 		for i := range f.entries {
-			f.entries[i].Lane = m.b.Lane(m.bySeq[f.entries[i].Seq].lane)
+			f.entries[i].Queue = m.b.Queue(m.bySeq[f.entries[i].Seq].lane)
 		}
 		f.closed, f.sealed = true, true
-		f.byLane, f.byDeadline, f.runs = Sort(f.entries)
+		f.byLane, f.byDeadline, f.runs = SortEntries(f.entries)
 		m.b.Restore(first, f.entries, func(seq uint64) bool { return m.bySeq[seq].state != stateBehind }, f.byDeadline, f.runs)
 	}
 	for _, x := range m.all {
 		if x.state == stateIn {
-			m.b.Enter(x.lane.Destination)
+			m.b.EnterWindow(x.lane.Destination)
 		}
 	}
 }
@@ -354,14 +354,14 @@
 	terms := map[int64]bool{}
 	for _, x := range m.all {
 		if x.state != stateBehind {
-			if first, at, _, ok := m.b.Resolve(m.b.Find(x.entry.ID)); x.entry.ID != 0 && ok {
+			if first, at, _, ok := m.b.Resolve(m.b.Find(x.entry.IDHash)); x.entry.IDHash != 0 && ok {
 				m.t.Fatalf("message %d is found at %d of %d and is in state %d", x.entry.Seq, at, first, x.state)
 			}
 			continue
 		}
 		behind[x.lane.Destination]++
 		terms[x.entry.Terms] = true
-		first, at, e, ok := m.b.Resolve(m.b.Find(x.entry.ID))
+		first, at, e, ok := m.b.Resolve(m.b.Find(x.entry.IDHash))
 		if !ok || first+uint64(at) != x.entry.Seq || e != nil && e.Seq != x.entry.Seq {
 			m.t.Fatalf("message %d is found at %d of %d, %v", x.entry.Seq, at, first, ok)
 		}
@@ -370,8 +370,8 @@
 	for i := range 3 {
 		d := fmt.Sprint("d", i)
 		total += behind[d]
-		if m.b.Behind(d) != behind[d] || m.b.In(d) != m.count(d, stateIn) {
-			m.t.Fatalf("%s has %d behind and %d in the window, want %d and %d", d, m.b.Behind(d), m.b.In(d), behind[d], m.count(d, stateIn))
+		if m.b.BacklogLen(d) != behind[d] || m.b.WindowLen(d) != m.count(d, stateIn) {
+			m.t.Fatalf("%s has %d behind and %d in the window, want %d and %d", d, m.b.BacklogLen(d), m.b.WindowLen(d), behind[d], m.count(d, stateIn))
 		}
 	}
 	if m.b.Len() != total || m.b.ids.n != total {
@@ -438,7 +438,7 @@
 				t.Fatalf("message %d is over and was forgotten", x.entry.Seq)
 			}
 		}
-		if wake := m.b.Wake(); m.b.Len() > 0 && wake <= m.now {
+		if wake := m.b.WakeTime(); m.b.Len() > 0 && wake <= m.now {
 			t.Fatalf("it wants to be woken at %d, it is %d", wake, m.now)
 		}
 		for range 2000 { // the partner takes all
@@ -446,7 +446,7 @@
 			for _, x := range m.all {
 				if x.state == stateIn {
 					x.state, moved = stateOver, true
-					m.b.Leave(x.lane.Destination)
+					m.b.LeaveWindow(x.lane.Destination)
 				}
 			}
 			m.drain()
--- a/internal/backlog/reads.go
+++ b/internal/backlog/reads.go
@@ -2,19 +2,19 @@
 
 import "slices"
 
-// Read asks for messages that are next in a lane: N from the place From on of the
+// RefillRead asks for messages that are next in a lane: N from the place From on of the
 // order of lanes, or, of a segment without an index block, Entries.
-type Read struct {
-	Lane    LaneID
+type RefillRead struct {
+	Queue   QueueID
 	Segment uint64 // its first number
 	From, N uint32
 	Entries []Entry
 }
 
-// Reads tells what is to be read now, fairly over destinations, and over the lanes
-// of each. Each is to be answered by [Backlog.Came] or [Backlog.Failed].
-func (b *Backlog) Reads() (out []Read) {
-	for len(b.wanting) > 0 && b.out+b.opts.Batch <= b.opts.Out {
+// RefillReads tells what is to be read now, fairly over destinations, and over the lanes
+// of each. Each is to be answered by [Backlog.RefillDone] or [Backlog.RefillFailed].
+func (b *Backlog) RefillReads() (out []RefillRead) {
+	for len(b.wanting) > 0 && b.out+b.opts.Batch <= b.opts.MaxInFlight {
 		d := b.wanting[0]
 		b.wanting = b.wanting[1:]
 		d.wanting = false
@@ -27,10 +27,10 @@
 }
 
 // read picks the next lane of a destination in turn.
-func (b *Backlog) read(d *destination) (Read, bool) {
+func (b *Backlog) read(d *destination) (RefillRead, bool) {
 	free := b.opts.Window - d.in - d.coming
 	if free <= 0 {
-		return Read{}, false
+		return RefillRead{}, false
 	}
 	waiting := 0
 	for _, l := range d.lanes {
@@ -50,16 +50,16 @@
 		d.turn = (d.turn + i + 1) % len(d.lanes)
 		return b.readLane(l, uint32(most)), true
 	}
-	return Read{}, false
+	return RefillRead{}, false
 }
 
 // done says whether nothing is added to a run any more.
 func (r *run) done() bool { return r.back != nil || r.seg.closed }
 
-func (b *Backlog) readLane(l *lane, most uint32) Read {
+func (b *Backlog) readLane(l *lane, most uint32) RefillRead {
 	r := &l.runs[0]
 	n := min(r.n-r.next, most)
-	out := Read{Lane: l.id, Segment: r.seg.first, From: r.from + r.next, N: n}
+	out := RefillRead{Queue: l.id, Segment: r.seg.first, From: r.from + r.next, N: n}
 	switch {
 	case r.back != nil:
 		out.Entries = r.back[r.next : r.next+n]
@@ -75,11 +75,11 @@
 	return out
 }
 
-// Came takes what has been read: the entries of the first so many messages that were
+// RefillDone takes what has been read: the entries of the first so many messages that were
 // asked for. It returns which of them come into the window now; the others have
 // ended meanwhile.
-func (b *Backlog) Came(r Read, entries []Entry) (in []bool) {
-	l := b.lanes[r.Lane]
+func (b *Backlog) RefillDone(r RefillRead, entries []Entry) (in []bool) {
+	l := b.lanes[r.Queue]
 	in = make([]bool, len(entries))
 	stale := l.stale
 	b.answered(r)
@@ -97,15 +97,15 @@
 	return in
 }
 
-// Failed takes a read that could not be made. It is made again after a
+// RefillFailed takes a read that could not be made. It is made again after a
 // [Backlog.Retry].
-func (b *Backlog) Failed(r Read) { b.answered(r) }
+func (b *Backlog) RefillFailed(r RefillRead) { b.answered(r) }
 
 // Retry has a lane's destination looked at again.
-func (b *Backlog) Retry(id LaneID) { b.want(b.lanes[id].dest) }
+func (b *Backlog) Retry(id QueueID) { b.want(b.lanes[id].dest) }
 
-func (b *Backlog) answered(r Read) {
-	l := b.lanes[r.Lane]
+func (b *Backlog) answered(r RefillRead) {
+	l := b.lanes[r.Queue]
 	l.reading, l.stale = false, false
 	l.dest.coming -= int(r.N)
 	b.out -= int(r.N)
@@ -114,10 +114,10 @@
 	}
 }
 
-// Back takes messages of one lane back, in order, that came and could not be taken
-// into the module. It is called before the next [Backlog.Reads]. They are the next
+// PutBack takes messages of one lane back, in order, that came and could not be taken
+// into the module. It is called before the next [Backlog.RefillReads]. They are the next
 // ones of their lane again, after a [Backlog.Retry].
-func (b *Backlog) Back(id LaneID, items []Item) {
+func (b *Backlog) PutBack(id QueueID, items []Item) {
 	l := b.lanes[id]
 	entries := make([]Entry, len(items))
 	for i := range items {
--- a/internal/backlog/segment.go
+++ b/internal/backlog/segment.go
@@ -9,15 +9,15 @@
 // Entry is what is known of a message behind the window when it is taken on, and
 // again once it has been read. Its index block on the disk has it.
 type Entry struct {
-	Seq      uint64 // its place in the order in which messages went behind the window, from 1 on
-	ID       uint64 // hash of its id
-	Order    uint64 // hash of its order key, if its class keeps order; else 0
-	Lane     LaneID
-	Deadline int64  // by the sender's clock
-	Offset   uint32 // of its record in the segment, in bytes
-	Head     uint32 // bytes of the record before the body
-	Size     uint32 // bytes of the record
-	Terms    int64  // the number of the terms that it was taken on under
+	Seq       uint64 // its place in the order in which messages went behind the window, from 1 on
+	IDHash    uint64 // hash of its id
+	OrderHash uint64 // hash of its order key, if its class keeps order; else 0
+	Queue     QueueID
+	Deadline  int64  // by the sender's clock
+	Offset    uint32 // of its record in the segment, in bytes
+	HeadSize  uint32 // bytes of the record before the body
+	Size      uint32 // bytes of the record
+	Terms     int64  // the number of the terms that it was taken on under
 }
 
 // Item is a message with what whoever reads it wants back when it ends.
@@ -28,23 +28,23 @@
 
 // Run is a stretch of an index block: the messages of one lane, in order.
 type Run struct {
-	Lane LaneID
-	From uint32 // in the order of lanes
-	N    uint32
+	Queue QueueID
+	From  uint32 // in the order of lanes
+	N     uint32
 }
 
-// Sort gives the orders in which a closed segment's index block has its messages,
+// SortEntries gives the orders in which a closed segment's index block has its messages,
 // as places in the segment: by lane, with the runs, and by deadline.
-func Sort(entries []Entry) (byLane, byDeadline []uint32, runs []Run) {
+func SortEntries(entries []Entry) (byLane, byDeadline []uint32, runs []Run) {
 	byLane, byDeadline = make([]uint32, len(entries)), make([]uint32, len(entries))
 	for i := range entries {
 		byLane[i], byDeadline[i] = uint32(i), uint32(i)
 	}
-	slices.SortStableFunc(byLane, func(a, b uint32) int { return cmp.Compare(entries[a].Lane, entries[b].Lane) })
+	slices.SortStableFunc(byLane, func(a, b uint32) int { return cmp.Compare(entries[a].Queue, entries[b].Queue) })
 	slices.SortStableFunc(byDeadline, func(a, b uint32) int { return cmp.Compare(entries[a].Deadline, entries[b].Deadline) })
 	for i, p := range byLane {
-		if l := entries[p].Lane; i == 0 || runs[len(runs)-1].Lane != l {
-			runs = append(runs, Run{Lane: l, From: uint32(i)})
+		if l := entries[p].Queue; i == 0 || runs[len(runs)-1].Queue != l {
+			runs = append(runs, Run{Queue: l, From: uint32(i)})
 		}
 		runs[len(runs)-1].N++
 	}
@@ -61,9 +61,9 @@
 
 	// Until its index block is on the disk:
 	entries []Entry
-	lists   map[LaneID][]uint32 // places by lane, in order
-	waiting []uint32            // a heap of places by deadline: those whose end has not been asked for
-	closed  bool                // nothing is added any more
+	lists   map[QueueID][]uint32 // places by lane, in order
+	waiting []uint32             // a heap of places by deadline: those whose end has not been asked for
+	closed  bool                 // nothing is added any more
 
 	// From then on:
 	sealed bool
--- a/internal/backlog/spill/harness_test.go
+++ b/internal/backlog/spill/harness_test.go
@@ -60,7 +60,7 @@
 	acks   int
 }
 
-var testOptions = Options{Window: 3, Disk: 1 << 20, Segment: 1500, Log: slog.New(slog.DiscardHandler)}
+var testOptions = Options{Window: 3, MaxBytes: 1 << 20, SegmentBytes: 1500, Log: slog.New(slog.DiscardHandler)}
 
 const begin = int64(1_000_000_000_000)
 
@@ -92,7 +92,7 @@
 	for _, e := range j.Entries() {
 		if e.End == nil {
 			d.window = append(d.window, e.ID)
-			d.s.Enter(e.Partner)
+			d.s.EnterWindow(e.Partner)
 		}
 	}
 	return d, nil
@@ -117,11 +117,11 @@
 		d.lives[m.ID] = &life{}
 		switch d.s.Place(m, false) {
 		case backlog.InWindow:
-			d.s.Enter(m.Partner)
+			d.s.EnterWindow(m.Partner)
 			recs = append(recs, journal.Record{Op: journal.OpAccept, Entry: &journal.Entry{Message: *m, Accepted: d.now}})
 			d.window = append(d.window, m.ID)
-		case backlog.Behind:
-			d.s.Put(&disk.Record{Message: *m, Accepted: d.now, Digest: m.Digest()})
+		case backlog.InBacklog:
+			d.s.Stage(&disk.Record{Message: *m, Accepted: d.now, Digest: m.Digest()})
 		}
 		ids = append(ids, m.ID)
 	}
@@ -145,7 +145,7 @@
 		if err := d.end(); err != nil {
 			return err
 		}
-		d.s.Work(d.now)
+		d.s.StartReads(d.now)
 		done := make(chan struct{})
 		d.s.work.add(barrier{done})
 		var recs []journal.Record
@@ -164,7 +164,7 @@
 		if rounds++; rounds > 10_000 {
 			return errors.New("it does not come to rest")
 		}
-		if len(recs) == 0 && d.s.Wake() > d.now {
+		if len(recs) == 0 && d.s.WakeTime() > d.now {
 			return nil
 		}
 		if err := d.j.Append(recs); err != nil {
@@ -188,7 +188,7 @@
 	if err != nil {
 		return nil, err
 	}
-	in, first, count, ok := d.s.Take(ev)
+	in, first, count, ok := d.s.HandleEvent(ev)
 	if !ok {
 		return nil, fmt.Errorf("%T is none of its events", ev)
 	}
@@ -213,7 +213,7 @@
 	var recs []journal.Record
 	var ids []string
 	for {
-		r, seq, ok := d.s.Over(d.now)
+		r, seq, ok := d.s.PopExpired(d.now)
 		if !ok {
 			break
 		}
@@ -252,7 +252,7 @@
 		}
 		d.window = d.window[1:]
 		d.lives[id].over = true
-		d.s.Leave(partner)
+		d.s.LeaveWindow(partner)
 	}
 	return nil
 }
@@ -280,7 +280,7 @@
 		if err := d.settle(); err != nil {
 			return err
 		}
-		d.s.Tidy()
+		d.s.ReclaimSegments()
 		if err := d.settle(); err != nil {
 			return err
 		}
@@ -294,7 +294,7 @@
 	t.Helper()
 	behind := map[string]bool{}
 	for id := range d.lives {
-		if d.s.Has(id) {
+		if d.s.MayContain(id) {
 			found := false
 			d.s.Lookup(id, func(r *disk.Record, _ error) { behind[id], found = r != nil, true })
 			for !found {
@@ -317,8 +317,8 @@
 		case l.begun && !l.over && e == nil && !behind[id] && d.j.Ended(id) == nil:
 			t.Fatalf("%s: %s was about to end and is lost", what, id)
 		}
-		if d.s.Has(id) != behind[id] {
-			t.Fatalf("%s: %s is behind its window: %v, and found: %v", what, id, behind[id], d.s.Has(id))
+		if d.s.MayContain(id) != behind[id] {
+			t.Fatalf("%s: %s is behind its window: %v, and found: %v", what, id, behind[id], d.s.MayContain(id))
 		}
 	}
 }
@@ -329,7 +329,7 @@
 	for id, l := range d.lives { // what the dead process did not know
 		e := d.j.Entry(id)
 		l.over = l.over || d.j.Ended(id) != nil
-		if e == nil && !l.over && !d.s.Has(id) {
+		if e == nil && !l.over && !d.s.MayContain(id) {
 			delete(d.lives, id)
 		}
 	}
@@ -365,7 +365,7 @@
 		}
 		last[lane] = i
 	}
-	d.s.Tidy()
+	d.s.ReclaimSegments()
 	if err := d.settle(); err != nil {
 		t.Fatalf("%s: %v", what, err)
 	}
--- a/internal/backlog/spill/room_test.go
+++ b/internal/backlog/spill/room_test.go
@@ -17,25 +17,25 @@
 	}
 	d.close()
 	opts := testOptions
-	opts.Segment, opts.Disk, opts.Sync = 4096, 4096+2000, store.SyncNever
+	opts.SegmentBytes, opts.MaxBytes, opts.Sync = 4096, 4096+2000, store.SyncNever
 	s, err := Open(room{fs, "b-"}, d.j, opts, func(any, <-chan struct{}) {})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer s.Close()
-	if !s.Room(1400) || s.Room(1500) {
-		t.Errorf("room for 1400: %v, for 1500: %v", s.Room(1400), s.Room(1500))
+	if !s.HasRoom(1400) || s.HasRoom(1500) {
+		t.Errorf("room for 1400: %v, for 1500: %v", s.HasRoom(1400), s.HasRoom(1500))
 	}
 	m := messageOf(1)
-	s.Put(&disk.Record{Message: *m})
-	if s.Room(1400) || !s.Room(800) {
-		t.Errorf("beside one that is not written: room for 1400: %v, for 800: %v", s.Room(1400), s.Room(800))
+	s.Stage(&disk.Record{Message: *m})
+	if s.HasRoom(1400) || !s.HasRoom(800) {
+		t.Errorf("beside one that is not written: room for 1400: %v, for 800: %v", s.HasRoom(1400), s.HasRoom(800))
 	}
 	if err := s.Commit(); err != nil {
 		t.Fatal(err)
 	}
-	if s.Room(1400) || !s.Room(800) {
-		t.Errorf("beside one that is written: room for 1400: %v, for 800: %v", s.Room(1400), s.Room(800))
+	if s.HasRoom(1400) || !s.HasRoom(800) {
+		t.Errorf("beside one that is written: room for 1400: %v, for 800: %v", s.HasRoom(1400), s.HasRoom(800))
 	}
 }
 
@@ -55,7 +55,7 @@
 		if err := d.put(15 + 3*i); err != nil {
 			t.Fatal(err)
 		}
-		d.s.Work(d.now)
+		d.s.StartReads(d.now)
 	}
 	if n := fs.Calls() - before; n != 4 || d.s.Len() != 6 {
 		t.Errorf("%d calls for 4 steps, %d behind", n, d.s.Len())
--- a/internal/backlog/spill/spill.go
+++ b/internal/backlog/spill/spill.go
@@ -13,17 +13,17 @@
 
 // Options bound what is behind the windows.
 type Options struct {
-	Window int   // messages of a destination in the module
-	Disk   int64 // bytes of all files
-	// Segment is the bytes of a file at most; 0 for a default.
-	Segment int64
-	Sync    store.Sync
-	Every   time.Duration // store.SyncInterval: how often
-	Log     *slog.Logger
+	Window   int   // messages of a destination in the module
+	MaxBytes int64 // bytes of all files
+	// SegmentBytes is the bytes of a file at most; 0 for a default.
+	SegmentBytes  int64
+	Sync          store.Sync
+	FlushInterval time.Duration // store.SyncInterval: how often
+	Log           *slog.Logger
 }
 
-// Gone is what the journal knows of messages that were behind a window.
-type Gone interface {
+// Journal is what the journal knows of messages that were behind a window.
+type Journal interface {
 	// Gone says whether the message of that number is no longer behind it.
 	Gone(seq uint64) bool
 	// MostBehind is the largest number that it knows of.
@@ -35,8 +35,8 @@
 const (
 	// heads is room for what a message takes beside its body.
 	heads = 512
-	// RetryAfter is how long after a read that failed it is made again.
-	RetryAfter = 250 * time.Millisecond
+	// ReadRetryDelay is how long after a read that failed it is made again.
+	ReadRetryDelay = 250 * time.Millisecond
 )
 
 // Spill holds messages behind the windows of their destinations. All of its methods
@@ -47,24 +47,24 @@
 	log     *slog.Logger
 	since   uint64 // numbers from here on were given by this process
 	pending []*disk.Record
-	bytes   int64                   // of pending, about
-	places  map[string]int          // of pending, by destination
-	keys    map[uint64]backlog.Lane // of pending, by order key
+	bytes   int64                    // of pending, about
+	places  map[string]int           // of pending, by destination
+	keys    map[uint64]backlog.Queue // of pending, by order key
 	work    *worker
 	reads   bool // more is to come into the windows
 }
 
 // The events that Spill hands to tell. The one that decides hands them back to
-// [Spill.Take].
+// [Spill.HandleEvent].
 type (
 	cameEvent struct {
-		read backlog.Read
-		got  []disk.Got
+		read backlog.RefillRead
+		got  []disk.ReadResult
 		err  error
 	}
 	dueEvent struct {
-		read  backlog.DueRead
-		got   []disk.Got
+		read  backlog.ExpiryRead
+		got   []disk.ReadResult
 		after int64
 		err   error
 	}
@@ -74,14 +74,14 @@
 		runs       []backlog.Run
 	}
 	removedEvent struct{ first, n uint64 }
-	retryEvent   struct{ lane backlog.LaneID }
-	failedEvent  struct{ read backlog.DueRead }
+	retryEvent   struct{ lane backlog.QueueID }
+	failedEvent  struct{ read backlog.ExpiryRead }
 	told         struct {
 		by    *worker
 		event any
 	}
 	foundEvent struct {
-		got  disk.Got
+		got  disk.ReadResult
 		err  error
 		then func(*disk.Record, error)
 	}
@@ -90,21 +90,21 @@
 // Open opens what an earlier process has left in a folder, and hands what is read
 // beside the caller to tell, which may be called at any time until Close returns, and
 // has to return once quit is closed.
-func Open(fs vfs.FS, gone Gone, opts Options, tell func(event any, quit <-chan struct{})) (*Spill, error) {
-	l, err := disk.Open(fs, gone.MostBehind(), disk.Options{Limit: opts.Disk, Segment: opts.Segment, Sync: opts.Sync, Every: opts.Every, Log: opts.Log})
+func Open(fs vfs.FS, gone Journal, opts Options, tell func(event any, quit <-chan struct{})) (*Spill, error) {
+	l, err := disk.Open(fs, gone.MostBehind(), disk.Options{MaxBytes: opts.MaxBytes, SegmentBytes: opts.SegmentBytes, Sync: opts.Sync, FlushInterval: opts.FlushInterval, Log: opts.Log})
 	if err != nil {
 		return nil, err
 	}
-	s := &Spill{b: backlog.New(backlog.Options{Window: opts.Window}), l: l, log: opts.Log, places: map[string]int{}, keys: map[uint64]backlog.Lane{}, reads: true}
-	err = l.Restore(s.b.Lane, func(x disk.Segment) {
-		s.b.Restore(x.First, x.Entries, func(seq uint64) bool { return gone.Gone(seq) || x.Entries[seq-x.First].Head == 0 }, x.ByDeadline, x.Runs)
+	s := &Spill{b: backlog.New(backlog.Options{Window: opts.Window}), l: l, log: opts.Log, places: map[string]int{}, keys: map[uint64]backlog.Queue{}, reads: true}
+	err = l.Restore(s.b.Queue, func(x disk.RestoredSegment) {
+		s.b.Restore(x.First, x.Entries, func(seq uint64) bool { return gone.Gone(seq) || x.Entries[seq-x.First].HeadSize == 0 }, x.ByDeadline, x.Runs)
 	})
 	if err != nil {
 		l.Close()
 		return nil, err
 	}
-	gone.KeepPassed(s.b.Lives)
-	s.since, _ = l.Begins()
+	gone.KeepPassed(s.b.Overlaps)
+	s.since, _ = l.StartsSegment()
 	s.work = newWorker(l, opts, tell)
 	return s, nil
 }
@@ -120,7 +120,7 @@
 func (s *Spill) Len() int { return s.b.Len() + len(s.pending) }
 
 // Behind is the number of messages behind the window of a destination.
-func (s *Spill) Behind(destination string) int { return s.b.Behind(destination) }
+func (s *Spill) BacklogLen(destination string) int { return s.b.BacklogLen(destination) }
 
 // Terms are the numbers of terms that messages behind the windows may be held to.
 func (s *Spill) Terms() []int64 {
@@ -132,36 +132,36 @@
 }
 
 // Earlier says whether a number was given by a process before this one.
-func (s *Spill) Earlier(seq uint64) bool { return seq < s.since }
+func (s *Spill) FromEarlierProcess(seq uint64) bool { return seq < s.since }
 
 // Enter counts a message that the module has been given without Spill; Leave counts
 // one out that it has had.
-func (s *Spill) Enter(destination string) { s.b.Enter(destination) }
+func (s *Spill) EnterWindow(destination string) { s.b.EnterWindow(destination) }
 
 // Leave counts out a message that the module has had, however it came.
-func (s *Spill) Leave(destination string) { s.b.Leave(destination) }
+func (s *Spill) LeaveWindow(destination string) { s.b.LeaveWindow(destination) }
 
 // Place says where a new message goes.
-func (s *Spill) Place(m *message.Message, ordered bool) backlog.Verdict {
+func (s *Spill) Place(m *message.Message, ordered bool) backlog.Placement {
 	r := disk.Record{Message: *m, Ordered: ordered}
 	order := r.OrderHash()
-	if lane, ok := s.keys[order]; ok && order != 0 && lane != r.Lane() {
-		return backlog.Turned
+	if lane, ok := s.keys[order]; ok && order != 0 && lane != r.Queue() {
+		return backlog.Rejected
 	}
-	v := s.b.Place(r.Partner, r.Lane(), order)
+	v := s.b.Place(r.Partner, r.Queue(), order)
 	if v == backlog.InWindow && s.places[r.Partner] > 0 {
-		v = backlog.Behind
+		v = backlog.InBacklog
 	}
 	return v
 }
 
 // Put has a message that Place sends behind its window written by the next Commit.
-func (s *Spill) Put(r *disk.Record) {
+func (s *Spill) Stage(r *disk.Record) {
 	s.pending = append(s.pending, r)
 	s.bytes += int64(len(r.Body) + heads)
 	s.places[r.Partner]++
 	if order := r.OrderHash(); order != 0 {
-		s.keys[order] = r.Lane()
+		s.keys[order] = r.Queue()
 	}
 }
 
@@ -173,8 +173,8 @@
 }
 
 // Room says whether a message with such a body is taken behind a window.
-func (s *Spill) Room(body int) bool {
-	return s.l.Room(s.bytes + int64(body+heads))
+func (s *Spill) HasRoom(body int) bool {
+	return s.l.HasRoom(s.bytes + int64(body+heads))
 }
 
 // Commit writes the messages that were put behind their windows. Once it has
@@ -186,7 +186,7 @@
 		return nil
 	}
 	s.Discard()
-	first, begins := s.l.Begins()
+	first, begins := s.l.StartsSegment()
 	entries, err := s.l.Append(list)
 	if err != nil {
 		return err
@@ -198,17 +198,17 @@
 		s.b.Open(first)
 	}
 	for i := range entries {
-		entries[i].ID, entries[i].Order, entries[i].Lane = disk.Hash(list[i].ID), list[i].OrderHash(), s.b.Lane(list[i].Lane())
+		entries[i].IDHash, entries[i].OrderHash, entries[i].Queue = disk.HashID(list[i].ID), list[i].OrderHash(), s.b.Queue(list[i].Queue())
 		s.b.Add(entries[i])
 	}
 	return nil
 }
 
 func (s *Spill) sealing(first uint64, entries []backlog.Entry) job {
-	names := map[backlog.LaneID]backlog.Lane{}
+	names := map[backlog.QueueID]backlog.Queue{}
 	for i := range entries {
-		if _, ok := names[entries[i].Lane]; !ok {
-			names[entries[i].Lane] = s.b.Name(entries[i].Lane)
+		if _, ok := names[entries[i].Queue]; !ok {
+			names[entries[i].Queue] = s.b.Name(entries[i].Queue)
 		}
 	}
 	return sealJob{first, entries, names}
@@ -216,13 +216,13 @@
 
 // Has says whether a message of that id may be behind a window. It reads nothing;
 // what it finds may prove to be another one.
-func (s *Spill) Has(id string) bool { return s.b.Len() > 0 && s.b.Find(disk.Hash(id)) != 0 }
+func (s *Spill) MayContain(id string) bool { return s.b.Len() > 0 && s.b.Find(disk.HashID(id)) != 0 }
 
 // Lookup reads the message of an id beside the caller, without its body. then is
-// called by [Spill.Take] with it, with nil if none of that id is there, or with an
+// called by [Spill.HandleEvent] with it, with nil if none of that id is there, or with an
 // error if that can't be told.
 func (s *Spill) Lookup(id string, then func(*disk.Record, error)) {
-	first, at, e, ok := s.b.Resolve(s.b.Find(disk.Hash(id)))
+	first, at, e, ok := s.b.Resolve(s.b.Find(disk.HashID(id)))
 	if !ok {
 		s.work.add(foundEvent{then: then})
 		return
@@ -235,20 +235,20 @@
 	s.work.add(j)
 }
 
-// Came is a message that comes into the window, or can't.
-type Came struct {
+// RefilledMessage is a message that comes into the window, or can't.
+type RefilledMessage struct {
 	*disk.Record // nil if nothing of it can be read
 	Seq          uint64
 	Err          error // it is damaged
 	Partner      string
-	lane         backlog.LaneID
+	lane         backlog.QueueID
 	entry        backlog.Entry
 }
 
 // Take takes an event that tell was called with. It returns the messages that come
 // into the window now, and the numbers of a segment that is gone for good, from
 // first on; or ok is false if it is none of its events.
-func (s *Spill) Take(ev any) (in []Came, first, n uint64, ok bool) {
+func (s *Spill) HandleEvent(ev any) (in []RefilledMessage, first, n uint64, ok bool) {
 	t, ok := ev.(told)
 	if !ok {
 		return nil, 0, 0, false
@@ -268,7 +268,7 @@
 	case retryEvent:
 		s.b.Retry(ev.lane)
 	case failedEvent:
-		s.b.DueFailed(ev.read)
+		s.b.ExpiryReadFailed(ev.read)
 	case foundEvent:
 		if ev.err != nil {
 			s.log.Error("backlog: a message can't be looked up", "err", ev.err)
@@ -278,28 +278,28 @@
 	return nil, 0, 0, true
 }
 
-func (s *Spill) came(ev cameEvent) (in []Came) {
+func (s *Spill) came(ev cameEvent) (in []RefilledMessage) {
 	if ev.err != nil {
 		s.log.Error("backlog: messages can't be read yet", "err", ev.err)
-		s.b.Failed(ev.read)
-		s.retry(ev.read.Lane)
+		s.b.RefillFailed(ev.read)
+		s.retry(ev.read.Queue)
 		return nil
 	}
 	entries := make([]backlog.Entry, len(ev.got))
 	for i := range ev.got {
 		entries[i] = ev.got[i].Entry
 	}
-	for i, yes := range s.b.Came(ev.read, entries) {
+	for i, yes := range s.b.RefillDone(ev.read, entries) {
 		if yes {
 			g := ev.got[i]
-			in = append(in, Came{Record: g.Record, Seq: g.Entry.Seq, Err: g.Err, Partner: s.b.Name(ev.read.Lane).Destination, lane: ev.read.Lane, entry: g.Entry})
+			in = append(in, RefilledMessage{Record: g.Record, Seq: g.Entry.Seq, Err: g.Err, Partner: s.b.Name(ev.read.Queue).Destination, lane: ev.read.Queue, entry: g.Entry})
 		}
 	}
 	return in
 }
 
 // Back takes messages back, in order, that could not be taken into the module.
-func (s *Spill) Back(list []Came) {
+func (s *Spill) PutBack(list []RefilledMessage) {
 	for len(list) > 0 {
 		n := 1
 		for n < len(list) && list[n].lane == list[0].lane {
@@ -309,7 +309,7 @@
 		for i := range items {
 			items[i] = backlog.Item{Entry: list[i].entry, Payload: head(list[i].Record)}
 		}
-		s.b.Back(list[0].lane, items)
+		s.b.PutBack(list[0].lane, items)
 		s.retry(list[0].lane)
 		list = list[n:]
 	}
@@ -326,25 +326,25 @@
 }
 
 // retry has a lane looked at again after a while.
-func (s *Spill) retry(lane backlog.LaneID) { s.work.after(RetryAfter, retryEvent{lane}) }
+func (s *Spill) retry(lane backlog.QueueID) { s.work.after(ReadRetryDelay, retryEvent{lane}) }
 
 func (s *Spill) due(ev dueEvent) {
 	if ev.err != nil {
 		s.log.Error("backlog: ends can't be read yet", "err", ev.err)
-		s.work.after(RetryAfter, failedEvent{ev.read})
+		s.work.after(ReadRetryDelay, failedEvent{ev.read})
 		return
 	}
 	items := make([]backlog.Item, len(ev.got))
 	for i := range ev.got {
 		items[i] = backlog.Item{Entry: ev.got[i].Entry, Payload: ev.got[i].Record}
 	}
-	s.b.DueCame(ev.read, items, ev.after)
+	s.b.ExpiryReadDone(ev.read, items, ev.after)
 }
 
 // Over returns a message whose time is over at a time, as no longer behind the
 // window; ok is false if there is none. Without a record nothing of it can be read.
-func (s *Spill) Over(at int64) (r *disk.Record, seq uint64, ok bool) {
-	e, ok := s.b.Over(at)
+func (s *Spill) PopExpired(at int64) (r *disk.Record, seq uint64, ok bool) {
+	e, ok := s.b.PopExpired(at)
 	if !ok {
 		return nil, 0, false
 	}
@@ -354,26 +354,26 @@
 
 // Wake is when Over and Work are to be called next, Unix time in microseconds; the
 // largest number for no such time.
-func (s *Spill) Wake() int64 { return s.b.Wake() }
+func (s *Spill) WakeTime() int64 { return s.b.WakeTime() }
 
 // Rest has no more messages come into the windows.
-func (s *Spill) Rest() { s.reads = false }
+func (s *Spill) StopRefill() { s.reads = false }
 
 // Work has read what is to be read next.
-func (s *Spill) Work(now int64) {
+func (s *Spill) StartReads(now int64) {
 	if s.reads {
-		for _, r := range s.b.Reads() {
+		for _, r := range s.b.RefillReads() {
 			s.work.add(readJob{r})
 		}
 	}
-	for _, r := range s.b.DueReads(now) {
+	for _, r := range s.b.ExpiryReads(now) {
 		s.work.add(dueJob{r})
 	}
 }
 
 // Tidy has segments removed of which nothing is behind a window any more.
-func (s *Spill) Tidy() {
-	for _, x := range s.b.Finished() {
+func (s *Spill) ReclaimSegments() {
+	for _, x := range s.b.Reclaim() {
 		s.work.add(removeJob{x.First, x.N})
 	}
 }
--- a/internal/backlog/spill/worker.go
+++ b/internal/backlog/spill/worker.go
@@ -30,13 +30,13 @@
 type job interface{ do(w *worker) any }
 
 type (
-	readJob   struct{ read backlog.Read }
-	dueJob    struct{ read backlog.DueRead }
+	readJob   struct{ read backlog.RefillRead }
+	dueJob    struct{ read backlog.ExpiryRead }
 	removeJob struct{ first, n uint64 }
 	sealJob   struct {
 		first   uint64
 		entries []backlog.Entry
-		names   map[backlog.LaneID]backlog.Lane
+		names   map[backlog.QueueID]backlog.Queue
 	}
 	lookupJob struct {
 		first uint64
@@ -50,7 +50,7 @@
 func newWorker(l *disk.Log, opts Options, tell func(any, <-chan struct{})) *worker {
 	w := &worker{l: l, log: opts.Log, tell: tell, wake: make(chan struct{}, 1), ended: make(chan struct{}), quit: make(chan struct{})}
 	if opts.Sync == store.SyncInterval {
-		w.every = max(opts.Every, time.Millisecond)
+		w.every = max(opts.FlushInterval, time.Millisecond)
 	}
 	go w.run()
 	return w
@@ -128,7 +128,7 @@
 }
 
 func (j dueJob) do(w *worker) any {
-	got, after, err := w.l.Due(j.read)
+	got, after, err := w.l.ReadExpiring(j.read)
 	return dueEvent{j.read, got, after, err}
 }
 
--- a/internal/core/backlog.go
+++ b/internal/core/backlog.go
@@ -23,40 +23,40 @@
 // Backlog keeps messages behind the windows of their destinations. [spill.Spill] is
 // one; it says what each method does. All of them belong to the loop.
 type Backlog interface {
-	Place(m *message.Message, ordered bool) backlog.Verdict
-	Put(r *disk.Record)
-	Room(body int) bool
+	Place(m *message.Message, ordered bool) backlog.Placement
+	Stage(r *disk.Record)
+	HasRoom(body int) bool
 	Commit() error
-	Enter(partner string)
-	Leave(partner string)
-	Has(id string) bool
+	EnterWindow(partner string)
+	LeaveWindow(partner string)
+	MayContain(id string) bool
 	Lookup(id string, then func(*disk.Record, error))
 	Discard()
-	Take(event any) (in []spill.Came, first, count uint64, ok bool)
-	Back(list []spill.Came)
-	Over(at int64) (r *disk.Record, seq uint64, ok bool)
-	Wake() int64
-	Work(now int64)
-	Tidy()
-	Rest()
-	Earlier(seq uint64) bool
+	HandleEvent(event any) (in []spill.RefilledMessage, first, count uint64, ok bool)
+	PutBack(list []spill.RefilledMessage)
+	PopExpired(at int64) (r *disk.Record, seq uint64, ok bool)
+	WakeTime() int64
+	StartReads(now int64)
+	ReclaimSegments()
+	StopRefill()
+	FromEarlierProcess(seq uint64) bool
 	Terms() []int64
 	Len() int
-	Behind(partner string) int
+	BacklogLen(partner string) int
 	Close() error
 }
 
 // behind is the loop's part of the messages behind the windows; its zero value is
 // that of a core without any.
 type behind struct {
-	Backlog                   // nil for none
-	due     *time.Timer       // of the next end behind a window
-	came    []spill.Came      // since the last step
-	fresh   map[string]bool   // of these, by id
-	over    []ending          // ended behind their windows, not written yet
-	ending  map[string]uint64 // of these, the digests by id
-	placed  map[string]bool   // new messages that go behind their windows with this step, by id
-	looks   int               // lookups that have not answered
+	Backlog                         // nil for none
+	due     *time.Timer             // of the next end behind a window
+	came    []spill.RefilledMessage // since the last step
+	fresh   map[string]bool         // of these, by id
+	over    []ending                // ended behind their windows, not written yet
+	ending  map[string]uint64       // of these, the digests by id
+	placed  map[string]bool         // new messages that go behind their windows with this step, by id
+	looks   int                     // lookups that have not answered
 	closing bool
 }
 
@@ -85,11 +85,11 @@
 	c.store.HoldTerms(b.Terms)
 	for _, h := range c.held {
 		if !h.over {
-			b.Enter(h.msg.Partner)
+			b.EnterWindow(h.msg.Partner)
 		}
 	}
 	if c.behind.closing {
-		b.Rest()
+		b.StopRefill()
 	}
 	return nil
 }
@@ -133,11 +133,11 @@
 	switch v := b.Place(m, ordered); {
 	case v == backlog.InWindow:
 		return false
-	case v == backlog.Turned || !b.Room(len(m.Body)):
+	case v == backlog.Rejected || !b.HasRoom(len(m.Body)):
 		ev.tell(Answer{Verdict: Busy})
 		return true
 	}
-	b.Put(&disk.Record{Message: *m, Accepted: c.clock.Now(), Terms: c.terms.n, Digest: m.Digest(), Ordered: ordered})
+	b.Stage(&disk.Record{Message: *m, Accepted: c.clock.Now(), Terms: c.terms.n, Digest: m.Digest(), Ordered: ordered})
 	b.placed[m.ID] = true
 	c.puts = append(c.puts, ev)
 	c.fresh[m.ID] = m
@@ -164,7 +164,7 @@
 // lookFirst has a message looked up whose id may be behind a window, before it is
 // taken on; false if it is none.
 func (c *Core) lookFirst(ev putEvent) bool {
-	if c.behind.Backlog == nil || ev.sure || !c.behind.Has(ev.msg.ID) {
+	if c.behind.Backlog == nil || ev.sure || !c.behind.MayContain(ev.msg.ID) {
 		return false
 	}
 	c.behind.looks++
@@ -189,7 +189,7 @@
 // lookState answers one who asks for a message that may be behind a window; false
 // if it is none.
 func (c *Core) lookState(ask stateEvent) bool {
-	if c.behind.Backlog == nil || ask.sure || !c.behind.Has(ask.id) {
+	if c.behind.Backlog == nil || ask.sure || !c.behind.MayContain(ask.id) {
 		return false
 	}
 	c.behind.looks++
@@ -214,13 +214,13 @@
 	if c.behind.Backlog == nil {
 		return false
 	}
-	list, first, count, ok := c.behind.Take(ev)
+	list, first, count, ok := c.behind.HandleEvent(ev)
 	if count > 0 {
 		c.records = append(c.records, journal.Record{Op: journal.OpCleared, Behind: first, Count: count})
 	}
 	for i := range list {
 		if r := list[i].Record; r != nil && list[i].Err == nil && !c.store.Room(len(r.Body)) {
-			c.behind.Back(list[i:]) // read again later
+			c.behind.PutBack(list[i:]) // read again later
 			break
 		}
 		c.enter(list[i])
@@ -229,17 +229,17 @@
 }
 
 // enter has the module take a message on that comes into its window.
-func (c *Core) enter(x spill.Came) {
+func (c *Core) enter(x spill.RefilledMessage) {
 	r := x.Record
 	if r == nil {
 		c.log.Error("a message behind its window can't be read: nothing is known of it but its number", "number", x.Seq, "err", x.Err)
 		c.records = append(c.records, journal.Record{Op: journal.OpPassed, Behind: x.Seq})
-		c.behind.Leave(x.Partner)
+		c.behind.LeaveWindow(x.Partner)
 		return
 	}
 	if x.Err != nil {
 		c.log.Error("a message behind its window is damaged: it is returned", "id", r.ID, "partner", r.Partner, "err", x.Err)
-		c.behind.Leave(x.Partner)
+		c.behind.LeaveWindow(x.Partner)
 		c.overBehind(r, x.Seq)
 		return
 	}
@@ -254,11 +254,11 @@
 	}
 	if h.class == nil {
 		c.log.Error("a message behind its window is of a class that is not configured: it is returned", "id", r.ID, "class", r.Class)
-		c.behind.Leave(x.Partner)
+		c.behind.LeaveWindow(x.Partner)
 		c.overBehind(r, x.Seq)
 		return
 	}
-	in.Past = logic.Past{Held: c.from == nil && c.behind.Earlier(x.Seq)}
+	in.Past = logic.Past{Held: c.from == nil && c.behind.FromEarlierProcess(x.Seq)}
 	c.held[m.ID] = h
 	c.open++
 	c.behind.came, c.behind.fresh[m.ID] = append(c.behind.came, x), true
@@ -283,7 +283,7 @@
 	}
 	at := c.clock.Now() + endEarly.Microseconds()
 	for len(c.behind.over) < mostEnds {
-		r, seq, ok := c.behind.Over(at)
+		r, seq, ok := c.behind.PopExpired(at)
 		if !ok {
 			break
 		}
@@ -315,7 +315,7 @@
 				c.next = append(c.next, logic.ClientGone{ID: x.Record.ID})
 			}
 		}
-		c.behind.Back(c.behind.came)
+		c.behind.PutBack(c.behind.came)
 	} else {
 		for _, x := range c.behind.came {
 			c.leaveBody(x.Record.ID)
@@ -339,8 +339,8 @@
 	if c.behind.Backlog == nil {
 		return
 	}
-	c.behind.Work(c.clock.Now() + endEarly.Microseconds())
-	if at := c.behind.Wake(); at != math.MaxInt64 {
+	c.behind.StartReads(c.clock.Now() + endEarly.Microseconds())
+	if at := c.behind.WakeTime(); at != math.MaxInt64 {
 		c.behind.due.Reset(max(time.Until(c.clock.Moment(at))-endEarly, time.Millisecond))
 	} else {
 		c.behind.due.Reset(time.Hour)
--- a/internal/core/backlog_test.go
+++ b/internal/core/backlog_test.go
@@ -21,7 +21,7 @@
 func behindOf(fs vfs.FS) func(*Parts) {
 	return func(p *Parts) {
 		p.Behind = func(s Store, tell func(any, <-chan struct{})) (Backlog, error) {
-			return spill.Open(fs, s, spill.Options{Window: 1, Disk: 3e6, Sync: store.SyncAlways, Log: slog.New(slog.DiscardHandler)}, tell)
+			return spill.Open(fs, s, spill.Options{Window: 1, MaxBytes: 3e6, Sync: store.SyncAlways, Log: slog.New(slog.DiscardHandler)}, tell)
 		}
 	}
 }
--- a/internal/core/door.go
+++ b/internal/core/door.go
@@ -81,7 +81,7 @@
 func (c *Core) leave(h *held) {
 	c.open--
 	if c.behind.Backlog != nil {
-		c.behind.Leave(h.msg.Partner)
+		c.behind.LeaveWindow(h.msg.Partner)
 	}
 	if h.door != nil {
 		h.door.open--
--- a/internal/core/loop.go
+++ b/internal/core/loop.go
@@ -117,7 +117,7 @@
 func (c *Core) sweep(now time.Time) {
 	c.transport.Sweep()
 	if c.behind.Backlog != nil {
-		c.behind.Tidy()
+		c.behind.ReclaimSegments()
 	}
 	c.remember(rememberSweep)
 	if err := c.store.Append(c.records); err != nil {
@@ -271,7 +271,7 @@
 		c.next = append(c.next, logic.Closing{Left: micros(ev.left)})
 		c.behind.closing = true
 		if c.behind.Backlog != nil {
-			c.behind.Rest()
+			c.behind.StopRefill()
 		}
 	default:
 		c.fromBehind(ev)
--- a/internal/core/submit.go
+++ b/internal/core/submit.go
@@ -103,7 +103,7 @@
 	c.held[m.ID] = &held{msg: m, accepted: now, door: ev.door, terms: c.terms.n, class: class}
 	c.open++
 	if c.behind.Backlog != nil {
-		c.behind.Enter(m.Partner)
+		c.behind.EnterWindow(m.Partner)
 	}
 	if ev.door != nil {
 		ev.door.open++
--- a/internal/daemon/backlog.go
+++ b/internal/daemon/backlog.go
@@ -36,8 +36,8 @@
 		if err != nil {
 			return nil, err
 		}
-		return spill.Open(dir, kept, spill.Options{Window: window, Disk: int64(f.Limits.BacklogMB) * 1e6, Sync: f.Store.Mode(),
-			Every: time.Duration(f.Store.Interval), Log: log}, tell)
+		return spill.Open(dir, kept, spill.Options{Window: window, MaxBytes: int64(f.Limits.BacklogMB) * 1e6, Sync: f.Store.Mode(),
+			FlushInterval: time.Duration(f.Store.Interval), Log: log}, tell)
 	}
 }
 
@@ -46,5 +46,5 @@
 	if f.Limits.Window == 0 {
 		return 0
 	}
-	return disk.MostFiles(int64(f.Limits.BacklogMB) * 1e6)
+	return disk.MaxOpenFiles(int64(f.Limits.BacklogMB) * 1e6)
 }
