--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -26,12 +26,12 @@
 // others do.
 func (f *File) Settings() logic.Settings {
 	s := logic.Settings{Senders: 1, Zones: len(f.Zones), Slots: f.Limits.Slots, MaxOpen: f.Limits.OpenMessages,
-		MaxTries: f.Limits.Attempts, Tick: logic.Micros(time.Millisecond / time.Microsecond), OnRequest: true, MayCancel: true,
-		RetryAfter: true, Halves: true, Remember: true, Weights: logic.WeightsNominal, Save: logic.Micros(pacing / time.Microsecond),
-		ConnIdle: micros(f.Transport.HTTP.Idle), ConnCalls: 1, MaxRetryAfter: micros(f.Limits.RetryAfter), OverShareWorth: 0.2,
+		MaxTries: f.Limits.Attempts, Tick: logic.Micros(time.Millisecond / time.Microsecond), ListOnRequest: true, MayCancel: true,
+		AdviseRetry: true, ExponentialDecay: true, TrackChanges: true, Weights: logic.WeightsNominal, BurstTime: logic.Micros(pacing / time.Microsecond),
+		ConnIdle: micros(f.Transport.HTTP.Idle), ConnCalls: 1, MaxRetryAfter: micros(f.Limits.RetryAfter), OverQuotaWorth: 0.2,
 		DrainGrace: micros(f.Rules.DrainGrace), FallMultiple: f.Rules.FallMultiple, FallWindow: micros(f.Rules.FallWindow),
 		ColdFrom: f.Rules.ColdFrom, WarmAfter: micros(f.Rules.WarmAfter), KeyQuiet: micros(f.Rules.KeyQuiet),
-		ReportLeft: -1, ReportLimit: -1, Share: f.Shares()}
+		RemainingIndex: -1, LimitIndex: -1, PublishHealth: f.Shares()}
 	for i, z := range f.Zones {
 		if z == f.Zone {
 			s.Zone = i
@@ -45,7 +45,7 @@
 		s.Tenants = append(s.Tenants, logic.Tenant{Name: t.Name, QuotaRPS: t.Quota / float64(f.Senders)})
 	}
 	for _, k := range f.Kinds {
-		s.Kinds = append(s.Kinds, logic.Kind{Name: k.Name, Apart: k.Routes == "apart", Batch: 1})
+		s.Kinds = append(s.Kinds, logic.Kind{Name: k.Name, Independent: k.Routes == "apart", MaxBatch: 1})
 	}
 	return s
 }
--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -14,7 +14,7 @@
 // callOuts makes the attempts of a step. Those at one endpoint travel as one call
 // as far as its kind allows, in the order of the module's words. Without their
 // records in the journal they are not made.
-func (c *Core) callOuts(work context.Context, outs []logic.CallOut, written bool) {
+func (c *Core) callOuts(work context.Context, outs []logic.StartAttempt, written bool) {
 	if len(outs) == 0 {
 		return
 	}
@@ -26,7 +26,7 @@
 		}
 		if !written {
 			c.held[a.ID].stop = func() {}
-			ev := replyEvent{{attempt: out, result: Result{Outcome: logic.Moot}}}
+			ev := replyEvent{{attempt: out, result: Result{Outcome: logic.NotSent}}}
 			time.AfterFunc(retryPause, func() { c.post(ev) }) // a full disk, say: room may come
 			continue
 		}
@@ -48,29 +48,29 @@
 // batch is how many messages one call to an endpoint takes.
 func (c *Core) batch(ep logic.EndpointID) int {
 	if k := c.dir.eps[ep].kind; k >= 0 && k < len(c.terms.set.Kinds) {
-		return max(c.terms.set.Kinds[k].Batch, 1)
+		return max(c.terms.set.Kinds[k].MaxBatch, 1)
 	}
 	return 1
 }
 
 // attempt books an attempt. It is nil for a message that is not held.
-func (c *Core) attempt(a logic.CallOut) *Attempt {
+func (c *Core) attempt(a logic.StartAttempt) *Attempt {
 	h := c.held[a.ID]
 	if h == nil { // never taken on; the module is still owed its one outcome
-		c.next = append(c.next, logic.Reply{ID: a.ID, NoMore: true, Endpoint: a.Endpoint, Outcome: logic.Moot})
+		c.next = append(c.next, logic.AttemptResult{ID: a.ID, MessageEnded: true, Endpoint: a.Endpoint, Outcome: logic.NotSent})
 		return nil
 	}
 	if h.stop != nil || h.over { // the module's books say otherwise: nothing goes out
-		kind := permit.TwoAttempts
+		kind := permit.ConcurrentAttempts
 		if h.over {
 			kind = permit.SentAfterEnd
 		}
-		c.monitor.Violated(kind, a.ID, "attempt", h.tries, "withheld", true)
-		c.next = append(c.next, logic.Reply{ID: a.ID, NoMore: h.over, Endpoint: a.Endpoint, Attempt: h.tries, Outcome: logic.Moot})
+		c.monitor.CountViolation(kind, a.ID, "attempt", h.tries, "withheld", true)
+		c.next = append(c.next, logic.AttemptResult{ID: a.ID, MessageEnded: h.over, Endpoint: a.Endpoint, Attempt: h.tries, Outcome: logic.NotSent})
 		return nil
 	}
 	to := c.dir.eps[a.Endpoint]
-	out := &Attempt{Message: h.msg, Number: h.tries, Endpoint: a.Endpoint, Addr: to.addr, GiveUp: span(a.GiveUp), at: time.Now(), first: a.ID,
+	out := &Attempt{Message: h.msg, Number: h.tries, Endpoint: a.Endpoint, Addr: to.addr, GiveUp: span(a.Timeout), at: time.Now(), first: a.ID,
 		part: c.part, allowed: c.allowed, monitor: c.monitor}
 	h.tries++
 	class := cmp.Or(h.class, &logic.Class{Effect: logic.Unsafe})
@@ -98,7 +98,7 @@
 				return
 			}
 			stopped = true
-			out.Withhold(permit.CalledOff)
+			out.Withhold(permit.Cancelled)
 			if left--; left == 0 {
 				stop()
 			}
@@ -128,7 +128,7 @@
 			if out.Withhold(permit.NotWritten) && ctx.Err() == nil {
 				c.log.Error("a message can't be sent", "id", out.Message.ID, "err", err)
 			}
-			results[i] = Result{Outcome: logic.Moot, Local: true}
+			results[i] = Result{Outcome: logic.NotSent, Local: true}
 			continue
 		}
 		whole, at = append(whole, out), append(at, i)
@@ -201,8 +201,8 @@
 	if h.over {
 		delete(c.held, id)
 	}
-	c.next = append(c.next, logic.Reply{ID: id, NoMore: ended || done, Endpoint: ev.attempt.Endpoint,
-		Attempt: ev.attempt.Number, Outcome: r.Outcome, Took: micros(ev.took), Wait: micros(r.Wait), Load: r.Load})
+	c.next = append(c.next, logic.AttemptResult{ID: id, MessageEnded: ended || done, Endpoint: ev.attempt.Endpoint,
+		Attempt: ev.attempt.Number, Outcome: r.Outcome, Latency: micros(ev.took), RetryAfter: micros(r.Wait), Load: r.Load})
 }
 
 // deliver ends a message that an attempt has ended.
@@ -223,7 +223,7 @@
 
 // mayHaveRun says what an outcome leaves open.
 func mayHaveRun(o logic.Outcome) bool {
-	return o != logic.Full && o != logic.RefusedConn && o != logic.Moot
+	return o != logic.Overloaded && o != logic.ConnectionRefused && o != logic.NotSent
 }
 
 // withhold keeps attempts that have not begun from going out: what the module decided before it knew better would
@@ -240,8 +240,8 @@
 func (c *Core) holdWait(ep logic.EndpointID) {
 	to := c.dir.eps[ep]
 	kinds := c.terms.set.Kinds
-	apart := to.kind >= 0 && to.kind < len(kinds) && kinds[to.kind].Apart
-	c.withhold(permit.WaitTold, func(x logic.EndpointID) bool { return x == ep || !apart && c.dir.eps[x].partner == to.partner })
+	apart := to.kind >= 0 && to.kind < len(kinds) && kinds[to.kind].Independent
+	c.withhold(permit.WaitRequested, func(x logic.EndpointID) bool { return x == ep || !apart && c.dir.eps[x].partner == to.partner })
 }
 
 func (c *Core) probe(work context.Context, ep logic.EndpointID) {
--- a/internal/core/backlog.go
+++ b/internal/core/backlog.go
@@ -258,7 +258,7 @@
 		c.overBehind(r, x.Seq)
 		return
 	}
-	in.Past = logic.Past{Held: c.from == nil && c.behind.Earlier(x.Seq)}
+	in.History = logic.History{Inherited: c.from == nil && c.behind.Earlier(x.Seq)}
 	c.held[m.ID] = h
 	c.open++
 	c.behind.came, c.behind.fresh[m.ID] = append(c.behind.came, x), true
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -189,8 +189,8 @@
 		close(c.done)
 		return err
 	}
-	c.step(work)                   // what the store holds comes first: its ends are due
-	if !c.cfg.Settings.OnRequest { // the module does not ask for a list that comes by itself
+	c.step(work)                       // what the store holds comes first: its ends are due
+	if !c.cfg.Settings.ListOnRequest { // the module does not ask for a list that comes by itself
 		c.watch()
 	}
 	attrs := []any{"name", c.cfg.Name, "held", len(c.held)}
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -33,7 +33,7 @@
 		s, _ := r.State(t.Context(), "a", true)
 		over <- s
 	}()
-	in.result <- Result{Outcome: logic.Full, Wait: 300 * time.Millisecond}
+	in.result <- Result{Outcome: logic.Overloaded, Wait: 300 * time.Millisecond}
 	for r.state("a") != StateAccepted { // until the outcome has come
 	}
 	(byhand.Await(t, r.hand.attempts, "attempt after the wait")).result <- Result{Outcome: logic.Completed}
@@ -44,7 +44,7 @@
 		t.Errorf("told %+v", x)
 	}
 	r.put(newMessage("b", "unsafe"))
-	(byhand.Await(t, r.hand.attempts, "attempt")).result <- Result{Outcome: logic.Severed}
+	(byhand.Await(t, r.hand.attempts, "attempt")).result <- Result{Outcome: logic.ConnectionBroken}
 	byhand.Await(t, r.ends.told, "end")
 	r.ends.confirm <- "b"
 	check := func(when string) {
@@ -263,7 +263,7 @@
 		}, [4]bool{false, true, true, false}, "[2 3]"},
 	} {
 		cfg := testConfig()
-		cfg.Settings.Kinds[0].Apart = x.apart
+		cfg.Settings.Kinds[0].Independent = x.apart
 		r := newRig(t, t.TempDir(), cfg)
 		c := r.Core
 		c.dir.take(List{Endpoints: []Endpoint{{Name: "a", Addr: "h:1", Kind: "std", Partner: "p"},
@@ -289,8 +289,8 @@
 
 // Whether an attempt may have run decides after a restart whether an unsafe message is sent again.
 func TestMayHaveRunByOutcome(t *testing.T) {
-	for o, want := range map[logic.Outcome]bool{logic.Completed: true, logic.Errored: true, logic.Overdue: true, logic.Spoilt: true,
-		logic.Severed: true, logic.Recalled: true, logic.Full: false, logic.RefusedConn: false, logic.Moot: false} {
+	for o, want := range map[logic.Outcome]bool{logic.Completed: true, logic.Errored: true, logic.TimedOut: true, logic.InvalidResponse: true,
+		logic.ConnectionBroken: true, logic.Cancelled: true, logic.Overloaded: false, logic.ConnectionRefused: false, logic.NotSent: false} {
 		if mayHaveRun(o) != want {
 			t.Errorf("outcome %d: may have run %v", o, !want)
 		}
@@ -370,17 +370,17 @@
 // has begun is not in it.
 func TestCallOffOneOfSeveral(t *testing.T) {
 	cfg := testConfig()
-	cfg.Settings.Kinds = []logic.Kind{{Name: "k", Batch: 2}}
+	cfg.Settings.Kinds = []logic.Kind{{Name: "k", MaxBatch: 2}}
 	r := newRig(t, t.TempDir(), cfg)
 	out := make(chan several, 8)
 	r.transport = &calls{out: out}
 	r.dir.eps[1] = target{name: "a"}
-	var outs []logic.CallOut
+	var outs []logic.StartAttempt
 	for i := range 5 {
 		id := fmt.Sprint("m", i)
 		r.held[id] = &held{msg: newMessage(id, "safe")}
 		if i < 4 {
-			outs = append(outs, logic.CallOut{ID: id, Endpoint: 1})
+			outs = append(outs, logic.StartAttempt{ID: id, Endpoint: 1})
 		}
 	}
 	r.callOuts(t.Context(), outs, true)
--- a/internal/core/directory.go
+++ b/internal/core/directory.go
@@ -154,7 +154,7 @@
 		}
 		row := logic.Entry{Endpoint: id, Zone: slices.Index(d.zones, in.Zone), Dest: d.partner(in.Partner).dest,
 			Kind:  slices.IndexFunc(d.kinds, func(k logic.Kind) bool { return k.Name == in.Kind }),
-			State: in.State, Nominal: in.Weight}
+			State: in.State, NominalRate: in.Weight}
 		to, listed := d.eps[id]
 		if listed {
 			d.partners[to.partner].eps--
--- a/internal/core/disk_test.go
+++ b/internal/core/disk_test.go
@@ -127,7 +127,7 @@
 	second := byhand.Await(t, r.hand.attempts, "attempt")
 	fail.Store(true)
 	first.result <- Result{Outcome: logic.Errored}
-	second.result <- Result{Outcome: logic.Full} // it has not run, and would be sent again
+	second.result <- Result{Outcome: logic.Overloaded} // it has not run, and would be sent again
 	byhand.Until(t, "end of the attempts", func() bool { return r.state("a") == StateAccepted && r.state("b") == StateAccepted })
 	r.stop() // as a kill leaves it: nothing more is written
 	byhand.Await(t, r.done, "end of the core")
--- a/internal/core/handover.go
+++ b/internal/core/handover.go
@@ -148,7 +148,7 @@
 		}
 	}
 	for _, k := range keys {
-		out.Keys = append(out.Keys, handover.Key{Key: k.Key, Left: int64(k.Left)})
+		out.Keys = append(out.Keys, handover.Key{Key: k.Key, Left: int64(k.Remaining)})
 	}
 	for id, h := range c.held {
 		if h.attempt == nil {
--- a/internal/core/harness_test.go
+++ b/internal/core/harness_test.go
@@ -29,7 +29,7 @@
 
 func (h *hand) Attempt(_ context.Context, a *Attempt) Result {
 	if !a.Begin() {
-		return Result{Outcome: logic.Moot}
+		return Result{Outcome: logic.NotSent}
 	}
 	s := sent{a, make(chan Result, 1)}
 	h.attempts <- s
@@ -163,10 +163,10 @@
 func testConfig() Config {
 	return Config{Name: "t", Zones: []string{"a", "b"}, TellDelivered: true,
 		Known: &List{Whole: true, Endpoints: []Endpoint{{Name: "e1", Addr: "h:1", Zone: "a", Kind: "std", Partner: "acme", Weight: 1000}}},
-		Settings: logic.Settings{Senders: 1, Zones: 2, Slots: 8, MaxOpen: 8, MaxTries: 3, Tick: 1000, MayCancel: true, RetryAfter: true,
-			MaxRetryAfter: 2 * logic.Second, Weights: logic.WeightsNominal, ConnIdle: 10 * logic.Second, ConnCalls: 1, Halves: true,
+		Settings: logic.Settings{Senders: 1, Zones: 2, Slots: 8, MaxOpen: 8, MaxTries: 3, Tick: 1000, MayCancel: true, AdviseRetry: true,
+			MaxRetryAfter: 2 * logic.Second, Weights: logic.WeightsNominal, ConnIdle: 10 * logic.Second, ConnCalls: 1, ExponentialDecay: true,
 			DrainGrace: 2 * logic.Second, FallMultiple: 2, FallWindow: 3 * logic.Second, ColdFrom: 0.2, WarmAfter: 14 * logic.Second,
-			ReportLeft: -1, ReportLimit: -1, Kinds: []logic.Kind{{Name: "std", Batch: 1}}, Tenants: []logic.Tenant{{Name: "north"}},
+			RemainingIndex: -1, LimitIndex: -1, Kinds: []logic.Kind{{Name: "std", MaxBatch: 1}}, Tenants: []logic.Tenant{{Name: "north"}},
 			Classes: []logic.Class{
 				{Name: "safe", Aim: 2 * logic.Second, Deadline: 16 * logic.Second, Worth: 1, LateWorth: 0.4},
 				{Name: "keyed", Aim: 2 * logic.Second, Deadline: 16 * logic.Second, Worth: 1, LateWorth: 0.4, Effect: logic.Keyed, Window: 20 * logic.Second},
@@ -175,7 +175,7 @@
 
 func newRig(t *testing.T, dir string, cfg Config, with ...func(*Parts)) *rig {
 	t.Helper()
-	j, err := journal.Open(dir, journal.Options{Disk: 3e6, KeepEnded: time.Hour, MostEnded: 100, Partners: cfg.Settings.Remember, Bodies: 100})
+	j, err := journal.Open(dir, journal.Options{Disk: 3e6, KeepEnded: time.Hour, MostEnded: 100, Partners: cfg.Settings.TrackChanges, Bodies: 100})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/core/inherit.go
+++ b/internal/core/inherit.go
@@ -94,11 +94,11 @@
 	age := logic.Micros(c.clock.Now() - l.At)
 	for name, known := range l.Partners {
 		if c.dir.serves(name) {
-			c.next = append(c.next, logic.Recall{Age: age, Memory: c.toModule(name, known)})
+			c.next = append(c.next, logic.RestoreState{Age: age, State: c.toModule(name, known)})
 		}
 	}
 	for _, k := range l.Keys {
-		c.next = append(c.next, logic.KeyRest{Key: k.Key, Left: logic.Micros(k.Left) - age})
+		c.next = append(c.next, logic.QuietKey{Key: k.Key, Remaining: logic.Micros(k.Left) - age})
 	}
 	out := map[string]handover.Call{}
 	for _, call := range l.Calls {
@@ -108,7 +108,7 @@
 }
 
 // adopt books an attempt that the other process has out.
-func (c *Core) adopt(h *held, call handover.Call, in *logic.Call, e *journal.Entry, now int64) {
+func (c *Core) adopt(h *held, call handover.Call, in *logic.NewMessage, e *journal.Entry, now int64) {
 	age := now - c.from.Snapshot.At + call.Age
 	ep, ok := c.dir.ids[call.Endpoint]
 	if !ok { // its list is ours, so it has gone meanwhile: the attempt counts, and its outcome too
@@ -121,10 +121,10 @@
 	h.tries = call.Number + 1
 	c.remote[call.ID] = h
 	if e != nil {
-		in.Past.MayRun = e.MayRun
-		in.Past.Age = logic.Micros(max(now-e.FirstMay, 0))
+		in.History.MayHaveRun = e.MayRun
+		in.History.SinceFirst = logic.Micros(max(now-e.FirstMay, 0))
 	}
-	in.Past.Out = &logic.Out{Endpoint: ep, Age: logic.Micros(age), With: call.With}
+	in.History.InFlight = &logic.InFlightAttempt{Endpoint: ep, Age: logic.Micros(age), BatchedWith: call.With}
 }
 
 // leftovers books the attempts that are out of messages that have ended: they hold
@@ -138,7 +138,7 @@
 		}
 		h := &held{msg: &message.Message{ID: id, Partner: c.dir.eps[ep].partner}, over: true}
 		in := c.callOf(h.msg, now)
-		in.Class, in.Past = 0, logic.Past{Tries: call.Number + 1, Over: true}
+		in.Class, in.History = 0, logic.History{Attempts: call.Number + 1, Ended: true}
 		c.adopt(h, call, &in, nil, now)
 		c.held[id] = h
 		events = append(events, in)
@@ -231,6 +231,6 @@
 	for id, h := range c.remote {
 		delete(c.remote, id)
 		h.stop = func() {}
-		c.reply(reply{attempt: h.attempt, took: time.Since(h.attempt.at), result: Result{Outcome: logic.Recalled}})
+		c.reply(reply{attempt: h.attempt, took: time.Since(h.attempt.at), result: Result{Outcome: logic.Cancelled}})
 	}
 }
--- a/internal/core/loop.go
+++ b/internal/core/loop.go
@@ -76,7 +76,7 @@
 		case ev := <-c.events:
 			c.take(ev)
 		case <-c.due.C:
-			c.next = append(c.next, logic.Due{Token: c.token})
+			c.next = append(c.next, logic.TimerFired{Token: c.token})
 		case <-c.behind.ends():
 		case <-sweep.C:
 			c.sweep(time.Now())
@@ -166,14 +166,14 @@
 	if c.cfg.KeepWaits {
 		for name, until := range c.store.Waits() {
 			if id, ok := c.dir.ids[name]; ok {
-				c.next = append(c.next, logic.Told{Endpoint: id, Left: logic.Micros(until - now)})
+				c.next = append(c.next, logic.RequestedWait{Endpoint: id, Remaining: logic.Micros(until - now)})
 				if left := time.Duration(until-now) * time.Microsecond; left > 0 { // the others may not have heard of it
 					c.share(Observation{Wait: left}, id)
 				}
 			}
 		}
 	}
-	if c.cfg.Settings.Remember {
+	if c.cfg.Settings.TrackChanges {
 		c.past = c.store.Partners()
 		c.recall()
 	}
@@ -192,10 +192,10 @@
 		}
 		c.held[e.ID] = h
 		c.open++
-		in.Past = logic.Past{Tries: e.Tries, MayRun: e.MayRun || e.Open, Held: c.from == nil}
-		if in.Past.MayRun {
-			in.Past.Age = logic.Micros(max(now-e.FirstMay, 0))
-			in.Past.Zone = slices.Index(c.cfg.Zones, e.FirstZone)
+		in.History = logic.History{Attempts: e.Tries, MayHaveRun: e.MayRun || e.Open, Inherited: c.from == nil}
+		if in.History.MayHaveRun {
+			in.History.SinceFirst = logic.Micros(max(now-e.FirstMay, 0))
+			in.History.Zone = slices.Index(c.cfg.Zones, e.FirstZone)
 		}
 		if call, ok := out[e.ID]; ok && e.Open {
 			c.adopt(h, call, &in, e, now)
@@ -222,8 +222,8 @@
 }
 
 // callOf is the module's view of a message.
-func (c *Core) callOf(m *message.Message, now int64) logic.Call {
-	in := logic.Call{ID: m.ID, Key: m.Order, Left: logic.Micros(m.Deadline - now), Dest: c.dir.partner(m.Partner).dest,
+func (c *Core) callOf(m *message.Message, now int64) logic.NewMessage {
+	in := logic.NewMessage{ID: m.ID, Key: m.Order, Remaining: logic.Micros(m.Deadline - now), Dest: c.dir.partner(m.Partner).dest,
 		Tenant: -1, Class: -1}
 	if i, ok := c.terms.classes[m.Class]; ok {
 		in.Class = i
@@ -248,7 +248,7 @@
 			c.reply(r)
 		}
 	case healthEvent:
-		c.next = append(c.next, logic.HealthResult{Endpoint: ev.ep, Outcome: ev.outcome})
+		c.next = append(c.next, logic.ProbeResult{Endpoint: ev.ep, Outcome: ev.outcome})
 	case News:
 		c.news(ev)
 	case observationsEvent:
@@ -268,7 +268,7 @@
 		c.retune(ev)
 	case writeEvent: // the step that follows does
 	case closingEvent:
-		c.next = append(c.next, logic.Closing{Left: micros(ev.left)})
+		c.next = append(c.next, logic.Stopping{Remaining: micros(ev.left)})
 		c.behind.closing = true
 		if c.behind.Backlog != nil {
 			c.behind.Rest()
--- a/internal/core/memory.go
+++ b/internal/core/memory.go
@@ -17,10 +17,10 @@
 // remember writes down what the module has news of. The records go out with those
 // of the next step, or by themselves when the store forgets.
 func (c *Core) remember(most int) {
-	if !c.cfg.Settings.Remember {
+	if !c.cfg.Settings.TrackChanges {
 		return
 	}
-	for _, m := range c.sender.Remember(micros(time.Since(c.start)), most) {
+	for _, m := range c.sender.ChangedStates(micros(time.Since(c.start)), most) {
 		if name, known := c.toJournal(m); name != "" {
 			c.records = append(c.records, journal.Record{Op: journal.OpPartner, ID: name, Partner: known})
 		}
@@ -36,58 +36,58 @@
 	now := c.clock.Now()
 	for name, known := range c.past {
 		if c.dir.serves(name) {
-			c.next = append(c.next, logic.Recall{Age: logic.Micros(now - known.At), Memory: c.toModule(name, known)})
+			c.next = append(c.next, logic.RestoreState{Age: logic.Micros(now - known.At), State: c.toModule(name, known)})
 			delete(c.past, name)
 		}
 	}
 }
 
 // toJournal puts names in the place of numbers; no name if the partner has none.
-func (c *Core) toJournal(m logic.Memory) (name string, out *journal.Partner) {
-	out = &journal.Partner{Exact: m.Exact, At: c.clock.Now(), Sick: m.Sick, Used: int64(m.Used), Came: m.Came, Down: int64(m.Down),
-		Limit: limitOf(m.Lane), Bins: m.Took.Bins, Weights: m.Took.Weights, Cuts: m.Took.Cuts,
-		Sampled: int64(m.Took.Since)}
+func (c *Core) toJournal(m logic.DestinationState) (name string, out *journal.Partner) {
+	out = &journal.Partner{Exact: m.Exact, At: c.clock.Now(), Sick: m.Unhealthy, Used: int64(m.SinceUsed), Came: m.Arrivals, Down: int64(m.SinceOutage),
+		Limit: limitOf(m.Limiter), Bins: m.Latencies.Bins, Weights: m.Latencies.Weights, Cuts: m.Latencies.Censored,
+		Sampled: int64(m.Latencies.SinceSample)}
 	for _, x := range m.Endpoints {
 		to, ok := c.dir.eps[x.Endpoint]
 		if !ok {
 			continue
 		}
 		name = to.partner
-		out.Endpoints = append(out.Endpoints, journal.PartnerEndpoint{Name: to.name, Limit: limitOf(x.Lane), Out: x.Out, Cold: x.Cold,
-			Back: int64(x.Back), Good: int64(x.Good), Bad: int64(x.Bad), Well: int64(x.Well), Gap: int64(x.Gap), Failing: x.Failing,
-			Slow: int64(x.Slow), Fails: x.Fails, Fulls: x.Fulls, Resets: x.Resets,
-			Sent: numbers(x.Sent), LastSent: int64(x.LastSent), Trial: int64(x.Trial), Told: int64(x.Told)})
+		out.Endpoints = append(out.Endpoints, journal.PartnerEndpoint{Name: to.name, Limit: limitOf(x.Limiter), Out: x.Outage, Cold: x.Cold,
+			Back: int64(x.SinceRecovery), Good: int64(x.SinceSuccess), Bad: int64(x.SinceFailure), Well: int64(x.SinceIndependentSuccess), Gap: int64(x.TrialInterval), Failing: x.FailureRatio,
+			Slow: int64(x.Latency), Fails: x.Failures, Fulls: x.Overloads, Resets: x.Resets,
+			Sent: numbers(x.Sent), LastSent: int64(x.SinceLastSent), Trial: int64(x.UntilTrial), Told: int64(x.RequestedWait)})
 	}
 	return name, out
 }
 
-func limitOf(l logic.LaneMemory) journal.PartnerLimit {
-	return journal.PartnerLimit{Told: l.Limit, Pace: l.Pace, Halved: int64(l.Halved), Peak: l.Peak, Sent: numbers(l.Sent),
-		Tokens: l.Tokens, Wait: int64(l.Wait), Fulls: l.Fulls, First: int64(l.First), Spent: l.Spent}
+func limitOf(l logic.LimiterState) journal.PartnerLimit {
+	return journal.PartnerLimit{Told: l.Limit, Pace: l.Rate, Halved: int64(l.SinceDecrease), Peak: l.PeakRate, Sent: numbers(l.Sent),
+		Tokens: l.Tokens, Wait: int64(l.RequestedWait), Fulls: l.Overloads, First: int64(l.SinceFirstOverload), Spent: l.NearLimit}
 }
 
-func (c *Core) toModule(name string, p *journal.Partner) logic.Memory {
-	m := logic.Memory{Exact: p.Exact, Dest: c.dir.partner(name).dest, Sick: p.Sick, Used: logic.Micros(p.Used), Came: p.Came,
-		Down: logic.Micros(p.Down), Lane: laneOf(p.Limit),
-		Took: logic.TookMemory{Bins: p.Bins, Weights: p.Weights, Cuts: p.Cuts, Since: logic.Micros(p.Sampled)}}
+func (c *Core) toModule(name string, p *journal.Partner) logic.DestinationState {
+	m := logic.DestinationState{Exact: p.Exact, Dest: c.dir.partner(name).dest, Unhealthy: p.Sick, SinceUsed: logic.Micros(p.Used), Arrivals: p.Came,
+		SinceOutage: logic.Micros(p.Down), Limiter: laneOf(p.Limit),
+		Latencies: logic.LatencyHistogram{Bins: p.Bins, Weights: p.Weights, Censored: p.Cuts, SinceSample: logic.Micros(p.Sampled)}}
 	for _, x := range p.Endpoints {
 		id, ok := c.dir.ids[x.Name]
 		if !ok || c.dir.eps[id].partner != name {
 			continue
 		}
-		m.Endpoints = append(m.Endpoints, logic.EndpointMemory{Endpoint: id, Lane: laneOf(x.Limit), Out: x.Out, Cold: x.Cold,
-			Back: logic.Micros(x.Back), Good: logic.Micros(x.Good), Bad: logic.Micros(x.Bad), Well: logic.Micros(x.Well),
-			Gap: logic.Micros(x.Gap), Failing: x.Failing, Slow: logic.Micros(x.Slow), Fails: x.Fails, Fulls: x.Fulls, Resets: x.Resets,
-			EndpointExact: logic.EndpointExact{Sent: spans(x.Sent), LastSent: logic.Micros(x.LastSent), Trial: logic.Micros(x.Trial),
-				Told: logic.Micros(x.Told)}})
+		m.Endpoints = append(m.Endpoints, logic.EndpointState{Endpoint: id, Limiter: laneOf(x.Limit), Outage: x.Out, Cold: x.Cold,
+			SinceRecovery: logic.Micros(x.Back), SinceSuccess: logic.Micros(x.Good), SinceFailure: logic.Micros(x.Bad), SinceIndependentSuccess: logic.Micros(x.Well),
+			TrialInterval: logic.Micros(x.Gap), FailureRatio: x.Failing, Latency: logic.Micros(x.Slow), Failures: x.Fails, Overloads: x.Fulls, Resets: x.Resets,
+			EndpointHandover: logic.EndpointHandover{Sent: spans(x.Sent), SinceLastSent: logic.Micros(x.LastSent), UntilTrial: logic.Micros(x.Trial),
+				RequestedWait: logic.Micros(x.Told)}})
 	}
 	return m
 }
 
-func laneOf(l journal.PartnerLimit) logic.LaneMemory {
-	return logic.LaneMemory{Limit: l.Told, Pace: l.Pace, Halved: logic.Micros(l.Halved), Peak: l.Peak,
-		LaneExact: logic.LaneExact{Sent: spans(l.Sent), Tokens: l.Tokens, Wait: logic.Micros(l.Wait), Fulls: l.Fulls,
-			First: logic.Micros(l.First), Spent: l.Spent}}
+func laneOf(l journal.PartnerLimit) logic.LimiterState {
+	return logic.LimiterState{Limit: l.Told, Rate: l.Pace, SinceDecrease: logic.Micros(l.Halved), PeakRate: l.Peak,
+		LimiterHandover: logic.LimiterHandover{Sent: spans(l.Sent), Tokens: l.Tokens, RequestedWait: logic.Micros(l.Wait), Overloads: l.Fulls,
+			SinceFirstOverload: logic.Micros(l.First), NearLimit: l.Spent}}
 }
 
 func numbers(list []logic.Micros) (out []int64) {
--- a/internal/core/others.go
+++ b/internal/core/others.go
@@ -45,12 +45,12 @@
 			continue
 		}
 		if l.Wait > 0 {
-			c.next = append(c.next, logic.Told{Endpoint: id, Left: micros(l.Wait)})
+			c.next = append(c.next, logic.RequestedWait{Endpoint: id, Remaining: micros(l.Wait)})
 			c.waits(id, l.Wait)
 			continue
 		}
 		c.marks[id] = l.Mark
-		c.next = append(c.next, logic.Heard{Endpoint: id, Out: l.Out, Try: l.Back || l.Turn == 1 && !l.Out, Turn: l.Turn})
+		c.next = append(c.next, logic.PeerHealth{Endpoint: id, Outage: l.Out, TryNow: l.Back || l.Turn == 1 && !l.Out, TrialFactor: l.Turn})
 	}
 }
 
@@ -64,7 +64,7 @@
 			delete(c.early, name)
 		case ok && c.dir.eps[id].partner == x.partner:
 			delete(c.early, name)
-			c.next = append(c.next, logic.Told{Endpoint: id, Left: micros(x.until.Sub(now))})
+			c.next = append(c.next, logic.RequestedWait{Endpoint: id, Remaining: micros(x.until.Sub(now))})
 			c.waits(id, x.until.Sub(now))
 		}
 	}
--- a/internal/core/others_test.go
+++ b/internal/core/others_test.go
@@ -28,7 +28,7 @@
 // what it learns itself is told; what concerns no endpoint of its own does nothing.
 func TestOthers(t *testing.T) {
 	cfg, dir := testConfig(), t.TempDir()
-	cfg.KeepWaits, cfg.Settings.Share = true, true
+	cfg.KeepWaits, cfg.Settings.PublishHealth = true, true
 	others := crowd{make(chan Observation, 64), make(chan Observation)}
 	start := func() *rig {
 		r := newRig(t, dir, cfg)
@@ -48,7 +48,7 @@
 	if d := time.Since(at); d < wait {
 		t.Errorf("called %v after the news of a wait of %v", d, wait)
 	}
-	in.result <- Result{Outcome: logic.Full, Wait: 100 * time.Millisecond}
+	in.result <- Result{Outcome: logic.Overloaded, Wait: 100 * time.Millisecond}
 	if l := byhand.Await(t, others.told, "lesson"); l != (Observation{Partner: "acme", Endpoint: "e1", Wait: 100 * time.Millisecond}) {
 		t.Errorf("told %+v", l)
 	}
--- a/internal/core/outgoing.go
+++ b/internal/core/outgoing.go
@@ -59,7 +59,7 @@
 		return true
 	}
 	if a.Message != nil {
-		a.monitor.Refused(a.Reason(), "send", a.Message.ID)
+		a.monitor.CountDenied(a.Reason(), "send", a.Message.ID)
 	}
 	return false
 }
@@ -70,9 +70,9 @@
 			return permit.LeaseReduced
 		}
 	}
-	x := permit.Message{Ended: a.ended.Load(), Left: time.Hour, Repeat: a.Repeat}
+	x := permit.Message{Ended: a.ended.Load(), Remaining: time.Hour, Repeat: a.Repeat}
 	if !a.Expires.IsZero() {
-		x.Left = a.Expires.Sub(now)
+		x.Remaining = a.Expires.Sub(now)
 	}
 	x.Repeat.Age += now.Sub(a.at)
 	return permit.Send(x)
@@ -85,10 +85,10 @@
 		return
 	}
 	if late := time.Since(a.Expires); !a.Expires.IsZero() && late > 0 {
-		a.monitor.Violated(permit.SentAfterTime, a.Message.ID, "late", late, "attempt", a.Number)
+		a.monitor.CountViolation(permit.SentAfterDeadline, a.Message.ID, "late", late, "attempt", a.Number)
 	}
 	if a.ended.Load() {
-		a.monitor.Violated(permit.SentAfterEnd, a.Message.ID, "attempt", a.Number)
+		a.monitor.CountViolation(permit.SentAfterEnd, a.Message.ID, "attempt", a.Number)
 	}
 }
 
--- a/internal/core/restart_test.go
+++ b/internal/core/restart_test.go
@@ -27,7 +27,7 @@
 	in := byhand.Await(t, r.hand.attempts, "attempt")
 	const wait = 1500 * time.Millisecond
 	told := time.Now()
-	in.result <- Result{Outcome: logic.Full, Wait: wait}
+	in.result <- Result{Outcome: logic.Overloaded, Wait: wait}
 	for r.state("a") != StateAccepted { // until the outcome is in the journal
 	}
 	r.kill()
@@ -125,10 +125,10 @@
 	}{{"known", true, false, 1}, {"known, its list comes late", true, true, 1}, {"not known", false, false, 3}} {
 		t.Run(x.name, func(t *testing.T) {
 			dir, cfg := t.TempDir(), testConfig()
-			cfg.Settings.Remember = x.known
+			cfg.Settings.TrackChanges = x.known
 			r := newRig(t, dir, cfg).run()
 			r.put(newMessage("a", "safe"))
-			byhand.Await(t, r.hand.attempts, "attempt").result <- Result{Outcome: logic.RefusedConn}
+			byhand.Await(t, r.hand.attempts, "attempt").result <- Result{Outcome: logic.ConnectionRefused}
 			for r.state("a") != StateAccepted { // until the outcome is known
 			}
 			deadline := time.Now().Add(byhand.Patience)
@@ -184,8 +184,8 @@
 		in.result <- Result{Outcome: o}
 	}
 	r.put(big("x"))
-	attempt(logic.RefusedConn)
-	attempt(logic.RefusedConn)
+	attempt(logic.ConnectionRefused)
+	attempt(logic.ConnectionRefused)
 	if e := r.store.Entry("a"); e.Left != 3000 || e.Body != nil {
 		t.Errorf("%d bytes left on the disk, %d in memory", e.Left, len(e.Body))
 	}
@@ -206,7 +206,7 @@
 	b := big("x")
 	b.ID = "b"
 	r.put(b)
-	byhand.Await(t, r.hand.attempts, "attempt").result <- Result{Outcome: logic.RefusedConn}
+	byhand.Await(t, r.hand.attempts, "attempt").result <- Result{Outcome: logic.ConnectionRefused}
 	if x := byhand.Await(t, r.ends.told, "end"); x.ID != "b" || x.State != message.Returned {
 		t.Errorf("told %+v", x)
 	}
--- a/internal/core/seams.go
+++ b/internal/core/seams.go
@@ -41,8 +41,8 @@
 	// Attempt makes one attempt and returns its one outcome. It calls
 	// [Attempt.Begin] before the first byte of the message goes out and sends
 	// nothing if that says no. When ctx is cancelled the attempt is called off;
-	// its outcome still tells the truth: [logic.Full], [logic.RefusedConn] and
-	// [logic.Moot] only if it never ran, [logic.Completed] only if it did. When
+	// its outcome still tells the truth: [logic.Overloaded], [logic.ConnectionRefused] and
+	// [logic.NotSent] only if it never ran, [logic.Completed] only if it did. When
 	// Attempt returns, the attempt is over for the peer too as far as a transport
 	// can see to that: the next one may begin at once.
 	Attempt(ctx context.Context, a *Attempt) Result
--- a/internal/core/step.go
+++ b/internal/core/step.go
@@ -30,9 +30,9 @@
 	}
 	c.wroteBehind(err)
 	c.answerPuts(answers, err, notBehind)
-	var outs []logic.CallOut // some may share a call; the module says nothing more of one in the same step
+	var outs []logic.StartAttempt // some may share a call; the module says nothing more of one in the same step
 	for _, a := range actions {
-		if out, ok := a.(logic.CallOut); ok {
+		if out, ok := a.(logic.StartAttempt); ok {
 			outs = append(outs, out)
 			continue
 		}
@@ -59,10 +59,10 @@
 	}
 	for _, a := range actions {
 		switch a := a.(type) {
-		case logic.CallOut:
+		case logic.StartAttempt:
 			c.records = append(c.records, journal.Record{Op: journal.OpSend, ID: a.ID, At: now,
 				Zone: c.dir.zone(c.dir.eps[a.Endpoint].zone)})
-		case logic.Refuse, logic.Fail:
+		case logic.ReturnMessage, logic.FailMessage:
 			end := c.endOf(a, now)
 			if _, told := answers[end.ID]; !told && c.isOwed(end.ID) {
 				c.records = append(c.records, journal.Record{Op: journal.OpEnd, ID: end.ID, End: &end})
@@ -132,9 +132,9 @@
 func (c *Core) endOf(a logic.Action, now int64) message.End {
 	end := message.End{At: now}
 	switch a := a.(type) {
-	case logic.Refuse:
+	case logic.ReturnMessage:
 		end.ID, end.State, end.AfterMS = a.ID, message.Returned, int64((a.RetryIn+999)/1000)
-	case logic.Fail:
+	case logic.FailMessage:
 		end.ID, end.State = a.ID, message.Failed
 	}
 	if h := c.held[end.ID]; h != nil {
@@ -148,18 +148,18 @@
 func (c *Core) tellEnds(written bool) {
 	kept, again := c.untold[:0], retryPause
 	for _, x := range c.untold {
-		end := permit.End{Written: written, Delivered: x.end.State == message.Delivered, Left: time.Until(c.clock.Moment(x.msg.Deadline))}
-		if reason := permit.TellEnd(end); reason != permit.Granted {
-			c.monitor.Refused(reason, "tell end", x.end.ID)
+		end := permit.End{Written: written, Delivered: x.end.State == message.Delivered, Remaining: time.Until(c.clock.Moment(x.msg.Deadline))}
+		if reason := permit.NotifyEnd(end); reason != permit.Granted {
+			c.monitor.CountDenied(reason, "tell end", x.end.ID)
 			kept = append(kept, x)
-			if end.Left > 0 {
-				again = min(again, end.Left)
+			if end.Remaining > 0 {
+				again = min(again, end.Remaining)
 			}
 			continue
 		}
 		if x.sink {
 			if e := c.store.Entry(x.end.ID); written && (e == nil || e.End == nil) {
-				c.monitor.Violated(permit.EndNotWritten, x.end.ID, "state", x.end.State)
+				c.monitor.CountViolation(permit.EndNotWritten, x.end.ID, "state", x.end.State)
 			}
 			c.tellEnd(x.msg, x.end)
 		}
@@ -198,7 +198,7 @@
 // finish takes a message off the books; the store remembers it.
 func (c *Core) finish(id string, h *held) {
 	if h.over {
-		c.monitor.Violated(permit.EndedTwice, id)
+		c.monitor.CountViolation(permit.EndedTwice, id)
 		return
 	}
 	h.over = true
@@ -221,7 +221,7 @@
 		if h := c.held[a.ID]; h != nil && h.stop != nil && h.tries-1 == a.Attempt {
 			h.stop()
 		}
-	case logic.Refuse, logic.Fail:
+	case logic.ReturnMessage, logic.FailMessage:
 		end := c.endOf(a, now)
 		if h := c.held[end.ID]; h != nil && !h.over {
 			c.traceEnd(end.ID, h, end.State)
@@ -244,12 +244,12 @@
 		c.token = a.Token
 	case logic.Probe:
 		c.probe(work, a.Endpoint)
-	case logic.Release:
+	case logic.CloseIdle:
 		c.transport.Release(a.Endpoint)
-	case logic.Listen:
+	case logic.RequestEndpoints:
 		c.watch()
-	case logic.Learnt:
-		c.share(Observation{Out: a.Out, Back: !a.Out}, a.Endpoint)
+	case logic.HealthChange:
+		c.share(Observation{Out: a.Outage, Back: !a.Outage}, a.Endpoint)
 	case logic.Log:
 		c.log.Info(a.Text)
 	}
--- a/internal/core/submit.go
+++ b/internal/core/submit.go
@@ -132,9 +132,9 @@
 	}
 	for _, a := range actions {
 		switch a := a.(type) {
-		case logic.Refuse:
+		case logic.ReturnMessage:
 			tell(a.ID, Answer{Verdict: Busy, After: span(a.RetryIn)})
-		case logic.Fail:
+		case logic.FailMessage:
 			tell(a.ID, Answer{Verdict: Failed})
 		}
 	}
--- a/internal/core/terms.go
+++ b/internal/core/terms.go
@@ -102,14 +102,14 @@
 		return
 	}
 	held := c.stated.Load().set
-	err := logic.Check(held, ev.set)
+	err := logic.CheckUpdate(held, ev.set)
 	for i, z := range c.dir.zones {
 		if err == nil && (i >= len(ev.zones) || ev.zones[i] != z) {
 			err = fmt.Errorf("settings: zone %q may not change", z)
 		}
 	}
 	if err == nil {
-		err = c.follows(logic.Stricter(held, ev.set))
+		err = c.follows(logic.Strictest(held, ev.set))
 	}
 	if err == nil {
 		c.dir.zones, c.dir.kinds = ev.zones, ev.set.Kinds
@@ -127,6 +127,6 @@
 		c.log.Error("settings", "err", err)
 		return err
 	}
-	c.next = append(c.next, logic.Retune{Settings: set})
+	c.next = append(c.next, logic.UpdateSettings{Settings: set})
 	return nil
 }
--- a/internal/core/terms_test.go
+++ b/internal/core/terms_test.go
@@ -65,7 +65,7 @@
 			}
 			// A refusal each: neither has run, and each has one attempt left.
 			for _, in := range calls {
-				in.result <- Result{Outcome: logic.Full, Wait: 2500e6}
+				in.result <- Result{Outcome: logic.Overloaded, Wait: 2500e6}
 			}
 			for r.state("x1") != StateAccepted || r.state("y1") != StateAccepted { // until the outcomes are in the journal
 			}
@@ -91,7 +91,7 @@
 			// its two attempts allow, the other never.
 			for range 2 {
 				in := byhand.Await(t, r.hand.attempts, "second attempt")
-				in.result <- Result{Outcome: logic.Severed}
+				in.result <- Result{Outcome: logic.ConnectionBroken}
 			}
 			ends := map[string]message.End{}
 			for range 2 {
@@ -120,7 +120,7 @@
 		t.Fatal(err)
 	}
 	r.put(newMessage("early", "x"))
-	byhand.Await(t, r.hand.attempts, "attempt").result <- Result{Outcome: logic.Severed}
+	byhand.Await(t, r.hand.attempts, "attempt").result <- Result{Outcome: logic.ConnectionBroken}
 	if x := byhand.Await(t, r.ends.told, "end"); x.ID != "early" || x.State != message.Failed {
 		t.Errorf("told %+v", x)
 	}
--- a/internal/core/trace.go
+++ b/internal/core/trace.go
@@ -38,8 +38,8 @@
 	}
 }
 
-func (c *Core) traceTaken(call logic.Call, partner, class string) {
+func (c *Core) traceTaken(call logic.NewMessage, partner, class string) {
 	if c.tracing() {
-		c.log.Debug("taken", "id", call.ID, "partner", partner, "class", class, "left", call.Left/1000, "tenant", call.Tenant)
+		c.log.Debug("taken", "id", call.ID, "partner", partner, "class", class, "left", call.Remaining/1000, "tenant", call.Tenant)
 	}
 }
--- a/internal/daemon/platform.go
+++ b/internal/daemon/platform.go
@@ -90,7 +90,7 @@
 
 // pollSettings are what the settings say of discovery.
 func pollSettings(set logic.Settings) poll.Settings {
-	return poll.Settings{Senders: set.Senders, AskWithin: span(set.AskWithin), Agent: !set.OnRequest}
+	return poll.Settings{Senders: set.Senders, AskWithin: span(set.ListRetryWithin), Agent: !set.ListOnRequest}
 }
 
 func span(t logic.Micros) time.Duration { return time.Duration(t) * time.Microsecond }
--- a/internal/front/resp/clients.go
+++ b/internal/front/resp/clients.go
@@ -333,7 +333,7 @@
 			unanswered--
 		}
 		if unanswered > 0 {
-			c.opts.Monitor.Violated(permit.ClosedUnanswered, s.conn.RemoteAddr().String(), "requests", unanswered, "reason", string(closedOver))
+			c.opts.Monitor.CountViolation(permit.ClosedUnanswered, s.conn.RemoteAddr().String(), "requests", unanswered, "reason", string(closedOver))
 		}
 	}
 }
--- a/internal/front/resp/session.go
+++ b/internal/front/resp/session.go
@@ -97,7 +97,7 @@
 func (s *session) traceClosed() {
 	s.c.log.Debug("client closed", "remote", s.conn.RemoteAddr().String(), "reason", string(s.closed), "answered", s.answers)
 	if s.unanswered > 0 {
-		s.c.opts.Monitor.Violated(permit.ClosedUnanswered, s.conn.RemoteAddr().String(), "requests", s.unanswered, "reason", string(s.closed))
+		s.c.opts.Monitor.CountViolation(permit.ClosedUnanswered, s.conn.RemoteAddr().String(), "requests", s.unanswered, "reason", string(s.closed))
 	}
 }
 
--- a/internal/permit/connection.go
+++ b/internal/permit/connection.go
@@ -1,13 +1,13 @@
 package permit
 
-// Connection is what decides whether a client's connection may be closed.
+// Connection is the state of a client's connection that determines whether it may be closed.
 type Connection struct {
-	Unanswered int  // requests that were read whole and have no answer yet
-	Arriving   bool // a request has begun to come and is not whole
-	Unread     bool // bytes have come that were not read
+	Unanswered int  // requests that were read completely and have no response yet
+	Arriving   bool // a request has been read in part
+	Unread     bool // received bytes have not been read
 }
 
-// Close says whether a connection may be closed in good order: nothing is owed on it.
+// Close returns why a connection may not be closed gracefully: requests on it are unanswered or arriving.
 func Close(c Connection) Reason {
 	switch {
 	case c.Unanswered > 0:
@@ -18,8 +18,8 @@
 	return Granted
 }
 
-// Abort says whether a connection may be closed at once to free its descriptor, which
-// also cuts off a request that is arriving.
+// Abort returns why a connection may not be closed at once to free its descriptor. Unlike Close, an abort may
+// cut off a request that is arriving.
 func Abort(c Connection) Reason {
 	if c.Unanswered > 0 {
 		return Unanswered
--- a/internal/permit/doc.go
+++ b/internal/permit/doc.go
@@ -1,9 +1,7 @@
-// Package permit decides whether something may still be done now: whether an
-// attempt may be sent or repeated, whether an end may be told, whether a
-// connection may be closed, and whether a new attempt may start. It is the only
-// place that holds these conditions. The decision module asks when it plans, the
-// core and the fronts ask again right before they act, and [Monitor] counts what
-// was done all the same.
+// Package permit decides whether an action is still permitted: whether an attempt may be started or repeated,
+// whether the end of a message may be notified, and whether a connection may be closed. It is the only
+// package that contains these conditions. The scheduler checks them when it plans, the core and the front
+// ends check them again right before they act, and [Monitor] counts violations that happen nevertheless.
 //
-// The package has no clock, no I/O and no goroutines: spans are passed in.
+// The package has no clock, no I/O and no goroutines; the caller passes all durations.
 package permit
--- a/internal/permit/monitor.go
+++ b/internal/permit/monitor.go
@@ -5,17 +5,17 @@
 	"sync/atomic"
 )
 
-// Violation is something that was done and must never be.
+// Violation is an action that was taken although it is never permitted.
 type Violation int
 
 // The violations.
 const (
-	SentAfterTime    Violation = iota // an attempt was written after the end of its message's time
-	SentAfterEnd                      // an attempt was written after its message's end was decided
-	TwoAttempts                       // an attempt was started while another was out
-	EndedTwice                        // a message was ended a second time
-	EndNotWritten                     // an end was about to be told that the journal does not hold
-	ClosedUnanswered                  // a connection was closed with a request read and not answered
+	SentAfterDeadline  Violation = iota // an attempt was written after the deadline of its message
+	SentAfterEnd                        // an attempt was written after the end of its message was decided
+	ConcurrentAttempts                  // an attempt was started while another was in flight
+	EndedTwice                          // a message was ended a second time
+	EndNotWritten                       // an end was about to be notified that is not in the journal
+	ClosedUnanswered                    // a connection was closed with an unanswered request
 	violations
 )
 
@@ -28,20 +28,20 @@
 	return "unknown"
 }
 
-// Monitor counts what was refused, by reason, and violations. Its methods may be
-// called at once by many; a nil Monitor counts nothing.
+// Monitor counts denied actions by reason, and violations. Its methods may be called concurrently. A nil
+// Monitor counts nothing.
 type Monitor struct {
 	log        *slog.Logger
 	refused    [reasons]atomic.Int64
 	violations [violations]atomic.Int64
 }
 
-// NewMonitor makes a monitor that logs violations.
+// NewMonitor returns a monitor that logs violations to log.
 func NewMonitor(log *slog.Logger) *Monitor { return &Monitor{log: log} }
 
-// Refused counts an action that was not taken and says for which id and why, at level
-// debug.
-func (m *Monitor) Refused(r Reason, action, id string) {
+// CountDenied counts an action that was not permitted and logs it at level debug, with the id of what it
+// concerns.
+func (m *Monitor) CountDenied(r Reason, action, id string) {
 	if m == nil || r < 0 || r >= reasons {
 		return
 	}
@@ -49,8 +49,8 @@
 	m.log.Debug("refused", "action", action, "id", id, "reason", r.String())
 }
 
-// Violated counts a violation and logs it with what it concerns.
-func (m *Monitor) Violated(v Violation, id string, attrs ...any) {
+// CountViolation counts a violation and logs it with the id of what it concerns.
+func (m *Monitor) CountViolation(v Violation, id string, attrs ...any) {
 	if m == nil || v < 0 || v >= violations {
 		return
 	}
@@ -58,7 +58,7 @@
 	m.log.Error("violation", append([]any{"kind", v.String(), "id", id}, attrs...)...)
 }
 
-// Violations is the number of all violations.
+// Violations returns the total number of violations.
 func (m *Monitor) Violations() (n int64) {
 	if m == nil {
 		return 0
@@ -69,7 +69,7 @@
 	return n
 }
 
-// Counts tells each count by its name; those that are 0 are left out.
+// Counts returns the counts that are not 0, by the name of the reason or violation.
 func (m *Monitor) Counts() (refused, violated map[string]int64) {
 	refused, violated = map[string]int64{}, map[string]int64{}
 	if m == nil {
--- a/internal/permit/permit_test.go
+++ b/internal/permit/permit_test.go
@@ -11,25 +11,25 @@
 )
 
 func TestSend(t *testing.T) {
-	fresh := Message{Left: time.Second}
+	fresh := Message{Remaining: time.Second}
 	for name, x := range map[string]struct {
 		change func(*Message)
 		want   Reason
 	}{
 		"fresh":                    {func(*Message) {}, Granted},
 		"ended":                    {func(m *Message) { m.Ended = true }, MessageEnded},
-		"one out":                  {func(m *Message) { m.Out = true }, AttemptOut},
-		"attempts used":            {func(m *Message) { m.Attempts, m.MaxAttempts = 3, 3 }, AttemptsUsed},
+		"one out":                  {func(m *Message) { m.InFlight = true }, AttemptInFlight},
+		"attempts used":            {func(m *Message) { m.Attempts, m.MaxAttempts = 3, 3 }, AttemptsExhausted},
 		"no limit of attempts":     {func(m *Message) { m.Attempts = 300 }, Granted},
-		"a stall before its end":   {func(m *Message) { m.Left = LeastLeft }, TimeUp},
-		"just more":                {func(m *Message) { m.Left = LeastLeft + 1 }, Granted},
+		"a stall before its end":   {func(m *Message) { m.Remaining = MinRemaining }, Expired},
+		"just more":                {func(m *Message) { m.Remaining = MinRemaining + 1 }, Granted},
 		"safe, may have run":       {func(m *Message) { m.Repeat = Repeat{MayHaveRun: true} }, Granted},
 		"unsafe, may have run":     {func(m *Message) { m.Repeat = Repeat{MayHaveRun: true, Effect: Unsafe, Window: time.Hour} }, MayHaveRun},
 		"unsafe, surely not run":   {func(m *Message) { m.Repeat = Repeat{Effect: Unsafe} }, Granted},
 		"keyed, within its window": {func(m *Message) { m.Repeat = Repeat{MayHaveRun: true, Effect: Keyed, Window: time.Second} }, Granted},
 		"keyed, a stall before over": {func(m *Message) {
 			m.Repeat = Repeat{MayHaveRun: true, Effect: Keyed, Window: time.Second, Age: time.Second - MaxStall}
-		}, WindowOver},
+		}, WindowExpired},
 		"keyed, other zone": {func(m *Message) {
 			m.Repeat = Repeat{MayHaveRun: true, Effect: Keyed, Window: time.Second, OtherZone: true}
 		}, OtherZone},
@@ -42,19 +42,19 @@
 	}
 }
 
-// Whatever is held up for MaxStall behind a grant still comes in time, and what may have run is never repeated where
-// that would take effect.
+// An attempt that stalls for MaxStall after it was permitted must still be in time, and a message that may
+// have run must not be repeated where that would take effect again.
 func TestSendHolds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		span := func(name string) time.Duration { return time.Duration(rapid.Int64Range(-2e9, 3e9).Draw(t, name)) }
-		m := Message{Left: span("left"), Attempts: rapid.IntRange(0, 4).Draw(t, "attempts"), MaxAttempts: rapid.IntRange(0, 4).Draw(t, "most"),
-			Out: rapid.Bool().Draw(t, "out"), Ended: rapid.Bool().Draw(t, "ended"),
+		m := Message{Remaining: span("left"), Attempts: rapid.IntRange(0, 4).Draw(t, "attempts"), MaxAttempts: rapid.IntRange(0, 4).Draw(t, "most"),
+			InFlight: rapid.Bool().Draw(t, "out"), Ended: rapid.Bool().Draw(t, "ended"),
 			Repeat: Repeat{MayHaveRun: rapid.Bool().Draw(t, "may"), Effect: Effect(rapid.IntRange(0, 2).Draw(t, "effect")), Age: span("age"), Window: span("window")}}
 		if Send(m) != Granted {
 			return
 		}
 		repeats := m.Repeat.MayHaveRun && m.Repeat.Effect != Safe
-		if m.Left <= MaxStall || m.Out || m.Ended || repeats && (m.Repeat.Effect == Unsafe || m.Repeat.Age+MaxStall >= m.Repeat.Window) {
+		if m.Remaining <= MaxStall || m.InFlight || m.Ended || repeats && (m.Repeat.Effect == Unsafe || m.Repeat.Age+MaxStall >= m.Repeat.Window) {
 			t.Fatalf("granted: %+v", m)
 		}
 	})
@@ -65,13 +65,13 @@
 		end  End
 		want Reason
 	}{
-		{End{Written: true, Left: time.Second}, Granted},
-		{End{Written: true, Delivered: true, Left: time.Second}, Granted},
-		{End{Left: time.Second}, NotWritten},
-		{End{Left: 0}, Granted},
-		{End{Delivered: true, Left: 0}, NotWritten},
+		{End{Written: true, Remaining: time.Second}, Granted},
+		{End{Written: true, Delivered: true, Remaining: time.Second}, Granted},
+		{End{Remaining: time.Second}, NotWritten},
+		{End{Remaining: 0}, Granted},
+		{End{Delivered: true, Remaining: 0}, NotWritten},
 	} {
-		if got := TellEnd(x.end); got != x.want {
+		if got := NotifyEnd(x.end); got != x.want {
 			t.Errorf("%+v: %v, want %v", x.end, got, x.want)
 		}
 	}
@@ -103,8 +103,8 @@
 func TestMonitorCounts(t *testing.T) {
 	var log strings.Builder
 	m := NewMonitor(slog.New(slog.NewTextHandler(&log, nil)))
-	m.Refused(TimeUp, "send", "m-1")
-	m.Violated(EndedTwice, "m-2", "state", "failed")
+	m.CountDenied(Expired, "send", "m-1")
+	m.CountViolation(EndedTwice, "m-2", "state", "failed")
 	refused, violated := m.Counts()
 	if refused["time up"] != 1 || violated["ended twice"] != 1 || m.Violations() != 1 {
 		t.Errorf("%v %v", refused, violated)
@@ -113,7 +113,7 @@
 		t.Errorf("log: %s", log.String())
 	}
 	var none *Monitor
-	none.Violated(EndedTwice, "m-3")
-	none.Refused(TimeUp, "send", "m-4")
-	NewMonitor(slog.New(slog.NewTextHandler(io.Discard, nil))).Refused(-1, "", "")
+	none.CountViolation(EndedTwice, "m-3")
+	none.CountDenied(Expired, "send", "m-4")
+	NewMonitor(slog.New(slog.NewTextHandler(io.Discard, nil))).CountDenied(-1, "", "")
 }
--- a/internal/permit/reason.go
+++ b/internal/permit/reason.go
@@ -1,26 +1,26 @@
 package permit
 
-// Reason says why something may not be done now; [Granted] that it may.
+// Reason is why an action is not permitted; [Granted] means that it is.
 type Reason int
 
 // The reasons.
 const (
-	Granted         Reason = iota
-	MessageEnded           // the message has had its end
-	AttemptOut             // an earlier attempt has no outcome yet
-	AttemptsUsed           // the message has had all its attempts
-	TimeUp                 // too little of the message's time is left for a write that is held up
-	MayHaveRun             // an attempt may have run, and a repeat would take effect again
-	WindowOver             // the endpoint may have forgotten the key by the time a repeat is written
-	OtherZone              // repeats are recognized in the zone of the first attempt only
-	CalledOff              // the attempt was cancelled
-	WaitTold               // the destination has told to wait
-	EndpointLeaving        // the endpoint drains or is gone
-	LeaseReduced           // this process may use less of the destination's rate than was planned with
-	HandedOver             // another process decides by now
-	NotWritten             // the journal does not hold it
-	Unanswered             // a request that was read has no answer yet
-	RequestArriving        // a request is arriving, or has arrived and is not read
+	Granted           Reason = iota
+	MessageEnded             // the message has ended
+	AttemptInFlight          // an earlier attempt has no outcome yet
+	AttemptsExhausted        // the message has had its maximum number of attempts
+	Expired                  // too little time is left for a write that may be delayed by a stall
+	MayHaveRun               // an attempt may have run, and a repeat would take effect again
+	WindowExpired            // the endpoint may have forgotten the idempotency key by the time a repeat is written
+	OtherZone                // repeats are recognized only in the zone of the first attempt
+	Cancelled                // the attempt was cancelled
+	WaitRequested            // the destination has requested a wait
+	EndpointLeaving          // the endpoint drains or was removed
+	LeaseReduced             // this process may now use less of the destination's rate than was planned with
+	HandedOver               // another process has taken over the decisions
+	NotWritten               // not in the journal
+	Unanswered               // a request that was read has no response yet
+	RequestArriving          // a request is arriving, or has arrived and is not read
 	reasons
 )
 
@@ -34,10 +34,10 @@
 	return "unknown"
 }
 
-// Final says that waiting does not help: the message can never be sent again.
+// Final reports whether the message can never be sent again, however long one waits.
 func (r Reason) Final() bool {
 	switch r {
-	case MessageEnded, AttemptsUsed, TimeUp, MayHaveRun, WindowOver:
+	case MessageEnded, AttemptsExhausted, Expired, MayHaveRun, WindowExpired:
 		return true
 	}
 	return false
--- a/internal/permit/send.go
+++ b/internal/permit/send.go
@@ -2,89 +2,89 @@
 
 import "time"
 
-// Effect tells what a repeat of a message does.
+// Effect is the effect of delivering a message a second time.
 type Effect int
 
-// The three kinds of effect.
+// The kinds of effect.
 const (
-	Safe   Effect = iota // may be repeated freely
-	Keyed                // repeats are recognized by their key for a while
+	Safe   Effect = iota // may be repeated at any time
+	Keyed                // repeats are recognized by their idempotency key for a limited time
 	Unsafe               // must not run twice
 )
 
 const (
-	// MaxStall is the longest time for which a process may be held up between its last
-	// look at the clock and a write.
+	// MaxStall is the longest time for which a process may stall between its last reading of the clock and a
+	// write.
 	MaxStall = 150 * time.Millisecond
-	// Transit is what is left beside that for a written request to arrive.
-	Transit = 10 * time.Millisecond
-	// LeastLeft is the least span before the end of a message's time, or of the window for
-	// repeats, in which an attempt may be begun.
-	LeastLeft = MaxStall + Transit
+	// TransitTime is the time allowed in addition for a written request to arrive.
+	TransitTime = 10 * time.Millisecond
+	// MinRemaining is the minimum time before a message's deadline, or before the end of its window for
+	// repeats, at which an attempt may start.
+	MinRemaining = MaxStall + TransitTime
 )
 
-// Message is what decides whether an attempt of a message may be begun.
+// Message is the state of a message that determines whether an attempt may start.
 type Message struct {
 	Ended       bool
-	Out         bool          // an attempt has no outcome yet
-	Attempts    int           // made so far
+	InFlight    bool          // an attempt has no outcome yet
+	Attempts    int           // number of attempts made
 	MaxAttempts int           // 0 for no limit
-	Left        time.Duration // until the end of its time
+	Remaining   time.Duration // time until the deadline
 	Repeat      Repeat
 }
 
-// Repeat is what decides whether a message that may have run may be sent again. Its
-// zero value is that of a message that has surely not run.
+// Repeat is the state that determines whether a message that may have run may be sent again. Its zero value
+// is that of a message that has certainly not run.
 type Repeat struct {
 	MayHaveRun bool
 	Effect     Effect
-	Age        time.Duration // since the first attempt that may have run was sent
-	Window     time.Duration // for which the endpoint recognizes a repeat from then on
-	OtherZone  bool          // the endpoint is in another zone, and repeats are recognized in one only
+	Age        time.Duration // time since the first attempt that may have run was sent
+	Window     time.Duration // the endpoint recognizes repeats for this long after that attempt
+	OtherZone  bool          // the endpoint is in another zone, and repeats are recognized in one zone only
 }
 
-// Check says whether a repeat may be begun.
+// Check returns why a repeat may not start.
 func (r Repeat) Check() Reason {
 	switch {
 	case !r.MayHaveRun || r.Effect == Safe:
 		return Granted
 	case r.Effect == Unsafe:
 		return MayHaveRun
-	case r.Age > r.Window-LeastLeft:
-		return WindowOver
+	case r.Age > r.Window-MinRemaining:
+		return WindowExpired
 	case r.OtherZone:
 		return OtherZone
 	}
 	return Granted
 }
 
-// Send says whether an attempt of a message may be begun.
+// Send returns why an attempt of a message may not start.
 func Send(m Message) Reason {
 	switch {
 	case m.Ended:
 		return MessageEnded
-	case m.Out:
-		return AttemptOut
+	case m.InFlight:
+		return AttemptInFlight
 	case m.MaxAttempts > 0 && m.Attempts >= m.MaxAttempts:
-		return AttemptsUsed
-	case m.Left <= LeastLeft:
-		return TimeUp
+		return AttemptsExhausted
+	case m.Remaining <= MinRemaining:
+		return Expired
 	}
 	return m.Repeat.Check()
 }
 
-// End is what decides whether the end of a message may be told.
+// End is the state of a message that determines whether its end may be notified.
 type End struct {
-	Written   bool          // the journal holds it
-	Delivered bool          // it is a delivery
-	Left      time.Duration // of the message's time
+	Written   bool          // the journal holds the end
+	Delivered bool          // the message was delivered
+	Remaining time.Duration // time until the message's deadline
 }
 
-// TellEnd says whether an end may be told: only once the journal holds it, else a
-// process that starts after a crash would send the message again. An end other than a
-// delivery may be told without once the message's time is up: nobody sends it then.
-func TellEnd(e End) Reason {
-	if e.Written || !e.Delivered && e.Left <= 0 {
+// NotifyEnd returns why an end may not be notified. The journal must hold it first; otherwise a process that
+// starts after a crash would send the message again. An end other than a delivery may be notified without
+// that after the message's deadline, as no process sends it then.
+func NotifyEnd(e End) Reason {
+	if e.Written || !e.Delivered && e.Remaining <= 0 {
 		return Granted
 	}
 	return NotWritten
--- a/internal/soak/plant.go
+++ b/internal/soak/plant.go
@@ -43,7 +43,7 @@
 		{File: "internal/permit/send.go", Old: "MaxStall = 150 * time.Millisecond", New: "MaxStall = 0 * time.Millisecond"},
 	}},
 	{Name: "end told before it is written", Changes: []faultbuild.Change{
-		{File: "internal/permit/send.go", Old: "if e.Written || !e.Delivered && e.Left <= 0 {", New: "if true {"},
+		{File: "internal/permit/send.go", Old: "if e.Written || !e.Delivered && e.Remaining <= 0 {", New: "if true {"},
 	}},
 	{Name: "one byte of an answer", Changes: []faultbuild.Change{
 		{File: "internal/front/resp/session.go", Old: "			_, err = w.WriteString(line)",
--- a/internal/transport/http/answer.go
+++ b/internal/transport/http/answer.go
@@ -78,7 +78,7 @@
 		if body != nil {
 			out = outcomeOfBatch(status, header)
 		}
-		if later && out.Outcome == logic.Full && out.Wait == 0 && (status == http.StatusTooManyRequests || status == http.StatusServiceUnavailable) {
+		if later && out.Outcome == logic.Overloaded && out.Wait == 0 && (status == http.StatusTooManyRequests || status == http.StatusServiceUnavailable) {
 			out.Wait = retryAfter(header, time.Now())
 		}
 		out.Load = readReport(header, reports)
@@ -92,9 +92,9 @@
 	case l.over():
 		return core.Result{Outcome: l.outcome()}
 	case errors.Is(err, errSpoilt), isTimeout(err):
-		return core.Result{Outcome: logic.Spoilt}
+		return core.Result{Outcome: logic.InvalidResponse}
 	}
-	return core.Result{Outcome: logic.Severed}
+	return core.Result{Outcome: logic.ConnectionBroken}
 }
 
 // readStatus reads the first line of an answer. The status is there as soon as it
@@ -198,16 +198,16 @@
 func outcomeOf(status int, header http.Header) core.Result {
 	switch status {
 	case http.StatusTooManyRequests:
-		return core.Result{Outcome: logic.Full, Wait: toldWait(header)}
+		return core.Result{Outcome: logic.Overloaded, Wait: toldWait(header)}
 	case http.StatusServiceUnavailable:
 		if header.Get("X-Line-Busy") == "1" {
-			return core.Result{Outcome: logic.Moot}
+			return core.Result{Outcome: logic.NotSent}
 		}
-		return core.Result{Outcome: logic.Full}
+		return core.Result{Outcome: logic.Overloaded}
 	case http.StatusGatewayTimeout:
-		return core.Result{Outcome: logic.Moot}
+		return core.Result{Outcome: logic.NotSent}
 	case http.StatusGone:
-		return core.Result{Outcome: logic.Moot, Over: true}
+		return core.Result{Outcome: logic.NotSent, Over: true}
 	}
 	return core.Result{Outcome: logic.Errored}
 }
--- a/internal/transport/http/answer_test.go
+++ b/internal/transport/http/answer_test.go
@@ -49,7 +49,7 @@
 			got := goDo(t.Context(), c, newCall(e.Addr(), "hello", byhand.Patience))
 			in := byhand.Await(t, e.Calls, "call")
 			io.WriteString(in.Conn, text)
-			if r := byhand.Await(t, got, "result"); r.Outcome != logic.Spoilt || r.Over {
+			if r := byhand.Await(t, got, "result"); r.Outcome != logic.InvalidResponse || r.Over {
 				t.Errorf("got %+v, want Spoilt", r)
 			}
 			in.AwaitEnd(t)
@@ -112,7 +112,7 @@
 		t.Error("a call on a connection with an answer on it")
 	}
 	third.Reply(429)
-	if r := byhand.Await(t, got, "result"); r.Outcome != logic.Full {
+	if r := byhand.Await(t, got, "result"); r.Outcome != logic.Overloaded {
 		t.Errorf("got %+v, want Full", r)
 	}
 }
@@ -129,8 +129,8 @@
 			time.Sleep(headTime + headTime/4) // the time that the rest of a head has
 			in.Reply(200)
 		}, logic.Completed},
-		{"cancelled", byhand.Patience, func(cancel func(), in *byhand.InCall) { cancel(); in.AwaitEnd(t); in.Reset() }, logic.Recalled},
-		{"silent", 100 * time.Millisecond, func(_ func(), in *byhand.InCall) { in.AwaitEnd(t); in.Reset() }, logic.Overdue},
+		{"cancelled", byhand.Patience, func(cancel func(), in *byhand.InCall) { cancel(); in.AwaitEnd(t); in.Reset() }, logic.Cancelled},
+		{"silent", 100 * time.Millisecond, func(_ func(), in *byhand.InCall) { in.AwaitEnd(t); in.Reset() }, logic.TimedOut},
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			t.Parallel()
@@ -154,7 +154,7 @@
 	e, c := byhand.NewEndpoint(t), New(time.Second, time.Hour, Limits{Open: 1, Idle: 1, PerEndpoint: 4})
 	got := goDo(t.Context(), c, newCall(e.Addr(), "hello", byhand.Patience))
 	in := byhand.Await(t, e.Calls, "call")
-	if r := c.Attempt(t.Context(), newCall(e.Addr(), "hello", byhand.Patience)); r.Outcome != logic.Moot || !r.Local {
+	if r := c.Attempt(t.Context(), newCall(e.Addr(), "hello", byhand.Patience)); r.Outcome != logic.NotSent || !r.Local {
 		t.Errorf("got %+v, want Moot for a local cause", r)
 	}
 	in.Reply(200)
@@ -167,7 +167,7 @@
 	byhand.Await(t, got, "result")
 	c.Release(2)
 	c.dialer.Control = func(_, _ string, _ syscall.RawConn) error { return syscall.EMFILE }
-	if r := c.Attempt(t.Context(), newCall(e.Addr(), "hello", byhand.Patience)); r.Outcome != logic.Moot || !r.Local {
+	if r := c.Attempt(t.Context(), newCall(e.Addr(), "hello", byhand.Patience)); r.Outcome != logic.NotSent || !r.Local {
 		t.Errorf("got %+v, want Moot for a local cause", r)
 	}
 	if c.open != 0 || c.count != 0 {
@@ -190,7 +190,7 @@
 		if r.Outcome == logic.Completed && !(strings.Contains(in, "HTTP/1.") && strings.Contains(in, " 200")) {
 			t.Errorf("%q is read as a delivery", in)
 		}
-		if keep && r.Outcome == logic.Spoilt {
+		if keep && r.Outcome == logic.InvalidResponse {
 			t.Errorf("%q: the connection is kept", in)
 		}
 	})
@@ -214,7 +214,7 @@
 	if second, _ := call(true, answered); second.Conn != first.Conn {
 		t.Error("kept connections are not used while none breaks")
 	}
-	if _, r := call(false, (*byhand.InCall).Reset); r.Outcome != logic.Severed {
+	if _, r := call(false, (*byhand.InCall).Reset); r.Outcome != logic.ConnectionBroken {
 		t.Errorf("got %+v, want Severed", r)
 	}
 	third, _ := call(false, answered)
@@ -264,13 +264,13 @@
 		cancel            bool // between the two
 		want              core.Result
 	}{
-		{"cut off in the body", "HTTP/1.1 429 x\r\n", told + "Content-Length: 9\r\n\r\nab", false, core.Result{Outcome: logic.Severed, Wait: 700 * time.Millisecond}},
-		{"cut off in the head", "HTTP/1.1 429 x\r\n", told, false, core.Result{Outcome: logic.Severed, Wait: 700 * time.Millisecond}},
-		{"bad length", "HTTP/1.1 429 x\r\n", told + "Content-Length: -9\r\n\r\n", false, core.Result{Outcome: logic.Spoilt, Wait: 700 * time.Millisecond}},
-		{"called off after the first line", "HTTP/1.1 429 x\r\n", told + "Content-Length: 0\r\n\r\n", true, core.Result{Outcome: logic.Full, Wait: 700 * time.Millisecond}},
-		{"called off in the first line", "HTTP/1.1 4", "29 x\r\n" + told + "Content-Length: 0\r\n\r\n", true, core.Result{Outcome: logic.Full, Wait: 700 * time.Millisecond}},
+		{"cut off in the body", "HTTP/1.1 429 x\r\n", told + "Content-Length: 9\r\n\r\nab", false, core.Result{Outcome: logic.ConnectionBroken, Wait: 700 * time.Millisecond}},
+		{"cut off in the head", "HTTP/1.1 429 x\r\n", told, false, core.Result{Outcome: logic.ConnectionBroken, Wait: 700 * time.Millisecond}},
+		{"bad length", "HTTP/1.1 429 x\r\n", told + "Content-Length: -9\r\n\r\n", false, core.Result{Outcome: logic.InvalidResponse, Wait: 700 * time.Millisecond}},
+		{"called off after the first line", "HTTP/1.1 429 x\r\n", told + "Content-Length: 0\r\n\r\n", true, core.Result{Outcome: logic.Overloaded, Wait: 700 * time.Millisecond}},
+		{"called off in the first line", "HTTP/1.1 4", "29 x\r\n" + told + "Content-Length: 0\r\n\r\n", true, core.Result{Outcome: logic.Overloaded, Wait: 700 * time.Millisecond}},
 		{"called off, and a delivery", "HTTP/1.1 2", "00 x\r\nContent-Length: 0\r\n\r\n", true, core.Result{Outcome: logic.Completed}},
-		{"called off, then cut off", "HTTP/1.1 2", "", true, core.Result{Outcome: logic.Recalled}},
+		{"called off, then cut off", "HTTP/1.1 2", "", true, core.Result{Outcome: logic.Cancelled}},
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			here, there := net.Pipe()
--- a/internal/transport/http/batch.go
+++ b/internal/transport/http/batch.go
@@ -60,7 +60,7 @@
 		case left <= 0: // never sent; the endpoint is not to blame
 			part = make([]core.Result, n)
 			for i := range part {
-				part[i].Outcome = logic.Moot
+				part[i].Outcome = logic.NotSent
 			}
 		case n == 1:
 			part = []core.Result{c.single(ctx, rest[0], left)}
@@ -70,7 +70,7 @@
 		out, rest = append(out, part...), rest[n:]
 		if slices.ContainsFunc(part, func(r core.Result) bool { return r.Outcome != logic.Completed || r.Wait > 0 }) {
 			for range rest { // the endpoint had better be asked again first
-				out = append(out, core.Result{Outcome: logic.Moot})
+				out = append(out, core.Result{Outcome: logic.NotSent})
 			}
 			break
 		}
@@ -115,13 +115,13 @@
 	for i, a := range call {
 		switch itemResult, told := results[a.Message.ID]; {
 		case !begun[i]:
-			out[i] = core.Result{Outcome: logic.Moot}
+			out[i] = core.Result{Outcome: logic.NotSent}
 		case whole.Outcome != logic.Completed:
 			out[i] = whole
 		case told:
 			out[i] = itemResult
 		default: // it may have run, as far as the answer goes
-			out[i] = core.Result{Outcome: logic.Spoilt, Wait: whole.Wait}
+			out[i] = core.Result{Outcome: logic.InvalidResponse, Wait: whole.Wait}
 		}
 	}
 	return out
@@ -143,11 +143,11 @@
 		case "failed":
 			r.Outcome = logic.Errored
 		case "busy":
-			r.Outcome = logic.Full
+			r.Outcome = logic.Overloaded
 		case "void":
-			r.Outcome, r.Over = logic.Moot, true
+			r.Outcome, r.Over = logic.NotSent, true
 		case "used_up":
-			r.Outcome = logic.Moot
+			r.Outcome = logic.NotSent
 		default:
 			ok = false
 		}
@@ -167,7 +167,7 @@
 	case http.StatusOK:
 		return core.Result{Outcome: logic.Completed, Wait: toldWait(header)}
 	case http.StatusBadRequest, http.StatusRequestEntityTooLarge: // none of them has run
-		return core.Result{Outcome: logic.Full}
+		return core.Result{Outcome: logic.Overloaded}
 	}
 	return outcomeOf(status, header)
 }
--- a/internal/transport/http/batch_test.go
+++ b/internal/transport/http/batch_test.go
@@ -70,21 +70,21 @@
 		answer string
 		want   []core.Result
 	}{
-		"each its own": {list("", "done", "failed", "busy"), []core.Result{result(logic.Completed), result(logic.Errored), result(logic.Full)}},
+		"each its own": {list("", "done", "failed", "busy"), []core.Result{result(logic.Completed), result(logic.Errored), result(logic.Overloaded)}},
 		"over": {list("", "void", "used_up", "done"),
-			[]core.Result{{Outcome: logic.Moot, Over: true}, result(logic.Moot), result(logic.Completed)}},
+			[]core.Result{{Outcome: logic.NotSent, Over: true}, result(logic.NotSent), result(logic.Completed)}},
 		"a wait and a report": {list("X-Come-Back-Ms: 300\r\nEndpoint-Load-Metrics: x1=25,x0=0.5\r\n", "done", "done", "busy"), []core.Result{
 			{Outcome: logic.Completed, Wait: wait, Load: []float64{0.5, 25}}, {Outcome: logic.Completed, Wait: wait, Load: []float64{0.5, 25}},
-			{Outcome: logic.Full, Wait: wait, Load: []float64{0.5, 25}}}},
-		"one left out":   {list("", "done", "done"), []core.Result{result(logic.Completed), result(logic.Completed), result(logic.Spoilt)}},
-		"unknown word":   {list("", "done", "perhaps", "done"), []core.Result{result(logic.Completed), result(logic.Spoilt), result(logic.Completed)}},
-		"no list":        {ok + "Content-Length: 2\r\n\r\n{}", all(result(logic.Spoilt))},
-		"cut short":      {ok + "Content-Length: 40\r\n\r\n[{\"id\":\"m0\",\"state\":\"done\"}", all(result(logic.Spoilt))},
-		"two words":      {ok + "Content-Length: 52\r\n\r\n" + `[{"id":"m0","state":"done"},{"id":"m0","state":"?"}]`, all(result(logic.Spoilt))},
-		"refused":        {"HTTP/1.1 429 x\r\nX-Come-Back-Ms: 300\r\nContent-Length: 0\r\n\r\n", all(core.Result{Outcome: logic.Full, Wait: wait})},
+			{Outcome: logic.Overloaded, Wait: wait, Load: []float64{0.5, 25}}}},
+		"one left out":   {list("", "done", "done"), []core.Result{result(logic.Completed), result(logic.Completed), result(logic.InvalidResponse)}},
+		"unknown word":   {list("", "done", "perhaps", "done"), []core.Result{result(logic.Completed), result(logic.InvalidResponse), result(logic.Completed)}},
+		"no list":        {ok + "Content-Length: 2\r\n\r\n{}", all(result(logic.InvalidResponse))},
+		"cut short":      {ok + "Content-Length: 40\r\n\r\n[{\"id\":\"m0\",\"state\":\"done\"}", all(result(logic.InvalidResponse))},
+		"two words":      {ok + "Content-Length: 52\r\n\r\n" + `[{"id":"m0","state":"done"},{"id":"m0","state":"?"}]`, all(result(logic.InvalidResponse))},
+		"refused":        {"HTTP/1.1 429 x\r\nX-Come-Back-Ms: 300\r\nContent-Length: 0\r\n\r\n", all(core.Result{Outcome: logic.Overloaded, Wait: wait})},
 		"error":          {"HTTP/1.1 500 x\r\nContent-Length: 0\r\n\r\n", all(result(logic.Errored))},
-		"too many":       {"HTTP/1.1 413 x\r\nContent-Length: 0\r\n\r\n", all(result(logic.Full))},
-		"not understood": {"HTTP/1.1 400 x\r\nContent-Length: 0\r\n\r\n", all(result(logic.Full))},
+		"too many":       {"HTTP/1.1 413 x\r\nContent-Length: 0\r\n\r\n", all(result(logic.Overloaded))},
+		"not understood": {"HTTP/1.1 400 x\r\nContent-Length: 0\r\n\r\n", all(result(logic.Overloaded))},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -108,7 +108,7 @@
 func TestBatchHeld(t *testing.T) {
 	e, c := byhand.NewEndpoint(t), testCaller()
 	call := newBatch(e.Addr(), 3, "b")
-	call[1].Withhold(permit.WaitTold)
+	call[1].Withhold(permit.WaitRequested)
 	got := goBatch(t.Context(), c, call)
 	in := byhand.Await(t, e.Calls, "call")
 	if s := ids(t, in, "b"); s != "m0 m2" {
@@ -116,13 +116,13 @@
 	}
 	in.Reply(503)
 	r := byhand.Await(t, got, "results")
-	if r[0].Outcome != logic.Full || r[1].Outcome != logic.Moot || r[2].Outcome != logic.Full {
+	if r[0].Outcome != logic.Overloaded || r[1].Outcome != logic.NotSent || r[2].Outcome != logic.Overloaded {
 		t.Errorf("got %+v", r)
 	}
 	call = newBatch(e.Addr(), 2, "b")
-	call[0].Withhold(permit.WaitTold)
-	call[1].Withhold(permit.WaitTold)
-	if r := byhand.Await(t, goBatch(t.Context(), c, call), "results"); r[0].Outcome != logic.Moot || r[1].Outcome != logic.Moot {
+	call[0].Withhold(permit.WaitRequested)
+	call[1].Withhold(permit.WaitRequested)
+	if r := byhand.Await(t, goBatch(t.Context(), c, call), "results"); r[0].Outcome != logic.NotSent || r[1].Outcome != logic.NotSent {
 		t.Errorf("got %+v", r)
 	}
 	e.None(t)
@@ -158,10 +158,10 @@
 			byhand.Await(t, e.Calls, "third call").Reply(200)
 		case "wait":
 			reply(in, "X-Come-Back-Ms: 50\r\n", "m2", "m3")
-			want[4] = logic.Moot
+			want[4] = logic.NotSent
 		case "full":
 			in.Reply(503)
-			want[2], want[3], want[4] = logic.Full, logic.Full, logic.Moot
+			want[2], want[3], want[4] = logic.Overloaded, logic.Overloaded, logic.NotSent
 		}
 		for i, r := range byhand.Await(t, got, "results") {
 			if r.Outcome != want[i] {
@@ -199,7 +199,7 @@
 	}
 	in.AwaitEnd(t)
 	for _, r := range byhand.Await(t, got, "results") {
-		if r.Outcome != logic.Overdue {
+		if r.Outcome != logic.TimedOut {
 			t.Errorf("got %+v, want Overdue", r)
 		}
 	}
--- a/internal/transport/http/calls.go
+++ b/internal/transport/http/calls.go
@@ -119,16 +119,16 @@
 		if err == nil && !c.putBack(in.Endpoint, conn) {
 			c.drop(conn)
 		}
-		if err != nil && !ownFault(err) && in.reason() == permit.CalledOff { // the endpoint did not take it until then
-			return core.Result{Outcome: logic.RefusedConn}
+		if err != nil && !ownFault(err) && in.reason() == permit.Cancelled { // the endpoint did not take it until then
+			return core.Result{Outcome: logic.ConnectionRefused}
 		}
-		return core.Result{Outcome: logic.Moot}
+		return core.Result{Outcome: logic.NotSent}
 	}
 	if err != nil {
 		if ownFault(err) {
-			return core.Result{Outcome: logic.Moot, Local: true}
+			return core.Result{Outcome: logic.NotSent, Local: true}
 		}
-		return core.Result{Outcome: logic.RefusedConn}
+		return core.Result{Outcome: logic.ConnectionRefused}
 	}
 	limit := &cutoff{conn: conn, by: deadline, linger: c.linger}
 	stop := context.AfterFunc(ctx, limit.cancel)
@@ -136,18 +136,18 @@
 	if err := send(conn, in, time.Until(deadline)); err != nil {
 		stop()
 		c.drop(conn)
-		return core.Result{Outcome: logic.RefusedConn} // its last byte was not written
+		return core.Result{Outcome: logic.ConnectionRefused} // its last byte was not written
 	}
 	in.written()
 	conn.limit.N = maxAnswer
 	r, keep := readAnswer(conn.r, limit, c.Reports, c.RetryAfter, in.body)
-	if r.Outcome == logic.Severed && !conn.since.IsZero() {
+	if r.Outcome == logic.ConnectionBroken && !conn.since.IsZero() {
 		c.mu.Lock()
 		c.brokeAt = time.Now()
 		c.mu.Unlock()
 	}
 	if conn.limit.N <= 0 && r.Outcome != logic.Completed {
-		r = core.Result{Outcome: logic.Spoilt} // it goes on for ever, say
+		r = core.Result{Outcome: logic.InvalidResponse} // it goes on for ever, say
 	}
 	if !stop() || !keep || limit.over() || !c.put(in.Endpoint, conn) {
 		c.drop(conn)
@@ -237,9 +237,9 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.off {
-		return logic.Recalled
+		return logic.Cancelled
 	}
-	return logic.Overdue
+	return logic.TimedOut
 }
 
 // over says whether the connection may be of no more use: it is given up, or a cancel may touch it yet.
@@ -378,7 +378,7 @@
 // good says whether a kept connection may carry a call: neither about to be closed
 // for its age nor closed already, nor with an answer on it that nobody asked for.
 func (c *Transport) good(conn *idleConn) bool {
-	margin := max(min(idleMargin, c.idleTime/4), permit.LeastLeft) // the process may be held up before it writes
+	margin := max(min(idleMargin, c.idleTime/4), permit.MinRemaining) // the process may be held up before it writes
 	if time.Since(conn.since) > c.idleTime-margin {
 		return false
 	}
--- a/internal/transport/http/calls_test.go
+++ b/internal/transport/http/calls_test.go
@@ -45,13 +45,13 @@
 		{200, nil, core.Result{Outcome: logic.Completed}},
 		{500, nil, core.Result{Outcome: logic.Errored}},
 		{400, nil, core.Result{Outcome: logic.Errored}},
-		{429, []string{"X-Come-Back-Ms: 250"}, core.Result{Outcome: logic.Full, Wait: 250 * time.Millisecond}},
-		{429, []string{"X-Come-Back-Ms: -1"}, core.Result{Outcome: logic.Full}},
-		{429, []string{"X-Come-Back-Ms: soon"}, core.Result{Outcome: logic.Full}},
-		{503, nil, core.Result{Outcome: logic.Full}},
-		{503, []string{"X-Line-Busy: 1"}, core.Result{Outcome: logic.Moot}},
-		{504, nil, core.Result{Outcome: logic.Moot}},
-		{410, nil, core.Result{Outcome: logic.Moot, Over: true}},
+		{429, []string{"X-Come-Back-Ms: 250"}, core.Result{Outcome: logic.Overloaded, Wait: 250 * time.Millisecond}},
+		{429, []string{"X-Come-Back-Ms: -1"}, core.Result{Outcome: logic.Overloaded}},
+		{429, []string{"X-Come-Back-Ms: soon"}, core.Result{Outcome: logic.Overloaded}},
+		{503, nil, core.Result{Outcome: logic.Overloaded}},
+		{503, []string{"X-Line-Busy: 1"}, core.Result{Outcome: logic.NotSent}},
+		{504, nil, core.Result{Outcome: logic.NotSent}},
+		{410, nil, core.Result{Outcome: logic.NotSent, Over: true}},
 	} {
 		got := goDo(t.Context(), c, newCall(e.Addr(), "hello", byhand.Patience))
 		in := byhand.Await(t, e.Calls, "call")
@@ -97,7 +97,7 @@
 	}
 	conn.(*net.TCPConn).SetLinger(0)
 	conn.Close()
-	if r := byhand.Await(t, got, "result"); r.Outcome != logic.RefusedConn {
+	if r := byhand.Await(t, got, "result"); r.Outcome != logic.ConnectionRefused {
 		t.Errorf("got %+v, want RefusedConn", r)
 	}
 }
@@ -107,7 +107,7 @@
 	e, c := byhand.NewEndpoint(t), testCaller()
 	got := goDo(t.Context(), c, newCall(e.Addr(), "hello", byhand.Patience))
 	byhand.Await(t, e.Calls, "call").Reset()
-	if r := byhand.Await(t, got, "result"); r.Outcome != logic.Severed {
+	if r := byhand.Await(t, got, "result"); r.Outcome != logic.ConnectionBroken {
 		t.Errorf("reset: got %+v, want Severed", r)
 	}
 	got = goDo(t.Context(), c, newCall(e.Addr(), "hello", byhand.Patience))
@@ -115,7 +115,7 @@
 	io.WriteString(in.Conn, "HTTP/1.1 2")
 	in.Conn.Close()
 	in.Done <- false
-	if r := byhand.Await(t, got, "result"); r.Outcome != logic.Severed {
+	if r := byhand.Await(t, got, "result"); r.Outcome != logic.ConnectionBroken {
 		t.Errorf("half an answer: got %+v, want Severed", r)
 	}
 }
@@ -124,7 +124,7 @@
 func TestConnectionRefused(t *testing.T) {
 	e, c := byhand.NewEndpoint(t), testCaller()
 	e.Ln.Close()
-	if r := c.Attempt(t.Context(), newCall(e.Addr(), "hello", byhand.Patience)); r.Outcome != logic.RefusedConn {
+	if r := c.Attempt(t.Context(), newCall(e.Addr(), "hello", byhand.Patience)); r.Outcome != logic.ConnectionRefused {
 		t.Errorf("got %+v, want RefusedConn", r)
 	}
 }
@@ -179,14 +179,14 @@
 	cancel()
 	in.AwaitEnd(t)
 	in.Reset()
-	if r := byhand.Await(t, got, "result"); r.Outcome != logic.Recalled {
+	if r := byhand.Await(t, got, "result"); r.Outcome != logic.Cancelled {
 		t.Errorf("cancelled: got %+v, want Recalled", r)
 	}
 	got = goDo(t.Context(), c, newCall(e.Addr(), "hello", 30*time.Millisecond))
 	in = byhand.Await(t, e.Calls, "call")
 	in.AwaitEnd(t)
 	in.Reset()
-	if r := byhand.Await(t, got, "result"); r.Outcome != logic.Overdue {
+	if r := byhand.Await(t, got, "result"); r.Outcome != logic.TimedOut {
 		t.Errorf("timed out: got %+v, want Overdue", r)
 	}
 	ctx, cancel = context.WithCancel(t.Context())
@@ -201,7 +201,7 @@
 	c.linger = time.Millisecond // an endpoint that does not react
 	got = goDo(t.Context(), c, newCall(e.Addr(), "hello", 30*time.Millisecond))
 	in = byhand.Await(t, e.Calls, "call")
-	if r := byhand.Await(t, got, "result"); r.Outcome != logic.Overdue {
+	if r := byhand.Await(t, got, "result"); r.Outcome != logic.TimedOut {
 		t.Errorf("silent: got %+v, want Overdue", r)
 	}
 	in.AwaitEnd(t)
@@ -215,7 +215,7 @@
 	e, c := byhand.NewEndpoint(t), testCaller()
 	ctx, cancel := context.WithCancel(t.Context())
 	c.dialer.Control = func(_, _ string, _ syscall.RawConn) error { cancel(); return nil }
-	if r := c.Attempt(ctx, newCall(e.Addr(), "hello", byhand.Patience)); r.Outcome != logic.RefusedConn {
+	if r := c.Attempt(ctx, newCall(e.Addr(), "hello", byhand.Patience)); r.Outcome != logic.ConnectionRefused {
 		t.Errorf("got %+v, want RefusedConn", r)
 	}
 	e.None(t)
@@ -226,10 +226,10 @@
 	e, c := byhand.NewEndpoint(t), testCaller()
 	in := newCall(e.Addr(), "hello", byhand.Patience)
 	c.dialer.Control = func(_, _ string, _ syscall.RawConn) error {
-		in.Withhold(permit.WaitTold)
+		in.Withhold(permit.WaitRequested)
 		return nil
 	}
-	if r := c.Attempt(t.Context(), in); r.Outcome != logic.Moot {
+	if r := c.Attempt(t.Context(), in); r.Outcome != logic.NotSent {
 		t.Errorf("got %+v, want Moot", r)
 	}
 	e.None(t)
@@ -240,7 +240,7 @@
 	e, c := byhand.NewEndpoint(t), testCaller()
 	in := newCall(e.Addr(), "hello", byhand.Patience)
 	in.Expires = time.Now().Add(-time.Millisecond)
-	if r := c.Attempt(t.Context(), in); r.Outcome != logic.Moot {
+	if r := c.Attempt(t.Context(), in); r.Outcome != logic.NotSent {
 		t.Errorf("got %+v, want Moot", r)
 	}
 	e.None(t)
@@ -339,8 +339,8 @@
 	since := time.Now().Add(-5 * time.Second)
 	c.idle[1][0].since = since
 	withheld := newCall(e.Addr(), "hello", byhand.Patience)
-	withheld.Withhold(permit.WaitTold)
-	if r := c.Attempt(t.Context(), withheld); r.Outcome != logic.Moot {
+	withheld.Withhold(permit.WaitRequested)
+	if r := c.Attempt(t.Context(), withheld); r.Outcome != logic.NotSent {
 		t.Fatalf("a withheld attempt ends as %+v", r)
 	}
 	if list := c.idle[1]; len(list) != 1 || !list[0].since.Equal(since) {
--- a/internal/wire/fields.go
+++ b/internal/wire/fields.go
@@ -161,9 +161,9 @@
 	return 0
 }
 
-var outcomes = [...]string{logic.Completed: "completed", logic.Errored: "errored", logic.Full: "saturated",
-	logic.Overdue: "overdue", logic.RefusedConn: "refused_conn", logic.Severed: "severed",
-	logic.Recalled: "recalled", logic.Moot: "superseded"}
+var outcomes = [...]string{logic.Completed: "completed", logic.Errored: "errored", logic.Overloaded: "saturated",
+	logic.TimedOut: "overdue", logic.ConnectionRefused: "refused_conn", logic.ConnectionBroken: "severed",
+	logic.Cancelled: "recalled", logic.NotSent: "superseded"}
 
 func (f *fields) readiness() logic.Readiness {
 	switch n := f.whole("readiness"); n {
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -112,14 +112,14 @@
 
 func (in *setup) settings() (logic.Settings, error) {
 	out := logic.Settings{Senders: in.Balancers, Zone: in.Zone, Zones: len(in.Zones), Slots: in.Facts.Slots,
-		ConnIdle: micros(in.Limits.ConnIdle), ConnCalls: in.Limits.ConnCalls, ConnPrice: in.Charges.Handshake,
+		ConnIdle: micros(in.Limits.ConnIdle), ConnCalls: in.Limits.ConnCalls, ConnCost: in.Charges.Handshake,
 		MaxOpen: in.Limits.MaxOpen, MaxTries: in.Limits.MaxTries, Tick: micros(in.Tick),
-		OnRequest: in.Mode == "on_request", Probing: in.Limits.Probing, MayCancel: in.Limits.MayCancel,
-		RetryAfter: in.Limits.RetryAfter, Halves: in.Facts.Late == "halves",
-		MaxRetryAfter: micros(in.Limits.MaxRetryAfter), OverShareWorth: in.Over,
+		ListOnRequest: in.Mode == "on_request", Probing: in.Limits.Probing, MayCancel: in.Limits.MayCancel,
+		AdviseRetry: in.Limits.RetryAfter, ExponentialDecay: in.Facts.Late == "halves",
+		MaxRetryAfter: micros(in.Limits.MaxRetryAfter), OverQuotaWorth: in.Over,
 		DrainGrace: micros(in.Rules.DrainGrace), FallMultiple: in.Rules.FallMultiple,
 		FallWindow: micros(in.Rules.Fall), ColdFrom: in.Rules.ColdFrom, WarmAfter: micros(in.Rules.WarmAfter),
-		KeyQuiet: micros(in.Rules.KeyQuiet), AskWithin: micros(in.Rules.AskEvery), ReportLeft: -1, ReportLimit: -1}
+		KeyQuiet: micros(in.Rules.KeyQuiet), ListRetryWithin: micros(in.Rules.AskEvery), RemainingIndex: -1, LimitIndex: -1}
 	mode, ok := weightModes[in.Weights]
 	if !ok {
 		return out, fmt.Errorf("weights: unknown value %q", in.Weights)
@@ -146,12 +146,12 @@
 		out.Tenants = append(out.Tenants, logic.Tenant{Name: t.Name, QuotaRPS: t.Quota})
 	}
 	for i, name := range in.Kinds {
-		k := logic.Kind{Name: name, Batch: 1}
+		k := logic.Kind{Name: name, MaxBatch: 1}
 		if i < len(in.Facts.Batch) {
-			k.Batch = in.Facts.Batch[i]
+			k.MaxBatch = in.Facts.Batch[i]
 		}
 		if i < len(in.Facts.Apart) {
-			k.Apart = in.Facts.Apart[i]
+			k.Independent = in.Facts.Apart[i]
 		}
 		out.Kinds = append(out.Kinds, k)
 	}
@@ -159,9 +159,9 @@
 		for i, name := range in.Load.Names {
 			switch name {
 			case "x0":
-				out.ReportLeft = i
+				out.RemainingIndex = i
 			case "x1":
-				out.ReportLimit = i
+				out.LimitIndex = i
 			}
 		}
 	}
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -147,7 +147,7 @@
 			return &Error{d.line, "", "want an entry, got " + strconv.Quote(e.name)}
 		}
 		row := logic.Entry{Endpoint: e.endpoint(), Zone: int(e.whole("zone")), Kind: int(e.whole("kind")),
-			Dest: e.whole("cell"), State: e.readiness(), Nominal: e.number("nominal")}
+			Dest: e.whole("cell"), State: e.readiness(), NominalRate: e.number("nominal")}
 		e.time("born_s")
 		if err := e.end(); err != nil {
 			return err
@@ -181,7 +181,7 @@
 	case "call":
 		it.Event = call(f)
 	case "started":
-		it.Event = logic.Started{ID: f.word("req"), Attempt: int(f.whole("copy"))}
+		it.Event = logic.StreamStarted{ID: f.word("req"), Attempt: int(f.whole("copy"))}
 		f.endpoint()
 		f.time("time_taken_s")
 	case "reply":
@@ -189,11 +189,11 @@
 	case "client_gone":
 		it.Event = logic.ClientGone{ID: f.word("req")}
 	case "due":
-		it.Event = logic.Due{Token: f.token("ctx")}
+		it.Event = logic.TimerFired{Token: f.token("ctx")}
 	case "health_result":
 		o := f.outcome()
 		f.time("time_taken_s")
-		it.Event = logic.HealthResult{Outcome: o, Endpoint: f.endpoint(), Load: f.load()}
+		it.Event = logic.ProbeResult{Outcome: o, Endpoint: f.endpoint(), Load: f.load()}
 	case "peer":
 		// The module uses no messages between senders; the line is checked and dropped.
 		f.whole("neighbour")
@@ -227,9 +227,9 @@
 }
 
 func call(f *fields) logic.Event {
-	c := logic.Call{ID: f.word("req")}
+	c := logic.NewMessage{ID: f.word("req")}
 	f.flag("repeat")
-	c.Left = f.time("grace_s")
+	c.Remaining = f.time("grace_s")
 	f.flag("came_back")
 	f.number("expected_s")
 	c.Key = f.optional("key")
@@ -244,14 +244,14 @@
 }
 
 func reply(f *fields) logic.Event {
-	r := logic.Reply{ID: f.word("req"), NoMore: f.flag("no_more"), Endpoint: f.endpoint(),
-		Attempt: int(f.whole("copy")), Outcome: f.outcome(), Took: f.time("time_taken_s")}
+	r := logic.AttemptResult{ID: f.word("req"), MessageEnded: f.flag("no_more"), Endpoint: f.endpoint(),
+		Attempt: int(f.whole("copy")), Outcome: f.outcome(), Latency: f.time("time_taken_s")}
 	detail := int64(0)
 	if w := f.optional("detail"); w != "" {
 		detail = f.parseWhole("detail", w)
 	}
-	if r.Outcome == logic.Full && detail > 0 {
-		r.Wait = logic.Micros(detail) * logic.Second / 1000
+	if r.Outcome == logic.Overloaded && detail > 0 {
+		r.RetryAfter = logic.Micros(detail) * logic.Second / 1000
 	}
 	r.Load = f.load()
 	return r
@@ -307,21 +307,21 @@
 func AppendAction(b []byte, who int, a logic.Action) []byte {
 	w := strconv.Itoa(who)
 	switch a := a.(type) {
-	case logic.CallOut:
+	case logic.StartAttempt:
 		b = append(b, "call_out "+w+" "+a.ID+" "...)
-		b = AppendTime(b, a.GiveUp)
+		b = AppendTime(b, a.Timeout)
 		b = append(b, ' ')
 		b = strconv.AppendUint(b, uint64(a.Endpoint), 10)
 	case logic.Cancel:
 		b = append(b, "stop_attempt "+w+" "+a.ID+" "+strconv.Itoa(a.Attempt)...)
-	case logic.Refuse:
+	case logic.ReturnMessage:
 		b = append(b, "say_no "+w+" "+a.ID+" "...)
 		if a.RetryIn > 0 {
 			b = AppendTime(b, a.RetryIn)
 		} else {
 			b = append(b, '-')
 		}
-	case logic.Fail:
+	case logic.FailMessage:
 		b = append(b, "surrender "+w+" "+a.ID...)
 	case logic.SetTimer:
 		b = append(b, "notify_me "+w+" "...)
@@ -331,10 +331,10 @@
 	case logic.Probe:
 		b = append(b, "sample "+w+" "...)
 		b = strconv.AppendUint(b, uint64(a.Endpoint), 10)
-	case logic.Release:
+	case logic.CloseIdle:
 		b = append(b, "release "+w+" "...)
 		b = strconv.AppendUint(b, uint64(a.Endpoint), 10)
-	case logic.Listen:
+	case logic.RequestEndpoints:
 		b = append(b, "listen "+w+" 1"...)
 	case logic.Log:
 		b = append(b, "journal_line "+w+" "+strings.ReplaceAll(a.Text, "\n", " ")...)
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -55,19 +55,19 @@
 	}
 	ev := func(who int, e logic.Event) Item { return Item{Who: who, Event: e} }
 	want := []Item{
-		ev(3, logic.Endpoints{Form: logic.ListCached, Entries: []logic.Entry{{Endpoint: 51530247, Dest: 57, Nominal: 1},
-			{Endpoint: 747639282, Zone: 1, Dest: 57, State: logic.Draining, Nominal: 1.5}}}),
+		ev(3, logic.Endpoints{Form: logic.ListCached, Entries: []logic.Entry{{Endpoint: 51530247, Dest: 57, NominalRate: 1},
+			{Endpoint: 747639282, Zone: 1, Dest: 57, State: logic.Draining, NominalRate: 1.5}}}),
 		ev(3, logic.Endpoints{Entries: []logic.Entry{{Endpoint: 1, Dest: 58, State: logic.Gone}}}),
 		ev(3, logic.Endpoints{Form: logic.ListFailed}),
-		ev(3, logic.Call{ID: "rq_brwyere", Left: 240_000, Key: "91f03b7c55d20a64", Dest: 57}),
-		ev(3, logic.Call{ID: "rq_b", Left: 2_000_000, Dest: 57, Tenant: -1, Class: 1}),
-		ev(3, logic.Reply{ID: "rq_brwyere", NoMore: true, Endpoint: 51530247, Took: 18_500}),
-		ev(3, logic.Reply{ID: "rq_b", Endpoint: 51530247, Attempt: 2, Outcome: logic.Full, Took: 20_000, Wait: 1_500_000,
+		ev(3, logic.NewMessage{ID: "rq_brwyere", Remaining: 240_000, Key: "91f03b7c55d20a64", Dest: 57}),
+		ev(3, logic.NewMessage{ID: "rq_b", Remaining: 2_000_000, Dest: 57, Tenant: -1, Class: 1}),
+		ev(3, logic.AttemptResult{ID: "rq_brwyere", MessageEnded: true, Endpoint: 51530247, Latency: 18_500}),
+		ev(3, logic.AttemptResult{ID: "rq_b", Endpoint: 51530247, Attempt: 2, Outcome: logic.Overloaded, Latency: 20_000, RetryAfter: 1_500_000,
 			Load: []float64{0.25, 12}}),
-		ev(3, logic.Started{ID: "rq_b", Attempt: 1}),
+		ev(3, logic.StreamStarted{ID: "rq_b", Attempt: 1}),
 		ev(5, logic.ClientGone{ID: "rq_ahg8m23"}),
-		ev(3, logic.HealthResult{Endpoint: 747639282, Outcome: logic.RefusedConn}),
-		ev(3, logic.Due{Token: 77}),
+		ev(3, logic.ProbeResult{Endpoint: 747639282, Outcome: logic.ConnectionRefused}),
+		ev(3, logic.TimerFired{Token: 77}),
 		{Who: 5, Halt: true},
 	}
 	if f.Clock != 8_412_250 || f.Seq != "12" || !reflect.DeepEqual(f.Items, want) {
@@ -80,15 +80,15 @@
 
 func TestGoldenActions(t *testing.T) {
 	for want, a := range map[string]logic.Action{
-		"call_out 3 rq_a 0.08 51530247": logic.CallOut{ID: "rq_a", GiveUp: 80_000, Endpoint: 51530247},
+		"call_out 3 rq_a 0.08 51530247": logic.StartAttempt{ID: "rq_a", Timeout: 80_000, Endpoint: 51530247},
 		"stop_attempt 3 rq_a 1":         logic.Cancel{ID: "rq_a", Attempt: 1},
-		"say_no 3 rq_a 1.5":             logic.Refuse{ID: "rq_a", RetryIn: 1_500_000},
-		"say_no 3 rq_a -":               logic.Refuse{ID: "rq_a"},
-		"surrender 3 rq_a":              logic.Fail{ID: "rq_a"},
+		"say_no 3 rq_a 1.5":             logic.ReturnMessage{ID: "rq_a", RetryIn: 1_500_000},
+		"say_no 3 rq_a -":               logic.ReturnMessage{ID: "rq_a"},
+		"surrender 3 rq_a":              logic.FailMessage{ID: "rq_a"},
 		"notify_me 3 0.5 77":            logic.SetTimer{Wait: 500_000, Token: 77},
 		"sample 3 9":                    logic.Probe{Endpoint: 9},
-		"release 3 9":                   logic.Release{Endpoint: 9},
-		"listen 3 1":                    logic.Listen{},
+		"release 3 9":                   logic.CloseIdle{Endpoint: 9},
+		"listen 3 1":                    logic.RequestEndpoints{},
 		"journal_line 3 two servers":    logic.Log{Text: "two\nservers"},
 	} {
 		if got := string(AppendAction(nil, 3, a)); got != want+"\n" {
@@ -137,14 +137,14 @@
 "charges":{"handshake":0.02},"load_info":{"how":"inline","names":["x1","qps","x0"]},"over_share_worth":0.2,
 "rules":{"cold_from":0.19,"drain_grace_s":2,"fall_multiple":2,"fall_s":3,"warm_after_s":14,"key_quiet_s":1.5},
 "specifics":{"batch_by_kind":[1,4],"call_slots":6,"late":"halves","separate_routes":[true,false]}}`))
-	want := logic.Settings{Senders: 3, Zone: 1, Zones: 2, Tick: 5000, OverShareWorth: 0.2, Slots: 6, MaxOpen: 69, MaxTries: 6,
-		OnRequest: true, Probing: true, MayCancel: true, RetryAfter: true, Halves: true, Weights: logic.WeightsRough,
+	want := logic.Settings{Senders: 3, Zone: 1, Zones: 2, Tick: 5000, OverQuotaWorth: 0.2, Slots: 6, MaxOpen: 69, MaxTries: 6,
+		ListOnRequest: true, Probing: true, MayCancel: true, AdviseRetry: true, ExponentialDecay: true, Weights: logic.WeightsRough,
 		MaxRetryAfter: 2_000_000, DrainGrace: 2_000_000, FallMultiple: 2, FallWindow: 3_000_000, ColdFrom: 0.19,
-		WarmAfter: 14_000_000, KeyQuiet: 1_500_000, ConnIdle: 10_000_000, ConnCalls: 8, ConnPrice: 0.02, ReportLeft: 2, ReportLimit: 0,
+		WarmAfter: 14_000_000, KeyQuiet: 1_500_000, ConnIdle: 10_000_000, ConnCalls: 8, ConnCost: 0.02, RemainingIndex: 2, LimitIndex: 0,
 		Classes: []logic.Class{{Name: "x", Aim: 2_500_000, Deadline: 24_000_000, Worth: 2, LateWorth: 0.4,
 			Effect: logic.Keyed, ByZone: true, Window: 25_000_000, KeepOrder: true}},
 		Tenants: []logic.Tenant{{Name: "t", QuotaRPS: 10}},
-		Kinds:   []logic.Kind{{Name: "k", Apart: true, Batch: 1}, {Name: "l", Batch: 4}}}
+		Kinds:   []logic.Kind{{Name: "k", Independent: true, MaxBatch: 1}, {Name: "l", MaxBatch: 4}}}
 	if err != nil || !reflect.DeepEqual(set, want) {
 		t.Errorf("got %+v, %v\nwant %+v", set, err, want)
 	}
--- a/logic/admission.go
+++ b/logic/admission.go
@@ -17,7 +17,7 @@
 	u.n = u.n*math.Exp2(-seconds(s.now-u.at)/seconds(quotaHalf)) + 1
 	u.at = s.now
 	if u.n*math.Ln2/seconds(quotaHalf) > s.set.Tenants[tenant].QuotaRPS/float64(s.set.Senders) {
-		return s.set.OverShareWorth
+		return s.set.OverQuotaWorth
 	}
 	return 1
 }
--- a/logic/books.go
+++ b/logic/books.go
@@ -5,7 +5,7 @@
 // The books of messages and calls: taken on, out, landed, over.
 
 // accept takes a new message into the books.
-func (s *Sender) accept(c Call) {
+func (s *Sender) accept(c NewMessage) {
 	if s.msgs[c.ID] != nil {
 		return
 	}
@@ -17,10 +17,10 @@
 	case c.Class >= 0 && c.Class < len(s.set.Classes):
 		class = &s.set.Classes[c.Class]
 	default:
-		if c.Past.MayRun {
-			s.do(Fail{ID: c.ID})
+		if c.History.MayHaveRun {
+			s.do(FailMessage{ID: c.ID})
 		} else {
-			s.do(Refuse{ID: c.ID})
+			s.do(ReturnMessage{ID: c.ID})
 		}
 		return
 	}
@@ -31,13 +31,13 @@
 	}
 	s.seq++
 	m := &msg{id: c.ID, class: class, seen: seen, most: most, dest: s.dest(c.Dest), seq: s.seq, step: s.step,
-		span: c.Left, deadline: s.now + c.Left, first: min(s.now, s.now+c.Left-class.Deadline)}
+		span: c.Remaining, deadline: s.now + c.Remaining, first: min(s.now, s.now+c.Remaining-class.Deadline)}
 	s.ageOut(m.dest)
 	if d := m.dest; s.now-d.downAt > idleAge { // what comes is a mean of the last minutes
 		d.came, d.downAt = d.came/2, s.now-idleAge/2
 	}
 	m.dest.came++
-	m.share, m.owed = s.shareOf(c.Tenant), c.Past.Held && c.Past.Tries == 0
+	m.share, m.owed = s.shareOf(c.Tenant), c.History.Inherited && c.History.Attempts == 0
 	s.msgs[m.id] = m
 	s.held++
 	m.dest.held++
@@ -52,7 +52,7 @@
 		line.q = append(line.q, m)
 		m.line = line
 	}
-	if s.resume(m, c.Past); m.out == nil && !m.over {
+	if s.resume(m, c.History); m.out == nil && !m.over {
 		s.enqueue(m)
 	}
 }
@@ -125,7 +125,7 @@
 // joins says whether m, sent to e now, would travel in a call that this step opens anyway. A call ends when
 // the first of its messages runs out of time, so none joins that may leave the others too little.
 func (s *Sender) joins(m *msg, e *endpoint) bool {
-	return e.open != nil && e.open.step == s.step && e.open.n < s.kind(e.dest).Batch &&
+	return e.open != nil && e.open.step == s.step && e.open.n < s.kind(e.dest).MaxBatch &&
 		min(e.open.by, m.deadline)-s.now >= 2*s.usual(m)
 }
 
--- a/logic/churn_test.go
+++ b/logic/churn_test.go
@@ -22,10 +22,10 @@
 			evs = append(evs, Endpoints{Entries: []Entry{{Endpoint: id - 1, Dest: int64((i - 1) / 10), State: Gone}}})
 		}
 		name := fmt.Sprint(i)
-		evs = append(evs, Call{ID: name, Key: name, Left: 10 * Second, Dest: dest, Tenant: -1})
+		evs = append(evs, NewMessage{ID: name, Key: name, Remaining: 10 * Second, Dest: dest, Tenant: -1})
 		sent := false
 		for _, a := range s.Step(now, evs) {
-			if c, ok := a.(CallOut); ok && c.ID == name {
+			if c, ok := a.(StartAttempt); ok && c.ID == name {
 				sent = true
 			}
 		}
@@ -33,7 +33,7 @@
 			t.Fatalf("message %d is not sent", i)
 		}
 		now += Second
-		s.Step(now, []Event{Reply{ID: name, NoMore: true, Endpoint: id, Outcome: Completed, Took: Second / 10}})
+		s.Step(now, []Event{AttemptResult{ID: name, MessageEnded: true, Endpoint: id, Outcome: Completed, Latency: Second / 10}})
 		now += Second
 		if len(s.eps) > 60 || len(s.gone) > 60 || len(s.dests) > 20 || len(s.order) != len(s.dests) ||
 			len(s.keys) > 10 || len(s.msgs) > 0 {
@@ -41,13 +41,13 @@
 				len(s.gone), len(s.dests), len(s.keys), len(s.msgs))
 		}
 	}
-	s.Step(now, []Event{Call{ID: "out", Left: 1000 * Second, Dest: 200, Tenant: -1}})
+	s.Step(now, []Event{NewMessage{ID: "out", Remaining: 1000 * Second, Dest: 200, Tenant: -1}})
 	s.Step(now, []Event{Endpoints{Entries: []Entry{{Endpoint: 2000, Dest: 200, State: Gone}}}})
 	s.Step(now+2*keepGone, nil)
 	if s.eps[2000] == nil {
 		t.Error("an endpoint with a call out is forgotten")
 	}
-	s.Step(now+2*keepGone, []Event{Reply{ID: "out", NoMore: true, Endpoint: 2000, Outcome: Completed}})
+	s.Step(now+2*keepGone, []Event{AttemptResult{ID: "out", MessageEnded: true, Endpoint: 2000, Outcome: Completed}})
 	s.Step(now+3*keepGone, nil)
 	if s.eps[2000] != nil {
 		t.Error("an endpoint off the list without a call is kept")
@@ -63,12 +63,12 @@
 		t.Fatal(err)
 	}
 	s.Step(0, []Event{Endpoints{Form: ListFull, Entries: []Entry{{Endpoint: 1, Dest: 1}}},
-		Call{ID: "a", Left: 10 * Second, Dest: 1, Tenant: -1}})
+		NewMessage{ID: "a", Remaining: 10 * Second, Dest: 1, Tenant: -1}})
 	for i := range spoiltDown {
 		if s.eps[1].suspect {
 			t.Fatalf("out after %d spoilt answers", i)
 		}
-		s.Step(Micros(i+1)*100_000, []Event{Reply{ID: "a", Attempt: i, Endpoint: 1, Outcome: Spoilt}})
+		s.Step(Micros(i+1)*100_000, []Event{AttemptResult{ID: "a", Attempt: i, Endpoint: 1, Outcome: InvalidResponse}})
 	}
 	if !s.eps[1].suspect {
 		t.Errorf("not out after %d spoilt answers in a row", spoiltDown)
@@ -85,11 +85,11 @@
 		outcomes []Outcome
 		out      bool
 	}{
-		{"now and then", []Outcome{Severed, Severed, Full, Severed, Severed, Full, Severed}, false},
-		{"three in a row", []Outcome{Severed, Severed, Severed}, true},
-		{"break and no connection", []Outcome{Severed, RefusedConn}, true},
-		{"no connection from the start", []Outcome{RefusedConn}, true},
-		{"no connection once, just after an answer", []Outcome{Completed, RefusedConn}, false},
+		{"now and then", []Outcome{ConnectionBroken, ConnectionBroken, Overloaded, ConnectionBroken, ConnectionBroken, Overloaded, ConnectionBroken}, false},
+		{"three in a row", []Outcome{ConnectionBroken, ConnectionBroken, ConnectionBroken}, true},
+		{"break and no connection", []Outcome{ConnectionBroken, ConnectionRefused}, true},
+		{"no connection from the start", []Outcome{ConnectionRefused}, true},
+		{"no connection once, just after an answer", []Outcome{Completed, ConnectionRefused}, false},
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			s, err := New(set, 1)
@@ -100,9 +100,9 @@
 			e, now := s.eps[1], Micros(0)
 			for i, o := range x.outcomes {
 				id := string(rune('a' + i))
-				s.Step(now, []Event{Call{ID: id, Left: 10 * Second, Dest: 1, Tenant: -1}})
+				s.Step(now, []Event{NewMessage{ID: id, Remaining: 10 * Second, Dest: 1, Tenant: -1}})
 				now += Second / 2
-				s.Step(now, []Event{Reply{ID: id, NoMore: true, Endpoint: 1, Outcome: o, Took: 1000}})
+				s.Step(now, []Event{AttemptResult{ID: id, MessageEnded: true, Endpoint: 1, Outcome: o, Latency: 1000}})
 				now += 3 * Second
 				if o == Completed {
 					now -= 3 * Second
--- a/logic/cold_test.go
+++ b/logic/cold_test.go
@@ -50,12 +50,12 @@
 	life     int
 	told     map[int]float64 // when it first saw a call fail there in the outage, by route
 	msgs     map[string]*coldMsg
-	memories map[int64]Recall
+	memories map[int64]RestoreState
 	rows     []Entry // as last heard of
 }
 
 type coldMsg struct {
-	call     Call
+	call     NewMessage
 	deadline float64
 	tries    int
 	mayRun   bool
@@ -107,7 +107,7 @@
 	p.apart = u(0, 1) < 0.25
 	p.down = u(8, 11)
 	p.up = p.down + u(4, 14)
-	p.how = []Outcome{RefusedConn, Full, Overdue, Errored, Severed}[p.rnd.IntN(5)]
+	p.how = []Outcome{ConnectionRefused, Overloaded, TimedOut, Errored, ConnectionBroken}[p.rnd.IntN(5)]
 	p.untold, p.counts = u(0, 1), u(0, 1) < 0.5
 	if p.rnd.IntN(2) == 0 {
 		p.faults = u(0, 0.04)
@@ -115,10 +115,10 @@
 	p.restarts = []string{"", "", "herd", "roll"}[p.rnd.IntN(4)]
 	p.drains = p.eps > 1 && u(0, 1) < 0.4
 	p.set = base()
-	p.set.Senders, p.set.Slots, p.set.MaxOpen, p.set.MaxTries, p.set.Remember = n, 60, 200, p.rnd.IntN(2)*6, true
+	p.set.Senders, p.set.Slots, p.set.MaxOpen, p.set.MaxTries, p.set.TrackChanges = n, 60, 200, p.rnd.IntN(2)*6, true
 	p.set.FallWindow, p.set.FallMultiple = sec(u(1.5, 4)), u(2, 3)
 	p.set.ColdFrom, p.set.WarmAfter = u(0.15, 0.3), sec(u(8, 14))
-	p.set.Kinds[0].Apart = p.apart
+	p.set.Kinds[0].Independent = p.apart
 	switch p.rnd.IntN(5) {
 	case 0, 1:
 		p.set.Weights, p.nominal = WeightsNominal, 1
@@ -154,9 +154,9 @@
 }
 
 func (p *coldPlay) entry(i int) Entry {
-	e := Entry{Endpoint: EndpointID(i + 1), Dest: 9, Nominal: p.nominal * p.rate}
+	e := Entry{Endpoint: EndpointID(i + 1), Dest: 9, NominalRate: p.nominal * p.rate}
 	if p.apart {
-		e.Nominal /= float64(p.eps)
+		e.NominalRate /= float64(p.eps)
 	}
 	return e
 }
@@ -165,7 +165,7 @@
 func (p *coldPlay) play() {
 	end := p.up + seconds(p.set.WarmAfter)
 	for i := range p.n {
-		c := &coldSender{msgs: map[string]*coldMsg{}, memories: map[int64]Recall{}, told: map[int]float64{}}
+		c := &coldSender{msgs: map[string]*coldMsg{}, memories: map[int64]RestoreState{}, told: map[int]float64{}}
 		for j := range p.eps {
 			c.rows = append(c.rows, p.entry(j))
 		}
@@ -233,9 +233,9 @@
 	slices.SortFunc(held, func(a, b *coldMsg) int { return cmp.Compare(a.call.ID, b.call.ID) })
 	for _, m := range held {
 		k := m.call
-		k.Left = sec(m.deadline - at)
+		k.Remaining = sec(m.deadline - at)
 		m.mayRun, m.out = m.mayRun || m.out != nil, nil
-		if k.Past = (Past{Tries: m.tries, MayRun: m.mayRun, Age: sec(at - m.firstMay), Held: true}); k.Left <= 0 {
+		if k.History = (History{Attempts: m.tries, MayHaveRun: m.mayRun, SinceFirst: sec(at - m.firstMay), Inherited: true}); k.Remaining <= 0 {
 			delete(c.msgs, k.ID)
 			continue
 		}
@@ -287,8 +287,8 @@
 	}
 	class := p.rnd.IntN(len(p.set.Classes))
 	p.ids++
-	m := &coldMsg{call: Call{ID: strconv.Itoa(p.ids), Left: p.set.Classes[class].Deadline, Dest: 9, Tenant: -1, Class: class}}
-	m.deadline = at + seconds(m.call.Left)
+	m := &coldMsg{call: NewMessage{ID: strconv.Itoa(p.ids), Remaining: p.set.Classes[class].Deadline, Dest: 9, Tenant: -1, Class: class}}
+	m.deadline = at + seconds(m.call.Remaining)
 	c.msgs[m.call.ID] = m
 	p.step(at, who, m.call)
 }
@@ -296,19 +296,19 @@
 func (p *coldPlay) step(at float64, who int, evs ...Event) {
 	c := p.senders[who]
 	for _, ev := range evs {
-		r, ok := ev.(Reply)
+		r, ok := ev.(AttemptResult)
 		if !ok {
 			continue
 		}
-		if at >= p.down && r.Outcome != Completed && r.Took > 0 && p.isOut(at-seconds(r.Took), r.Endpoint) {
+		if at >= p.down && r.Outcome != Completed && r.Latency > 0 && p.isOut(at-seconds(r.Latency), r.Endpoint) {
 			if x := p.route(r.Endpoint); c.told[x] == 0 {
 				c.told[x] = at
 			}
 		}
 		if m := c.msgs[r.ID]; m != nil {
 			m.out = nil
-			m.mayRun = m.mayRun || r.Outcome != Full && r.Outcome != RefusedConn
-			if r.NoMore {
+			m.mayRun = m.mayRun || r.Outcome != Overloaded && r.Outcome != ConnectionRefused
+			if r.MessageEnded {
 				p.served++
 				delete(c.msgs, r.ID)
 			}
@@ -316,27 +316,27 @@
 	}
 	for _, a := range c.s.Step(sec(at), evs) {
 		switch a := a.(type) {
-		case CallOut:
+		case StartAttempt:
 			p.call(at, who, a)
 		case Cancel:
 			if m := c.msgs[a.ID]; m != nil && m.out != nil && m.tries-1 == a.Attempt {
 				m.out.off = true
-				r := m.out.ev.(Reply)
-				r.Outcome, r.NoMore, r.Wait = Recalled, false, 0
+				r := m.out.ev.(AttemptResult)
+				r.Outcome, r.MessageEnded, r.RetryAfter = Cancelled, false, 0
 				m.out = p.push(&coldEvent{at: at + 0.005, who: who, life: c.life, ev: r})
 			}
-		case Refuse:
+		case ReturnMessage:
 			delete(c.msgs, a.ID)
-		case Fail:
+		case FailMessage:
 			if m := c.msgs[a.ID]; m.out == nil {
 				delete(c.msgs, a.ID)
 			}
 		case SetTimer:
-			p.push(&coldEvent{at: at + seconds(max(a.Wait, 1)), who: who, life: c.life, ev: Due{a.Token}})
+			p.push(&coldEvent{at: at + seconds(max(a.Wait, 1)), who: who, life: c.life, ev: TimerFired{a.Token}})
 		}
 	}
-	for _, m := range c.s.Remember(sec(at), 4) {
-		c.memories[m.Dest] = Recall{Age: sec(at), Memory: m}
+	for _, m := range c.s.ChangedStates(sec(at), 4) {
+		c.memories[m.Dest] = RestoreState{Age: sec(at), State: m}
 	}
 }
 
@@ -353,13 +353,13 @@
 }
 
 // call is what the partner makes of a call.
-func (p *coldPlay) call(at float64, who int, a CallOut) {
+func (p *coldPlay) call(at float64, who int, a StartAttempt) {
 	c := p.senders[who]
 	m := c.msgs[a.ID]
 	if !m.mayRun {
 		m.firstMay = at
 	}
-	r := Reply{ID: a.ID, Endpoint: a.Endpoint, Attempt: m.tries}
+	r := AttemptResult{ID: a.ID, Endpoint: a.Endpoint, Attempt: m.tries}
 	m.tries++
 	there := at + p.between(0.002, 0.02)
 	took := there - at + p.between(0.02, 0.2)
@@ -367,13 +367,13 @@
 	p.calls = append(p.calls, coldCall{there, who, a.Endpoint, told > 0 && told <= at})
 	if p.isOut(there, a.Endpoint) {
 		switch r.Outcome = p.how; p.how {
-		case Overdue:
-			took = seconds(a.GiveUp)
-		case Full:
+		case TimedOut:
+			took = seconds(a.Timeout)
+		case Overloaded:
 			if p.rnd.Float64() >= p.untold {
-				r.Wait = sec(p.up - there)
+				r.RetryAfter = sec(p.up - there)
 				if p.rnd.IntN(2) == 0 {
-					r.Wait = sec(p.between(0.3, 0.9))
+					r.RetryAfter = sec(p.between(0.3, 0.9))
 				}
 			}
 		case Errored:
@@ -398,21 +398,21 @@
 		p.level[which] = max(0, p.level[which]-max(0, there-p.levelAt[which])*rate)
 		p.levelAt[which] = max(there, p.levelAt[which])
 		if p.level[which] > max(1, 0.5*rate) {
-			if r.Outcome = Full; p.rnd.Float64() >= p.untold {
-				r.Wait = sec(p.between(0.3, 0.9))
+			if r.Outcome = Overloaded; p.rnd.Float64() >= p.untold {
+				r.RetryAfter = sec(p.between(0.3, 0.9))
 			}
 		}
 		if r.Outcome == Completed || p.counts {
 			p.level[which]++
 		}
 		if r.Outcome == Completed && p.rnd.Float64() < p.faults {
-			r.Outcome = []Outcome{Errored, Severed, RefusedConn, Spoilt}[p.rnd.IntN(4)]
+			r.Outcome = []Outcome{Errored, ConnectionBroken, ConnectionRefused, InvalidResponse}[p.rnd.IntN(4)]
 		}
 	}
-	if took >= seconds(a.GiveUp) {
-		r.Outcome, r.Wait, took = Overdue, 0, seconds(a.GiveUp)
+	if took >= seconds(a.Timeout) {
+		r.Outcome, r.RetryAfter, took = TimedOut, 0, seconds(a.Timeout)
 	}
-	r.Took, r.NoMore = sec(took), r.Outcome == Completed
+	r.Latency, r.MessageEnded = sec(took), r.Outcome == Completed
 	m.out = p.push(&coldEvent{at: at + took, who: who, life: c.life, ev: r})
 }
 
@@ -520,7 +520,7 @@
 	for _, x := range []struct {
 		how      Outcome
 		restarts string
-	}{{Errored, ""}, {Severed, "herd"}} {
+	}{{Errored, ""}, {ConnectionBroken, "herd"}} {
 		_, broken := fleets(t, 300, 40, 20, func(p *coldPlay) bool {
 			p.how, p.restarts, p.faults, p.drains, p.apart = x.how, x.restarts, 0, false, false
 			p.set.Weights, p.nominal, p.up, p.out = WeightsNominal, 1, p.down+4.5, p.eps
@@ -534,19 +534,19 @@
 
 // It was forgotten over a restart too: news that are none of health are told every ten seconds only.
 func TestOneSignOutlivesTheProcess(t *testing.T) {
-	for _, how := range []Outcome{Errored, Full, RefusedConn, Severed} {
+	for _, how := range []Outcome{Errored, Overloaded, ConnectionRefused, ConnectionBroken} {
 		r := crowdOf(t, 100, 50, 1)
-		r.s.set.Remember = true
-		var told []Memory
+		r.s.set.TrackChanges = true
+		var told []DestinationState
 		for _, o := range []Outcome{Completed, how} {
-			c := only[CallOut](r.step(float64(r.n)*15+1, r.call(0)))[0]
+			c := only[StartAttempt](r.step(float64(r.n)*15+1, r.call(0)))[0]
 			r.step(float64(r.n)*15+1.1, answer(c.ID, 1, 0, o))
 			if o == how {
-				told = r.s.Remember(sec(float64(r.n)*15+1.1), 4)
+				told = r.s.ChangedStates(sec(float64(r.n)*15+1.1), 4)
 			}
-			r.s.Remember(sec(float64(r.n)*15+12), 4)
+			r.s.ChangedStates(sec(float64(r.n)*15+12), 4)
 		}
-		if len(told) != 1 || told[0].Lane.Pace == 0 {
+		if len(told) != 1 || told[0].Limiter.Rate == 0 {
 			t.Errorf("%v: told at once %+v, want one memory with a pace", how, told)
 		}
 	}
@@ -555,7 +555,7 @@
 // Where a partner's rate is told nowhere, each of 300 senders kept a pace of one call a second at a partner that was shut.
 func TestColdFleetWithoutRates(t *testing.T) {
 	_, broken := fleets(t, 300, 60, 30, func(p *coldPlay) bool {
-		p.how, p.untold, p.restarts, p.faults, p.drains, p.apart = Full, 1, "", 0, false, false
+		p.how, p.untold, p.restarts, p.faults, p.drains, p.apart = Overloaded, 1, "", 0, false, false
 		p.set.Weights, p.nominal, p.out = WeightsOff, 0, p.eps
 		return p.rate < 50
 	})
@@ -569,17 +569,17 @@
 func TestOwnTrafficIsThatOfTheLastMinutes(t *testing.T) {
 	r := crowdOf(t, 100, 0, 1)
 	at := 1.0
-	c := only[CallOut](r.step(at, r.call(0)))[0]
+	c := only[StartAttempt](r.step(at, r.call(0)))[0]
 	r.step(at+0.1, answer(c.ID, 1, 0, Completed))
 	for at = 3600; at < 3720; at += 2 {
-		c = only[CallOut](r.step(at, r.call(0)))[0]
+		c = only[StartAttempt](r.step(at, r.call(0)))[0]
 		r.step(at+0.1, answer(c.ID, 1, 0, Completed))
 	}
-	c = only[CallOut](r.step(at, r.call(0)))[0]
+	c = only[StartAttempt](r.step(at, r.call(0)))[0]
 	r.step(at+0.1, answer(c.ID, 1, 0, Errored))
 	end := at + 9
 	for at += 0.2; at < end; at += 0.1 {
-		if len(only[CallOut](r.step(at, Due{}))) > 0 {
+		if len(only[StartAttempt](r.step(at, TimerFired{}))) > 0 {
 			return
 		}
 	}
--- a/logic/dispatch.go
+++ b/logic/dispatch.go
@@ -50,7 +50,7 @@
 			d.shutIn, d.again = s.step, s.shut(d)
 			c.m = nil
 		case m.class.Effect != Unsafe || s.now >= m.first+m.class.Aim || !s.unreliable(d) ||
-			s.kind(d).Batch > 1 && c.passed < lookMost: // it may join a call that opens later in this pass
+			s.kind(d).MaxBatch > 1 && c.passed < lookMost: // it may join a call that opens later in this pass
 			c.passed++
 			s.advance(c)
 		default: // what keeps this one back keeps the younger ones back too
@@ -105,7 +105,7 @@
 	at := never
 	for _, e := range d.eps {
 		x := s.opensAt(e)
-		if o := e.open; o != nil && o.step == s.step && o.n < s.kind(d).Batch {
+		if o := e.open; o != nil && o.step == s.step && o.n < s.kind(d).MaxBatch {
 			x = s.now + 1
 			for _, g := range d.groups { // it may take more
 				if first, _ := g.ends.first(); o.by-s.now >= 2*s.usual(first.m) {
--- a/logic/drain_test.go
+++ b/logic/drain_test.go
@@ -16,18 +16,18 @@
 	} {
 		m := sickOf(false)
 		m.Endpoints = append(m.Endpoints, m.Endpoints[0])
-		m.Endpoints[1].Endpoint, m.Endpoints[1].Back = 2, x.back
+		m.Endpoints[1].Endpoint, m.Endpoints[1].SinceRecovery = 2, x.back
 		set := base()
 		set.Slots = 20
 		r := newRig(t, set)
 		ev := list(2)
 		ev.Entries[1].State = x.state
-		evs := []Event{ev, Recall{Memory: m}}
+		evs := []Event{ev, RestoreState{State: m}}
 		for range 12 {
 			evs = append(evs, r.call(0))
 		}
 		r.step(100, evs...)
-		if n := len(only[CallOut](r.step(102, Due{}))); n != x.sends {
+		if n := len(only[StartAttempt](r.step(102, TimerFired{}))); n != x.sends {
 			t.Errorf("state %d, back for %d: %d sends, want %d", x.state, x.back, n, x.sends)
 		}
 	}
@@ -47,12 +47,12 @@
 		r.step(90, list(2))
 		for i := range 8 { // what the lane takes
 			at := 91 + float64(i)/10
-			c := only[CallOut](r.step(at, r.call(0)))[0]
+			c := only[StartAttempt](r.step(at, r.call(0)))[0]
 			r.step(at+0.05, answer(c.ID, c.Endpoint, 0, Completed))
 		}
 		c := r.call(0)
-		bad := only[CallOut](r.step(99, c))[0].Endpoint
-		r.step(99.1, answer(c.ID, bad, 0, RefusedConn))
+		bad := only[StartAttempt](r.step(99, c))[0].Endpoint
+		r.step(99.1, answer(c.ID, bad, 0, ConnectionRefused))
 		if x.tried {
 			c = r.call(0)
 			r.step(99.3, c)
@@ -64,7 +64,7 @@
 		for range 12 {
 			evs = append(evs, r.call(0))
 		}
-		if n := len(only[CallOut](r.step(102, evs...))); n != x.sends {
+		if n := len(only[StartAttempt](r.step(102, evs...))); n != x.sends {
 			t.Errorf("%s: %d sends, want %d", x.name, n, x.sends)
 		}
 	}
--- a/logic/endpoint_list.go
+++ b/logic/endpoint_list.go
@@ -5,7 +5,7 @@
 func (s *Sender) list(ev Endpoints) {
 	if ev.Form == ListFailed {
 		// Asked in vain or subscription broken: ask again before it counts as told, and not when all others do.
-		s.askAt = s.now - ev.Took + Micros((1-s.askJitter*s.rng.Float64())*float64(s.askAgain))
+		s.askAt = s.now - ev.Elapsed + Micros((1-s.askJitter*s.rng.Float64())*float64(s.askAgain))
 		s.askJitter = askJitter / 8 // they are apart by now
 		return
 	}
@@ -38,7 +38,7 @@
 		e = &endpoint{id: row.Endpoint, dest: d, lane: d.lane, state: Gone}
 		e.lastOK, e.lastBad, e.lastSent = longAgo, longAgo, longAgo
 		e.well, e.good, e.doubt = longAgo, longAgo, longAgo
-		if s.kind(d).Apart {
+		if s.kind(d).Independent {
 			e.lane = &lane{dest: d}
 		}
 		s.eps[e.id] = e
@@ -51,11 +51,11 @@
 		}
 	}
 	e.zone, e.state = row.Zone, row.State
-	if s.set.Weights != WeightsOff && row.Nominal > 0 && !e.lane.told {
-		if e.lane.limit == 0 && row.Nominal < paceFloor*float64(s.set.Senders) {
+	if s.set.Weights != WeightsOff && row.NominalRate > 0 && !e.lane.told {
+		if e.lane.limit == 0 && row.NominalRate < paceFloor*float64(s.set.Senders) {
 			e.lane.tokens, e.lane.filled = 1, s.now // thin: one call at the start, not after a span
 		}
-		e.lane.limit = row.Nominal
+		e.lane.limit = row.NominalRate
 	}
 }
 
@@ -78,6 +78,6 @@
 		s.at(s.askAt)
 		return
 	}
-	s.do(Listen{})
+	s.do(RequestEndpoints{})
 	s.askAt = never
 }
--- a/logic/fleet_test.go
+++ b/logic/fleet_test.go
@@ -51,7 +51,7 @@
 		}
 		f.senders, f.tries = append(f.senders, s), append(f.tries, map[string]int{})
 		ev := list(1)
-		ev.Entries[0].Nominal = limit
+		ev.Entries[0].NominalRate = limit
 		f.add(0, i, ev)
 	}
 	return f
@@ -70,7 +70,7 @@
 // run plays the fleet for so many seconds.
 func (f *fleet) run(span float64) *fleet {
 	for at := 0.0; at < span; at += f.rnd.ExpFloat64() / f.demand {
-		f.add(at, f.rnd.IntN(f.n), Call{ID: fmt.Sprint(at), Left: 10 * Second, Dest: 9, Tenant: -1, Class: 0})
+		f.add(at, f.rnd.IntN(f.n), NewMessage{ID: fmt.Sprint(at), Remaining: 10 * Second, Dest: 9, Tenant: -1, Class: 0})
 	}
 	for len(f.queue) > 0 {
 		e := f.queue[0]
@@ -79,10 +79,10 @@
 		}
 		for _, a := range f.senders[e.who].Step(sec(e.at), []Event{e.ev}) {
 			switch a := a.(type) {
-			case CallOut:
+			case StartAttempt:
 				f.call(e.at, e.who, a)
 			case SetTimer:
-				f.add(e.at+seconds(a.Wait), e.who, Due{a.Token})
+				f.add(e.at+seconds(a.Wait), e.who, TimerFired{a.Token})
 			}
 		}
 	}
@@ -90,25 +90,25 @@
 }
 
 // call is what the partner makes of a call.
-func (f *fleet) call(at float64, who int, a CallOut) {
+func (f *fleet) call(at float64, who int, a StartAttempt) {
 	n := f.tries[who][a.ID]
 	f.tries[who][a.ID]++
-	r := Reply{ID: a.ID, Endpoint: a.Endpoint, Attempt: n, Took: sec(0.05)}
+	r := AttemptResult{ID: a.ID, Endpoint: a.Endpoint, Attempt: n, Latency: sec(0.05)}
 	rate := f.real(at)
 	f.level = max(0, f.level-(at-f.levelAt)*rate)
 	f.levelAt = at
 	r.Outcome = f.refuse(at)
 	if r.Outcome == Completed {
 		if f.level > 0.3*rate {
-			r.Outcome = Full
+			r.Outcome = Overloaded
 		}
 		f.level++
 	}
-	if r.Outcome == Full && f.rnd.Float64() < f.wait {
-		r.Wait = sec(0.5)
+	if r.Outcome == Overloaded && f.rnd.Float64() < f.wait {
+		r.RetryAfter = sec(0.5)
 	}
-	r.NoMore = r.Outcome == Completed
-	f.calls = append(f.calls, fleetCall{at, r.NoMore})
+	r.MessageEnded = r.Outcome == Completed
+	f.calls = append(f.calls, fleetCall{at, r.MessageEnded})
 	f.add(at+0.05, who, r)
 }
 
@@ -181,7 +181,7 @@
 // of senders, and what meets it after is under the multiple that topples it.
 func TestFleetReturn(t *testing.T) {
 	const limit, down, up = 50.0, 10.0, 20.0
-	for _, how := range []Outcome{RefusedConn, Full} {
+	for _, how := range []Outcome{ConnectionRefused, Overloaded} {
 		for _, n := range append(slices.Clone(fleetSizes), 300) {
 			f := newFleet(n, limit, 0.8*limit)
 			f.refuse = func(at float64) Outcome {
@@ -221,7 +221,7 @@
 // to 0.600 at three senders, so one draw tells little. The mean of eight, which was 0.43 and 0.45 there, is held to.
 func TestFewTakeTheLimitAgain(t *testing.T) {
 	const limit, down, up = 50.0, 10.0, 20.0
-	for _, how := range []Outcome{RefusedConn, Full} {
+	for _, how := range []Outcome{ConnectionRefused, Overloaded} {
 		for _, n := range []int{1, 3} {
 			sum, least := 0.0, 1.0
 			for draw := range uint64(8) {
@@ -256,7 +256,7 @@
 	}
 	r := &rig{t: t, s: s}
 	ev := list(1)
-	ev.Entries[0].Nominal = rate
+	ev.Entries[0].NominalRate = rate
 	r.step(0, ev)
 	return r
 }
@@ -268,12 +268,12 @@
 		soonest, latest := 60.0, 0.0
 		for i := range 40 {
 			r := crowdOf(t, 100, 50, uint64(i))
-			c := only[CallOut](r.step(1, r.call(class)))[0]
-			if acts := r.step(1.1, answer(c.ID, 1, 0, Full)); len(only[Fail](acts))+len(only[Refuse](acts)) > 0 {
+			c := only[StartAttempt](r.step(1, r.call(class)))[0]
+			if acts := r.step(1.1, answer(c.ID, 1, 0, Overloaded)); len(only[FailMessage](acts))+len(only[ReturnMessage](acts)) > 0 {
 				t.Fatalf("class %d: ended by one refusal", class)
 			}
 			for at := 1.2; at < 13; at += 0.05 {
-				if len(only[CallOut](r.step(at, Due{}))) > 0 {
+				if len(only[StartAttempt](r.step(at, TimerFired{}))) > 0 {
 					soonest, latest = min(soonest, at), max(latest, at)
 					break
 				}
@@ -288,16 +288,16 @@
 // Routes apart get first sends by their limits, and a refusal on one ends the free pace of the others.
 func TestRoutesAreCalledByTheirLimits(t *testing.T) {
 	set := base()
-	set.Senders, set.Weights, set.Slots, set.Kinds[0].Apart = 1, WeightsNominal, 99, true
+	set.Senders, set.Weights, set.Slots, set.Kinds[0].Independent = 1, WeightsNominal, 99, true
 	r := newRig(t, set)
 	ev := list(3)
 	for i, rate := range []float64{100, 30, 20} {
-		ev.Entries[i].Nominal = rate
+		ev.Entries[i].NominalRate = rate
 	}
 	r.step(0, ev)
 	got := map[EndpointID]int{}
 	for i := range 150 {
-		c := only[CallOut](r.step(1+float64(i)/20, r.call(0)))[0]
+		c := only[StartAttempt](r.step(1+float64(i)/20, r.call(0)))[0]
 		got[c.Endpoint]++
 		r.step(1.01+float64(i)/20, answer(c.ID, c.Endpoint, 0, Completed))
 	}
@@ -305,8 +305,8 @@
 		t.Errorf("calls by route %v, want 100, 30 and 20", got)
 	}
 	r.s.set.Senders = 1000
-	c := only[CallOut](r.step(20, r.call(0)))[0]
-	r.step(20.1, answer(c.ID, c.Endpoint, 0, Full))
+	c := only[StartAttempt](r.step(20, r.call(0)))[0]
+	r.step(20.1, answer(c.ID, c.Endpoint, 0, Overloaded))
 	for _, e := range r.s.eps {
 		if e.lane.pace == 0 {
 			t.Errorf("route %d is free after a refusal on %d", e.id, c.Endpoint)
@@ -321,8 +321,8 @@
 		set.Senders = senders
 		r := newRig(t, set)
 		r.step(0, list(2))
-		c := only[CallOut](r.step(0.1, r.call(0)))[0]
-		got := only[Release](r.step(0.2, answer(c.ID, c.Endpoint, 0, Completed)))
+		c := only[StartAttempt](r.step(0.1, r.call(0)))[0]
+		got := only[CloseIdle](r.step(0.2, answer(c.ID, c.Endpoint, 0, Completed)))
 		if (len(got) > 0) != (senders > manySenders) {
 			t.Errorf("%d senders: released %v", senders, got)
 		}
@@ -333,14 +333,14 @@
 func TestWarmConnectionComesFirstAmongManySenders(t *testing.T) {
 	for _, senders := range []int{2, manySenders + 1} {
 		set := base()
-		set.Senders, set.ConnIdle, set.ConnCalls, set.ConnPrice = senders, 10*Second, 1, 2*dearConn
+		set.Senders, set.ConnIdle, set.ConnCalls, set.ConnCost = senders, 10*Second, 1, 2*dearConn
 		r := newRig(t, set)
 		r.step(0, list(3))
 		used := map[EndpointID]bool{}
 		for i := range 6 {
-			c := only[CallOut](r.step(float64(i)+1, r.call(0)))[0]
+			c := only[StartAttempt](r.step(float64(i)+1, r.call(0)))[0]
 			acts := r.step(float64(i)+1.1, answer(c.ID, c.Endpoint, 0, Completed))
-			if len(only[Release](acts)) > 0 {
+			if len(only[CloseIdle](acts)) > 0 {
 				t.Error("a connection was given back though new ones are dear")
 			}
 			used[c.Endpoint] = true
--- a/logic/gate.go
+++ b/logic/gate.go
@@ -31,7 +31,7 @@
 	if s.joins(m, e) {
 		return true, 0
 	}
-	if o := e.open; o != nil && o.step == s.step && o.n < s.kind(e.dest).Batch { // it would travel in that one
+	if o := e.open; o != nil && o.step == s.step && o.n < s.kind(e.dest).MaxBatch { // it would join that
 		return false, s.now + 1
 	}
 	if e.unreliable() && m.class.Effect == Unsafe && s.now < m.first+m.class.Aim { // unsafe messages last
@@ -44,8 +44,8 @@
 // permitted says whether the rules of m allow it another attempt now, at e or, if that is nil, at any
 // endpoint.
 func (s *Sender) permitted(m *msg, e *endpoint) permit.Reason {
-	x := permit.Message{Ended: m.over, Out: m.out != nil, Attempts: m.tries, MaxAttempts: m.most,
-		Left: span(m.deadline - s.now)}
+	x := permit.Message{Ended: m.over, InFlight: m.out != nil, Attempts: m.tries, MaxAttempts: m.most,
+		Remaining: span(m.deadline - s.now)}
 	if c := m.class; m.mayRun {
 		x.Repeat = permit.Repeat{MayHaveRun: true, Effect: c.Effect, Window: span(c.Window),
 			Age:       span(s.now - m.firstMay + s.set.Tick),
--- a/logic/health.go
+++ b/logic/health.go
@@ -104,11 +104,11 @@
 
 // heard takes what another sender has found. One that had an answer a moment ago believes that, and goes on
 // singly until the next. What answers others, or is ours to try, gets a trial.
-func (s *Sender) heard(e *endpoint, h Heard) {
-	if e.doubt = s.now; h.Out && (e.suspect || e.lastOK < s.now-lately) {
+func (s *Sender) heard(e *endpoint, h PeerHealth) {
+	if e.doubt = s.now; h.Outage && (e.suspect || e.lastOK < s.now-lately) {
 		s.noteOutage(e)
 		s.takeOut(e, "others say so")
-	} else if h.Try && e.suspect {
+	} else if h.TryNow && e.suspect {
 		e.trialAt = min(e.trialAt, s.now+Micros(s.rng.Float64()*float64(trialGap)))
 	}
 }
--- a/logic/heard_test.go
+++ b/logic/heard_test.go
@@ -7,14 +7,14 @@
 // next trial forward. Without Share nothing is told.
 func TestHeard(t *testing.T) {
 	set := base()
-	set.Share = true
-	out, back := Heard{Endpoint: 1, Out: true}, Heard{Endpoint: 1, Try: true}
-	calls := func(r *rig, at float64, n int) (ids []CallOut) {
+	set.PublishHealth = true
+	out, back := PeerHealth{Endpoint: 1, Outage: true}, PeerHealth{Endpoint: 1, TryNow: true}
+	calls := func(r *rig, at float64, n int) (ids []StartAttempt) {
 		var evs []Event
 		for range n {
 			evs = append(evs, r.call(0))
 		}
-		return only[CallOut](r.step(at, evs...))
+		return only[StartAttempt](r.step(at, evs...))
 	}
 
 	r := newRig(t, set) // idle
@@ -22,22 +22,22 @@
 	if n := len(calls(r, 0.01, 3)); n != 0 {
 		t.Errorf("idle: %d calls right after the news", n)
 	}
-	trial := only[CallOut](r.step(0.5))
+	trial := only[StartAttempt](r.step(0.5))
 	if len(trial) != 1 {
 		t.Fatalf("idle: %d trials", len(trial))
 	}
 	r.step(0.55, out) // once more, while the trial is out: its answer tells nothing of that
-	if l := only[Learnt](r.step(0.6, answer(trial[0].ID, 1, 0, Completed))); len(l) != 0 {
+	if l := only[HealthChange](r.step(0.6, answer(trial[0].ID, 1, 0, Completed))); len(l) != 0 {
 		t.Errorf("an answer to a call from before: %+v", l)
 	}
 	at := 0.7
 	for trial = nil; len(trial) == 0 && at < 8; at += 0.1 {
-		trial = only[CallOut](r.step(at))
+		trial = only[StartAttempt](r.step(at))
 	}
 	if len(trial) != 1 {
 		t.Fatalf("idle: %d trials after the second news", len(trial))
 	}
-	if l := only[Learnt](r.step(at, answer(trial[0].ID, 1, 0, Completed))); len(l) != 1 || l[0].Out {
+	if l := only[HealthChange](r.step(at, answer(trial[0].ID, 1, 0, Completed))); len(l) != 1 || l[0].Outage {
 		t.Errorf("an answer to a call from after: %+v", l)
 	}
 
@@ -45,7 +45,7 @@
 	r.step(0, list(1))
 	at = r.warm(0, 3)
 	first := calls(r, at, 1)
-	if l := only[Learnt](r.step(at+0.1, out, answer(first[0].ID, 1, 0, Completed))); len(l) != 0 {
+	if l := only[HealthChange](r.step(at+0.1, out, answer(first[0].ID, 1, 0, Completed))); len(l) != 0 {
 		t.Errorf("at work, an answer to a call from before: %+v", l)
 	}
 	first = calls(r, at+0.1, 3)
@@ -53,14 +53,14 @@
 		t.Fatalf("at work: %d calls at once after the news", len(first))
 	}
 	acts := r.step(at+0.2, answer(first[0].ID, 1, 0, Completed))
-	if l := only[Learnt](acts); len(l) != 1 || l[0].Out || len(only[CallOut](acts)) != 2 {
+	if l := only[HealthChange](acts); len(l) != 1 || l[0].Outage || len(only[StartAttempt](acts)) != 2 {
 		t.Errorf("at work, after an answer: %+v", acts)
 	}
 
 	r = newRig(t, set) // out by its own finding
 	r.step(0, list(1))
 	first = calls(r, 0, 1)
-	if l := only[Learnt](r.step(0.1, answer(first[0].ID, 1, 0, RefusedConn))); len(l) != 1 || !l[0].Out {
+	if l := only[HealthChange](r.step(0.1, answer(first[0].ID, 1, 0, ConnectionRefused))); len(l) != 1 || !l[0].Outage {
 		t.Errorf("found out: %+v", l)
 	}
 	next := r.s.eps[1].trialAt
@@ -70,14 +70,14 @@
 
 	gaps := func(turn int) (all Micros) { // between trials at one that stays out
 		r := newRig(t, set)
-		r.step(0, list(1), Heard{Endpoint: 1, Turn: turn})
+		r.step(0, list(1), PeerHealth{Endpoint: 1, TrialFactor: turn})
 		var last Micros
 		r.step(0, r.call(0))
 		for at := 0.1; at < 9.9; at += 0.1 {
 			for _, m := range r.s.msgs {
 				if m.out != nil {
 					last = r.s.now
-					r.step(at, Reply{ID: m.id, Endpoint: 1, Attempt: m.out.n, Outcome: RefusedConn})
+					r.step(at, AttemptResult{ID: m.id, Endpoint: 1, Attempt: m.out.n, Outcome: ConnectionRefused})
 				}
 			}
 			r.step(at)
@@ -91,7 +91,7 @@
 	r = newRig(t, base())
 	r.step(0, list(1))
 	first = calls(r, 0, 1)
-	if l := only[Learnt](r.step(0.1, answer(first[0].ID, 1, 0, RefusedConn))); len(l) != 0 {
+	if l := only[HealthChange](r.step(0.1, answer(first[0].ID, 1, 0, ConnectionRefused))); len(l) != 0 {
 		t.Errorf("told without Share: %+v", l)
 	}
 }
--- a/logic/list_test.go
+++ b/logic/list_test.go
@@ -4,7 +4,7 @@
 
 // untilAsked steps until the list is asked for, and returns when.
 func untilAsked(s *Sender, now Micros, events ...Event) Micros {
-	for acts := s.Step(now, events); len(only[Listen](acts)) == 0; acts = s.Step(now, nil) {
+	for acts := s.Step(now, events); len(only[RequestEndpoints](acts)) == 0; acts = s.Step(now, nil) {
 		now += 10_000
 	}
 	return now
@@ -18,7 +18,7 @@
 		for _, took := range []Micros{0, Second, 3 * Second, 5 * Second} {
 			for seed := range uint64(20) {
 				set := base()
-				set.OnRequest, set.AskWithin = true, within
+				set.ListOnRequest, set.ListRetryWithin = true, within
 				s, err := New(set, seed)
 				if err != nil {
 					t.Fatal(err)
@@ -33,7 +33,7 @@
 						took = 0
 						s.Step(asked, []Event{Endpoints{Form: ListDelta}})
 					}
-					again := untilAsked(s, asked+took, Endpoints{Form: ListFailed, Took: took})
+					again := untilAsked(s, asked+took, Endpoints{Form: ListFailed, Elapsed: took})
 					if again-asked > most {
 						t.Fatalf("asked again %.2f s after a call of %.0f s, to be asked within %.1f s", seconds(again-asked), seconds(took), seconds(within))
 					}
@@ -55,7 +55,7 @@
 		calls, last, per := 0, Micros(0), map[Micros]int{}
 		for seed := range uint64(senders) {
 			set := base()
-			set.OnRequest, set.Senders, set.AskWithin = true, senders, 10*Second
+			set.ListOnRequest, set.Senders, set.ListRetryWithin = true, senders, 10*Second
 			s, err := New(set, seed)
 			if err != nil {
 				t.Fatal(err)
--- a/logic/logic.go
+++ b/logic/logic.go
@@ -17,7 +17,7 @@
 		askJitter: askJitter, newsAt: never,
 		eps: map[EndpointID]*endpoint{}, dests: map[int64]*dest{}, msgs: map[string]*msg{},
 		keys: map[string]*keyLine{}}
-	if set.OnRequest {
+	if set.ListOnRequest {
 		s.askAt = math.MinInt64
 	}
 	s.retune(set)
--- a/logic/mechanism_test.go
+++ b/logic/mechanism_test.go
@@ -59,7 +59,7 @@
 // warm serves n calls of class 0 at each of the rig's endpoints, so that latencies are known.
 func (r *rig) warm(at float64, n int) float64 {
 	for range n {
-		for _, c := range only[CallOut](r.step(at, r.call(0))) {
+		for _, c := range only[StartAttempt](r.step(at, r.call(0))) {
 			r.step(at+0.1, answer(c.ID, c.Endpoint, 0, Completed))
 		}
 		at += 0.4
@@ -72,7 +72,7 @@
 	r.step(0, list(3))
 	seen := map[EndpointID]int{}
 	for i := range 9 {
-		for _, c := range only[CallOut](r.step(float64(i), r.call(0))) {
+		for _, c := range only[StartAttempt](r.step(float64(i), r.call(0))) {
 			seen[c.Endpoint]++
 			r.step(float64(i)+0.1, answer(c.ID, c.Endpoint, 0, Completed))
 		}
@@ -88,7 +88,7 @@
 		set.Weights = WeightsNominal
 		r := newRig(t, set)
 		ev := list(2)
-		ev.Entries[0].Nominal, ev.Entries[1].Nominal = 40, 40
+		ev.Entries[0].NominalRate, ev.Entries[1].NominalRate = 40, 40
 		r.step(0, ev)
 		at := r.warm(1, 20)
 		d := r.s.dests[9]
@@ -99,24 +99,24 @@
 		}
 		d.hist.p95 = d.hist.tau
 		m := r.call(class)
-		first := only[CallOut](r.step(at, m))[0]
+		first := only[StartAttempt](r.step(at, m))[0]
 		limit := seconds(max(d.hist.tau, r.s.stuckAfter(d, r.s.msgs[m.ID])))
-		if c := only[Cancel](r.step(at+limit-0.05, Due{})); len(c) > 0 {
+		if c := only[Cancel](r.step(at+limit-0.05, TimerFired{})); len(c) > 0 {
 			t.Errorf("class %d: cut before the limit", class)
 		}
-		cut := only[Cancel](r.step(at+limit+0.01, Due{}))
+		cut := only[Cancel](r.step(at+limit+0.01, TimerFired{}))
 		if got := len(cut) == 1; got != again {
 			t.Fatalf("class %d: cut %v at tau", class, got)
 		}
 		if !again {
 			continue
 		}
-		next := only[CallOut](r.step(at+limit+0.05, answer(m.ID, first.Endpoint, 0, Recalled)))
+		next := only[StartAttempt](r.step(at+limit+0.05, answer(m.ID, first.Endpoint, 0, Cancelled)))
 		if len(next) != 1 || next[0].Endpoint == first.Endpoint {
 			t.Errorf("class %d: resent %v after a cut at endpoint %d", class, next, first.Endpoint)
 		}
 		// A long job is not cut again at the same limit.
-		if c := only[Cancel](r.step(at+2*limit+0.1, Due{})); len(c) > 0 {
+		if c := only[Cancel](r.step(at+2*limit+0.1, TimerFired{})); len(c) > 0 {
 			t.Errorf("class %d: the second attempt was cut at the first one's limit", class)
 		}
 	}
@@ -127,9 +127,9 @@
 	r.step(0, list(1))
 	at := r.warm(1, 10)
 	c := r.call(0)
-	c.Left = sec(0.05) // less than the median of 0.1 s
+	c.Remaining = sec(0.05) // less than the median of 0.1 s
 	acts := r.step(at, c)
-	if len(only[Refuse](acts)) != 1 || len(only[CallOut](acts)) != 0 {
+	if len(only[ReturnMessage](acts)) != 1 || len(only[StartAttempt](acts)) != 0 {
 		t.Errorf("a message with less time than a usual call: %v", acts)
 	}
 }
@@ -187,7 +187,7 @@
 	set.Weights, set.Slots = WeightsNominal, 40
 	r := newRig(t, set)
 	ev := list(1)
-	ev.Entries[0].Nominal = 4
+	ev.Entries[0].NominalRate = 4
 	r.step(0, ev)
 	var calls []Event
 	for range 12 {
@@ -195,7 +195,7 @@
 	}
 	r.s.dests[9].lane.filled = 0
 	r.step(5)
-	if n := len(only[CallOut](r.step(5, calls...))); n != 1 {
+	if n := len(only[StartAttempt](r.step(5, calls...))); n != 1 {
 		t.Errorf("%d sends of a clump at once under a limit of 4 a second, want half a second of its share", n)
 	}
 }
@@ -203,46 +203,46 @@
 func TestToldWait(t *testing.T) {
 	for _, apart := range []bool{false, true} {
 		set := base()
-		set.Kinds[0].Apart = apart
+		set.Kinds[0].Independent = apart
 		r := newRig(t, set)
 		r.step(0, list(2))
-		c := only[CallOut](r.step(1, r.call(0)))[0]
-		full := answer(c.ID, c.Endpoint, 0, Full)
-		full.Wait = sec(1.5)
+		c := only[StartAttempt](r.step(1, r.call(0)))[0]
+		full := answer(c.ID, c.Endpoint, 0, Overloaded)
+		full.RetryAfter = sec(1.5)
 		acts := r.step(1.1, full, r.call(0), r.call(1), r.call(2))
-		for _, x := range only[CallOut](acts) {
+		for _, x := range only[StartAttempt](acts) {
 			if !apart || x.Endpoint == c.Endpoint {
 				t.Errorf("apart %v: sent to %d during a wait told by %d", apart, x.Endpoint, c.Endpoint)
 			}
 		}
-		if apart && len(only[CallOut](acts)) == 0 {
+		if apart && len(only[StartAttempt](acts)) == 0 {
 			t.Error("a wait of one route held the other")
 		}
-		later := r.step(3.7, Due{})
-		if !apart && len(only[CallOut](later)) == 0 {
+		later := r.step(3.7, TimerFired{})
+		if !apart && len(only[StartAttempt](later)) == 0 {
 			t.Error("nothing sent after the wait")
 		}
 	}
 }
 
 func TestUnknownEffectFailsNeverRefuses(t *testing.T) {
-	for _, o := range []Outcome{Errored, Severed, Overdue, Recalled} {
+	for _, o := range []Outcome{Errored, ConnectionBroken, TimedOut, Cancelled} {
 		r := newRig(t, base())
 		r.step(0, list(2))
-		c := only[CallOut](r.step(1, r.call(2)))[0]
+		c := only[StartAttempt](r.step(1, r.call(2)))[0]
 		acts := r.step(1.1, answer(c.ID, c.Endpoint, 0, o))
-		if len(only[Fail](acts)) != 1 || len(only[CallOut](acts))+len(only[Refuse](acts)) > 0 {
+		if len(only[FailMessage](acts)) != 1 || len(only[StartAttempt](acts))+len(only[ReturnMessage](acts)) > 0 {
 			t.Errorf("outcome %d of an unsafe message: %v", o, acts)
 		}
 	}
-	for _, o := range []Outcome{RefusedConn, Moot} {
+	for _, o := range []Outcome{ConnectionRefused, NotSent} {
 		r := newRig(t, base())
 		r.step(0, list(2))
-		c := only[CallOut](r.step(1, r.call(2)))[0]
+		c := only[StartAttempt](r.step(1, r.call(2)))[0]
 		acts := r.step(1.1, answer(c.ID, c.Endpoint, 0, o))
-		acts = append(acts, r.step(4, Due{})...)
-		acts = append(acts, r.step(9.5, Due{})...)
-		if len(only[Fail](acts)) != 0 || len(only[CallOut](acts)) == 0 {
+		acts = append(acts, r.step(4, TimerFired{})...)
+		acts = append(acts, r.step(9.5, TimerFired{})...)
+		if len(only[FailMessage](acts)) != 0 || len(only[StartAttempt](acts)) == 0 {
 			t.Errorf("outcome %d never ran, yet: %v", o, acts)
 		}
 	}
@@ -255,11 +255,11 @@
 		r.step(1, r.call(0), r.call(1), r.call(2))
 		ended := map[string]bool{}
 		for at := 1.0; at < 16; at += 0.005 {
-			for _, a := range r.step(at, Due{}) {
+			for _, a := range r.step(at, TimerFired{}) {
 				switch a := a.(type) {
-				case Refuse:
+				case ReturnMessage:
 					ended[a.ID] = true
-				case Fail:
+				case FailMessage:
 					ended[a.ID] = true
 				}
 			}
@@ -280,7 +280,7 @@
 	var first, last Micros = never, 0
 	for seed := range uint64(80) {
 		set := base()
-		set.OnRequest = true
+		set.ListOnRequest = true
 		s, err := New(set, seed)
 		if err != nil {
 			t.Fatal(err)
@@ -296,17 +296,17 @@
 
 func TestListNews(t *testing.T) {
 	set := base()
-	set.OnRequest = true
+	set.ListOnRequest = true
 	r := newRig(t, set)
-	if n := len(only[Listen](r.step(0, Endpoints{Form: ListCached, Entries: list(2).Entries}))); n != 1 {
+	if n := len(only[RequestEndpoints](r.step(0, Endpoints{Form: ListCached, Entries: list(2).Entries}))); n != 1 {
 		t.Fatal("did not subscribe at once")
 	}
 	r.step(1, Endpoints{Form: ListFailed})
-	if len(only[Listen](r.step(4.2, Due{}))) != 0 || len(only[Listen](r.step(6.41, Due{}))) != 1 {
+	if len(only[RequestEndpoints](r.step(4.2, TimerFired{}))) != 0 || len(only[RequestEndpoints](r.step(6.41, TimerFired{}))) != 1 {
 		t.Error("did not ask again 3.2 to 5.4 s later")
 	}
 	r.step(6.41, Endpoints{Form: ListFailed})
-	if len(only[Listen](r.step(11.5, Due{}))) != 0 || len(only[Listen](r.step(11.82, Due{}))) != 1 {
+	if len(only[RequestEndpoints](r.step(11.5, TimerFired{}))) != 0 || len(only[RequestEndpoints](r.step(11.82, TimerFired{}))) != 1 {
 		t.Error("did not ask again 5.1 to 5.4 s later")
 	}
 	// A whole list replaces the old one; a draining endpoint gets nothing new.
@@ -314,7 +314,7 @@
 	r.step(12, Endpoints{Form: ListFull, Entries: append(list(1).Entries, row)})
 	for i := range 4 {
 		at := 13 + float64(i)
-		for _, c := range only[CallOut](r.step(at, r.call(0))) {
+		for _, c := range only[StartAttempt](r.step(at, r.call(0))) {
 			if c.Endpoint != 1 {
 				t.Errorf("sent to endpoint %d", c.Endpoint)
 			}
@@ -328,10 +328,10 @@
 func TestOldAnswerIsNoReturn(t *testing.T) {
 	r := newRig(t, base())
 	r.step(0, list(1))
-	a := only[CallOut](r.step(1, r.call(0)))[0]
-	b := only[CallOut](r.step(1.1, r.call(0)))[0]
-	shut := answer(b.ID, b.Endpoint, 0, Full)
-	shut.Wait = sec(8)
+	a := only[StartAttempt](r.step(1, r.call(0)))[0]
+	b := only[StartAttempt](r.step(1.1, r.call(0)))[0]
+	shut := answer(b.ID, b.Endpoint, 0, Overloaded)
+	shut.RetryAfter = sec(8)
 	r.step(1.2, shut)
 	r.step(1.3, answer(a.ID, a.Endpoint, 0, Completed))
 	if e := r.s.eps[1]; !e.suspect || !e.cold {
@@ -343,8 +343,8 @@
 func TestJoinedEndpointIsAsColdAsItsSiblings(t *testing.T) {
 	r := newRig(t, base())
 	r.step(0, list(1))
-	c := only[CallOut](r.step(1, r.call(0)))[0]
-	r.step(1.1, answer(c.ID, c.Endpoint, 0, RefusedConn))
+	c := only[StartAttempt](r.step(1, r.call(0)))[0]
+	r.step(1.1, answer(c.ID, c.Endpoint, 0, ConnectionRefused))
 	r.step(2, Endpoints{Form: ListDelta, Entries: []Entry{{Endpoint: 2, Dest: 9}}})
 	if e := r.s.eps[2]; !e.cold || !e.suspect {
 		t.Error("the new endpoint has no budget")
@@ -388,7 +388,7 @@
 		for range 25 {
 			calls = append(calls, r.call(0))
 		}
-		if n := len(only[Refuse](r.step(1, calls...))); min(n, 1) != c.ends {
+		if n := len(only[ReturnMessage](r.step(1, calls...))); min(n, 1) != c.ends {
 			t.Errorf("hold of %d: %d refused", c.hold, n)
 		}
 	}
@@ -401,12 +401,12 @@
 	for range 20 {
 		calls = append(calls, r.call(2))
 	}
-	if n := len(only[CallOut](r.step(1, calls...))); n != 4 {
+	if n := len(only[StartAttempt](r.step(1, calls...))); n != 4 {
 		t.Errorf("one destination took %d of 8 slots", n)
 	}
 	other := r.call(0)
 	other.Dest = 8
-	if n := len(only[CallOut](r.step(2, other))); n != 1 {
+	if n := len(only[StartAttempt](r.step(2, other))); n != 1 {
 		t.Error("no slot was left for another destination")
 	}
 }
@@ -425,12 +425,12 @@
 func TestOddButLegalEvents(t *testing.T) {
 	r := newRig(t, base())
 	r.step(5, list(1))
-	acts := r.step(5, Reply{ID: "nobody", Endpoint: 99}, ClientGone{"nobody"}, Due{99}, HealthResult{Endpoint: 99},
-		Started{ID: "nobody"}, Endpoints{Form: ListDelta, Entries: []Entry{{Endpoint: 77, State: Gone}}})
+	acts := r.step(5, AttemptResult{ID: "nobody", Endpoint: 99}, ClientGone{"nobody"}, TimerFired{99}, ProbeResult{Endpoint: 99},
+		StreamStarted{ID: "nobody"}, Endpoints{Form: ListDelta, Entries: []Entry{{Endpoint: 77, State: Gone}}})
 	if len(acts) != 0 {
 		t.Errorf("unknown ids caused %v", acts)
 	}
-	c := only[CallOut](r.step(6, r.call(0)))[0]
+	c := only[StartAttempt](r.step(6, r.call(0)))[0]
 	r.step(6.1, ClientGone{c.ID})
 	acts = r.step(6.2, answer(c.ID, c.Endpoint, 0, Errored), answer(c.ID, c.Endpoint, 0, Errored))
 	if len(acts) != 0 || r.s.busy != 0 {
@@ -445,7 +445,7 @@
 
 func TestBatchTakesOneSlot(t *testing.T) {
 	set := base()
-	set.Kinds[0].Batch = 10
+	set.Kinds[0].MaxBatch = 10
 	set.Slots = 1
 	r := newRig(t, set)
 	r.step(0, list(1))
@@ -453,7 +453,7 @@
 	for range 15 {
 		calls = append(calls, r.call(0))
 	}
-	out := only[CallOut](r.step(1, calls...))
+	out := only[StartAttempt](r.step(1, calls...))
 	if len(out) != 10 || r.s.busy != 1 {
 		t.Fatalf("%d sends in %d slots, want 10 in one", len(out), r.s.busy)
 	}
@@ -471,13 +471,13 @@
 	r := newRig(t, base())
 	r.step(0, list(2))
 	at := r.warm(1, 20)
-	lost := []CallOut{}
+	lost := []StartAttempt{}
 	for range 3 {
-		lost = append(lost, only[CallOut](r.step(at, r.call(0)))...)
+		lost = append(lost, only[StartAttempt](r.step(at, r.call(0)))...)
 		at = r.warm(at+0.1, 4)
 	}
 	at = r.warm(at, 8)
-	r.step(at, Due{})
+	r.step(at, TimerFired{})
 	if h := &r.s.dests[9].hist; h.cuts < 0.8 || h.tau == 0 {
 		t.Errorf("lost answers: %v counted while out, tau %d", h.cuts, h.tau)
 	}
@@ -503,19 +503,19 @@
 	set.Slots = 2
 	r := newRig(t, set)
 	r.step(0, list(1), Endpoints{Entries: []Entry{{Endpoint: 7, Dest: 8}}, Form: ListDelta})
-	out := only[CallOut](r.step(1, r.call(2)))
+	out := only[StartAttempt](r.step(1, r.call(2)))
 	other := r.call(2)
 	other.Dest = 8
-	out = append(out, only[CallOut](r.step(1.1, other))...)
+	out = append(out, only[StartAttempt](r.step(1.1, other))...)
 	if len(out) != 2 {
 		t.Fatalf("%d calls out, want both slots taken", len(out))
 	}
-	if c := only[Cancel](r.step(12, Due{})); len(c) != 0 {
+	if c := only[Cancel](r.step(12, TimerFired{})); len(c) != 0 {
 		t.Error("an unsafe call was given up although nobody waited")
 	}
 	third := r.call(0)
 	third.Dest = 8
-	acts := append(r.step(12.1, third), r.step(12.2, Due{})...)
+	acts := append(r.step(12.1, third), r.step(12.2, TimerFired{})...)
 	if len(only[Cancel](acts)) == 0 {
 		t.Error("a silent unsafe call kept the last slot from others")
 	}
@@ -527,13 +527,13 @@
 	set.Weights = WeightsNominal
 	r := newRig(t, set)
 	ev := list(2)
-	ev.Entries[0].Nominal, ev.Entries[1].Nominal = 4, 4
+	ev.Entries[0].NominalRate, ev.Entries[1].NominalRate = 4, 4
 	r.step(0, ev)
-	c := only[CallOut](r.step(1, r.call(0)))[0]
-	r.step(1.1, answer(c.ID, c.Endpoint, 0, RefusedConn))
+	c := only[StartAttempt](r.step(1, r.call(0)))[0]
+	r.step(1.1, answer(c.ID, c.Endpoint, 0, ConnectionRefused))
 	sent := 0
 	for i := range 20 {
-		for _, x := range only[CallOut](r.step(1.2+0.1*float64(i), r.call(0))) {
+		for _, x := range only[StartAttempt](r.step(1.2+0.1*float64(i), r.call(0))) {
 			r.s.eps[x.Endpoint].inflight = 0 // only the budget holds
 			sent++
 		}
@@ -548,10 +548,10 @@
 func TestOldAnswerOfASiblingIsNoProof(t *testing.T) {
 	r := newRig(t, base())
 	r.step(0, list(2))
-	a := only[CallOut](r.step(1, r.call(0)))[0]
-	b := only[CallOut](r.step(1.1, r.call(0)))[0]
-	shut := answer(b.ID, b.Endpoint, 0, Full)
-	shut.Wait = sec(8)
+	a := only[StartAttempt](r.step(1, r.call(0)))[0]
+	b := only[StartAttempt](r.step(1.1, r.call(0)))[0]
+	shut := answer(b.ID, b.Endpoint, 0, Overloaded)
+	shut.RetryAfter = sec(8)
 	r.step(1.2, shut)
 	r.step(1.3, answer(a.ID, a.Endpoint, 0, Completed))
 	if x, e := r.s.eps[b.Endpoint], r.s.eps[a.Endpoint]; e.well >= x.lastBad {
@@ -561,7 +561,7 @@
 
 func TestTenantPastItsQuotaWeighsLess(t *testing.T) {
 	set := base()
-	set.Tenants, set.OverShareWorth = []Tenant{{"x", 2}, {"y", 2}}, 0.2
+	set.Tenants, set.OverQuotaWorth = []Tenant{{"x", 2}, {"y", 2}}, 0.2
 	r := newRig(t, set)
 	for i := range 40 {
 		r.s.now = sec(0.1 * float64(i))
@@ -577,7 +577,7 @@
 	r := newRig(t, base())
 	r.step(0, list(1))
 	late, near := r.call(0), r.call(0)
-	late.Left, near.Left = sec(8.8), sec(9.1) // of 10; wanted within 1
+	late.Remaining, near.Remaining = sec(8.8), sec(9.1) // of 10; wanted within 1
 	r.s.Step(sec(5), []Event{Endpoints{Form: ListFull}, late, near})
 	if a, b := r.s.rate(r.s.msgs[late.ID]), r.s.rate(r.s.msgs[near.ID]); a >= b {
 		t.Errorf("late ranks %g, in time %g", a, b)
--- a/logic/memory.go
+++ b/logic/memory.go
@@ -9,7 +9,7 @@
 
 // note marks a destination as one with news, if anybody asks for them.
 func (s *Sender) note(d *dest, health bool) {
-	if !s.set.Remember {
+	if !s.set.TrackChanges {
 		return
 	}
 	if !d.noted {
@@ -28,14 +28,14 @@
 	return d.toldAt + tellRest
 }
 
-// Remember tells of destinations with news, of at most so many: of changes of health first, of others
-// from time to time. It is empty unless Settings.Remember is set. It is called between two Steps.
-func (s *Sender) Remember(now Micros, most int) []Memory {
+// ChangedStates tells of destinations with news, of at most so many: of changes of health first, of others
+// from time to time. It is empty unless Settings.ChangedStates is set. It is called between two Steps.
+func (s *Sender) ChangedStates(now Micros, most int) []DestinationState {
 	s.now = max(s.now, now)
 	if s.now < s.newsAt {
 		return nil
 	}
-	var out []Memory
+	var out []DestinationState
 	for _, urgent := range [...]bool{true, false} {
 		for _, d := range s.news {
 			if len(out) < most && d.noted && d.urgent == urgent && s.now >= d.newsDue() {
@@ -54,48 +54,49 @@
 
 // ago is the span since t.
 func (s *Sender) ago(t Micros) Micros {
-	if t < s.now-Unseen {
-		return Unseen
+	if t < s.now-SinceNever {
+		return SinceNever
 	}
 	return max(s.now-t, 0)
 }
 
 // then is when it was a span before a memory of some age.
 func (s *Sender) then(span, age Micros) Micros {
-	if span < 0 || span >= Unseen {
+	if span < 0 || span >= SinceNever {
 		return longAgo
 	}
-	return s.now - span - min(age, Unseen)
+	return s.now - span - min(age, SinceNever)
 }
 
-func (s *Sender) memory(d *dest) Memory {
-	m := Memory{Dest: d.id, Used: s.ago(d.used), Came: d.came, Down: s.ago(d.downAt)}
-	m.Lane = s.laneMemory(d.lane)
+func (s *Sender) memory(d *dest) DestinationState {
+	m := DestinationState{Dest: d.id, SinceUsed: s.ago(d.used), Arrivals: d.came, SinceOutage: s.ago(d.downAt)}
+	m.Limiter = s.laneMemory(d.lane)
 	for _, e := range d.eps {
-		x := EndpointMemory{Endpoint: e.id, Out: e.suspect, Cold: s.isCold(e), Back: s.ago(e.backAt),
-			Good: s.ago(e.lastOK), Bad: s.ago(e.lastBad), Well: s.ago(e.well), Gap: e.trialGap,
-			Failing: e.bad, Slow: Micros(e.slow), Fails: e.fails, Fulls: e.fulls, Resets: e.resets}
+		x := EndpointState{Endpoint: e.id, Outage: e.suspect, Cold: s.isCold(e), SinceRecovery: s.ago(e.backAt),
+			SinceSuccess: s.ago(e.lastOK), SinceFailure: s.ago(e.lastBad),
+			SinceIndependentSuccess: s.ago(e.well), TrialInterval: e.trialGap,
+			FailureRatio: e.bad, Latency: Micros(e.slow), Failures: e.fails, Overloads: e.fulls, Resets: e.resets}
 		if e.lane != d.lane {
-			x.Lane = s.laneMemory(e.lane)
+			x.Limiter = s.laneMemory(e.lane)
 		}
-		m.Sick = m.Sick || x.Out || x.Cold
+		m.Unhealthy = m.Unhealthy || x.Outage || x.Cold
 		m.Endpoints = append(m.Endpoints, x)
 	}
 	for i, w := range d.hist.w {
 		if n := sixteenths(w); n > 0 {
-			m.Took.Bins, m.Took.Weights = append(m.Took.Bins, uint8(i)), append(m.Took.Weights, n)
+			m.Latencies.Bins, m.Latencies.Weights = append(m.Latencies.Bins, uint8(i)), append(m.Latencies.Weights, n)
 		}
 	}
-	m.Took.Cuts, m.Took.Since = sixteenths(d.hist.cuts), s.ago(d.hist.at)
+	m.Latencies.Censored, m.Latencies.SinceSample = sixteenths(d.hist.cuts), s.ago(d.hist.at)
 	return m
 }
 
 func sixteenths(w float64) uint16 { return uint16(min(max(math.Round(16*w), 0), math.MaxUint16)) }
 
-func (s *Sender) laneMemory(l *lane) LaneMemory {
-	m := LaneMemory{Pace: l.pace, Peak: l.peak}
+func (s *Sender) laneMemory(l *lane) LimiterState {
+	m := LimiterState{Rate: l.pace, PeakRate: l.peak}
 	if l.pace > 0 {
-		m.Halved = s.ago(l.halved)
+		m.SinceDecrease = s.ago(l.halved)
 	}
 	if l.told {
 		m.Limit = l.limit
@@ -104,20 +105,20 @@
 }
 
 // recall takes up what an earlier Sender knew. What cannot be is left out.
-func (s *Sender) recall(r Recall) {
-	d := s.dests[r.Memory.Dest]
+func (s *Sender) recall(r RestoreState) {
+	d := s.dests[r.State.Dest]
 	if d == nil || d.recalled {
 		return
 	}
 	d.recalled = true
 	s.touch(d)
-	m, age := r.Memory, max(r.Age, 0)
+	m, age := r.State, max(r.Age, 0)
 	fresh := func(e *endpoint) bool { return e.lastSent == longAgo }
 	used := slices.ContainsFunc(d.eps, func(e *endpoint) bool { return !fresh(e) })
 	if !used {
-		d.used, d.came, d.downAt = s.then(m.Used, age), max(m.Came, 0), s.then(m.Down, age)
-		s.recallLane(d.lane, m.Lane, age)
-		d.hist.recall(m.Took, s.then(m.Took.Since, age))
+		d.used, d.came, d.downAt = s.then(m.SinceUsed, age), max(m.Arrivals, 0), s.then(m.SinceOutage, age)
+		s.recallLane(d.lane, m.Limiter, age)
+		d.hist.recall(m.Latencies, s.then(m.Latencies.SinceSample, age))
 		s.refreshAll(d)
 	}
 	sick, told := false, map[*endpoint]bool{}
@@ -127,19 +128,19 @@
 			continue
 		}
 		told[e] = true
-		e.backAt, e.lastOK = s.then(x.Back, age), s.then(x.Good, age)
-		e.lastBad, e.well = s.then(x.Bad, age), s.then(x.Well, age)
-		e.fails, e.fulls, e.resets = max(x.Fails, 0), max(x.Fulls, 0), max(x.Resets, 0)
-		e.suspect, e.cold = x.Out, x.Cold || x.Out
-		if x.Failing > 0 && x.Failing <= 1 {
-			e.bad = x.Failing
+		e.backAt, e.lastOK = s.then(x.SinceRecovery, age), s.then(x.SinceSuccess, age)
+		e.lastBad, e.well = s.then(x.SinceFailure, age), s.then(x.SinceIndependentSuccess, age)
+		e.fails, e.fulls, e.resets = max(x.Failures, 0), max(x.Overloads, 0), max(x.Resets, 0)
+		e.suspect, e.cold = x.Outage, x.Cold || x.Outage
+		if x.FailureRatio > 0 && x.FailureRatio <= 1 {
+			e.bad = x.FailureRatio
 		}
-		e.slow = float64(max(x.Slow, 0))
+		e.slow = float64(max(x.Latency, 0))
 		if e.lane != d.lane {
-			s.recallLane(e.lane, x.Lane, age)
+			s.recallLane(e.lane, x.Limiter, age)
 		}
 		if e.suspect { // tried singly, not by all that restart in the same instant
-			e.trialGap = min(max(x.Gap, trialGap), trialMost)
+			e.trialGap = min(max(x.TrialInterval, trialGap), trialMost)
 			e.trialAt = s.now + Micros(s.rng.Float64()*float64(e.trialGap))
 		}
 		sick = sick || s.isCold(e)
@@ -159,19 +160,19 @@
 	}
 }
 
-func (s *Sender) recallLane(l *lane, m LaneMemory, age Micros) {
-	if m.Limit > 0 && !math.IsInf(m.Limit, 0) && s.set.ReportLimit >= 0 {
+func (s *Sender) recallLane(l *lane, m LimiterState, age Micros) {
+	if m.Limit > 0 && !math.IsInf(m.Limit, 0) && s.set.LimitIndex >= 0 {
 		l.limit, l.told = m.Limit, true
 	}
-	if m.Pace > 0 && !math.IsInf(m.Pace, 0) {
-		l.pace, l.halved, l.filled, l.tokens = m.Pace, s.then(m.Halved, age), s.now, 0
+	if m.Rate > 0 && !math.IsInf(m.Rate, 0) {
+		l.pace, l.halved, l.filled, l.tokens = m.Rate, s.then(m.SinceDecrease, age), s.now, 0
 	}
-	if m.Peak > 0 && !math.IsInf(m.Peak, 0) {
-		l.peak = m.Peak
+	if m.PeakRate > 0 && !math.IsInf(m.PeakRate, 0) {
+		l.peak = m.PeakRate
 	}
 }
 
-func (h *hist) recall(m TookMemory, at Micros) {
+func (h *hist) recall(m LatencyHistogram, at Micros) {
 	if len(m.Bins) != len(m.Weights) || h.total > 0 || at == longAgo {
 		return
 	}
@@ -181,7 +182,7 @@
 			h.total += h.w[b]
 		}
 	}
-	h.cuts, h.at = float64(m.Cuts)/16, at
+	h.cuts, h.at = float64(m.Censored)/16, at
 	if h.total > 0 {
 		h.update()
 	}
--- a/logic/memory_test.go
+++ b/logic/memory_test.go
@@ -10,7 +10,7 @@
 func TestMemoryComesBackWhole(t *testing.T) {
 	for _, name := range []string{"plain", "apart", "reports", "weights"} {
 		set := variants()[name]
-		set.Remember = true
+		set.TrackChanges = true
 		seen, sick := 0, 0
 		for seed := uint64(1); seed <= 4; seed++ {
 			w := newWorld(t, set, seed)
@@ -31,16 +31,16 @@
 					continue
 				}
 				m := w.s.memory(d)
-				if m.Sick {
+				if m.Unhealthy {
 					sick++
 				}
-				again.Step(w.now, []Event{Recall{Memory: m}, Recall{Memory: Memory{Dest: d.id, Came: 99}}}) // the first counts
+				again.Step(w.now, []Event{RestoreState{State: m}, RestoreState{State: DestinationState{Dest: d.id, Arrivals: 99}}}) // the first counts
 				got := again.memory(again.dests[d.id])
 				got.Endpoints, m.Endpoints = byEndpoint(got), byEndpoint(m)
 				if !reflect.DeepEqual(got, m) {
 					t.Errorf("%s: destination %d:\n%+v, had\n%+v", name, d.id, got, m)
 				}
-				seen += len(m.Took.Bins)
+				seen += len(m.Latencies.Bins)
 			}
 		}
 		if seen == 0 || sick == 0 {
@@ -50,12 +50,12 @@
 }
 
 // byEndpoint are the endpoints that a memory and the list of the test have alike.
-func byEndpoint(m Memory) []EndpointMemory {
-	var out []EndpointMemory
+func byEndpoint(m DestinationState) []EndpointState {
+	var out []EndpointState
 	for id := EndpointID(100); id < 108; id++ {
 		for _, x := range m.Endpoints {
-			if x.Endpoint == id && x.Good < Unseen {
-				x.Gap = 0 // bounded
+			if x.Endpoint == id && x.SinceSuccess < SinceNever {
+				x.TrialInterval = 0 // bounded
 				out = append(out, x)
 			}
 		}
@@ -64,9 +64,9 @@
 }
 
 // sickOf is a memory of destination 9, whose endpoint 1 returned a second ago from an outage, or is out.
-func sickOf(out bool) Memory {
-	return Memory{Dest: 9, Sick: true, Came: 3, Down: 20 * Second, Lane: LaneMemory{Peak: 4}, Endpoints: []EndpointMemory{
-		{Endpoint: 1, Out: out, Cold: true, Back: Second, Good: Second, Bad: 2 * Second, Well: 3 * Second, Gap: Second}}}
+func sickOf(out bool) DestinationState {
+	return DestinationState{Dest: 9, Unhealthy: true, Arrivals: 3, SinceOutage: 20 * Second, Limiter: LimiterState{PeakRate: 4}, Endpoints: []EndpointState{
+		{Endpoint: 1, Outage: out, Cold: true, SinceRecovery: Second, SinceSuccess: Second, SinceFailure: 2 * Second, SinceIndependentSuccess: 3 * Second, TrialInterval: Second}}}
 }
 
 // A restart begins the window of a cold destination anew: the process before may have used it up. Then its budget
@@ -74,7 +74,7 @@
 func TestRecallOfTheSick(t *testing.T) {
 	for _, x := range []struct {
 		name        string
-		memory      Memory
+		memory      DestinationState
 		age         float64 // of the memory, seconds
 		early, late int     // sends within the fall window, and right after it
 	}{
@@ -82,18 +82,18 @@
 		{"out", sickOf(true), 0, 0, 1},
 		{"warm since", sickOf(false), 20, 4, 4},
 		{"out long ago", sickOf(true), 1e6, 0, 1},
-		{"of another", Memory{Dest: 8, Sick: true}, 0, 4, 4},
+		{"of another", DestinationState{Dest: 8, Unhealthy: true}, 0, 4, 4},
 	} {
 		set := base()
 		r := newRig(t, set)
-		evs := []Event{list(1), Recall{Age: sec(x.age), Memory: x.memory}}
+		evs := []Event{list(1), RestoreState{Age: sec(x.age), State: x.memory}}
 		for range 12 {
 			evs = append(evs, r.call(0))
 		}
-		early := len(only[CallOut](r.step(100, evs...)))
-		early += len(only[CallOut](r.step(101.9, Due{})))
-		late := early + len(only[CallOut](r.step(102.1, Due{})))
-		late += len(only[CallOut](r.step(103.2, Due{})))
+		early := len(only[StartAttempt](r.step(100, evs...)))
+		early += len(only[StartAttempt](r.step(101.9, TimerFired{})))
+		late := early + len(only[StartAttempt](r.step(102.1, TimerFired{})))
+		late += len(only[StartAttempt](r.step(103.2, TimerFired{})))
 		if early != x.early || late != x.late {
 			t.Errorf("%s: %d sends within the fall window, %d with those after; want %d, %d", x.name, early, late, x.early, x.late)
 		}
@@ -106,14 +106,14 @@
 	c := r.call(0)
 	r.step(100, list(1), c)
 	r.step(100.1, answer(c.ID, 1, 0, Completed))
-	if n := len(only[CallOut](r.step(100.2, Recall{Memory: sickOf(true)}, r.call(0), r.call(0)))); n != 2 {
+	if n := len(only[StartAttempt](r.step(100.2, RestoreState{State: sickOf(true)}, r.call(0), r.call(0)))); n != 2 {
 		t.Errorf("%d sends to an endpoint that answers, want 2", n)
 	}
 	odd := sickOf(false)
-	odd.Used, odd.Came, odd.Took = -1, -5, TookMemory{Bins: []uint8{255, 3}, Weights: []uint16{9}}
-	odd.Endpoints[0].Endpoint, odd.Lane.Pace = 77, -3
+	odd.SinceUsed, odd.Arrivals, odd.Latencies = -1, -5, LatencyHistogram{Bins: []uint8{255, 3}, Weights: []uint16{9}}
+	odd.Endpoints[0].Endpoint, odd.Limiter.Rate = 77, -3
 	r = newRig(t, base())
-	if n := len(only[CallOut](r.step(100, list(1), Recall{Age: -5, Memory: odd}, r.call(0)))); n != 1 {
+	if n := len(only[StartAttempt](r.step(100, list(1), RestoreState{Age: -5, State: odd}, r.call(0)))); n != 1 {
 		t.Errorf("%d sends after a memory that makes no sense, want 1", n)
 	}
 }
@@ -122,7 +122,7 @@
 // told than were asked for.
 func TestRememberTheSickFirst(t *testing.T) {
 	set := base()
-	set.Remember = true
+	set.TrackChanges = true
 	r := newRig(t, set)
 	both := list(1)
 	both.Entries = append(both.Entries, Entry{Endpoint: 2, Dest: 10})
@@ -132,13 +132,13 @@
 	r.step(1, well)
 	r.step(1.1, answer(well.ID, 1, 0, Completed))
 	r.step(12, sick)
-	r.step(12.1, answer(sick.ID, 2, 0, RefusedConn))
+	r.step(12.1, answer(sick.ID, 2, 0, ConnectionRefused))
 	for _, want := range []int64{10, 9} {
-		if got := r.s.Remember(sec(13), 1); len(got) != 1 || got[0].Dest != want || got[0].Sick != (want == 10) {
+		if got := r.s.ChangedStates(sec(13), 1); len(got) != 1 || got[0].Dest != want || got[0].Unhealthy != (want == 10) {
 			t.Errorf("told %+v, want destination %d", got, want)
 		}
 	}
-	if got := r.s.Remember(sec(13), 1); len(got) != 0 {
+	if got := r.s.ChangedStates(sec(13), 1); len(got) != 0 {
 		t.Errorf("told again: %+v", got)
 	}
 }
@@ -147,7 +147,7 @@
 func TestRememberIsBounded(t *testing.T) {
 	for _, on := range []bool{true, false} {
 		set := base()
-		set.Remember = on
+		set.TrackChanges = on
 		r := newRig(t, set)
 		r.step(0, list(1))
 		told, sick, out := 0, 0.0, 0.0
@@ -155,16 +155,16 @@
 			c := r.call(0)
 			outcome := Completed
 			if at > 25 {
-				outcome = RefusedConn
+				outcome = ConnectionRefused
 				if sick == 0 {
 					sick = at
 				}
 			}
-			for _, a := range only[CallOut](r.step(at, c)) {
+			for _, a := range only[StartAttempt](r.step(at, c)) {
 				r.step(at, answer(a.ID, 1, 0, outcome))
 			}
-			for _, m := range r.s.Remember(sec(at), 1) {
-				if told++; m.Sick && out == 0 {
+			for _, m := range r.s.ChangedStates(sec(at), 1) {
+				if told++; m.Unhealthy && out == 0 {
 					out = at
 				}
 			}
--- a/logic/queue.go
+++ b/logic/queue.go
@@ -161,7 +161,7 @@
 // learn notes that latencies have changed: what is usual at d, and for the class that seen is of.
 func (s *Sender) learn(d *dest, seen *hist) {
 	s.refreshAll(d)
-	usual := blind
+	usual := unknownLatency
 	if seen.total >= minWeight {
 		usual = seen.median
 	}
@@ -256,7 +256,7 @@
 	s.turn(g)
 	first, _ := g.ends.first()
 	u, aim := max(s.usual(first.m), leastUsual), g.class.Aim
-	flat := g.class.flat(s.set.Halves) // from this age on the worth stays
+	flat := g.class.flat(s.set.ExponentialDecay) // from this age on the worth stays
 	rise, fall, late := s.now-aim+u, s.now-flat+u, s.now-aim
 	for _, l := range [...]*sorted{&g.far, &g.near} {
 		if l.n == 0 {
--- a/logic/queue_test.go
+++ b/logic/queue_test.go
@@ -105,7 +105,7 @@
 	pick := func(acts []Action) (calls, others []string) {
 		for _, x := range acts {
 			switch x.(type) {
-			case CallOut:
+			case StartAttempt:
 				calls = append(calls, fmt.Sprintf("%#v", x))
 			case SetTimer: // the index looks again earlier, or later where nothing could go
 			default:
@@ -124,7 +124,7 @@
 
 // twins plays one day with a Sender that decides by the index and one by the sort.
 func twins(t *testing.T, set Settings, seed uint64) {
-	set.Remember = seed%3 == 1
+	set.TrackChanges = seed%3 == 1
 	w := newWorld(t, set, 100+seed)
 	w.restarts, w.upgrades, w.steady = seed%3 == 1, seed%3 == 2, true
 	w.often = []int{0, 30, 12}[seed/3%3]
@@ -155,7 +155,7 @@
 // drawn makes a Sender with destinations, classes and messages of all ages.
 func drawn(t *rapid.T) *Sender {
 	set := base()
-	set.Halves, set.MaxOpen = rapid.Bool().Draw(t, "halves"), 0
+	set.ExponentialDecay, set.MaxOpen = rapid.Bool().Draw(t, "halves"), 0
 	span := func(name string, most Micros) Micros { return Micros(rapid.Int64Range(0, int64(most)).Draw(t, name)) }
 	for i := range set.Classes {
 		c := &set.Classes[i]
@@ -176,9 +176,9 @@
 		for range rapid.IntRange(0, 30).Draw(t, "messages") {
 			n++
 			class := rapid.IntRange(0, 2).Draw(t, "class")
-			evs = append(evs, Call{ID: fmt.Sprint(n), Dest: int64(rapid.IntRange(1, 2).Draw(t, "dest")), Tenant: -1, Class: class,
-				Left: Second/2 + span("left", 3*set.Classes[class].Deadline),
-				Past: Past{Held: rapid.IntRange(0, 5).Draw(t, "held") == 0}})
+			evs = append(evs, NewMessage{ID: fmt.Sprint(n), Dest: int64(rapid.IntRange(1, 2).Draw(t, "dest")), Tenant: -1, Class: class,
+				Remaining: Second/2 + span("left", 3*set.Classes[class].Deadline),
+				History:   History{Inherited: rapid.IntRange(0, 5).Draw(t, "held") == 0}})
 		}
 		s.Step(s.now+span("pause", 4*Second), evs)
 		for _, m := range s.all() { // some may have run
@@ -345,9 +345,9 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			evs := []Event{list(1), Told{Endpoint: 1, Left: 5 * Second}}
+			evs := []Event{list(1), RequestedWait{Endpoint: 1, Remaining: 5 * Second}}
 			for i := range n {
-				evs = append(evs, Call{ID: fmt.Sprint(i), Left: 9*Second + Micros(i), Dest: 9, Tenant: -1, Past: Past{Held: true}})
+				evs = append(evs, NewMessage{ID: fmt.Sprint(i), Remaining: 9*Second + Micros(i), Dest: 9, Tenant: -1, History: History{Inherited: true}})
 			}
 			start := threadTime(t)
 			s.Step(0, evs)
--- a/logic/rate_limit.go
+++ b/logic/rate_limit.go
@@ -31,7 +31,7 @@
 }
 
 func (s *Sender) saved(l *lane, r float64) float64 {
-	return min(l.tokens+r*seconds(s.now-l.filled), max(1, r*seconds(s.set.Save)))
+	return min(l.tokens+r*seconds(s.now-l.filled), max(1, r*seconds(s.set.BurstTime)))
 }
 
 // settle books what a lane has saved up.
--- a/logic/restart_test.go
+++ b/logic/restart_test.go
@@ -3,41 +3,41 @@
 import "testing"
 
 // resumed hands a message of a class in as after a restart and returns what is done in that step.
-func resumed(t *testing.T, class int, past Past) []Action {
+func resumed(t *testing.T, class int, past History) []Action {
 	t.Helper()
 	r := newRig(t, base())
 	c := r.call(class)
-	c.Past = past
+	c.History = past
 	return r.step(100, list(2), c)
 }
 
 // A try that may have run before a restart binds the class as one after it would.
 func TestPastBinds(t *testing.T) {
-	may := Past{Tries: 1, MayRun: true, Age: Second}
-	old := Past{Tries: 1, MayRun: true, Age: 8 * Second} // as old as the keyed window
+	may := History{Attempts: 1, MayHaveRun: true, SinceFirst: Second}
+	old := History{Attempts: 1, MayHaveRun: true, SinceFirst: 8 * Second} // as old as the keyed window
 	for _, x := range []struct {
 		name  string
 		class int
-		past  Past
+		past  History
 		sent  bool
 	}{
 		{"safe, may have run", 0, may, true},
 		{"keyed, may have run", 1, may, true},
 		{"keyed, out of its window", 1, old, false},
 		{"unsafe, may have run", 2, may, false},
-		{"unsafe, never ran", 2, Past{Tries: 5}, true},
-		{"safe, no attempt left", 0, Past{Tries: 6, MayRun: true}, false},
+		{"unsafe, never ran", 2, History{Attempts: 5}, true},
+		{"safe, no attempt left", 0, History{Attempts: 6, MayHaveRun: true}, false},
 	} {
 		acts := resumed(t, x.class, x.past)
-		if n := len(only[CallOut](acts)); (n == 1) != x.sent {
+		if n := len(only[StartAttempt](acts)); (n == 1) != x.sent {
 			t.Errorf("%s: %d sends", x.name, n)
 		}
-		if n := len(only[Fail](acts)); (n == 1) == x.sent {
+		if n := len(only[FailMessage](acts)); (n == 1) == x.sent {
 			t.Errorf("%s: %d failures", x.name, n)
 		}
 	}
 	// Without a try that may have run the end is a refusal: the client may come again.
-	if acts := resumed(t, 2, Past{Tries: 6}); len(only[Refuse](acts)) != 1 || len(only[Fail](acts)) != 0 {
+	if acts := resumed(t, 2, History{Attempts: 6}); len(only[ReturnMessage](acts)) != 1 || len(only[FailMessage](acts)) != 0 {
 		t.Errorf("no attempt left, never ran: %v", acts)
 	}
 }
@@ -50,8 +50,8 @@
 	eps := list(2)
 	eps.Entries[0].Zone, eps.Entries[1].Zone = 0, 1
 	c := r.call(1)
-	c.Past = Past{Tries: 1, MayRun: true, Zone: 1}
-	out := only[CallOut](r.step(100, eps, c))
+	c.History = History{Attempts: 1, MayHaveRun: true, Zone: 1}
+	out := only[StartAttempt](r.step(100, eps, c))
 	if len(out) != 1 || out[0].Endpoint != 2 {
 		t.Errorf("sent %v, want one to endpoint 2", out)
 	}
@@ -61,10 +61,10 @@
 func TestPastAttemptNumber(t *testing.T) {
 	r := newRig(t, base())
 	c := r.call(0)
-	c.Past = Past{Tries: 5, MayRun: true}
+	c.History = History{Attempts: 5, MayHaveRun: true}
 	r.step(100, list(1), c)
 	acts := r.step(100.1, answer(c.ID, 1, 5, Errored))
-	if len(only[Fail](acts)) != 1 {
+	if len(only[FailMessage](acts)) != 1 {
 		t.Errorf("after the sixth attempt: %v", acts)
 	}
 }
@@ -78,14 +78,14 @@
 		r.step(float64(i), c)
 		r.step(float64(i)+0.1, answer(c.ID, 1, 0, Completed))
 	}
-	r.step(10, Closing{Left: 3 * Second})
+	r.step(10, Stopping{Remaining: 3 * Second})
 	early, late := r.call(2), r.call(2)
-	if n := len(only[CallOut](r.step(10.1, early))); n != 1 {
+	if n := len(only[StartAttempt](r.step(10.1, early))); n != 1 {
 		t.Errorf("%d sends with time enough", n)
 	}
 	r.step(10.2, answer(early.ID, 1, 0, Completed))
 	acts := r.step(12.7, late)
-	if len(acts) > 0 && len(only[CallOut](acts))+len(only[Refuse](acts))+len(only[Fail](acts)) != 0 {
+	if len(acts) > 0 && len(only[StartAttempt](acts))+len(only[ReturnMessage](acts))+len(only[FailMessage](acts)) != 0 {
 		t.Errorf("shortly before the stop: %v", acts)
 	}
 }
@@ -102,7 +102,7 @@
 			t.Fatal("no timer set")
 		}
 		at += seconds(timers[0].Wait)
-		acts = r.step(at, Due{Token: timers[0].Token})
+		acts = r.step(at, TimerFired{Token: timers[0].Token})
 		end = at
 	}
 	if end == 0 || end > 6 {
@@ -116,19 +116,19 @@
 	set.Slots, set.MayCancel = 1, false
 	old := newRig(t, set)
 	gone := old.call(0)
-	out := only[CallOut](old.step(1, list(1), gone))[0]
+	out := only[StartAttempt](old.step(1, list(1), gone))[0]
 	old.step(1.1, ClientGone{gone.ID})
 	all, _ := old.s.HandOver(sec(1.2))
 	r := newRig(t, set)
-	gone.Past = Past{Tries: 1, Over: true, Out: &Out{Endpoint: out.Endpoint, Age: sec(0.2)}}
+	gone.History = History{Attempts: 1, Ended: true, InFlight: &InFlightAttempt{Endpoint: out.Endpoint, Age: sec(0.2)}}
 	next := r.call(0)
 	next.ID, next.Dest = "next", 10 // elsewhere: only the slot keeps it
 	two := list(2)
 	two.Entries[1].Dest = 10
-	if acts := r.step(1.2, two, Recall{Memory: all[0]}, gone, next); len(only[CallOut](acts)) != 0 {
+	if acts := r.step(1.2, two, RestoreState{State: all[0]}, gone, next); len(only[StartAttempt](acts)) != 0 {
 		t.Errorf("sent beside a call that holds the only slot: %v", acts)
 	}
-	if acts := r.step(1.5, answer(gone.ID, out.Endpoint, 0, Completed)); len(only[CallOut](acts)) != 1 {
+	if acts := r.step(1.5, answer(gone.ID, out.Endpoint, 0, Completed)); len(only[StartAttempt](acts)) != 1 {
 		t.Errorf("not sent once the slot is free: %v", acts)
 	}
 }
--- a/logic/retry.go
+++ b/logic/retry.go
@@ -15,34 +15,34 @@
 		return
 	}
 	if m.mayRun || m.out != nil {
-		s.do(Fail{ID: m.id})
+		s.do(FailMessage{ID: m.id})
 		if m.out != nil {
 			s.cancel(m.out)
 		}
 	} else {
-		s.do(Refuse{ID: m.id, RetryIn: s.set.MaxRetryAfter}) // as late as a client heeds: what turned it away lasts
+		s.do(ReturnMessage{ID: m.id, RetryIn: s.set.MaxRetryAfter}) // the longest: the cause lasts
 	}
 	s.close(m)
 }
 
 // resume takes up a message where a restart cut it off: its attempts count, and one without an outcome may
 // have run. What may not be sent again ends at once.
-func (s *Sender) resume(m *msg, p Past) {
-	if p.Tries == 0 {
+func (s *Sender) resume(m *msg, p History) {
+	if p.Attempts == 0 {
 		return
 	}
-	m.tries = p.Tries
-	if m.mayRun = p.MayRun; m.mayRun || p.Out != nil {
-		m.firstMay, m.mayZone = s.now-p.Age, p.Zone
+	m.tries = p.Attempts
+	if m.mayRun = p.MayHaveRun; m.mayRun || p.InFlight != nil {
+		m.firstMay, m.mayZone = s.now-p.SinceFirst, p.Zone
 	}
-	if p.Out != nil && s.adopt(m, p) {
+	if p.InFlight != nil && s.adopt(m, p) {
 		return
 	}
-	if p.Over {
+	if p.Ended {
 		s.close(m)
 		return
 	}
-	m.mayRun = m.mayRun || p.Out != nil
+	m.mayRun = m.mayRun || p.InFlight != nil
 	s.endIfStuck(m)
 }
 
@@ -55,7 +55,7 @@
 
 // leastLeft is the least time before its end at which a message may be sent: a process may be held up right
 // before it writes.
-const leastLeft = Micros(permit.LeastLeft / time.Microsecond)
+const leastLeft = Micros(permit.MinRemaining / time.Microsecond)
 
 // needs is the time before its end at which a message is hopeless: a usual call's, if none is out.
 func (s *Sender) needs(m *msg) Micros {
--- a/logic/retune_test.go
+++ b/logic/retune_test.go
@@ -8,8 +8,8 @@
 
 func drawSettings(t *rapid.T) Settings {
 	set := Settings{Senders: 1, Zones: 1, Slots: 4, MaxOpen: 10, MaxTries: rapid.IntRange(1, 4).Draw(t, "tries"), Tick: 1000,
-		ReportLeft: -1, ReportLimit: -1, MayCancel: true, FallMultiple: 2, FallWindow: 3 * Second, WarmAfter: 14 * Second, ColdFrom: 0.2,
-		Kinds: []Kind{{Name: "std", Batch: 1}}}
+		RemainingIndex: -1, LimitIndex: -1, MayCancel: true, FallMultiple: 2, FallWindow: 3 * Second, WarmAfter: 14 * Second, ColdFrom: 0.2,
+		Kinds: []Kind{{Name: "std", MaxBatch: 1}}}
 	for _, name := range []string{"a", "b", "c"} {
 		if len(set.Classes) == 0 || rapid.Bool().Draw(t, "has "+name) {
 			set.Classes = append(set.Classes, Class{Name: name, Aim: 2 * Second, Deadline: 16 * Second, Worth: 1, LateWorth: 0.4,
@@ -34,23 +34,23 @@
 			mayRun     bool
 			ended      bool
 		}
-		msgs, out, n, now := map[string]*held{}, []CallOut{}, 0, Micros(0)
+		msgs, out, n, now := map[string]*held{}, []StartAttempt{}, 0, Micros(0)
 		step := func(events ...Event) {
 			now += Micros(rapid.IntRange(1000, 200_000).Draw(t, "us"))
 			for _, a := range s.Step(now, events) {
 				switch a := a.(type) {
-				case CallOut:
+				case StartAttempt:
 					m := msgs[a.ID]
 					if m.sent++; m.ended || m.sent > m.most || m.mayRun && m.effect == Unsafe {
 						t.Fatalf("%s is sent: %+v", a.ID, m)
 					}
 					out = append(out, a)
-				case Refuse:
+				case ReturnMessage:
 					if msgs[a.ID].ended || msgs[a.ID].mayRun {
 						t.Fatalf("%s is refused: %+v", a.ID, msgs[a.ID])
 					}
 					msgs[a.ID].ended = true
-				case Fail:
+				case FailMessage:
 					if msgs[a.ID].ended {
 						t.Fatalf("%s ends twice", a.ID)
 					}
@@ -63,15 +63,15 @@
 			switch rapid.IntRange(0, 3).Draw(t, "what") {
 			case 0:
 				next := drawSettings(t)
-				if Check(set, next) == nil {
+				if CheckUpdate(set, next) == nil {
 					set = next
 				}
-				step(Retune{next})
+				step(UpdateSettings{next})
 			case 1:
 				n++
 				id, class := string(rune('A'+n)), rapid.IntRange(0, len(set.Classes)-1).Draw(t, "class")
 				msgs[id] = &held{effect: set.Classes[class].Effect, most: set.MaxTries}
-				step(Call{ID: id, Left: 16 * Second, Dest: 1, Tenant: -1, Class: class})
+				step(NewMessage{ID: id, Remaining: 16 * Second, Dest: 1, Tenant: -1, Class: class})
 			case 2:
 				if len(out) == 0 {
 					step()
@@ -80,10 +80,10 @@
 				a := out[0]
 				out = out[1:]
 				m := msgs[a.ID]
-				o := Outcome(rapid.IntRange(int(Completed), int(Spoilt)).Draw(t, "outcome"))
-				m.mayRun = m.mayRun || o != Full && o != RefusedConn && o != Moot
+				o := Outcome(rapid.IntRange(int(Completed), int(InvalidResponse)).Draw(t, "outcome"))
+				m.mayRun = m.mayRun || o != Overloaded && o != ConnectionRefused && o != NotSent
 				m.ended = m.ended || o == Completed
-				step(Reply{ID: a.ID, NoMore: m.ended, Endpoint: a.Endpoint, Attempt: m.sent - 1, Outcome: o, Took: 1000})
+				step(AttemptResult{ID: a.ID, MessageEnded: m.ended, Endpoint: a.Endpoint, Attempt: m.sent - 1, Outcome: o, Latency: 1000})
 			default:
 				step()
 			}
@@ -95,8 +95,8 @@
 func TestStricter(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		was, next := drawSettings(t), drawSettings(t)
-		got := Stricter(was, next)
-		if len(got.Classes) != len(next.Classes) || Check(was, got) != nil {
+		got := Strictest(was, next)
+		if len(got.Classes) != len(next.Classes) || CheckUpdate(was, got) != nil {
 			t.Fatalf("%+v", got.Classes)
 		}
 		for i, c := range got.Classes {
--- a/logic/rig_test.go
+++ b/logic/rig_test.go
@@ -10,13 +10,13 @@
 
 // base is a plain deployment: two senders, one safe, one keyed and one unsafe class, one kind of destination.
 func base() Settings {
-	return Settings{Senders: 2, Zones: 1, Slots: 8, MaxOpen: 60, MaxTries: 6, Tick: 5000, MayCancel: true, RetryAfter: true,
+	return Settings{Senders: 2, Zones: 1, Slots: 8, MaxOpen: 60, MaxTries: 6, Tick: 5000, MayCancel: true, AdviseRetry: true,
 		Classes: []Class{
 			{Name: "a", Aim: Second, Deadline: 10 * Second, Worth: 1, LateWorth: 0.5},
 			{Name: "b", Aim: 2 * Second, Deadline: 12 * Second, Worth: 2, LateWorth: 0.4, Effect: Keyed, Window: 8 * Second},
 			{Name: "c", Aim: 2 * Second, Deadline: 14 * Second, Worth: 4, LateWorth: 0.3, Effect: Unsafe}},
-		Kinds: []Kind{{Name: "k", Batch: 1}}, MaxRetryAfter: 2 * Second, DrainGrace: Second, FallMultiple: 2,
-		FallWindow: 2 * Second, ColdFrom: 0.2, WarmAfter: 14 * Second, ReportLeft: -1, ReportLimit: -1}
+		Kinds: []Kind{{Name: "k", MaxBatch: 1}}, MaxRetryAfter: 2 * Second, DrainGrace: Second, FallMultiple: 2,
+		FallWindow: 2 * Second, ColdFrom: 0.2, WarmAfter: 14 * Second, RemainingIndex: -1, LimitIndex: -1}
 }
 
 // rig drives one Sender by hand.
@@ -48,13 +48,13 @@
 	return ev
 }
 
-func (r *rig) call(class int) Call {
+func (r *rig) call(class int) NewMessage {
 	r.n++
-	return Call{ID: fmt.Sprintf("m%d", r.n), Left: r.s.set.Classes[class].Deadline, Dest: 9, Tenant: -1, Class: class}
+	return NewMessage{ID: fmt.Sprintf("m%d", r.n), Remaining: r.s.set.Classes[class].Deadline, Dest: 9, Tenant: -1, Class: class}
 }
 
-func answer(id string, ep EndpointID, attempt int, o Outcome) Reply {
-	return Reply{ID: id, Endpoint: ep, Attempt: attempt, Outcome: o, Took: sec(0.1), NoMore: o == Completed}
+func answer(id string, ep EndpointID, attempt int, o Outcome) AttemptResult {
+	return AttemptResult{ID: id, Endpoint: ep, Attempt: attempt, Outcome: o, Latency: sec(0.1), MessageEnded: o == Completed}
 }
 
 func only[T Action](acts []Action) (out []T) {
@@ -95,7 +95,7 @@
 	trace      []string
 	restarts   bool // processes die, and others take up what they have left
 	upgrades   bool // or hand over all that they know, with their calls out
-	memories   map[int64]Recall
+	memories   map[int64]RestoreState
 	twin       *Sender // if there is one, it judges all that is held in each step, and has to decide the same
 	steady     bool    // a step in each tick
 	often      int     // mean gap of arrivals, in milliseconds; 0 for 75
@@ -130,7 +130,7 @@
 type wcall struct{ open int }
 
 func (w *world) lane(e *wep) string {
-	if w.set.Kinds[e.row.Kind].Apart {
+	if w.set.Kinds[e.row.Kind].Independent {
 		return fmt.Sprint("route", e.row.Endpoint)
 	}
 	return fmt.Sprint("dest", e.row.Dest)
@@ -149,7 +149,7 @@
 	return &world{t: t, set: set, rnd: rand.New(rand.NewPCG(seed, 1)), s: s, msgs: map[string]*wmsg{},
 		eps: map[EndpointID]*wep{}, waits: map[string]Micros{}, asked: map[EndpointID]int{},
 		keys: map[string][]*wmsg{}, quiet: map[string]Micros{}, quietBy: map[string]*wmsg{},
-		outage: [2]Micros{12 * Second, 20 * Second}, memories: map[int64]Recall{}}
+		outage: [2]Micros{12 * Second, 20 * Second}, memories: map[int64]RestoreState{}}
 }
 
 // play runs 40 seconds of random traffic.
@@ -158,7 +158,7 @@
 	first.Form = ListCached
 	for i := 0; i < 8; i++ {
 		row := Entry{Endpoint: EndpointID(100 + i), Dest: int64(1 + i/2), Kind: (i / 2) % len(w.set.Kinds),
-			Zone: i % max(w.set.Zones, 1), Nominal: 6}
+			Zone: i % max(w.set.Zones, 1), NominalRate: 6}
 		w.eps[row.Endpoint] = &wep{row: row}
 		w.order = append(w.order, row.Endpoint)
 		first.Entries = append(first.Entries, row)
@@ -184,17 +184,17 @@
 		if w.rnd.IntN(900) == 0 && len(w.ids) > 0 {
 			m := w.msgs[w.ids[w.rnd.IntN(len(w.ids))]]
 			m.ended = true // withdrawn, or ended long ago
-			evs = append(evs, ClientGone{m.id}, ClientGone{"nobody"}, Due{3})
+			evs = append(evs, ClientGone{m.id}, ClientGone{"nobody"}, TimerFired{3})
 		}
 		if w.steady && w.now == 36*Second {
-			evs = append(evs, Closing{Left: 8 * Second}) // and a new process, if one comes, does not know of it
+			evs = append(evs, Stopping{Remaining: 8 * Second}) // and a new process, if one comes, does not know of it
 		}
 		if len(evs) > 0 || w.steady {
 			w.run(evs...)
 		}
 		if w.restarts {
-			for _, m := range w.s.Remember(w.now, 2) {
-				w.memories[m.Dest] = Recall{Age: w.now, Memory: m} // when it was made
+			for _, m := range w.s.ChangedStates(w.now, 2) {
+				w.memories[m.Dest] = RestoreState{Age: w.now, State: m} // when it was made
 			}
 			if w.rnd.IntN(1500) == 0 {
 				w.restart()
@@ -241,7 +241,7 @@
 	evs := []Event{cached}
 	for _, id := range w.order {
 		if left := w.waits[w.lane(w.eps[id])] - w.now; left > 0 {
-			evs = append(evs, Told{id, left})
+			evs = append(evs, RequestedWait{id, left})
 		}
 	}
 	for dest := range int64(6) {
@@ -255,8 +255,8 @@
 			continue
 		}
 		ci := slices.IndexFunc(w.set.Classes, func(c Class) bool { return c.Name == m.class.Name })
-		evs = append(evs, Call{ID: m.id, Left: m.deadline - w.now, Key: m.key, Dest: m.dest, Tenant: -1, Class: ci,
-			Past: Past{Tries: m.tries, MayRun: m.mayRun, Age: w.now - m.firstMay, Zone: m.zone, Held: true}})
+		evs = append(evs, NewMessage{ID: m.id, Remaining: m.deadline - w.now, Key: m.key, Dest: m.dest, Tenant: -1, Class: ci,
+			History: History{Attempts: m.tries, MayHaveRun: m.mayRun, SinceFirst: w.now - m.firstMay, Zone: m.zone, Inherited: true}})
 	}
 	w.run(evs...)
 }
@@ -275,17 +275,17 @@
 	}
 	evs := []Event{full}
 	for _, m := range all {
-		evs = append(evs, Recall{Memory: m})
+		evs = append(evs, RestoreState{State: m})
 	}
 	for _, k := range keys {
 		evs = append(evs, k)
 	}
-	outs, first := map[*wmsg]*Out{}, map[*wcall]string{}
+	outs, first := map[*wmsg]*InFlightAttempt{}, map[*wcall]string{}
 	w.queue = slices.DeleteFunc(w.queue, func(q wevent) bool { return q.own == nil }) // timers
 	var over []*wmsg
 	for _, q := range w.queue {
-		r := q.ev.(Reply)
-		outs[q.own] = &Out{Endpoint: r.Endpoint, Age: max(w.now-q.at+r.Took, 0), With: first[q.cl]}
+		r := q.ev.(AttemptResult)
+		outs[q.own] = &InFlightAttempt{Endpoint: r.Endpoint, Age: max(w.now-q.at+r.Latency, 0), BatchedWith: first[q.cl]}
 		if first[q.cl] == "" {
 			first[q.cl] = q.own.id
 		}
@@ -298,8 +298,8 @@
 			continue
 		}
 		ci := slices.IndexFunc(w.set.Classes, func(c Class) bool { return c.Name == m.class.Name })
-		evs = append(evs, Call{ID: m.id, Left: m.deadline - w.now, Key: m.key, Dest: m.dest, Tenant: -1, Class: ci,
-			Past: Past{Tries: m.tries, MayRun: m.mayRun, Age: w.now - m.firstMay, Zone: m.zone, Out: outs[m], Over: m.ended}})
+		evs = append(evs, NewMessage{ID: m.id, Remaining: m.deadline - w.now, Key: m.key, Dest: m.dest, Tenant: -1, Class: ci,
+			History: History{Attempts: m.tries, MayHaveRun: m.mayRun, SinceFirst: w.now - m.firstMay, Zone: m.zone, InFlight: outs[m], Ended: m.ended}})
 	}
 	w.run(evs...)
 }
@@ -324,7 +324,7 @@
 	if n := len(w.set.Tenants); n > 0 {
 		tenant = w.rnd.IntN(n)
 	}
-	return Call{ID: m.id, Left: left, Key: m.key, Dest: m.dest, Tenant: tenant, Class: ci}
+	return NewMessage{ID: m.id, Remaining: left, Key: m.key, Dest: m.dest, Tenant: tenant, Class: ci}
 }
 
 // change drains, removes or adds an endpoint.
@@ -353,7 +353,7 @@
 			rest = append(rest, q)
 			continue
 		}
-		if r, ok := q.ev.(Reply); ok {
+		if r, ok := q.ev.(AttemptResult); ok {
 			q.ev = w.land(r, q.own, q.cl)
 		}
 		evs = append(evs, q.ev)
@@ -363,26 +363,26 @@
 }
 
 // land applies the outcome of an attempt to what the rules know.
-func (w *world) land(r Reply, m *wmsg, c *wcall) Reply {
+func (w *world) land(r AttemptResult, m *wmsg, c *wcall) AttemptResult {
 	if c.open--; c.open == 0 {
 		w.slots--
 	}
 	m.out = false
-	if r.Outcome != Full && r.Outcome != RefusedConn && r.Outcome != Moot {
+	if r.Outcome != Overloaded && r.Outcome != ConnectionRefused && r.Outcome != NotSent {
 		m.mayRun = true
 	}
 	if r.Outcome == Completed {
 		m.ended = true
 	}
-	r.NoMore = m.ended
-	if m.key != "" && (r.Outcome == Overdue || r.Outcome == Severed || r.Outcome == Recalled) {
+	r.MessageEnded = m.ended
+	if m.key != "" && (r.Outcome == TimedOut || r.Outcome == ConnectionBroken || r.Outcome == Cancelled) {
 		w.quiet[m.key], w.quietBy[m.key] = w.now+w.set.KeyQuiet, m
 	}
 	e := w.eps[r.Endpoint]
-	if r.Wait > 0 {
-		w.waits[w.lane(e)] = max(w.waits[w.lane(e)], w.now+r.Wait)
+	if r.RetryAfter > 0 {
+		w.waits[w.lane(e)] = max(w.waits[w.lane(e)], w.now+r.RetryAfter)
 	}
-	if e.row.Dest == 1 && w.now > w.outage[0] && w.now < w.outage[1] && r.Outcome == RefusedConn {
+	if e.row.Dest == 1 && w.now > w.outage[0] && w.now < w.outage[1] && r.Outcome == ConnectionRefused {
 		w.knows = true
 		if w.knowsRoute == nil {
 			w.knowsRoute = map[EndpointID]bool{}
@@ -394,7 +394,7 @@
 
 func (w *world) outcome(e *wep) (Outcome, Micros, Micros) {
 	if e.row.Dest == 1 && w.now > w.outage[0] && w.now < w.outage[1] {
-		return RefusedConn, 20_000, 0
+		return ConnectionRefused, 20_000, 0
 	}
 	took := Micros(20_000 + w.rnd.IntN(300_000))
 	switch x := w.rnd.IntN(100); {
@@ -403,17 +403,17 @@
 	case x < 76:
 		return Errored, took, 0
 	case x < 80:
-		return Severed, took, 0
+		return ConnectionBroken, took, 0
 	case x < 84:
-		return RefusedConn, took, 0
+		return ConnectionRefused, took, 0
 	case x < 94:
 		wait := Micros(0)
 		if w.rnd.IntN(2) == 0 {
 			wait = Micros(w.rnd.IntN(3_000_000))
 		}
-		return Full, 20_000, wait
+		return Overloaded, 20_000, wait
 	}
-	return Overdue, never, 0 // silent: ends when given up or called off
+	return TimedOut, never, 0 // silent: ends when given up or called off
 }
 
 // run makes one step and checks all its actions.
@@ -427,11 +427,11 @@
 	for _, a := range acts {
 		w.trace = append(w.trace, fmt.Sprintf("%d %#v", w.now, a))
 		switch a := a.(type) {
-		case CallOut:
+		case StartAttempt:
 			m, e := w.msgs[a.ID], w.eps[a.Endpoint]
 			w.checkSend(m, e)
 			c := opened[a.Endpoint]
-			if c == nil || count[a.Endpoint]%max(w.set.Kinds[e.row.Kind].Batch, 1) == 0 {
+			if c == nil || count[a.Endpoint]%max(w.set.Kinds[e.row.Kind].MaxBatch, 1) == 0 {
 				c = &wcall{}
 				opened[a.Endpoint] = c
 				if w.slots++; w.slots > w.set.Slots {
@@ -442,23 +442,23 @@
 			count[a.Endpoint]++
 			c.open++
 			o, took, wait := w.outcome(e)
-			if took >= a.GiveUp {
-				o, took, wait = Overdue, a.GiveUp, 0
+			if took >= a.Timeout {
+				o, took, wait = TimedOut, a.Timeout, 0
 			}
-			w.queue = append(w.queue, wevent{w.now + took, Reply{ID: a.ID, Endpoint: a.Endpoint, Attempt: m.tries,
-				Outcome: o, Took: took, Wait: wait, Load: w.load()}, m, c})
+			w.queue = append(w.queue, wevent{w.now + took, AttemptResult{ID: a.ID, Endpoint: a.Endpoint, Attempt: m.tries,
+				Outcome: o, Latency: took, RetryAfter: wait, Load: w.load()}, m, c})
 			m.tries++
 		case Cancel:
 			if !w.set.MayCancel {
 				w.bad("cancel where none is allowed")
 			}
 			for i, q := range w.queue {
-				if r, ok := q.ev.(Reply); ok && r.ID == a.ID && r.Attempt == a.Attempt {
-					r.Outcome, r.Wait = Recalled, 0
+				if r, ok := q.ev.(AttemptResult); ok && r.ID == a.ID && r.Attempt == a.Attempt {
+					r.Outcome, r.RetryAfter = Cancelled, 0
 					w.queue[i].ev, w.queue[i].at = r, w.now+w.set.Tick
 				}
 			}
-		case Refuse:
+		case ReturnMessage:
 			m := w.msgs[a.ID]
 			if m.ended && m.deadline > w.now && !m.class.KeepOrder && m.out {
 				w.bad("refused a message with an attempt out")
@@ -466,14 +466,14 @@
 			if m.mayRun && m.class.Effect == Unsafe || m.mayRun && m.class.ByZone || m.out {
 				w.bad("refused %s, which may have run", a.ID)
 			}
-			if a.RetryIn > w.set.MaxRetryAfter || a.RetryIn > 0 && !w.set.RetryAfter {
+			if a.RetryIn > w.set.MaxRetryAfter || a.RetryIn > 0 && !w.set.AdviseRetry {
 				w.bad("advice of %d", a.RetryIn)
 			}
 			w.end(m)
-		case Fail:
+		case FailMessage:
 			w.end(w.msgs[a.ID])
 		case SetTimer:
-			w.queue = append(w.queue, wevent{w.now + max(a.Wait, 1), Due{a.Token}, nil, nil})
+			w.queue = append(w.queue, wevent{w.now + max(a.Wait, 1), TimerFired{a.Token}, nil, nil})
 		case Probe:
 			if !w.set.Probing {
 				w.bad("probe where none is allowed")
@@ -482,10 +482,10 @@
 			w.checkEndpoint(e)
 			w.checkCold(e)
 			o, took, _ := w.outcome(e)
-			if o == Overdue {
+			if o == TimedOut {
 				took = Second
 			}
-			w.queue = append(w.queue, wevent{w.now + took, HealthResult{a.Endpoint, o, nil}, nil, nil})
+			w.queue = append(w.queue, wevent{w.now + took, ProbeResult{a.Endpoint, o, nil}, nil, nil})
 		}
 	}
 }
@@ -498,7 +498,7 @@
 }
 
 func (w *world) load() []float64 {
-	if w.set.ReportLimit < 0 {
+	if w.set.LimitIndex < 0 {
 		return nil
 	}
 	return []float64{w.rnd.Float64(), 4 + 4*w.rnd.Float64()}
--- a/logic/rules_test.go
+++ b/logic/rules_test.go
@@ -12,22 +12,24 @@
 func variants() map[string]Settings {
 	make := func(f func(*Settings)) Settings { s := base(); f(&s); return s }
 	return map[string]Settings{
-		"plain":      base(),
-		"one class":  make(func(s *Settings) { s.Classes = s.Classes[2:] }),
-		"tenants":    make(func(s *Settings) { s.Tenants = []Tenant{{"x", 2}, {"y", 1}, {"z", 0}}; s.OverShareWorth = 0.2 }),
-		"zones":      make(func(s *Settings) { s.Zones, s.Zone = 2, 1; s.Classes[1].ByZone = true }),
-		"ordered":    make(func(s *Settings) { s.KeyQuiet = Second; s.Classes[0].KeepOrder, s.Classes[2].KeepOrder = true, true }),
-		"batches":    make(func(s *Settings) { s.Kinds[0].Batch = 10 }),
-		"apart":      make(func(s *Settings) { s.Kinds = []Kind{{Name: "k", Apart: true, Batch: 1}, {Name: "l", Batch: 3}} }),
+		"plain":     base(),
+		"one class": make(func(s *Settings) { s.Classes = s.Classes[2:] }),
+		"tenants":   make(func(s *Settings) { s.Tenants = []Tenant{{"x", 2}, {"y", 1}, {"z", 0}}; s.OverQuotaWorth = 0.2 }),
+		"zones":     make(func(s *Settings) { s.Zones, s.Zone = 2, 1; s.Classes[1].ByZone = true }),
+		"ordered":   make(func(s *Settings) { s.KeyQuiet = Second; s.Classes[0].KeepOrder, s.Classes[2].KeepOrder = true, true }),
+		"batches":   make(func(s *Settings) { s.Kinds[0].MaxBatch = 10 }),
+		"apart": make(func(s *Settings) {
+			s.Kinds = []Kind{{Name: "k", Independent: true, MaxBatch: 1}, {Name: "l", MaxBatch: 3}}
+		}),
 		"weights":    make(func(s *Settings) { s.Weights = WeightsNominal }),
 		"rough":      make(func(s *Settings) { s.Weights = WeightsRough }),
-		"probing":    make(func(s *Settings) { s.Probing, s.Halves = true, true }),
-		"on request": make(func(s *Settings) { s.OnRequest = true }),
+		"probing":    make(func(s *Settings) { s.Probing, s.ExponentialDecay = true, true }),
+		"on request": make(func(s *Settings) { s.ListOnRequest = true }),
 		"one slot":   make(func(s *Settings) { s.Slots = 1 }),
 		"tiny hold":  make(func(s *Settings) { s.MaxOpen = 3 }),
-		"no advice":  make(func(s *Settings) { s.RetryAfter, s.MaxRetryAfter = false, 0 }),
+		"no advice":  make(func(s *Settings) { s.AdviseRetry, s.MaxRetryAfter = false, 0 }),
 		"no cancel":  make(func(s *Settings) { s.MayCancel = false }),
-		"reports":    make(func(s *Settings) { s.ReportLeft, s.ReportLimit = 0, 1; s.Senders = 9 }),
+		"reports":    make(func(s *Settings) { s.RemainingIndex, s.LimitIndex = 0, 1; s.Senders = 9 }),
 		"no limits":  make(func(s *Settings) { s.MaxOpen, s.MaxTries, s.Slots = 0, 0, 40 }),
 		"short tick": make(func(s *Settings) { s.Tick = 1000; s.DrainGrace = 0 }),
 	}
@@ -56,7 +58,7 @@
 func TestRulesOverRestarts(t *testing.T) {
 	for name, set := range variants() {
 		t.Run(name, func(t *testing.T) {
-			set.Remember = true
+			set.TrackChanges = true
 			for seed := uint64(1); seed <= plays(6); seed++ {
 				w := newWorld(t, set, seed)
 				w.restarts = true
@@ -115,7 +117,7 @@
 		"Zone": func(s *Settings) { s.Zone = 4 }, "Slots": func(s *Settings) { s.Slots = -1 },
 		"MaxOpen": func(s *Settings) { s.MaxOpen = -1 }, "MaxTries": func(s *Settings) { s.MaxTries = -2 },
 		"ColdFrom": func(s *Settings) { s.ColdFrom = 2 }, "Classes[1]": func(s *Settings) { s.Classes[1].Deadline = 0 },
-		"Kinds[0]": func(s *Settings) { s.Kinds[0].Batch = -1 }, "Tick": func(s *Settings) { s.Tick = -1 },
+		"Kinds[0]": func(s *Settings) { s.Kinds[0].MaxBatch = -1 }, "Tick": func(s *Settings) { s.Tick = -1 },
 	} {
 		set := base()
 		f(&set)
--- a/logic/scheduling.go
+++ b/logic/scheduling.go
@@ -24,7 +24,7 @@
 // usual is the median served latency of m's destination, else of its class; blind if neither is known.
 func (s *Sender) usual(m *msg) Micros {
 	if m.owed { // a restart found it untried: it is tried however little time is left
-		return blind
+		return unknownLatency
 	}
 	if m.dest.hist.total >= minWeight {
 		return m.dest.hist.median
@@ -32,7 +32,7 @@
 	if h := m.seen; h.total >= minWeight {
 		return h.median
 	}
-	return blind
+	return unknownLatency
 }
 
 // send tries the endpoints of m's destination in rotation and reports whether one took it.
@@ -110,6 +110,6 @@
 	if !s.set.MayCancel && m.class.Effect != Unsafe {
 		give = min(give, 2*s.stuckAfter(e.dest, m)) // nothing can be called off here: let it time out
 	}
-	s.do(CallOut{ID: a.m.id, GiveUp: give, Endpoint: e.id})
+	s.do(StartAttempt{ID: a.m.id, Timeout: give, Endpoint: e.id})
 	s.at(s.now + s.stuckAfter(e.dest, m) + 1) // looked at in time even if nothing else happens until then
 }
--- a/logic/second_site_test.go
+++ b/logic/second_site_test.go
@@ -9,7 +9,7 @@
 	set.Weights, set.Senders = WeightsNominal, 1
 	r := newRig(t, set)
 	ev := list(2)
-	ev.Entries[0].Nominal, ev.Entries[1].Nominal = 20, 20
+	ev.Entries[0].NominalRate, ev.Entries[1].NominalRate = 20, 20
 	r.step(0, ev)
 	room := func(now float64, back bool) (n int) {
 		r.s.now = sec(now)
@@ -39,7 +39,7 @@
 // cost it all but single trials, and then a budget of a cold one.
 func TestSpentLimitIsNotShut(t *testing.T) {
 	set := base()
-	set.ReportLeft, set.ReportLimit = 0, 1
+	set.RemainingIndex, set.LimitIndex = 0, 1
 	for _, x := range []struct {
 		name string
 		load []float64
@@ -71,7 +71,7 @@
 // travels together, so that one goes in the next step; else more calls are out than the module counts, too.
 func TestNoneJoinsThatCutsTheOthersShort(t *testing.T) {
 	set := base()
-	set.Kinds[0].Batch = 10
+	set.Kinds[0].MaxBatch = 10
 	for _, late := range []float64{0.3, 9} {
 		r := newRig(t, set)
 		r.step(0, list(1))
@@ -81,8 +81,8 @@
 			}
 		}
 		old := r.call(0)
-		old.Left = sec(late)
-		out := only[CallOut](r.step(1, r.call(2), old, r.call(2)))
+		old.Remaining = sec(late)
+		out := only[StartAttempt](r.step(1, r.call(2), old, r.call(2)))
 		if (len(out) == 3) != (late > 1) || r.s.busy != 1 {
 			t.Errorf("%v s left: %d sends in %d calls, want one, without the short one beside others", late, len(out), r.s.busy)
 		}
@@ -90,7 +90,7 @@
 		if late < 1 {
 			calls = 2
 		}
-		if next := only[CallOut](r.step(1.005)); len(out)+len(next) != 3 || r.s.busy != calls {
+		if next := only[StartAttempt](r.step(1.005)); len(out)+len(next) != 3 || r.s.busy != calls {
 			t.Errorf("%v s left: %d sends in the next step, %d calls out, want %d", late, len(next), r.s.busy, calls)
 		}
 	}
@@ -100,14 +100,14 @@
 func TestWaitBesideADelivery(t *testing.T) {
 	r := newRig(t, base())
 	r.step(0, list(2))
-	c := only[CallOut](r.step(1, r.call(0)))[0]
+	c := only[StartAttempt](r.step(1, r.call(0)))[0]
 	done := answer(c.ID, c.Endpoint, 0, Completed)
-	done.Wait = sec(2)
+	done.RetryAfter = sec(2)
 	r.step(1.1, done)
-	if out := only[CallOut](r.step(2, r.call(0))); len(out) != 0 {
+	if out := only[StartAttempt](r.step(2, r.call(0))); len(out) != 0 {
 		t.Error("sent inside a wait")
 	}
-	if out := only[CallOut](r.step(3.2)); len(out) != 1 {
+	if out := only[StartAttempt](r.step(3.2)); len(out) != 1 {
 		t.Error("not sent after the wait")
 	}
 }
--- a/logic/settings.go
+++ b/logic/settings.go
@@ -23,11 +23,12 @@
 		return bad("MaxTries")
 	case set.Tick < 0:
 		return bad("Tick")
-	case set.Save < 0:
+	case set.BurstTime < 0:
 		return bad("Save")
 	case set.MaxRetryAfter < 0:
 		return bad("MaxRetryAfter")
-	case set.DrainGrace < 0 || set.KeyQuiet < 0 || set.AskWithin < 0 || set.FallWindow < 0 || set.WarmAfter < 0:
+	case set.DrainGrace < 0 || set.KeyQuiet < 0 || set.ListRetryWithin < 0 ||
+		set.FallWindow < 0 || set.WarmAfter < 0:
 		return bad("a span of the rules")
 	case set.FallMultiple < 0:
 		return bad("FallMultiple")
@@ -46,16 +47,16 @@
 		}
 	}
 	for i, k := range set.Kinds {
-		if k.Batch < 0 {
+		if k.MaxBatch < 0 {
 			return bad(fmt.Sprintf("Kinds[%d]", i))
 		}
 	}
 	return nil
 }
 
-// Check says why other settings cannot take the place of those that hold; nil if
+// CheckUpdate says why other settings cannot take the place of those that hold; nil if
 // they can. Zones and kinds of destinations may be added: their numbers are in use.
-func Check(held, next Settings) error {
+func CheckUpdate(held, next Settings) error {
 	if err := check(&next); err != nil {
 		return err
 	}
@@ -64,20 +65,20 @@
 		return fmt.Errorf("settings: zones may be added only")
 	case len(next.Kinds) < len(held.Kinds):
 		return fmt.Errorf("settings: kinds of destinations may be added only")
-	case next.OnRequest != held.OnRequest || next.Remember != held.Remember:
+	case next.ListOnRequest != held.ListOnRequest || next.TrackChanges != held.TrackChanges:
 		return fmt.Errorf("settings: how lists come, and whether a memory is kept, is for the next start")
 	}
 	for i, k := range held.Kinds {
-		if x := next.Kinds[i]; x.Name != k.Name || x.Apart != k.Apart {
+		if x := next.Kinds[i]; x.Name != k.Name || x.Independent != k.Independent {
 			return fmt.Errorf("settings: kind %q of destinations may not change", k.Name)
 		}
 	}
 	return nil
 }
 
-// Stricter are settings in whose classes a message is held to what either says: for
+// Strictest are settings in whose classes a message is held to what either says: for
 // a time in which it is not sure which of them a client knows.
-func Stricter(held, next Settings) Settings {
+func Strictest(held, next Settings) Settings {
 	next.Classes = slices.Clone(next.Classes)
 	for i := range next.Classes {
 		c := &next.Classes[i]
--- a/logic/slow_start_test.go
+++ b/logic/slow_start_test.go
@@ -14,11 +14,11 @@
 	}
 	up := w.set.ColdFrom + (1-w.set.ColdFrom)*seconds(w.now-w.outage[1])/seconds(w.set.WarmAfter)
 	routes := 1.0
-	if w.set.Kinds[e.row.Kind].Apart {
+	if w.set.Kinds[e.row.Kind].Independent {
 		routes = 2
 	}
 	limit := 8.0 // the most that a report tells; where none is told, the sender's best second stands for it
-	if w.set.Weights == WeightsOff && w.set.ReportLimit < 0 {
+	if w.set.Weights == WeightsOff && w.set.LimitIndex < 0 {
 		limit = max(limit, w.peak)
 	}
 	most := w.set.FallMultiple*up*limit*routes*seconds(w.set.FallWindow)/float64(w.set.Senders) + 6*routes
--- a/logic/state.go
+++ b/logic/state.go
@@ -198,14 +198,14 @@
 
 // retune takes up settings. What is known of classes and tenants goes by name; messages have theirs already.
 func (s *Sender) retune(set Settings) {
-	if set.Save == 0 {
-		set.Save = paceSave
+	if set.BurstTime == 0 {
+		set.BurstTime = paceSave
 	}
-	if !set.RetryAfter {
+	if !set.AdviseRetry {
 		set.MaxRetryAfter = 0
 	}
-	if s.askAgain = askAgain; set.AskWithin > 0 { // it may be four times that, and the call itself takes time
-		s.askAgain = min(askAgain, 3*set.AskWithin)
+	if s.askAgain = askAgain; set.ListRetryWithin > 0 { // it may be four times that with the call
+		s.askAgain = min(askAgain, 3*set.ListRetryWithin)
 	}
 	byClass, usage := map[string]*hist{}, make([]usage, len(set.Tenants))
 	for _, c := range set.Classes {
@@ -319,7 +319,7 @@
 	switch {
 	case late <= 0:
 		return c.Worth
-	case s.set.Halves:
+	case s.set.ExponentialDecay:
 		return c.Worth * max(c.LateWorth, math.Exp2(-late/float64(max(c.Aim, 1))))
 	}
 	return c.Worth * (1 - (1-c.LateWorth)*min(1, late/float64(max(c.Deadline-c.Aim, 1))))
@@ -327,7 +327,7 @@
 
 // destPace is the pace of a destination over all its lanes; 0 if one of them is free.
 func (s *Sender) destPace(d *dest) float64 {
-	if !s.kind(d).Apart {
+	if !s.kind(d).Independent {
 		return d.lane.pace
 	}
 	sum := 0.0
@@ -362,10 +362,10 @@
 	if e.lane.spent = false; load == nil {
 		return
 	}
-	if i := s.set.ReportLeft; i >= 0 && i < len(load) {
+	if i := s.set.RemainingIndex; i >= 0 && i < len(load) {
 		e.lane.spent = load[i] < spentUnder
 	}
-	if i := s.set.ReportLimit; i >= 0 && i < len(load) && load[i] > 0 {
+	if i := s.set.LimitIndex; i >= 0 && i < len(load) && load[i] > 0 {
 		e.lane.limit, e.lane.told = load[i], true
 	}
 }
@@ -415,8 +415,8 @@
 
 // learnt tells others what this sender has found itself, if anybody asks for it.
 func (s *Sender) learnt(e *endpoint, out bool) {
-	if s.set.Share {
-		s.do(Learnt{Endpoint: e.id, Out: out})
+	if s.set.PublishHealth {
+		s.do(HealthChange{Endpoint: e.id, Outage: out})
 	}
 }
 
@@ -435,13 +435,13 @@
 	switch ev := ev.(type) {
 	case Endpoints:
 		s.list(ev)
-	case Call:
+	case NewMessage:
 		s.accept(ev)
-	case Started:
+	case StreamStarted:
 		if m := s.msgs[ev.ID]; m != nil && m.out != nil && m.out.n == ev.Attempt {
 			m.flows = true
 		}
-	case Reply:
+	case AttemptResult:
 		s.reply(ev)
 	case ClientGone:
 		if m := s.msgs[ev.ID]; m != nil && !m.over {
@@ -450,37 +450,37 @@
 				s.cancel(m.out)
 			}
 		}
-	case Told:
+	case RequestedWait:
 		if e := s.eps[ev.Endpoint]; e != nil {
-			e.lane.until = max(e.lane.until, s.now+ev.Left)
+			e.lane.until = max(e.lane.until, s.now+ev.Remaining)
 			s.touch(e.dest)
 		}
-	case Heard:
+	case PeerHealth:
 		if e := s.eps[ev.Endpoint]; e != nil {
-			if e.turn = max(ev.Turn, 1); ev.Out || ev.Try {
+			if e.turn = max(ev.TrialFactor, 1); ev.Outage || ev.TryNow {
 				s.heard(e, ev)
 			}
 			s.touch(e.dest)
 		}
-	case Retune:
-		if Check(s.set, ev.Settings) == nil {
+	case UpdateSettings:
+		if CheckUpdate(s.set, ev.Settings) == nil {
 			s.retune(ev.Settings)
 			for _, g := range s.groups {
 				s.refresh(g)
 				s.touch(g.dest)
 			}
 		}
-	case KeyRest:
+	case QuietKey:
 		if s.keys[ev.Key] == nil {
 			s.keys[ev.Key] = &keyLine{key: ev.Key}
 			s.emptied = append(s.emptied, ev.Key)
 		}
-		s.keys[ev.Key].quiet = max(s.keys[ev.Key].quiet, s.now+ev.Left)
-	case Recall:
+		s.keys[ev.Key].quiet = max(s.keys[ev.Key].quiet, s.now+ev.Remaining)
+	case RestoreState:
 		s.recall(ev)
-	case Closing:
-		s.closeAt = s.now + ev.Left
-	case Due:
+	case Stopping:
+		s.closeAt = s.now + ev.Remaining
+	case TimerFired:
 		if s.now >= s.timer {
 			s.timer = 0
 		}
