--- a/logic/types.go
+++ b/logic/types.go
@@ -1,125 +1,121 @@
-// Package logic decides for one sender that hands messages to destinations it
-// does not control: what to send where and when, what to call off, and when a
-// message ends undelivered.
+// Package logic schedules the deliveries of one sender to destinations that it does not control: which
+// message to send to which endpoint and when, which attempts to cancel, and when a message ends undelivered.
 //
-// A caller makes a [Sender] with [New] and hands it what happened, in order,
-// through [Sender.Step]; the reply is the list of things to do, in order. The
-// module has no clock, no I/O, no goroutines and no globals. A Sender is not
-// safe for concurrent use: one goroutine at a time may call Step.
+// A caller creates a [Sender] with [New] and passes it events, in order, through [Sender.Step], which returns
+// the actions to carry out, in order. The package has no clock, no I/O, no goroutines and no global state. A
+// Sender is not safe for concurrent use: only one goroutine at a time may call Step.
 //
-// The caller owes: events in the order in which they happened; a time that does
-// not go back (an earlier time is read as the last one); exactly one [Reply] for
-// each [CallOut] and one [HealthResult] for each [Probe]; and a Step with a
-// [Due] when a [SetTimer] has run out (a late one only makes the module late).
+// The caller guarantees that events come in the order in which they happened; that time does not go back (an
+// earlier time is read as the last one); that each [StartAttempt] is followed by exactly one [AttemptResult]
+// and each [Probe] by exactly one [ProbeResult]; and that Step is called with a [TimerFired] once a
+// [SetTimer] has expired (a late call only delays decisions).
 //
-// The module promises: each message ends exactly once and in time (by the Reply
-// that carries NoMore, a [Refuse] or a [Fail]), nothing is sent for it after
-// that, and the six rules of the design page hold for this sender alone. Events
-// for messages, endpoints or timers that it does not know do no harm. The same
-// events give the same actions.
+// The package guarantees that each message ends exactly once and in time (by the AttemptResult that sets
+// MessageEnded, a [ReturnMessage] or a [FailMessage]), that nothing is sent for the message after that, and
+// that the six rules of the design page hold for this sender alone. Events for unknown messages, endpoints or
+// timers are harmless. The same events always give the same actions.
 package logic
 
 import "cometrack/internal/permit"
 
-// Micros is a time or a span in whole microseconds. The clock may start
-// anywhere.
+// Micros is a point in time or a duration in whole microseconds. The origin of the clock is arbitrary.
 type Micros int64
 
 // Second is one second.
 const Second Micros = 1_000_000
 
-// Effect tells what a repeat of a message does.
+// Effect is the effect of delivering a message a second time.
 type Effect = permit.Effect
 
-// The three kinds of effect.
+// The kinds of effect.
 const (
 	Safe   = permit.Safe
 	Keyed  = permit.Keyed
 	Unsafe = permit.Unsafe
 )
 
-// Class describes one class of message.
+// Class describes one class of messages.
 type Class struct {
 	Name      string
-	Aim       Micros // delivered within this, it earns its full worth
-	Deadline  Micros // how long it may be delivered at all
+	Aim       Micros // a delivery within this time earns the full worth
+	Deadline  Micros // the message may be delivered for this long
 	Worth     float64
-	LateWorth float64 // share of the worth that is left at the deadline
+	LateWorth float64 // fraction of the worth that is left at the deadline
 	Effect    Effect
-	ByZone    bool   // keyed: only endpoints of one zone drop repeats of each other
-	Window    Micros // keyed: how long repeats are dropped, from the first send that may have run
-	KeepOrder bool   // messages of one key go one at a time, in order of arrival
+	ByZone    bool   // keyed: only endpoints of one zone recognize each other's repeats
+	Window    Micros // keyed: repeats are recognized for this long after the first attempt that may have run
+	KeepOrder bool   // messages with the same order key are sent one at a time, in order of arrival
 }
 
-// Tenant is one customer with a share of the service.
+// Tenant is a customer with a quota.
 type Tenant struct {
 	Name     string
-	QuotaRPS float64 // messages a second inside its share, over all senders
+	QuotaRPS float64 // quota in messages per second, over all senders; 0 for none
 }
 
-// WeightsMode tells what Entry.Nominal holds.
+// WeightsMode is the meaning of Entry.NominalRate.
 type WeightsMode int
 
-// The kinds of weights.
+// The modes of weights.
 const (
-	WeightsOff     WeightsMode = iota // nothing
-	WeightsNominal                    // the destination's rate in calls a second, all senders together
-	WeightsRough                      // the same, up to half too high or too low
+	WeightsOff     WeightsMode = iota // the field is not used
+	WeightsNominal                    // the destination's rate limit in calls per second, over all senders
+	WeightsRough                      // the same, but up to half too high or too low
 )
 
-// Settings are the facts that a deployment states at start.
+// Settings is the configuration of a [Sender].
 type Settings struct {
-	Senders    int // senders that share the destinations, this one counted
-	Zone       int // this sender's zone
-	Zones      int
-	Classes    []Class
-	Tenants    []Tenant // may be empty
-	Kinds      []Kind
-	Slots      int // calls out at once
-	MaxOpen    int // messages held at once; 0 for no limit
-	MaxTries   int // attempts for a message; 0 for no limit
-	Tick       Micros
-	Save       Micros // what an idle pace saves up, as the time in which it would be sent; 0 for the default
-	OnRequest  bool   // the endpoint list comes only when asked for
-	Probing    bool
-	MayCancel  bool
-	RetryAfter bool // clients are given advice on when to come again
-	Halves     bool // worth falls by half with each aim after the first; else evenly
-	Weights    WeightsMode
-
-	ConnIdle  Micros  // idle connections close after this
-	ConnCalls int     // calls that one connection carries at once
-	ConnPrice float64 // points taken off for a new connection with each message
-
-	MaxRetryAfter  Micros
-	OverShareWorth float64 // part of its worth that a message over its tenant's quota keeps
-
-	DrainGrace   Micros
-	FallMultiple float64 // sent more than this many times its capacity
-	FallWindow   Micros  // for this long, a cold destination falls over
-	ColdFrom     float64 // share of its capacity that a destination has after an outage
-	WarmAfter    Micros  // and when it has all of it again
-	AskWithin    Micros  // within which a list on request is asked for anew, times four after a failure; 0: any
-	KeyQuiet     Micros  // rest of a key after an attempt whose end is not sure
-
-	Remember bool // Sender.Remember is going to be called
-	Share    bool // what this Sender finds is told to others: it says so by Learnt
-
-	ReportLeft  int // place of the share of the limit that is left in Reply.Load; -1 if none
-	ReportLimit int // place of the limit in calls a second in Reply.Load; -1 if none
+	Senders          int // number of senders that share the destinations, including this one
+	Zone             int // zone of this sender
+	Zones            int // number of zones
+	Classes          []Class
+	Tenants          []Tenant // may be empty
+	Kinds            []Kind
+	Slots            int    // maximum number of calls in flight
+	MaxOpen          int    // pending limit, in messages; 0 for no limit
+	MaxTries         int    // maximum number of attempts per message; 0 for no limit
+	Tick             Micros // granularity of timers
+	BurstTime        Micros // burst of an idle limiter, as time at its rate; 0 for the default
+	ListOnRequest    bool   // the endpoint list is sent only on request
+	Probing          bool   // probes may be sent
+	MayCancel        bool   // attempts can be cancelled
+	AdviseRetry      bool   // returned messages carry the time after which the client may retry
+	ExponentialDecay bool   // worth halves with each Aim after the first; otherwise it falls linearly
+	Weights          WeightsMode
+
+	ConnIdle  Micros  // idle connections close after this time
+	ConnCalls int     // number of calls that one connection carries at once
+	ConnCost  float64 // score lost for a new connection with each message
+
+	MaxRetryAfter  Micros  // longest delay that a client accepts as advice
+	OverQuotaWorth float64 // fraction of its worth that a message over its tenant's quota keeps
+
+	DrainGrace      Micros
+	FallMultiple    float64 // a cold destination is overloaded by more than this many times its capacity
+	FallWindow      Micros  // within this time
+	ColdFrom        float64 // fraction of its capacity that a destination has right after an outage
+	WarmAfter       Micros  // time after an outage until the full capacity is back
+	ListRetryWithin Micros  // the list is requested again within this; after a failure, times 4; 0: any
+	KeyQuiet        Micros  // pause of an order key after an attempt whose outcome is not certain
+
+	TrackChanges  bool // changes of destinations are recorded for Sender.ChangedStates
+	PublishHealth bool // a HealthChange is emitted for each outage or recovery that this Sender detects
+
+	RemainingIndex int // index in AttemptResult.Load of the unused fraction of the limit; -1 if none
+	LimitIndex     int // index in AttemptResult.Load of the limit in calls per second; -1 if none
 }
 
 // Kind is a kind of destination.
 type Kind struct {
-	Name  string
-	Apart bool // endpoints are routes apart, each with its own limit, pace and outages
-	Batch int  // messages in one call at most
+	Name        string
+	Independent bool // each endpoint has its own limit, rate and outages
+	MaxBatch    int  // maximum number of messages in one call
 }
 
-// EndpointID names an endpoint; it tells nothing else.
+// EndpointID identifies an endpoint. Its value carries no meaning.
 type EndpointID uint32
 
-// Readiness is what the list says of an endpoint. It says nothing of health.
+// Readiness is the state of an endpoint in the endpoint list. It is independent of the endpoint's health.
 type Readiness int
 
 // The states of a listed endpoint.
@@ -131,185 +127,184 @@
 
 // Entry is one line of the endpoint list.
 type Entry struct {
-	Endpoint EndpointID
-	Zone     int
-	Kind     int
-	Dest     int64
-	State    Readiness
-	Nominal  float64
+	Endpoint    EndpointID
+	Zone        int
+	Kind        int
+	Dest        int64
+	State       Readiness
+	NominalRate float64
 }
 
-// Event is something that happened: one of the types below.
+// Event is an input of [Sender.Step]: one of the types below.
 type Event interface{ isEvent() }
 
-// ListForm tells how an Endpoints event is to be read.
+// ListForm is the form of an [Endpoints] event.
 type ListForm int
 
-// The forms of list news.
+// The forms of an Endpoints event.
 const (
-	ListDelta  ListForm = iota // changes only
-	ListFull                   // the whole list; what is not in it is gone
-	ListCached                 // the whole list as last saved, maybe old
-	ListFailed                 // a request for the list failed; the old one stands
+	ListDelta  ListForm = iota // changed entries only
+	ListFull                   // the whole list; endpoints that are not in it are removed
+	ListCached                 // the whole list as last saved; may be outdated
+	ListFailed                 // a request for the list failed; the previous list stays valid
 )
 
-// Endpoints is news of the endpoint list.
+// Endpoints updates the endpoint list.
 type Endpoints struct {
 	Form    ListForm
 	Entries []Entry
-	Took    Micros // of a call that failed: how long ago it was made; 0 for a subscription that broke
+	Elapsed Micros // ListFailed: time since the failed request was made; 0 for a subscription that broke
 }
 
-// Call is a new message, or one that this sender had before a restart.
-type Call struct {
-	ID     string
-	Left   Micros // how long it may still be delivered
-	Key    string // order key; empty if none
-	Dest   int64
-	Tenant int // -1 if none
-	Class  int
-	Terms  *Terms // of earlier settings that it was taken on under; nil for the present ones
-	Past   Past
+// NewMessage submits a new message, or one that this sender had accepted before a restart.
+type NewMessage struct {
+	ID        string
+	Remaining Micros // time left to deliver it
+	Key       string // order key; empty if none
+	Dest      int64
+	Tenant    int // -1 if none
+	Class     int
+	Terms     *Terms // earlier settings under which it was accepted; nil for the present ones
+	History   History
 }
 
-// Terms are what a message is held to as long as it lasts, whatever settings come
-// after.
+// Terms are the settings under which a message was accepted. They apply until it ends, even if the settings
+// change.
 type Terms struct {
 	Class    Class
 	MaxTries int
 }
 
-// Retune puts other settings in the place of those that hold. They must pass
-// [Check] beside them. What the Sender has learnt stands; messages that it holds
-// keep their terms.
-type Retune struct{ Settings Settings }
-
-// Past is what became of a message before a restart; the zero value is that of a
-// new message.
-type Past struct {
-	Tries  int    // attempts made
-	MayRun bool   // one of them may have run
-	Age    Micros // time since the first that may have run was sent
-	Zone   int    // zone of its endpoint
-	Held   bool   // it was taken on by a process before this one
-	Over   bool   // it has ended, but for the attempt that is still out
-	Out    *Out   // the last attempt is still out, in another process; nil if it is not
+// UpdateSettings replaces the settings. The new settings must pass [CheckUpdate] against the current ones.
+// The state of the destinations is kept, and pending messages keep their terms.
+type UpdateSettings struct{ Settings Settings }
+
+// History is the history of a message before a restart. The zero value is that of a new message.
+type History struct {
+	Attempts   int              // number of attempts made
+	MayHaveRun bool             // one of them may have run
+	SinceFirst Micros           // time since the first attempt that may have run was sent
+	Zone       int              // zone of that attempt's endpoint
+	Inherited  bool             // it was accepted by a previous process
+	Ended      bool             // the message has ended, except that its last attempt is still in flight
+	InFlight   *InFlightAttempt // the last attempt if it is still in flight in another process; nil otherwise
 }
 
-// Out is an attempt that another process has made and whose one Reply is to come.
-type Out struct {
-	Endpoint EndpointID
-	Age      Micros // since it was sent
-	With     string // a message that travels in the same call and was handed in before; empty if none does
+// InFlightAttempt is an attempt that another process has started and whose one [AttemptResult] is still to
+// come.
+type InFlightAttempt struct {
+	Endpoint    EndpointID
+	Age         Micros // time since it was sent
+	BatchedWith string // ID of an earlier submitted message that travels in the same call; empty if none
 }
 
-// KeyRest says that an order key rests for Left.
-type KeyRest struct {
-	Key  string
-	Left Micros
+// QuietKey pauses an order key for the Remaining time.
+type QuietKey struct {
+	Key       string
+	Remaining Micros
 }
 
-// Told says that a wait which an endpoint told before a restart goes on for Left.
-type Told struct {
-	Endpoint EndpointID
-	Left     Micros
+// RequestedWait restores a wait that an endpoint requested before a restart; it lasts for the Remaining time.
+type RequestedWait struct {
+	Endpoint  EndpointID
+	Remaining Micros
 }
 
-// Heard is what others say of an endpoint.
-type Heard struct {
-	Endpoint EndpointID
-	Out      bool // another sender has found it out
-	Try      bool // it has answered another, or the turn to try it has come to this sender
-	Turn     int  // while it is out, single trials are to be so many times rarer than by one alone; 0 for 1
+// PeerHealth is what other senders have published about an endpoint.
+type PeerHealth struct {
+	Endpoint    EndpointID
+	Outage      bool // another sender has detected an outage
+	TryNow      bool // the endpoint has answered another sender, or it is this sender's turn to test it
+	TrialFactor int  // during an outage, trials are this many times rarer than those of a single sender; 0 for 1
 }
 
-// Memory is what is known of a destination, for a process that comes after this one. Spans are those since
-// something was, or [Unseen]. It tells nothing of calls that are out.
-type Memory struct {
-	Dest      int64
-	Sick      bool   // an endpoint is out, or not warm yet after an outage
-	Used      Micros // since its last message came
-	Came      int    // messages since the last outage began
-	Down      Micros // since that was seen
-	Lane      LaneMemory
-	Endpoints []EndpointMemory
-	Took      TookMemory
-	Exact     bool // nothing has happened since, and nothing is left out; see [Sender.HandOver]
+// DestinationState is a snapshot of the state of a destination, for a later process. Durations are times
+// since an event, or [SinceNever]. It does not include calls in flight.
+type DestinationState struct {
+	Dest        int64
+	Unhealthy   bool   // an endpoint is in outage, or in slow start after one
+	SinceUsed   Micros // time since its last message was submitted
+	Arrivals    int    // messages submitted since the last outage began
+	SinceOutage Micros // time since that outage was detected
+	Limiter     LimiterState
+	Endpoints   []EndpointState
+	Latencies   LatencyHistogram
+	Exact       bool // the snapshot is complete and nothing has happened since; see [Sender.HandOver]
 }
 
-// Unseen is the span since what has not been yet.
-const Unseen = 365 * 24 * 3600 * Second
+// SinceNever is the time since an event that has not happened.
+const SinceNever = 365 * 24 * 3600 * Second
 
-// LaneMemory is what is known of a limit.
-type LaneMemory struct {
-	Limit  float64 // calls a second that reports have told; 0 if none has
-	Pace   float64 // calls a second; 0 for none
-	Halved Micros
-	Peak   float64 // most calls in a second
-	LaneExact
+// LimiterState is the state of a rate limiter.
+type LimiterState struct {
+	Limit         float64 // reported limit in calls per second; 0 if none
+	Rate          float64 // adaptive rate in calls per second; 0 if it is not limited
+	SinceDecrease Micros
+	PeakRate      float64 // most calls within a second
+	LimiterHandover
 }
 
-// EndpointMemory is what is known of an endpoint.
-type EndpointMemory struct {
-	Endpoint             EndpointID
-	Lane                 LaneMemory // of its own, at kinds with routes apart
-	Out, Cold            bool
-	Back                 Micros // since its return
-	Good, Bad            Micros // since the last good answer and the last failure
-	Well                 Micros // since the last answer that speaks for it alone
-	Gap                  Micros // between single trials
-	Failing              float64
-	Slow                 Micros // its usual latency
-	Fails, Fulls, Resets int
-	EndpointExact
+// EndpointState is the state of an endpoint.
+type EndpointState struct {
+	Endpoint                    EndpointID
+	Limiter                     LimiterState // only for kinds with independent endpoints
+	Outage, Cold                bool
+	SinceRecovery               Micros // time since the end of its last outage
+	SinceSuccess, SinceFailure  Micros // times since the last successful answer and the last failure
+	SinceIndependentSuccess     Micros // since it was last known healthy in a sibling's outage
+	TrialInterval               Micros // interval between trials
+	FailureRatio                float64
+	Latency                     Micros // smoothed latency
+	Failures, Overloads, Resets int
+	EndpointHandover
 }
 
-// TookMemory is a histogram of latencies: weights by bin, in sixteenths; bins without are left out.
-type TookMemory struct {
-	Bins    []uint8
-	Weights []uint16
-	Cuts    uint16
-	Since   Micros // since the last sample
+// LatencyHistogram holds the weights of latencies by bin, in sixteenths. Empty bins are omitted.
+type LatencyHistogram struct {
+	Bins        []uint8
+	Weights     []uint16
+	Censored    uint16
+	SinceSample Micros // time since the last sample
 }
 
-// Recall hands a Sender what an earlier one has told of a destination, Age before now. It follows the list
-// that names the endpoints; what this Sender has learnt itself stands.
-type Recall struct {
-	Age    Micros
-	Memory Memory
+// RestoreState restores the state of a destination from a snapshot that was taken Age ago. It must follow the
+// list that names the endpoints. State that this Sender has gathered itself takes precedence.
+type RestoreState struct {
+	Age   Micros
+	State DestinationState
 }
 
-func (Recall) isEvent() {}
+func (RestoreState) isEvent() {}
 
-// Closing says that the sender stops within Left: what cannot finish by then is
-// not to be begun.
-type Closing struct{ Left Micros }
+// Stopping announces that the sender stops after the Remaining time. Attempts that cannot finish by then are
+// not started.
+type Stopping struct{ Remaining Micros }
 
-// Started says that a stream has begun to flow: nothing more can be done for
-// the message.
-type Started struct {
+// StreamStarted reports that the response of an attempt has begun to stream. From then on the attempt is not
+// cancelled and the message is not ended.
+type StreamStarted struct {
 	ID      string
 	Attempt int
 }
 
-// blind is the least time for which a message is sent while no latency is known: with less, its time is over
-// before it arrives.
-const blind Micros = 50_000
+// unknownLatency is the assumed latency while none has been measured. A message with less time left would
+// expire before it arrives.
+const unknownLatency Micros = 50_000
 
-// Outcome says how an attempt ended.
+// Outcome is the outcome of an attempt.
 type Outcome int
 
-// Outcomes. Full, RefusedConn and Moot prove that the attempt never ran.
+// The outcomes. Overloaded, ConnectionRefused and NotSent prove that the attempt did not run.
 const (
-	Completed   Outcome = iota // delivered
-	Errored                    // answered with an error
-	Full                       // turned away unseen
-	Overdue                    // no answer in the time given
-	RefusedConn                // no connection could be made
-	Severed                    // the connection broke
-	Recalled                   // called off
-	Moot                       // never sent: no slot, message over, or too many attempts
-	Spoilt                     // answered with what can't be read: it may have run, and the endpoint is there
+	Completed         Outcome = iota // delivered
+	Errored                          // answered with an error
+	Overloaded                       // rejected for overload, before it ran
+	TimedOut                         // no answer within the timeout
+	ConnectionRefused                // no connection could be established
+	ConnectionBroken                 // the connection broke
+	Cancelled                        // cancelled by this sender
+	NotSent                          // not sent: no free slot, the message had ended, or too many attempts
+	InvalidResponse                  // response that cannot be parsed; the message may have run
 )
 
 var outcomes = [...]string{"completed", "errored", "full", "overdue", "refused connection", "severed",
@@ -322,103 +317,103 @@
 	return "unknown"
 }
 
-// Reply is the one outcome of an attempt.
-type Reply struct {
-	ID       string
-	NoMore   bool // the message is over
-	Endpoint EndpointID
-	Attempt  int
-	Outcome  Outcome
-	Took     Micros
-	Wait     Micros // Full: the wait that was told; 0 if none
-	Load     []float64
+// AttemptResult reports the outcome of an attempt. Exactly one follows each [StartAttempt].
+type AttemptResult struct {
+	ID           string
+	MessageEnded bool // the message has ended
+	Endpoint     EndpointID
+	Attempt      int
+	Outcome      Outcome
+	Latency      Micros
+	RetryAfter   Micros // wait that the endpoint requested; 0 if none
+	Load         []float64
 }
 
-// ClientGone says that nobody wants the message any more.
+// ClientGone reports that the client no longer wants the message.
 type ClientGone struct{ ID string }
 
-// Due says that a timer has run out.
-type Due struct{ Token uint64 }
+// TimerFired reports that a timer has expired.
+type TimerFired struct{ Token uint64 }
 
-// HealthResult is the one outcome of a probe.
-type HealthResult struct {
+// ProbeResult reports the outcome of a probe. Exactly one follows each [Probe].
+type ProbeResult struct {
 	Endpoint EndpointID
 	Outcome  Outcome
 	Load     []float64
 }
 
-func (Endpoints) isEvent()    {}
-func (Call) isEvent()         {}
-func (Started) isEvent()      {}
-func (Reply) isEvent()        {}
-func (ClientGone) isEvent()   {}
-func (Due) isEvent()          {}
-func (HealthResult) isEvent() {}
-func (Closing) isEvent()      {}
-func (Told) isEvent()         {}
-func (Retune) isEvent()       {}
-func (KeyRest) isEvent()      {}
-func (Heard) isEvent()        {}
-
-// Action is something to do: one of the types below.
+func (Endpoints) isEvent()      {}
+func (NewMessage) isEvent()     {}
+func (StreamStarted) isEvent()  {}
+func (AttemptResult) isEvent()  {}
+func (ClientGone) isEvent()     {}
+func (TimerFired) isEvent()     {}
+func (ProbeResult) isEvent()    {}
+func (Stopping) isEvent()       {}
+func (RequestedWait) isEvent()  {}
+func (UpdateSettings) isEvent() {}
+func (QuietKey) isEvent()       {}
+func (PeerHealth) isEvent()     {}
+
+// Action is an output of [Sender.Step]: one of the types below.
 type Action interface{ isAction() }
 
-// CallOut sends the message to an endpoint. The first CallOut of a message is
-// attempt 0, the next attempt 1, and so on. CallOuts of one Step to one
-// endpoint travel as one call as far as its kind's Batch allows.
-type CallOut struct {
+// StartAttempt sends a message to an endpoint. The first attempt of a message has number 0, the next 1, and
+// so on. Attempts that one Step starts at one endpoint travel in one call, up to the MaxBatch of its kind.
+type StartAttempt struct {
 	ID       string
-	GiveUp   Micros
+	Timeout  Micros
 	Endpoint EndpointID
 }
 
-// Cancel calls off an attempt; its one Reply still comes.
+// Cancel cancels an attempt. Its one [AttemptResult] still follows.
 type Cancel struct {
 	ID      string
 	Attempt int
 }
 
-// Refuse ends a message undelivered; the client may safely come again.
-type Refuse struct {
+// ReturnMessage ends a message undelivered. The client may safely submit it again.
+type ReturnMessage struct {
 	ID      string
-	RetryIn Micros // advice; 0 for none
+	RetryIn Micros // advised delay before submitting it again; 0 for none
 }
 
-// Fail ends a message; whether it took effect is not known.
-type Fail struct{ ID string }
+// FailMessage ends a message of which it is not known whether it took effect.
+type FailMessage struct{ ID string }
 
-// SetTimer asks for a Due after Wait.
+// SetTimer requests a [TimerFired] after Wait.
 type SetTimer struct {
 	Wait  Micros
 	Token uint64
 }
 
-// Probe sends a check to an endpoint.
+// Probe sends a health check to an endpoint.
 type Probe struct{ Endpoint EndpointID }
 
-// Release gives back the idle connections to an endpoint.
-type Release struct{ Endpoint EndpointID }
+// CloseIdle closes the idle connections to an endpoint.
+type CloseIdle struct{ Endpoint EndpointID }
 
-// Learnt says that this Sender has itself found an endpoint out, or, if not Out, has
-// had an answer to a call begun after it last found or heard that.
-type Learnt struct {
+// HealthChange publishes that this Sender has itself detected an outage of an endpoint, or, if Outage is
+// false, that the endpoint has answered a call that began after the outage was last detected or reported by a
+// peer.
+type HealthChange struct {
 	Endpoint EndpointID
-	Out      bool
+	Outage   bool
 }
 
-// Listen asks for the endpoint list and its changes.
-type Listen struct{}
+// RequestEndpoints requests the endpoint list and its updates.
+type RequestEndpoints struct{}
 
-// Log is a line for the people on call.
+// Log is a log line for the operators.
 type Log struct{ Text string }
 
-func (CallOut) isAction()  {}
-func (Cancel) isAction()   {}
-func (Refuse) isAction()   {}
-func (Fail) isAction()     {}
-func (SetTimer) isAction() {}
-func (Probe) isAction()    {}
-func (Release) isAction()  {}
-func (Listen) isAction()   {}
-func (Learnt) isAction()   {}
-func (Log) isAction()      {}
+func (StartAttempt) isAction()     {}
+func (Cancel) isAction()           {}
+func (ReturnMessage) isAction()    {}
+func (FailMessage) isAction()      {}
+func (SetTimer) isAction()         {}
+func (Probe) isAction()            {}
+func (CloseIdle) isAction()        {}
+func (RequestEndpoints) isAction() {}
+func (HealthChange) isAction()     {}
+func (Log) isAction()              {}
--- a/logic/untried_test.go
+++ b/logic/untried_test.go
@@ -23,26 +23,26 @@
 // play returns how many of them were tried, ended with no call, and delivered.
 func (u untried) play(t *testing.T) (tried, given, delivered int) {
 	set := base()
-	set.Senders, set.Slots, set.MaxOpen, set.Remember, set.Weights = max(u.senders, 1), 60, 2*u.held+200, true, WeightsNominal
+	set.Senders, set.Slots, set.MaxOpen, set.TrackChanges, set.Weights = max(u.senders, 1), 60, 2*u.held+200, true, WeightsNominal
 	if u.full {
 		set.MaxOpen = u.held
 	}
 	r := newRig(t, set)
-	row := Endpoints{Form: ListCached, Entries: []Entry{{Endpoint: 1, Dest: 9, Nominal: u.limit}}}
+	row := Endpoints{Form: ListCached, Entries: []Entry{{Endpoint: 1, Dest: 9, NominalRate: u.limit}}}
 	var evs []Event
 	if u.listed == 0 {
 		evs = append(evs, row)
 	}
 	if u.usual > 0 {
-		m := Memory{Dest: 9, Used: Second, Came: 8, Down: Unseen, Endpoints: []EndpointMemory{{Endpoint: 1, Back: Unseen, Good: Second, Bad: Unseen, Well: Unseen}},
-			Took: TookMemory{Bins: []uint8{uint8(bin(sec(u.usual)))}, Weights: []uint16{128}, Since: Second}}
-		evs = append(evs, Recall{Memory: m})
+		m := DestinationState{Dest: 9, SinceUsed: Second, Arrivals: 8, SinceOutage: SinceNever, Endpoints: []EndpointState{{Endpoint: 1, SinceRecovery: SinceNever, SinceSuccess: Second, SinceFailure: SinceNever, SinceIndependentSuccess: SinceNever}},
+			Latencies: LatencyHistogram{Bins: []uint8{uint8(bin(sec(u.usual)))}, Weights: []uint16{128}, SinceSample: Second}}
+		evs = append(evs, RestoreState{State: m})
 	}
 	old := map[string]bool{}
 	for i := range u.held {
 		m := r.call(i % 3)
-		if m.Past.Held = true; i%2 == 0 {
-			m.Left = sec(u.short)
+		if m.History.Inherited = true; i%2 == 0 {
+			m.Remaining = sec(u.short)
 		}
 		old[m.ID] = true
 		evs = append(evs, m)
@@ -62,10 +62,10 @@
 		}
 		for _, a := range r.s.Step(now, evs) {
 			switch a := a.(type) {
-			case CallOut:
+			case StartAttempt:
 				rep, at := answer(a.ID, a.Endpoint, tries[a.ID], Completed), now+max(sec(u.took)/set.Tick, 1)*set.Tick
-				if rep.Took = at - now; u.took == 0 {
-					rep.Outcome, rep.NoMore = RefusedConn, false
+				if rep.Latency = at - now; u.took == 0 {
+					rep.Outcome, rep.MessageEnded = ConnectionRefused, false
 				}
 				due[at] = append(due[at], rep)
 				if tries[a.ID]++; old[a.ID] && tries[a.ID] == 1 {
@@ -74,11 +74,11 @@
 				if old[a.ID] && u.took > 0 {
 					delivered++
 				}
-			case Refuse:
+			case ReturnMessage:
 				if old[a.ID] && tries[a.ID] == 0 {
 					given++
 				}
-			case Fail:
+			case FailMessage:
 				if old[a.ID] && tries[a.ID] == 0 {
 					given++
 				}
@@ -139,27 +139,27 @@
 	set := base()
 	set.MaxOpen, set.Weights = 20, WeightsNominal
 	r := newRig(t, set)
-	r.step(0, Endpoints{Form: ListFull, Entries: []Entry{{Endpoint: 1, Dest: 9, Nominal: 4}}})
+	r.step(0, Endpoints{Form: ListFull, Entries: []Entry{{Endpoint: 1, Dest: 9, NominalRate: 4}}})
 	var evs []Event
 	for range 16 { // at 2 a second these take 8 s of the 10 that they have
 		evs = append(evs, r.call(0))
 	}
 	first := r.step(1, evs...)
-	if n := len(only[Refuse](first)); n != 0 {
+	if n := len(only[ReturnMessage](first)); n != 0 {
 		t.Fatalf("%d of 16 turned away at once", n)
 	}
-	out := only[CallOut](first)
+	out := only[StartAttempt](first)
 	if len(out) == 0 {
-		out = only[CallOut](r.step(1.5))
+		out = only[StartAttempt](r.step(1.5))
 	}
-	r.step(2, answer(out[0].ID, 1, 0, Full)) // the pace falls to one a second
-	turned := only[Refuse](r.step(2.1, r.call(0)))
+	r.step(2, answer(out[0].ID, 1, 0, Overloaded)) // the pace falls to one a second
+	turned := only[ReturnMessage](r.step(2.1, r.call(0)))
 	if len(turned) != 1 || turned[0].ID != "m17" {
 		t.Errorf("turned away %v, want the one that has just come", turned)
 	}
 	ended := map[string]float64{}
 	for at := 2.2; at < 12; at += 0.1 {
-		for _, a := range only[Refuse](r.step(at)) {
+		for _, a := range only[ReturnMessage](r.step(at)) {
 			ended[a.ID] = at
 		}
 	}
@@ -179,8 +179,8 @@
 	for left, sent := range map[float64]int{0.03: 0, 0.2: 1} {
 		r := newRig(t, base())
 		m := r.call(2)
-		m.Left, m.Past.Held = sec(left), true
-		if acts := r.step(0, list(1), m); len(only[CallOut](acts)) != sent || len(only[Refuse](acts)) != 1-sent {
+		m.Remaining, m.History.Inherited = sec(left), true
+		if acts := r.step(0, list(1), m); len(only[StartAttempt](acts)) != sent || len(only[ReturnMessage](acts)) != 1-sent {
 			t.Errorf("with %v s left: %v", left, acts)
 		}
 	}
