--- a/internal/permit/monitor.go
+++ b/internal/permit/monitor.go
@@ -19,8 +19,10 @@
 	violations
 )
 
-var violationNames = [...]string{"sent after time", "sent after end", "two attempts", "ended twice", "end not written", "closed unanswered"}
+var violationNames = [...]string{"sent after time", "sent after end", "two attempts", "ended twice",
+	"end not written", "closed unanswered"}
 
+// String returns the name of the violation, or "unknown".
 func (v Violation) String() string {
 	if v >= 0 && v < violations {
 		return violationNames[v]
@@ -32,7 +34,7 @@
 // Monitor counts nothing.
 type Monitor struct {
 	log        *slog.Logger
-	refused    [reasons]atomic.Int64
+	denied     [reasons]atomic.Int64
 	violations [violations]atomic.Int64
 }
 
@@ -45,7 +47,7 @@
 	if m == nil || r < 0 || r >= reasons {
 		return
 	}
-	m.refused[r].Add(1)
+	m.denied[r].Add(1)
 	m.log.Debug("refused", "action", action, "id", id, "reason", r.String())
 }
 
@@ -70,14 +72,14 @@
 }
 
 // Counts returns the counts that are not 0, by the name of the reason or violation.
-func (m *Monitor) Counts() (refused, violated map[string]int64) {
-	refused, violated = map[string]int64{}, map[string]int64{}
+func (m *Monitor) Counts() (denied, violated map[string]int64) {
+	denied, violated = map[string]int64{}, map[string]int64{}
 	if m == nil {
-		return refused, violated
+		return denied, violated
 	}
-	for i := range m.refused {
-		if n := m.refused[i].Load(); n > 0 {
-			refused[Reason(i).String()] = n
+	for i := range m.denied {
+		if n := m.denied[i].Load(); n > 0 {
+			denied[Reason(i).String()] = n
 		}
 	}
 	for i := range m.violations {
@@ -85,5 +87,5 @@
 			violated[Violation(i).String()] = n
 		}
 	}
-	return refused, violated
+	return denied, violated
 }
--- a/internal/permit/permit_test.go
+++ b/internal/permit/permit_test.go
@@ -16,18 +16,22 @@
 		change func(*Message)
 		want   Reason
 	}{
-		"fresh":                    {func(*Message) {}, Granted},
-		"ended":                    {func(m *Message) { m.Ended = true }, MessageEnded},
-		"one out":                  {func(m *Message) { m.InFlight = true }, AttemptInFlight},
-		"attempts used":            {func(m *Message) { m.Attempts, m.MaxAttempts = 3, 3 }, AttemptsExhausted},
-		"no limit of attempts":     {func(m *Message) { m.Attempts = 300 }, Granted},
-		"a stall before its end":   {func(m *Message) { m.Remaining = MinRemaining }, Expired},
-		"just more":                {func(m *Message) { m.Remaining = MinRemaining + 1 }, Granted},
-		"safe, may have run":       {func(m *Message) { m.Repeat = Repeat{MayHaveRun: true} }, Granted},
-		"unsafe, may have run":     {func(m *Message) { m.Repeat = Repeat{MayHaveRun: true, Effect: Unsafe, Window: time.Hour} }, MayHaveRun},
-		"unsafe, surely not run":   {func(m *Message) { m.Repeat = Repeat{Effect: Unsafe} }, Granted},
-		"keyed, within its window": {func(m *Message) { m.Repeat = Repeat{MayHaveRun: true, Effect: Keyed, Window: time.Second} }, Granted},
-		"keyed, a stall before over": {func(m *Message) {
+		"fresh":                   {func(*Message) {}, Granted},
+		"ended":                   {func(m *Message) { m.Ended = true }, MessageEnded},
+		"one in flight":           {func(m *Message) { m.InFlight = true }, AttemptInFlight},
+		"attempts used":           {func(m *Message) { m.Attempts, m.MaxAttempts = 3, 3 }, AttemptsExhausted},
+		"no limit of attempts":    {func(m *Message) { m.Attempts = 300 }, Granted},
+		"a stall before deadline": {func(m *Message) { m.Remaining = MinRemaining }, Expired},
+		"just more":               {func(m *Message) { m.Remaining = MinRemaining + 1 }, Granted},
+		"safe, may have run":      {func(m *Message) { m.Repeat = Repeat{MayHaveRun: true} }, Granted},
+		"unsafe, may have run": {func(m *Message) {
+			m.Repeat = Repeat{MayHaveRun: true, Effect: Unsafe, Window: time.Hour}
+		}, MayHaveRun},
+		"unsafe, surely not run": {func(m *Message) { m.Repeat = Repeat{Effect: Unsafe} }, Granted},
+		"keyed, within its window": {func(m *Message) {
+			m.Repeat = Repeat{MayHaveRun: true, Effect: Keyed, Window: time.Second}
+		}, Granted},
+		"keyed, a stall before its end": {func(m *Message) {
 			m.Repeat = Repeat{MayHaveRun: true, Effect: Keyed, Window: time.Second, Age: time.Second - MaxStall}
 		}, WindowExpired},
 		"keyed, other zone": {func(m *Message) {
@@ -44,23 +48,26 @@
 
 // An attempt that stalls for MaxStall after it was permitted must still be in time, and a message that may
 // have run must not be repeated where that would take effect again.
-func TestSendHolds(t *testing.T) {
+func TestSendAllowsForAStall(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		span := func(name string) time.Duration { return time.Duration(rapid.Int64Range(-2e9, 3e9).Draw(t, name)) }
-		m := Message{Remaining: span("left"), Attempts: rapid.IntRange(0, 4).Draw(t, "attempts"), MaxAttempts: rapid.IntRange(0, 4).Draw(t, "most"),
-			InFlight: rapid.Bool().Draw(t, "out"), Ended: rapid.Bool().Draw(t, "ended"),
-			Repeat: Repeat{MayHaveRun: rapid.Bool().Draw(t, "may"), Effect: Effect(rapid.IntRange(0, 2).Draw(t, "effect")), Age: span("age"), Window: span("window")}}
+		m := Message{Remaining: span("left"), Attempts: rapid.IntRange(0, 4).Draw(t, "attempts"),
+			MaxAttempts: rapid.IntRange(0, 4).Draw(t, "most"),
+			InFlight:    rapid.Bool().Draw(t, "out"), Ended: rapid.Bool().Draw(t, "ended"),
+			Repeat: Repeat{MayHaveRun: rapid.Bool().Draw(t, "may"), Effect: Effect(rapid.IntRange(0, 2).Draw(t, "effect")),
+				Age: span("age"), Window: span("window")}}
 		if Send(m) != Granted {
 			return
 		}
 		repeats := m.Repeat.MayHaveRun && m.Repeat.Effect != Safe
-		if m.Remaining <= MaxStall || m.InFlight || m.Ended || repeats && (m.Repeat.Effect == Unsafe || m.Repeat.Age+MaxStall >= m.Repeat.Window) {
+		if m.Remaining <= MaxStall || m.InFlight || m.Ended ||
+			repeats && (m.Repeat.Effect == Unsafe || m.Repeat.Age+MaxStall >= m.Repeat.Window) {
 			t.Fatalf("granted: %+v", m)
 		}
 	})
 }
 
-func TestTellEnd(t *testing.T) {
+func TestNotifyEnd(t *testing.T) {
 	for _, x := range []struct {
 		end  End
 		want Reason
@@ -105,9 +112,9 @@
 	m := NewMonitor(slog.New(slog.NewTextHandler(&log, nil)))
 	m.CountDenied(Expired, "send", "m-1")
 	m.CountViolation(EndedTwice, "m-2", "state", "failed")
-	refused, violated := m.Counts()
-	if refused["time up"] != 1 || violated["ended twice"] != 1 || m.Violations() != 1 {
-		t.Errorf("%v %v", refused, violated)
+	denied, violated := m.Counts()
+	if denied["time up"] != 1 || violated["ended twice"] != 1 || m.Violations() != 1 {
+		t.Errorf("%v %v", denied, violated)
 	}
 	if !strings.Contains(log.String(), "id=m-2") || !strings.Contains(log.String(), "kind=\"ended twice\"") {
 		t.Errorf("log: %s", log.String())
--- a/internal/permit/reason.go
+++ b/internal/permit/reason.go
@@ -24,9 +24,11 @@
 	reasons
 )
 
-var reasonNames = [...]string{"granted", "message ended", "attempt out", "attempts used", "time up", "may have run", "window over", "other zone",
-	"called off", "wait told", "endpoint leaving", "lease reduced", "handed over", "not written", "unanswered", "request arriving"}
+var reasonNames = [...]string{"granted", "message ended", "attempt out", "attempts used", "time up", "may have run",
+	"window over", "other zone", "called off", "wait told", "endpoint leaving", "lease reduced", "handed over",
+	"not written", "unanswered", "request arriving"}
 
+// String returns the name of the reason, or "unknown".
 func (r Reason) String() string {
 	if r >= 0 && r < reasons {
 		return reasonNames[r]
