--- a/internal/core/backlog.go
+++ b/internal/core/backlog.go
@@ -258,7 +258,7 @@
 		c.overBehind(r, x.Seq)
 		return
 	}
-	in.Past = logic.Past{Held: c.from == nil && c.behind.FromEarlierProcess(x.Seq)}
+	in.History = logic.History{Inherited: c.from == nil && c.behind.FromEarlierProcess(x.Seq)}
 	c.held[m.ID] = h
 	c.open++
 	c.behind.came, c.behind.fresh[m.ID] = append(c.behind.came, x), true
--- a/internal/core/others.go
+++ b/internal/core/others.go
@@ -45,12 +45,12 @@
 			continue
 		}
 		if l.RequestedWait > 0 {
-			c.next = append(c.next, logic.Told{Endpoint: id, Left: micros(l.RequestedWait)})
+			c.next = append(c.next, logic.RequestedWait{Endpoint: id, Remaining: micros(l.RequestedWait)})
 			c.waits(id, l.RequestedWait)
 			continue
 		}
 		c.marks[id] = l.CausalMark
-		c.next = append(c.next, logic.Heard{Endpoint: id, Out: l.Outage, Try: l.Recovered || l.TrialIntervalFactor == 1 && !l.Outage, Turn: l.TrialIntervalFactor})
+		c.next = append(c.next, logic.PeerHealth{Endpoint: id, Outage: l.Outage, TryNow: l.Recovered || l.TrialIntervalFactor == 1 && !l.Outage, TrialFactor: l.TrialIntervalFactor})
 	}
 }
 
@@ -64,7 +64,7 @@
 			delete(c.early, name)
 		case ok && c.dir.eps[id].partner == x.partner:
 			delete(c.early, name)
-			c.next = append(c.next, logic.Told{Endpoint: id, Left: micros(x.until.Sub(now))})
+			c.next = append(c.next, logic.RequestedWait{Endpoint: id, Remaining: micros(x.until.Sub(now))})
 			c.waits(id, x.until.Sub(now))
 		}
 	}
--- a/internal/core/submit.go
+++ b/internal/core/submit.go
@@ -132,9 +132,9 @@
 	}
 	for _, a := range actions {
 		switch a := a.(type) {
-		case logic.Refuse:
+		case logic.ReturnMessage:
 			tell(a.ID, SubmitResponse{Status: Busy, RetryAfter: span(a.RetryIn)})
-		case logic.Fail:
+		case logic.FailMessage:
 			tell(a.ID, SubmitResponse{Status: Failed})
 		}
 	}
