--- a/internal/core/outgoing.go
+++ b/internal/core/outgoing.go
@@ -15,10 +15,10 @@
 	Number   int // of the message's attempts, from 0
 	Endpoint logic.EndpointID
 	Addr     string
-	GiveUp   time.Duration // no answer counts after this
-	// Fragile says that a break would end the message for good, so that a
+	Timeout  time.Duration // no answer counts after this
+	// Unrepeatable says that a break would end the message for good, so that a
 	// connection which may break is to be avoided.
-	Fragile bool
+	Unrepeatable bool
 	// Expires is the end of the message's time; zero for none.
 	Expires time.Time
 	// Repeat is what allows the attempt where an earlier one may have run, as it stood
@@ -59,7 +59,7 @@
 		return true
 	}
 	if a.Message != nil {
-		a.monitor.Refused(a.Reason(), "send", a.Message.ID)
+		a.monitor.CountDenied(a.Reason(), "send", a.Message.ID)
 	}
 	return false
 }
@@ -70,25 +70,25 @@
 			return permit.LeaseReduced
 		}
 	}
-	x := permit.Message{Ended: a.ended.Load(), Left: time.Hour, Repeat: a.Repeat}
+	x := permit.Message{Ended: a.ended.Load(), Remaining: time.Hour, Repeat: a.Repeat}
 	if !a.Expires.IsZero() {
-		x.Left = a.Expires.Sub(now)
+		x.Remaining = a.Expires.Sub(now)
 	}
 	x.Repeat.Age += now.Sub(a.at)
 	return permit.Send(x)
 }
 
-// Written notes that the last byte has been written. That this was too late can't be
+// MarkWritten notes that the last byte has been written. That this was too late can't be
 // undone, but it is counted.
-func (a *Attempt) Written() {
+func (a *Attempt) MarkWritten() {
 	if a.Message == nil {
 		return
 	}
 	if late := time.Since(a.Expires); !a.Expires.IsZero() && late > 0 {
-		a.monitor.Violated(permit.SentAfterTime, a.Message.ID, "late", late, "attempt", a.Number)
+		a.monitor.CountViolation(permit.SentAfterDeadline, a.Message.ID, "late", late, "attempt", a.Number)
 	}
 	if a.ended.Load() {
-		a.monitor.Violated(permit.SentAfterEnd, a.Message.ID, "attempt", a.Number)
+		a.monitor.CountViolation(permit.SentAfterEnd, a.Message.ID, "attempt", a.Number)
 	}
 }
 
--- a/internal/transport/http/calls.go
+++ b/internal/transport/http/calls.go
@@ -85,20 +85,20 @@
 
 // Attempt makes a call that hands a message to an endpoint.
 func (c *Transport) Attempt(ctx context.Context, a *core.Attempt) core.Result {
-	return c.single(ctx, a, a.GiveUp)
+	return c.single(ctx, a, a.Timeout)
 }
 
 func (c *Transport) single(ctx context.Context, a *core.Attempt, giveUp time.Duration) core.Result {
-	head := &core.Attempt{Endpoint: a.Endpoint, Addr: a.Addr, Fragile: a.Fragile, GiveUp: giveUp}
-	return c.do(ctx, request{Attempt: head, begin: a.Begin, written: a.Written, reason: a.Reason, write: func(b []byte, left time.Duration) []byte {
+	head := &core.Attempt{Endpoint: a.Endpoint, Addr: a.Addr, Unrepeatable: a.Unrepeatable, Timeout: giveUp}
+	return c.do(ctx, request{Attempt: head, begin: a.Begin, written: a.MarkWritten, reason: a.Reason, write: func(b []byte, left time.Duration) []byte {
 		return appendDeliver(b, a.Message, a.Addr, left)
 	}})
 }
 
 // Probe asks an endpoint whether it is well.
 func (c *Transport) Probe(ctx context.Context, ep logic.EndpointID, addr string) logic.Outcome {
-	a := &core.Attempt{Endpoint: ep, Addr: addr, GiveUp: probeTime}
-	return c.do(ctx, request{Attempt: a, begin: a.Begin, written: a.Written, reason: a.Reason, write: func(b []byte, _ time.Duration) []byte { return appendProbe(b, addr) }}).Outcome
+	a := &core.Attempt{Endpoint: ep, Addr: addr, Timeout: probeTime}
+	return c.do(ctx, request{Attempt: a, begin: a.Begin, written: a.MarkWritten, reason: a.Reason, write: func(b []byte, _ time.Duration) []byte { return appendProbe(b, addr) }}).Outcome
 }
 
 // request is one call. Its attempt says where to, for how long and how carefully.
@@ -113,22 +113,22 @@
 
 // do makes a call. When ctx is cancelled it is called off.
 func (c *Transport) do(ctx context.Context, in request) core.Result {
-	deadline := time.Now().Add(in.GiveUp)
+	deadline := time.Now().Add(in.Timeout)
 	conn, err := c.connect(ctx, in.Attempt, deadline)
 	if !in.begin() {
 		if err == nil && !c.putBack(in.Endpoint, conn) {
 			c.drop(conn)
 		}
-		if err != nil && !ownFault(err) && in.reason() == permit.CalledOff { // the endpoint did not take it until then
-			return core.Result{Outcome: logic.RefusedConn}
+		if err != nil && !ownFault(err) && in.reason() == permit.Cancelled { // the endpoint did not take it until then
+			return core.Result{Outcome: logic.ConnectionRefused}
 		}
-		return core.Result{Outcome: logic.Moot}
+		return core.Result{Outcome: logic.NotSent}
 	}
 	if err != nil {
 		if ownFault(err) {
-			return core.Result{Outcome: logic.Moot, Local: true}
+			return core.Result{Outcome: logic.NotSent, LocalFailure: true}
 		}
-		return core.Result{Outcome: logic.RefusedConn}
+		return core.Result{Outcome: logic.ConnectionRefused}
 	}
 	limit := &cutoff{conn: conn, by: deadline, linger: c.linger}
 	stop := context.AfterFunc(ctx, limit.cancel)
@@ -136,18 +136,18 @@
 	if err := send(conn, in, time.Until(deadline)); err != nil {
 		stop()
 		c.drop(conn)
-		return core.Result{Outcome: logic.RefusedConn} // its last byte was not written
+		return core.Result{Outcome: logic.ConnectionRefused} // its last byte was not written
 	}
 	in.written()
 	conn.limit.N = maxAnswer
 	r, keep := readAnswer(conn.r, limit, c.Reports, c.RetryAfter, in.body)
-	if r.Outcome == logic.Severed && !conn.since.IsZero() {
+	if r.Outcome == logic.ConnectionBroken && !conn.since.IsZero() {
 		c.mu.Lock()
 		c.brokeAt = time.Now()
 		c.mu.Unlock()
 	}
 	if conn.limit.N <= 0 && r.Outcome != logic.Completed {
-		r = core.Result{Outcome: logic.Spoilt} // it goes on for ever, say
+		r = core.Result{Outcome: logic.InvalidResponse} // it goes on for ever, say
 	}
 	if !stop() || !keep || limit.over() || !c.put(in.Endpoint, conn) {
 		c.drop(conn)
@@ -237,9 +237,9 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.off {
-		return logic.Recalled
+		return logic.Cancelled
 	}
-	return logic.Overdue
+	return logic.TimedOut
 }
 
 // over says whether the connection may be of no more use: it is given up, or a cancel may touch it yet.
@@ -355,7 +355,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	ep, addr := in.Endpoint, in.Addr
-	if in.Fragile && time.Since(c.brokeAt) < brokeTime {
+	if in.Unrepeatable && time.Since(c.brokeAt) < brokeTime {
 		return nil
 	}
 	list := slices.Clone(c.idle[ep])
@@ -378,7 +378,7 @@
 // good says whether a kept connection may carry a call: neither about to be closed
 // for its age nor closed already, nor with an answer on it that nobody asked for.
 func (c *Transport) good(conn *idleConn) bool {
-	margin := max(min(idleMargin, c.idleTime/4), permit.LeastLeft) // the process may be held up before it writes
+	margin := max(min(idleMargin, c.idleTime/4), permit.MinRemaining) // the process may be held up before it writes
 	if time.Since(conn.since) > c.idleTime-margin {
 		return false
 	}
@@ -411,8 +411,8 @@
 	return true
 }
 
-// Release closes the kept connections to ep.
-func (c *Transport) Release(ep logic.EndpointID) {
+// CloseIdle closes the kept connections to ep.
+func (c *Transport) CloseIdle(ep logic.EndpointID) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, conn := range c.idle[ep] {
@@ -421,8 +421,8 @@
 	delete(c.idle, ep)
 }
 
-// Sweep closes kept connections that are no good any more.
-func (c *Transport) Sweep() {
+// CloseStale closes kept connections that are no good any more.
+func (c *Transport) CloseStale() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for ep, list := range c.idle {
