--- a/internal/facts/copy.go
+++ b/internal/facts/copy.go
@@ -8,123 +8,133 @@
 	"time"
 )
 
-// Bounds of a copy.
+// Limits of a replica.
 const (
-	MaxFacts      = 200_000 // of all origins; a delta that would bring more is refused
-	MaxOwnFacts   = 100_000 // of this sender; the one that ends first makes room
-	MaxOrigins    = 4096    // lives of which something is known
-	maxExpiredOwn = 256     // ended facts among its own before those that keep them are told anew
+	MaxFacts      = 200_000 // of all origins; a delta that would exceed it is refused
+	MaxOwnFacts   = 100_000 // of this sender; the facts that expire first are dropped to make room
+	MaxOrigins    = 4096    // incarnations of senders with an entry in the replica
+	maxExpiredOwn = 256     // expired own facts before the current ones that block their removal are published again
 
 	renewInterval   = 5 * time.Second
-	originRetention = 10 * time.Minute // after its last fact has ended
+	originRetention = 10 * time.Minute // after the expiry of the origin's last fact
 )
 
-// Never is the least time, for what has no lower bound.
+// Never is earlier than any reading of a clock and stands for an event that never happened.
 const Never = Time(math.MinInt64 / 4)
 
-// entry is a fact in a copy, with the span on this process's clock in which what it
-// tells of has happened. Both ends are sure: what comes by different ways narrows it.
+// entry is a fact in a replica. The observed event happened between earliest and latest on
+// this process's clock; receiving the fact again by another route can narrow that interval.
 type entry struct {
 	Fact
 	origin           *originState
 	earliest, latest Time
-	validUntil       Time   // its end at the latest
-	arrival          uint64 // number of the change by which it came
-	removed          bool   // another stands in its place
-	inChecksum       bool
+	validUntil       Time   // latest expiry
+	arrival          uint64 // number of the local change that added the fact
+	removed          bool   // replaced or expired
+	inChecksum       bool   // the origin's checksum covers it
 }
 
-// expiry is when the fact is over at the latest. A wait never ends early by it.
+// expiry returns the latest time at which the fact expires. It never ends a requested wait
+// early.
 func (e *entry) expiry() Time { return e.validUntil }
 
+// dot returns the dot of the fact.
 func (e *entry) dot() Dot { return Dot{e.origin.Origin, e.Seq} }
 
-// originState is what a copy has of one originState.
+// originState is what a replica has received from one origin.
 type originState struct {
 	Origin
 	watermark, floor uint64
 	facts            map[Subject]*entry
-	bySeq            []*entry // by number; dead ones are left out from time to time
-	removedCount     int
-	checksum         uint64 // of the facts from floor to known
-	consistentAt     uint64 // up to where this was drawn from; the facts are as the origin had them once all of that is known
-	lastExpiry       Time   // when the last of its facts ends
+	bySeq            []*entry // in order of sequence number; removed entries are purged in batches
+	removedCount     int      // removed entries in bySeq
+	checksum         uint64   // of the current facts from floor to watermark
+	consistentAt     uint64   // see Delta.ConsistentAt; below this watermark the facts may differ from those of the origin
+	lastExpiry       Time     // of the facts received so far
 }
 
-// Replica is one sender's copy of all that is known. It is not safe for concurrent use.
+// Replica is one sender's replica of the facts of all senders. It is not safe for concurrent
+// use.
 type Replica struct {
 	own         *originState
 	zone        string
 	drift       float64
 	origins     map[Origin]*originState
-	bySubject   map[Subject][]*entry // what stands of each, by all origins
+	bySubject   map[Subject][]*entry // current facts of all origins
 	factCount   int
-	lastArrival uint64
-	reported    map[Subject]reportedState
+	lastArrival uint64                    // number of the last local change
+	reported    map[Subject]reportedState // what Observe returned last
 	nextRenewal Time
 
-	Repairs int // origins of which two copies with the same numbers differed
-	Dropped int // own facts that made room for others
+	Repairs int // origins whose facts differed from those of a replica with the same watermark
+	Dropped int // own facts removed to make room for others
 }
 
-// New makes an empty copy. Clocks of senders run at 1-drift to 1+drift of the true
-// pace.
+// New returns an empty replica of the sender with origin own in a zone. The clocks of
+// senders run at 1-drift to 1+drift of the true rate.
 func New(own Origin, zone string, drift float64) *Replica {
-	c := &Replica{zone: zone, drift: drift, origins: map[Origin]*originState{}, bySubject: map[Subject][]*entry{}, reported: map[Subject]reportedState{}}
-	c.own = c.ensureOrigin(own)
-	return c
+	r := &Replica{zone: zone, drift: drift, origins: map[Origin]*originState{}, bySubject: map[Subject][]*entry{},
+		reported: map[Subject]reportedState{}}
+	r.own = r.ensureOrigin(own)
+	return r
 }
 
-func (c *Replica) ensureOrigin(id Origin) *originState {
-	o := c.origins[id]
+// ensureOrigin returns the state of an origin and creates it if there is none.
+func (r *Replica) ensureOrigin(id Origin) *originState {
+	o := r.origins[id]
 	if o == nil {
 		o = &originState{Origin: id, facts: map[Subject]*entry{}}
-		c.origins[id] = o
+		r.origins[id] = o
 	}
 	return o
 }
 
-// LocalVersion is this sender's origin and the number of its last fact.
-func (c *Replica) LocalVersion() (Origin, uint64) { return c.own.Origin, c.own.watermark }
+// LocalVersion returns this sender's origin and the sequence number of its last fact.
+func (r *Replica) LocalVersion() (Origin, uint64) { return r.own.Origin, r.own.watermark }
 
-// Len is how many facts stand.
-func (c *Replica) Len() int { return c.factCount }
+// Len returns the number of current facts of all origins, including expired ones that have
+// not been removed yet.
+func (r *Replica) Len() int { return r.factCount }
 
-// Publish writes a fact of this sender. Age is how long ago that was of which it tells.
-func (c *Replica) Publish(now Time, s Subject, v Value, age, span Time) error {
-	f := Fact{Seq: c.own.watermark + 1, Subject: s, Zone: c.zone, TTL: span, Value: v}
+// Publish adds a fact of this sender about an event that happened age ago. The fact expires
+// ttl after the event. The error wraps ErrInvalid if the fact exceeds a limit.
+func (r *Replica) Publish(now Time, s Subject, v Value, age, ttl Time) error {
+	f := Fact{Seq: r.own.watermark + 1, Subject: s, Zone: r.zone, TTL: ttl, Value: v}
 	if err := f.check(); err != nil {
 		return err
 	}
-	if len(c.own.facts) >= MaxOwnFacts && c.own.facts[s] == nil {
-		list := slices.SortedFunc(maps.Values(c.own.facts), func(a, b *entry) int { return cmp.Compare(a.expiry(), b.expiry()) })
-		for _, e := range list[:MaxOwnFacts/16] {
-			c.remove(c.own, e)
-			c.Dropped++
+	if len(r.own.facts) >= MaxOwnFacts && r.own.facts[s] == nil {
+		byExpiry := slices.SortedFunc(maps.Values(r.own.facts),
+			func(a, b *entry) int { return cmp.Compare(a.expiry(), b.expiry()) })
+		for _, e := range byExpiry[:MaxOwnFacts/16] {
+			r.remove(r.own, e)
+			r.Dropped++
 		}
 	}
-	c.own.watermark++
-	c.lastArrival++
-	c.insert(c.own, &entry{Fact: f, origin: c.own, earliest: now - age, latest: now - age, validUntil: now - age + span, arrival: c.lastArrival})
+	r.own.watermark++
+	r.lastArrival++
+	r.insert(r.own, &entry{Fact: f, origin: r.own, earliest: now - age, latest: now - age, validUntil: now - age + ttl,
+		arrival: r.lastArrival})
 	return nil
 }
 
-// Merge takes what another copy has sent. Most is the most time that the delta can
-// have been on its way. It returns the subjects of which something new stands. A
-// delta that makes no sense, or that there is no room for, changes nothing.
-func (c *Replica) Merge(now Time, d *Delta, most Time) ([]Subject, error) {
+// Merge adds the facts of a delta from another replica, which was at most maxTransit in
+// transit. It returns the subjects for which a fact was added or replaced. An invalid delta,
+// or one that exceeds the capacity of the replica, changes nothing and gives an error that
+// wraps ErrInvalid.
+func (r *Replica) Merge(now Time, d *Delta, maxTransit Time) ([]Subject, error) {
 	if err := d.check(); err != nil {
 		return nil, err
 	}
-	if d.Origin == c.own.Origin { // nobody else writes these
+	if d.Origin == r.own.Origin { // only this process writes its own facts
 		return nil, nil
 	}
-	o := c.origins[d.Origin]
-	if o == nil && len(c.origins) >= MaxOrigins || c.factCount+len(d.Facts) > MaxFacts {
+	o := r.origins[d.Origin]
+	if o == nil && len(r.origins) >= MaxOrigins || r.factCount+len(d.Facts) > MaxFacts {
 		return nil, invalid("no room for %d facts of %s", len(d.Facts), d.Origin.Name)
 	}
-	o = c.ensureOrigin(d.Origin)
-	c.raiseFloor(o, d.Floor)
+	o = r.ensureOrigin(d.Origin)
+	r.raiseFloor(o, d.Floor)
 	if len(d.Facts) > 0 || d.UpTo > o.watermark {
 		o.consistentAt = max(o.consistentAt, d.ConsistentAt)
 	}
@@ -134,44 +144,52 @@
 		if f.Seq <= o.floor {
 			continue
 		}
-		e := &entry{Fact: f, origin: o, earliest: now - c.maxElapsed(f.MaxAge+most), latest: now - c.minElapsed(f.MinAge)}
-		e.validUntil = e.latest + c.maxElapsed(f.TTL)
+		e := &entry{Fact: f, origin: o, earliest: now - r.maxElapsed(f.MaxAge+maxTransit),
+			latest: now - r.minElapsed(f.MinAge)}
+		e.validUntil = e.latest + r.maxElapsed(f.TTL)
 		e.MinAge, e.MaxAge = 0, 0
-		if was := o.facts[f.Subject]; was != nil && was.Seq >= f.Seq {
-			if was.Seq == f.Seq { // the same by another way
-				was.earliest, was.latest, was.validUntil = max(was.earliest, e.earliest), min(was.latest, e.latest), min(was.validUntil, e.validUntil)
+		if old := o.facts[f.Subject]; old != nil && old.Seq >= f.Seq {
+			if old.Seq == f.Seq { // the same fact by another route may narrow its time bounds
+				old.earliest, old.latest, old.validUntil =
+					max(old.earliest, e.earliest), min(old.latest, e.latest), min(old.validUntil, e.validUntil)
 			}
-			if was.Seq > f.Seq || was.hash() >= e.hash() { // it can differ by a fault only; then all take the same
+			// Only a fault makes two facts with one dot differ; all replicas then keep the same one.
+			if old.Seq > f.Seq || old.hash() >= e.hash() {
 				continue
 			}
 		}
-		c.lastArrival++
-		e.arrival = c.lastArrival
-		c.insert(o, e)
+		r.lastArrival++
+		e.arrival = r.lastArrival
+		r.insert(o, e)
 		changed = append(changed, f.Subject)
 	}
 	if d.Since <= o.watermark && d.UpTo > o.watermark {
-		c.raiseWatermark(o, d.UpTo)
+		r.raiseWatermark(o, d.UpTo)
 	}
 	return changed, nil
 }
 
-// maxElapsed and short are how maxElapsed another clock's span may have lasted by this one.
-func (c *Replica) maxElapsed(d Time) Time { return Time(float64(d) * (1 + c.drift) / (1 - c.drift)) }
-func (c *Replica) minElapsed(d Time) Time { return Time(float64(d) * (1 - c.drift) / (1 + c.drift)) }
+// maxElapsed returns the longest local duration that corresponds to d on another sender's
+// clock.
+func (r *Replica) maxElapsed(d Time) Time { return Time(float64(d) * (1 + r.drift) / (1 - r.drift)) }
+
+// minElapsed returns the shortest local duration that corresponds to d on another sender's
+// clock.
+func (r *Replica) minElapsed(d Time) Time { return Time(float64(d) * (1 - r.drift) / (1 + r.drift)) }
 
-// insert has a fact stand in the place of the one of its subject before.
-func (c *Replica) insert(o *originState, e *entry) {
-	if was := o.facts[e.Subject]; was != nil {
-		c.remove(o, was)
+// insert makes a fact the current one of its origin and subject and removes the one before.
+func (r *Replica) insert(o *originState, e *entry) {
+	if old := o.facts[e.Subject]; old != nil {
+		r.remove(o, old)
 	}
 	o.facts[e.Subject] = e
-	c.bySubject[e.Subject] = append(c.bySubject[e.Subject], e)
-	c.factCount++
+	r.bySubject[e.Subject] = append(r.bySubject[e.Subject], e)
+	r.factCount++
 	if n := len(o.bySeq); n == 0 || o.bySeq[n-1].Seq < e.Seq {
 		o.bySeq = append(o.bySeq, e)
 	} else {
-		at, _ := slices.BinarySearchFunc(o.bySeq, e.Seq, func(x *entry, seq uint64) int { return cmp.Compare(x.Seq, seq) })
+		at, _ := slices.BinarySearchFunc(o.bySeq, e.Seq,
+			func(x *entry, seq uint64) int { return cmp.Compare(x.Seq, seq) })
 		o.bySeq = slices.Insert(o.bySeq, at, e)
 	}
 	if e.Seq <= o.watermark {
@@ -180,18 +198,18 @@
 	o.lastExpiry = max(o.lastExpiry, e.expiry())
 }
 
-// remove has a fact stand no longer.
-func (c *Replica) remove(o *originState, e *entry) {
+// remove drops a fact that was replaced or has expired.
+func (r *Replica) remove(o *originState, e *entry) {
 	if e.removed {
 		return
 	}
 	e.removed = true
 	delete(o.facts, e.Subject)
-	rest := slices.DeleteFunc(c.bySubject[e.Subject], func(x *entry) bool { return x == e })
-	if c.bySubject[e.Subject] = rest; len(rest) == 0 {
-		delete(c.bySubject, e.Subject)
+	rest := slices.DeleteFunc(r.bySubject[e.Subject], func(x *entry) bool { return x == e })
+	if r.bySubject[e.Subject] = rest; len(rest) == 0 {
+		delete(r.bySubject, e.Subject)
 	}
-	c.factCount--
+	r.factCount--
 	if e.inChecksum {
 		o.checksum ^= e.hash()
 	}
@@ -201,9 +219,11 @@
 	}
 }
 
-// raiseWatermark notes that all of an origin is known up to a number.
-func (c *Replica) raiseWatermark(o *originState, upTo uint64) {
-	at, _ := slices.BinarySearchFunc(o.bySeq, o.watermark+1, func(x *entry, seq uint64) int { return cmp.Compare(x.Seq, seq) })
+// raiseWatermark records that all current facts of an origin up to a sequence number have
+// been received.
+func (r *Replica) raiseWatermark(o *originState, upTo uint64) {
+	at, _ := slices.BinarySearchFunc(o.bySeq, o.watermark+1,
+		func(x *entry, seq uint64) int { return cmp.Compare(x.Seq, seq) })
 	for _, e := range o.bySeq[at:] {
 		if e.Seq <= upTo && !e.removed && !e.inChecksum {
 			e.inChecksum, o.checksum = true, o.checksum^e.hash()
@@ -212,8 +232,8 @@
 	o.watermark = upTo
 }
 
-// raiseFloor takes it that all of an origin up to a number has ended.
-func (c *Replica) raiseFloor(o *originState, floor uint64) {
+// raiseFloor removes all facts of an origin up to a sequence number.
+func (r *Replica) raiseFloor(o *originState, floor uint64) {
 	if floor <= o.floor {
 		return
 	}
@@ -222,19 +242,19 @@
 		if e.Seq > floor {
 			break
 		}
-		c.remove(o, e)
+		r.remove(o, e)
 	}
 	if floor > o.watermark {
-		c.raiseWatermark(o, floor)
+		r.raiseWatermark(o, floor)
 	}
 }
 
-// Expire drops what has ended, as far as no fact that stands lies beneath it; the
-// rest says nothing any more, and goes later. It returns the subjects that have lost
-// something.
-func (c *Replica) Expire(now Time) (changed []Subject) {
-	c.renew(now)
-	for id, o := range c.origins {
+// Expire removes the expired facts of each origin below its first current one, and those
+// above its watermark. Other expired facts have no effect any more and are removed later. It
+// returns the subjects of which facts have expired.
+func (r *Replica) Expire(now Time) (changed []Subject) {
+	r.renew(now)
+	for id, o := range r.origins {
 		floor := o.floor
 		for _, e := range o.bySeq {
 			if !e.removed && now < e.expiry() || e.Seq > o.watermark {
@@ -248,53 +268,56 @@
 		if len(o.facts) == 0 {
 			floor = o.watermark
 		}
-		c.raiseFloor(o, floor)
-		at, _ := slices.BinarySearchFunc(o.bySeq, o.watermark+1, func(x *entry, seq uint64) int { return cmp.Compare(x.Seq, seq) })
-		for _, e := range slices.Clone(o.bySeq[at:]) { // ahead of a gap that may never be filled
+		r.raiseFloor(o, floor)
+		at, _ := slices.BinarySearchFunc(o.bySeq, o.watermark+1,
+			func(x *entry, seq uint64) int { return cmp.Compare(x.Seq, seq) })
+		for _, e := range slices.Clone(o.bySeq[at:]) { // above a gap that may never be filled
 			if !e.removed && now >= e.expiry() {
 				changed = append(changed, e.Subject)
-				c.remove(o, e)
+				r.remove(o, e)
 			}
 		}
-		if o != c.own && len(o.facts) == 0 && now > o.lastExpiry+originRetention { // if it comes again, it brings nothing that stands
-			delete(c.origins, id)
+		// Facts of a deleted origin that arrive again have expired.
+		if o != r.own && len(o.facts) == 0 && now > o.lastExpiry+originRetention {
+			delete(r.origins, id)
 		}
 	}
 	return changed
 }
 
-// renew tells own facts anew that keep many ended ones from being dropped.
-func (c *Replica) renew(now Time) {
-	if now < c.nextRenewal {
+// renew publishes own current facts again under new sequence numbers when many expired facts
+// lie above them and therefore can't be removed.
+func (r *Replica) renew(now Time) {
+	if now < r.nextRenewal {
 		return
 	}
-	c.nextRenewal = now + renewInterval
-	ended := 0
-	for _, e := range c.own.facts {
+	r.nextRenewal = now + renewInterval
+	expired := 0
+	for _, e := range r.own.facts {
 		if now >= e.expiry() {
-			ended++
+			expired++
 		}
 	}
-	if live := len(c.own.facts) - ended; ended <= maxExpiredOwn || ended < live {
+	if live := len(r.own.facts) - expired; expired <= maxExpiredOwn || expired < live {
 		return
 	}
-	for _, e := range slices.Clone(c.own.bySeq) {
+	for _, e := range slices.Clone(r.own.bySeq) {
 		if e.removed || now >= e.expiry() {
 			continue
 		}
-		again := *e
-		c.own.watermark++
-		again.Seq, again.removed, again.inChecksum = c.own.watermark, false, false
-		c.insert(c.own, &again)
+		renewed := *e
+		r.own.watermark++
+		renewed.Seq, renewed.removed, renewed.inChecksum = r.own.watermark, false, false
+		r.insert(r.own, &renewed)
 	}
 }
 
-// Digest is what this copy has, by origin in order; those of which nothing stands are
-// left out.
-func (c *Replica) Digest() []DigestRow {
-	out := make([]DigestRow, 0, len(c.origins))
-	for _, o := range c.origins {
-		if len(o.facts) > 0 || o == c.own && o.watermark > 0 {
+// Digest returns a row for each origin, sorted by origin. It omits other origins without a
+// current fact.
+func (r *Replica) Digest() []DigestRow {
+	out := make([]DigestRow, 0, len(r.origins))
+	for _, o := range r.origins {
+		if len(o.facts) > 0 || o == r.own && o.watermark > 0 {
 			out = append(out, o.digestRow())
 		}
 	}
@@ -304,18 +327,20 @@
 	return out
 }
 
+// digestRow returns the digest row of an origin.
 func (o *originState) digestRow() DigestRow {
-	r := DigestRow{Origin: o.Origin, Watermark: o.watermark, Floor: o.floor, Checksum: o.checksum}
-	if r.Highest = o.highestSeq(); r.Highest <= o.watermark {
-		r.Highest = 0
+	row := DigestRow{Origin: o.Origin, Watermark: o.watermark, Floor: o.floor, Checksum: o.checksum}
+	if row.Highest = o.highestSeq(); row.Highest <= o.watermark {
+		row.Highest = 0
 	}
-	if o.watermark < o.consistentAt || r.Highest > 0 { // what came ahead may have taken the place of what is summed
-		r.Checksum = 0
+	// Facts received out of order may have replaced facts that the checksum should cover.
+	if o.watermark < o.consistentAt || row.Highest > 0 {
+		row.Checksum = 0
 	}
-	return r
+	return row
 }
 
-// highestSeq is the highest number of what stands.
+// highestSeq returns the highest sequence number of a current fact; 0 if there is none.
 func (o *originState) highestSeq() uint64 {
 	for i := len(o.bySeq) - 1; i >= 0; i-- {
 		if !o.bySeq[i].removed {
@@ -325,15 +350,17 @@
 	return 0
 }
 
-// OutOfOrderDeltas is what this copy has of an origin beyond what it knows whole, one fact in
-// each delta, of those above a number, in about so many bytes at most. Their author
-// may be gone, and nobody have what lies between.
-func (c *Replica) OutOfOrderDeltas(now Time, id Origin, above uint64, bytes int) (out []Delta) {
-	o := c.origins[id]
+// OutOfOrderDeltas returns the facts of an origin above both its watermark and a sequence
+// number, one fact in each delta and about as many bytes as given; at least one fact if
+// there is any. Their origin may be gone, and no replica may have the facts in the gap below
+// them.
+func (r *Replica) OutOfOrderDeltas(now Time, id Origin, above uint64, bytes int) (out []Delta) {
+	o := r.origins[id]
 	if o == nil {
 		return nil
 	}
-	at, _ := slices.BinarySearchFunc(o.bySeq, max(above, o.watermark)+1, func(x *entry, seq uint64) int { return cmp.Compare(x.Seq, seq) })
+	at, _ := slices.BinarySearchFunc(o.bySeq, max(above, o.watermark)+1,
+		func(x *entry, seq uint64) int { return cmp.Compare(x.Seq, seq) })
 	for _, e := range o.bySeq[at:] {
 		if e.removed || now >= e.expiry() {
 			continue
@@ -348,30 +375,32 @@
 	return out
 }
 
-// withAges is a fact with its ages.
+// withAges returns the fact with its age bounds at a time.
 func (e *entry) withAges(now Time) Fact {
 	f := e.Fact
 	f.MinAge, f.MaxAge = max(now-e.latest, 0), max(now-e.earliest, 0)
 	return f
 }
 
-// Watermark is up to where all of an origin is known.
-func (c *Replica) Watermark(id Origin) uint64 {
-	if o := c.origins[id]; o != nil {
+// Watermark returns the sequence number up to which all current facts of an origin have been
+// received.
+func (r *Replica) Watermark(id Origin) uint64 {
+	if o := r.origins[id]; o != nil {
 		return o.watermark
 	}
 	return 0
 }
 
-// DeltaSince is what this copy has of an origin above a number, in about so many bytes at
-// most, but at least one fact.
-func (c *Replica) DeltaSince(now Time, id Origin, since uint64, bytes int) Delta {
-	o := c.origins[id]
+// DeltaSince returns the current facts of an origin above a sequence number and up to its
+// watermark, in about as many bytes as given; at least one fact if there is any.
+func (r *Replica) DeltaSince(now Time, id Origin, since uint64, bytes int) Delta {
+	o := r.origins[id]
 	if o == nil {
 		return Delta{Origin: id, Since: since, UpTo: since, ConsistentAt: since}
 	}
 	d := Delta{Origin: id, Since: since, UpTo: max(o.watermark, since), Floor: min(o.floor, max(o.watermark, since))}
-	at, _ := slices.BinarySearchFunc(o.bySeq, since+1, func(x *entry, seq uint64) int { return cmp.Compare(x.Seq, seq) })
+	at, _ := slices.BinarySearchFunc(o.bySeq, since+1,
+		func(x *entry, seq uint64) int { return cmp.Compare(x.Seq, seq) })
 	d.ConsistentAt = max(o.consistentAt, d.UpTo)
 	last := since
 	for _, e := range o.bySeq[at:] {
@@ -391,26 +420,29 @@
 	return d
 }
 
-// Compare says of a row of another copy whether this one lacks something of that
-// origin, and whether the other does. Two that know all up to the same number and
-// yet differ are joined anew: this one counts as knowing nothing of what it has.
-func (c *Replica) Compare(r DigestRow) (lacks, ahead bool) {
-	o := c.origins[r.Origin]
+// Compare reports whether this replica lacks facts of an origin that the replica with the
+// given digest row has, and whether this replica is ahead of it. Two replicas with equal
+// watermarks and floors but different checksums differ by a fault: this one lowers its
+// watermark to the floor, so that it receives the facts of that origin again.
+func (r *Replica) Compare(remote DigestRow) (lacks, ahead bool) {
+	o := r.origins[remote.Origin]
 	if o == nil {
-		return r.Watermark > 0, false
+		return remote.Watermark > 0, false
 	}
-	if o != c.own && r.Floor > o.floor && r.Floor <= r.Watermark {
-		c.raiseFloor(o, r.Floor)
+	if o != r.own && remote.Floor > o.floor && remote.Floor <= remote.Watermark {
+		r.raiseFloor(o, remote.Floor)
 	}
-	mine := o.digestRow()
-	if o != c.own && mine.Watermark == r.Watermark && mine.Floor == r.Floor && mine.Checksum != r.Checksum && mine.Checksum != 0 && r.Checksum != 0 {
-		c.Repairs++
+	local := o.digestRow()
+	if o != r.own && local.Watermark == remote.Watermark && local.Floor == remote.Floor &&
+		local.Checksum != remote.Checksum && local.Checksum != 0 && remote.Checksum != 0 {
+		r.Repairs++
 		for _, e := range o.bySeq {
 			e.inChecksum = false
 		}
 		o.watermark, o.checksum = o.floor, 0
 		return true, false
 	}
-	top := max(r.Watermark, r.Highest)
-	return r.Watermark > o.watermark || top > max(o.watermark, o.highestSeq()), o.watermark > r.Watermark || mine.Floor > r.Floor || o.highestSeq() > top
+	highest := max(remote.Watermark, remote.Highest)
+	return remote.Watermark > o.watermark || highest > max(o.watermark, o.highestSeq()),
+		o.watermark > remote.Watermark || local.Floor > remote.Floor || o.highestSeq() > highest
 }
--- a/internal/facts/fact.go
+++ b/internal/facts/fact.go
@@ -9,118 +9,124 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Time is a time or a span on a clock that goes on while the process is paused. It
-// may begin anywhere, but not before 0.
+// Time is a point in time or a duration on a clock that keeps running while the process
+// is paused. The clock's starting point is arbitrary, but its readings are never negative.
 type Time = time.Duration
 
-// Kind is what a fact is about. A copy keeps kinds that it does not know, and passes
-// them on.
+// Kind is the type of information in a fact. A replica stores and forwards facts of kinds
+// that this version does not know.
 type Kind uint8
 
-// The kinds.
+// The kinds of facts.
 const (
-	RequestedWait Kind = iota + 1 // an endpoint has told to be left alone; For says how long
-	Health                        // a sender has found an endpoint out, or has had an answer since
+	RequestedWait Kind = iota + 1 // an endpoint requested a wait, whose length is the TTL
+	Health                        // a sender found an endpoint in outage, or received an answer from it since
 )
 
-// Bounds of a fact.
+// Limits of a fact.
 const (
-	MaxNameBytes   = 256            // bytes of a name
-	MaxRefutedDots = 64             // dots that one fact covers
-	MaxTTL         = 24 * time.Hour // from what it tells of until its end
-	MaxOpaqueBytes = 4096           // bytes of the value of a kind that is not known
+	MaxNameBytes   = 256            // length of a name in bytes
+	MaxRefutedDots = 64             // dots that one fact refutes
+	MaxTTL         = 24 * time.Hour // from the observed event to the expiry of the fact
+	MaxOpaqueBytes = 4096           // size in bytes of the value of an unknown kind
 )
 
-// Subject is what a fact is of. An endpoint is meant by its name, not its address.
+// Subject is what a fact describes. An endpoint is identified by its name, not its address.
 type Subject struct {
 	Kind     Kind   `cbor:"1,keyasint"`
 	Partner  string `cbor:"2,keyasint"`
 	Endpoint string `cbor:"3,keyasint,omitempty"`
 }
 
-// Origin is one life of the process of a sender, which alone writes its facts.
+// Origin is one incarnation of a sender's process, the only writer of the facts under
+// this origin.
 type Origin struct {
 	Name        string `cbor:"1,keyasint"`
 	Incarnation uint64 `cbor:"2,keyasint"`
 }
 
-// Dot names one fact: the number that its origin gave it.
+// Dot identifies one fact by its origin and the sequence number that the origin assigned.
 type Dot struct {
 	Origin Origin `cbor:"1,keyasint"`
 	Seq    uint64 `cbor:"2,keyasint"`
 }
 
-// Value is what a fact says, by its kind.
+// Value is the content of a fact. Which fields are set depends on its kind.
 type Value struct {
-	InOutage bool   `cbor:"1,keyasint,omitempty"` // Health: it is out
-	Refutes  []Dot  `cbor:"2,keyasint,omitempty"` // Health: an answer came to a call that was begun when these were known
-	Opaque   []byte `cbor:"4,keyasint,omitempty"` // of kinds that are not known here
+	InOutage bool   `cbor:"1,keyasint,omitempty"` // Health: the endpoint is in outage
+	Refutes  []Dot  `cbor:"2,keyasint,omitempty"` // Health: outage facts known when a call began that was then answered
+	Opaque   []byte `cbor:"4,keyasint,omitempty"` // kinds unknown to this version
 }
 
-// Fact is one fact as it travels. Ages are those when it was sent: the least and the
-// most time that can have passed since what it tells of.
+// Fact is one fact as replicas send it. MinAge and MaxAge bound the time that had passed
+// since the observed event when the fact was sent.
 type Fact struct {
 	Seq     uint64  `cbor:"1,keyasint"`
 	Subject Subject `cbor:"2,keyasint"`
-	Zone    string  `cbor:"3,keyasint,omitempty"` // of its origin
-	TTL     Time    `cbor:"4,keyasint"`           // from what it tells of until its end
+	Zone    string  `cbor:"3,keyasint,omitempty"` // of the origin
+	TTL     Time    `cbor:"4,keyasint"`           // from the observed event to the expiry of the fact
 	MinAge  Time    `cbor:"5,keyasint,omitempty"`
 	MaxAge  Time    `cbor:"6,keyasint,omitempty"`
 	Value   Value   `cbor:"7,keyasint,omitempty"`
 }
 
-// Delta is facts of one origin, in the order of their numbers: all that stand of
-// those above Since and up to UpTo. What is at or below Floor has ended.
+// Delta holds facts of one origin in order of sequence number: every current fact above
+// Since and up to UpTo. No fact at or below Floor is current any more.
 type Delta struct {
 	Origin Origin `cbor:"1,keyasint"`
 	Since  uint64 `cbor:"2,keyasint,omitempty"`
 	UpTo   uint64 `cbor:"3,keyasint"`
 	Floor  uint64 `cbor:"4,keyasint,omitempty"`
 	Facts  []Fact `cbor:"5,keyasint,omitempty"`
-	// ConsistentAt is up to where the giver's knowledge was drawn from. Short of that a copy may
-	// lack what has been replaced since.
+	// ConsistentAt is the sequence number of the origin's state from which the facts were
+	// taken. A replica with a lower watermark may lack facts that later ones replaced.
 	ConsistentAt uint64 `cbor:"6,keyasint"`
 }
 
-// DigestRow is what a copy has of one origin: all up to Known, of which nothing stands at
-// or below Floor. Sum is of what stands; 0 if that may differ from what the origin
-// had then.
+// DigestRow summarizes a replica's state of one origin: it has every current fact up to
+// Watermark, and no fact at or below Floor is current. Checksum covers the current facts up
+// to Watermark; it is 0 if they may differ from those that the origin had at that watermark.
 type DigestRow struct {
 	Origin    Origin `cbor:"1,keyasint"`
 	Watermark uint64 `cbor:"2,keyasint"`
 	Floor     uint64 `cbor:"3,keyasint,omitempty"`
 	Checksum  uint64 `cbor:"4,keyasint,omitempty"`
-	Highest   uint64 `cbor:"5,keyasint,omitempty"` // the highest number that stands, if above Known: what lies between may be lost
+	// Highest is the highest sequence number of a current fact if it is above Watermark,
+	// else 0. The facts between Watermark and Highest may be lost.
+	Highest uint64 `cbor:"5,keyasint,omitempty"`
 }
 
-// ErrInvalid says that a fact or delta can't have been made by a sender.
-var ErrInvalid = errors.New("facts: makes no sense")
+// ErrInvalid reports a fact or delta that no correct sender produces, or a delta that
+// exceeds the capacity of the replica.
+var ErrInvalid = errors.New("facts: invalid fact or delta")
 
+// invalid returns an error that wraps ErrInvalid.
 func invalid(format string, args ...any) error {
 	return fmt.Errorf("%w: "+format, append([]any{ErrInvalid}, args...)...)
 }
 
-// check says what is wrong with a fact.
+// check validates a fact that was received or is to be published.
 func (f *Fact) check() error {
 	s, v := f.Subject, f.Value
 	switch {
 	case f.Seq == 0 || s.Kind == 0 || s.Partner == "":
-		return invalid("no number, kind or partner")
+		return invalid("sequence number, kind or partner missing")
 	case len(s.Partner) > MaxNameBytes || len(s.Endpoint) > MaxNameBytes || len(f.Zone) > MaxNameBytes:
-		return invalid("a name of over %d bytes", MaxNameBytes)
+		return invalid("name longer than %d bytes", MaxNameBytes)
 	case f.TTL <= 0 || f.TTL > MaxTTL:
-		return invalid("it is to hold for %v", f.TTL)
+		return invalid("TTL %v out of range", f.TTL)
 	case f.MinAge < 0 || f.MaxAge < f.MinAge:
-		return invalid("its age is %v to %v", f.MinAge, f.MaxAge)
+		return invalid("invalid age range %v to %v", f.MinAge, f.MaxAge)
 	case len(v.Refutes) > MaxRefutedDots || len(v.Opaque) > MaxOpaqueBytes:
-		return invalid("a value of over %d dots or %d bytes", MaxRefutedDots, MaxOpaqueBytes)
+		return invalid("value of more than %d dots or %d bytes", MaxRefutedDots, MaxOpaqueBytes)
 	}
 	return nil
 }
 
 func (d *Delta) check() error {
-	if d.Origin.Name == "" || len(d.Origin.Name) > MaxNameBytes || d.Origin.Incarnation == 0 || d.Since > d.UpTo || d.Floor > d.UpTo || d.ConsistentAt < d.UpTo {
-		return invalid("a delta of %q from %d to %d over %d", d.Origin.Name, d.Since, d.UpTo, d.Floor)
+	if d.Origin.Name == "" || len(d.Origin.Name) > MaxNameBytes || d.Origin.Incarnation == 0 ||
+		d.Since > d.UpTo || d.Floor > d.UpTo || d.ConsistentAt < d.UpTo {
+		return invalid("delta of %q since %d, up to %d, with floor %d", d.Origin.Name, d.Since, d.UpTo, d.Floor)
 	}
 	last := d.Since
 	for i := range d.Facts {
@@ -129,14 +135,14 @@
 			return err
 		}
 		if f.Seq <= last || f.Seq > d.UpTo {
-			return invalid("number %d after %d, up to %d", f.Seq, last, d.UpTo)
+			return invalid("sequence number %d is not above %d and at most %d", f.Seq, last, d.UpTo)
 		}
 		last = f.Seq
 	}
 	return nil
 }
 
-// size is about how many bytes a fact takes as it travels.
+// size estimates the encoded size of a fact in bytes.
 func (f *Fact) size() int {
 	n := 48 + len(f.Subject.Partner) + len(f.Subject.Endpoint) + len(f.Zone) + len(f.Value.Opaque)
 	for _, d := range f.Value.Refutes {
@@ -145,7 +151,7 @@
 	return n
 }
 
-// hash tells facts of one origin apart, whatever their age.
+// hash identifies the content of a fact of one origin, independently of its age.
 func (f *Fact) hash() uint64 {
 	h := xxhash.New()
 	fmt.Fprintf(h, "%d %d %t %d ", f.Seq, f.Subject.Kind, f.Value.InOutage, len(f.Value.Refutes))
@@ -159,7 +165,7 @@
 	return h.Sum64()
 }
 
-// Size is about how many bytes a delta takes as it travels.
+// Size estimates the encoded size of a delta in bytes.
 func (d *Delta) Size() int {
 	n := 48 + len(d.Origin.Name)
 	for i := range d.Facts {
