--- a/internal/replicate/catchup.go
+++ b/internal/replicate/catchup.go
@@ -10,12 +10,12 @@
 )
 
 const (
-	catchUpSources      = 2                      // peers whose knowledge one that returns must have ...
-	secondSourceTimeout = 300 * time.Millisecond // ... or one, if no other answers for so long
+	catchUpSources      = 2                      // peers that a replica must catch up with ...
+	secondSourceTimeout = 300 * time.Millisecond // ... or one, if no other answers within this time
 )
 
-// startCatchUp has this copy count as old until it has all that peers had who answer
-// from now on.
+// startCatchUp makes this replica count as catching up until it has all facts of the peers
+// that answer from now on.
 func (m *Machine) startCatchUp(now Time) {
 	m.catchingUp, m.catchUpStart, m.firstCaughtUpAt = true, now, 0
 	for _, p := range m.peers {
@@ -23,44 +23,48 @@
 	}
 }
 
-// catchUp asks peers while this copy is behind: those that were heard last and are
-// not behind themselves before others. One that does not answer is passed over for
-// the next.
+// catchUp pulls from one peer after another while this replica is catching up. It prefers
+// peers that were heard from recently and are not catching up themselves, and goes on to the
+// next peer if one does not answer in time. Catching up ends with enough peers, or when none
+// answers within the timeout.
 func (m *Machine) catchUp(now Time) {
 	if !m.catchingUp {
 		return
 	}
-	var list []*peer
-	asked, done := 0, 0
+	var candidates []*peer
+	pulling, caughtUp := 0, 0
 	for _, name := range m.order {
 		p := m.peers[name]
 		switch {
 		case p.caughtUp:
-			done++
+			caughtUp++
 		case p.pullRequest != 0 && now < p.pulledAt+pullTimeout:
-			asked++
+			pulling++
 		default:
 			if p.pullRequest != 0 {
 				p.pullRequest = 0
 				m.PullRetries++
 			}
-			list = append(list, p)
+			candidates = append(candidates, p)
 		}
 	}
 	switch {
-	case done >= catchUpSources, done > 0 && (done == len(m.order) || now > m.firstCaughtUpAt+secondSourceTimeout):
+	case caughtUp >= catchUpSources,
+		caughtUp > 0 && (caughtUp == len(m.order) || now > m.firstCaughtUpAt+secondSourceTimeout):
 		m.catchingUp = false
-		m.ready.Event = fmt.Sprintf("caught up with %d others after %v: %d facts", done, (now - m.catchUpStart).Round(time.Millisecond), m.replica.Len())
+		m.ready.Event = fmt.Sprintf("caught up with %d others after %v: %d facts", caughtUp,
+			(now - m.catchUpStart).Round(time.Millisecond), m.replica.Len())
 		return
-	case len(m.order) == 0 && now > m.catchUpStart+m.cfg.CatchUpTimeout, len(m.order) > 0 && m.firstCaughtUpAt == 0 && m.unanswered() && now > m.catchUpStart+m.cfg.CatchUpTimeout:
+	case len(m.order) == 0 && now > m.catchUpStart+m.cfg.CatchUpTimeout,
+		len(m.order) > 0 && m.firstCaughtUpAt == 0 && m.unanswered() && now > m.catchUpStart+m.cfg.CatchUpTimeout:
 		m.catchingUp = false
 		m.CatchUpTimeouts++
 		m.ready.Event = fmt.Sprintf("nobody has answered for %v: it goes on with what it knows itself", m.cfg.CatchUpTimeout)
 		return
 	}
-	m.rng.Shuffle(len(list), func(i, k int) { list[i], list[k] = list[k], list[i] })
-	slices.SortStableFunc(list, func(a, b *peer) int {
-		fresh := func(p *peer) int {
+	m.rng.Shuffle(len(candidates), func(i, k int) { candidates[i], candidates[k] = candidates[k], candidates[i] })
+	slices.SortStableFunc(candidates, func(a, b *peer) int {
+		rank := func(p *peer) int { // the lowest is preferred
 			switch {
 			case now-p.receivedAt > 3*m.cfg.DigestInterval:
 				return 2
@@ -69,14 +73,14 @@
 			}
 			return 0
 		}
-		return cmp.Or(cmp.Compare(fresh(a), fresh(b)), cmp.Compare(a.pulledAt, b.pulledAt))
+		return cmp.Or(cmp.Compare(rank(a), rank(b)), cmp.Compare(a.pulledAt, b.pulledAt))
 	})
-	if asked == 0 && len(list) > 0 { // the second source is asked for what the first did not have
-		m.pull(now, list[0])
+	if pulling == 0 && len(candidates) > 0 { // one at a time: the second sends only what the first did not have
+		m.pull(now, candidates[0])
 	}
 }
 
-// unanswered says whether no peer has answered since this copy fell behind.
+// unanswered reports whether no peer has answered since this replica began to catch up.
 func (m *Machine) unanswered() bool {
 	for _, p := range m.peers {
 		if p.target != nil {
@@ -86,32 +90,34 @@
 	return true
 }
 
-// pull asks a peer for all that this copy lacks.
+// pull requests from a peer all facts that this replica lacks.
 func (m *Machine) pull(now Time, p *peer) {
 	m.lastPullRequest++
 	p.pullRequest, p.pulledAt = m.lastPullRequest, now
-	p.resendAt = max(p.resendAt, now+pullTimeout) // when to look again
-	out := m.newMessage(p)
-	m.addDigest(out)
-	out.PullRequest = m.lastPullRequest
-	m.send(p, out)
+	p.resendAt = max(p.resendAt, now+pullTimeout) // NextTick wakes up for the timeout
+	msg := m.newMessage(p)
+	m.addDigest(msg)
+	msg.PullRequest = m.lastPullRequest
+	m.send(p, msg)
 }
 
-// setTarget notes what a peer had when it first answered.
+// setTarget records the watermarks in the peer's first answer, which this replica must
+// reach.
 func (p *peer) setTarget(rows []facts.DigestRow) {
 	p.target = make(map[facts.Origin]uint64, len(rows))
-	for _, r := range rows {
-		p.target[r.Origin] = r.Watermark
+	for _, row := range rows {
+		p.target[row.Origin] = row.Watermark
 	}
 }
 
-// checkTarget sees whether this copy has what a peer had, and asks on if not.
+// checkTarget records whether this replica has reached the watermarks of a peer's first
+// answer.
 func (m *Machine) checkTarget(now Time, p *peer) {
 	if p.target == nil {
 		return
 	}
-	for id, known := range p.target {
-		if id != m.cfg.Self && m.replica.Watermark(id) < known {
+	for id, watermark := range p.target {
+		if id != m.cfg.Self && m.replica.Watermark(id) < watermark {
 			return
 		}
 	}
--- a/internal/replicate/doc.go
+++ b/internal/replicate/doc.go
@@ -1,6 +1,6 @@
-// Package replicate decides what copies of facts (package facts) tell each other:
-// what binds goes out at once and again until it is confirmed, digests find what got
-// lost, and one that comes back catches up before it counts as knowing. It has no
-// clock and no I/O: time and messages are passed in, and what is to be sent comes
-// out.
+// Package replicate decides which messages replicas of facts (package facts) exchange.
+// New facts are sent to all peers at once and resent until they are confirmed, digests
+// find what was lost (anti-entropy), and a replica that starts or was paused catches up
+// before it counts as current. The package has no clock and performs no I/O: time and
+// received messages are passed in, and the messages to send are returned.
 package replicate
--- a/internal/replicate/message.go
+++ b/internal/replicate/message.go
@@ -2,49 +2,48 @@
 
 import "cometrack/internal/facts"
 
-// Version is the version of these messages. Kinds of facts may be added without
-// another one.
+// Version is the version of the messages. A new kind of facts needs no new version.
 const Version = 1
 
-// Bounds of a message.
+// Limits of a message.
 const (
 	MaxDigestRows   = 1000
 	MaxDeltas       = 64
-	MaxRelayTargets = 8    // peers that a message is to be passed on to
-	packetBytes     = 1200 // bytes of facts in a message, about; less than what a network carries whole
+	MaxRelayTargets = 8    // peers to which one message can be relayed
+	packetBytes     = 1200 // approximate bytes of facts in a message; small enough to avoid IP fragmentation
 )
 
-// Message is what one sender tells another about facts.
+// Message is a message about facts from one sender to another.
 type Message struct {
 	Version    int          `cbor:"1,keyasint"`
 	From       facts.Origin `cbor:"2,keyasint"`
-	SentAt     facts.Time   `cbor:"3,keyasint"`           // by From's clock, when it was sent
-	Echo       facts.Time   `cbor:"4,keyasint,omitempty"` // the last stamp that came from the receiver
-	CatchingUp bool         `cbor:"5,keyasint,omitempty"` // From is catching up itself
+	SentAt     facts.Time   `cbor:"3,keyasint"`           // on From's clock
+	Echo       facts.Time   `cbor:"4,keyasint,omitempty"` // last SentAt that From received from the receiver
+	CatchingUp bool         `cbor:"5,keyasint,omitempty"` // From may lack facts itself
 
 	Deltas  []facts.Delta `cbor:"6,keyasint,omitempty"`
-	RelayTo []string      `cbor:"7,keyasint,omitempty"` // the receiver is to pass From's facts on to these
+	RelayTo []string      `cbor:"7,keyasint,omitempty"` // peers to which the receiver relays From's facts
 
-	// DigestRows is what From has: of all origins if Whole, else of some.
+	// DigestRows describes the facts that From has: of all origins if DigestComplete, else of some.
 	DigestRows     []facts.DigestRow `cbor:"8,keyasint,omitempty"`
 	DigestComplete bool              `cbor:"9,keyasint,omitempty"`
-	// PullRequest asks for all that From lacks by its rows; Answer closes what is sent in answer
-	// to that number.
+	// PullRequest, if not 0, is the number of a request for all facts that From lacks
+	// according to DigestRows. PullComplete ends the response to the request with that number.
 	PullRequest  uint64 `cbor:"10,keyasint,omitempty"`
 	PullComplete uint64 `cbor:"11,keyasint,omitempty"`
 }
 
-// Envelope is a message on its way.
+// Envelope is a message to send and its destination.
 type Envelope struct {
-	To      string // address
+	To      string // UDP address of the peer
 	Message *Message
 }
 
-// sizeOf is about how many bytes a message takes.
+// sizeOf estimates the encoded size of a message in bytes.
 func sizeOf(m *Message) int {
 	n := 64 + len(m.From.Name)
-	for _, r := range m.DigestRows {
-		n += 40 + len(r.Origin.Name)
+	for _, row := range m.DigestRows {
+		n += 40 + len(row.Origin.Name)
 	}
 	for i := range m.Deltas {
 		n += m.Deltas[i].Size()
