--- a/cmd/measure/knowledge_virtual.go
+++ b/cmd/measure/knowledge_virtual.go
@@ -171,7 +171,7 @@
 		w.PublishWaits(0, all/100*(i+1), time.Hour) // and all before once more
 		at := w.Now
 		w.PublishWait(1, fmt.Sprint("now", i), time.Hour)
-		took, _ := w.Until(10*time.Second, func() bool { return w.AllKnowOwnFacts(1) })
+		took, _ := w.Until(10*time.Second, func() bool { return w.AllHaveFactsOf(1) })
 		known = append(known, took)
 		w.Run(max(10*time.Millisecond-(w.Now-at), 0))
 	}
--- a/internal/replicate/catchup.go
+++ b/internal/replicate/catchup.go
@@ -24,7 +24,7 @@
 }
 
 // catchUp pulls from one peer after another while this replica is catching up. It prefers
-// peers that were heard from recently and are not catching up themselves, and goes on to the
+// peers that sent a message recently and are not catching up themselves, and goes on to the
 // next peer if one does not answer in time. Catching up ends with enough peers, or when none
 // answers within the timeout.
 func (m *Machine) catchUp(now Time) {
--- a/internal/replicate/play/draw.go
+++ b/internal/replicate/play/draw.go
@@ -5,36 +5,37 @@
 	"time"
 )
 
-// Outcome is what came of a play.
+// Outcome is the result of a random simulation.
 type Outcome struct {
-	EarlyWaits, LongWaits, MissingWaits int
-	ConvergenceTime                     time.Duration // after the faults until all copies are equal
-	NotConverged                        bool          // they did not become so
-	CatchUpTime                         time.Duration // the longest until one that returned after the faults had caught up
+	EarlyWaits, LongWaits, MissingWaits int           // see the fields of World
+	ConvergenceTime                     time.Duration // from the end of the faults until all replicas are equal
+	NotConverged                        bool          // the replicas did not become equal
+	CatchUpTime                         time.Duration // longest time to catch up after the final restart or pause
 	Repairs, InvalidMessages            int
 }
 
-// Violation says what of an outcome must not be; empty if nothing.
+// Violation describes the first invariant that was violated; it is empty if none was.
 func (o Outcome) Violation() string {
 	switch {
 	case o.EarlyWaits > 0:
-		return fmt.Sprintf("%d waits ended early in a copy", o.EarlyWaits)
+		return fmt.Sprintf("%d waits ended early in a replica", o.EarlyWaits)
 	case o.LongWaits > 0:
-		return fmt.Sprintf("%d waits lasted too long in a copy", o.LongWaits)
+		return fmt.Sprintf("%d waits lasted too long in a replica", o.LongWaits)
 	case o.NotConverged:
-		return "the copies did not become equal"
+		return "the replicas did not converge"
 	case o.MissingWaits > 0:
-		return fmt.Sprintf("%d waits unknown to one that says it has caught up", o.MissingWaits)
+		return fmt.Sprintf("%d waits missing in a replica that had caught up", o.MissingWaits)
 	case o.Repairs > 0:
-		return fmt.Sprintf("%d copies with equal numbers differed", o.Repairs)
+		return fmt.Sprintf("%d replicas with equal watermarks differed", o.Repairs)
 	case o.InvalidMessages > 0:
-		return fmt.Sprintf("%d messages that made no sense", o.InvalidMessages)
+		return fmt.Sprintf("%d invalid messages", o.InvalidMessages)
 	}
 	return ""
 }
 
-// RunRandom plays random faults for a span while partners tell waits, then heals all, and
-// has one process start anew and one be paused. The same options give the same play.
+// RunRandom runs a simulation with random faults for d while senders publish waits. It then
+// heals all links, restarts one process and pauses another. The same options give the same
+// run.
 func RunRandom(opts Options, d time.Duration) Outcome {
 	w := New(opts)
 	n := opts.Senders
@@ -43,7 +44,8 @@
 		i, k := w.rng.IntN(n), w.rng.IntN(n)
 		switch w.rng.IntN(12) {
 		case 0, 1, 2, 3:
-			w.PublishWait(i, fmt.Sprint("e", w.rng.IntN(5)), opts.DigestInterval+time.Duration(w.rng.Int64N(int64(80*opts.DigestInterval))))
+			w.PublishWait(i, fmt.Sprint("e", w.rng.IntN(5)),
+				opts.DigestInterval+time.Duration(w.rng.Int64N(int64(80*opts.DigestInterval))))
 		case 4:
 			if w.rng.IntN(2) == 0 {
 				w.Kill(i)
@@ -58,7 +60,7 @@
 			w.Cut(i, k, true)
 		case 8:
 			w.SetLoss(i, k, w.rng.Float64())
-		case 9: // two pieces
+		case 9: // partition into two parts
 			at := w.rng.IntN(n)
 			for a := range n {
 				for b := range n {
@@ -69,7 +71,7 @@
 			}
 		case 10:
 			w.Heal()
-		case 11: // all lose some
+		case 11: // loss on all links
 			for a := range n {
 				for b := range n {
 					w.SetLoss(a, b, 0.3)
@@ -84,7 +86,7 @@
 			w.Start(i)
 		}
 	}
-	w.Run(20 * opts.DigestInterval) // those that are paused go on
+	w.Run(20 * opts.DigestInterval) // pauses end
 	var o Outcome
 	took, ok := w.Until(60*opts.DigestInterval, w.Converged)
 	o.ConvergenceTime, o.NotConverged = took, !ok
@@ -92,21 +94,21 @@
 		w.PublishWait(i%n, fmt.Sprint("last", i), 200*opts.DigestInterval)
 	}
 	w.Run(10 * opts.DigestInterval)
-	told := w.Now
-	back := []int{w.rng.IntN(n)}
-	w.Start(back[0])
-	if n > 2 { // of two, the one who starts would have nobody to ask
-		back = append(back, (back[0]+1)%n)
-		w.Pause(back[1], 10*opts.DigestInterval)
+	published := w.Now
+	restarted := []int{w.rng.IntN(n)}
+	w.Start(restarted[0])
+	if n > 2 { // of two senders, the restarted one would have no peer to pull from
+		restarted = append(restarted, (restarted[0]+1)%n)
+		w.Pause(restarted[1], 10*opts.DigestInterval)
 	}
 	for range 30 * int(opts.DigestInterval/(2*time.Millisecond)) {
 		w.Run(2 * time.Millisecond)
-		o.MissingWaits += w.CountMissing(told)
+		o.MissingWaits += w.CountMissing(published)
 	}
 	w.Check()
-	for _, i := range back {
+	for _, i := range restarted {
 		if p := w.Procs[i]; p.CaughtUpAt > 0 {
-			o.CatchUpTime = max(o.CatchUpTime, p.CaughtUpAt-told)
+			o.CatchUpTime = max(o.CatchUpTime, p.CaughtUpAt-published)
 		}
 	}
 	o.EarlyWaits, o.LongWaits = w.EarlyWaits, w.LongWaits
--- a/internal/replicate/play/play_test.go
+++ b/internal/replicate/play/play_test.go
@@ -7,26 +7,29 @@
 
 const digestInterval = 100 * time.Millisecond
 
+// randomOptions returns the options of the random simulation with a seed.
 func randomOptions(seed uint64) Options {
-	return Options{Seed: seed, Senders: 2 + int(seed%5), DigestInterval: digestInterval, Rate: 1e6, Drift: 0.01, Delay: time.Millisecond, Jitter: 4 * time.Millisecond, Zones: 1 + int(seed%2)}
+	return Options{Seed: seed, Senders: 2 + int(seed%5), DigestInterval: digestInterval, Rate: 1e6, Drift: 0.01,
+		Delay: time.Millisecond, Jitter: 4 * time.Millisecond, Zones: 1 + int(seed%2)}
 }
 
-// Whatever is lost, cut, paused and killed: no wait ends early in a copy, none is
-// drawn out by the ways that it comes by, all copies come to be equal, and one that
-// returns knows what all others knew once it says so.
+// TestRandomFaults checks the invariants under random loss, partitions, pauses and crashes:
+// no wait ends early in a replica or is extended by the routes it took, all replicas
+// converge, and a process that restarts or resumes has all older facts once it has caught
+// up.
 func TestRandomFaults(t *testing.T) {
 	for seed := range uint64(60) {
-		if bad := RunRandom(randomOptions(seed), 20*time.Second).Violation(); bad != "" {
-			t.Errorf("seed %d: %s", seed, bad)
+		if violation := RunRandom(randomOptions(seed), 20*time.Second).Violation(); violation != "" {
+			t.Errorf("seed %d: %s", seed, violation)
 		}
 	}
 }
 
-// The same plays find faults that are planted.
+// TestRandomFaultsFindPlantedDefects checks that the same simulations find planted defects.
 func TestRandomFaultsFindPlantedDefects(t *testing.T) {
 	for name, plant := range map[string]func(*Options){
-		"ages are left out":               func(o *Options) { o.ZeroAges = true },
-		"one that returns counts at once": func(o *Options) { o.SkipCatchUp = true },
+		"ages are ignored":       func(o *Options) { o.ZeroAges = true },
+		"catching up is skipped": func(o *Options) { o.SkipCatchUp = true },
 	} {
 		found := 0
 		for seed := range uint64(30) {
@@ -36,8 +39,8 @@
 				found++
 			}
 		}
-		if t.Logf("%s: found in %d of 30 plays", name, found); found < 10 {
-			t.Errorf("%s: found in %d of 30 plays", name, found)
+		if t.Logf("%s: found in %d of 30 runs", name, found); found < 10 {
+			t.Errorf("%s: found in %d of 30 runs", name, found)
 		}
 	}
 }
--- a/internal/replicate/play/world.go
+++ b/internal/replicate/play/world.go
@@ -1,5 +1,5 @@
-// Package play plays senders that tell each other facts, in virtual time, with
-// faults between them, and checks what must hold at any instant.
+// Package play simulates senders that exchange facts in virtual time, with network faults,
+// pauses and restarts, and checks invariants of their replicas.
 package play
 
 import (
@@ -13,20 +13,20 @@
 	"cometrack/internal/virtual"
 )
 
-// Options say what a world is like.
+// Options are the parameters of a simulation.
 type Options struct {
 	Seed           uint64
 	Senders        int
 	DigestInterval time.Duration
-	Rate           float64 // bytes a second
+	Rate           float64 // byte budget of each sender, per second
 	Drift          float64
 	Delay          time.Duration
 	Jitter         time.Duration
-	Zones          int // 0 for one
+	Zones          int // number of zones; 0 counts as one
 
-	// Planted faults.
-	ZeroAges    bool // facts travel as if they were told right now
-	SkipCatchUp bool // one that returns counts as knowing at once
+	// Planted defects, which the checks must find.
+	ZeroAges    bool // facts arrive as if their events happened right now
+	SkipCatchUp bool // a process that starts or resumes counts as caught up at once
 }
 
 // Proc is one process of a sender.
@@ -39,43 +39,43 @@
 
 	clockOffset     time.Duration
 	clockRate       float64
-	timerGeneration int
-	received        []*replicate.Message
-	CaughtUpAt      time.Duration // when it last caught up; 0 while it is behind
+	timerGeneration int                  // of the last scheduled tick; earlier ones are cancelled
+	received        []*replicate.Message // messages that arrived during a pause
+	CaughtUpAt      time.Duration        // when it last caught up; 0 while it is catching up
 }
 
-// publishedWait is a wait as the partner knows it.
+// publishedWait is a requested wait that a sender has published, in true time.
 type publishedWait struct {
 	publishedAt, endsAt time.Duration
 	sender              int
 }
 
-// World is senders in virtual time.
+// World is a simulation of senders in virtual time.
 type World struct {
 	virtual.Clock
 	Procs []*Proc
-	Bytes int64
-	Sent  int
+	Bytes int64 // sent by all, as measured by SizeOf
+	Sent  int   // messages sent by all
 
-	EarlyWaits   int           // waits that a copy took to end before they did
-	LongWaits    int           // waits that a copy took to last longer than the ways that they came can explain
-	MissingWaits int           // waits that one lacked which had caught up, and which all others had known for long
-	MaxOverrun   time.Duration // of a wait, past its true end
+	EarlyWaits   int           // waits that end in a replica before their true end, counted at each check
+	LongWaits    int           // waits that end in a replica later than transit, pauses and drift explain
+	MissingWaits int           // waits missing in a replica that had caught up
+	MaxOverrun   time.Duration // longest time by which a replica extends a wait beyond what drift explains
 
 	opts         Options
 	rng          *rand.Rand
-	loss         map[[2]int]float64
-	cut          map[[2]int]bool
+	loss         map[[2]int]float64 // share of lost messages, by sender and receiver
+	cut          map[[2]int]bool    // broken links, by sender and receiver
 	waits        map[facts.Dot]publishedWait
 	incarnations uint64
-	longestPause time.Duration // the longest
-	SizeOf       func(*replicate.Message) int
+	longestPause time.Duration
+	SizeOf       func(*replicate.Message) int // size of a message on the wire; nil to count no bytes
 }
 
-// New makes a world and starts all senders.
+// New returns a simulation in which all senders have started.
 func New(opts Options) *World {
-	w := &World{opts: opts, rng: rand.New(rand.NewPCG(opts.Seed, 3)), loss: map[[2]int]float64{}, cut: map[[2]int]bool{},
-		waits: map[facts.Dot]publishedWait{}, Procs: make([]*Proc, opts.Senders)}
+	w := &World{opts: opts, rng: rand.New(rand.NewPCG(opts.Seed, 3)), loss: map[[2]int]float64{},
+		cut: map[[2]int]bool{}, waits: map[facts.Dot]publishedWait{}, Procs: make([]*Proc, opts.Senders)}
 	w.opts.Zones = max(opts.Zones, 1)
 	for i := range opts.Senders {
 		w.Start(i)
@@ -83,17 +83,19 @@
 	return w
 }
 
-func (w *World) peers(but int) []replicate.Peer {
-	var out []replicate.Peer
+// peers lists all senders but one.
+func (w *World) peers(self int) []replicate.Peer {
+	var list []replicate.Peer
 	for k := range w.opts.Senders {
-		if k != but {
-			out = append(out, replicate.Peer{Name: fmt.Sprint("s", k), Addr: fmt.Sprint(k)})
+		if k != self {
+			list = append(list, replicate.Peer{Name: fmt.Sprint("s", k), Addr: fmt.Sprint(k)})
 		}
 	}
-	return out
+	return list
 }
 
-// Start starts a process of sender i with nothing; one that runs is killed.
+// Start starts a process of sender i with an empty replica. A running process of that sender
+// is killed.
 func (w *World) Start(i int) *Proc {
 	if old := w.Procs[i]; old != nil {
 		old.Running = false
@@ -101,18 +103,20 @@
 	w.incarnations++
 	p := &Proc{Index: i, Self: facts.Origin{Name: fmt.Sprint("s", i), Incarnation: w.incarnations}, Running: true,
 		clockOffset: time.Duration(1 + w.rng.Int64N(int64(time.Hour))), clockRate: 1 + w.opts.Drift*(2*w.rng.Float64()-1)}
-	p.Machine = replicate.New(replicate.Config{Self: p.Self, Zone: fmt.Sprint("z", i%w.opts.Zones), Drift: w.opts.Drift, DigestInterval: w.opts.DigestInterval,
-		CatchUpTimeout: 10 * w.opts.DigestInterval, Rate: w.opts.Rate, Seed: w.rng.Uint64()}, p.localTime(w))
+	p.Machine = replicate.New(replicate.Config{Self: p.Self, Zone: fmt.Sprint("z", i%w.opts.Zones),
+		Drift: w.opts.Drift, DigestInterval: w.opts.DigestInterval, CatchUpTimeout: 10 * w.opts.DigestInterval,
+		Rate: w.opts.Rate, Seed: w.rng.Uint64()}, p.localTime(w))
 	p.Machine.SetPeers(w.peers(i))
 	w.Procs[i] = p
 	w.step(p, func() replicate.Ready { return p.Machine.Tick(p.localTime(w)) })
 	return p
 }
 
-// Kill ends a process.
+// Kill ends the process of sender i.
 func (w *World) Kill(i int) { w.Procs[i].Running = false }
 
-// Pause stops a process for a span; what its socket keeps waits for it.
+// Pause stops the process of sender i for a duration. Up to 500 messages that arrive
+// meanwhile are buffered, as in a socket, and received afterwards.
 func (w *World) Pause(i int, d time.Duration) {
 	p := w.Procs[i]
 	if p.Paused || !p.Running {
@@ -125,28 +129,29 @@
 			return
 		}
 		p.Paused = false
-		late := p.received
+		messages := p.received
 		p.received = nil
-		for _, m := range late {
+		for _, m := range messages {
 			w.step(p, func() replicate.Ready { return p.Machine.Receive(p.localTime(w), m) })
 		}
 		w.step(p, func() replicate.Ready { return p.Machine.Tick(p.localTime(w)) })
 	})
 }
 
-// Cut cuts a link, Lose has it lose a share of its messages, Heal heals all.
+// Cut breaks or restores the link from one sender to another.
 func (w *World) Cut(from, to int, cut bool) { w.cut[[2]int{from, to}] = cut }
 
-// SetLoss has a link lose a share of its messages.
+// SetLoss sets the share of messages that are lost on the link from one sender to another.
 func (w *World) SetLoss(from, to int, share float64) { w.loss[[2]int{from, to}] = share }
 
-// Heal heals all links.
+// Heal restores all links and ends all losses.
 func (w *World) Heal() {
 	clear(w.cut)
 	clear(w.loss)
 }
 
-// PublishWait has a partner tell a sender that an endpoint is to be left alone.
+// PublishWait makes sender i publish that an endpoint requested a wait of d now. It has no
+// effect while the sender is down or paused.
 func (w *World) PublishWait(i int, endpoint string, d time.Duration) {
 	p := w.Procs[i]
 	if !p.Running || p.Paused {
@@ -154,25 +159,25 @@
 	}
 	w.step(p, func() replicate.Ready {
 		s := facts.Subject{Kind: facts.RequestedWait, Partner: "acme", Endpoint: endpoint}
-		r, err := p.Machine.Publish(p.localTime(w), s, facts.Value{}, 0, d)
+		ready, err := p.Machine.Publish(p.localTime(w), s, facts.Value{}, 0, d)
 		if err != nil {
 			panic(err)
 		}
 		own, seq := p.Machine.Replica().LocalVersion()
 		w.waits[facts.Dot{Origin: own, Seq: seq}] = publishedWait{w.Now, w.Now + d, i}
-		return r
+		return ready
 	})
 }
 
-// PublishWaits has one sender tell waits for so many endpoints, all at once.
+// PublishWaits makes sender i publish waits of d for n endpoints at once.
 func (w *World) PublishWaits(i, n int, d time.Duration) {
 	for k := range n {
 		w.PublishWait(i, fmt.Sprint("f", i, "-", k), d)
 	}
 }
 
-// AllKnowOwnFacts says whether all that run know all that a sender has told.
-func (w *World) AllKnowOwnFacts(i int) bool {
+// AllHaveFactsOf reports whether all running processes have all facts of sender i.
+func (w *World) AllHaveFactsOf(i int) bool {
 	own, seq := w.Procs[i].Machine.Replica().LocalVersion()
 	for _, p := range w.running() {
 		if p.Machine.Replica().Watermark(own) < seq {
@@ -182,7 +187,7 @@
 	return true
 }
 
-// AllHave says whether all that run have so many facts.
+// AllHave reports whether all running processes have n facts.
 func (w *World) AllHave(n int) bool {
 	for _, p := range w.running() {
 		if p.Machine.Replica().Len() != n {
@@ -192,45 +197,47 @@
 	return true
 }
 
+// localTime returns the time on the process's clock.
 func (p *Proc) localTime(w *World) time.Duration {
 	return p.clockOffset + time.Duration(float64(w.Now)*p.clockRate)
 }
 
-// step makes a step of a process and carries out what it asks for.
-func (w *World) step(p *Proc, step func() replicate.Ready) {
+// step runs one step of a process, sends its messages, and schedules its next tick.
+func (w *World) step(p *Proc, run func() replicate.Ready) {
 	if !p.Running || p.Paused {
 		return
 	}
-	r := step()
-	if behind, _ := p.Machine.CatchingUp(); behind && !w.opts.SkipCatchUp {
+	ready := run()
+	if catchingUp, _ := p.Machine.CatchingUp(); catchingUp && !w.opts.SkipCatchUp {
 		p.CaughtUpAt = 0
 	} else if p.CaughtUpAt == 0 {
 		p.CaughtUpAt = w.Now
 	}
-	for _, out := range r.Send {
-		w.send(p, out)
+	for _, envelope := range ready.Send {
+		w.send(p, envelope)
 	}
 	p.timerGeneration++
-	token := p.timerGeneration
+	generation := p.timerGeneration
 	w.After(max(time.Duration(float64(p.Machine.NextTick()-p.localTime(w))/p.clockRate), 0)+time.Microsecond, func() {
-		if token == p.timerGeneration {
+		if generation == p.timerGeneration {
 			w.step(p, func() replicate.Ready { return p.Machine.Tick(p.localTime(w)) })
 		}
 	})
 }
 
-func (w *World) send(p *Proc, out replicate.Envelope) {
+// send delivers a message with the delay, loss and duplication of its link.
+func (w *World) send(p *Proc, envelope replicate.Envelope) {
 	var to int
-	fmt.Sscan(out.To, &to)
+	fmt.Sscan(envelope.To, &to)
 	link := [2]int{p.Index, to}
 	w.Sent++
 	if w.SizeOf != nil {
-		w.Bytes += int64(w.SizeOf(out.Message))
+		w.Bytes += int64(w.SizeOf(envelope.Message))
 	}
 	if w.cut[link] || w.rng.Float64() < w.loss[link] {
 		return
 	}
-	m := *out.Message
+	m := *envelope.Message
 	m.Deltas = slices.Clone(m.Deltas)
 	for i := range m.Deltas {
 		m.Deltas[i].Facts = slices.Clone(m.Deltas[i].Facts)
@@ -245,31 +252,31 @@
 		copies = 2
 	}
 	for range copies {
-		d := w.opts.Delay
+		delay := w.opts.Delay
 		if w.opts.Jitter > 0 {
-			d += time.Duration(w.rng.Int64N(int64(w.opts.Jitter)))
+			delay += time.Duration(w.rng.Int64N(int64(w.opts.Jitter)))
 		}
-		w.After(d, func() {
-			x := w.Procs[to]
+		w.After(delay, func() {
+			receiver := w.Procs[to]
 			switch {
-			case !x.Running:
-			case x.Paused:
-				if len(x.received) < 500 {
-					x.received = append(x.received, &m)
+			case !receiver.Running:
+			case receiver.Paused:
+				if len(receiver.received) < 500 {
+					receiver.received = append(receiver.received, &m)
 				}
 			default:
-				w.step(x, func() replicate.Ready { return x.Machine.Receive(x.localTime(w), &m) })
+				w.step(receiver, func() replicate.Ready { return receiver.Machine.Receive(receiver.localTime(w), &m) })
 			}
 		})
 	}
 }
 
-// Check looks at all that run: no wait ends early in a copy, and none lasts longer
-// there than the ways that it came by explain.
+// Check counts, over all running processes, the waits that end early in a replica and those
+// that end later than transit, pauses and drift explain.
 func (w *World) Check() {
-	// What came while a process was paused has waited for it, which nobody can tell from a long way; and so at
-	// the one who passed it on.
-	way := time.Duration(w.opts.Senders)*(w.opts.Delay+w.opts.Jitter) + 2*w.longestPause
+	// A message that arrives during a pause waits for its end, which the receiver can't distinguish from a long
+	// transit; the same happens at a process that forwards it.
+	maxTransit := time.Duration(w.opts.Senders)*(w.opts.Delay+w.opts.Jitter) + 2*w.longestPause
 	for _, p := range w.Procs {
 		if !p.Running || p.Paused {
 			continue
@@ -279,37 +286,37 @@
 			if s.Kind != facts.RequestedWait {
 				continue
 			}
-			d := facts.Dot{Origin: s.Origin, Seq: s.Seq}
-			x, ok := w.waits[d]
+			dot := facts.Dot{Origin: s.Origin, Seq: s.Seq}
+			wait, ok := w.waits[dot]
 			if !ok {
-				panic("a wait that nobody told")
+				panic("a wait that no sender published")
 			}
-			left := x.endsAt - w.Now
-			drift := time.Duration(8 * w.opts.Drift * float64(w.Now-x.publishedAt+left))
-			least := left - time.Microsecond
-			if s.Origin == p.Self { // it has nothing but its own clock
-				least -= drift / 8
+			left := wait.endsAt - w.Now
+			drift := time.Duration(8 * w.opts.Drift * float64(w.Now-wait.publishedAt+left))
+			minRemaining := left - time.Microsecond
+			if s.Origin == p.Self { // only its own clock measures it
+				minRemaining -= drift / 8
 			}
-			if s.Remaining < least {
+			if s.Remaining < minRemaining {
 				w.EarlyWaits++
 			}
-			if past := s.Remaining - max(left, 0) - drift; past > way && left > 0 {
+			if overrun := s.Remaining - max(left, 0) - drift; overrun > maxTransit && left > 0 {
 				w.LongWaits++
-				w.MaxOverrun = max(w.MaxOverrun, past)
+				w.MaxOverrun = max(w.MaxOverrun, overrun)
 			}
 		}
 	}
 }
 
-// CountMissing counts what those that run, and have caught up, lack of the waits that are in
-// force and were told before a time.
+// CountMissing counts the waits that are in force and were published before a time, but that
+// a running process which has caught up lacks.
 func (w *World) CountMissing(before time.Duration) (n int) {
-	for d, x := range w.waits {
-		if x.publishedAt >= before || x.endsAt <= w.Now || !w.isCurrent(d, x) {
+	for dot, wait := range w.waits {
+		if wait.publishedAt >= before || wait.endsAt <= w.Now || !w.isCurrent(dot, wait) {
 			continue
 		}
 		for _, p := range w.Procs {
-			if p.Running && !p.Paused && p.CaughtUpAt > 0 && p.Self != d.Origin && !w.has(p, d) {
+			if p.Running && !p.Paused && p.CaughtUpAt > 0 && p.Self != dot.Origin && !w.has(p, dot) {
 				n++
 			}
 		}
@@ -317,28 +324,30 @@
 	return n
 }
 
-// isCurrent says whether no later wait has taken the place of one.
-func (w *World) isCurrent(d facts.Dot, x publishedWait) bool {
-	p := w.Procs[x.sender]
-	return p.Self == d.Origin && w.has(p, d)
+// isCurrent reports whether the incarnation that published a wait still runs and has not
+// replaced it.
+func (w *World) isCurrent(dot facts.Dot, wait publishedWait) bool {
+	p := w.Procs[wait.sender]
+	return p.Self == dot.Origin && w.has(p, dot)
 }
 
-func (w *World) has(p *Proc, d facts.Dot) bool {
+// has reports whether the replica of a process holds a fact that has not expired.
+func (w *World) has(p *Proc, dot facts.Dot) bool {
 	for _, s := range p.Machine.Replica().List(p.localTime(w), "", 1<<20) {
-		if s.Origin == d.Origin && s.Seq == d.Seq {
+		if s.Origin == dot.Origin && s.Seq == dot.Seq {
 			return true
 		}
 	}
 	return false
 }
 
-// Converged says whether the copies of all that run hold the same.
+// Converged reports whether the replicas of all running processes hold the same facts.
 func (w *World) Converged() bool {
 	first := []string(nil)
 	for i, p := range w.running() {
 		var list []string
 		for _, s := range p.Machine.Replica().List(p.localTime(w), "", 1<<20) {
-			// What is about to end may have ended by one clock and not by another.
+			// A fact about to expire may have expired on one clock and not on another.
 			if s.Remaining > 2*time.Duration(w.opts.Senders)*(w.opts.Delay+w.opts.Jitter)+100*time.Millisecond {
 				list = append(list, fmt.Sprint(s.Subject, s.Origin, s.Seq, s.Value))
 			}
@@ -353,6 +362,7 @@
 	return true
 }
 
+// running lists the processes that run and are not paused.
 func (w *World) running() (out []*Proc) {
 	for _, p := range w.Procs {
 		if p.Running && !p.Paused {
--- a/internal/virtual/clock.go
+++ b/internal/virtual/clock.go
@@ -5,41 +5,44 @@
 	"time"
 )
 
-// Clock is virtual time with what is to happen in it.
+// Clock is a virtual clock with the events scheduled on it. The zero value is a clock at
+// time 0 without events.
 type Clock struct {
 	Now       time.Duration
-	queue     eventQueue
+	queue     queue
 	scheduled int
 }
 
+// event is an action to run at a time.
 type event struct {
 	at     time.Duration
-	order  int // of two at one time the one that was asked for first goes first
+	order  int // order of scheduling, which decides between events at one time
 	action func()
 }
 
-type eventQueue []event
+// queue is a heap of events by time and order of scheduling.
+type queue []event
 
-func (q eventQueue) Len() int { return len(q) }
-func (q eventQueue) Less(i, j int) bool {
+func (q queue) Len() int { return len(q) }
+func (q queue) Less(i, j int) bool {
 	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].order < q[j].order
 }
-func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
-func (q *eventQueue) Push(x any)   { *q = append(*q, x.(event)) }
-func (q *eventQueue) Pop() any {
+func (q queue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
+func (q *queue) Push(x any)   { *q = append(*q, x.(event)) }
+func (q *queue) Pop() any {
 	old := *q
 	e := old[len(old)-1]
 	*q = old[:len(old)-1]
 	return e
 }
 
-// After has something happen after a span.
-func (c *Clock) After(d time.Duration, what func()) {
+// After schedules an action to run after d.
+func (c *Clock) After(d time.Duration, action func()) {
 	c.scheduled++
-	heap.Push(&c.queue, event{c.Now + d, c.scheduled, what})
+	heap.Push(&c.queue, event{c.Now + d, c.scheduled, action})
 }
 
-// Run lets time pass.
+// Run advances the clock by d and runs the events that are due by then.
 func (c *Clock) Run(d time.Duration) {
 	end := c.Now + d
 	for len(c.queue) > 0 && c.queue[0].at <= end {
@@ -50,15 +53,15 @@
 	c.Now = end
 }
 
-// Until lets time pass until something holds, at most d; it returns how long that
-// took, and whether it held.
-func (c *Clock) Until(d time.Duration, holds func() bool) (time.Duration, bool) {
-	from := c.Now
-	for !holds() {
-		if c.Now-from >= d {
-			return c.Now - from, false
+// Until advances the clock until a condition holds, at most by d. It returns the time this
+// took and whether the condition held.
+func (c *Clock) Until(d time.Duration, condition func() bool) (time.Duration, bool) {
+	start := c.Now
+	for !condition() {
+		if c.Now-start >= d {
+			return c.Now - start, false
 		}
 		c.Run(10 * time.Millisecond)
 	}
-	return c.Now - from, true
+	return c.Now - start, true
 }
--- a/internal/virtual/doc.go
+++ b/internal/virtual/doc.go
@@ -1,4 +1,4 @@
-// Package virtual is time as the plays of fleets have it: events happen in order,
-// and nothing waits for a real clock. It imports nothing of this module, so that
-// whatever decides can be played on it.
+// Package virtual provides a virtual clock for simulations: events happen in order of their
+// time, and nothing waits for a real clock. The package imports nothing of this module, so
+// that any package with decision logic can be simulated on it.
 package virtual
