--- a/internal/facts/copy.go
+++ b/internal/facts/copy.go
@@ -13,7 +13,7 @@
 	MaxFacts      = 200_000 // of all origins; a delta that would exceed it is refused
 	MaxOwnFacts   = 100_000 // of this sender; the facts that expire first are dropped to make room
 	MaxOrigins    = 4096    // incarnations of senders with an entry in the replica
-	maxExpiredOwn = 256     // expired own facts before the current ones that block their removal are published again
+	maxExpiredOwn = 256     // expired own facts above which current ones that block their removal are republished
 
 	renewInterval   = 5 * time.Second
 	originRetention = 10 * time.Minute // after the expiry of the origin's last fact
--- a/internal/facts/fact.go
+++ b/internal/facts/fact.go
@@ -105,7 +105,7 @@
 	return fmt.Errorf("%w: "+format, append([]any{ErrInvalid}, args...)...)
 }
 
-// check validates a fact that was received or is to be published.
+// check validates a received fact or one to be published.
 func (f *Fact) check() error {
 	s, v := f.Subject, f.Value
 	switch {
@@ -123,6 +123,7 @@
 	return nil
 }
 
+// check validates a delta and its facts.
 func (d *Delta) check() error {
 	if d.Origin.Name == "" || len(d.Origin.Name) > MaxNameBytes || d.Origin.Incarnation == 0 ||
 		d.Since > d.UpTo || d.Floor > d.UpTo || d.ConsistentAt < d.UpTo {
