--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -36,14 +36,14 @@
 	now := time.Now()
 	wall := c.origin.Round(0)
 	step := now.Round(0).Sub(wall) - now.Sub(c.origin) // of the wall clock since the start of the process
-	if step.Abs() < leastStep {
+	if step.Abs() < minStep {
 		step = 0
 	}
 	return wall.Add(time.Duration(us-c.base)*time.Microsecond + step)
 }
 
-// leastStep of the wall clock is not just the jitter of two readings.
-const leastStep = time.Millisecond
+// minStep of the wall clock is not just the jitter of two readings.
+const minStep = time.Millisecond
 
 // Epoch ties the sender's time to a boot of the machine.
 type Epoch struct {
@@ -56,19 +56,19 @@
 // epoch is to be kept in its turn. known says that the time that has passed since
 // earlier times were written is right.
 func Start(kept *Epoch, latest int64) (c *Clock, epoch Epoch, known bool) {
-	return start(kept, latest, systemBoot())
+	return start(kept, latest, readBoot())
 }
 
 // boot is a moment on the clocks of the machine.
 type boot struct {
 	id     string
-	since  int64 // microseconds since the boot, sleep counted
+	uptime int64 // microseconds since the boot, sleep counted
 	moment time.Time
 }
 
-// systemBoot reads the clocks. On a system that lacks them the id is empty.
-func systemBoot() boot {
-	out, ok := readTogether(time.Now, sinceBoot)
+// readBoot reads the clocks. On a system that lacks them the id is empty.
+func readBoot() boot {
+	out, ok := readSimultaneously(time.Now, sinceBoot)
 	if !ok {
 		return out
 	}
@@ -88,17 +88,17 @@
 }
 
 const (
-	// readings are made at most until two clocks are read within togetherness of each
+	// maxReadings are made at most until two clocks are read within togetherness of each
 	// other: a process that is held up in between would be off by that from then on.
-	readings     = 8
-	togetherness = time.Millisecond
+	maxReadings   = 8
+	maxReadingGap = time.Millisecond
 )
 
-// readTogether reads two clocks at one moment, as closely as it can; false if the second
+// readSimultaneously reads two clocks at one moment, as closely as it can; false if the second
 // can't be read.
-func readTogether(now func() time.Time, since func() (int64, bool)) (out boot, ok bool) {
+func readSimultaneously(now func() time.Time, since func() (int64, bool)) (out boot, ok bool) {
 	least := time.Duration(math.MaxInt64)
-	for range readings {
+	for range maxReadings {
 		before := now()
 		us, ok := since()
 		apart := now().Sub(before)
@@ -106,9 +106,9 @@
 			return boot{moment: before}, false
 		}
 		if apart < least {
-			least, out = apart, boot{since: us, moment: before}
+			least, out = apart, boot{uptime: us, moment: before}
 		}
-		if least < togetherness {
+		if least < maxReadingGap {
 			break
 		}
 	}
@@ -117,8 +117,8 @@
 
 func start(kept *Epoch, latest int64, b boot) (c *Clock, epoch Epoch, known bool) {
 	if kept != nil && b.id != "" && kept.BootID == b.id {
-		return New(b.since+kept.Offset, b.moment), *kept, true
+		return New(b.uptime+kept.Offset, b.moment), *kept, true
 	}
 	now := max(b.moment.UnixMicro(), latest)
-	return New(now, b.moment), Epoch{BootID: b.id, Offset: now - b.since}, kept == nil && latest == 0
+	return New(now, b.moment), Epoch{BootID: b.id, Offset: now - b.uptime}, kept == nil && latest == 0
 }
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -14,7 +14,7 @@
 			return time.Duration(rapid.Int64Range(-7200, 7200).Draw(t, name)) * time.Second
 		}
 		wall := time.Unix(1_700_000_000, 0)
-		b := boot{id: "a", since: rapid.Int64Range(0, 1e12).Draw(t, "since"), moment: wall.Add(step("first step"))}
+		b := boot{id: "a", uptime: rapid.Int64Range(0, 1e12).Draw(t, "since"), moment: wall.Add(step("first step"))}
 		first, epoch, known := start(nil, 0, b)
 		if !known {
 			t.Fatal("nothing is to be known of a new folder, and that is not known")
@@ -23,7 +23,7 @@
 		for i := range rapid.IntRange(1, 5).Draw(t, "restarts") {
 			away := rapid.Int64Range(0, 10_000_000).Draw(t, "away")
 			passed += away
-			b.since += away
+			b.uptime += away
 			b.moment = wall.Add(step("step"))
 			var c *Clock
 			if c, epoch, known = start(&epoch, deadline, b); !known {
@@ -82,7 +82,7 @@
 
 // The machine at hand has a boot with an id and a clock.
 func TestSystemBoot(t *testing.T) {
-	if b := systemBoot(); b.id == "" || b.since <= 0 {
+	if b := readBoot(); b.id == "" || b.uptime <= 0 {
 		t.Errorf("%+v", b)
 	}
 }
@@ -91,7 +91,7 @@
 // the next: the readings are made again then.
 func TestClocksAreReadTogether(t *testing.T) {
 	const stall = 150 * time.Millisecond
-	for held := range 2 * readings { // the look at a clock that the process is held up behind
+	for held := range 2 * maxReadings { // the look at a clock that the process is held up behind
 		start, elapsed, looks := time.Unix(1_700_000_000, 0), time.Duration(0), 0
 		look := func() time.Duration {
 			at := elapsed
@@ -101,9 +101,9 @@
 			looks++
 			return at
 		}
-		b, ok := readTogether(func() time.Time { return start.Add(look()) },
+		b, ok := readSimultaneously(func() time.Time { return start.Add(look()) },
 			func() (int64, bool) { return look().Microseconds(), true })
-		if off := b.moment.Sub(start) - time.Duration(b.since)*time.Microsecond; !ok || off.Abs() > togetherness {
+		if off := b.moment.Sub(start) - time.Duration(b.uptime)*time.Microsecond; !ok || off.Abs() > maxReadingGap {
 			t.Errorf("held up behind look %d: the clocks are off by %v", held, off)
 		}
 	}
--- a/internal/lifecycle/life.go
+++ b/internal/lifecycle/life.go
@@ -32,13 +32,13 @@
 		return false
 	}
 	l.log.Info("lifecycle", "event", ev.String(), "from", from.String(), "to", l.machine.state.String())
-	l.wake()
+	l.notifyChange()
 	return true
 }
 
-// wake tells those who wait, and sets the timer of the next change. It is called
+// notifyChange tells those who wait, and sets the timer of the next change. It is called
 // under the lock.
-func (l *Controller) wake() {
+func (l *Controller) notifyChange() {
 	close(l.changed)
 	l.changed = make(chan struct{})
 	if l.timer != nil {
@@ -49,7 +49,7 @@
 		l.timer = time.AfterFunc(at.Sub(now), func() {
 			l.mu.Lock()
 			defer l.mu.Unlock()
-			l.wake()
+			l.notifyChange()
 		})
 	}
 }
--- a/internal/lifecycle/machine.go
+++ b/internal/lifecycle/machine.go
@@ -78,7 +78,7 @@
 	state   State
 	since   time.Time // when it came into this state
 	drained bool      // an operator has taken it out of service and not put it back
-	began   bool      // it has served
+	served  bool      // it has served
 }
 
 // New makes the machine of a process that is starting.
@@ -86,9 +86,9 @@
 	return &Machine{times: times, state: Starting, since: now}
 }
 
-// next is where each event leads from each state. A pair that is not there changes
+// transitions is where each event leads from each state. A pair that is not there changes
 // nothing: the event is too late, too early, or said before.
-var next = [states][events]State{
+var transitions = [states][events]State{
 	Starting: {Started: Serving, Terminate: Leaving},
 	Serving:  {DrainOn: LameDuck, HandoverRequested: HandingOver, Terminate: Leaving},
 	LameDuck: {DrainOff: Serving, HandoverRequested: HandingOver, Terminate: Leaving},
@@ -108,7 +108,7 @@
 	case DrainOff:
 		m.drained = false
 	}
-	to := next[m.state][ev]
+	to := transitions[m.state][ev]
 	if to == Serving && m.drained { // told to drain before it served, or while it handed over
 		to = LameDuck
 	}
@@ -116,7 +116,7 @@
 		return false
 	}
 	m.state, m.since = to, now
-	m.began = m.began || to == Serving || to == LameDuck
+	m.served = m.served || to == Serving || to == LameDuck
 	return true
 }
 
@@ -134,7 +134,7 @@
 	case HandedOver: // the successor answers new clients; those that are here have to go there
 		v.Ready, v.ExitWhenIdle = !m.drained, true
 	case Leaving:
-		v.AcceptConnections, v.KeepAlive = m.began && !late, m.began && !late
+		v.AcceptConnections, v.KeepAlive = m.served && !late, m.served && !late
 		v.ShortenDeadlines = true
 		v.ExitWhenIdle, v.ExitNow = !v.AcceptConnections, now.Sub(m.since) >= m.times.StopTimeout
 	}
--- a/internal/view/lease.go
+++ b/internal/view/lease.go
@@ -7,16 +7,16 @@
 	"slices"
 )
 
-// grant is one that this sender holds of another.
+// grant is a grant that this sender holds from a peer.
 type grant struct {
-	version uint64   // of the roster
-	names   []string // whom the granter grants to
-	sum     uint64   // of the names
-	until   Time
+	rosterVersion uint64   // version of the granter's roster
+	rosterNames   []string // the senders that the granter grants to
+	namesHash     uint64   // hash of rosterNames
+	until         Time
 }
 
-// sumOf tells lists of names apart.
-func sumOf(names []string) uint64 {
+// hashNames returns a hash by which lists of names are compared.
+func hashNames(names []string) uint64 {
 	h := fnv.New64a()
 	for _, n := range names {
 		io.WriteString(h, n)
@@ -25,251 +25,256 @@
 	return h.Sum64()
 }
 
-// place is a sender on the roster of this one.
-type place struct {
-	id      uint64
-	added   uint64 // version of the roster that first held it
-	counted uint64 // it surely counts all who were added up to this version
-	until   Time   // what it was granted may be in force until then
-	claimed Time   // when it last asked
+// rosterEntry is a peer that this sender grants to.
+type rosterEntry struct {
+	id             uint64 // of the incarnation that is granted to
+	addedVersion   uint64 // roster version that first contained the peer
+	countedVersion uint64 // the peer is known to count all entries added up to this roster version
+	grantedUntil   Time   // a grant to the peer may be in force until then
+	requestedAt    Time   // when the peer last requested a grant
 }
 
-// Share is which part of each rate a sender may use.
+// Share is the share of each partner's rate that a sender may use: Current until Until, Min from then to StopAt, and
+// 0 after that.
 type Share struct {
-	Current        float64 // until Until
-	Until          Time
-	Min            float64 // after that, until Dead
-	StopAt         Time    // this process has not run for a lease: nothing is sent before it has looked
-	CountedSenders int     // senders that it shares with, itself counted; 0 if it has its least part
+	Current        float64 // fraction of each rate, valid until Until
+	Until          Time    // end of the lease
+	Min            float64 // minimum share, valid until StopAt
+	StopAt         Time    // one lease after the last step: after a longer pause, nothing is sent before the next step
+	CountedSenders int     // senders that the rate is divided among, this one included; 0 without a lease
 }
 
-// At is the part at a time.
-func (p Share) At(now Time) float64 {
+// At returns the share at a time.
+func (s Share) At(now Time) float64 {
 	switch {
-	case now >= p.StopAt:
+	case now >= s.StopAt:
 		return 0
-	case now < p.Until:
-		return p.Current
+	case now < s.Until:
+		return s.Current
 	}
-	return p.Min
+	return s.Min
 }
 
-// most is how many senders there may be: the most that any of them says.
-func (m *Machine) most() int {
+// maxSenders returns how many senders there may be: the largest number that any of them is configured with.
+func (m *Machine) maxSenders() int {
 	n := m.cfg.MaxSenders
-	for _, s := range m.seats {
-		if s.end == NotEnded {
-			n = max(n, s.seats)
+	for _, peer := range m.peers {
+		if peer.end == NotEnded {
+			n = max(n, peer.maxSenders)
 		}
 	}
 	return n
 }
 
-// granted takes the grant of a message in answer to one of ours.
-func (m *Machine) granted(s *seat, msg *Message) {
-	at, ok := m.sent[msg.AckSeq]
-	if !msg.Grant || !ok || !msg.Voter || s.end != NotEnded {
+// receiveGrant records the grant in a message that acknowledges one of this sender's messages. The lease runs from when
+// that message was sent.
+func (m *Machine) receiveGrant(peer *peerState, msg *Message) {
+	sentAt, ok := m.sentAt[msg.AckSeq]
+	if !msg.Grant || !ok || !msg.Voter || peer.end != NotEnded {
 		return
 	}
 	switch {
-	case msg.RosterVersion == s.grant.version && msg.RosterVersion != 0:
-	case msg.RosterVersion > s.grant.version && len(msg.RosterNames) > 0:
-		s.grant.version, s.grant.names, s.grant.sum, m.dirty = msg.RosterVersion, slices.Clone(msg.RosterNames), sumOf(msg.RosterNames), true
+	case msg.RosterVersion == peer.grant.rosterVersion && msg.RosterVersion != 0:
+	case msg.RosterVersion > peer.grant.rosterVersion && len(msg.RosterNames) > 0:
+		peer.grant.rosterVersion, peer.grant.rosterNames, peer.grant.namesHash, m.dirty =
+			msg.RosterVersion, slices.Clone(msg.RosterNames), hashNames(msg.RosterNames), true
 	default:
 		return
 	}
-	m.dirty = m.dirty || m.last >= s.grant.until
-	s.grant.until = max(s.grant.until, at+m.cfg.Lease)
+	m.dirty = m.dirty || m.lastStep >= peer.grant.until
+	peer.grant.until = max(peer.grant.until, sentAt+m.cfg.Lease)
 }
 
-// claim notes that another asks for a grant, and whom it counts.
-func (m *Machine) claim(s *seat, msg *Message) {
-	s.has = msg.AckRosterVersion
-	at, heard := m.sent[msg.AckSeq]
-	if !msg.Voter || msg.Left || s.end != NotEnded || !heard || m.last-at > m.cfg.Lease { // one who does not hear us can use no grant
-		return
+// handleGrantRequest records that a peer requests a grant, and up to which roster version it counts this sender's
+// roster.
+func (m *Machine) handleGrantRequest(peer *peerState, msg *Message) {
+	peer.ackRosterVersion = msg.AckRosterVersion
+	ackedAt, acked := m.sentAt[msg.AckSeq]
+	if !msg.Voter || msg.Left || peer.end != NotEnded || !acked || m.lastStep-ackedAt > m.cfg.Lease {
+		return // a peer that does not receive our messages can use no grant
 	}
-	p := m.roster[s.Name]
-	if p == nil {
-		m.rosterVer++
-		p = &place{id: s.ID, added: m.rosterVer, until: never}
+	entry := m.roster[peer.Name]
+	if entry == nil {
+		m.rosterVersion++
+		entry = &rosterEntry{id: peer.ID, addedVersion: m.rosterVersion, grantedUntil: never}
 		m.dirty = true
-		m.roster[s.Name] = p
+		m.roster[peer.Name] = entry
 	}
-	if p.id != s.ID { // the life before may hold a grant still
-		if m.last < p.until {
+	if entry.id != peer.ID { // the previous incarnation may still hold a grant
+		if m.lastStep < entry.grantedUntil {
 			return
 		}
-		p.id, p.counted = s.ID, 0
+		entry.id, entry.countedVersion = peer.ID, 0
 	}
-	p.counted = max(p.counted, min(msg.AckRosterVersion, m.rosterVer))
-	p.claimed = m.last
+	entry.countedVersion = max(entry.countedVersion, min(msg.AckRosterVersion, m.rosterVersion))
+	entry.requestedAt = m.lastStep
 }
 
-// give puts a grant into a message, if its receiver may have one.
-func (m *Machine) give(now Time, s *seat, out *Message) {
-	p := m.roster[s.Name]
-	if p == nil || p.id != s.ID || !m.voter || m.refused != nil || now-p.claimed > m.cfg.Lease || now < m.born+m.hold() {
+// addGrant adds a grant to a message if its receiver may have one: every holder of a grant must count the receiver
+// first.
+func (m *Machine) addGrant(now Time, peer *peerState, msg *Message) {
+	entry := m.roster[peer.Name]
+	if entry == nil || entry.id != peer.ID || !m.voter || m.refusal != nil ||
+		now-entry.requestedAt > m.cfg.Lease || now < m.startedAt+m.maxGrantTime() {
 		return
 	}
-	if m.lowestCounted(now, p) < p.added {
-		return // somebody does not count the receiver yet
+	if m.minCountedVersion(now, entry) < entry.addedVersion {
+		return // a grant holder may not count the receiver yet
 	}
-	if now >= p.until { // none is out: it will count by this one
-		p.counted = m.rosterVer
+	if now >= entry.grantedUntil { // it holds no grant, so it will count by the roster of this one
+		entry.countedVersion = m.rosterVersion
 	}
-	p.until = now + m.hold()
-	out.Grant, out.RosterVersion = true, m.rosterVer
-	if s.has != m.rosterVer {
-		out.RosterNames = m.onRoster()
+	entry.grantedUntil = now + m.maxGrantTime()
+	msg.Grant, msg.RosterVersion = true, m.rosterVersion
+	if peer.ackRosterVersion != m.rosterVersion {
+		msg.RosterNames = m.rosterNames()
 	}
 }
 
-// lowestCounted is up to which version of the roster all others who may hold a grant
-// surely count. The two lowest serve all receivers of a moment.
-func (m *Machine) lowestCounted(now Time, but *place) uint64 {
-	if l := &m.lows; l.at != now || l.roster != m.rosterVer || l.n != len(m.roster) {
-		*l = lows{at: now, roster: m.rosterVer, n: len(m.roster), first: math.MaxUint64, second: math.MaxUint64}
-		for _, x := range m.roster {
+// minCountedVersion returns the roster version up to which all grant holders but one are known to count. The two lowest
+// versions are cached, because they serve all receivers of one tick.
+func (m *Machine) minCountedVersion(now Time, except *rosterEntry) uint64 {
+	if minima := &m.minCounted; minima.at != now || minima.rosterVersion != m.rosterVersion ||
+		minima.size != len(m.roster) {
+		*minima = countedMinima{at: now, rosterVersion: m.rosterVersion, size: len(m.roster),
+			lowest: math.MaxUint64, secondLowest: math.MaxUint64}
+		for _, entry := range m.roster {
 			switch {
-			case now >= x.until:
-			case x.counted < l.first:
-				l.who, l.first, l.second = x, x.counted, l.first
-			case x.counted < l.second:
-				l.second = x.counted
+			case now >= entry.grantedUntil:
+			case entry.countedVersion < minima.lowest:
+				minima.entry, minima.lowest, minima.secondLowest = entry, entry.countedVersion, minima.lowest
+			case entry.countedVersion < minima.secondLowest:
+				minima.secondLowest = entry.countedVersion
 			}
 		}
 	}
-	if m.lows.who == but {
-		return m.lows.second
+	if m.minCounted.entry == except {
+		return m.minCounted.secondLowest
 	}
-	return m.lows.first
+	return m.minCounted.lowest
 }
 
-// lows is what lowestCounted found at a time. What is granted meanwhile is granted by
-// the present roster, so that it lowers nothing.
-type lows struct {
-	at            Time
-	roster        uint64
-	n             int
-	who           *place
-	first, second uint64
+// countedMinima caches the two lowest counted versions of the grant holders at a time. It stays valid for that time and
+// roster: a grant made meanwhile refers to the current roster and lowers neither.
+type countedMinima struct {
+	at                   Time
+	rosterVersion        uint64
+	size                 int
+	entry                *rosterEntry // the one with the lowest version
+	lowest, secondLowest uint64
 }
 
-// onRoster lists the roster, this sender included.
-func (m *Machine) onRoster() []string {
-	out := []string{m.cfg.Name}
+// rosterNames returns the sorted names on the roster, this sender included.
+func (m *Machine) rosterNames() []string {
+	names := []string{m.cfg.Name}
 	for name := range m.roster {
-		out = append(out, name)
+		names = append(names, name)
 	}
-	slices.Sort(out)
-	return out
+	slices.Sort(names)
+	return names
 }
 
-// expire takes those off the roster who no longer ask, once what they were granted
-// is over.
-func (m *Machine) expire(now Time) {
-	for name, p := range m.roster {
-		s := m.seats[name]
-		if now >= p.until && (s == nil || s.end != NotEnded || now-p.claimed > m.hold()) {
+// expireRoster removes the peers that no longer request grants, once their last grant has expired.
+func (m *Machine) expireRoster(now Time) {
+	for name, entry := range m.roster {
+		peer := m.peers[name]
+		if now >= entry.grantedUntil && (peer == nil || peer.end != NotEnded || now-entry.requestedAt > m.maxGrantTime()) {
 			delete(m.roster, name)
-			m.rosterVer++
+			m.rosterVersion++
 		}
 	}
 }
 
-// admit lets this sender take part in grants once every sender there may be has
-// taken it in, or is proven to have ended. What it granted in a life before is over
-// by then.
-func (m *Machine) admit(now Time) {
-	if m.voter || m.left || m.refused != nil || now < m.born+m.hold() || len(m.seats)+1 < m.most() {
+// becomeVoter lets this sender issue and use grants once every possible sender recognizes its incarnation or is proven
+// to have ended. The grants of its previous incarnation have expired by then.
+func (m *Machine) becomeVoter(now Time) {
+	if m.voter || m.left || m.refusal != nil || now < m.startedAt+m.maxGrantTime() || len(m.peers)+1 < m.maxSenders() {
 		return
 	}
-	for _, s := range m.seats {
-		// What another has told of its end may be older than a later life of it, which
-		// has taken this one for ended: it counts only as seen from here.
-		ended := s.checked && (s.end != Left || s.vacant) && (!m.strange() || s.end == Forgotten)
-		if !s.welcomed && !ended || s.alien != 0 {
+	for _, peer := range m.peers {
+		// An end that a peer reported may precede a later incarnation, which may consider this sender ended. Only an
+		// end that this incarnation confirmed itself counts.
+		ended := peer.endConfirmed && (peer.end != Left || peer.addrVacant) && (!m.unconfirmed() || peer.end == Forgotten)
+		if !peer.recognizesThis && !ended || peer.otherWireVersion != 0 {
 			return
 		}
 	}
-	m.voter, m.cfg.AdmittedAddr, m.out.Save = true, m.cfg.Addr, true
-	m.tickAt = now
-	m.event(Event{Name: m.cfg.Name, Text: "taken in by all"})
+	m.voter, m.cfg.AdmittedAddr, m.actions.Save = true, m.cfg.Addr, true
+	m.nextTick = now
+	m.addEvent(Event{Name: m.cfg.Name, Text: "admitted by all senders"})
 }
 
-// settled says whether a sender is proven to have ended, and all that it granted is
-// over.
-func (m *Machine) settled(now Time, s *seat) bool {
-	return s.end != NotEnded && now >= s.endAt+m.hold()
+// outOfQuorum reports whether a peer is proven to have ended and all its grants have expired.
+func (m *Machine) outOfQuorum(now Time, peer *peerState) bool {
+	return peer.end != NotEnded && now >= peer.endedAt+m.maxGrantTime()
 }
 
-// part is which part this sender may use.
-func (m *Machine) part(now Time) Share {
-	n := m.most()
-	p := Share{Min: m.cfg.MinShareTotal / float64(n), Until: now, StopAt: m.last + m.cfg.Lease}
-	p.Current = p.Min
-	// A name that is used twice is told apart once another sender has been met: until
-	// then nothing is sent, but by one who has its own folder and address and has met
-	// nobody for a while.
-	if m.refused != nil || n > 1 && (m.strange() || now < m.born+m.hold()) && !m.taken() {
+// shareAt returns the share that this sender may use.
+func (m *Machine) shareAt(now Time) Share {
+	n := m.maxSenders()
+	share := Share{Min: m.cfg.MinShareTotal / float64(n), Until: now, StopAt: m.lastStep + m.cfg.Lease}
+	share.Current = share.Min
+	// Peers detect a duplicate name. Until one recognizes this incarnation, nothing may be sent, unless the sender has
+	// kept its state folder and address and has run for the longest time of a grant.
+	if m.refusal != nil || n > 1 && (m.unconfirmed() || now < m.startedAt+m.maxGrantTime()) && !m.recognized() {
 		return Share{Until: now}
 	}
 	if !m.voter || m.left {
-		return p
+		return share
 	}
-	electors, unknown, first := n, n-1-len(m.seats), m.cfg.Name
-	for _, s := range m.seats {
-		if m.settled(now, s) {
-			electors--
+	electorate, unseen, firstName := n, n-1-len(m.peers), m.cfg.Name
+	for _, peer := range m.peers {
+		if m.outOfQuorum(now, peer) {
+			electorate--
 		} else {
-			first = min(first, s.Name)
+			firstName = min(firstName, peer.Name)
 		}
 	}
 	counted := map[string]bool{m.cfg.Name: true}
 	for name := range m.roster {
 		counted[name] = true
 	}
-	lists := map[uint64]bool{}
-	untils := []Time{m.last + m.cfg.Lease} // its own: it holds while this process runs
-	for _, s := range m.seats {
-		if s.end != NotEnded || now >= s.grant.until {
+	seenRosters := map[uint64]bool{}
+	grantEnds := []Time{m.lastStep + m.cfg.Lease} // its own vote holds while this process runs
+	for _, peer := range m.peers {
+		if peer.end != NotEnded || now >= peer.grant.until {
 			continue
 		}
-		untils = append(untils, s.grant.until)
-		if lists[s.grant.sum] {
-			continue // mostly all grant to the same
+		grantEnds = append(grantEnds, peer.grant.until)
+		if seenRosters[peer.grant.namesHash] {
+			continue // most granters have the same roster
 		}
-		lists[s.grant.sum] = true
-		for _, name := range s.grant.names {
+		seenRosters[peer.grant.namesHash] = true
+		for _, name := range peer.grant.rosterNames {
 			counted[name] = true
 		}
 	}
-	need := electors/2 + 1
-	if firstGrant := m.grantOf(first, now); unknown <= 0 && electors%2 == 0 && firstGrant > now { // half is enough with the first
-		slices.Sort(untils)
-		if k := electors / 2; len(untils) >= k {
-			p.Until = min(untils[len(untils)-k], firstGrant)
+	quorum := electorate/2 + 1
+	if firstGrant := m.grantUntil(firstName, now); unseen <= 0 && electorate%2 == 0 && firstGrant > now {
+		// Half of an even electorate is enough if it includes the sender with the first name.
+		slices.Sort(grantEnds)
+		if half := electorate / 2; len(grantEnds) >= half {
+			share.Until = min(grantEnds[len(grantEnds)-half], firstGrant)
 		}
 	}
-	slices.Sort(untils)
-	if len(untils) >= need {
-		p.Until = max(p.Until, untils[len(untils)-need])
+	slices.Sort(grantEnds)
+	if len(grantEnds) >= quorum {
+		share.Until = max(share.Until, grantEnds[len(grantEnds)-quorum])
 	}
-	if p.Until > now {
-		p.CountedSenders = len(counted)
-		p.Current = p.Min + (1-m.cfg.MinShareTotal)/float64(p.CountedSenders)
+	if share.Until > now {
+		share.CountedSenders = len(counted)
+		share.Current = share.Min + (1-m.cfg.MinShareTotal)/float64(share.CountedSenders)
 	}
-	return p
+	return share
 }
 
-// grantOf is until when the grant of a sender holds.
-func (m *Machine) grantOf(name string, now Time) Time {
+// grantUntil returns when the grant of a sender expires.
+func (m *Machine) grantUntil(name string, now Time) Time {
 	if name == m.cfg.Name {
-		return m.last + m.cfg.Lease
+		return m.lastStep + m.cfg.Lease
 	}
-	if s := m.seats[name]; s != nil && s.end == NotEnded {
-		return s.grant.until
+	if peer := m.peers[name]; peer != nil && peer.end == NotEnded {
+		return peer.grant.until
 	}
 	return never
 }
--- a/internal/view/machine.go
+++ b/internal/view/machine.go
@@ -8,30 +8,30 @@
 	"time"
 )
 
-// Time is a time or a span on a clock that goes on while the process is paused. It
-// may begin anywhere, but not before 0.
+// Time is a time or a duration on a clock that advances while the process is paused. Its zero may be anywhere, but
+// times are not negative.
 type Time = time.Duration
 
-// Config is what a sender is told at its start.
+// Config is the configuration of a [Machine].
 type Config struct {
 	Name, Addr, Zone, Version string
-	ID                        uint64 // of this life; not 0
-	Incarnation               uint64 // above all that went before
-	MaxSenders                int    // the most senders there may be, this one counted
-	MinShareTotal             float64
-	Lease, Interval           Time
-	MaxClockDrift             float64 // clocks of senders run at 1-Drift to 1+Drift of the true pace
-	Join                      []string
-	KnownPeers                []Peer
-	// AdmittedAddr is the address at which all others last took this sender in, as its folder
-	// says. At another one, or with an emptied folder, it is strange: what it keeps of
-	// the others may be of no use, and another process may have its name.
+	ID                        uint64   // random ID of this incarnation; not 0
+	Incarnation               uint64   // number of this incarnation, higher than all before it
+	MaxSenders                int      // largest number of senders, this one included
+	MinShareTotal             float64  // fraction of each rate that is divided evenly into minimum shares
+	Lease, Interval           Time     // duration of a grant, and time between heartbeats
+	MaxClockDrift             float64  // clocks of senders run at 1-MaxClockDrift to 1+MaxClockDrift of the true rate
+	Join                      []string // addresses to contact besides those of the known peers
+	KnownPeers                []Peer   // as [Machine.SavedState] returned them before the restart
+	// AdmittedAddr is the address at which all peers last admitted this sender, as its state folder has it. At another
+	// address, or with an emptied folder, this sender is unconfirmed: its saved peers may be outdated, and another
+	// process may use its name.
 	AdmittedAddr string
 	Seed         uint64
-	WireVersion  int // 0 for Wire
+	WireVersion  int // version of the messages; 0 for the constant [WireVersion]
 }
 
-// Peer is what a sender keeps of another over a restart.
+// Peer identifies an incarnation of another sender. It is saved over restarts.
 type Peer struct {
 	Name        string `json:"name"`
 	Addr        string `json:"addr"`
@@ -40,23 +40,23 @@
 	Incarnation uint64 `json:"incarnation"`
 }
 
-// Probe asks for a stream to be opened to an address, to see whether a life that
-// goes unheard has ended.
+// Probe requests that a stream be opened to an address, to find out whether an incarnation that is not heard has
+// ended.
 type Probe struct {
 	Name string
 	ID   uint64
 	Addr string
 }
 
-// Event is a change of the view, for the log.
+// Event is a change of the view that is to be logged.
 type Event struct {
-	Name     string // of the sender that it concerns
-	From, To State  // the same if it is no change of state
-	Text     string // the evidence
+	Name     string // the sender that it concerns
+	From, To State  // equal unless the state of the sender has changed
+	Text     string // what happened, or the evidence for the new state
 }
 
-// Actions is what is to be done after a step, in this order: Part holds from now on;
-// then Kept is written, if Save says so; then all else.
+// Actions are what the caller must do after a step, in this order: apply Share; write [Machine.SavedState] if Save is
+// set; then send the messages, run the probes and log the events.
 type Actions struct {
 	Share  Share
 	Save   bool
@@ -67,290 +67,299 @@
 
 // Machine is one sender's view. It is not safe for concurrent use.
 type Machine struct {
-	cfg      Config
-	rng      *rand.Rand
-	seats    map[string]*seat // the others, by name
-	born     Time
-	last     Time // of the last step
-	tickAt   Time
-	joinAt   Time
-	base     Time // silence from before does not count: this process was paused
-	seq      uint64
-	sent     map[uint64]Time // when each of the last messages was sent
-	voter    bool
-	left     bool
-	dirty    bool // something has happened that may change the view or make the part smaller
-	known    Share
-	newcomer *seat // whose first message this step has taken
-	turn     int   // of the rows
-
-	roster    map[string]*place // whom this sender grants to
-	rosterVer uint64
-	lows      lows
-
-	rivalSaid      Time
-	refused        *Refusal // this life is not taken for the sender of its name
+	cfg            Config
+	rng            *rand.Rand
+	peers          map[string]*peerState // by name
+	startedAt      Time                  // of this incarnation
+	lastStep       Time                  // when the last step began
+	nextTick       Time
+	nextJoin       Time
+	listeningSince Time            // end of the last pause of this process: silence of peers before it does not count
+	seq            uint64          // of the last message sent
+	sentAt         map[uint64]Time // send times of recent messages, by seq
+	voter          bool            // takes part in grants
+	left           bool            // has left the cluster in order
+	dirty          bool            // something happened that may change the view or reduce the share
+	share          Share           // as last computed
+	newcomer       *peerState      // sender whose first message came in this step
+	reportOffset   int             // next peer to report on, in the order of names
+
+	roster        map[string]*rosterEntry // the peers that this sender grants to, by name
+	rosterVersion uint64
+	minCounted    countedMinima // cache of minCountedVersion
+
+	nextRivalEvent Time     // no event about a process with the same name before this time
+	refusal        *Refusal // why peers refuse this incarnation; nil if they do not
 	refusedAt      Time
-	out            Actions
-	HeardAfterGone int // senders that were taken for gone and were heard again in the same life
+	actions        Actions // of the step under way
+	HeardAfterGone int     // how often a peer considered ended was heard again in the same incarnation
 }
 
-// New makes a machine at a time.
+// New returns a machine that starts at now.
 func New(cfg Config, now Time) *Machine {
 	if cfg.WireVersion == 0 {
 		cfg.WireVersion = WireVersion
 	}
-	m := &Machine{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, cfg.ID)), seats: map[string]*seat{}, born: now, last: now, base: now,
-		sent: map[uint64]Time{}, roster: map[string]*place{}, rosterVer: 1}
-	for _, k := range cfg.KnownPeers {
-		if k.Name != cfg.Name && k.Name != "" {
-			m.seats[k.Name] = &seat{Peer: k, heard: never, state: Suspected, reports: map[string]report{}}
+	m := &Machine{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, cfg.ID)), peers: map[string]*peerState{},
+		startedAt: now, lastStep: now, listeningSince: now,
+		sentAt: map[uint64]Time{}, roster: map[string]*rosterEntry{}, rosterVersion: 1}
+	for _, known := range cfg.KnownPeers {
+		if known.Name != cfg.Name && known.Name != "" {
+			m.peers[known.Name] = &peerState{Peer: known, heardAt: never, state: Suspected,
+				observations: map[string]observation{}}
 		}
 	}
 	return m
 }
 
+// never is the time of an event that has not occurred.
 const never = Time(-1 << 62)
 
-// MaxSenders is the most senders that there may be.
+// MaxSenders is the largest number of senders that a cluster may have.
 const MaxSenders = 1000
 
-func (m *Machine) strange() bool { return m.cfg.AdmittedAddr != m.cfg.Addr }
+// unconfirmed reports whether this sender has a new address or lost its state folder: see Config.AdmittedAddr.
+func (m *Machine) unconfirmed() bool { return m.cfg.AdmittedAddr != m.cfg.Addr }
 
-// hold is how long a grant may be in force by the clock of whoever gave it.
-func (m *Machine) hold() Time {
+// maxGrantTime returns how long a grant may be in force by the clock of its granter.
+func (m *Machine) maxGrantTime() Time {
 	return Time(float64(m.cfg.Lease)*(1+m.cfg.MaxClockDrift)/(1-m.cfg.MaxClockDrift)) + 1
 }
 
-// fresh is how long a sender counts as heard after a message of it.
-func (m *Machine) fresh() Time { return max(6*m.cfg.Interval, m.cfg.Lease*6/10) }
+// heardTimeout returns how long a peer counts as heard after a message from it.
+func (m *Machine) heardTimeout() Time { return max(6*m.cfg.Interval, m.cfg.Lease*6/10) }
 
-// next is when Step is to be called again at the latest.
-func (m *Machine) NextTick() Time { return m.tickAt }
+// NextTick returns when Tick must be called at the latest.
+func (m *Machine) NextTick() Time { return m.nextTick }
 
-// HandleMessage hands over a message that came. One that makes no sense is dropped.
+// HandleMessage processes a message that arrived. A malformed one is ignored.
 func (m *Machine) HandleMessage(now Time, msg *Message) Actions {
-	m.begin(now)
-	m.take(now, msg)
-	return m.end(now)
+	m.beginStep(now)
+	m.receive(now, msg)
+	return m.finishStep(now)
 }
 
-// Tick lets time pass.
+// Tick does what is due at a time.
 func (m *Machine) Tick(now Time) Actions {
-	m.begin(now)
-	return m.end(now)
+	m.beginStep(now)
+	return m.finishStep(now)
 }
 
-// HandleProbe hands over what a probe has found: Refused, Fenced, or Lives for all else.
+// HandleProbe processes the result of a probe: ConnectionRefused, Fenced, or NotEnded for anything else.
 func (m *Machine) HandleProbe(now Time, p Probe, found End) Actions {
-	m.begin(now)
-	if s := m.seats[p.Name]; s != nil {
-		s.probing, m.dirty = false, m.dirty || found != NotEnded
-		if s.ID == p.ID && s.end == NotEnded && s.heard < s.probedAt && (found == ConnectionRefused || found == Fenced) {
-			m.ends(now, s, found, "by a probe of its address "+p.Addr)
+	m.beginStep(now)
+	if peer := m.peers[p.Name]; peer != nil {
+		peer.probing, m.dirty = false, m.dirty || found != NotEnded
+		if peer.ID == p.ID && peer.end == NotEnded && peer.heardAt < peer.probedAt &&
+			(found == ConnectionRefused || found == Fenced) {
+			m.markEnded(now, peer, found, "by a probe of its address "+p.Addr)
 		}
-		if s.ID == p.ID && s.end != NotEnded && (found == ConnectionRefused || found == Fenced) {
-			s.checked = true
-			s.vacant = s.vacant || found == ConnectionRefused
+		if peer.ID == p.ID && peer.end != NotEnded && (found == ConnectionRefused || found == Fenced) {
+			peer.endConfirmed = true
+			peer.addrVacant = peer.addrVacant || found == ConnectionRefused
 		}
 	}
-	return m.end(now)
+	return m.finishStep(now)
 }
 
-// Liveness is the life of this process, and when its last step began.
-func (m *Machine) Liveness() (id uint64, at Time) { return m.cfg.ID, m.last }
+// Liveness returns the ID of this incarnation and when its last step began.
+func (m *Machine) Liveness() (id uint64, at Time) { return m.cfg.ID, m.lastStep }
 
-// Leave has this sender give up all but its least part, for good.
+// Leave gives up all but the minimum share, for good.
 func (m *Machine) Leave(now Time) Actions {
-	m.begin(now)
+	m.beginStep(now)
 	m.left, m.voter, m.dirty = true, false, true
-	m.tickAt = now
-	return m.end(now)
+	m.nextTick = now
+	return m.finishStep(now)
 }
 
-// Forget has another sender taken for ended, by an operator's word. It is wrong for
-// one that runs.
+// Forget marks a peer as ended at the request of an operator. It returns an error if the peer is unknown or was heard
+// recently. The operator must make sure that the peer does not run.
 func (m *Machine) Forget(now Time, name string) (Actions, error) {
-	m.begin(now)
-	s := m.seats[name]
+	m.beginStep(now)
+	peer := m.peers[name]
 	switch {
-	case s == nil:
-		return m.end(now), fmt.Errorf("no sender %q is known", name)
-	case s.end == NotEnded && now-s.heard < m.fresh():
-		return m.end(now), fmt.Errorf("%s was heard %v ago: it runs", name, (now - s.heard).Round(time.Millisecond))
+	case peer == nil:
+		return m.finishStep(now), fmt.Errorf("no sender %q is known", name)
+	case peer.end == NotEnded && now-peer.heardAt < m.heardTimeout():
+		return m.finishStep(now), fmt.Errorf("%s was heard %v ago: it runs", name,
+			(now - peer.heardAt).Round(time.Millisecond))
 	}
-	m.ends(now, s, Forgotten, "by an operator")
-	s.checked = true
-	return m.end(now), nil
+	m.markEnded(now, peer, Forgotten, "by an operator")
+	peer.endConfirmed = true
+	return m.finishStep(now), nil
 }
 
-// HandleFenced says that this process's guard has had it taken for ended.
+// HandleFenced starts a new incarnation after the guard of this process has reported the current one as ended.
 func (m *Machine) HandleFenced(now Time) Actions {
-	m.begin(now)
-	m.rebirth(now, "its guard has fenced it")
-	return m.end(now)
+	m.beginStep(now)
+	m.startIncarnation(now, "its guard has fenced it")
+	return m.finishStep(now)
 }
 
-// begin sees whether this process was paused. After a pause of more than a lease it
-// is a new life: others may have taken the one before for ended.
-func (m *Machine) begin(now Time) {
-	m.out = Actions{}
-	switch gap := now - m.last; {
+// beginStep detects a pause of this process. After a pause of a lease or more it starts a new incarnation, because
+// peers may consider the previous one ended.
+func (m *Machine) beginStep(now Time) {
+	m.actions = Actions{}
+	switch gap := now - m.lastStep; {
 	case gap >= m.cfg.Lease:
-		m.rebirth(now, fmt.Sprintf("it did not run for %v", gap.Round(time.Millisecond)))
+		m.startIncarnation(now, fmt.Sprintf("it did not run for %v", gap.Round(time.Millisecond)))
 	case gap > 3*m.cfg.Interval:
-		m.base = now
+		m.listeningSince = now
 	}
-	m.last = max(m.last, now)
+	m.lastStep = max(m.lastStep, now)
 }
 
-func (m *Machine) rebirth(now Time, why string) {
+// startIncarnation replaces this incarnation by a new one that has no grants and is not yet recognized by any peer.
+func (m *Machine) startIncarnation(now Time, reason string) {
 	m.cfg.Incarnation++
 	m.cfg.ID = m.rng.Uint64() | 1
-	m.born, m.base, m.last, m.tickAt = now, now, now, now
-	m.voter, m.refused, m.dirty = false, nil, true
-	clear(m.sent)
-	for _, s := range m.seats {
-		s.welcomed, s.grant, s.probing = false, grant{}, false
-		if s.end != NotEnded { // a later life of it may be there by now, and may have had this one taken for ended
-			s.end, s.vacant, s.checked, s.heard, s.state = NotEnded, false, false, never, Suspected
+	m.startedAt, m.listeningSince, m.lastStep, m.nextTick = now, now, now, now
+	m.voter, m.refusal, m.dirty = false, nil, true
+	clear(m.sentAt)
+	for _, peer := range m.peers {
+		peer.recognizesThis, peer.grant, peer.probing = false, grant{}, false
+		if peer.end != NotEnded { // a later incarnation may run by now and may consider this sender ended
+			peer.end, peer.addrVacant, peer.endConfirmed, peer.heardAt, peer.state = NotEnded, false, false, never, Suspected
 		}
 	}
-	m.out.Save = true
-	m.event(Event{Name: m.cfg.Name, Text: why + ": it joins anew as incarnation " + fmt.Sprint(m.cfg.Incarnation)})
+	m.actions.Save = true
+	m.addEvent(Event{Name: m.cfg.Name, Text: reason + ": it rejoins as incarnation " + fmt.Sprint(m.cfg.Incarnation)})
 }
 
-func (m *Machine) event(e Event) { m.out.Events = append(m.out.Events, e) }
+func (m *Machine) addEvent(e Event) { m.actions.Events = append(m.actions.Events, e) }
 
-// end does what is due and tells what is to be done.
-func (m *Machine) end(now Time) Actions {
-	// What only adds to a part can wait for the next tick.
-	look := m.dirty || now >= m.tickAt
+// finishStep does what is due and returns the actions of the step.
+func (m *Machine) finishStep(now Time) Actions {
+	// What only increases the share can wait for the next tick.
+	update := m.dirty || now >= m.nextTick
 	m.dirty = false
-	if look {
-		m.admit(now)
-		m.expire(now)
-		m.judge(now)
+	if update {
+		m.becomeVoter(now)
+		m.expireRoster(now)
+		m.updateStates(now)
 	}
-	if now >= m.tickAt {
-		m.tickAt = now + m.cfg.Interval
-		m.tell(now)
-	} else if s := m.newcomer; s != nil && m.seq > 0 { // it is told at once whom it has reached
-		m.address(now, s, m.common())
+	if now >= m.nextTick {
+		m.nextTick = now + m.cfg.Interval
+		m.sendHeartbeats(now)
+	} else if peer := m.newcomer; peer != nil && m.seq > 0 { // answer its first message at once
+		m.sendTo(now, peer, m.baseMessage())
 	}
 	m.newcomer = nil
-	if look || m.dirty {
-		m.known = m.part(now)
+	if update || m.dirty {
+		m.share = m.shareAt(now)
 	}
-	if m.known.StopAt > 0 {
-		m.known.StopAt = m.last + m.cfg.Lease
+	if m.share.StopAt > 0 {
+		m.share.StopAt = m.lastStep + m.cfg.Lease
 	}
-	m.out.Share = m.known
-	return m.out
+	m.actions.Share = m.share
+	return m.actions
 }
 
-// Lists the others by name.
-func (m *Machine) names() []string { return slices.Sorted(maps.Keys(m.seats)) }
+// peerNames returns the sorted names of the peers.
+func (m *Machine) peerNames() []string { return slices.Sorted(maps.Keys(m.peers)) }
 
-// LivePeers lists the others that are not proven to have ended, by name.
-func (m *Machine) LivePeers() (list []Peer) {
-	for _, name := range m.names() {
-		if s := m.seats[name]; s.end == NotEnded && s.ID != 0 && s.alien == 0 {
-			list = append(list, s.Peer)
+// LivePeers returns the peers that are not proven to have ended, sorted by name.
+func (m *Machine) LivePeers() (live []Peer) {
+	for _, name := range m.peerNames() {
+		if peer := m.peers[name]; peer.end == NotEnded && peer.ID != 0 && peer.otherWireVersion == 0 {
+			live = append(live, peer.Peer)
 		}
 	}
-	return list
+	return live
 }
 
-// SavedState is what is to be kept over a restart.
-func (m *Machine) SavedState() (incarnation uint64, home string, list []Peer) {
-	for _, name := range m.names() {
-		if s := m.seats[name]; s.end != Forgotten && s.ID != 0 {
-			list = append(list, s.Peer)
+// SavedState returns what must be saved over a restart.
+func (m *Machine) SavedState() (incarnation uint64, admittedAddr string, peers []Peer) {
+	for _, name := range m.peerNames() {
+		if peer := m.peers[name]; peer.end != Forgotten && peer.ID != 0 {
+			peers = append(peers, peer.Peer)
 		}
 	}
-	return m.cfg.Incarnation, m.cfg.AdmittedAddr, list
+	return m.cfg.Incarnation, m.cfg.AdmittedAddr, peers
 }
 
-// tell makes the messages of a tick.
-func (m *Machine) tell(now Time) {
+// sendHeartbeats creates the messages of a tick: to all peers, and now and then to the addresses to join.
+func (m *Machine) sendHeartbeats(now Time) {
 	m.seq++
-	m.sent[m.seq] = now
-	maps.DeleteFunc(m.sent, func(_ uint64, at Time) bool { return now-at > 2*m.cfg.Lease })
-	base := m.common()
-	base.PeerReports = m.rows(now)
-	known := map[string]bool{m.cfg.Addr: true}
-	for _, name := range m.names() {
-		s := m.seats[name]
-		if s.end == Forgotten || s.end != NotEnded && now < s.callAt {
-			known[s.Addr] = s.end != Forgotten
+	m.sentAt[m.seq] = now
+	maps.DeleteFunc(m.sentAt, func(_ uint64, at Time) bool { return now-at > 2*m.cfg.Lease })
+	base := m.baseMessage()
+	base.PeerReports = m.peerReports(now)
+	contacted := map[string]bool{m.cfg.Addr: true}
+	for _, name := range m.peerNames() {
+		peer := m.peers[name]
+		if peer.end == Forgotten || peer.end != NotEnded && now < peer.nextContact {
+			contacted[peer.Addr] = peer.end != Forgotten
 			continue
 		}
-		s.callAt = now + m.cfg.Lease // one that has ended may start again where it was
-		known[s.Addr] = true
-		m.address(now, s, base)
+		peer.nextContact = now + m.cfg.Lease // an ended peer may restart at its address
+		contacted[peer.Addr] = true
+		m.sendTo(now, peer, base)
 	}
-	if now >= m.joinAt {
-		m.joinAt = now + m.cfg.Lease/2 + Time(m.rng.Int64N(int64(m.cfg.Lease/2)+1))
+	if now >= m.nextJoin {
+		m.nextJoin = now + m.cfg.Lease/2 + Time(m.rng.Int64N(int64(m.cfg.Lease/2)+1))
 		for _, addr := range m.cfg.Join {
-			if !known[addr] {
-				known[addr] = true
-				out := base
-				m.out.Send = append(m.out.Send, Envelope{addr, &out})
+			if !contacted[addr] {
+				contacted[addr] = true
+				msg := base
+				m.actions.Send = append(m.actions.Send, Envelope{addr, &msg})
 			}
 		}
 	}
-	for _, name := range m.names() { // a later life of a sender, as others tell
-		if s := m.seats[name]; s.hint != "" && !known[s.hint] {
-			out := base
-			m.out.Send = append(m.out.Send, Envelope{s.hint, &out})
-			s.hint = ""
+	for _, name := range m.peerNames() { // a later incarnation that peers reported
+		if peer := m.peers[name]; peer.laterAddr != "" && !contacted[peer.laterAddr] {
+			msg := base
+			m.actions.Send = append(m.actions.Send, Envelope{peer.laterAddr, &msg})
+			peer.laterAddr = ""
 		}
 	}
 }
 
-// common is what all messages say.
-func (m *Machine) common() Message {
-	return Message{WireVersion: m.cfg.WireVersion, From: m.cfg.Name, ID: m.cfg.ID, Incarnation: m.cfg.Incarnation, Addr: m.cfg.Addr, Zone: m.cfg.Zone,
-		Version: m.cfg.Version, MaxSenders: m.cfg.MaxSenders, Seq: m.seq, Voter: m.voter, Left: m.left}
+// baseMessage returns the fields that all messages have in common.
+func (m *Machine) baseMessage() Message {
+	return Message{WireVersion: m.cfg.WireVersion, From: m.cfg.Name, ID: m.cfg.ID, Incarnation: m.cfg.Incarnation,
+		Addr: m.cfg.Addr, Zone: m.cfg.Zone, Version: m.cfg.Version, MaxSenders: m.cfg.MaxSenders,
+		Seq: m.seq, Voter: m.voter, Left: m.left}
 }
 
-// address sends a message to another sender, with what is for it alone.
-func (m *Machine) address(now Time, s *seat, out Message) {
-	if s.heard != never && s.end == NotEnded && s.alien == 0 {
-		out.RecognizedID, out.AckSeq, out.AckRosterVersion = s.ID, s.seq, s.grant.version
-		m.give(now, s, &out)
+// sendTo sends a message to a peer and adds the fields that are for this peer alone.
+func (m *Machine) sendTo(now Time, peer *peerState, msg Message) {
+	if peer.heardAt != never && peer.end == NotEnded && peer.otherWireVersion == 0 {
+		msg.RecognizedID, msg.AckSeq, msg.AckRosterVersion = peer.ID, peer.lastSeq, peer.grant.rosterVersion
+		m.addGrant(now, peer, &msg)
 	}
-	if now < s.rivalTill {
-		out.RivalAddr = s.rival
+	if now < peer.rivalUntil {
+		msg.RivalAddr = peer.rivalAddr
 	}
-	m.out.Send = append(m.out.Send, Envelope{s.Addr, &out})
+	m.actions.Send = append(m.actions.Send, Envelope{peer.Addr, &msg})
 }
 
-// rows tells what this sender knows of the others: news first, then all in turn.
-func (m *Machine) rows(now Time) []PeerReport {
-	names := m.names()
-	n := min(len(names), MaxPeerReports)
-	out := make([]PeerReport, 0, n)
-	add := func(s *seat) {
-		if s.ID != 0 {
-			out = append(out, PeerReport{Name: s.Name, ID: s.ID, Incarnation: s.Incarnation, Addr: s.Addr, Heard: now-s.heard <= m.fresh(), End: s.end})
+// peerReports returns reports on peers: up to half of them on recent changes, the rest on all peers in turn.
+func (m *Machine) peerReports(now Time) []PeerReport {
+	names := m.peerNames()
+	count := min(len(names), MaxPeerReports)
+	reports := make([]PeerReport, 0, count)
+	add := func(peer *peerState) {
+		if peer.ID != 0 {
+			reports = append(reports, PeerReport{Name: peer.Name, ID: peer.ID, Incarnation: peer.Incarnation, Addr: peer.Addr,
+				Heard: now-peer.heardAt <= m.heardTimeout(), End: peer.end})
 		}
 	}
-	news := 0
-	if len(names) > n {
+	changed := 0
+	if len(names) > count {
 		for _, name := range names {
-			if s := m.seats[name]; news < n/2 && s.since > 0 && now-s.since < 2*m.cfg.Lease {
-				add(s)
-				news++
+			if peer := m.peers[name]; changed < count/2 && peer.stateSince > 0 && now-peer.stateSince < 2*m.cfg.Lease {
+				add(peer)
+				changed++
 			}
 		}
 	}
-	for i := range n - news {
-		add(m.seats[names[(m.turn+i)%len(names)]])
+	for i := range count - changed {
+		add(m.peers[names[(m.reportOffset+i)%len(names)]])
 	}
 	if len(names) > 0 {
-		m.turn = (m.turn + n - news) % len(names)
+		m.reportOffset = (m.reportOffset + count - changed) % len(names)
 	}
-	return out
+	return reports
 }
--- a/internal/view/message.go
+++ b/internal/view/message.go
@@ -1,63 +1,65 @@
 package view
 
-// WireVersion is the version of the messages between senders. Senders with different ones
-// do not work together; they tell each other apart from dead ones.
+// WireVersion is the version of the messages between senders. Senders with different versions do not work together,
+// but they can distinguish each other from dead ones.
 const WireVersion = 1
 
-// Message is what one sender tells another at each tick.
+// Message is the heartbeat that a sender sends to each peer at every tick. In the comments, From is the sender of the
+// message.
 type Message struct {
 	WireVersion int    `cbor:"1,keyasint"`
-	From        string `cbor:"2,keyasint"`           // name
-	ID          uint64 `cbor:"3,keyasint"`           // of the life of the process; drawn anew at a start and after a pause
-	Incarnation uint64 `cbor:"4,keyasint"`           // grows with each life of the name
-	Addr        string `cbor:"5,keyasint"`           // where From is reached
-	Zone        string `cbor:"6,keyasint,omitempty"` //
-	Version     string `cbor:"7,keyasint,omitempty"` // of the program
-	MaxSenders  int    `cbor:"8,keyasint"`           // the most senders, as From's file says
-	Seq         uint64 `cbor:"9,keyasint"`           // grows with each message of this life
-	Voter       bool   `cbor:"10,keyasint,omitempty"`
-	Left        bool   `cbor:"11,keyasint,omitempty"` // it leaves in order, and uses its least part only
+	From        string `cbor:"2,keyasint"` // name of the sender
+	ID          uint64 `cbor:"3,keyasint"` // random ID of the incarnation; new after a start and after a pause of a lease
+	Incarnation uint64 `cbor:"4,keyasint"` // increases with each incarnation of the name
+	Addr        string `cbor:"5,keyasint"` // address of From
+	Zone        string `cbor:"6,keyasint,omitempty"`
+	Version     string `cbor:"7,keyasint,omitempty"`  // program version
+	MaxSenders  int    `cbor:"8,keyasint"`            // largest number of senders, as From is configured
+	Seq         uint64 `cbor:"9,keyasint"`            // increases with each tick of the incarnation
+	Voter       bool   `cbor:"10,keyasint,omitempty"` // From takes part in grants
+	Left        bool   `cbor:"11,keyasint,omitempty"` // From has left in order and uses its minimum share only
 
-	// RecognizedID is the life of the receiver that From takes for the one of its name; 0 if
-	// it takes none. From counts that life among those whose grants matter.
+	// RecognizedID is the incarnation that From recognizes as the receiver; 0 for none. From counts that incarnation as
+	// a member whose grants matter.
 	RecognizedID uint64 `cbor:"12,keyasint,omitempty"`
-	AckSeq       uint64 `cbor:"13,keyasint,omitempty"` // the last Seq that came from it
+	AckSeq       uint64 `cbor:"13,keyasint,omitempty"` // last Seq that From received from that incarnation
 
-	// Grant, in answer to the message Echo: valid for a lease from when that was sent.
+	// Grant is a grant in answer to the message AckSeq, valid for one lease from when that was sent.
 	Grant            bool     `cbor:"14,keyasint,omitempty"`
 	RosterVersion    uint64   `cbor:"15,keyasint,omitempty"` // version of From's roster
-	RosterNames      []string `cbor:"16,keyasint,omitempty"` // the roster; left out if the receiver has this version
-	AckRosterVersion uint64   `cbor:"17,keyasint,omitempty"` // version of the receiver's roster that From counts by
+	RosterNames      []string `cbor:"16,keyasint,omitempty"` // the roster; omitted if the receiver has this version
+	AckRosterVersion uint64   `cbor:"17,keyasint,omitempty"` // version of the receiver's roster that From has and counts
 
 	PeerReports []PeerReport `cbor:"18,keyasint,omitempty"`
 	Refusal     *Refusal     `cbor:"19,keyasint,omitempty"`
-	RivalAddr   string       `cbor:"20,keyasint,omitempty"` // address of another process that uses the receiver's name
+	RivalAddr   string       `cbor:"20,keyasint,omitempty"` // address of another process with the receiver's name
 }
 
-// PeerReport is what From knows of a sender.
+// PeerReport is what the sender of a message reports on one of its peers.
 type PeerReport struct {
 	Name        string `cbor:"1,keyasint"`
 	ID          uint64 `cbor:"2,keyasint"`
 	Incarnation uint64 `cbor:"3,keyasint"`
 	Addr        string `cbor:"4,keyasint"`
-	Heard       bool   `cbor:"5,keyasint,omitempty"` // From hears it
-	End         End    `cbor:"6,keyasint,omitempty"`
+	Heard       bool   `cbor:"5,keyasint,omitempty"` // the sender has heard the peer recently
+	End         End    `cbor:"6,keyasint,omitempty"` // NotEnded unless the incarnation is proven to have ended
 }
 
-// End is the proof that the life of a process is over.
+// End is the proof that an incarnation has ended.
 type End int
 
 // The proofs.
 const (
-	NotEnded          End = iota // there is none
-	ConnectionRefused            // nobody listens at its address
-	Fenced                       // its guard has taken away its part
-	Left                         // it said so itself
-	Forgotten                    // an operator said so
+	NotEnded          End = iota // there is no proof
+	ConnectionRefused            // its address refuses connections
+	Fenced                       // its guard has revoked its share
+	Left                         // it announced that it left
+	Forgotten                    // an operator declared it ended
 )
 
 var endNames = [...]string{"lives", "refused", "fenced", "left", "forgotten"}
 
+// String returns the name of the proof, as operators see it.
 func (e End) String() string {
 	if e >= 0 && int(e) < len(endNames) {
 		return endNames[e]
@@ -65,29 +67,29 @@
 	return "unknown"
 }
 
-// RefusalReason says why a process is not taken for the sender of its name.
+// RefusalReason is why a process is not recognized as the sender of its name.
 type RefusalReason int
 
 // The reasons.
 const (
 	NameInUse        RefusalReason = iota + 1 // another process uses the name
-	StaleIncarnation                          // a later life of the name is known: Incarnation says which
-	TooManySenders                            // there are as many senders already as there may be
-	KnownEnded                                // an operator has had this life forgotten, or its guard has fenced it
+	StaleIncarnation                          // a later incarnation of the name is known: see Refusal.Incarnation
+	TooManySenders                            // the largest number of senders is reached
+	KnownEnded                                // an operator declared this incarnation ended, or its guard has fenced it
 )
 
-// Refusal says that a life is not taken for the sender of its name.
+// Refusal tells a process that its incarnation is not recognized as the sender of its name.
 type Refusal struct {
-	ID          uint64        `cbor:"1,keyasint"` // that life
+	ID          uint64        `cbor:"1,keyasint"` // the refused incarnation
 	Reason      RefusalReason `cbor:"2,keyasint"`
-	Incarnation uint64        `cbor:"3,keyasint,omitempty"`
-	Addr        string        `cbor:"4,keyasint,omitempty"` // of the other process
+	Incarnation uint64        `cbor:"3,keyasint,omitempty"` // latest known number, for StaleIncarnation
+	Addr        string        `cbor:"4,keyasint,omitempty"` // of the process that uses the name, for NameInUse
 }
 
-// MaxPeerReports is how many rows a message carries at most; all are told in turn.
+// MaxPeerReports is the largest number of reports in a message; successive messages cover all peers in turn.
 const MaxPeerReports = 12
 
-// Envelope is a message on its way.
+// Envelope is a message with its destination.
 type Envelope struct {
 	To      string // address
 	Message *Message
--- a/internal/view/play/draw.go
+++ b/internal/view/play/draw.go
@@ -74,10 +74,10 @@
 					w.Kill(w.Newest[(i+n)%opts.Senders])
 				}
 			case 2:
-				w.do(p, func() view.Actions { return p.Machine.Leave(p.local(w)) })
+				w.step(p, func() view.Actions { return p.Machine.Leave(p.clock(w)) })
 			case 3: // an operator has one forgotten that is dead or has long been paused
-				if x := w.Newest[k]; !doubles && w.stands(x.Name) {
-					w.do(p, func() view.Actions { r, _ := p.Machine.Forget(p.local(w), x.Name); return r })
+				if x := w.Newest[k]; !doubles && w.stopped(x.Name) {
+					w.step(p, func() view.Actions { r, _ := p.Machine.Forget(p.clock(w), x.Name); return r })
 				}
 			}
 		}
@@ -85,8 +85,8 @@
 	return w
 }
 
-// stands says whether each process with a name is dead or has long been paused.
-func (w *World) stands(name string) bool {
+// stopped says whether each process with a name is dead or has long been paused.
+func (w *World) stopped(name string) bool {
 	for _, p := range w.Running {
 		if p.Name == name && !(p.Paused && w.Now-p.pausedAt > w.opts.Lease) {
 			return false
--- a/internal/view/play/play_test.go
+++ b/internal/view/play/play_test.go
@@ -70,7 +70,7 @@
 
 func dump(t *testing.T, w *World) {
 	for _, p := range w.Running {
-		t.Logf("%+v", p.Machine.Status(p.local(w)))
+		t.Logf("%+v", p.Machine.Status(p.clock(w)))
 	}
 }
 
@@ -181,7 +181,7 @@
 	var first *Process
 	o := options(9, 4)
 	o.Log = func(_ time.Duration, p *Process, e view.Event) {
-		if first != nil && p.Name == first.Name && p.Machine.Status(p.local(w)).Name == e.Name {
+		if first != nil && p.Name == first.Name && p.Machine.Status(p.clock(w)).Name == e.Name {
 			said[p.Number]++
 		}
 	}
--- a/internal/view/play/world.go
+++ b/internal/view/play/world.go
@@ -39,17 +39,17 @@
 	Paused         bool
 	StartedAt      time.Duration
 
-	offset    time.Duration
-	pace      float64
-	frozen    time.Duration
-	pausedAt  time.Duration
-	backlog   []*view.Message
-	kept      []view.Peer
-	inc       uint64
-	token     int // of its tick
-	wrong     int // of its machine, as last seen
-	fenced    bool
-	SentBytes int
+	clockOffset     time.Duration
+	clockRate       float64
+	frozenTime      time.Duration
+	pausedAt        time.Duration
+	unread          []*view.Message
+	knownPeers      []view.Peer
+	incarnation     uint64
+	timerGeneration int // of its tick
+	heardAfterGone  int // of its machine, as last seen
+	fenced          bool
+	SentBytes       int
 }
 
 // World is senders in virtual time.
@@ -67,18 +67,18 @@
 	// Traffic is what each sender has sent and taken.
 	Traffic []Traffic
 
-	opts    Options
-	rng     *rand.Rand
-	loss    map[[2]int]float64
-	cut     map[[2]int]bool
-	delay   time.Duration
-	at      map[string]*Process // who listens at an address; nil for nobody
-	addrs   int
-	started int   // processes
-	twice   int   // processes beside another of their name
-	lives   []int // processes of each sender that run
-	homes   map[int]home
-	numbers map[string]int // of senders by name
+	opts         Options
+	rng          *rand.Rand
+	loss         map[[2]int]float64
+	cut          map[[2]int]bool
+	delay        time.Duration
+	listeners    map[string]*Process // who listens at an address; nil for nobody
+	addrCount    int
+	processCount int   // processes
+	duplicates   int   // processes beside another of their name
+	runningCount []int // processes of each sender that run
+	folders      map[int]folder
+	senderIndex  map[string]int // of senders by name
 }
 
 // Traffic counts messages, and their bytes as SizeOf has them.
@@ -87,12 +87,12 @@
 	OutBytes, InBytes int64
 }
 
-// home is a sender's folder.
-type home struct {
-	inc  uint64
-	kept []view.Peer
-	home string
-	addr string
+// folder is a sender's folder.
+type folder struct {
+	incarnation  uint64
+	knownPeers   []view.Peer
+	admittedAddr string
+	addr         string
 }
 
 // New makes a world and starts all senders.
@@ -101,11 +101,11 @@
 		opts.MaxSenders = opts.Senders
 	}
 	w := &World{opts: opts, rng: rand.New(rand.NewPCG(opts.Seed, 1)), loss: map[[2]int]float64{}, cut: map[[2]int]bool{},
-		at: map[string]*Process{}, homes: map[int]home{}, delay: opts.Delay, Newest: make([]*Process, opts.Senders), lives: make([]int, opts.Senders),
-		Traffic: make([]Traffic, opts.Senders),
-		numbers: make(map[string]int, opts.Senders)}
+		listeners: map[string]*Process{}, folders: map[int]folder{}, delay: opts.Delay, Newest: make([]*Process, opts.Senders), runningCount: make([]int, opts.Senders),
+		Traffic:     make([]Traffic, opts.Senders),
+		senderIndex: make(map[string]int, opts.Senders)}
 	for i := range opts.Senders {
-		w.numbers[w.name(i)] = i
+		w.senderIndex[w.senderName(i)] = i
 	}
 	for i := range opts.Senders {
 		w.Start(i, SameFolder)
@@ -124,73 +124,73 @@
 	OldFolder                    // with a copy of its folder as it was at the first start
 )
 
-func (w *World) name(i int) string { return fmt.Sprintf("s%03d", i) }
+func (w *World) senderName(i int) string { return fmt.Sprintf("s%03d", i) }
 
-func (w *World) fresh(i int) string {
-	w.addrs++
-	return fmt.Sprintf("%d:%d", i, w.addrs)
+func (w *World) newAddr(i int) string {
+	w.addrCount++
+	return fmt.Sprintf("%d:%d", i, w.addrCount)
 }
 
 // Start starts a process of sender i; one that runs is not ended.
 func (w *World) Start(i int, how StartMode) *Process {
-	h, had := w.homes[i]
+	h, had := w.folders[i]
 	addr := h.addr
-	if !had || how == NewAddress || w.at[addr] != nil {
-		addr = w.fresh(i)
+	if !had || how == NewAddress || w.listeners[addr] != nil {
+		addr = w.newAddr(i)
 	}
 	if how == EmptyFolder {
-		h = home{}
+		h = folder{}
 	}
 	if how == OldFolder {
-		h.inc = 0
+		h.incarnation = 0
 	}
-	h.inc++
+	h.incarnation++
 	h.addr = addr
-	w.homes[i] = h
-	w.started++
-	p := &Process{Sender: i, Number: w.started, Name: w.name(i), Addr: addr, Running: true, StartedAt: w.Now, kept: h.kept, inc: h.inc,
-		offset: time.Duration(w.rng.Int64N(int64(time.Hour))), pace: 1 + w.opts.MaxClockDrift*(2*w.rng.Float64()-1)}
+	w.folders[i] = h
+	w.processCount++
+	p := &Process{Sender: i, Number: w.processCount, Name: w.senderName(i), Addr: addr, Running: true, StartedAt: w.Now, knownPeers: h.knownPeers, incarnation: h.incarnation,
+		clockOffset: time.Duration(w.rng.Int64N(int64(time.Hour))), clockRate: 1 + w.opts.MaxClockDrift*(2*w.rng.Float64()-1)}
 	var join []string
 	for k, x := range w.Newest {
 		if k != i && x != nil {
 			join = append(join, x.Addr)
 		}
 	}
-	p.Machine = view.New(view.Config{Name: p.Name, Addr: addr, ID: w.rng.Uint64() | 1, Incarnation: h.inc, MaxSenders: w.opts.MaxSenders, MinShareTotal: w.opts.MinShareTotal,
-		Lease: w.opts.Lease, Interval: w.opts.Interval, MaxClockDrift: w.opts.MaxClockDrift, Join: join, KnownPeers: h.kept, AdmittedAddr: h.home, Seed: w.rng.Uint64()}, p.local(w))
-	w.Newest[i], w.at[addr] = p, p
+	p.Machine = view.New(view.Config{Name: p.Name, Addr: addr, ID: w.rng.Uint64() | 1, Incarnation: h.incarnation, MaxSenders: w.opts.MaxSenders, MinShareTotal: w.opts.MinShareTotal,
+		Lease: w.opts.Lease, Interval: w.opts.Interval, MaxClockDrift: w.opts.MaxClockDrift, Join: join, KnownPeers: h.knownPeers, AdmittedAddr: h.admittedAddr, Seed: w.rng.Uint64()}, p.clock(w))
+	w.Newest[i], w.listeners[addr] = p, p
 	w.Running = append(w.Running, p)
-	if w.lives[i]++; w.lives[i] > 1 {
-		w.twice++
+	if w.runningCount[i]++; w.runningCount[i] > 1 {
+		w.duplicates++
 	}
-	w.do(p, func() view.Actions { return p.Machine.Tick(p.local(w)) })
+	w.step(p, func() view.Actions { return p.Machine.Tick(p.clock(w)) })
 	return p
 }
 
 // SetClockRate sets how fast the clock of a sender's newest process runs.
 func (w *World) SetClockRate(i int, pace float64) {
 	p := w.Newest[i]
-	now := p.local(w)
-	p.pace = pace
-	p.offset += now - p.local(w)
+	now := p.clock(w)
+	p.clockRate = pace
+	p.clockOffset += now - p.clock(w)
 }
 
 // Kill ends a process.
 func (w *World) Kill(p *Process) {
 	p.Running = false
-	if w.at[p.Addr] == p {
-		delete(w.at, p.Addr)
+	if w.listeners[p.Addr] == p {
+		delete(w.listeners, p.Addr)
 	}
 	for i, x := range w.Running {
 		if x == p {
 			w.Running = append(w.Running[:i], w.Running[i+1:]...)
-			if w.lives[p.Sender]--; w.lives[p.Sender] > 0 {
-				w.twice--
+			if w.runningCount[p.Sender]--; w.runningCount[p.Sender] > 0 {
+				w.duplicates--
 			}
 			break
 		}
 	}
-	w.check()
+	w.checkSum()
 }
 
 // Pause stops a process, which goes on after a span if it still runs.
@@ -207,21 +207,21 @@
 		return
 	}
 	if w.opts.FrozenClock {
-		p.frozen += w.Now - p.pausedAt
+		p.frozenTime += w.Now - p.pausedAt
 	}
 	p.Paused = false
-	w.check()
+	w.checkSum()
 	if p.fenced {
 		p.fenced = false
-		w.do(p, func() view.Actions { return p.Machine.HandleFenced(p.local(w)) })
-		w.check()
+		w.step(p, func() view.Actions { return p.Machine.HandleFenced(p.clock(w)) })
+		w.checkSum()
 	}
-	late := p.backlog
-	p.backlog = nil
+	late := p.unread
+	p.unread = nil
 	for _, m := range late { // what its socket has kept comes first
-		w.do(p, func() view.Actions { return p.Machine.HandleMessage(p.local(w), m) })
+		w.step(p, func() view.Actions { return p.Machine.HandleMessage(p.clock(w), m) })
 	}
-	w.do(p, func() view.Actions { return p.Machine.Tick(p.local(w)) })
+	w.step(p, func() view.Actions { return p.Machine.Tick(p.clock(w)) })
 }
 
 // Cut cuts a link, or heals it.
@@ -240,33 +240,33 @@
 	w.delay = w.opts.Delay
 }
 
-// local is a process's own clock.
-func (p *Process) local(w *World) time.Duration {
+// clock is a process's own clock.
+func (p *Process) clock(w *World) time.Duration {
 	at := w.Now
 	if w.opts.FrozenClock && p.Paused {
 		at = p.pausedAt
 	}
-	return p.offset + time.Duration(float64(at-p.frozen)*p.pace)
+	return p.clockOffset + time.Duration(float64(at-p.frozenTime)*p.clockRate)
 }
 
-// do makes a step of a process and carries out what it asks for.
-func (w *World) do(p *Process, step func() view.Actions) {
+// step makes a step of a process and carries out what it asks for.
+func (w *World) step(p *Process, step func() view.Actions) {
 	if !p.Running || p.Paused {
 		return
 	}
-	before := w.part(p)
+	before := w.share(p)
 	r := step()
 	p.Share = r.Share
-	w.HeardAfterGone += p.Machine.HeardAfterGone - p.wrong
-	p.wrong = p.Machine.HeardAfterGone
-	if w.part(p) > before {
-		w.check()
+	w.HeardAfterGone += p.Machine.HeardAfterGone - p.heardAfterGone
+	p.heardAfterGone = p.Machine.HeardAfterGone
+	if w.share(p) > before {
+		w.checkSum()
 	}
 	if r.Save {
-		h := w.homes[p.Sender]
+		h := w.folders[p.Sender]
 		if h.addr == p.Addr {
-			h.inc, h.home, h.kept = p.Machine.SavedState()
-			w.homes[p.Sender] = h
+			h.incarnation, h.admittedAddr, h.knownPeers = p.Machine.SavedState()
+			w.folders[p.Sender] = h
 		}
 	}
 	for _, e := range r.Events {
@@ -274,7 +274,7 @@
 			w.opts.Log(w.Now, p, e)
 		}
 		if e.From != e.To {
-			w.note(e)
+			w.countStateChange(e)
 		}
 	}
 	for _, out := range r.Send {
@@ -291,18 +291,18 @@
 	for _, x := range r.Probe {
 		w.probe(p, x)
 	}
-	p.token++
-	token := p.token
-	w.After(max(time.Duration(float64(p.Machine.NextTick()-p.local(w))/p.pace), 0)+time.Microsecond, func() {
-		if token == p.token {
-			w.do(p, func() view.Actions { return p.Machine.Tick(p.local(w)) })
+	p.timerGeneration++
+	token := p.timerGeneration
+	w.After(max(time.Duration(float64(p.Machine.NextTick()-p.clock(w))/p.clockRate), 0)+time.Microsecond, func() {
+		if token == p.timerGeneration {
+			w.step(p, func() view.Actions { return p.Machine.Tick(p.clock(w)) })
 		}
 	})
 }
 
-// note counts beliefs about processes that run.
-func (w *World) note(e view.Event) {
-	if p := w.named(e.Name); p != nil && p.Running {
+// countStateChange counts beliefs about processes that run.
+func (w *World) countStateChange(e view.Event) {
+	if p := w.newestOf(e.Name); p != nil && p.Running {
 		w.StateChanges++
 		if e.To == view.Gone {
 			w.GoneWhileRunning++
@@ -310,8 +310,8 @@
 	}
 }
 
-func (w *World) named(name string) *Process {
-	if i, ok := w.numbers[name]; ok {
+func (w *World) newestOf(name string) *Process {
+	if i, ok := w.senderIndex[name]; ok {
 		return w.Newest[i]
 	}
 	return nil
@@ -324,12 +324,12 @@
 	return i
 }
 
-func (w *World) path(from, to int) bool {
+func (w *World) delivers(from, to int) bool {
 	link := [2]int{from, to}
 	return !w.cut[link] && w.rng.Float64() >= w.loss[link]
 }
 
-func (w *World) wait() time.Duration {
+func (w *World) randomDelay() time.Duration {
 	d := w.delay
 	if w.opts.Jitter > 0 {
 		d += time.Duration(w.rng.Int64N(int64(w.opts.Jitter)))
@@ -338,12 +338,12 @@
 }
 
 func (w *World) send(p *Process, out view.Envelope, size int64) {
-	if !w.path(p.Sender, owner(out.To)) {
+	if !w.delivers(p.Sender, owner(out.To)) {
 		return
 	}
 	m := *out.Message
-	w.After(w.wait(), func() {
-		to := w.at[out.To]
+	w.After(w.randomDelay(), func() {
+		to := w.listeners[out.To]
 		if to != nil {
 			t := &w.Traffic[to.Sender]
 			t.In, t.InBytes = t.In+1, t.InBytes+size
@@ -351,11 +351,11 @@
 		switch {
 		case to == nil:
 		case to.Paused:
-			if len(to.backlog) < 500 {
-				to.backlog = append(to.backlog, &m)
+			if len(to.unread) < 500 {
+				to.unread = append(to.unread, &m)
 			}
 		default:
-			w.do(to, func() view.Actions { return to.Machine.HandleMessage(to.local(w), &m) })
+			w.step(to, func() view.Actions { return to.Machine.HandleMessage(to.clock(w), &m) })
 		}
 	})
 }
@@ -365,17 +365,17 @@
 	to := owner(x.Addr)
 	found, after := view.NotEnded, time.Second
 	if !w.cut[[2]int{p.Sender, to}] && !w.cut[[2]int{to, p.Sender}] { // lost segments are sent again
-		at := w.at[x.Addr]
+		at := w.listeners[x.Addr]
 		switch {
 		case at == nil:
-			found, after = view.ConnectionRefused, 2*w.wait()
+			found, after = view.ConnectionRefused, 2*w.randomDelay()
 		case w.opts.Guards && at.Paused && w.Now-at.pausedAt > w.opts.Lease:
 			at.fenced = true
-			found, after = view.Fenced, 2*w.wait()
+			found, after = view.Fenced, 2*w.randomDelay()
 		}
 	}
 	w.After(after, func() {
-		w.do(p, func() view.Actions { return p.Machine.HandleProbe(p.local(w), x, found) })
+		w.step(p, func() view.Actions { return p.Machine.HandleProbe(p.clock(w), x, found) })
 	})
 }
 
@@ -383,28 +383,28 @@
 func (w *World) ShareSum() float64 {
 	sum := 0.0
 	for _, p := range w.Running {
-		sum += w.part(p)
+		sum += w.share(p)
 	}
 	return sum
 }
 
-func (w *World) part(p *Process) float64 {
+func (w *World) share(p *Process) float64 {
 	if w.opts.IgnoreLease {
 		return p.Share.Current
 	}
 	if p.fenced {
 		return 0
 	}
-	return p.Share.At(p.local(w))
+	return p.Share.At(p.clock(w))
 }
 
 // ShareOf is what a process may use now.
-func (w *World) ShareOf(p *Process) float64 { return w.part(p) }
+func (w *World) ShareOf(p *Process) float64 { return w.share(p) }
 
-// check is made whenever a part may have grown. A second process with a name that is
+// checkSum is made whenever a part may have grown. A second process with a name that is
 // cut off from all who know the first may have its least part beside it.
-func (w *World) check() {
-	second := float64(w.twice) * w.opts.MinShareTotal / float64(w.opts.MaxSenders)
+func (w *World) checkSum() {
+	second := float64(w.duplicates) * w.opts.MinShareTotal / float64(w.opts.MaxSenders)
 	if sum := w.ShareSum() - second; sum > w.MaxSum {
 		w.MaxSum, w.MaxSumAt = sum, w.Now
 	}
@@ -415,7 +415,7 @@
 func (w *World) Converged() bool {
 	for _, p := range w.Running {
 		for name, state := range p.Machine.PeerStates() {
-			x := w.named(name)
+			x := w.newestOf(name)
 			runs := x != nil && x.Running
 			if runs && x.Paused && state == view.Paused {
 				continue
--- a/internal/view/seat.go
+++ b/internal/view/seat.go
@@ -7,24 +7,26 @@
 	"time"
 )
 
-// State is what a sender believes of another.
+// State is the state of a peer as a sender believes it to be.
 type State int
 
 // The states.
 const (
-	Suspected    State = iota // nobody that is heard hears it, and nothing proves that it has ended
-	Joining                   // it is heard, and not all have taken it in yet
-	Reachable                 // it is heard
-	Unreachable               // not heard from here, but by others
-	Gone                      // nobody listens at its address any more
-	HasLeft                   // in order
-	IsForgotten               // by an operator's word
-	OtherVersion              // it is heard, and its messages are of another version
-	Paused                    // its guard says that it does not run
+	Suspected    State = iota // not heard, neither here nor by peers that are heard; not proven to have ended
+	Joining                   // heard, but not yet a voter
+	Reachable                 // heard, and a voter
+	Unreachable               // not heard here, but by a peer that is heard
+	Gone                      // ended: its address refuses connections
+	HasLeft                   // ended: it left in order
+	IsForgotten               // ended: declared so by an operator
+	OtherVersion              // heard, but its messages have another version
+	Paused                    // ended: fenced by its guard because it did not run
 )
 
-var stateNames = [...]string{"suspected", "joining", "here", "unreachable", "gone", "left", "forgotten", "other version", "paused"}
+var stateNames = [...]string{"suspected", "joining", "here", "unreachable", "gone", "left", "forgotten", "other version",
+	"paused"}
 
+// String returns the name of the state, as operators see it.
 func (s State) String() string {
 	if s >= 0 && int(s) < len(stateNames) {
 		return stateNames[s]
@@ -32,354 +34,371 @@
 	return "unknown"
 }
 
-// report is what another sender last said of one.
-type report struct {
-	hears bool
+// observation is what a peer last reported on another.
+type observation struct {
+	heard bool // the reporting peer hears it
 	at    Time
 }
 
-// seat is another sender.
-type seat struct {
+// peerState is what this sender knows of a peer.
+type peerState struct {
 	Peer
-	version   string
-	seats     int    // the most senders, as it says
-	seq       uint64 // of its last message
-	heard     Time   // when that came; never if none did
-	since     Time   // of its state
-	state     State
-	voter     bool
-	welcomed  bool // it counts this life among those whose grants matter
-	end       End
-	endAt     Time // when the proof came
-	vacant    bool // it left or was fenced, and nobody listens at its address any more
-	checked   bool // that its life has ended was seen from here, in this life
-	grant     grant
-	has       uint64            // the version of our roster that it counts by
-	reports   map[string]report // by whom
-	alien     int               // another version of its messages; 0 if it is ours
-	probing   bool
-	probedAt  Time
-	callAt    Time
-	hint      string // where a later life of it may be
-	rival     string // another process with its name
-	rivalTill Time
+	version          string // of its program
+	maxSenders       int    // largest number of senders, as it is configured
+	lastSeq          uint64 // of its last message
+	heardAt          Time   // when that arrived; never if none has
+	stateSince       Time   // time of the last change of state
+	state            State
+	voter            bool                   // it takes part in grants
+	recognizesThis   bool                   // its messages recognize this sender's incarnation
+	end              End                    // of its incarnation
+	endedAt          Time                   // when the end was first known
+	addrVacant       bool                   // it left or was fenced, and its address refuses connections now
+	endConfirmed     bool                   // this sender's incarnation has itself confirmed the end
+	grant            grant                  // the last one received from it
+	ackRosterVersion uint64                 // version of this sender's roster that it has
+	observations     map[string]observation // of this peer, by the name of the reporting peer
+	otherWireVersion int                    // version of its messages if it is not ours; else 0
+	probing          bool                   // a probe of its address is under way
+	probedAt         Time                   // when the last probe started
+	nextContact      Time                   // after its end: when to send the next message
+	laterAddr        string                 // address of a later incarnation, as reported; empty if there is none
+	rivalAddr        string                 // address of another process with its name, until rivalUntil
+	rivalUntil       Time
 }
 
-// over says whether the process is no more: one that has left, or was fenced, may be
-// there still.
-func (s *seat) over() bool {
-	return s.end == ConnectionRefused || s.end == Forgotten || s.end != NotEnded && s.vacant
+// processGone reports whether the process no longer exists. One that has left or was fenced may still run.
+func (p *peerState) processGone() bool {
+	return p.end == ConnectionRefused || p.end == Forgotten || p.end != NotEnded && p.addrVacant
 }
 
-// take takes a message.
-func (m *Machine) take(now Time, msg *Message) {
-	if msg.From == "" || msg.ID == 0 || msg.Addr == "" || len(msg.PeerReports) > MaxPeerReports || len(msg.RosterNames) > MaxSenders {
+// receive processes a message.
+func (m *Machine) receive(now Time, msg *Message) {
+	if msg.From == "" || msg.ID == 0 || msg.Addr == "" || len(msg.PeerReports) > MaxPeerReports ||
+		len(msg.RosterNames) > MaxSenders {
 		return
 	}
 	if msg.From == m.cfg.Name {
-		m.namesake(now, msg)
+		m.handleNameConflict(now, msg)
 		return
 	}
-	if r := msg.Refusal; r != nil && r.ID == m.cfg.ID {
-		m.refusedFor(now, msg.From, r)
+	if refusal := msg.Refusal; refusal != nil && refusal.ID == m.cfg.ID {
+		m.handleRefusal(now, msg.From, refusal)
 	}
-	s := m.accept(now, msg)
-	if s == nil {
+	peer := m.resolveSender(now, msg)
+	if peer == nil {
 		return
 	}
-	if msg.Seq <= s.seq { // late, doubled or replayed
+	if msg.Seq <= peer.lastSeq { // late, duplicated or replayed
 		return
 	}
-	if s.end == ConnectionRefused { // sent before its end perhaps: it lives if it has heard us since
-		if at, ok := m.sent[msg.AckSeq]; !ok || msg.RecognizedID != m.cfg.ID || at <= s.endAt {
+	if peer.end == ConnectionRefused { // possibly sent before its end: it lives if it acknowledges a later message
+		if ackedAt, ok := m.sentAt[msg.AckSeq]; !ok || msg.RecognizedID != m.cfg.ID || ackedAt <= peer.endedAt {
 			return
 		}
 	}
-	m.dirty = m.dirty || s.state != Reachable || now-s.heard > m.fresh()/2 || msg.Voter != s.voter || msg.MaxSenders != s.seats || msg.WireVersion != m.cfg.WireVersion
-	s.seq, s.heard = msg.Seq, now
-	if s.alien = 0; msg.WireVersion != m.cfg.WireVersion {
-		s.alien = msg.WireVersion
+	m.dirty = m.dirty || peer.state != Reachable || now-peer.heardAt > m.heardTimeout()/2 ||
+		msg.Voter != peer.voter || msg.MaxSenders != peer.maxSenders || msg.WireVersion != m.cfg.WireVersion
+	peer.lastSeq, peer.heardAt = msg.Seq, now
+	if peer.otherWireVersion = 0; msg.WireVersion != m.cfg.WireVersion {
+		peer.otherWireVersion = msg.WireVersion
 		return
 	}
-	s.voter, s.Zone, s.version, s.seats = msg.Voter, msg.Zone, msg.Version, msg.MaxSenders
+	peer.voter, peer.Zone, peer.version, peer.maxSenders = msg.Voter, msg.Zone, msg.Version, msg.MaxSenders
 	switch {
-	case msg.Left && s.end == NotEnded:
-		m.ends(now, s, Left, "it said so")
-	case s.end == Forgotten || s.end == Fenced:
-		m.refuse(s.Addr, &Refusal{ID: s.ID, Reason: KnownEnded})
+	case msg.Left && peer.end == NotEnded:
+		m.markEnded(now, peer, Left, "it announced that it left")
+	case peer.end == Forgotten || peer.end == Fenced:
+		m.sendRefusal(peer.Addr, &Refusal{ID: peer.ID, Reason: KnownEnded})
 		return
-	case s.end == ConnectionRefused:
+	case peer.end == ConnectionRefused:
 		m.HeardAfterGone++
-		m.event(Event{Name: s.Name, Text: "taken for gone, and heard again in the same life"})
-		s.end = NotEnded
+		m.addEvent(Event{Name: peer.Name, Text: "taken for gone, and heard again in the same life"})
+		peer.end = NotEnded
 	}
 	if msg.RecognizedID == m.cfg.ID {
-		s.welcomed = true
-		if m.refused != nil && now-m.refusedAt > 2*m.cfg.Lease { // whoever refused it has found that the name is free
-			m.refused = nil
-			m.event(Event{Name: m.cfg.Name, Text: "taken in by " + s.Name + " and refused no longer"})
+		peer.recognizesThis = true
+		if m.refusal != nil && now-m.refusedAt > 2*m.cfg.Lease { // the peer that refused it now considers the name free
+			m.refusal = nil
+			m.addEvent(Event{Name: m.cfg.Name, Text: "admitted by " + peer.Name + " and no longer refused"})
 		}
-		m.granted(s, msg)
-		m.claim(s, msg)
+		m.receiveGrant(peer, msg)
+		m.handleGrantRequest(peer, msg)
 	}
-	if msg.RivalAddr != "" && m.refused == nil && now >= m.rivalSaid {
-		m.rivalSaid = now + 10*m.cfg.Lease
-		m.event(Event{Name: m.cfg.Name, Text: fmt.Sprintf("another process uses this name, at %s; %s has refused it", msg.RivalAddr, s.Name)})
+	if msg.RivalAddr != "" && m.refusal == nil && now >= m.nextRivalEvent {
+		m.nextRivalEvent = now + 10*m.cfg.Lease
+		m.addEvent(Event{Name: m.cfg.Name, Text: fmt.Sprintf("another process uses this name, at %s; %s has refused it",
+			msg.RivalAddr, peer.Name)})
 	}
-	for _, r := range msg.PeerReports {
-		m.report(now, s, r)
+	for _, report := range msg.PeerReports {
+		m.handlePeerReport(now, peer, report)
 	}
 }
 
-// accept says whose message it is; nil if it is not taken for the sender of its
-// name.
-func (m *Machine) accept(now Time, msg *Message) *seat {
-	s := m.seats[msg.From]
-	if s == nil {
-		if !m.room() {
-			m.refuse(msg.Addr, &Refusal{ID: msg.ID, Reason: TooManySenders})
+// resolveSender returns the peer that sent a message, after it has recorded a new peer or incarnation. It returns nil
+// if the process is not recognized as the sender of its name, and refuses it then.
+func (m *Machine) resolveSender(now Time, msg *Message) *peerState {
+	peer := m.peers[msg.From]
+	if peer == nil {
+		if !m.ensureRoom() {
+			m.sendRefusal(msg.Addr, &Refusal{ID: msg.ID, Reason: TooManySenders})
 			return nil
 		}
-		s = &seat{Peer: Peer{Name: msg.From}, heard: never, state: Suspected, reports: map[string]report{}}
-		m.seats[msg.From] = s
+		peer = &peerState{Peer: Peer{Name: msg.From}, heardAt: never, state: Suspected,
+			observations: map[string]observation{}}
+		m.peers[msg.From] = peer
 	}
-	if s.ID == msg.ID {
-		return s
+	if peer.ID == msg.ID {
+		return peer
 	}
 	switch {
-	case s.ID == 0:
-	case msg.Addr != s.Addr && !s.over(): // nothing proves that the process there is no more
-		m.rivals(now, s, msg)
+	case peer.ID == 0:
+	case msg.Addr != peer.Addr && !peer.processGone(): // the process at the known address may still run
+		m.refuseRival(now, peer, msg)
 		return nil
-	case msg.Incarnation <= s.Incarnation:
-		m.refuse(msg.Addr, &Refusal{ID: msg.ID, Reason: StaleIncarnation, Incarnation: s.Incarnation})
+	case msg.Incarnation <= peer.Incarnation:
+		m.sendRefusal(msg.Addr, &Refusal{ID: msg.ID, Reason: StaleIncarnation, Incarnation: peer.Incarnation})
 		return nil
 	}
-	again := s.ID != 0
-	end := s.end
-	s.Peer = Peer{Name: msg.From, Addr: msg.Addr, Zone: msg.Zone, ID: msg.ID, Incarnation: msg.Incarnation}
-	s.seq, s.has, s.voter, s.welcomed, s.grant, s.end, s.vacant, s.checked, s.hint = 0, 0, false, false, grant{}, NotEnded, false, false, ""
-	m.out.Save, m.dirty = true, true
-	m.newcomer = s
-	if again && end == NotEnded {
-		m.event(Event{Name: s.Name, Text: fmt.Sprintf("starts again, as incarnation %d at %s", s.Incarnation, s.Addr)})
-	}
-	return s
+	known := peer.ID != 0
+	lastEnd := peer.end
+	peer.Peer = Peer{Name: msg.From, Addr: msg.Addr, Zone: msg.Zone, ID: msg.ID, Incarnation: msg.Incarnation}
+	peer.lastSeq, peer.ackRosterVersion, peer.voter, peer.recognizesThis, peer.grant, peer.end,
+		peer.addrVacant, peer.endConfirmed, peer.laterAddr =
+		0, 0, false, false, grant{}, NotEnded, false, false, ""
+	m.actions.Save, m.dirty = true, true
+	m.newcomer = peer
+	if known && lastEnd == NotEnded {
+		m.addEvent(Event{Name: peer.Name, Text: fmt.Sprintf("restarted as incarnation %d at %s",
+			peer.Incarnation, peer.Addr)})
+	}
+	return peer
 }
 
-// rivals refuses a second process with a name, and has both told.
-func (m *Machine) rivals(now Time, s *seat, msg *Message) {
-	m.refuse(msg.Addr, &Refusal{ID: msg.ID, Reason: NameInUse, Addr: s.Addr})
-	if now >= s.rivalTill {
-		m.event(Event{Name: s.Name, Text: fmt.Sprintf("two processes use this name: the one at %s is refused, the one at %s stays", msg.Addr, s.Addr)})
-	}
-	s.rival, s.rivalTill = msg.Addr, now+2*m.cfg.Lease
+// refuseRival refuses a second process with the name of a peer. The refusal informs that process, and the next messages
+// to the peer inform the first.
+func (m *Machine) refuseRival(now Time, peer *peerState, msg *Message) {
+	m.sendRefusal(msg.Addr, &Refusal{ID: msg.ID, Reason: NameInUse, Addr: peer.Addr})
+	if now >= peer.rivalUntil {
+		m.addEvent(Event{Name: peer.Name, Text: fmt.Sprintf(
+			"two processes use this name: the one at %s is refused, the one at %s stays", msg.Addr, peer.Addr)})
+	}
+	peer.rivalAddr, peer.rivalUntil = msg.Addr, now+2*m.cfg.Lease
 }
 
-// room says whether another name may come, and makes room of one that is forgotten.
-func (m *Machine) room() bool {
-	if len(m.seats)+1 < m.most() {
+// ensureRoom reports whether another peer can be added. If necessary it removes a forgotten one.
+func (m *Machine) ensureRoom() bool {
+	if len(m.peers)+1 < m.maxSenders() {
 		return true
 	}
-	for _, name := range m.names() {
-		if m.seats[name].end == Forgotten {
-			delete(m.seats, name)
+	for _, name := range m.peerNames() {
+		if m.peers[name].end == Forgotten {
+			delete(m.peers, name)
 			return true
 		}
 	}
 	return false
 }
 
-func (m *Machine) refuse(addr string, r *Refusal) {
-	out := m.common()
-	out.Refusal = r
-	m.out.Send = append(m.out.Send, Envelope{addr, &out})
+// sendRefusal sends a refusal to an address.
+func (m *Machine) sendRefusal(addr string, refusal *Refusal) {
+	msg := m.baseMessage()
+	msg.Refusal = refusal
+	m.actions.Send = append(m.actions.Send, Envelope{addr, &msg})
 }
 
-// refusedFor takes it that another does not take this life for the sender of its
-// name.
-func (m *Machine) refusedFor(now Time, by string, r *Refusal) {
-	switch r.Reason {
-	case StaleIncarnation: // an old copy of its folder: it goes on above all that is known
-		if r.Incarnation >= m.cfg.Incarnation {
-			m.cfg.Incarnation = r.Incarnation
-			m.rebirth(now, by+" knows a later life of it")
+// handleRefusal processes a refusal of this incarnation: it starts a new incarnation if that can help, else the share of
+// this sender is 0 until a peer recognizes it.
+func (m *Machine) handleRefusal(now Time, by string, refusal *Refusal) {
+	switch refusal.Reason {
+	case StaleIncarnation: // the state folder is an old copy: continue above the highest known incarnation
+		if refusal.Incarnation >= m.cfg.Incarnation {
+			m.cfg.Incarnation = refusal.Incarnation
+			m.startIncarnation(now, by+" knows a later incarnation")
 		}
 		return
 	case KnownEnded:
-		m.rebirth(now, by+" has it for ended")
+		m.startIncarnation(now, by+" considers it ended")
 		return
 	}
-	if m.refused == nil {
-		text := fmt.Sprintf("refused by %s: another process uses this name, at %s", by, r.Addr)
-		if r.Reason == TooManySenders {
+	if m.refusal == nil {
+		text := fmt.Sprintf("refused by %s: another process uses this name, at %s", by, refusal.Addr)
+		if refusal.Reason == TooManySenders {
 			text = fmt.Sprintf("refused by %s: there are as many senders as there may be", by)
 		}
-		m.event(Event{Name: m.cfg.Name, Text: text + "; it sends nothing"})
+		m.addEvent(Event{Name: m.cfg.Name, Text: text + "; it sends nothing"})
 	}
-	m.refused, m.refusedAt, m.voter, m.dirty = r, now, false, true
+	m.refusal, m.refusedAt, m.voter, m.dirty = refusal, now, false, true
 }
 
-// namesake takes a message of another process with this sender's name. The one that
-// others have taken in stays; else the one whose life has the lower number.
-func (m *Machine) namesake(now Time, msg *Message) {
-	if msg.ID == m.cfg.ID || msg.Addr == m.cfg.Addr { // its own, or of an earlier life
+// handleNameConflict processes a message of another process with this sender's name. The process that peers recognize
+// stays; if they recognize neither, the one whose incarnation has the lower ID.
+func (m *Machine) handleNameConflict(now Time, msg *Message) {
+	if msg.ID == m.cfg.ID || msg.Addr == m.cfg.Addr { // its own message, or one of an earlier incarnation
 		return
 	}
-	if r := msg.Refusal; r != nil && r.ID == m.cfg.ID {
-		m.refusedFor(now, msg.Addr, r)
+	if refusal := msg.Refusal; refusal != nil && refusal.ID == m.cfg.ID {
+		m.handleRefusal(now, msg.Addr, refusal)
 		return
 	}
-	if m.refused != nil || !m.taken() && msg.ID < m.cfg.ID {
+	if m.refusal != nil || !m.recognized() && msg.ID < m.cfg.ID {
 		return
 	}
-	m.refuse(msg.Addr, &Refusal{ID: msg.ID, Reason: NameInUse, Addr: m.cfg.Addr})
+	m.sendRefusal(msg.Addr, &Refusal{ID: msg.ID, Reason: NameInUse, Addr: m.cfg.Addr})
 }
 
-// taken says whether another counts this life.
-func (m *Machine) taken() bool {
-	for _, s := range m.seats {
-		if s.welcomed {
+// recognized reports whether a peer recognizes this incarnation.
+func (m *Machine) recognized() bool {
+	for _, peer := range m.peers {
+		if peer.recognizesThis {
 			return true
 		}
 	}
 	return false
 }
 
-// report takes what another says of a third.
-func (m *Machine) report(now Time, by *seat, r PeerReport) {
-	if r.Name == m.cfg.Name || r.Name == "" || r.ID == 0 {
+// handlePeerReport processes what one peer reports on another.
+func (m *Machine) handlePeerReport(now Time, reporter *peerState, report PeerReport) {
+	if report.Name == m.cfg.Name || report.Name == "" || report.ID == 0 {
 		return
 	}
-	s := m.seats[r.Name]
-	if s == nil {
-		if !m.room() {
+	peer := m.peers[report.Name]
+	if peer == nil {
+		if !m.ensureRoom() {
 			return
 		}
-		s = &seat{Peer: Peer{Name: r.Name, Addr: r.Addr, ID: r.ID, Incarnation: r.Incarnation}, heard: never, state: Suspected, reports: map[string]report{}}
-		m.seats[r.Name] = s
-		m.out.Save = true
+		peer = &peerState{Peer: Peer{Name: report.Name, Addr: report.Addr, ID: report.ID, Incarnation: report.Incarnation},
+			heardAt: never, state: Suspected, observations: map[string]observation{}}
+		m.peers[report.Name] = peer
+		m.actions.Save = true
 	}
 	switch {
-	case r.ID == s.ID:
-		if r.End != NotEnded && s.end == NotEnded && now-s.heard > m.fresh()/2 {
-			m.ends(now, s, r.End, "as "+by.Name+" found")
+	case report.ID == peer.ID:
+		if report.End != NotEnded && peer.end == NotEnded && now-peer.heardAt > m.heardTimeout()/2 {
+			m.markEnded(now, peer, report.End, "as "+reporter.Name+" reported")
 		}
-		s.reported(by.Name, report{r.Heard && r.End == NotEnded, now})
-	case r.Incarnation > s.Incarnation && r.End == NotEnded:
-		s.hint = r.Addr
-		s.reported(by.Name, report{r.Heard, now})
+		peer.recordObservation(reporter.Name, observation{report.Heard && report.End == NotEnded, now})
+	case report.Incarnation > peer.Incarnation && report.End == NotEnded:
+		peer.laterAddr = report.Addr
+		peer.recordObservation(reporter.Name, observation{report.Heard, now})
 	}
 }
 
-// mostReports bounds those that are kept of one sender, the newest: enough for some
-// that hear it to be among them, and their number does not grow with the fleet.
-const mostReports = 32
+// maxObservations is the largest number of observations kept of one peer, the newest ones. It is high enough that some
+// of them come from peers that hear it, and independent of the size of the cluster.
+const maxObservations = 32
 
-// reported keeps what another sender says of s.
-func (s *seat) reported(by string, r report) {
-	if _, again := s.reports[by]; !again && len(s.reports) >= mostReports {
-		oldest, at := "", r.at
-		for name, x := range s.reports {
-			if x.at < at || oldest == "" {
-				oldest, at = name, x.at
+// recordObservation records what a peer reports on this one, in place of the oldest observation if there are too many.
+func (p *peerState) recordObservation(reporter string, latest observation) {
+	if _, replaces := p.observations[reporter]; !replaces && len(p.observations) >= maxObservations {
+		oldest, oldestAt := "", latest.at
+		for name, other := range p.observations {
+			if other.at < oldestAt || oldest == "" {
+				oldest, oldestAt = name, other.at
 			}
 		}
-		delete(s.reports, oldest)
+		delete(p.observations, oldest)
 	}
-	s.reports[by] = r
+	p.observations[reporter] = latest
 }
 
-// heardElsewhere says whether another sender that is heard hears s.
-func (m *Machine) heardElsewhere(now Time, s *seat) bool {
-	span := max(2*m.fresh(), Time(2+len(m.seats)/MaxPeerReports)*2*m.cfg.Interval)
-	for by, r := range s.reports {
-		x := m.seats[by]
-		if r.hears && now-r.at <= span && x != nil && now-x.heard <= m.fresh() {
+// heardByPeer reports whether another peer that is heard reports that it hears this one.
+func (m *Machine) heardByPeer(now Time, peer *peerState) bool {
+	maxAge := max(2*m.heardTimeout(), Time(2+len(m.peers)/MaxPeerReports)*2*m.cfg.Interval)
+	for reporter, observed := range peer.observations {
+		other := m.peers[reporter]
+		if observed.heard && now-observed.at <= maxAge && other != nil && now-other.heardAt <= m.heardTimeout() {
 			return true
 		}
 	}
 	return false
 }
 
-// ends takes a life for ended.
-func (m *Machine) ends(now Time, s *seat, how End, evidence string) {
-	s.end, s.endAt, s.grant, s.voter = how, now, grant{}, false
-	s.callAt = now
-	m.out.Save, m.dirty = true, true
-	to := Gone
-	switch how {
+// markEnded records that the incarnation of a peer has ended.
+func (m *Machine) markEnded(now Time, peer *peerState, end End, evidence string) {
+	peer.end, peer.endedAt, peer.grant, peer.voter = end, now, grant{}, false
+	peer.nextContact = now
+	m.actions.Save, m.dirty = true, true
+	state := Gone
+	switch end {
 	case Left:
-		to = HasLeft
+		state = HasLeft
 	case Fenced:
-		to = Paused
+		state = Paused
 	case Forgotten:
-		to = IsForgotten
+		state = IsForgotten
 	}
-	m.becomes(now, s, to, how.String()+", "+evidence)
+	m.setState(now, peer, state, end.String()+", "+evidence)
 }
 
-func (m *Machine) becomes(now Time, s *seat, to State, evidence string) {
-	if s.state == to {
+// setState changes the state of a peer and adds an event if it differs.
+func (m *Machine) setState(now Time, peer *peerState, state State, evidence string) {
+	if peer.state == state {
 		return
 	}
-	m.event(Event{Name: s.Name, From: s.state, To: to, Text: evidence})
-	s.state, s.since = to, now
+	m.addEvent(Event{Name: peer.Name, From: peer.state, To: state, Text: evidence})
+	peer.state, peer.stateSince = state, now
 }
 
-// judge sees what has changed for want of news, and has silent ones probed.
-func (m *Machine) judge(now Time) {
-	for _, name := range m.names() {
-		s := m.seats[name]
-		again := m.cfg.Lease
-		if !m.voter && !s.checked {
-			again = 2 * m.cfg.Interval
+// updateStates derives the states of all peers from when they were last heard, and probes the silent ones.
+func (m *Machine) updateStates(now Time) {
+	for _, name := range m.peerNames() {
+		peer := m.peers[name]
+		probeInterval := m.cfg.Lease
+		if !m.voter && !peer.endConfirmed {
+			probeInterval = 2 * m.cfg.Interval
 		}
-		if s.end != NotEnded && !(s.vacant && s.checked) && !s.probing && now >= s.probedAt+again {
-			s.probing, s.probedAt = true, now
-			m.out.Probe = append(m.out.Probe, Probe{s.Name, s.ID, s.Addr})
+		if peer.end != NotEnded && !(peer.addrVacant && peer.endConfirmed) && !peer.probing &&
+			now >= peer.probedAt+probeInterval {
+			peer.probing, peer.probedAt = true, now
+			m.actions.Probe = append(m.actions.Probe, Probe{peer.Name, peer.ID, peer.Addr})
 		}
-		if s.end != NotEnded {
+		if peer.end != NotEnded {
 			continue
 		}
-		age := now - max(s.heard, m.base)
-		if (age > 5*m.cfg.Interval/2 || s.heard == never) && s.Addr != "" && !s.probing && now >= s.probedAt+2*m.cfg.Interval {
-			s.probing, s.probedAt = true, now
-			m.out.Probe = append(m.out.Probe, Probe{s.Name, s.ID, s.Addr})
+		silence := now - max(peer.heardAt, m.listeningSince)
+		if (silence > 5*m.cfg.Interval/2 || peer.heardAt == never) && peer.Addr != "" && !peer.probing &&
+			now >= peer.probedAt+2*m.cfg.Interval {
+			peer.probing, peer.probedAt = true, now
+			m.actions.Probe = append(m.actions.Probe, Probe{peer.Name, peer.ID, peer.Addr})
 		}
 		switch {
-		case s.heard != never && age <= m.fresh():
+		case peer.heardAt != never && silence <= m.heardTimeout():
 			switch {
-			case now-s.heard > m.fresh(): // nothing is known since this process's own pause
-			case s.alien != 0:
-				m.becomes(now, s, OtherVersion, fmt.Sprintf("its messages are of version %d, ours of %d", s.alien, m.cfg.WireVersion))
-			case s.voter:
-				m.becomes(now, s, Reachable, "heard")
+			case now-peer.heardAt > m.heardTimeout(): // this process was paused: it cannot tell yet
+			case peer.otherWireVersion != 0:
+				m.setState(now, peer, OtherVersion, fmt.Sprintf("its messages have version %d, expected %d",
+					peer.otherWireVersion, m.cfg.WireVersion))
+			case peer.voter:
+				m.setState(now, peer, Reachable, "heard")
 			default:
-				m.becomes(now, s, Joining, "heard")
+				m.setState(now, peer, Joining, "heard")
 			}
-		case m.heardElsewhere(now, s):
-			m.becomes(now, s, Unreachable, fmt.Sprintf("not heard here for %v; heard by %s", m.age(now, s), strings.Join(m.hearers(now, s, true), ", ")))
-		case s.heard != never || now-m.base > m.fresh():
-			by := m.hearers(now, s, false)
-			m.becomes(now, s, Suspected, fmt.Sprintf("not heard here for %v; nor by %s", m.age(now, s), strings.Join(by, ", ")))
+		case m.heardByPeer(now, peer):
+			m.setState(now, peer, Unreachable, fmt.Sprintf("not heard here for %v; heard by %s",
+				m.silentFor(now, peer), strings.Join(m.observers(now, peer, true), ", ")))
+		case peer.heardAt != never || now-m.listeningSince > m.heardTimeout():
+			reporters := m.observers(now, peer, false)
+			m.setState(now, peer, Suspected, fmt.Sprintf("not heard here for %v; nor by %s",
+				m.silentFor(now, peer), strings.Join(reporters, ", ")))
 		}
 	}
 }
 
-func (m *Machine) age(now Time, s *seat) Time {
-	return (now - max(s.heard, m.born)).Round(10 * time.Millisecond)
+// silentFor returns for how long a peer has not been heard by this incarnation, rounded for events.
+func (m *Machine) silentFor(now Time, peer *peerState) Time {
+	return (now - max(peer.heardAt, m.startedAt)).Round(10 * time.Millisecond)
 }
 
-// hearers lists who says that it hears s, or does not.
-func (m *Machine) hearers(now Time, s *seat, hears bool) []string {
-	var out []string
-	for by, r := range s.reports {
-		x := m.seats[by]
-		if r.hears == hears && x != nil && now-x.heard <= m.fresh() {
-			out = append(out, by)
+// observers returns the sorted names of the peers that are heard and report that they hear a peer, or do not hear it.
+func (m *Machine) observers(now Time, peer *peerState, heard bool) []string {
+	var names []string
+	for reporter, observed := range peer.observations {
+		other := m.peers[reporter]
+		if observed.heard == heard && other != nil && now-other.heardAt <= m.heardTimeout() {
+			names = append(names, reporter)
 		}
 	}
-	slices.Sort(out)
-	return out
+	slices.Sort(names)
+	return names
 }
--- a/internal/view/status.go
+++ b/internal/view/status.go
@@ -5,67 +5,70 @@
 	"time"
 )
 
-// Status is a view as operators see it.
+// Status is the view of a sender in the form that operators see.
 type Status struct {
 	Name              string       `json:"name"`
 	Addr              string       `json:"address"`
 	Incarnation       uint64       `json:"incarnation"`
-	State             string       `json:"state"` // joining, here, left or refused
-	Share             float64      `json:"part"`  // of each rate, now
-	MinShare          float64      `json:"least"` // what it falls back to
-	ShareValidSeconds float64      `json:"for_s"` // how long it may use the part without another grant
-	CountedSenders    int          `json:"among"` // senders that share with it, itself counted; 0 if it has its least part
-	MaxSenders        int          `json:"senders"`
-	HeardAfterGone    int          `json:"wrongly_gone"` // taken for gone, and heard again in the same life
+	State             string       `json:"state"`        // "joining", "here", "left" or "refused"
+	Share             float64      `json:"part"`         // fraction of each rate that it may use now
+	MinShare          float64      `json:"least"`        // share without a lease
+	ShareValidSeconds float64      `json:"for_s"`        // remaining time of the lease, in seconds
+	CountedSenders    int          `json:"among"`        // senders that divide the rate, this one included; 0 without a lease
+	MaxSenders        int          `json:"senders"`      // largest number of senders
+	HeardAfterGone    int          `json:"wrongly_gone"` // peers heard again in an incarnation considered ended
 	Peers             []PeerStatus `json:"others"`
 }
 
-// PeerStatus is what a sender knows of another.
+// PeerStatus is what a sender knows of a peer.
 type PeerStatus struct {
 	Name              string   `json:"name"`
 	Addr              string   `json:"address"`
 	Incarnation       uint64   `json:"incarnation"`
 	State             string   `json:"state"`
-	SecondsInState    float64  `json:"since_s"` // how long it has been in that state
-	SecondsSinceHeard float64  `json:"heard_s"` // seconds since it was last heard; -1 for never
+	SecondsInState    float64  `json:"since_s"` // since the last change of state
+	SecondsSinceHeard float64  `json:"heard_s"` // since its last message; -1 for never
 	Zone              string   `json:"zone,omitempty"`
 	Version           string   `json:"version,omitempty"`
-	HeardBy           []string `json:"heard_by"`
-	NotHeardBy        []string `json:"not_heard_by"`
-	GrantInForce      bool     `json:"grants"` // a grant of it is in force here
+	HeardBy           []string `json:"heard_by"`     // peers that report that they hear it
+	NotHeardBy        []string `json:"not_heard_by"` // peers that report that they do not hear it
+	GrantInForce      bool     `json:"grants"`       // this sender holds a valid grant of it
 }
 
-// Status tells the view at a time.
+// Status returns the view at a time.
 func (m *Machine) Status(now Time) Status {
-	p := m.part(now)
-	out := Status{Name: m.cfg.Name, Addr: m.cfg.Addr, Incarnation: m.cfg.Incarnation, State: "joining", Share: p.At(now), MinShare: p.Min,
-		ShareValidSeconds: max(p.Until-now, 0).Seconds(), CountedSenders: p.CountedSenders, MaxSenders: m.most(), HeardAfterGone: m.HeardAfterGone, Peers: []PeerStatus{}}
+	share := m.shareAt(now)
+	status := Status{Name: m.cfg.Name, Addr: m.cfg.Addr, Incarnation: m.cfg.Incarnation, State: "joining",
+		Share: share.At(now), MinShare: share.Min, ShareValidSeconds: max(share.Until-now, 0).Seconds(),
+		CountedSenders: share.CountedSenders, MaxSenders: m.maxSenders(),
+		HeardAfterGone: m.HeardAfterGone, Peers: []PeerStatus{}}
 	switch {
-	case m.refused != nil:
-		out.State = "refused"
+	case m.refusal != nil:
+		status.State = "refused"
 	case m.left:
-		out.State = "left"
+		status.State = "left"
 	case m.voter:
-		out.State = "here"
+		status.State = "here"
 	}
-	for _, name := range m.names() {
-		s := m.seats[name]
-		row := PeerStatus{Name: name, Addr: s.Addr, Incarnation: s.Incarnation, State: s.state.String(), SecondsInState: (now - s.since).Seconds(), SecondsSinceHeard: -1,
-			Zone: s.Zone, Version: s.version, HeardBy: slices.Concat([]string{}, m.hearers(now, s, true)),
-			NotHeardBy: slices.Concat([]string{}, m.hearers(now, s, false)), GrantInForce: now < s.grant.until}
-		if s.heard != never {
-			row.SecondsSinceHeard = (now - s.heard).Round(time.Millisecond).Seconds()
+	for _, name := range m.peerNames() {
+		peer := m.peers[name]
+		row := PeerStatus{Name: name, Addr: peer.Addr, Incarnation: peer.Incarnation, State: peer.state.String(),
+			SecondsInState: (now - peer.stateSince).Seconds(), SecondsSinceHeard: -1,
+			Zone: peer.Zone, Version: peer.version, HeardBy: slices.Concat([]string{}, m.observers(now, peer, true)),
+			NotHeardBy: slices.Concat([]string{}, m.observers(now, peer, false)), GrantInForce: now < peer.grant.until}
+		if peer.heardAt != never {
+			row.SecondsSinceHeard = (now - peer.heardAt).Round(time.Millisecond).Seconds()
 		}
-		out.Peers = append(out.Peers, row)
+		status.Peers = append(status.Peers, row)
 	}
-	return out
+	return status
 }
 
-// PeerStates is the state of each other sender, by name.
+// PeerStates returns the state of each peer, by name.
 func (m *Machine) PeerStates() map[string]State {
-	out := make(map[string]State, len(m.seats))
-	for name, s := range m.seats {
-		out[name] = s.state
+	states := make(map[string]State, len(m.peers))
+	for name, peer := range m.peers {
+		states[name] = peer.state
 	}
-	return out
+	return states
 }
