--- a/internal/core/directory.go
+++ b/internal/core/directory.go
@@ -127,10 +127,10 @@
 
 // take turns a list into the module's entries. An endpoint keeps its number as long
 // as it is on the list, whatever its address, and for a while after.
-func (d *directory) take(l List) []logic.Entry {
+func (d *directory) take(l EndpointList) []logic.Entry {
 	rows := make([]logic.Entry, 0, len(l.Endpoints))
 	now := time.Now()
-	if l.Whole {
+	if l.Complete {
 		on := map[string]bool{}
 		for _, in := range l.Endpoints {
 			on[in.Name] = true
@@ -154,7 +154,7 @@
 		}
 		row := logic.Entry{Endpoint: id, Zone: slices.Index(d.zones, in.Zone), Dest: d.partner(in.Partner).dest,
 			Kind:  slices.IndexFunc(d.kinds, func(k logic.Kind) bool { return k.Name == in.Kind }),
-			State: in.State, Nominal: in.Weight}
+			State: in.State, NominalRate: in.Weight}
 		to, listed := d.eps[id]
 		if listed {
 			d.partners[to.partner].eps--
--- a/internal/core/terms.go
+++ b/internal/core/terms.go
@@ -86,14 +86,14 @@
 	n     int        // of the change that the overlap is of
 }
 
-// Retune puts other settings in the place of those that hold, whole or not at all.
+// UpdateSettings puts other settings in the place of those that hold, whole or not at all.
 // Messages that are held keep the terms that they were taken on under.
-func (c *Core) Retune(set logic.Settings, zones []string) error {
+func (c *Core) UpdateSettings(set logic.Settings, zones []string) error {
 	ev := retuneEvent{set: set, zones: zones, done: make(chan error, 1)}
 	return c.settle(ev, ev.done)
 }
 
-// retune is [Core.Retune] in the loop.
+// retune is [Core.UpdateSettings] in the loop.
 func (c *Core) retune(ev retuneEvent) {
 	if ev.done == nil {
 		if ev.n == c.retunes {
@@ -102,14 +102,14 @@
 		return
 	}
 	held := c.stated.Load().set
-	err := logic.Check(held, ev.set)
+	err := logic.CheckUpdate(held, ev.set)
 	for i, z := range c.dir.zones {
 		if err == nil && (i >= len(ev.zones) || ev.zones[i] != z) {
 			err = fmt.Errorf("settings: zone %q may not change", z)
 		}
 	}
 	if err == nil {
-		err = c.follows(logic.Stricter(held, ev.set))
+		err = c.follows(logic.Strictest(held, ev.set))
 	}
 	if err == nil {
 		c.dir.zones, c.dir.kinds = ev.zones, ev.set.Kinds
@@ -127,6 +127,6 @@
 		c.log.Error("settings", "err", err)
 		return err
 	}
-	c.next = append(c.next, logic.Retune{Settings: set})
+	c.next = append(c.next, logic.UpdateSettings{Settings: set})
 	return nil
 }
--- a/internal/core/trace.go
+++ b/internal/core/trace.go
@@ -27,7 +27,7 @@
 	if c.tracing() {
 		a := ev.attempt
 		c.log.Debug("reply", "id", a.Message.ID, "partner", a.Message.Partner, "ep", c.dir.eps[a.Endpoint].name, "outcome", ev.result.Outcome.String(),
-			"took", ev.took.Milliseconds(), "wait", ev.result.Wait.Milliseconds())
+			"took", ev.took.Milliseconds(), "wait", ev.result.RequestedWait.Milliseconds())
 	}
 }
 
@@ -38,8 +38,8 @@
 	}
 }
 
-func (c *Core) traceTaken(call logic.Call, partner, class string) {
+func (c *Core) traceTaken(call logic.NewMessage, partner, class string) {
 	if c.tracing() {
-		c.log.Debug("taken", "id", call.ID, "partner", partner, "class", class, "left", call.Left/1000, "tenant", call.Tenant)
+		c.log.Debug("taken", "id", call.ID, "partner", partner, "class", class, "left", call.Remaining/1000, "tenant", call.Tenant)
 	}
 }
--- a/internal/front/resp/session.go
+++ b/internal/front/resp/session.go
@@ -70,7 +70,7 @@
 // answer is the answer to a request: at once, or as soon as it is there.
 type answer struct {
 	line  string
-	later <-chan core.Answer
+	later <-chan core.SubmitResponse
 	ask   func() string // gives the answer when its turn has come
 	large bool          // the request holds a place among the large ones
 	last  bool          // the connection ends after it
@@ -97,7 +97,7 @@
 func (s *session) traceClosed() {
 	s.c.log.Debug("client closed", "remote", s.conn.RemoteAddr().String(), "reason", string(s.closed), "answered", s.answers)
 	if s.unanswered > 0 {
-		s.c.opts.Monitor.Violated(permit.ClosedUnanswered, s.conn.RemoteAddr().String(), "requests", s.unanswered, "reason", string(s.closed))
+		s.c.opts.Monitor.CountViolation(permit.ClosedUnanswered, s.conn.RemoteAddr().String(), "requests", s.unanswered, "reason", string(s.closed))
 	}
 }
 
