--- a/internal/view/play/doc.go
+++ b/internal/view/play/doc.go
@@ -1,4 +1,4 @@
-// Package play runs many views against each other in virtual time, with lost and
-// late messages, cuts, pauses, deaths and clocks that run at different paces, and
-// checks after each event that the parts of all senders add up to one rate at most.
+// Package play simulates clusters of [view.Machine] in virtual time, with lost and late messages, cut links, pauses,
+// killed processes and clocks that run at different rates. After each event it updates the largest sum of the shares of
+// all senders, which must not exceed one rate.
 package play
--- a/internal/view/play/long_test.go
+++ b/internal/view/play/long_test.go
@@ -8,12 +8,12 @@
 	"time"
 )
 
-// The same by command, over as many plays as PLAYS says, from FROM on.
-func TestSumLong(t *testing.T) {
-	plays, _ := strconv.Atoi(os.Getenv("PLAYS"))
+// Runs the check of TestShareSum for the number of seeds in the environment variable PLAYS, from FROM on.
+func TestShareSumLong(t *testing.T) {
+	runs, _ := strconv.Atoi(os.Getenv("PLAYS"))
 	from, _ := strconv.Atoi(os.Getenv("FROM"))
-	if plays == 0 {
-		t.Skip("PLAYS says how many")
+	if runs == 0 {
+		t.Skip("PLAYS sets the number of runs")
 	}
 	var all sync.WaitGroup
 	next := make(chan uint64)
@@ -23,12 +23,12 @@
 				o := options(seed, 2+int(seed%6))
 				o.Guards = seed%2 == 0
 				if w := RunRandomFaults(o, time.Minute); w.MaxSum > MaxAllowedSum {
-					t.Errorf("seed %d, %d senders: the parts add up to %.3f at %v", seed, o.Senders, w.MaxSum, w.MaxSumAt)
+					t.Errorf("seed %d, %d senders: the shares add up to %.3f at %v", seed, o.Senders, w.MaxSum, w.MaxSumAt)
 				}
 			}
 		})
 	}
-	for seed := range uint64(plays) {
+	for seed := range uint64(runs) {
 		next <- uint64(from) + seed
 	}
 	close(next)
--- a/internal/view/play/play_test.go
+++ b/internal/view/play/play_test.go
@@ -9,38 +9,39 @@
 )
 
 func options(seed uint64, n int) Options {
-	return Options{Seed: seed, Senders: n, MinShareTotal: 0.1, Lease: 3 * time.Second, Interval: 300 * time.Millisecond, MaxClockDrift: 0.01,
+	return Options{Seed: seed, Senders: n, MinShareTotal: 0.1,
+		Lease: 3 * time.Second, Interval: 300 * time.Millisecond, MaxClockDrift: 0.01,
 		Delay: time.Millisecond, Jitter: 5 * time.Millisecond}
 }
 
-// Whatever is killed, paused, cut, lost, moved, emptied or started twice, the parts
-// of all senders add up to one rate at most, at every instant.
-func TestSum(t *testing.T) {
-	plays := 400
+// The shares of all senders must never add up to more than one rate, whichever processes are killed, paused, cut off,
+// started twice, moved to another address or deprived of their state folder, and whichever messages are lost.
+func TestShareSum(t *testing.T) {
+	runs := 400
 	if testing.Short() {
-		plays = 50
+		runs = 50
 	}
 	active := 0
-	for seed := range uint64(plays) {
+	for seed := range uint64(runs) {
 		o := options(seed, 2+int(seed%6))
 		o.Guards = seed%2 == 0
 		w := RunRandomFaults(o, time.Minute)
 		if w.MaxSum > MaxAllowedSum {
-			t.Fatalf("seed %d, %d senders: the parts add up to %.3f at %v", seed, o.Senders, w.MaxSum, w.MaxSumAt)
+			t.Fatalf("seed %d, %d senders: the shares add up to %.3f at %v", seed, o.Senders, w.MaxSum, w.MaxSumAt)
 		}
 		if w.MaxSum > 0.99 {
 			active++
 		}
 	}
-	if active < plays/2 {
-		t.Errorf("a whole rate was in use in %d of %d plays only: they prove little", active, plays)
+	if active < runs/2 {
+		t.Errorf("a whole rate was in use in only %d of %d runs: they prove little", active, runs)
 	}
 }
 
-// The check finds planted faults.
-func TestSumFindsFaults(t *testing.T) {
-	for name, plant := range map[string]func(*Options){"lease left out": func(o *Options) { o.IgnoreLease = true },
-		"pause not noticed": func(o *Options) { o.FrozenClock = true }} {
+// The check of TestShareSum must find planted faults.
+func TestShareSumFindsFaults(t *testing.T) {
+	for name, plant := range map[string]func(*Options){"lease ignored": func(o *Options) { o.IgnoreLease = true },
+		"pause not detected": func(o *Options) { o.FrozenClock = true }} {
 		found := 0
 		for seed := range uint64(200) {
 			o := options(seed, 2+int(seed%6))
@@ -49,34 +50,36 @@
 				found++
 			}
 		}
-		t.Logf("%s: found in %d of 200 plays", name, found)
+		t.Logf("%s: found in %d of 200 runs", name, found)
 		if found < 5 {
-			t.Errorf("%s: found in %d of 200 plays", name, found)
+			t.Errorf("%s: found in %d of 200 runs", name, found)
 		}
 	}
 }
 
+// settle waits until the views have converged and the whole rate is in use.
 func settle(t *testing.T, w *World) {
 	t.Helper()
 	if _, ok := w.Until(30*time.Second, w.Converged); !ok {
 		dump(t, w)
-		t.Fatal("the views are not equal after 30 s")
+		t.Fatal("the views have not converged after 30 s")
 	}
 	if took, ok := w.Until(10*time.Second, func() bool { return w.ShareSum() > 0.999 }); !ok {
 		dump(t, w)
-		t.Fatalf("the rate is not used up after %v: %.3f", took, w.ShareSum())
+		t.Fatalf("the whole rate is not in use after %v: %.3f", took, w.ShareSum())
 	}
 }
 
+// dump logs the view of each process.
 func dump(t *testing.T, w *World) {
 	for _, p := range w.Running {
 		t.Logf("%+v", p.Machine.Status(p.clock(w)))
 	}
 }
 
-// In each of these cases no living sender is taken for gone, and the parts come back
-// to one rate once it is over.
-func TestCases(t *testing.T) {
+// In each of these cases no running sender may be considered gone, and the whole rate must be in use again after the
+// fault.
+func TestFaults(t *testing.T) {
 	all := func(n int) []int {
 		out := make([]int, n)
 		for i := range out {
@@ -84,30 +87,48 @@
 		}
 		return out
 	}
-	pairs := func(w *World, f func(i, k int)) {
+	pairs := func(w *World, visit func(i, k int)) {
 		for _, i := range all(len(w.Newest)) {
 			for _, k := range all(len(w.Newest)) {
 				if i != k {
-					f(i, k)
+					visit(i, k)
 				}
 			}
 		}
 	}
 	cases := map[string]func(w *World){
-		"lone cut": func(w *World) { w.Cut(0, 1, true); w.Run(20 * time.Second) },
-		"loss 1%":  func(w *World) { pairs(w, func(i, k int) { w.SetLoss(i, k, 0.01) }); w.Run(60 * time.Second) },
-		"loss 10%": func(w *World) { pairs(w, func(i, k int) { w.SetLoss(i, k, 0.1) }); w.Run(60 * time.Second) },
-		"loss 30%": func(w *World) { pairs(w, func(i, k int) { w.SetLoss(i, k, 0.3) }); w.Run(60 * time.Second) },
-		"one link": func(w *World) { w.SetLoss(0, 1, 0.5); w.Run(60 * time.Second) },
-		"late":     func(w *World) { w.SetDelay(200 * time.Millisecond); w.Run(30 * time.Second) },
-		"unheard":  func(w *World) { pairs(w, func(i, k int) { w.Cut(i, k, k == 0) }); w.Run(20 * time.Second) },
+		"one link cut": func(w *World) { w.Cut(0, 1, true); w.Run(20 * time.Second) },
+		"loss 1%": func(w *World) {
+			pairs(w, func(i, k int) { w.SetLoss(i, k, 0.01) })
+			w.Run(60 * time.Second)
+		},
+		"loss 10%": func(w *World) {
+			pairs(w, func(i, k int) { w.SetLoss(i, k, 0.1) })
+			w.Run(60 * time.Second)
+		},
+		"loss 30%": func(w *World) {
+			pairs(w, func(i, k int) { w.SetLoss(i, k, 0.3) })
+			w.Run(60 * time.Second)
+		},
+		"one link lossy": func(w *World) { w.SetLoss(0, 1, 0.5); w.Run(60 * time.Second) },
+		"delay":          func(w *World) { w.SetDelay(200 * time.Millisecond); w.Run(30 * time.Second) },
+		"one sender hears nothing": func(w *World) {
+			pairs(w, func(i, k int) { w.Cut(i, k, k == 0) })
+			w.Run(20 * time.Second)
+		},
 		"ring": func(w *World) {
 			pairs(w, func(i, k int) { w.Cut(i, k, k != (i+1)%len(w.Newest)) })
 			w.Run(20 * time.Second)
 		},
-		"two":       func(w *World) { pairs(w, func(i, k int) { w.Cut(i, k, (i < 2) != (k < 2)) }); w.Run(20 * time.Second) },
-		"zone away": func(w *World) { pairs(w, func(i, k int) { w.Cut(i, k, i < 2 && k >= 2) }); w.Run(20 * time.Second) },
-		"fast":      func(w *World) { w.SetClockRate(0, 1.01); w.Run(60 * time.Second) },
+		"partition": func(w *World) {
+			pairs(w, func(i, k int) { w.Cut(i, k, (i < 2) != (k < 2)) })
+			w.Run(20 * time.Second)
+		},
+		"one-way partition": func(w *World) {
+			pairs(w, func(i, k int) { w.Cut(i, k, i < 2 && k >= 2) })
+			w.Run(20 * time.Second)
+		},
+		"fast clock": func(w *World) { w.SetClockRate(0, 1.01); w.Run(60 * time.Second) },
 	}
 	for _, d := range []time.Duration{200 * time.Millisecond, time.Second, 5 * time.Second, 30 * time.Second} {
 		cases[fmt.Sprint("pause of one for ", d)] = func(w *World) { w.Pause(w.Newest[1], d); w.Run(d + time.Second) }
@@ -118,71 +139,71 @@
 			w.Run(d + time.Second)
 		}
 	}
-	cases["ten times a minute"] = func(w *World) {
+	cases["repeated pauses"] = func(w *World) {
 		for range 20 {
 			w.Pause(w.Newest[2], 3*time.Second)
 			w.Run(6 * time.Second)
 		}
 	}
-	for name, f := range cases {
+	for name, fault := range cases {
 		t.Run(name, func(t *testing.T) {
 			w := New(options(3, 5))
 			settle(t, w)
-			flaps := w.StateChanges
-			f(w)
+			changes := w.StateChanges
+			fault(w)
 			if w.GoneWhileRunning > 0 {
-				t.Errorf("%d times a living sender was taken for gone", w.GoneWhileRunning)
+				t.Errorf("a running sender was considered gone %d times", w.GoneWhileRunning)
 			}
 			sum := w.ShareSum()
 			w.Heal()
 			settle(t, w)
 			if w.MaxSum > MaxAllowedSum {
-				t.Errorf("the parts add up to %.3f at %v", w.MaxSum, w.MaxSumAt)
+				t.Errorf("the shares add up to %.3f at %v", w.MaxSum, w.MaxSumAt)
 			}
-			t.Logf("%d changes of state; in use at the end of it: %.2f", w.StateChanges-flaps, sum)
+			t.Logf("%d changes of state; share sum at the end of the fault: %.2f", w.StateChanges-changes, sum)
 		})
 	}
 }
 
-// Those who are killed are known to be gone soon, and their part is taken over by
-// who is left, be it one; they come back with their folders, without, and elsewhere.
-func TestDeaths(t *testing.T) {
-	for _, x := range []struct{ n, kill int }{{4, 3}, {4, 1}, {5, 2}, {20, 8}, {20, 19}} {
-		for _, how := range []StartMode{SameFolder, EmptyFolder, NewAddress, OldFolder} {
-			w := New(options(uint64(x.n), x.n))
+// Killed senders must be detected soon, and the remaining ones, even a single one, must take over their shares. The
+// killed ones must be able to return with their state folder, without it, and at another address.
+func TestKills(t *testing.T) {
+	for _, test := range []struct{ n, kill int }{{4, 3}, {4, 1}, {5, 2}, {20, 8}, {20, 19}} {
+		for _, mode := range []StartMode{SameFolder, EmptyFolder, NewAddress, OldFolder} {
+			w := New(options(uint64(test.n), test.n))
 			settle(t, w)
-			for _, p := range append([]*Process{}, w.Newest[:x.kill]...) {
+			for _, p := range append([]*Process{}, w.Newest[:test.kill]...) {
 				w.Kill(p)
 			}
 			took, ok := w.Until(30*time.Second, w.Converged)
 			if !ok || took > 5*time.Second {
-				t.Errorf("%+v: known by all after %v, %v", x, took, ok)
+				t.Errorf("%+v: detected by all after %v, %v", test, took, ok)
 			}
 			back, ok := w.Until(20*time.Second, func() bool { return w.ShareSum() >= 0.9 })
-			t.Logf("%d of %d killed: known by all after %v, rate in use again after %v more", x.kill, x.n, took, back)
+			t.Logf("%d of %d killed: detected by all after %v, rate in use again after %v more", test.kill, test.n, took, back)
 			if !ok {
-				t.Errorf("%+v: %.2f in use %v later", x, w.ShareSum(), back)
+				t.Errorf("%+v: %.2f in use %v later", test, w.ShareSum(), back)
 			}
-			for i := range x.kill {
-				w.Start(i, how)
+			for i := range test.kill {
+				w.Start(i, mode)
 			}
 			settle(t, w)
 			if w.MaxSum > MaxAllowedSum {
-				t.Errorf("%+v, %v: the parts add up to %.3f at %v", x, how, w.MaxSum, w.MaxSumAt)
+				t.Errorf("%+v, %v: the shares add up to %.3f at %v", test, mode, w.MaxSum, w.MaxSumAt)
 			}
 		}
 	}
 }
 
-// A second process with a name is refused and sends nothing; the first goes on.
-func TestNameTwice(t *testing.T) {
-	said := map[int]int{}
+// A second process with the same name must be refused and must have no share, while the first keeps its share.
+func TestDuplicateName(t *testing.T) {
+	events := map[int]int{}
 	var w *World
 	var first *Process
 	o := options(9, 4)
 	o.Log = func(_ time.Duration, p *Process, e view.Event) {
 		if first != nil && p.Name == first.Name && p.Machine.Status(p.clock(w)).Name == e.Name {
-			said[p.Number]++
+			events[p.Number]++
 		}
 	}
 	w = New(o)
@@ -193,7 +214,7 @@
 	if a, b := w.ShareOf(first), w.ShareOf(second); a < 0.2 || b != 0 {
 		t.Errorf("the first has %.2f, the second %.2f", a, b)
 	}
-	if said[first.Number] == 0 || said[second.Number] == 0 || said[first.Number]+said[second.Number] > 20 {
-		t.Errorf("said: %v", said)
+	if events[first.Number] == 0 || events[second.Number] == 0 || events[first.Number]+events[second.Number] > 20 {
+		t.Errorf("events by process: %v", events)
 	}
 }
--- a/internal/view/play/world.go
+++ b/internal/view/play/world.go
@@ -11,83 +11,84 @@
 	"cometrack/internal/virtual"
 )
 
-// Options say what a world is like.
+// Options configure a [World].
 type Options struct {
 	Seed          uint64
 	Senders       int
-	MaxSenders    int // 0 for Senders
+	MaxSenders    int // 0 for the value of Senders
 	MinShareTotal float64
 	Lease         time.Duration
 	Interval      time.Duration
-	MaxClockDrift float64 // clocks run at random paces within this; one may be set by Pace
+	MaxClockDrift float64 // clocks run at random rates within this; SetClockRate sets one
 	Delay         time.Duration
 	Jitter        time.Duration
-	IgnoreLease   bool // a planted fault: parts are used although they have run out
-	FrozenClock   bool // a planted fault: clocks stand still during a pause
-	Log           func(at time.Duration, p *Process, e view.Event)
-	Guards        bool // a paused process is fenced by its guard
+	IgnoreLease   bool // a planted fault: shares are used after their lease has expired
+	FrozenClock   bool // a planted fault: clocks stop during a pause
+	// Log is called for each event of a process; nil for no log.
+	Log    func(at time.Duration, p *Process, e view.Event)
+	Guards bool // a paused process is fenced by its guard
 }
 
-// Process is one process of a sender.
+// Process is a simulated process of a sender.
 type Process struct {
-	Sender, Number int
+	Sender, Number int // index of its sender, and number in the order of starts
 	Name           string
 	Addr           string
 	Machine        *view.Machine
 	Share          view.Share
-	Running        bool // else it has been killed
+	Running        bool // false after it was killed
 	Paused         bool
-	StartedAt      time.Duration
+	StartedAt      time.Duration // in virtual time
 
-	clockOffset     time.Duration
-	clockRate       float64
-	frozenTime      time.Duration
+	clockOffset     time.Duration // added to its clock
+	clockRate       float64       // its clock's speed relative to virtual time
+	frozenTime      time.Duration // total of the pauses that its clock did not count, with FrozenClock
 	pausedAt        time.Duration
-	unread          []*view.Message
+	unread          []*view.Message // received by its socket during a pause
 	knownPeers      []view.Peer
 	incarnation     uint64
-	timerGeneration int // of its tick
-	heardAfterGone  int // of its machine, as last seen
-	fenced          bool
+	timerGeneration int  // changes with each step: the tick timer of an earlier step is void
+	heardAfterGone  int  // value of its machine after the last step
+	fenced          bool // its guard has fenced it during the present pause
 	SentBytes       int
 }
 
-// World is senders in virtual time.
+// World is a cluster of senders in virtual time.
 type World struct {
 	virtual.Clock
-	Newest           []*Process // of each sender the newest
-	Running          []*Process // those that run
-	MaxSum           float64    // the largest sum of parts that was seen
-	MaxSumAt         time.Duration
-	GoneWhileRunning int // times that a sender whose newest process runs was taken for gone, an earlier life perhaps
-	HeardAfterGone   int // times that a life was taken for gone and heard again
-	StateChanges     int // changes of state of senders that ran throughout
-	Sent             int
-	SizeOf           func(m *view.Message) int // bytes; nil for not counted
-	// Traffic is what each sender has sent and taken.
+	Newest           []*Process                // the newest process of each sender
+	Running          []*Process                // all processes that were not killed
+	MaxSum           float64                   // largest sum of the shares at any time
+	MaxSumAt         time.Duration             // when that sum occurred
+	GoneWhileRunning int                       // how often a sender was considered gone while its newest process ran
+	HeardAfterGone   int                       // how often an incarnation considered ended was heard again
+	StateChanges     int                       // changes of state, in any view, of senders whose newest process runs
+	Sent             int                       // messages sent
+	SizeOf           func(m *view.Message) int // size of a message in bytes; nil if bytes are not counted
+	// Traffic counts what each sender has sent and received.
 	Traffic []Traffic
 
 	opts         Options
 	rng          *rand.Rand
-	loss         map[[2]int]float64
-	cut          map[[2]int]bool
+	loss         map[[2]int]float64 // fraction of messages lost on the link from one sender to another
+	cut          map[[2]int]bool    // whether that link is cut
 	delay        time.Duration
-	listeners    map[string]*Process // who listens at an address; nil for nobody
-	addrCount    int
-	processCount int   // processes
-	duplicates   int   // processes beside another of their name
-	runningCount []int // processes of each sender that run
+	listeners    map[string]*Process // the process that listens at an address, if any
+	addrCount    int                 // addresses used so far
+	processCount int                 // processes started so far
+	duplicates   int                 // running processes beyond the first of each name
+	runningCount []int               // running processes of each sender
 	folders      map[int]folder
-	senderIndex  map[string]int // of senders by name
+	senderIndex  map[string]int // index of each sender by name
 }
 
-// Traffic counts messages, and their bytes as SizeOf has them.
+// Traffic counts messages, and their bytes as measured by World.SizeOf.
 type Traffic struct {
 	Out, In           int64
 	OutBytes, InBytes int64
 }
 
-// folder is a sender's folder.
+// folder is the content of a sender's state folder, and its address.
 type folder struct {
 	incarnation  uint64
 	knownPeers   []view.Peer
@@ -95,13 +96,14 @@
 	addr         string
 }
 
-// New makes a world and starts all senders.
+// New returns a world and starts all senders.
 func New(opts Options) *World {
 	if opts.MaxSenders == 0 {
 		opts.MaxSenders = opts.Senders
 	}
-	w := &World{opts: opts, rng: rand.New(rand.NewPCG(opts.Seed, 1)), loss: map[[2]int]float64{}, cut: map[[2]int]bool{},
-		listeners: map[string]*Process{}, folders: map[int]folder{}, delay: opts.Delay, Newest: make([]*Process, opts.Senders), runningCount: make([]int, opts.Senders),
+	w := &World{opts: opts, rng: rand.New(rand.NewPCG(opts.Seed, 1)), loss: map[[2]int]float64{},
+		cut: map[[2]int]bool{}, listeners: map[string]*Process{}, folders: map[int]folder{}, delay: opts.Delay,
+		Newest: make([]*Process, opts.Senders), runningCount: make([]int, opts.Senders),
 		Traffic:     make([]Traffic, opts.Senders),
 		senderIndex: make(map[string]int, opts.Senders)}
 	for i := range opts.Senders {
@@ -113,51 +115,57 @@
 	return w
 }
 
-// StartMode says what a process starts with.
+// StartMode is the state folder and address that a process starts with.
 type StartMode int
 
-// The ways to start.
+// The start modes.
 const (
-	SameFolder  StartMode = iota // with its folder, where it was
-	EmptyFolder                  // with an emptied folder
-	NewAddress                   // with its folder, at a new address
-	OldFolder                    // with a copy of its folder as it was at the first start
+	SameFolder  StartMode = iota // its folder and its address
+	EmptyFolder                  // an emptied folder
+	NewAddress                   // its folder, but a new address
+	OldFolder                    // its folder with the incarnation reset, as in an old copy
 )
 
+// senderName returns the name of sender i.
 func (w *World) senderName(i int) string { return fmt.Sprintf("s%03d", i) }
 
+// newAddr returns an unused address of sender i.
 func (w *World) newAddr(i int) string {
 	w.addrCount++
 	return fmt.Sprintf("%d:%d", i, w.addrCount)
 }
 
-// Start starts a process of sender i; one that runs is not ended.
-func (w *World) Start(i int, how StartMode) *Process {
-	h, had := w.folders[i]
-	addr := h.addr
-	if !had || how == NewAddress || w.listeners[addr] != nil {
+// Start starts a process of sender i. It does not end one that runs: then both run with the same name.
+func (w *World) Start(i int, mode StartMode) *Process {
+	dir, exists := w.folders[i]
+	addr := dir.addr
+	if !exists || mode == NewAddress || w.listeners[addr] != nil {
 		addr = w.newAddr(i)
 	}
-	if how == EmptyFolder {
-		h = folder{}
+	if mode == EmptyFolder {
+		dir = folder{}
 	}
-	if how == OldFolder {
-		h.incarnation = 0
+	if mode == OldFolder {
+		dir.incarnation = 0
 	}
-	h.incarnation++
-	h.addr = addr
-	w.folders[i] = h
+	dir.incarnation++
+	dir.addr = addr
+	w.folders[i] = dir
 	w.processCount++
-	p := &Process{Sender: i, Number: w.processCount, Name: w.senderName(i), Addr: addr, Running: true, StartedAt: w.Now, knownPeers: h.knownPeers, incarnation: h.incarnation,
-		clockOffset: time.Duration(w.rng.Int64N(int64(time.Hour))), clockRate: 1 + w.opts.MaxClockDrift*(2*w.rng.Float64()-1)}
+	p := &Process{Sender: i, Number: w.processCount, Name: w.senderName(i), Addr: addr, Running: true, StartedAt: w.Now,
+		knownPeers: dir.knownPeers, incarnation: dir.incarnation,
+		clockOffset: time.Duration(w.rng.Int64N(int64(time.Hour))),
+		clockRate:   1 + w.opts.MaxClockDrift*(2*w.rng.Float64()-1)}
 	var join []string
-	for k, x := range w.Newest {
-		if k != i && x != nil {
-			join = append(join, x.Addr)
+	for j, other := range w.Newest {
+		if j != i && other != nil {
+			join = append(join, other.Addr)
 		}
 	}
-	p.Machine = view.New(view.Config{Name: p.Name, Addr: addr, ID: w.rng.Uint64() | 1, Incarnation: h.incarnation, MaxSenders: w.opts.MaxSenders, MinShareTotal: w.opts.MinShareTotal,
-		Lease: w.opts.Lease, Interval: w.opts.Interval, MaxClockDrift: w.opts.MaxClockDrift, Join: join, KnownPeers: h.knownPeers, AdmittedAddr: h.admittedAddr, Seed: w.rng.Uint64()}, p.clock(w))
+	p.Machine = view.New(view.Config{Name: p.Name, Addr: addr, ID: w.rng.Uint64() | 1, Incarnation: dir.incarnation,
+		MaxSenders: w.opts.MaxSenders, MinShareTotal: w.opts.MinShareTotal,
+		Lease: w.opts.Lease, Interval: w.opts.Interval, MaxClockDrift: w.opts.MaxClockDrift,
+		Join: join, KnownPeers: dir.knownPeers, AdmittedAddr: dir.admittedAddr, Seed: w.rng.Uint64()}, p.clock(w))
 	w.Newest[i], w.listeners[addr] = p, p
 	w.Running = append(w.Running, p)
 	if w.runningCount[i]++; w.runningCount[i] > 1 {
@@ -167,11 +175,11 @@
 	return p
 }
 
-// SetClockRate sets how fast the clock of a sender's newest process runs.
-func (w *World) SetClockRate(i int, pace float64) {
+// SetClockRate sets the speed of the clock of a sender's newest process, relative to virtual time.
+func (w *World) SetClockRate(i int, rate float64) {
 	p := w.Newest[i]
 	now := p.clock(w)
-	p.clockRate = pace
+	p.clockRate = rate
 	p.clockOffset += now - p.clock(w)
 }
 
@@ -181,8 +189,8 @@
 	if w.listeners[p.Addr] == p {
 		delete(w.listeners, p.Addr)
 	}
-	for i, x := range w.Running {
-		if x == p {
+	for i, running := range w.Running {
+		if running == p {
 			w.Running = append(w.Running[:i], w.Running[i+1:]...)
 			if w.runningCount[p.Sender]--; w.runningCount[p.Sender] > 0 {
 				w.duplicates--
@@ -193,7 +201,7 @@
 	w.checkSum()
 }
 
-// Pause stops a process, which goes on after a span if it still runs.
+// Pause pauses a process for a duration.
 func (w *World) Pause(p *Process, d time.Duration) {
 	if p.Paused || !p.Running {
 		return
@@ -202,6 +210,7 @@
 	w.After(d, func() { w.resume(p) })
 }
 
+// resume ends the pause of a process that was not killed meanwhile.
 func (w *World) resume(p *Process) {
 	if !p.Paused || !p.Running {
 		return
@@ -216,31 +225,31 @@
 		w.step(p, func() view.Actions { return p.Machine.HandleFenced(p.clock(w)) })
 		w.checkSum()
 	}
-	late := p.unread
+	unread := p.unread
 	p.unread = nil
-	for _, m := range late { // what its socket has kept comes first
+	for _, m := range unread { // messages buffered by its socket come first
 		w.step(p, func() view.Actions { return p.Machine.HandleMessage(p.clock(w), m) })
 	}
 	w.step(p, func() view.Actions { return p.Machine.Tick(p.clock(w)) })
 }
 
-// Cut cuts a link, or heals it.
+// Cut cuts the link from one sender to another, or restores it.
 func (w *World) Cut(from, to int, cut bool) { w.cut[[2]int{from, to}] = cut }
 
-// SetLoss has a link lose a share of its messages.
-func (w *World) SetLoss(from, to int, share float64) { w.loss[[2]int{from, to}] = share }
+// SetLoss sets the fraction of the messages from one sender to another that is lost.
+func (w *World) SetLoss(from, to int, fraction float64) { w.loss[[2]int{from, to}] = fraction }
 
 // SetDelay sets the delay of all messages.
 func (w *World) SetDelay(d time.Duration) { w.delay = d }
 
-// Heal heals all links.
+// Heal restores all links and the configured delay.
 func (w *World) Heal() {
 	clear(w.cut)
 	clear(w.loss)
 	w.delay = w.opts.Delay
 }
 
-// clock is a process's own clock.
+// clock returns the time on the clock of a process.
 func (p *Process) clock(w *World) time.Duration {
 	at := w.Now
 	if w.opts.FrozenClock && p.Paused {
@@ -249,58 +258,59 @@
 	return p.clockOffset + time.Duration(float64(at-p.frozenTime)*p.clockRate)
 }
 
-// step makes a step of a process and carries out what it asks for.
-func (w *World) step(p *Process, step func() view.Actions) {
+// step runs a step of the machine of a process and carries out its actions. A process that is paused or killed does
+// nothing.
+func (w *World) step(p *Process, handle func() view.Actions) {
 	if !p.Running || p.Paused {
 		return
 	}
 	before := w.share(p)
-	r := step()
-	p.Share = r.Share
+	actions := handle()
+	p.Share = actions.Share
 	w.HeardAfterGone += p.Machine.HeardAfterGone - p.heardAfterGone
 	p.heardAfterGone = p.Machine.HeardAfterGone
 	if w.share(p) > before {
 		w.checkSum()
 	}
-	if r.Save {
-		h := w.folders[p.Sender]
-		if h.addr == p.Addr {
-			h.incarnation, h.admittedAddr, h.knownPeers = p.Machine.SavedState()
-			w.folders[p.Sender] = h
+	if actions.Save {
+		dir := w.folders[p.Sender]
+		if dir.addr == p.Addr {
+			dir.incarnation, dir.admittedAddr, dir.knownPeers = p.Machine.SavedState()
+			w.folders[p.Sender] = dir
 		}
 	}
-	for _, e := range r.Events {
+	for _, event := range actions.Events {
 		if w.opts.Log != nil {
-			w.opts.Log(w.Now, p, e)
+			w.opts.Log(w.Now, p, event)
 		}
-		if e.From != e.To {
-			w.countStateChange(e)
+		if event.From != event.To {
+			w.countStateChange(event)
 		}
 	}
-	for _, out := range r.Send {
+	for _, envelope := range actions.Send {
 		size := 0
 		if w.SizeOf != nil {
-			size = w.SizeOf(out.Message)
+			size = w.SizeOf(envelope.Message)
 		}
 		w.Sent++
 		p.SentBytes += size
-		t := &w.Traffic[p.Sender]
-		t.Out, t.OutBytes = t.Out+1, t.OutBytes+int64(size)
-		w.send(p, out, int64(size))
+		traffic := &w.Traffic[p.Sender]
+		traffic.Out, traffic.OutBytes = traffic.Out+1, traffic.OutBytes+int64(size)
+		w.send(p, envelope, int64(size))
 	}
-	for _, x := range r.Probe {
-		w.probe(p, x)
+	for _, probe := range actions.Probe {
+		w.probe(p, probe)
 	}
 	p.timerGeneration++
-	token := p.timerGeneration
+	generation := p.timerGeneration
 	w.After(max(time.Duration(float64(p.Machine.NextTick()-p.clock(w))/p.clockRate), 0)+time.Microsecond, func() {
-		if token == p.timerGeneration {
+		if generation == p.timerGeneration {
 			w.step(p, func() view.Actions { return p.Machine.Tick(p.clock(w)) })
 		}
 	})
 }
 
-// countStateChange counts beliefs about processes that run.
+// countStateChange counts a change of state if it concerns a sender whose newest process runs.
 func (w *World) countStateChange(e view.Event) {
 	if p := w.newestOf(e.Name); p != nil && p.Running {
 		w.StateChanges++
@@ -310,6 +320,7 @@
 	}
 }
 
+// newestOf returns the newest process of a sender; nil if there is no such sender.
 func (w *World) newestOf(name string) *Process {
 	if i, ok := w.senderIndex[name]; ok {
 		return w.Newest[i]
@@ -317,18 +328,20 @@
 	return nil
 }
 
-// owner is the sender of an address, whoever listens there.
+// owner returns the index of the sender that an address was created for.
 func owner(addr string) (i int) {
-	number, _, _ := strings.Cut(addr, ":")
-	i, _ = strconv.Atoi(number)
+	sender, _, _ := strings.Cut(addr, ":")
+	i, _ = strconv.Atoi(sender)
 	return i
 }
 
+// delivers reports whether the next message from one sender to another is delivered.
 func (w *World) delivers(from, to int) bool {
 	link := [2]int{from, to}
 	return !w.cut[link] && w.rng.Float64() >= w.loss[link]
 }
 
+// randomDelay returns the delay of a message.
 func (w *World) randomDelay() time.Duration {
 	d := w.delay
 	if w.opts.Jitter > 0 {
@@ -337,49 +350,50 @@
 	return d
 }
 
-func (w *World) send(p *Process, out view.Envelope, size int64) {
-	if !w.delivers(p.Sender, owner(out.To)) {
+// send sends a message of a process. The socket of a paused receiver buffers at most 500 messages.
+func (w *World) send(p *Process, envelope view.Envelope, size int64) {
+	if !w.delivers(p.Sender, owner(envelope.To)) {
 		return
 	}
-	m := *out.Message
+	msg := *envelope.Message
 	w.After(w.randomDelay(), func() {
-		to := w.listeners[out.To]
+		to := w.listeners[envelope.To]
 		if to != nil {
-			t := &w.Traffic[to.Sender]
-			t.In, t.InBytes = t.In+1, t.InBytes+size
+			traffic := &w.Traffic[to.Sender]
+			traffic.In, traffic.InBytes = traffic.In+1, traffic.InBytes+size
 		}
 		switch {
 		case to == nil:
 		case to.Paused:
 			if len(to.unread) < 500 {
-				to.unread = append(to.unread, &m)
+				to.unread = append(to.unread, &msg)
 			}
 		default:
-			w.step(to, func() view.Actions { return to.Machine.HandleMessage(to.clock(w), &m) })
+			w.step(to, func() view.Actions { return to.Machine.HandleMessage(to.clock(w), &msg) })
 		}
 	})
 }
 
-// probe opens a stream: a kernel that runs answers for a process that does not.
-func (w *World) probe(p *Process, x view.Probe) {
-	to := owner(x.Addr)
+// probe carries out a probe. The kernel accepts the connection of a process that is paused, so only its guard can tell.
+func (w *World) probe(p *Process, request view.Probe) {
+	to := owner(request.Addr)
 	found, after := view.NotEnded, time.Second
-	if !w.cut[[2]int{p.Sender, to}] && !w.cut[[2]int{to, p.Sender}] { // lost segments are sent again
-		at := w.listeners[x.Addr]
+	if !w.cut[[2]int{p.Sender, to}] && !w.cut[[2]int{to, p.Sender}] { // loss is not simulated: TCP retransmits
+		target := w.listeners[request.Addr]
 		switch {
-		case at == nil:
+		case target == nil:
 			found, after = view.ConnectionRefused, 2*w.randomDelay()
-		case w.opts.Guards && at.Paused && w.Now-at.pausedAt > w.opts.Lease:
-			at.fenced = true
+		case w.opts.Guards && target.Paused && w.Now-target.pausedAt > w.opts.Lease:
+			target.fenced = true
 			found, after = view.Fenced, 2*w.randomDelay()
 		}
 	}
 	w.After(after, func() {
-		w.step(p, func() view.Actions { return p.Machine.HandleProbe(p.clock(w), x, found) })
+		w.step(p, func() view.Actions { return p.Machine.HandleProbe(p.clock(w), request, found) })
 	})
 }
 
-// ShareSum is what the parts of all processes add up to now.
+// ShareSum returns the sum of the shares of all processes now.
 func (w *World) ShareSum() float64 {
 	sum := 0.0
 	for _, p := range w.Running {
@@ -388,6 +402,7 @@
 	return sum
 }
 
+// share returns the share that a process uses now, planted faults included.
 func (w *World) share(p *Process) float64 {
 	if w.opts.IgnoreLease {
 		return p.Share.Current
@@ -398,29 +413,29 @@
 	return p.Share.At(p.clock(w))
 }
 
-// ShareOf is what a process may use now.
+// ShareOf returns the share that a process uses now.
 func (w *World) ShareOf(p *Process) float64 { return w.share(p) }
 
-// checkSum is made whenever a part may have grown. A second process with a name that is
-// cut off from all who know the first may have its least part beside it.
+// checkSum updates MaxSum. It is called whenever a share may have increased. A second process with the same name that
+// is cut off from all peers of the first may use its minimum share as well, so that much is allowed per duplicate.
 func (w *World) checkSum() {
-	second := float64(w.duplicates) * w.opts.MinShareTotal / float64(w.opts.MaxSenders)
-	if sum := w.ShareSum() - second; sum > w.MaxSum {
+	allowance := float64(w.duplicates) * w.opts.MinShareTotal / float64(w.opts.MaxSenders)
+	if sum := w.ShareSum() - allowance; sum > w.MaxSum {
 		w.MaxSum, w.MaxSumAt = sum, w.Now
 	}
 }
 
-// Converged says whether all that run take each other for here, and all others for
-// ended.
+// Converged reports whether all running processes consider each other reachable and all others ended.
 func (w *World) Converged() bool {
 	for _, p := range w.Running {
 		for name, state := range p.Machine.PeerStates() {
-			x := w.newestOf(name)
-			runs := x != nil && x.Running
-			if runs && x.Paused && state == view.Paused {
+			newest := w.newestOf(name)
+			runs := newest != nil && newest.Running
+			if runs && newest.Paused && state == view.Paused {
 				continue
 			}
-			if runs && state != view.Reachable || !runs && state != view.Gone && state != view.HasLeft && state != view.IsForgotten {
+			if runs && state != view.Reachable ||
+				!runs && state != view.Gone && state != view.HasLeft && state != view.IsForgotten {
 				return false
 			}
 		}
