--- a/internal/lifecycle/doc.go
+++ b/internal/lifecycle/doc.go
@@ -1,5 +1,5 @@
-// Package lifecycle decides what a sender does for its clients from start to end:
-// what it answers to those who ask whether it is ready, whether it takes new
-// connections, when it closes kept ones, and when its process may end. It has no
-// clock, no I/O and no goroutines: times are passed in.
+// Package lifecycle decides how a sender process serves its clients from its start to its end: whether it reports
+// itself ready, whether it accepts new connections, when it closes idle ones, and when it may exit. The [Machine] has
+// no clock, does no I/O and starts no goroutines: times are passed in. A [Controller] runs one by the clock of the
+// process.
 package lifecycle
--- a/internal/lifecycle/life.go
+++ b/internal/lifecycle/life.go
@@ -6,64 +6,64 @@
 	"time"
 )
 
-// Controller is a machine that many may ask and tell at once. It is driven by the clock
-// of the process; nothing in it waits.
+// Controller runs a [Machine] by the clock of the process. It may be used by several goroutines at once; its methods do
+// not block.
 type Controller struct {
 	log *slog.Logger
 
 	mu      sync.Mutex
 	machine *Machine
-	changed chan struct{}
-	timer   *time.Timer
+	changed chan struct{} // closed at the next change of the behavior
+	timer   *time.Timer   // for the next change without an event
 }
 
-// NewController makes the life of a process that is starting.
-func NewController(times Timeouts, log *slog.Logger) *Controller {
-	return &Controller{log: log, machine: New(times, time.Now()), changed: make(chan struct{})}
+// NewController returns the controller of a process that is starting.
+func NewController(timeouts Timeouts, log *slog.Logger) *Controller {
+	return &Controller{log: log, machine: New(timeouts, time.Now()), changed: make(chan struct{})}
 }
 
-// HandleEvent hands it an event and reports whether its state has changed.
-func (l *Controller) HandleEvent(ev Event) bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	from := l.machine.state
-	if !l.machine.Handle(ev, time.Now()) {
-		l.log.Debug("lifecycle: nothing changes", "event", ev.String(), "state", from.String())
+// HandleEvent processes an event and reports whether the state has changed.
+func (c *Controller) HandleEvent(ev Event) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	from := c.machine.state
+	if !c.machine.Handle(ev, time.Now()) {
+		c.log.Debug("lifecycle: event has no effect", "event", ev.String(), "state", from.String())
 		return false
 	}
-	l.log.Info("lifecycle", "event", ev.String(), "from", from.String(), "to", l.machine.state.String())
-	l.notifyChange()
+	c.log.Info("lifecycle", "event", ev.String(), "from", from.String(), "to", c.machine.state.String())
+	c.notifyChange()
 	return true
 }
 
-// notifyChange tells those who wait, and sets the timer of the next change. It is called
-// under the lock.
-func (l *Controller) notifyChange() {
-	close(l.changed)
-	l.changed = make(chan struct{})
-	if l.timer != nil {
-		l.timer.Stop()
+// notifyChange closes the channel of [Controller.Watch] and sets the timer of the next change. The caller holds the
+// lock.
+func (c *Controller) notifyChange() {
+	close(c.changed)
+	c.changed = make(chan struct{})
+	if c.timer != nil {
+		c.timer.Stop()
 	}
 	now := time.Now()
-	if at := l.machine.NextChange(now); !at.IsZero() {
-		l.timer = time.AfterFunc(at.Sub(now), func() {
-			l.mu.Lock()
-			defer l.mu.Unlock()
-			l.notifyChange()
+	if next := c.machine.NextChange(now); !next.IsZero() {
+		c.timer = time.AfterFunc(next.Sub(now), func() {
+			c.mu.Lock()
+			defer c.mu.Unlock()
+			c.notifyChange()
 		})
 	}
 }
 
-// Behavior tells what to do now.
-func (l *Controller) Behavior() Behavior {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.machine.Behavior(time.Now())
+// Behavior returns the behavior at present.
+func (c *Controller) Behavior() Behavior {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.machine.Behavior(time.Now())
 }
 
-// Watch tells what to do now, and gives a channel that is closed when that changes.
-func (l *Controller) Watch() (Behavior, <-chan struct{}) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.machine.Behavior(time.Now()), l.changed
+// Watch returns the behavior at present and a channel that is closed when it may have changed.
+func (c *Controller) Watch() (Behavior, <-chan struct{}) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.machine.Behavior(time.Now()), c.changed
 }
--- a/internal/lifecycle/machine.go
+++ b/internal/lifecycle/machine.go
@@ -2,22 +2,23 @@
 
 import "time"
 
-// State is where a process stands between its start and its end.
+// State is the state of a process between its start and its end.
 type State int
 
 // The states.
 const (
-	Starting    State = iota // it does not serve yet
-	Serving                  // it takes and sends messages
-	LameDuck                 // an operator has taken it out of service; it sends what it holds
-	HandingOver              // a successor has asked for what it holds; it serves until that is handed over
-	HandedOver               // the successor decides; this process finishes the calls that are out
-	Leaving                  // it has been told to end
-	states
+	Starting    State = iota // not serving yet
+	Serving                  // accepts and sends messages
+	LameDuck                 // taken out of service by an operator; still sends its pending messages
+	HandingOver              // a successor has requested the handover; serves until that is complete
+	HandedOver               // the successor is in charge; this process only finishes its calls in flight
+	Leaving                  // shutting down after SIGTERM
+	states                   // number of states
 )
 
 var stateNames = [...]string{"starting", "serving", "lame duck", "handing over", "handed over", "leaving"}
 
+// String returns the name of the state, as operators see it.
 func (s State) String() string {
 	if s >= 0 && s < states {
 		return stateNames[s]
@@ -25,23 +26,25 @@
 	return "unknown"
 }
 
-// Event is something that happens to a process.
+// Event is an event that may change the state of a process.
 type Event int
 
 // The events.
 const (
-	Started           Event = iota // it can serve
-	DrainOn                        // an operator takes it out of service
-	DrainOff                       // and back
-	HandoverRequested              // another process asks for what this one holds
-	HandoverAborted                // and has gone away, or failed, before it had it
-	HandoverCompleted              // the successor has all of it and decides from here on
-	Terminate                      // the process is to end (SIGTERM)
-	events
+	Started           Event = iota // initialization is complete
+	DrainOn                        // an operator takes the process out of service
+	DrainOff                       // an operator puts it back into service
+	HandoverRequested              // a successor process requests the handover
+	HandoverAborted                // the successor has disconnected or failed before completion
+	HandoverCompleted              // the successor has the whole state and is in charge from now on
+	Terminate                      // the process must shut down (SIGTERM)
+	events                         // number of events
 )
 
-var eventNames = [...]string{"started", "drain on", "drain off", "successor came", "successor gone", "taken over", "terminate"}
+var eventNames = [...]string{"started", "drain on", "drain off", "successor came", "successor gone", "taken over",
+	"terminate"}
 
+// String returns the name of the event, as operators see it.
 func (e Event) String() string {
 	if e >= 0 && e < events {
 		return eventNames[e]
@@ -49,55 +52,55 @@
 	return "unknown"
 }
 
-// Timeouts are the spans that a deployment sets.
+// Timeouts are the durations that the states depend on.
 type Timeouts struct {
-	// DrainGrace is how long clients may go on coming after PING has first said no: until
-	// then they are served as before.
+	// DrainGrace is how long clients are served as before after PING has first reported not ready, so that they have
+	// time to move to other senders.
 	DrainGrace time.Duration
-	// StopTimeout is how long a process that is told to end may take at most.
+	// StopTimeout is the longest time from the Terminate event to the exit of the process.
 	StopTimeout time.Duration
 }
 
-// Behavior is what a process does for now.
+// Behavior is how a process serves its clients at a time.
 type Behavior struct {
 	State             State
-	Ready             bool // PING and /_ready say yes
-	AcceptConnections bool // new connections are taken
-	// ShortenDeadlines says that requests that have begun to come have little time left.
+	Ready             bool // PING and /_ready report ready
+	AcceptConnections bool // new connections are accepted
+	// ShortenDeadlines is set if requests that are partly received have little time left to complete.
 	ShortenDeadlines bool
-	KeepAlive        bool // connections may rest between requests; else they are closed once nothing is under way
-	// ExitWhenIdle says that the process ends once nothing is owed by it.
+	KeepAlive        bool // idle connections are kept; else they are closed when no request is in progress
+	// ExitWhenIdle is set if the process exits as soon as it owes no response.
 	ExitWhenIdle bool
-	// ExitNow says that it ends whatever is owed.
+	// ExitNow is set if the process exits although it may owe responses.
 	ExitNow bool
 }
 
 // Machine is the lifecycle of one process. The zero value is not usable; see [New].
 type Machine struct {
-	times   Timeouts
-	state   State
-	since   time.Time // when it came into this state
-	drained bool      // an operator has taken it out of service and not put it back
-	served  bool      // it has served
+	timeouts Timeouts
+	state    State
+	since    time.Time // when it entered this state
+	drained  bool      // taken out of service by an operator, possibly before or during another state
+	served   bool      // it has been in service since its start
 }
 
-// New makes the machine of a process that is starting.
-func New(times Timeouts, now time.Time) *Machine {
-	return &Machine{times: times, state: Starting, since: now}
+// New returns the machine of a process that is starting.
+func New(timeouts Timeouts, now time.Time) *Machine {
+	return &Machine{timeouts: timeouts, state: Starting, since: now}
 }
 
-// transitions is where each event leads from each state. A pair that is not there changes
-// nothing: the event is too late, too early, or said before.
+// transitions is the next state for each state and event. A pair that is missing changes nothing: the event is too
+// late, too early, or repeated.
 var transitions = [states][events]State{
 	Starting: {Started: Serving, Terminate: Leaving},
 	Serving:  {DrainOn: LameDuck, HandoverRequested: HandingOver, Terminate: Leaving},
 	LameDuck: {DrainOff: Serving, HandoverRequested: HandingOver, Terminate: Leaving},
-	// A drain that begins or ends meanwhile counts from when the successor is gone.
+	// A drain that begins or ends in this state takes effect when the handover is aborted.
 	HandingOver: {HandoverAborted: Serving, HandoverCompleted: HandedOver, Terminate: Leaving},
 	HandedOver:  {Terminate: Leaving},
 }
 
-// Handle takes an event and reports whether the state has changed.
+// Handle processes an event at a time and reports whether the state has changed.
 func (m *Machine) Handle(ev Event, now time.Time) bool {
 	if ev < 0 || ev >= events {
 		return false
@@ -108,49 +111,49 @@
 	case DrainOff:
 		m.drained = false
 	}
-	to := transitions[m.state][ev]
-	if to == Serving && m.drained { // told to drain before it served, or while it handed over
-		to = LameDuck
+	next := transitions[m.state][ev]
+	if next == Serving && m.drained { // drained before it served, or during the handover
+		next = LameDuck
 	}
-	if to == Starting || to == m.state {
+	if next == Starting || next == m.state {
 		return false
 	}
-	m.state, m.since = to, now
-	m.served = m.served || to == Serving || to == LameDuck
+	m.state, m.since = next, now
+	m.served = m.served || next == Serving || next == LameDuck
 	return true
 }
 
-// Behavior tells what to do at a time.
+// Behavior returns the behavior at a time.
 func (m *Machine) Behavior(now time.Time) Behavior {
-	v := Behavior{State: m.state}
-	late := now.Sub(m.since) >= m.times.DrainGrace
+	b := Behavior{State: m.state}
+	graceOver := now.Sub(m.since) >= m.timeouts.DrainGrace
 	switch m.state {
 	case Serving:
-		v.Ready, v.AcceptConnections, v.KeepAlive = true, true, true
+		b.Ready, b.AcceptConnections, b.KeepAlive = true, true, true
 	case LameDuck:
-		v.AcceptConnections, v.KeepAlive = true, !late
+		b.AcceptConnections, b.KeepAlive = true, !graceOver
 	case HandingOver:
-		v.Ready, v.AcceptConnections, v.KeepAlive = !m.drained, true, !m.drained
-	case HandedOver: // the successor answers new clients; those that are here have to go there
-		v.Ready, v.ExitWhenIdle = !m.drained, true
+		b.Ready, b.AcceptConnections, b.KeepAlive = !m.drained, true, !m.drained
+	case HandedOver: // the successor serves new clients; those connected here must reconnect
+		b.Ready, b.ExitWhenIdle = !m.drained, true
 	case Leaving:
-		v.AcceptConnections, v.KeepAlive = m.served && !late, m.served && !late
-		v.ShortenDeadlines = true
-		v.ExitWhenIdle, v.ExitNow = !v.AcceptConnections, now.Sub(m.since) >= m.times.StopTimeout
+		b.AcceptConnections, b.KeepAlive = m.served && !graceOver, m.served && !graceOver
+		b.ShortenDeadlines = true
+		b.ExitWhenIdle, b.ExitNow = !b.AcceptConnections, now.Sub(m.since) >= m.timeouts.StopTimeout
 	}
-	return v
+	return b
 }
 
-// NextChange is when the view changes next if nothing happens; zero for never.
+// NextChange returns when the behavior changes next if no event occurs; the zero time for never.
 func (m *Machine) NextChange(now time.Time) time.Time {
-	var at []time.Time
+	var changes []time.Time
 	switch m.state {
 	case LameDuck:
-		at = []time.Time{m.since.Add(m.times.DrainGrace)}
+		changes = []time.Time{m.since.Add(m.timeouts.DrainGrace)}
 	case Leaving:
-		at = []time.Time{m.since.Add(m.times.DrainGrace), m.since.Add(m.times.StopTimeout)}
+		changes = []time.Time{m.since.Add(m.timeouts.DrainGrace), m.since.Add(m.timeouts.StopTimeout)}
 	}
-	for _, t := range at {
+	for _, t := range changes {
 		if t.After(now) {
 			return t
 		}
--- a/internal/lifecycle/machine_test.go
+++ b/internal/lifecycle/machine_test.go
@@ -7,14 +7,15 @@
 	"pgregory.net/rapid"
 )
 
-var testTimes = Timeouts{DrainGrace: 500 * time.Millisecond, StopTimeout: 3400 * time.Millisecond}
+var testTimeouts = Timeouts{DrainGrace: 500 * time.Millisecond, StopTimeout: 3400 * time.Millisecond}
 
-// Every pair of state and event has a stated result; "" is no change.
+// Every pair of state and event must have the stated result; "" is no change.
 func TestEveryPair(t *testing.T) {
-	reach := map[State][]Event{Starting: nil, Serving: {Started}, LameDuck: {Started, DrainOn}, HandingOver: {Started, HandoverRequested},
-		HandedOver: {Started, HandoverRequested, HandoverCompleted}, Leaving: {Started, Terminate}}
+	reach := map[State][]Event{Starting: nil, Serving: {Started}, LameDuck: {Started, DrainOn},
+		HandingOver: {Started, HandoverRequested},
+		HandedOver:  {Started, HandoverRequested, HandoverCompleted}, Leaving: {Started, Terminate}}
 	want := map[State][events]string{
-		//             started    on           off        came            gone       taken over     terminate
+		//             started    drain on     drain off  requested       aborted    completed      terminate
 		Starting:    {"serving", "", "", "", "", "", "leaving"},
 		Serving:     {"", "lame duck", "", "handing over", "", "", "leaving"},
 		LameDuck:    {"", "", "serving", "handing over", "", "", "leaving"},
@@ -25,7 +26,7 @@
 	at := time.Unix(1000, 0)
 	for s := range states {
 		for ev := range events {
-			m := New(testTimes, at)
+			m := New(testTimeouts, at)
 			for _, x := range reach[s] {
 				m.Handle(x, at)
 			}
@@ -44,55 +45,77 @@
 	}
 }
 
-// What a view says at each time of a drain and of an end.
-func TestViews(t *testing.T) {
+// The behavior must be as stated at each time of a drain and of a shutdown.
+func TestBehaviors(t *testing.T) {
 	at := time.Unix(1000, 0)
 	ms := func(n int) time.Time { return at.Add(time.Duration(n) * time.Millisecond) }
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name   string
 		events []Event
 		want   map[int]Behavior
 	}{
 		{"drain", []Event{Started, DrainOn}, map[int]Behavior{
-			0: {State: LameDuck, AcceptConnections: true, KeepAlive: true}, 499: {State: LameDuck, AcceptConnections: true, KeepAlive: true}, 500: {State: LameDuck, AcceptConnections: true}}},
-		{"drain and back", []Event{Started, DrainOn, DrainOff}, map[int]Behavior{0: {State: Serving, Ready: true, AcceptConnections: true, KeepAlive: true}}},
-		{"on again within the door", []Event{Started, DrainOn, DrainOff, DrainOn}, map[int]Behavior{
-			0: {State: LameDuck, AcceptConnections: true, KeepAlive: true}, 500: {State: LameDuck, AcceptConnections: true}}},
-		{"told to drain before it serves", []Event{DrainOn, Started}, map[int]Behavior{0: {State: LameDuck, AcceptConnections: true, KeepAlive: true}}},
-		{"drained while it hands over", []Event{Started, HandoverRequested, DrainOn}, map[int]Behavior{0: {State: HandingOver, AcceptConnections: true}}},
-		{"drained while it hands over in vain", []Event{Started, HandoverRequested, DrainOn, HandoverAborted}, map[int]Behavior{
-			0: {State: LameDuck, AcceptConnections: true, KeepAlive: true}}},
-		{"handed over", []Event{Started, HandoverRequested, HandoverCompleted}, map[int]Behavior{0: {State: HandedOver, Ready: true, ExitWhenIdle: true}}},
-		{"end", []Event{Started, Terminate}, map[int]Behavior{0: {State: Leaving, ShortenDeadlines: true, AcceptConnections: true, KeepAlive: true},
-			500: {State: Leaving, ShortenDeadlines: true, ExitWhenIdle: true}, 3400: {State: Leaving, ShortenDeadlines: true, ExitWhenIdle: true, ExitNow: true}}},
-		{"end under a drain", []Event{Started, DrainOn, Terminate, DrainOff}, map[int]Behavior{0: {State: Leaving, ShortenDeadlines: true, AcceptConnections: true, KeepAlive: true},
-			500: {State: Leaving, ShortenDeadlines: true, ExitWhenIdle: true}}},
-		{"end before it serves", []Event{Terminate, Started}, map[int]Behavior{0: {State: Leaving, ShortenDeadlines: true, ExitWhenIdle: true}}},
+			0:   {State: LameDuck, AcceptConnections: true, KeepAlive: true},
+			499: {State: LameDuck, AcceptConnections: true, KeepAlive: true},
+			500: {State: LameDuck, AcceptConnections: true},
+		}},
+		{"drain and back", []Event{Started, DrainOn, DrainOff}, map[int]Behavior{
+			0: {State: Serving, Ready: true, AcceptConnections: true, KeepAlive: true},
+		}},
+		{"on again within the grace period", []Event{Started, DrainOn, DrainOff, DrainOn}, map[int]Behavior{
+			0:   {State: LameDuck, AcceptConnections: true, KeepAlive: true},
+			500: {State: LameDuck, AcceptConnections: true},
+		}},
+		{"drained before it serves", []Event{DrainOn, Started}, map[int]Behavior{
+			0: {State: LameDuck, AcceptConnections: true, KeepAlive: true},
+		}},
+		{"drained during a handover", []Event{Started, HandoverRequested, DrainOn}, map[int]Behavior{
+			0: {State: HandingOver, AcceptConnections: true},
+		}},
+		{"drained in an aborted handover", []Event{Started, HandoverRequested, DrainOn, HandoverAborted}, map[int]Behavior{
+			0: {State: LameDuck, AcceptConnections: true, KeepAlive: true},
+		}},
+		{"handed over", []Event{Started, HandoverRequested, HandoverCompleted}, map[int]Behavior{
+			0: {State: HandedOver, Ready: true, ExitWhenIdle: true},
+		}},
+		{"terminated", []Event{Started, Terminate}, map[int]Behavior{
+			0:    {State: Leaving, ShortenDeadlines: true, AcceptConnections: true, KeepAlive: true},
+			500:  {State: Leaving, ShortenDeadlines: true, ExitWhenIdle: true},
+			3400: {State: Leaving, ShortenDeadlines: true, ExitWhenIdle: true, ExitNow: true},
+		}},
+		{"terminated during a drain", []Event{Started, DrainOn, Terminate, DrainOff}, map[int]Behavior{
+			0:   {State: Leaving, ShortenDeadlines: true, AcceptConnections: true, KeepAlive: true},
+			500: {State: Leaving, ShortenDeadlines: true, ExitWhenIdle: true},
+		}},
+		{"terminated before it serves", []Event{Terminate, Started}, map[int]Behavior{
+			0: {State: Leaving, ShortenDeadlines: true, ExitWhenIdle: true},
+		}},
 	} {
-		m := New(testTimes, at)
-		for _, ev := range c.events {
+		m := New(testTimeouts, at)
+		for _, ev := range test.events {
 			m.Handle(ev, at)
 		}
-		for n, want := range c.want {
+		for n, want := range test.want {
 			if got := m.Behavior(ms(n)); got != want {
-				t.Errorf("%s after %d ms: %+v, want %+v", c.name, n, got, want)
+				t.Errorf("%s after %d ms: %+v, want %+v", test.name, n, got, want)
 			}
 		}
 	}
 }
 
-// Whatever happens: what is handed over or told to end never serves again, one that is drained never says yes,
-// one that is told to end does so in time, and the view changes only by an event or when Changes says so.
-func TestRandomPlays(t *testing.T) {
+// In any sequence of events: a process that has handed over or is terminated must never serve again, a drained one
+// must never report ready, a terminated one must exit in time, and the behavior may only change by an event or at the
+// time of NextChange.
+func TestRandomEvents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1000, 0)
-		m := New(testTimes, now)
+		m := New(testTimeouts, now)
 		drained, served, gone, leaving := false, false, false, time.Time{}
 		for range rapid.IntRange(1, 40).Draw(t, "events") {
-			before, due := m.Behavior(now), m.NextChange(now)
+			before, change := m.Behavior(now), m.NextChange(now)
 			now = now.Add(time.Duration(rapid.IntRange(0, 1500).Draw(t, "ms")) * time.Millisecond)
-			if (due.IsZero() || now.Before(due)) && m.Behavior(now) != before {
-				t.Fatalf("the view changed from %+v to %+v by itself", before, m.Behavior(now))
+			if (change.IsZero() || now.Before(change)) && m.Behavior(now) != before {
+				t.Fatalf("the behavior changed from %+v to %+v without an event", before, m.Behavior(now))
 			}
 			ev := Event(rapid.IntRange(-1, int(events)).Draw(t, "event"))
 			m.Handle(ev, now)
@@ -106,20 +129,20 @@
 					leaving = now
 				}
 			}
-			v := m.Behavior(now)
-			served = served || v.State == Serving
-			if gone && v.State != HandedOver && v.State != Leaving {
-				t.Fatalf("back from the end: %v", v.State)
+			b := m.Behavior(now)
+			served = served || b.State == Serving
+			if gone && b.State != HandedOver && b.State != Leaving {
+				t.Fatalf("in service again after its end: %v", b.State)
 			}
-			gone = gone || v.State == HandedOver || v.State == Leaving
-			if v.Ready && (drained || !served && v.State != HandingOver && v.State != HandedOver) {
-				t.Fatalf("it says yes: %+v", v)
+			gone = gone || b.State == HandedOver || b.State == Leaving
+			if b.Ready && (drained || !served && b.State != HandingOver && b.State != HandedOver) {
+				t.Fatalf("it reports ready: %+v", b)
 			}
-			if (v.State == Leaving) != !leaving.IsZero() {
-				t.Fatalf("%v, told to end at %v", v.State, leaving)
+			if (b.State == Leaving) != !leaving.IsZero() {
+				t.Fatalf("%v, terminated at %v", b.State, leaving)
 			}
-			if !leaving.IsZero() && v.ExitNow != (now.Sub(leaving) >= testTimes.StopTimeout) {
-				t.Fatalf("%v after it was told to end: %+v", now.Sub(leaving), v)
+			if !leaving.IsZero() && b.ExitNow != (now.Sub(leaving) >= testTimeouts.StopTimeout) {
+				t.Fatalf("%v after it was terminated: %+v", now.Sub(leaving), b)
 			}
 		}
 	})
