--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -9,76 +9,75 @@
 	"golang.org/x/sys/unix"
 )
 
-// Clock tells the sender's time. It may be used by several goroutines at once.
+// Clock is the clock of a sender. Its times are in microseconds. It may be used by several goroutines at once.
 type Clock struct {
-	base   int64     // the sender's time ...
-	origin time.Time // ... at this moment, which has a monotonic reading
+	base   int64     // the sender's time at origin
+	origin time.Time // with a monotonic reading
 }
 
-// New makes a clock that shows base, in microseconds, at a moment.
+// New returns a clock that shows base, in microseconds, at origin, which must have a monotonic reading.
 func New(base int64, origin time.Time) *Clock { return &Clock{base, origin} }
 
-// Now is the time, in microseconds.
+// Now returns the current time, in microseconds.
 func (c *Clock) Now() int64 { return c.base + time.Since(c.origin).Microseconds() }
 
-// At is the time at a moment of this process.
+// At converts a time with a monotonic reading to microseconds of the clock.
 func (c *Clock) At(t time.Time) int64 { return c.base + t.Sub(c.origin).Microseconds() }
 
-// Moment is the moment of this process at which the clock shows a time. It may be
-// compared with other moments and waited for, whatever becomes of the wall clock.
+// Moment converts microseconds of the clock to a time with a monotonic reading. Steps of the wall clock do not affect
+// comparisons with other such times, or waiting for it.
 func (c *Clock) Moment(us int64) time.Time {
 	return c.origin.Add(time.Duration(us-c.base) * time.Microsecond)
 }
 
-// Wall is what the wall clock showed or will show at a time, as far as it stands
-// now: for people and protocols, never for decisions.
+// Wall converts microseconds of the clock to the time of the wall clock as it is set now. The result is for people and
+// protocols; decisions must not depend on it.
 func (c *Clock) Wall(us int64) time.Time {
 	now := time.Now()
 	wall := c.origin.Round(0)
-	step := now.Round(0).Sub(wall) - now.Sub(c.origin) // of the wall clock since the start of the process
+	step := now.Round(0).Sub(wall) - now.Sub(c.origin) // how far the wall clock was stepped since origin
 	if step.Abs() < minStep {
 		step = 0
 	}
 	return wall.Add(time.Duration(us-c.base)*time.Microsecond + step)
 }
 
-// minStep of the wall clock is not just the jitter of two readings.
+// minStep is the smallest step of the wall clock that Wall follows: smaller ones may be jitter between two readings.
 const minStep = time.Millisecond
 
-// Epoch ties the sender's time to a boot of the machine.
+// Epoch relates the sender's time to a boot of the machine. It is stored with the journal.
 type Epoch struct {
-	BootID string // the boot's id; empty if it has none
-	Offset int64  // of the sender's time before the clock of the boot, in microseconds
+	BootID string // ID of the boot; empty if the system has none
+	Offset int64  // sender's time minus time since the boot, in microseconds
 }
 
-// Start makes the clock of a process. kept is what the process before it kept; nil if
-// it kept nothing. latest is the latest time that it has written; 0 for none. The
-// epoch is to be kept in its turn. known says that the time that has passed since
-// earlier times were written is right.
-func Start(kept *Epoch, latest int64) (c *Clock, epoch Epoch, known bool) {
-	return start(kept, latest, readBoot())
+// Start returns the clock of a process and the epoch to store for the next one. saved is the epoch that the previous
+// process stored, nil for none. latest is the latest stored time, 0 for none. known reports whether the time that has
+// passed since earlier times were stored is known; if not, the clock starts from an estimate.
+func Start(saved *Epoch, latest int64) (c *Clock, epoch Epoch, known bool) {
+	return start(saved, latest, readBoot())
 }
 
-// boot is a moment on the clocks of the machine.
+// boot is a simultaneous reading of the clocks of the machine.
 type boot struct {
-	id     string
-	uptime int64 // microseconds since the boot, sleep counted
-	moment time.Time
+	id     string    // of the boot; empty if it is not known
+	uptime int64     // microseconds since the boot, including sleep
+	moment time.Time // from time.Now
 }
 
-// readBoot reads the clocks. On a system that lacks them the id is empty.
+// readBoot reads the clocks. On a system without a boot clock or a boot ID the ID is empty.
 func readBoot() boot {
-	out, ok := readSimultaneously(time.Now, sinceBoot)
+	b, ok := readSimultaneously(time.Now, sinceBoot)
 	if !ok {
-		return out
+		return b
 	}
 	if id, err := os.ReadFile("/proc/sys/kernel/random/boot_id"); err == nil {
-		out.id = strings.TrimSpace(string(id))
+		b.id = strings.TrimSpace(string(id))
 	}
-	return out
+	return b
 }
 
-// sinceBoot is the time since the boot in microseconds, sleep counted.
+// sinceBoot returns the time since the boot in microseconds, including sleep; false if it can't be read.
 func sinceBoot() (int64, bool) {
 	var ts unix.Timespec
 	if unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts) != nil {
@@ -88,37 +87,37 @@
 }
 
 const (
-	// maxReadings are made at most until two clocks are read within togetherness of each
-	// other: a process that is held up in between would be off by that from then on.
+	// maxReadings is how often two clocks are read at most until both readings are within maxReadingGap. If the process
+	// is stalled between them, the sender's time is off by as much from then on.
 	maxReadings   = 8
 	maxReadingGap = time.Millisecond
 )
 
-// readSimultaneously reads two clocks at one moment, as closely as it can; false if the second
-// can't be read.
-func readSimultaneously(now func() time.Time, since func() (int64, bool)) (out boot, ok bool) {
-	least := time.Duration(math.MaxInt64)
+// readSimultaneously reads two clocks as close together as it can. ok is false if the second one can't be read.
+func readSimultaneously(now func() time.Time, uptime func() (int64, bool)) (best boot, ok bool) {
+	minGap := time.Duration(math.MaxInt64)
 	for range maxReadings {
 		before := now()
-		us, ok := since()
-		apart := now().Sub(before)
+		us, ok := uptime()
+		gap := now().Sub(before)
 		if !ok {
 			return boot{moment: before}, false
 		}
-		if apart < least {
-			least, out = apart, boot{uptime: us, moment: before}
+		if gap < minGap {
+			minGap, best = gap, boot{uptime: us, moment: before}
 		}
-		if least < maxReadingGap {
+		if minGap < maxReadingGap {
 			break
 		}
 	}
-	return out, true
+	return best, true
 }
 
-func start(kept *Epoch, latest int64, b boot) (c *Clock, epoch Epoch, known bool) {
-	if kept != nil && b.id != "" && kept.BootID == b.id {
-		return New(b.uptime+kept.Offset, b.moment), *kept, true
+// start implements [Start] for given readings of the clocks.
+func start(saved *Epoch, latest int64, b boot) (c *Clock, epoch Epoch, known bool) {
+	if saved != nil && b.id != "" && saved.BootID == b.id {
+		return New(b.uptime+saved.Offset, b.moment), *saved, true
 	}
 	now := max(b.moment.UnixMicro(), latest)
-	return New(now, b.moment), Epoch{BootID: b.id, Offset: now - b.uptime}, kept == nil && latest == 0
+	return New(now, b.moment), Epoch{BootID: b.id, Offset: now - b.uptime}, saved == nil && latest == 0
 }
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -7,8 +7,8 @@
 	"pgregory.net/rapid"
 )
 
-// Whatever the wall clock says at the starts, spans over restarts within a boot keep their length.
-func TestSpansOutliveRestarts(t *testing.T) {
+// Durations over restarts within a boot must keep their length, whatever the wall clock is at each start.
+func TestDurationsAcrossRestarts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		step := func(name string) time.Duration {
 			return time.Duration(rapid.Int64Range(-7200, 7200).Draw(t, name)) * time.Second
@@ -17,7 +17,7 @@
 		b := boot{id: "a", uptime: rapid.Int64Range(0, 1e12).Draw(t, "since"), moment: wall.Add(step("first step"))}
 		first, epoch, known := start(nil, 0, b)
 		if !known {
-			t.Fatal("nothing is to be known of a new folder, and that is not known")
+			t.Fatal("a new folder has no earlier times, but they count as unknown")
 		}
 		deadline, passed := first.Now()+5_000_000, int64(0)
 		for i := range rapid.IntRange(1, 5).Draw(t, "restarts") {
@@ -36,11 +36,11 @@
 	})
 }
 
-// After a boot, and with a journal of an older version, the wall clock is the guess, and time does not go back.
-func TestUnknownSpans(t *testing.T) {
+// After a reboot, and with a journal of an older version, the clock must start from the wall clock without going back.
+func TestUnknownDurations(t *testing.T) {
 	moment := time.Unix(1_700_000_000, 0)
-	for name, x := range map[string]struct {
-		kept   *Epoch
+	for name, test := range map[string]struct {
+		saved  *Epoch
 		latest int64
 		id     string
 		want   int64
@@ -53,14 +53,16 @@
 		"a boot without an id":     {&Epoch{"", 7}, 5, "", moment.UnixMicro(), false},
 		"same boot, and many days": {&Epoch{"a", 1 << 50}, 5, "a", 1<<50 + 3, true},
 	} {
-		c, epoch, known := start(x.kept, x.latest, boot{x.id, 3, moment})
-		if got := c.At(moment); got != x.want || known != x.known || epoch.Offset != x.want-3 || epoch.BootID != x.id {
+		c, epoch, known := start(test.saved, test.latest, boot{test.id, 3, moment})
+		if got := c.At(moment); got != test.want || known != test.known ||
+			epoch.Offset != test.want-3 || epoch.BootID != test.id {
 			t.Errorf("%s: %d, epoch %+v, known %v", name, got, epoch, known)
 		}
 	}
 }
 
-func TestMoments(t *testing.T) {
+// Conversions between the clock, monotonic times and the wall clock must agree.
+func TestConversions(t *testing.T) {
 	c := New(1000, time.Now())
 	if at := c.Moment(5_001_000); c.At(at) != 5_001_000 || at.Sub(c.origin) != 5*time.Second {
 		t.Errorf("%v is %d", at, c.At(at))
@@ -68,43 +70,43 @@
 	if now := c.Now(); now < 1000 || now > 60_000_000 {
 		t.Errorf("now is %d", now)
 	}
-	for range 1000 { // a time that is told has the microsecond that it was given
+	for range 1000 { // a time must be reported with the microsecond that it was created with
 		now := time.Now()
 		c, at := New(now.UnixMicro(), now), now.Add(10*time.Second).UnixMicro()
 		if got := c.Wall(at).UnixMicro(); got != at {
-			t.Fatalf("%d is told as %d", at, got)
+			t.Fatalf("%d is reported as %d", at, got)
 		}
 	}
 	if off := time.Until(c.Wall(c.Now() + 3_600_000_000)); off < 59*time.Minute || off > 61*time.Minute {
-		t.Errorf("in an hour the wall clock is off by %v", off)
+		t.Errorf("the wall time of an hour from now is %v from now", off)
 	}
 }
 
-// The machine at hand has a boot with an id and a clock.
+// The machine that runs the tests must have a boot ID and a boot clock.
 func TestSystemBoot(t *testing.T) {
 	if b := readBoot(); b.id == "" || b.uptime <= 0 {
 		t.Errorf("%+v", b)
 	}
 }
 
-// The sender's time was off by as long as the process was held up between its readings of two clocks, from one start to
-// the next: the readings are made again then.
-func TestClocksAreReadTogether(t *testing.T) {
+// If the process is stalled between its readings of two clocks, they must be read again. Otherwise the sender's time is
+// off by the length of the stall until the next start.
+func TestReadSimultaneously(t *testing.T) {
 	const stall = 150 * time.Millisecond
-	for held := range 2 * maxReadings { // the look at a clock that the process is held up behind
-		start, elapsed, looks := time.Unix(1_700_000_000, 0), time.Duration(0), 0
-		look := func() time.Duration {
+	for stalled := range 2 * maxReadings { // index of the reading after which the process stalls
+		origin, elapsed, readings := time.Unix(1_700_000_000, 0), time.Duration(0), 0
+		read := func() time.Duration {
 			at := elapsed
-			if elapsed += time.Microsecond; looks == held {
+			if elapsed += time.Microsecond; readings == stalled {
 				elapsed += stall
 			}
-			looks++
+			readings++
 			return at
 		}
-		b, ok := readSimultaneously(func() time.Time { return start.Add(look()) },
-			func() (int64, bool) { return look().Microseconds(), true })
-		if off := b.moment.Sub(start) - time.Duration(b.uptime)*time.Microsecond; !ok || off.Abs() > maxReadingGap {
-			t.Errorf("held up behind look %d: the clocks are off by %v", held, off)
+		b, ok := readSimultaneously(func() time.Time { return origin.Add(read()) },
+			func() (int64, bool) { return read().Microseconds(), true })
+		if off := b.moment.Sub(origin) - time.Duration(b.uptime)*time.Microsecond; !ok || off.Abs() > maxReadingGap {
+			t.Errorf("stalled after reading %d: the clocks are off by %v", stalled, off)
 		}
 	}
 }
--- a/internal/clock/doc.go
+++ b/internal/clock/doc.go
@@ -1,19 +1,15 @@
-// Package clock owns the time of a sender: microseconds on a line of its own that
-// no step of the wall clock moves, in this process and over restarts.
+// Package clock provides the time of a sender: microseconds on a time line of its own that steps of the wall clock do
+// not affect, neither within a process nor over restarts.
 //
-// All that outlives a process is written in it: deadlines, the times of attempts
-// and ends, waits. Within a process it follows the monotonic clock. From one
-// process to the next it follows the clock of the machine's boot, as long as the
-// machine has not been started anew: the distance between the two is kept with the
-// journal ([Epoch]). A new folder begins with the wall clock, so that the numbers
-// are close to Unix time as long as nobody steps that.
+// All times that outlive a process are stored in it: deadlines, the times of attempts and ends, waits. Within a process
+// it follows the monotonic clock. From one process to the next it follows the boot clock of the machine, as long as the
+// machine was not rebooted: the offset between the two is stored with the journal ([Epoch]). A new state folder starts
+// at the time of the wall clock, so that the numbers are close to Unix time as long as nobody steps the wall clock.
 //
-// Where the distance can't be known, because the machine was started anew or the
-// journal is of an older version, the wall clock is the best guess, but time never
-// goes back behind what was written ([Start] says so by known = false). Whoever
-// reads spans then has to err to the safe side: see package journal.
+// If the offset is not known, because the machine was rebooted or the journal is of an older version, the wall clock is
+// the best estimate, but time never goes back behind the latest stored time ([Start] then returns known = false).
+// Whoever evaluates durations must then err on the safe side: see package journal.
 //
-// Ways not taken: a stamp that is written now and then tells only when the process
-// was last alive, and the time for which it was away is what matters; the wall
-// clock with checks for jumps can't see a step that comes between two processes.
+// Rejected alternatives: a timestamp written periodically only tells when the process was last alive, but not how long
+// it was away, which is what matters; the wall clock with checks for jumps can't detect a step between two processes.
 package clock
--- a/internal/clock/walltime_test.go
+++ b/internal/clock/walltime_test.go
@@ -9,11 +9,11 @@
 	"testing"
 )
 
-// wallTime is what turns a moment into a time of the wall clock, or the other way round. time.Now itself has a
-// monotonic reading, by which moments are compared.
+// wallTime matches code that converts to or from a time of the wall clock. time.Now is not one: its result has a
+// monotonic reading, which comparisons use.
 var wallTime = regexp.MustCompile(`\.Unix(Micro|Milli|Nano)?\(|time\.(Date|Unix|UnixMicro|UnixMilli|Parse)\(|http\.ParseTime\(|\.Round\(0\)|\.(UTC|Local)\(\)|\.Wall\(`)
 
-// forOthers are the places that tell people and other programs a time, or are told one.
+// forOthers lists by file the code that formats times for people and other programs, or parses theirs.
 var forOthers = map[string]string{
 	"internal/core/step.go":             "end.At = c.clock.Wall(end.At).UnixMicro()",                                          // ends, as sinks tell them
 	"internal/core/submit.go":           "return c.clock.Wall(us)",                                                            // states
@@ -25,7 +25,7 @@
 	"internal/transport/http/answer.go": `at, err := http.ParseTime(text) if sent, err := http.ParseTime(header.Get("Date"))`, // Retry-After
 }
 
-// Nothing that decides reads the wall clock.
+// Decisions must not depend on the wall clock: only code that formats or parses times for others may convert them.
 func TestWallTimeIsForOthersOnly(t *testing.T) {
 	top := filepath.Join("..", "..")
 	for _, dir := range strings.Fields("core journal backlog handover front transport source lifecycle store permit") {
@@ -41,8 +41,9 @@
 			for i, line := range strings.Split(string(text), "\n") {
 				code, _, _ := strings.Cut(line, "//")
 				code = strings.TrimSpace(code)
-				if wallTime.MatchString(code) && !strings.Contains(forOthers[filepath.ToSlash(name)], strings.TrimSuffix(code, "; err == nil {")) {
-					t.Errorf("%s:%d reads or makes a time of the wall clock: %s", name, i+1, code)
+				if wallTime.MatchString(code) &&
+					!strings.Contains(forOthers[filepath.ToSlash(name)], strings.TrimSuffix(code, "; err == nil {")) {
+					t.Errorf("%s:%d converts to or from a time of the wall clock: %s", name, i+1, code)
 				}
 			}
 			return nil
