--- a/internal/clock/doc.go
+++ b/internal/clock/doc.go
@@ -8,7 +8,7 @@
 //
 // If the offset is not known, because the machine was rebooted or the journal is of an older version, the wall clock is
 // the best estimate, but time never goes back behind the latest stored time ([Start] then returns known = false).
-// Whoever evaluates durations must then err on the safe side: see package journal.
+// Code that evaluates durations must then err on the safe side: see package journal.
 //
 // Rejected alternatives: a timestamp written periodically only tells when the process was last alive, but not how long
 // it was away, which is what matters; the wall clock with checks for jumps can't detect a step between two processes.
--- a/internal/view/message.go
+++ b/internal/view/message.go
@@ -78,7 +78,7 @@
 	KnownEnded                                // an operator declared this incarnation ended, or its guard has fenced it
 )
 
-// Refusal tells a process that its incarnation is not recognized as the sender of its name.
+// Refusal informs a process that its incarnation is not recognized as the sender of its name.
 type Refusal struct {
 	ID          uint64        `cbor:"1,keyasint"` // the refused incarnation
 	Reason      RefusalReason `cbor:"2,keyasint"`
--- a/internal/view/play/play_test.go
+++ b/internal/view/play/play_test.go
@@ -8,6 +8,7 @@
 	"cometrack/internal/view"
 )
 
+// options returns the options of a cluster of n senders on a network without faults.
 func options(seed uint64, n int) Options {
 	return Options{Seed: seed, Senders: n, MinShareTotal: 0.1,
 		Lease: 3 * time.Second, Interval: 300 * time.Millisecond, MaxClockDrift: 0.01,
--- a/internal/view/play/world.go
+++ b/internal/view/play/world.go
@@ -374,7 +374,8 @@
 	})
 }
 
-// probe carries out a probe. The kernel accepts the connection of a process that is paused, so only its guard can tell.
+// probe carries out a probe. The kernel accepts the connection of a process that is paused, so only its guard
+// detects the pause.
 func (w *World) probe(p *Process, request view.Probe) {
 	to := owner(request.Addr)
 	found, after := view.NotEnded, time.Second
--- a/internal/view/seat.go
+++ b/internal/view/seat.go
@@ -23,8 +23,8 @@
 	Paused                    // ended: fenced by its guard because it did not run
 )
 
-var stateNames = [...]string{"suspected", "joining", "here", "unreachable", "gone", "left", "forgotten", "other version",
-	"paused"}
+var stateNames = [...]string{"suspected", "joining", "here", "unreachable", "gone", "left", "forgotten",
+	"other version", "paused"}
 
 // String returns the name of the state, as operators see it.
 func (s State) String() string {
@@ -92,7 +92,7 @@
 	if msg.Seq <= peer.lastSeq { // late, duplicated or replayed
 		return
 	}
-	if peer.end == ConnectionRefused { // possibly sent before its end: it lives if it acknowledges a later message
+	if peer.end == ConnectionRefused { // possibly sent before its end: it is alive if it acknowledges a later message
 		if ackedAt, ok := m.sentAt[msg.AckSeq]; !ok || msg.RecognizedID != m.cfg.ID || ackedAt <= peer.endedAt {
 			return
 		}
@@ -207,8 +207,8 @@
 	m.actions.Send = append(m.actions.Send, Envelope{addr, &msg})
 }
 
-// handleRefusal processes a refusal of this incarnation: it starts a new incarnation if that can help, else the share of
-// this sender is 0 until a peer recognizes it.
+// handleRefusal processes a refusal of this incarnation: it starts a new incarnation if that can help, else the share
+// of this sender is 0 until a peer recognizes it.
 func (m *Machine) handleRefusal(now Time, by string, refusal *Refusal) {
 	switch refusal.Reason {
 	case StaleIncarnation: // the state folder is an old copy: continue above the highest known incarnation
@@ -365,7 +365,7 @@
 		switch {
 		case peer.heardAt != never && silence <= m.heardTimeout():
 			switch {
-			case now-peer.heardAt > m.heardTimeout(): // this process was paused: it cannot tell yet
+			case now-peer.heardAt > m.heardTimeout(): // this process was paused: no conclusion is possible yet
 			case peer.otherWireVersion != 0:
 				m.setState(now, peer, OtherVersion, fmt.Sprintf("its messages have version %d, expected %d",
 					peer.otherWireVersion, m.cfg.WireVersion))
--- a/internal/view/status.go
+++ b/internal/view/status.go
@@ -14,7 +14,7 @@
 	Share             float64      `json:"part"`         // fraction of each rate that it may use now
 	MinShare          float64      `json:"least"`        // share without a lease
 	ShareValidSeconds float64      `json:"for_s"`        // remaining time of the lease, in seconds
-	CountedSenders    int          `json:"among"`        // senders that divide the rate, this one included; 0 without a lease
+	CountedSenders    int          `json:"among"`        // senders that divide the rate, itself included; 0 if no lease
 	MaxSenders        int          `json:"senders"`      // largest number of senders
 	HeardAfterGone    int          `json:"wrongly_gone"` // peers heard again in an incarnation considered ended
 	Peers             []PeerStatus `json:"others"`
--- a/internal/view/view_test.go
+++ b/internal/view/view_test.go
@@ -36,10 +36,11 @@
 		seq     uint64
 		refused RefusalReason // 0 if no refusal is sent
 	}{
-		"next":                {heartbeat(6), Reachable, 6, 0},
-		"replayed":            {heartbeat(5, func(m *Message) { m.Left = true }), Reachable, 5, 0},
-		"late":                {heartbeat(4, func(m *Message) { m.Voter = false }), Reachable, 5, 0},
-		"earlier incarnation": {heartbeat(9, func(m *Message) { m.ID, m.Incarnation = 6, 1 }), Reachable, 5, StaleIncarnation},
+		"next":     {heartbeat(6), Reachable, 6, 0},
+		"replayed": {heartbeat(5, func(m *Message) { m.Left = true }), Reachable, 5, 0},
+		"late":     {heartbeat(4, func(m *Message) { m.Voter = false }), Reachable, 5, 0},
+		"earlier incarnation": {heartbeat(9, func(m *Message) { m.ID, m.Incarnation = 6, 1 }),
+			Reachable, 5, StaleIncarnation},
 		"another address": {heartbeat(9, func(m *Message) { m.ID, m.Incarnation, m.Addr = 8, 3, "b:2" }),
 			Reachable, 5, NameInUse},
 		"later incarnation": {heartbeat(1, func(m *Message) { m.ID, m.Incarnation = 8, 3 }), Reachable, 1, 0},
