--- a/internal/clock/walltime_test.go
+++ b/internal/clock/walltime_test.go
@@ -15,12 +15,12 @@
 
 // forOthers lists by file the code that formats times for people and other programs, or parses theirs.
 var forOthers = map[string]string{
-	"internal/core/step.go":             "end.At = c.clock.Wall(end.At).UnixMicro()",                                          // ends, as sinks tell them
+	"internal/core/step.go":             "end.At = c.clock.Wall(end.At).UnixMicro()",                                          // ends, as reported to sinks
 	"internal/core/submit.go":           "return c.clock.Wall(us)",                                                            // states
 	"internal/core/relay.go":            "return time.UnixMicro(us)",                                                          // states, from another process
 	"internal/core/inherit.go":          "return t.UnixMicro()",                                                               // states, to another process
-	"internal/front/http/front.go":      "s[i] = fmt.Sprint(info.ModTime().UnixNano(), info.Size())",                          // a certificate's file has changed
-	"internal/front/http/messages.go":   "t = t.UTC() t, err := time.Parse(time.RFC3339, q.by)",                               // states; deadlines that clients name by date
+	"internal/front/http/front.go":      "s[i] = fmt.Sprint(info.ModTime().UnixNano(), info.Size())",                          // detects a changed certificate file
+	"internal/front/http/messages.go":   "t = t.UTC() t, err := time.Parse(time.RFC3339, q.by)",                               // states; deadlines that clients give as dates
 	"internal/front/resp/commands.go":   "add(t.name, t.at.UTC().Format(time.RFC3339Nano))",                                   // states
 	"internal/transport/http/answer.go": `at, err := http.ParseTime(text) if sent, err := http.ParseTime(header.Get("Date"))`, // Retry-After
 }
