--- a/internal/backlog/backlog.go
+++ b/internal/backlog/backlog.go
@@ -5,255 +5,264 @@
 	"slices"
 )
 
-// QueueID is the number of a lane in one process.
+// QueueID identifies a [Queue] within one process.
 type QueueID int32
 
-// Queue is what is kept in order behind the window: the messages of one tenant and
-// class for one destination.
+// Queue names a FIFO queue of spilled messages: those of one tenant and class for one
+// destination. Index blocks store it as CBOR under these field names.
 type Queue struct{ Destination, Tenant, Class string }
 
-// Options bound a backlog.
+// Options sets the bounds of a [Backlog].
 type Options struct {
-	Window      int // messages of a destination in the module; at least 1
-	Batch       int // messages in one read at most; 0 for a default
-	MaxInFlight int // messages that reads may have out at once; 0 for a default
+	Window      int // max messages of a destination in memory; at least 1
+	Batch       int // max messages of one refill read; 0 for a default
+	MaxInFlight int // max messages of all refill reads in flight; 0 for a default
 }
 
 const (
-	defaultBatch = 64
-	defaultOut   = 1024
-	// lowPart is the part of the window that has to be free before a read is worth it.
-	lowPart = 8
-	// LookaheadMicros is how long before its time is over a message's end is read, in
-	// microseconds.
+	defaultBatch       = 64
+	defaultMaxInFlight = 1024
+	// minFreeDivisor sets the part of a window, 1/8, that must be free for a refill
+	// read: smaller reads are not worth their cost.
+	minFreeDivisor = 8
+	// LookaheadMicros is how long before its deadline a spilled message is read from
+	// disk to expire it in time, in microseconds.
 	LookaheadMicros = 1_000_000
-	// dueBatch is the most ends that are read at once.
-	dueBatch = 1024
+	// maxExpiryBatch is the max number of messages of one expiry read.
+	maxExpiryBatch = 1024
 )
 
-// Placement says where a new message goes.
+// Placement is where a new message goes.
 type Placement int
 
-// The verdicts.
+// The placements.
 const (
-	InWindow  Placement = iota // into the module
-	InBacklog                  // to the disk
-	// Rejected is that of a message whose order key has messages behind the window of
-	// another lane: no order over lanes is kept behind it, so it is not taken on yet.
+	InWindow  Placement = iota // into memory
+	InBacklog                  // to disk
+	// Rejected is the placement of a message whose order key has spilled messages in
+	// another queue: the backlog keeps no order across queues, so the message can't be
+	// accepted until those have left the backlog.
 	Rejected
 )
 
-// Backlog decides what comes into the window. It is not safe for concurrent use.
+// Backlog decides which messages are in the windows and which are spilled. It is not
+// safe for concurrent use.
 type Backlog struct {
-	opts     Options
-	lanes    []*lane
-	byName   map[Queue]QueueID
-	dests    map[string]*destination
-	keys     map[uint64]*keyCount // order keys that have messages behind the window
-	ids      ids
-	segments []*segment     // by number; only the last one is not closed
-	wanting  []*destination // may have room for a read, in turn
-	out      int            // messages that reads have out
-	near     []Item         // a heap by deadline: messages whose time is over soon
-	soonest  int64          // no deadline that has not been asked for comes before
-	behind   int
+	opts              Options
+	queues            []*queue
+	queueIDs          map[Queue]QueueID
+	destinations      map[string]*destination
+	orderKeys         map[uint64]*orderKeyCount // order keys of spilled messages, by hash
+	ids               idSet                     // of the spilled messages
+	segments          []*segment                // by first sequence number; only the last one may be open
+	refillable        []*destination            // FIFO of those that may have room for a refill read
+	inFlight          int                       // messages of the refill reads in flight
+	expiring          []Item                    // a heap by deadline: messages from expiry reads
+	minUnreadDeadline int64                     // lower bound of the deadlines that no expiry read has requested
+	spilled           int                       // number of spilled messages
 }
 
 type destination struct {
-	name    string
-	in      int // messages in the module
-	coming  int // room that reads have out
-	behind  int
-	lanes   []*lane // those that ever had messages behind the window
-	turn    int     // the lane after the one that was read last
-	wanting bool
-	named   bool // by a lane
+	name       string
+	inWindow   int      // number of messages in the window
+	reserved   int      // window room reserved for refill reads in flight
+	spilled    int      // number of spilled messages
+	queues     []*queue // those that have had messages since the backlog of the destination was last empty
+	nextQueue  int      // index of the queue after the one read last
+	refillable bool     // is in Backlog.refillable
+	hasQueue   bool     // a queue refers to it
 }
 
-type lane struct {
+type queue struct {
 	id      QueueID
 	name    Queue
 	dest    *destination
-	runs    []run // those that are not read, in order
-	behind  int
-	reading bool
-	listed  bool // among the destination's
-	stale   bool // nothing that the read that is out brings is behind the window any more
+	runs    []run // those with unread messages, in order
+	spilled int   // number of spilled messages
+	reading bool  // a refill read is in flight
+	listed  bool  // is in destination.queues
+	stale   bool  // the queue became empty during the read in flight, whose result is dropped
 }
 
-// run is a lane's messages in a segment, or those that came back.
+// run is the messages of a queue in one segment, or messages that were put back.
 type run struct {
-	seg  *segment
-	back []Entry // came back: they could not be taken into the window
-	from uint32  // in the order of lanes, once the segment has an index block
-	n    uint32
-	next uint32
+	seg     *segment
+	putBack []Entry // messages that were refilled and put back; nil for a run of a segment
+	from    uint32  // its first position in the by-queue order, once the segment is sealed
+	n       uint32  // number of its messages
+	next    uint32  // number of those that have been read
 }
 
-// keyCount is where the messages of an order key are that wait behind the window.
-type keyCount struct {
-	lane QueueID
-	n    int
+// orderKeyCount counts the spilled messages of an order key, which are all in one queue.
+type orderKeyCount struct {
+	queue QueueID
+	n     int
 }
 
-// New makes an empty one.
+// New returns an empty Backlog.
 func New(opts Options) *Backlog {
 	opts.Window = max(opts.Window, 1)
 	if opts.Batch <= 0 {
 		opts.Batch = defaultBatch
 	}
 	if opts.MaxInFlight <= 0 {
-		opts.MaxInFlight = defaultOut
+		opts.MaxInFlight = defaultMaxInFlight
 	}
-	return &Backlog{opts: opts, byName: map[Queue]QueueID{}, dests: map[string]*destination{}, keys: map[uint64]*keyCount{}, soonest: math.MaxInt64}
+	return &Backlog{opts: opts, queueIDs: map[Queue]QueueID{}, destinations: map[string]*destination{},
+		orderKeys: map[uint64]*orderKeyCount{}, minUnreadDeadline: math.MaxInt64}
 }
 
-// Len is the number of messages behind the window.
-func (b *Backlog) Len() int { return b.behind }
+// Len returns the number of spilled messages.
+func (b *Backlog) Len() int { return b.spilled }
 
-// BacklogLen is the number of messages behind the window of a destination, and In of
-// those in it.
+// BacklogLen returns the number of spilled messages of a destination.
 func (b *Backlog) BacklogLen(destination string) int {
-	if d := b.dests[destination]; d != nil {
-		return d.behind
+	if d := b.destinations[destination]; d != nil {
+		return d.spilled
 	}
 	return 0
 }
 
-// WindowLen is the number of messages of a destination that the module has.
+// WindowLen returns the number of messages in the window of a destination.
 func (b *Backlog) WindowLen(destination string) int {
-	if d := b.dests[destination]; d != nil {
-		return d.in
+	if d := b.destinations[destination]; d != nil {
+		return d.inWindow
 	}
 	return 0
 }
 
-// Queue gives a lane its number.
+// Queue returns the ID of a queue, and assigns one if it has none.
 func (b *Backlog) Queue(name Queue) QueueID {
-	id, ok := b.byName[name]
+	id, ok := b.queueIDs[name]
 	if !ok {
-		id = QueueID(len(b.lanes))
-		b.byName[name] = id
-		d := b.dest(name.Destination)
-		d.named = true
-		b.lanes = append(b.lanes, &lane{id: id, name: name, dest: d})
+		id = QueueID(len(b.queues))
+		b.queueIDs[name] = id
+		d := b.ensureDestination(name.Destination)
+		d.hasQueue = true
+		b.queues = append(b.queues, &queue{id: id, name: name, dest: d})
 	}
 	return id
 }
 
-// Name is the lane of a number.
-func (b *Backlog) Name(id QueueID) Queue { return b.lanes[id].name }
+// Name returns the queue that an ID identifies.
+func (b *Backlog) Name(id QueueID) Queue { return b.queues[id].name }
 
-func (b *Backlog) dest(name string) *destination {
-	d := b.dests[name]
+func (b *Backlog) ensureDestination(name string) *destination {
+	d := b.destinations[name]
 	if d == nil {
 		d = &destination{name: name}
-		b.dests[name] = d
+		b.destinations[name] = d
 	}
 	return d
 }
 
-// Place says where a new message goes. One of a destination that has messages
-// behind its window goes behind it too: what came first goes first.
+// Place decides where a new message goes. While a destination has spilled messages,
+// its new ones are spilled as well, since messages are delivered in order. order is
+// the hash of the order key, 0 for none.
 func (b *Backlog) Place(destination string, name Queue, order uint64) Placement {
 	if order != 0 {
-		if k := b.keys[order]; k != nil && b.lanes[k.lane].name != name {
+		if k := b.orderKeys[order]; k != nil && b.queues[k.queue].name != name {
 			return Rejected
 		}
 	}
-	d := b.dests[destination]
-	if d == nil || d.behind == 0 && d.in+d.coming < b.opts.Window {
+	d := b.destinations[destination]
+	if d == nil || d.spilled == 0 && d.inWindow+d.reserved < b.opts.Window {
 		return InWindow
 	}
 	return InBacklog
 }
 
-// EnterWindow counts a message that the module has been given past the backlog.
-func (b *Backlog) EnterWindow(destination string) { b.dest(destination).in++ }
+// EnterWindow counts a message that entered the window of its destination without
+// having been spilled.
+func (b *Backlog) EnterWindow(destination string) { b.ensureDestination(destination).inWindow++ }
 
-// LeaveWindow counts a message out that the module has had, whichever way it came.
+// LeaveWindow counts out a message that left the window of its destination, however
+// it had entered it.
 func (b *Backlog) LeaveWindow(destination string) {
-	d := b.dests[destination]
-	if d == nil || d.in == 0 {
+	d := b.destinations[destination]
+	if d == nil || d.inWindow == 0 {
 		return
 	}
-	d.in--
-	b.want(d)
-	if d.in == 0 && !d.named {
-		delete(b.dests, d.name)
+	d.inWindow--
+	b.markRefillable(d)
+	if d.inWindow == 0 && !d.hasQueue {
+		delete(b.destinations, d.name)
 	}
 }
 
-// want has a destination looked at for reads, if it may have room for one.
-func (b *Backlog) want(d *destination) {
-	if d.wanting || d.behind == 0 || !b.room(d) {
+// markRefillable lists a destination for refill reads, if it has spilled messages and
+// room for them.
+func (b *Backlog) markRefillable(d *destination) {
+	if d.refillable || d.spilled == 0 || !b.hasRefillRoom(d) {
 		return
 	}
-	d.wanting = true
-	b.wanting = append(b.wanting, d)
+	d.refillable = true
+	b.refillable = append(b.refillable, d)
 }
 
-// room says whether so much of a window is free that a read is worth it.
-func (b *Backlog) room(d *destination) bool {
-	free := b.opts.Window - d.in - d.coming
-	return free > 0 && (free >= b.opts.Window/lowPart || d.in+d.coming == 0)
+// hasRefillRoom reports whether enough of a window is free for a refill read.
+func (b *Backlog) hasRefillRoom(d *destination) bool {
+	free := b.opts.Window - d.inWindow - d.reserved
+	return free > 0 && (free >= b.opts.Window/minFreeDivisor || d.inWindow+d.reserved == 0)
 }
 
-// Open begins a segment whose first message has the number first. The one before is
-// closed with it.
+// Open starts the segment whose first message has the sequence number first, and
+// closes the one before.
 func (b *Backlog) Open(first uint64) {
 	b.Close()
-	b.segments = append(b.segments, &segment{first: first, lists: map[QueueID][]uint32{}})
+	b.segments = append(b.segments, &segment{first: first, byQueue: map[QueueID][]uint32{}})
 }
 
-// Close closes the segment that is written: nothing is added to it any more. Its
-// entries, by place, are to be sorted and sealed; nil if there is none.
+// Close closes the open segment, to which no message is added from then on. It returns
+// the segment's entries by position, which the caller sorts with [SortEntries] and
+// seals with [Backlog.Seal]; nil if no segment is open.
 func (b *Backlog) Close() (first uint64, entries []Entry) {
-	if s := b.last(); s != nil && !s.closed {
+	if s := b.lastSegment(); s != nil && !s.closed {
 		s.closed = true
 		return s.first, s.entries
 	}
 	return 0, nil
 }
 
-func (b *Backlog) last() *segment {
+func (b *Backlog) lastSegment() *segment {
 	if len(b.segments) == 0 {
 		return nil
 	}
 	return b.segments[len(b.segments)-1]
 }
 
-// Add takes a message on behind the window that is on the disk, as safe as was
-// promised. Its number is the next one of the segment that is written.
+// Add adds a spilled message once it is on disk, as durable as the sync setting
+// requires. Its sequence number must be the next one of the open segment.
 func (b *Backlog) Add(e Entry) {
-	s := b.last()
+	s := b.lastSegment()
 	at := s.n
 	s.n++
-	s.left++
-	if int(at/64) >= len(s.gone) {
-		s.gone = append(s.gone, 0)
+	s.live++
+	if int(at/64) >= len(s.removed) {
+		s.removed = append(s.removed, 0)
 	}
 	s.entries = append(s.entries, e)
-	l := b.lanes[e.Queue]
-	if len(s.lists[e.Queue]) == 0 {
-		l.runs = append(l.runs, run{seg: s})
-	}
-	l.runs[len(l.runs)-1].n++ // that of the segment: it is the last one as long as it is written
-	s.lists[e.Queue] = append(s.lists[e.Queue], at)
-	s.waiting = push(s.waiting, at, s.sooner)
-	b.noteTerms(s, e.Terms)
-	b.count(&e)
-	b.soonest = min(b.soonest, e.Deadline)
-	b.want(l.dest)
+	q := b.queues[e.Queue]
+	if len(s.byQueue[e.Queue]) == 0 {
+		q.runs = append(q.runs, run{seg: s})
+	}
+	q.runs[len(q.runs)-1].n++ // the run of the open segment is the last one
+	s.byQueue[e.Queue] = append(s.byQueue[e.Queue], at)
+	s.expiryHeap = push(s.expiryHeap, at, s.earlier)
+	b.addTerms(s, e.Terms)
+	b.addSpilled(&e)
+	b.minUnreadDeadline = min(b.minUnreadDeadline, e.Deadline)
+	b.markRefillable(q.dest)
 }
 
-func (b *Backlog) noteTerms(s *segment, terms int64) {
+func (b *Backlog) addTerms(s *segment, terms int64) {
 	if !slices.Contains(s.terms, terms) {
 		s.terms = append(s.terms, terms)
 	}
 }
 
-// Terms are the numbers of terms that messages behind the window may be held to.
+// Terms returns the numbers of the settings (terms) under which spilled messages may
+// have been accepted.
 func (b *Backlog) Terms() (out []int64) {
 	for _, s := range b.segments {
 		for _, n := range s.terms {
@@ -265,71 +274,71 @@
 	return out
 }
 
-// count books a message as behind the window.
-func (b *Backlog) count(e *Entry) {
+// addSpilled counts a message as spilled.
+func (b *Backlog) addSpilled(e *Entry) {
 	b.ids.add(e.IDHash, e.Seq)
 	if e.OrderHash != 0 {
-		k := b.keys[e.OrderHash]
+		k := b.orderKeys[e.OrderHash]
 		if k == nil {
-			k = &keyCount{lane: e.Queue}
-			b.keys[e.OrderHash] = k
+			k = &orderKeyCount{queue: e.Queue}
+			b.orderKeys[e.OrderHash] = k
 		}
 		k.n++
 	}
-	l := b.lanes[e.Queue]
-	if !l.listed {
-		l.listed = true
-		l.dest.lanes = append(l.dest.lanes, l)
+	q := b.queues[e.Queue]
+	if !q.listed {
+		q.listed = true
+		q.dest.queues = append(q.dest.queues, q)
 	}
-	l.behind++
-	l.dest.behind++
-	b.behind++
+	q.spilled++
+	q.dest.spilled++
+	b.spilled++
 }
 
-// take books a message as no longer behind the window; false if it is not.
-func (b *Backlog) take(e *Entry) bool {
-	s := b.segment(e.Seq)
-	if s == nil || s.isGone(e.Seq) {
+// removeSpilled counts a message as no longer spilled. It reports whether it was.
+func (b *Backlog) removeSpilled(e *Entry) bool {
+	s := b.segmentOf(e.Seq)
+	if s == nil || s.isRemoved(e.Seq) {
 		return false
 	}
-	s.setGone(e.Seq, true)
+	s.setRemoved(e.Seq, true)
 	b.ids.remove(e.IDHash, e.Seq)
-	if k := b.keys[e.OrderHash]; e.OrderHash != 0 && k != nil {
+	if k := b.orderKeys[e.OrderHash]; e.OrderHash != 0 && k != nil {
 		if k.n--; k.n == 0 {
-			delete(b.keys, e.OrderHash)
+			delete(b.orderKeys, e.OrderHash)
 		}
 	}
-	l := b.lanes[e.Queue]
-	l.behind--
-	l.dest.behind--
-	b.behind--
-	if l.behind == 0 {
-		l.clear()
+	q := b.queues[e.Queue]
+	q.spilled--
+	q.dest.spilled--
+	b.spilled--
+	if q.spilled == 0 {
+		q.clearRuns()
 	}
-	if l.dest.behind == 0 { // their order begins anew with the next backlog
-		for _, l := range l.dest.lanes {
-			l.listed = false
+	if q.dest.spilled == 0 { // the next backlog of the destination lists its queues anew
+		for _, q := range q.dest.queues {
+			q.listed = false
 		}
-		l.dest.lanes, l.dest.turn = nil, 0
+		q.dest.queues, q.dest.nextQueue = nil, 0
 	}
 	return true
 }
 
-// clear drops the runs of a lane that has nothing behind the window any more, but for
-// that of the segment that is written.
-func (l *lane) clear() {
-	l.stale = l.reading
-	if n := len(l.runs); n > 0 && !l.runs[n-1].done() {
-		r := l.runs[n-1]
+// clearRuns drops the runs of a queue that has no spilled messages left, except for the
+// run of the open segment.
+func (q *queue) clearRuns() {
+	q.stale = q.reading
+	if n := len(q.runs); n > 0 && !q.runs[n-1].isComplete() {
+		r := q.runs[n-1]
 		r.next = r.n
-		l.runs = append(l.runs[:0], r)
+		q.runs = append(q.runs[:0], r)
 		return
 	}
-	l.runs = nil
+	q.runs = nil
 }
 
-// segment is the one that a number lies in; nil if there is none.
-func (b *Backlog) segment(seq uint64) *segment {
+// segmentOf returns the segment that has a sequence number; nil if there is none.
+func (b *Backlog) segmentOf(seq uint64) *segment {
 	i, ok := slices.BinarySearchFunc(b.segments, seq, func(s *segment, seq uint64) int {
 		switch {
 		case s.first > seq:
@@ -348,21 +357,21 @@
 	return b.segments[i]
 }
 
-// Find says where a message may be that has this hash of its id, by the number that
-// [Backlog.Resolve] takes; 0 if none is behind the window. It reads nothing: a
-// message that is found may prove to be another one.
-func (b *Backlog) Find(id uint64) uint32 { return b.ids.find(id) }
+// Find returns the location, for [Backlog.Resolve], of a spilled message whose id has
+// this hash; 0 if there is none. It reads nothing: the message may turn out to have
+// another id.
+func (b *Backlog) Find(idHash uint64) uint32 { return b.ids.find(idHash) }
 
-// Resolve tells the segment and the place in it of what Find has found, and the
-// entry if it is in memory; false if it is gone.
-func (b *Backlog) Resolve(found uint32) (first uint64, at uint32, e *Entry, ok bool) {
+// Resolve returns the segment and the position in it of a message that Find has found,
+// and its entry if that is in memory. ok is false if the message is no longer spilled.
+func (b *Backlog) Resolve(location uint32) (first uint64, at uint32, e *Entry, ok bool) {
 	for _, s := range b.segments {
-		// Numbers are folded: in one backlog there are fewer than would meet themselves.
-		at := uint64(found) - uint64(fold(s.first))
-		if found < fold(s.first) {
+		// Folded sequence numbers are unambiguous as long as a backlog spans fewer than 2³²−1 of them.
+		at := uint64(location) - uint64(foldSeq(s.first))
+		if location < foldSeq(s.first) {
 			at += 1<<32 - 1
 		}
-		if at >= uint64(s.n) || s.isGone(s.first+at) {
+		if at >= uint64(s.n) || s.isRemoved(s.first+at) {
 			continue
 		}
 		if !s.sealed {
@@ -373,87 +382,90 @@
 	return 0, 0, nil, false
 }
 
-// Seal tells that a closed segment's index block is on the disk, with what [SortEntries]
-// has made of its entries. Its entries are forgotten.
+// Seal marks a closed segment as sealed: its index block is on disk. byDeadline and
+// runs are the results of [SortEntries]. The segment's entries are dropped from memory.
 func (b *Backlog) Seal(first uint64, byDeadline []uint32, runs []Run) {
-	s := b.exact(first)
+	s := b.segmentStartingAt(first)
 	if s == nil || s.sealed || !s.closed {
 		return
 	}
 	for _, r := range runs {
-		l := b.lanes[r.Queue]
-		for i := range l.runs {
-			if l.runs[i].seg == s && l.runs[i].back == nil {
-				l.runs[i].from = r.From
+		q := b.queues[r.Queue]
+		for i := range q.runs {
+			if q.runs[i].seg == s && q.runs[i].putBack == nil {
+				q.runs[i].from = r.From
 			}
 		}
 	}
-	// Those that were asked for are the first ones of the order, but for equal deadlines: from the first that
-	// may not have been, all are asked for again. One that is told twice ends once.
-	s.asked, s.due = s.n, math.MaxInt64
-	if len(s.waiting) > 0 {
-		s.due = s.entries[s.waiting[0]].Deadline
+	// The requested messages are the first of the order, except among equal deadlines: all from the first one that
+	// may not have been requested are requested again. A message that is read twice still expires once.
+	s.requested, s.nextDeadline = s.n, math.MaxInt64
+	if len(s.expiryHeap) > 0 {
+		s.nextDeadline = s.entries[s.expiryHeap[0]].Deadline
 		for i, at := range byDeadline {
-			if s.entries[at].Deadline >= s.due {
-				s.asked = uint32(i)
+			if s.entries[at].Deadline >= s.nextDeadline {
+				s.requested = uint32(i)
 				break
 			}
 		}
 	}
-	s.sealed, s.entries, s.lists, s.waiting = true, nil, nil, nil
+	s.sealed, s.entries, s.byQueue, s.expiryHeap = true, nil, nil, nil
 }
 
-func (b *Backlog) exact(first uint64) *segment {
-	if s := b.segment(first); s != nil && s.first == first {
+func (b *Backlog) segmentStartingAt(first uint64) *segment {
+	if s := b.segmentOf(first); s != nil && s.first == first {
 		return s
 	}
 	return nil
 }
 
-// Restore takes on a segment that an earlier process has left, and that has its
-// index block. Segments come in the order of their numbers. gone says which messages
-// are no longer behind the window; byLane is the order of lanes.
-func (b *Backlog) Restore(first uint64, entries []Entry, gone func(seq uint64) bool, byDeadline []uint32, runs []Run) {
-	s := &segment{first: first, n: uint32(len(entries)), gone: make([]uint64, (len(entries)+63)/64), left: uint32(len(entries)), closed: true, sealed: true}
+// Restore adds a sealed segment of an earlier process. Segments must be restored in the
+// order of their sequence numbers. removed reports whether a message is no longer
+// spilled; byDeadline and runs are those of the segment's index block.
+func (b *Backlog) Restore(first uint64, entries []Entry, removed func(seq uint64) bool, byDeadline []uint32,
+	runs []Run) {
+	s := &segment{first: first, n: uint32(len(entries)), removed: make([]uint64, (len(entries)+63)/64),
+		live: uint32(len(entries)), closed: true, sealed: true}
 	b.segments = append(b.segments, s)
 	for i := range entries {
-		if gone(entries[i].Seq) {
-			s.setGone(entries[i].Seq, true)
+		if removed(entries[i].Seq) {
+			s.setRemoved(entries[i].Seq, true)
 			continue
 		}
-		b.noteTerms(s, entries[i].Terms)
-		b.count(&entries[i])
+		b.addTerms(s, entries[i].Terms)
+		b.addSpilled(&entries[i])
 	}
 	for _, r := range runs {
-		l := b.lanes[r.Queue]
-		l.runs = append(l.runs, run{seg: s, from: r.From, n: r.N})
-		b.want(l.dest)
+		q := b.queues[r.Queue]
+		q.runs = append(q.runs, run{seg: s, from: r.From, n: r.N})
+		b.markRefillable(q.dest)
 	}
-	s.due = math.MaxInt64
+	s.nextDeadline = math.MaxInt64
 	if len(byDeadline) > 0 {
-		s.due = entries[byDeadline[0]].Deadline
+		s.nextDeadline = entries[byDeadline[0]].Deadline
 	}
-	b.soonest = min(b.soonest, s.due)
+	b.minUnreadDeadline = min(b.minUnreadDeadline, s.nextDeadline)
 }
 
-// Overlaps says whether a segment has one of the numbers from first to last.
+// Overlaps reports whether a segment has any of the sequence numbers first to last.
 func (b *Backlog) Overlaps(first, last uint64) bool {
-	return slices.ContainsFunc(b.segments, func(s *segment) bool { return s.first <= last && first < s.first+uint64(s.n) })
+	return slices.ContainsFunc(b.segments,
+		func(s *segment) bool { return s.first <= last && first < s.first+uint64(s.n) })
 }
 
-// ReclaimedSegment is a segment of which nothing is behind the window any more: its first
-// number, and how many it has.
+// ReclaimedSegment is a segment without spilled messages: its first sequence number and
+// the number of its messages.
 type ReclaimedSegment struct{ First, N uint64 }
 
-// Reclaim lists the closed segments of which nothing is behind the window any more,
-// and that no read is out for: their files may go. They are forgotten.
+// Reclaim drops and returns the sealed segments that have no spilled message and no read
+// in flight: their files may be removed.
 func (b *Backlog) Reclaim() (list []ReclaimedSegment) {
 	b.segments = slices.DeleteFunc(b.segments, func(s *segment) bool {
-		if s.left > 0 || !s.closed || s.reading || s.out > 0 || !s.sealed {
+		if s.live > 0 || !s.closed || s.readingExpiry || s.refillReads > 0 || !s.sealed {
 			return false
 		}
-		for _, l := range b.lanes {
-			l.runs = slices.DeleteFunc(l.runs, func(r run) bool { return r.seg == s })
+		for _, q := range b.queues {
+			q.runs = slices.DeleteFunc(q.runs, func(r run) bool { return r.seg == s })
 		}
 		list = append(list, ReclaimedSegment{s.first, uint64(s.n)})
 		return true
--- a/internal/backlog/deadlines.go
+++ b/internal/backlog/deadlines.go
@@ -2,109 +2,113 @@
 
 import "math"
 
-// ExpiryRead asks for messages whose time is over soon: N from the place From on of
-// the order of deadlines, or, of a segment without an index block, Entries.
+// ExpiryRead is a request for the heads of messages that expire soon: N messages from
+// position From of the segment's by-deadline order, or Entries if the segment has no
+// index block yet.
 type ExpiryRead struct {
-	Segment uint64
+	Segment uint64 // its first sequence number
 	From, N uint32
 	Entries []Entry
 }
 
-// ExpiryReads tells which ends are to be read, as their time comes within [LookaheadMicros]. Each
-// is to be answered by [Backlog.ExpiryReadDone].
+// ExpiryReads returns the reads of messages whose deadline is within [LookaheadMicros] of
+// now, Unix time in microseconds. The caller must complete each by
+// [Backlog.ExpiryReadDone] or [Backlog.ExpiryReadFailed].
 func (b *Backlog) ExpiryReads(now int64) (out []ExpiryRead) {
-	if b.soonest > now+LookaheadMicros {
+	if b.minUnreadDeadline > now+LookaheadMicros {
 		return nil
 	}
-	b.soonest = math.MaxInt64
+	b.minUnreadDeadline = math.MaxInt64
 	for _, s := range b.segments {
-		if s.next() > now+LookaheadMicros {
-			b.soonest = min(b.soonest, s.next())
+		if s.nextUnreadDeadline() > now+LookaheadMicros {
+			b.minUnreadDeadline = min(b.minUnreadDeadline, s.nextUnreadDeadline())
 			continue
 		}
 		r := ExpiryRead{Segment: s.first}
 		if s.sealed {
-			r.From, r.N = s.asked, min(s.n-s.asked, dueBatch)
-			s.asked += r.N
+			r.From, r.N = s.requested, min(s.n-s.requested, maxExpiryBatch)
+			s.requested += r.N
 		} else {
-			for len(s.waiting) > 0 && len(r.Entries) < dueBatch && s.next() <= now+LookaheadMicros {
+			for len(s.expiryHeap) > 0 && len(r.Entries) < maxExpiryBatch && s.nextUnreadDeadline() <= now+LookaheadMicros {
 				var at uint32
-				at, s.waiting = pop(s.waiting, s.sooner)
-				if e := s.entries[at]; !s.isGone(e.Seq) {
+				at, s.expiryHeap = pop(s.expiryHeap, s.earlier)
+				if e := s.entries[at]; !s.isRemoved(e.Seq) {
 					r.Entries = append(r.Entries, e)
 				}
 			}
 			if len(r.Entries) == 0 {
-				b.soonest = min(b.soonest, s.next())
+				b.minUnreadDeadline = min(b.minUnreadDeadline, s.nextUnreadDeadline())
 				continue
 			}
 		}
-		s.reading = true
+		s.readingExpiry = true
 		out = append(out, r)
 	}
 	return out
 }
 
-// ExpiryReadDone takes the ends that were read: the messages that were asked for, and the
-// deadline of the one after them in a segment with an index block, if there is one.
+// ExpiryReadDone completes an expiry read with the requested messages. after is the
+// deadline of the message that follows them in the index block, math.MaxInt64 if there
+// is none; it is ignored for a read of Entries.
 func (b *Backlog) ExpiryReadDone(r ExpiryRead, items []Item, after int64) {
-	s := b.exact(r.Segment)
+	s := b.segmentStartingAt(r.Segment)
 	if s == nil {
 		return
 	}
-	s.reading = false
+	s.readingExpiry = false
 	if r.Entries == nil {
-		s.due = after
+		s.nextDeadline = after
 	}
 	for _, e := range items {
-		if !s.isGone(e.Seq) {
-			b.near = push(b.near, e, sooner)
+		if !s.isRemoved(e.Seq) {
+			b.expiring = push(b.expiring, e, earlier)
 		}
 	}
-	b.soonest = min(b.soonest, s.next())
+	b.minUnreadDeadline = min(b.minUnreadDeadline, s.nextUnreadDeadline())
 }
 
-// ExpiryReadFailed takes a read of ends that could not be made. It is made again.
+// ExpiryReadFailed completes an expiry read that failed. Its messages are requested again
+// by the next [Backlog.ExpiryReads].
 func (b *Backlog) ExpiryReadFailed(r ExpiryRead) {
-	s := b.exact(r.Segment)
+	s := b.segmentStartingAt(r.Segment)
 	if s == nil {
 		return
 	}
-	s.reading = false
+	s.readingExpiry = false
 	switch {
 	case r.Entries == nil:
-		s.asked = r.From
-	case s.sealed: // meanwhile: from the first on again
-		s.asked, s.due = 0, r.Entries[0].Deadline
+		s.requested = r.From
+	case s.sealed: // since the read was requested: start again from the first entry
+		s.requested, s.nextDeadline = 0, r.Entries[0].Deadline
 	default:
 		for _, e := range r.Entries {
-			s.waiting = push(s.waiting, uint32(e.Seq-s.first), s.sooner)
+			s.expiryHeap = push(s.expiryHeap, uint32(e.Seq-s.first), s.earlier)
 		}
 	}
-	b.soonest = min(b.soonest, s.next())
+	b.minUnreadDeadline = min(b.minUnreadDeadline, s.nextUnreadDeadline())
 }
 
-// PopExpired returns the next message behind the window whose time is over by now, as no
-// longer behind it; false if there is none.
+// PopExpired removes a message whose deadline is at or before now from the backlog and
+// returns it, earliest deadline first. It returns false if there is none.
 func (b *Backlog) PopExpired(now int64) (Item, bool) {
-	for len(b.near) > 0 && b.near[0].Deadline <= now {
+	for len(b.expiring) > 0 && b.expiring[0].Deadline <= now {
 		var e Item
-		if e, b.near = pop(b.near, sooner); b.take(&e.Entry) {
+		if e, b.expiring = pop(b.expiring, earlier); b.removeSpilled(&e.Entry) {
 			return e, true
 		}
 	}
 	return Item{}, false
 }
 
-// WakeTime is when something is to be done next for the ends of messages, Unix time in
-// microseconds; the largest number if nothing is.
+// WakeTime returns when [Backlog.ExpiryReads] or [Backlog.PopExpired] is to be called
+// next, Unix time in microseconds; math.MaxInt64 if there is no such time.
 func (b *Backlog) WakeTime() int64 {
 	at := int64(math.MaxInt64)
-	if b.soonest != math.MaxInt64 {
-		at = b.soonest - LookaheadMicros
+	if b.minUnreadDeadline != math.MaxInt64 {
+		at = b.minUnreadDeadline - LookaheadMicros
 	}
-	if len(b.near) > 0 {
-		at = min(at, b.near[0].Deadline)
+	if len(b.expiring) > 0 {
+		at = min(at, b.expiring[0].Deadline)
 	}
 	return at
 }
--- a/internal/backlog/doc.go
+++ b/internal/backlog/doc.go
@@ -1,10 +1,11 @@
-// Package backlog decides which messages the decision module sees and which wait
-// behind it, on the disk: the module has a window by destination, and what is
-// behind the window comes into it in turn.
+// Package backlog decides which pending messages are in memory, in the window of
+// their destination, and which are spilled to disk; it refills the windows from disk
+// in order.
 //
-// A [Backlog] says of each new message whether it goes into the window or behind
-// it, what is to be read to fill a window that has room, and whose time is over. It
-// has no clock, no I/O and no goroutines; what it is told has been done on the disk
-// counts. It keeps no names and no bodies: of a message behind the window it keeps
-// some ten bytes, see docs/design/backlog.md. Package disk is the room behind it.
+// A [Backlog] places each new message in the window or in the backlog, lists the reads
+// that refill windows with free room, and yields the spilled messages that expire. It
+// has no clock, no I/O and no goroutines: its caller does the reads and writes and
+// reports those that have succeeded or failed. It keeps neither ids nor bodies; a
+// spilled message takes about ten bytes of memory, see docs/design/backlog.md. Package
+// disk stores the spilled messages.
 package backlog
--- a/internal/backlog/heap.go
+++ b/internal/backlog/heap.go
@@ -1,6 +1,6 @@
 package backlog
 
-// push and pop keep a heap: the least first.
+// push adds x to a binary heap, whose first element is the least by less.
 func push[T any](h []T, x T, less func(a, b T) bool) []T {
 	h = append(h, x)
 	for i := len(h) - 1; i > 0; {
@@ -14,6 +14,7 @@
 	return h
 }
 
+// pop removes the least element of a heap that is not empty.
 func pop[T any](h []T, less func(a, b T) bool) (top T, rest []T) {
 	top = h[0]
 	last := len(h) - 1
@@ -32,4 +33,5 @@
 	}
 }
 
-func sooner(a, b Item) bool { return a.Deadline < b.Deadline }
+// earlier reports whether a has the earlier deadline.
+func earlier(a, b Item) bool { return a.Deadline < b.Deadline }
--- a/internal/backlog/ids.go
+++ b/internal/backlog/ids.go
@@ -1,49 +1,53 @@
 package backlog
 
-// ids is a set of numbers of messages by the hash of their id, for answers to
-// those that are handed in again. It takes 8 bytes for a slot, of which at most 7 of
-// 8 are taken; a shard of it grows at a time, by a quarter.
+// idSet is a hash table from the hash of a message's id to its sequence number, with
+// linear probing. It finds duplicates of spilled messages. A slot takes 8 bytes, and at
+// most 7 of 8 slots are used; the table grows one shard at a time, by a quarter.
 //
-// A slot has 32 bits of the hash and 32 of the number, and 8 more bits of the hash
-// are the shard: of ids that were never handed in about one in 10¹¹ for each slot that
-// is looked at is found all the same, and proves to be another one when it is read.
-type ids struct {
+// A slot has 32 bits of the hash and 32 bits of the sequence number, and 8 more bits of
+// the hash select the shard. An id that was never submitted is a false positive with a
+// probability of about 10⁻¹¹ for each slot probed; reading the message reveals it.
+type idSet struct {
 	shards [idShards][]idSlot
-	taken  [idShards]uint32
+	used   [idShards]uint32
 	n      int
 }
 
 const (
-	idShards   = 256
-	idLeast    = 8
-	idFullest  = 7 // in eighths
-	idGrowPart = 4
+	idShards         = 256
+	minIDSlots       = 8
+	maxIDLoadEighths = 7 // max used slots, in eighths of all
+	idGrowthDivisor  = 4 // a shard grows by 1/4
 )
 
-// idSlot is a message; a zero number is none.
-type idSlot struct{ tag, number uint32 }
+// idSlot is one message; the slot is empty if foldedSeq is 0.
+type idSlot struct{ tag, foldedSeq uint32 }
 
-// place is where a search for a hash begins in a shard of so many slots.
-func place(tag uint32, slots int) int { return int(uint64(tag) * uint64(slots) >> 32) }
+// homeSlot returns the slot at which the search for a tag begins.
+func homeSlot(tag uint32, slots int) int { return int(uint64(tag) * uint64(slots) >> 32) }
 
-func split(hash uint64) (shard int, tag uint32) { return int(hash >> 56), uint32(hash >> 16) }
+// splitHash returns the shard of a hash and the bits of it that a slot stores.
+func splitHash(hash uint64) (shard int, tag uint32) { return int(hash >> 56), uint32(hash >> 16) }
 
-// number folds a message's number to what a slot has room for. It is never zero.
-func fold(seq uint64) uint32 { return uint32(seq%(1<<32-1)) + 1 }
+// foldSeq reduces a sequence number to the 32 bits that a slot has for it. The result is
+// never 0.
+func foldSeq(seq uint64) uint32 { return uint32(seq%(1<<32-1)) + 1 }
 
-func (x *ids) add(hash, seq uint64) {
-	shard, tag := split(hash)
-	if int(x.taken[shard]+1)*8 > len(x.shards[shard])*idFullest {
+// add adds a message. A hash may occur more than once.
+func (x *idSet) add(hash, seq uint64) {
+	shard, tag := splitHash(hash)
+	if int(x.used[shard]+1)*8 > len(x.shards[shard])*maxIDLoadEighths {
 		x.grow(shard)
 	}
-	put(x.shards[shard], idSlot{tag, fold(seq)})
-	x.taken[shard]++
+	insertSlot(x.shards[shard], idSlot{tag, foldSeq(seq)})
+	x.used[shard]++
 	x.n++
 }
 
-func put(slots []idSlot, s idSlot) {
-	i := place(s.tag, len(slots))
-	for slots[i].number != 0 {
+// insertSlot puts a message into the first empty slot from its home slot on.
+func insertSlot(slots []idSlot, s idSlot) {
+	i := homeSlot(s.tag, len(slots))
+	for slots[i].foldedSeq != 0 {
 		if i++; i == len(slots) {
 			i = 0
 		}
@@ -51,68 +55,68 @@
 	slots[i] = s
 }
 
-func (x *ids) grow(shard int) {
+func (x *idSet) grow(shard int) {
 	old := x.shards[shard]
-	x.resize(shard, max(idLeast, len(old)+len(old)/idGrowPart))
+	x.resize(shard, max(minIDSlots, len(old)+len(old)/idGrowthDivisor))
 }
 
-func (x *ids) resize(shard, size int) {
+func (x *idSet) resize(shard, size int) {
 	old := x.shards[shard]
 	x.shards[shard] = make([]idSlot, size)
 	for _, s := range old {
-		if s.number != 0 {
-			put(x.shards[shard], s)
+		if s.foldedSeq != 0 {
+			insertSlot(x.shards[shard], s)
 		}
 	}
 }
 
-// remove takes a message out; false if it is not there.
-func (x *ids) remove(hash, seq uint64) bool {
-	shard, tag := split(hash)
-	slots, number := x.shards[shard], fold(seq)
+// remove removes a message. It reports whether the set had it.
+func (x *idSet) remove(hash, seq uint64) bool {
+	shard, tag := splitHash(hash)
+	slots, foldedSeq := x.shards[shard], foldSeq(seq)
 	if len(slots) == 0 {
 		return false
 	}
-	i := place(tag, len(slots))
-	for ; slots[i] != (idSlot{tag, number}); i = next(i, len(slots)) {
-		if slots[i].number == 0 {
+	i := homeSlot(tag, len(slots))
+	for ; slots[i] != (idSlot{tag, foldedSeq}); i = nextSlot(i, len(slots)) {
+		if slots[i].foldedSeq == 0 {
 			return false
 		}
 	}
-	// Those behind move up, so that no search ends too early.
-	for j := next(i, len(slots)); slots[j].number != 0; j = next(j, len(slots)) {
-		home := place(slots[j].tag, len(slots))
+	// The slots after it move up into the gap, so that no search ends at it too early.
+	for j := nextSlot(i, len(slots)); slots[j].foldedSeq != 0; j = nextSlot(j, len(slots)) {
+		home := homeSlot(slots[j].tag, len(slots))
 		if i <= j && (home <= i || home > j) || i > j && home <= i && home > j {
 			slots[i], i = slots[j], j
 		}
 	}
 	slots[i] = idSlot{}
-	x.taken[shard]--
+	x.used[shard]--
 	x.n--
-	if size := len(slots); size > idLeast && int(x.taken[shard])*4 < size { // room that a backlog took is given back
-		x.resize(shard, max(idLeast, size/2))
+	if size := len(slots); size > minIDSlots && int(x.used[shard])*4 < size { // release the memory of a former backlog
+		x.resize(shard, max(minIDSlots, size/2))
 	}
 	return true
 }
 
-func next(i, n int) int {
+func nextSlot(i, n int) int {
 	if i+1 == n {
 		return 0
 	}
 	return i + 1
 }
 
-// find returns the folded number of a message with this hash; 0 if there is none. Of
-// several it returns any.
-func (x *ids) find(hash uint64) uint32 {
-	shard, tag := split(hash)
+// find returns the folded sequence number of a message with this hash; 0 if there is
+// none. Of several messages it returns any.
+func (x *idSet) find(hash uint64) uint32 {
+	shard, tag := splitHash(hash)
 	slots := x.shards[shard]
 	if len(slots) == 0 {
 		return 0
 	}
-	for i := place(tag, len(slots)); slots[i].number != 0; i = next(i, len(slots)) {
+	for i := homeSlot(tag, len(slots)); slots[i].foldedSeq != 0; i = nextSlot(i, len(slots)) {
 		if slots[i].tag == tag {
-			return slots[i].number
+			return slots[i].foldedSeq
 		}
 	}
 	return 0
--- a/internal/backlog/reads.go
+++ b/internal/backlog/reads.go
@@ -2,131 +2,137 @@
 
 import "slices"
 
-// RefillRead asks for messages that are next in a lane: N from the place From on of the
-// order of lanes, or, of a segment without an index block, Entries.
+// RefillRead is a request for the next messages of a queue: N messages from position From
+// of the segment's by-queue order, or Entries if the segment has no index block yet or
+// the messages were put back.
 type RefillRead struct {
 	Queue   QueueID
-	Segment uint64 // its first number
+	Segment uint64 // its first sequence number
 	From, N uint32
 	Entries []Entry
 }
 
-// RefillReads tells what is to be read now, fairly over destinations, and over the lanes
-// of each. Each is to be answered by [Backlog.RefillDone] or [Backlog.RefillFailed].
+// RefillReads returns the reads to start now, in turns among the destinations and among
+// the queues of each. The caller must complete each by [Backlog.RefillDone] or
+// [Backlog.RefillFailed].
 func (b *Backlog) RefillReads() (out []RefillRead) {
-	for len(b.wanting) > 0 && b.out+b.opts.Batch <= b.opts.MaxInFlight {
-		d := b.wanting[0]
-		b.wanting = b.wanting[1:]
-		d.wanting = false
-		if r, ok := b.read(d); ok {
+	for len(b.refillable) > 0 && b.inFlight+b.opts.Batch <= b.opts.MaxInFlight {
+		d := b.refillable[0]
+		b.refillable = b.refillable[1:]
+		d.refillable = false
+		if r, ok := b.nextRead(d); ok {
 			out = append(out, r)
-			b.want(d) // once more, after the others
+			b.markRefillable(d) // again, after the other destinations
 		}
 	}
 	return out
 }
 
-// read picks the next lane of a destination in turn.
-func (b *Backlog) read(d *destination) (RefillRead, bool) {
-	free := b.opts.Window - d.in - d.coming
+// nextRead returns a read of the next queue, in turn, of a destination; false if none of
+// its queues can be read or its window has no room.
+func (b *Backlog) nextRead(d *destination) (RefillRead, bool) {
+	free := b.opts.Window - d.inWindow - d.reserved
 	if free <= 0 {
 		return RefillRead{}, false
 	}
 	waiting := 0
-	for _, l := range d.lanes {
-		if l.behind > 0 {
+	for _, q := range d.queues {
+		if q.spilled > 0 {
 			waiting++
 		}
 	}
-	most := min(b.opts.Batch, max(free/max(waiting, 1), 1))
-	for i := range d.lanes {
-		l := d.lanes[(d.turn+i)%len(d.lanes)]
-		for len(l.runs) > 0 && l.runs[0].next >= l.runs[0].n && l.runs[0].done() {
-			l.runs = l.runs[1:]
+	maxMessages := min(b.opts.Batch, max(free/max(waiting, 1), 1))
+	for i := range d.queues {
+		q := d.queues[(d.nextQueue+i)%len(d.queues)]
+		for len(q.runs) > 0 && q.runs[0].next >= q.runs[0].n && q.runs[0].isComplete() {
+			q.runs = q.runs[1:]
 		}
-		if l.reading || len(l.runs) == 0 || l.runs[0].next >= l.runs[0].n {
+		if q.reading || len(q.runs) == 0 || q.runs[0].next >= q.runs[0].n {
 			continue
 		}
-		d.turn = (d.turn + i + 1) % len(d.lanes)
-		return b.readLane(l, uint32(most)), true
+		d.nextQueue = (d.nextQueue + i + 1) % len(d.queues)
+		return b.readQueue(q, uint32(maxMessages)), true
 	}
 	return RefillRead{}, false
 }
 
-// done says whether nothing is added to a run any more.
-func (r *run) done() bool { return r.back != nil || r.seg.closed }
+// isComplete reports whether no more messages will be added to a run.
+func (r *run) isComplete() bool { return r.putBack != nil || r.seg.closed }
 
-func (b *Backlog) readLane(l *lane, most uint32) RefillRead {
-	r := &l.runs[0]
-	n := min(r.n-r.next, most)
-	out := RefillRead{Queue: l.id, Segment: r.seg.first, From: r.from + r.next, N: n}
+// readQueue returns a read of the first run of a queue and reserves window room for it.
+func (b *Backlog) readQueue(q *queue, maxMessages uint32) RefillRead {
+	r := &q.runs[0]
+	n := min(r.n-r.next, maxMessages)
+	out := RefillRead{Queue: q.id, Segment: r.seg.first, From: r.from + r.next, N: n}
 	switch {
-	case r.back != nil:
-		out.Entries = r.back[r.next : r.next+n]
+	case r.putBack != nil:
+		out.Entries = r.putBack[r.next : r.next+n]
 	case !r.seg.sealed:
-		for _, at := range r.seg.lists[l.id][r.next : r.next+n] {
+		for _, at := range r.seg.byQueue[q.id][r.next : r.next+n] {
 			out.Entries = append(out.Entries, r.seg.entries[at])
 		}
 	}
-	l.reading = true
-	r.seg.out++
-	l.dest.coming += int(n)
-	b.out += int(n)
+	q.reading = true
+	r.seg.refillReads++
+	q.dest.reserved += int(n)
+	b.inFlight += int(n)
 	return out
 }
 
-// RefillDone takes what has been read: the entries of the first so many messages that were
-// asked for. It returns which of them come into the window now; the others have
-// ended meanwhile.
+// RefillDone completes a refill read with the entries that were read: all of the
+// requested messages, or the first of them. in reports which of these enter the window;
+// the others have left the backlog since the read was requested.
 func (b *Backlog) RefillDone(r RefillRead, entries []Entry) (in []bool) {
-	l := b.lanes[r.Queue]
+	q := b.queues[r.Queue]
 	in = make([]bool, len(entries))
-	stale := l.stale
-	b.answered(r)
+	stale := q.stale
+	b.releaseRead(r)
 	if stale {
-		b.want(l.dest)
+		b.markRefillable(q.dest)
 		return in
 	}
-	l.runs[0].next += uint32(len(entries))
+	q.runs[0].next += uint32(len(entries))
 	for i := range entries {
-		if in[i] = b.take(&entries[i]); in[i] {
-			l.dest.in++
+		if in[i] = b.removeSpilled(&entries[i]); in[i] {
+			q.dest.inWindow++
 		}
 	}
-	b.want(l.dest)
+	b.markRefillable(q.dest)
 	return in
 }
 
-// RefillFailed takes a read that could not be made. It is made again after a
+// RefillFailed completes a refill read that failed. Its messages are requested again after
 // [Backlog.Retry].
-func (b *Backlog) RefillFailed(r RefillRead) { b.answered(r) }
+func (b *Backlog) RefillFailed(r RefillRead) { b.releaseRead(r) }
 
-// Retry has a lane's destination looked at again.
-func (b *Backlog) Retry(id QueueID) { b.want(b.lanes[id].dest) }
+// Retry makes the destination of a queue eligible for refill reads again.
+func (b *Backlog) Retry(id QueueID) { b.markRefillable(b.queues[id].dest) }
 
-func (b *Backlog) answered(r RefillRead) {
-	l := b.lanes[r.Queue]
-	l.reading, l.stale = false, false
-	l.dest.coming -= int(r.N)
-	b.out -= int(r.N)
-	if s := b.exact(r.Segment); s != nil {
-		s.out--
+// releaseRead ends a refill read and releases the window room reserved for it.
+func (b *Backlog) releaseRead(r RefillRead) {
+	q := b.queues[r.Queue]
+	q.reading, q.stale = false, false
+	q.dest.reserved -= int(r.N)
+	b.inFlight -= int(r.N)
+	if s := b.segmentStartingAt(r.Segment); s != nil {
+		s.refillReads--
 	}
 }
 
-// PutBack takes messages of one lane back, in order, that came and could not be taken
-// into the module. It is called before the next [Backlog.RefillReads]. They are the next
-// ones of their lane again, after a [Backlog.Retry].
+// PutBack spills messages of one queue again that were refilled but could not be taken
+// into memory. They must be in order, and PutBack must be called before the next
+// [Backlog.RefillReads]. After [Backlog.Retry] they are the next messages of their queue.
 func (b *Backlog) PutBack(id QueueID, items []Item) {
-	l := b.lanes[id]
+	q := b.queues[id]
 	entries := make([]Entry, len(items))
 	for i := range items {
 		entries[i] = items[i].Entry
-		s := b.segment(entries[i].Seq)
-		s.setGone(entries[i].Seq, false)
-		b.count(&entries[i])
-		b.near = push(b.near, items[i], sooner) // its end may have been read before
-		l.dest.in--
+		s := b.segmentOf(entries[i].Seq)
+		s.setRemoved(entries[i].Seq, false)
+		b.addSpilled(&entries[i])
+		b.expiring = push(b.expiring, items[i], earlier) // its expiry read may be done already
+		q.dest.inWindow--
 	}
-	l.runs = slices.Insert(l.runs, 0, run{seg: b.segment(entries[0].Seq), back: entries, n: uint32(len(entries))})
+	q.runs = slices.Insert(q.runs, 0,
+		run{seg: b.segmentOf(entries[0].Seq), putBack: entries, n: uint32(len(entries))})
 }
