--- a/internal/core/console_test.go
+++ b/internal/core/console_test.go
@@ -43,7 +43,7 @@
 	}
 	go c.Serve()
 	defer c.Close()
-	go r.Submit(newMessage("a", "safe"), make(chan Answer, 1))
+	go r.Submit(newMessage("a", "safe"), make(chan SubmitResponse, 1))
 	byhand.Await(t, store.entered, "write")
 	for path, want := range map[string]string{"/_ready": "GET", "/_lameduck/on": "POST"} {
 		at := time.Now()
@@ -57,7 +57,7 @@
 			t.Errorf("%s: answered after %v", path, d)
 		}
 	}
-	if v := r.life.View(); v.State != lifecycle.LameDuck {
+	if v := r.life.Behavior(); v.State != lifecycle.LameDuck {
 		t.Errorf("%v", v.State)
 	}
 	close(store.release)
--- a/internal/core/loop.go
+++ b/internal/core/loop.go
@@ -17,8 +17,8 @@
 	// putEvent is a message that a client hands in. It gets one answer.
 	putEvent struct {
 		msg    *message.Message
-		door   *Door // nil if the front has none
-		answer chan<- Answer
+		door   *FrontLimiter // nil if the front has none
+		answer chan<- SubmitResponse
 		sure   bool // no message of its id is behind a window
 	}
 	// stateEvent asks for the state of a message. With watch, the answer waits
@@ -76,7 +76,7 @@
 		case ev := <-c.events:
 			c.take(ev)
 		case <-c.due.C:
-			c.next = append(c.next, logic.Due{Token: c.token})
+			c.next = append(c.next, logic.TimerFired{Token: c.token})
 		case <-c.behind.ends():
 		case <-sweep.C:
 			c.sweep(time.Now())
@@ -115,7 +115,7 @@
 
 // sweep drops what is of no more use.
 func (c *Core) sweep(now time.Time) {
-	c.transport.Sweep()
+	c.transport.CloseStale()
 	if c.behind.Backlog != nil {
 		c.behind.ReclaimSegments()
 	}
@@ -159,21 +159,21 @@
 // what another process has handed over.
 func (c *Core) resume() error {
 	out := c.restoreSnapshot()
-	if c.cfg.Known != nil {
-		c.next = append(c.next, logic.Endpoints{Form: logic.ListCached, Entries: c.dir.take(*c.cfg.Known)})
+	if c.cfg.CachedEndpoints != nil {
+		c.next = append(c.next, logic.Endpoints{Form: logic.ListCached, Entries: c.dir.take(*c.cfg.CachedEndpoints)})
 	}
 	now := c.clock.Now()
-	if c.cfg.KeepWaits {
+	if c.cfg.PersistWaits {
 		for name, until := range c.store.Waits() {
 			if id, ok := c.dir.ids[name]; ok {
-				c.next = append(c.next, logic.Told{Endpoint: id, Left: logic.Micros(until - now)})
+				c.next = append(c.next, logic.RequestedWait{Endpoint: id, Remaining: logic.Micros(until - now)})
 				if left := time.Duration(until-now) * time.Microsecond; left > 0 { // the others may not have heard of it
-					c.share(Observation{Wait: left}, id)
+					c.share(Observation{RequestedWait: left}, id)
 				}
 			}
 		}
 	}
-	if c.cfg.Settings.Remember {
+	if c.cfg.Settings.TrackChanges {
 		c.past = c.store.Partners()
 		c.recall()
 	}
@@ -192,10 +192,10 @@
 		}
 		c.held[e.ID] = h
 		c.open++
-		in.Past = logic.Past{Tries: e.Tries, MayRun: e.MayRun || e.Open, Held: c.from == nil}
-		if in.Past.MayRun {
-			in.Past.Age = logic.Micros(max(now-e.FirstMay, 0))
-			in.Past.Zone = slices.Index(c.cfg.Zones, e.FirstZone)
+		in.History = logic.History{Attempts: e.Tries, MayHaveRun: e.MayRun || e.Open, Inherited: c.from == nil}
+		if in.History.MayHaveRun {
+			in.History.SinceFirst = logic.Micros(max(now-e.FirstMay, 0))
+			in.History.Zone = slices.Index(c.cfg.Zones, e.FirstZone)
 		}
 		if call, ok := out[e.ID]; ok && e.Open {
 			c.adopt(h, call, &in, e, now)
@@ -203,7 +203,7 @@
 		} else if e.Open { // whoever reads the journal next must not take its outcome for a later one's
 			c.records = append(c.records, journal.Record{Op: journal.OpOutcome, ID: e.ID, MayRun: true})
 		}
-		if c.cfg.Known != nil && !c.dir.serves(e.Partner) {
+		if c.cfg.CachedEndpoints != nil && !c.dir.serves(e.Partner) {
 			orphans[e.Partner]++
 		}
 		if h.class == nil {
@@ -222,8 +222,8 @@
 }
 
 // callOf is the module's view of a message.
-func (c *Core) callOf(m *message.Message, now int64) logic.Call {
-	in := logic.Call{ID: m.ID, Key: m.Order, Left: logic.Micros(m.Deadline - now), Dest: c.dir.partner(m.Partner).dest,
+func (c *Core) callOf(m *message.Message, now int64) logic.NewMessage {
+	in := logic.NewMessage{ID: m.ID, Key: m.Order, Remaining: logic.Micros(m.Deadline - now), Dest: c.dir.partner(m.Partner).dest,
 		Tenant: -1, Class: -1}
 	if i, ok := c.terms.classes[m.Class]; ok {
 		in.Class = i
@@ -248,8 +248,8 @@
 			c.reply(r)
 		}
 	case healthEvent:
-		c.next = append(c.next, logic.HealthResult{Endpoint: ev.ep, Outcome: ev.outcome})
-	case News:
+		c.next = append(c.next, logic.ProbeResult{Endpoint: ev.ep, Outcome: ev.outcome})
+	case EndpointUpdate:
 		c.news(ev)
 	case observationsEvent:
 		c.hears(ev)
@@ -268,7 +268,7 @@
 		c.retune(ev)
 	case writeEvent: // the step that follows does
 	case closingEvent:
-		c.next = append(c.next, logic.Closing{Left: micros(ev.left)})
+		c.next = append(c.next, logic.Stopping{Remaining: micros(ev.left)})
 		c.behind.closing = true
 		if c.behind.Backlog != nil {
 			c.behind.StopRefill()
@@ -278,13 +278,13 @@
 	}
 }
 
-func (c *Core) news(ev News) {
-	if !c.source.Takes(ev) {
+func (c *Core) news(ev EndpointUpdate) {
+	if !c.source.AcceptUpdate(ev) {
 		return
 	}
-	c.heard, c.part = true, ev.List.Part
+	c.heard, c.part = true, ev.List.Share
 	form := logic.ListDelta
-	if ev.List.Whole {
+	if ev.List.Complete {
 		form = logic.ListFull
 	}
 	rows := c.dir.take(ev.List)
@@ -294,16 +294,16 @@
 	}
 	c.withhold(permit.EndpointLeaving, func(ep logic.EndpointID) bool {
 		up, listed := ready[ep]
-		return listed && !up || !listed && ev.List.Whole
+		return listed && !up || !listed && ev.List.Complete
 	})
 	for _, row := range rows {
 		if row.State != logic.Ready {
-			c.transport.Release(row.Endpoint)
+			c.transport.CloseIdle(row.Endpoint)
 		}
 	}
 	for id, to := range c.dir.eps { // a whole list leaves out what is gone
 		if !to.gone.IsZero() {
-			c.transport.Release(id)
+			c.transport.CloseIdle(id)
 		}
 	}
 	c.logList(ev, rows)
@@ -316,8 +316,8 @@
 const mostNamed = 16
 
 // logList logs a list that is taken: how many endpoints it has in each state, and by name those that want no new calls.
-func (c *Core) logList(ev News, rows []logic.Entry) {
-	if len(rows) == 0 && !ev.List.Whole {
+func (c *Core) logList(ev EndpointUpdate, rows []logic.Entry) {
+	if len(rows) == 0 && !ev.List.Complete {
 		return
 	}
 	states, leaving := map[logic.Readiness]int{}, []string{}
@@ -327,6 +327,6 @@
 			leaving = append(leaving, c.dir.eps[row.Endpoint].name)
 		}
 	}
-	c.log.Info("list", "version", ev.Version, "whole", ev.List.Whole, "ready", states[logic.Ready], "draining", states[logic.Draining], "gone", states[logic.Gone],
+	c.log.Info("list", "version", ev.Version, "whole", ev.List.Complete, "ready", states[logic.Ready], "draining", states[logic.Draining], "gone", states[logic.Gone],
 		"leaving", leaving)
 }
--- a/internal/daemon/platform.go
+++ b/internal/daemon/platform.go
@@ -34,7 +34,7 @@
 	front  *resp.Front
 	source *platform.Source
 	sink   *notices.Sink
-	life   *lifecycle.Life
+	life   *lifecycle.Controller
 	log    *slog.Logger
 
 	monitor *permit.Monitor
@@ -42,7 +42,7 @@
 
 // NewPlatform makes a sender and replays its journal. If another process has that,
 // it takes over from it, or waits for its end.
-func NewPlatform(ctx context.Context, cfg *config.Platform, life *lifecycle.Life, log *slog.Logger) (*Platform, error) {
+func NewPlatform(ctx context.Context, cfg *config.Platform, life *lifecycle.Controller, log *slog.Logger) (*Platform, error) {
 	set := cfg.Deploy.Settings
 	log.Debug("settings", "set", set)
 	for _, x := range cfg.Known.Instances {
@@ -66,14 +66,14 @@
 	conf := core.Config{Name: cfg.Name, Settings: set, Seed: cfg.Seed, Zones: cfg.Deploy.Zones}
 	if cfg.Known.Generation != 0 || len(cfg.Known.Instances) > 0 {
 		known := cfg.Known.List()
-		known.Whole = true
-		conf.Known = &known
+		known.Complete = true
+		conf.CachedEndpoints = &known
 	}
 	transport := httptransport.New(span(cfg.Deploy.ConnectTimeout), span(set.ConnIdle),
 		httptransport.Limits{Open: share.calls, Idle: share.idle, PerEndpoint: set.Slots})
 	transport.Reports = cfg.Deploy.Reports
-	p.core, err = core.New(conf, core.Parts{Store: kept, Source: p.source, Sink: p.sink, Log: log, Transport: transport, Life: life, Monitor: monitor,
-		From: from, Reopen: func() (core.Store, error) { return open() }})
+	p.core, err = core.New(conf, core.Dependencies{Store: kept, Source: p.source, Sink: p.sink, Log: log, Transport: transport, Lifecycle: life, Monitor: monitor,
+		Takeover: from, ReopenStore: func() (core.Store, error) { return open() }})
 	if err != nil {
 		kept.Close()
 		return nil, err
@@ -84,13 +84,13 @@
 	}
 	p.front = resp.New(p.core, resp.Options{Listen: cfg.Listen, Connections: share.clients, Ending: share.ending,
 		Memory: int64(memory * (1 << 20) / largeShare), Numbers: true, Monitor: monitor,
-		Ready: func() bool { return life.View().Ready }, Log: log})
+		Ready: func() bool { return life.Behavior().Ready }, Log: log})
 	return p, nil
 }
 
 // pollSettings are what the settings say of discovery.
 func pollSettings(set logic.Settings) poll.Settings {
-	return poll.Settings{Senders: set.Senders, AskWithin: span(set.AskWithin), Agent: !set.OnRequest}
+	return poll.Settings{Senders: set.Senders, AskWithin: span(set.ListRetryWithin), Agent: !set.ListOnRequest}
 }
 
 func span(t logic.Micros) time.Duration { return time.Duration(t) * time.Microsecond }
@@ -143,7 +143,7 @@
 			err = p.cfg.CanFollow(cfg)
 		}
 		if err == nil {
-			err = p.core.Retune(cfg.Deploy.Settings, cfg.Deploy.Zones)
+			err = p.core.UpdateSettings(cfg.Deploy.Settings, cfg.Deploy.Zones)
 		}
 		if err != nil {
 			p.log.Error("reload: the old configuration stands", "err", err)
--- a/internal/transport/http/batch.go
+++ b/internal/transport/http/batch.go
@@ -52,15 +52,15 @@
 			n++
 		}
 		var part []core.Result
-		left := rest[0].GiveUp // the least of what the messages have, less what earlier calls took
+		left := rest[0].Timeout // the least of what the messages have, less what earlier calls took
 		for _, a := range rest[:n] {
-			left = min(left, a.GiveUp)
+			left = min(left, a.Timeout)
 		}
 		switch left -= time.Since(start); {
 		case left <= 0: // never sent; the endpoint is not to blame
 			part = make([]core.Result, n)
 			for i := range part {
-				part[i].Outcome = logic.Moot
+				part[i].Outcome = logic.NotSent
 			}
 		case n == 1:
 			part = []core.Result{c.single(ctx, rest[0], left)}
@@ -68,9 +68,9 @@
 			part = c.batch(ctx, rest[:n], left)
 		}
 		out, rest = append(out, part...), rest[n:]
-		if slices.ContainsFunc(part, func(r core.Result) bool { return r.Outcome != logic.Completed || r.Wait > 0 }) {
+		if slices.ContainsFunc(part, func(r core.Result) bool { return r.Outcome != logic.Completed || r.RequestedWait > 0 }) {
 			for range rest { // the endpoint had better be asked again first
-				out = append(out, core.Result{Outcome: logic.Moot})
+				out = append(out, core.Result{Outcome: logic.NotSent})
 			}
 			break
 		}
@@ -82,9 +82,9 @@
 func (c *Transport) batch(ctx context.Context, call []*core.Attempt, left time.Duration) []core.Result {
 	// The call has the time of the message that has least: one answer speaks for all, and what comes after the time of
 	// one of them is late.
-	head := &core.Attempt{Endpoint: call[0].Endpoint, Addr: call[0].Addr, GiveUp: left}
+	head := &core.Attempt{Endpoint: call[0].Endpoint, Addr: call[0].Addr, Timeout: left}
 	for _, a := range call {
-		head.Fragile = head.Fragile || a.Fragile
+		head.Unrepeatable = head.Unrepeatable || a.Unrepeatable
 	}
 	var sent []item
 	begun := make([]bool, len(call))
@@ -102,7 +102,7 @@
 		written: func() {
 			for i, a := range call {
 				if begun[i] {
-					a.Written()
+					a.MarkWritten()
 				}
 			}
 		},
@@ -115,13 +115,13 @@
 	for i, a := range call {
 		switch itemResult, told := results[a.Message.ID]; {
 		case !begun[i]:
-			out[i] = core.Result{Outcome: logic.Moot}
+			out[i] = core.Result{Outcome: logic.NotSent}
 		case whole.Outcome != logic.Completed:
 			out[i] = whole
 		case told:
 			out[i] = itemResult
 		default: // it may have run, as far as the answer goes
-			out[i] = core.Result{Outcome: logic.Spoilt, Wait: whole.Wait}
+			out[i] = core.Result{Outcome: logic.InvalidResponse, RequestedWait: whole.RequestedWait}
 		}
 	}
 	return out
@@ -136,18 +136,18 @@
 	}
 	out, seen := map[string]core.Result{}, map[string]bool{}
 	for _, f := range list {
-		r, ok := core.Result{Wait: whole.Wait, Load: whole.Load}, true
+		r, ok := core.Result{RequestedWait: whole.RequestedWait, Load: whole.Load}, true
 		switch f.State {
 		case "done":
 			r.Outcome = logic.Completed
 		case "failed":
 			r.Outcome = logic.Errored
 		case "busy":
-			r.Outcome = logic.Full
+			r.Outcome = logic.Overloaded
 		case "void":
-			r.Outcome, r.Over = logic.Moot, true
+			r.Outcome, r.MessageEnded = logic.NotSent, true
 		case "used_up":
-			r.Outcome = logic.Moot
+			r.Outcome = logic.NotSent
 		default:
 			ok = false
 		}
@@ -165,9 +165,9 @@
 func outcomeOfBatch(status int, header http.Header) core.Result {
 	switch status {
 	case http.StatusOK:
-		return core.Result{Outcome: logic.Completed, Wait: toldWait(header)}
+		return core.Result{Outcome: logic.Completed, RequestedWait: toldWait(header)}
 	case http.StatusBadRequest, http.StatusRequestEntityTooLarge: // none of them has run
-		return core.Result{Outcome: logic.Full}
+		return core.Result{Outcome: logic.Overloaded}
 	}
 	return outcomeOf(status, header)
 }
