--- a/internal/backlog/disk/crash_test.go
+++ b/internal/backlog/disk/crash_test.go
@@ -17,98 +17,101 @@
 	"cometrack/internal/vfs"
 )
 
-var small = Options{MaxBytes: 1 << 20, SegmentBytes: 1500}
+var smallOptions = Options{MaxBytes: 1 << 20, SegmentBytes: 1500}
 
-// held is what a test knows of the messages: by id, whether they were acknowledged, and
-// which are in a segment whose removal was begun, and has returned.
-type held struct {
+// expectation has the messages that a workload has written, by id: whether they were
+// acknowledged, and whether the removal of their segment was started and has returned.
+type expectation struct {
 	acked, removing, removed map[string]bool
-	refused                  map[string]bool // for good: not in doubt after a sync that failed
+	rejected                 map[string]bool // false if unknown, since a sync has failed
 	seqs                     map[string]uint64
-	lanes                    *lanes
-	open                     map[uint64][]backlog.Entry // segments without an index block
-	firsts                   []uint64
-	ids                      map[uint64][]string
+	queues                   *queueIDs
+	unsealed                 map[uint64][]backlog.Entry // segments without an index block
+	firsts                   []uint64                   // first sequence numbers of the segments
+	ids                      map[uint64][]string        // of the messages of each segment
 }
 
-func newHeld() *held {
-	return &held{acked: map[string]bool{}, refused: map[string]bool{}, removing: map[string]bool{}, removed: map[string]bool{}, seqs: map[string]uint64{},
-		lanes: newLanes(), open: map[uint64][]backlog.Entry{}, ids: map[uint64][]string{}}
+func newExpectation() *expectation {
+	return &expectation{acked: map[string]bool{}, rejected: map[string]bool{}, removing: map[string]bool{},
+		removed: map[string]bool{}, seqs: map[string]uint64{}, queues: newQueueIDs(),
+		unsealed: map[uint64][]backlog.Entry{}, ids: map[uint64][]string{}}
 }
 
-func record(i int) *Record {
-	r := &Record{Message: message.Message{ID: fmt.Sprint("m", i), Order: fmt.Sprint("k", i%3), Class: fmt.Sprint("c", i%2), Tenant: "t",
-		Partner: fmt.Sprint("p", i%4), Deadline: int64(1000 - i*37%500), Body: bytes.Repeat([]byte{byte(i)}, 40+i*53%200)},
+func testRecord(i int) *Record {
+	r := &Record{Message: message.Message{ID: fmt.Sprint("m", i), Order: fmt.Sprint("k", i%3),
+		Class: fmt.Sprint("c", i%2), Tenant: "t", Partner: fmt.Sprint("p", i%4),
+		Deadline: int64(1000 - i*37%500), Body: bytes.Repeat([]byte{byte(i)}, 40+i*53%200)},
 		Accepted: int64(i), Terms: 1, Ordered: i%2 == 1}
 	r.Digest = r.Message.Digest()
 	return r
 }
 
-// lanes gives lanes their numbers.
-type lanes struct {
-	by    map[backlog.Queue]backlog.QueueID
-	names map[backlog.QueueID]backlog.Queue
+// queueIDs assigns IDs to queues.
+type queueIDs struct {
+	byName map[backlog.Queue]backlog.QueueID
+	names  map[backlog.QueueID]backlog.Queue
 }
 
-func newLanes() *lanes {
-	return &lanes{by: map[backlog.Queue]backlog.QueueID{}, names: map[backlog.QueueID]backlog.Queue{}}
+func newQueueIDs() *queueIDs {
+	return &queueIDs{byName: map[backlog.Queue]backlog.QueueID{}, names: map[backlog.QueueID]backlog.Queue{}}
 }
 
-func (x *lanes) id(l backlog.Queue) backlog.QueueID {
-	id, ok := x.by[l]
+func (x *queueIDs) id(name backlog.Queue) backlog.QueueID {
+	id, ok := x.byName[name]
 	if !ok {
-		id = backlog.QueueID(len(x.by))
-		x.by[l], x.names[id] = id, l
+		id = backlog.QueueID(len(x.byName))
+		x.byName[name], x.names[id] = id, name
 	}
 	return id
 }
 
-// play appends batches, seals what is full and removes what is old.
-func play(l *Log, h *held, from, batches int) error {
+// runWorkload appends batches, seals full segments and removes old ones.
+func runWorkload(l *Log, expected *expectation, from, batches int) error {
 	n := from
 	for b := range batches {
 		var list []*Record
 		for range 1 + b%3 {
-			list = append(list, record(n))
+			list = append(list, testRecord(n))
 			n++
 		}
-		first, begins := l.StartsSegment()
+		first, starts := l.StartsSegment()
 		entries, err := l.Append(list)
 		if err != nil {
 			for _, r := range list {
-				h.refused[r.ID] = !l.Stats().Failed && !errors.Is(err, vfs.ErrCrashed)
+				expected.rejected[r.ID] = !l.Stats().Failed && !errors.Is(err, vfs.ErrCrashed)
 			}
 			return err
 		}
-		if begins {
-			h.firsts = append(h.firsts, first)
+		if starts {
+			expected.firsts = append(expected.firsts, first)
 		}
-		now := h.firsts[len(h.firsts)-1]
+		active := expected.firsts[len(expected.firsts)-1]
 		for i := range entries {
-			entries[i].IDHash, entries[i].OrderHash, entries[i].Queue = HashID(list[i].ID), list[i].OrderHash(), h.lanes.id(list[i].Queue())
-			h.acked[list[i].ID], h.seqs[list[i].ID] = true, entries[i].Seq
-			h.ids[now] = append(h.ids[now], list[i].ID)
-		}
-		h.open[now] = append(h.open[now], entries...)
-		if len(h.firsts) > 1 && b%2 == 0 {
-			if old := h.firsts[len(h.firsts)-2]; h.open[old] != nil {
-				if _, _, err := l.Seal(old, h.open[old], h.lanes.names); err != nil {
+			entries[i].IDHash, entries[i].OrderHash, entries[i].Queue = HashID(list[i].ID), list[i].OrderHash(),
+				expected.queues.id(list[i].Queue())
+			expected.acked[list[i].ID], expected.seqs[list[i].ID] = true, entries[i].Seq
+			expected.ids[active] = append(expected.ids[active], list[i].ID)
+		}
+		expected.unsealed[active] = append(expected.unsealed[active], entries...)
+		if len(expected.firsts) > 1 && b%2 == 0 {
+			if old := expected.firsts[len(expected.firsts)-2]; expected.unsealed[old] != nil {
+				if _, _, err := l.Seal(old, expected.unsealed[old], expected.queues.names); err != nil {
 					return err
 				}
-				delete(h.open, old)
+				delete(expected.unsealed, old)
 			}
 		}
-		if len(h.firsts) > 3 && b%3 == 0 && h.open[h.firsts[0]] == nil {
-			for _, id := range h.ids[h.firsts[0]] {
-				h.removing[id] = true
+		if len(expected.firsts) > 3 && b%3 == 0 && expected.unsealed[expected.firsts[0]] == nil {
+			for _, id := range expected.ids[expected.firsts[0]] {
+				expected.removing[id] = true
 			}
-			if err := l.Remove(h.firsts[0]); err != nil {
+			if err := l.Remove(expected.firsts[0]); err != nil {
 				return err
 			}
-			for _, id := range h.ids[h.firsts[0]] {
-				h.removed[id] = true
+			for _, id := range expected.ids[expected.firsts[0]] {
+				expected.removed[id] = true
 			}
-			h.firsts = h.firsts[1:]
+			expected.firsts = expected.firsts[1:]
 		}
 		if err := l.Flush(); err != nil {
 			return err
@@ -117,50 +120,52 @@
 	return nil
 }
 
-// logged collects what is logged.
-func logged(opts Options) (Options, *bytes.Buffer) {
+// withErrorLog returns options whose logger writes errors to the returned buffer.
+func withErrorLog(opts Options) (Options, *bytes.Buffer) {
 	var b bytes.Buffer
 	opts.Log = slog.New(slog.NewTextHandler(&b, &slog.HandlerOptions{Level: slog.LevelError}))
 	return opts, &b
 }
 
-// check opens what is left and holds it against what was acknowledged.
-func check(t *testing.T, what string, m *vfs.Mem, opts Options, h *held) {
+// checkRestored opens the log that is left, and compares it with what was acknowledged.
+func checkRestored(t *testing.T, label string, m *vfs.Mem, opts Options, expected *expectation) {
 	t.Helper()
-	opts, errs := logged(opts)
+	opts, errs := withErrorLog(opts)
 	l, err := Open(m, 0, opts)
 	if err != nil {
-		t.Fatalf("%s: %v", what, err)
+		t.Fatalf("%s: %v", label, err)
 	}
 	defer l.Close()
 	found := map[string]bool{}
-	ln := newLanes()
+	queues := newQueueIDs()
 	var list []RestoredSegment
-	if err := l.Restore(ln.id, func(s RestoredSegment) { list = append(list, s) }); err != nil {
-		t.Fatalf("%s: %v", what, err)
+	if err := l.Restore(queues.id, func(s RestoredSegment) { list = append(list, s) }); err != nil {
+		t.Fatalf("%s: %v", label, err)
 	}
 	for _, s := range list {
 		for _, run := range s.Runs {
 			last := uint64(0)
 			for from := uint32(0); from < run.N; {
-				got, err := l.Read(backlog.RefillRead{Queue: run.Queue, Segment: s.First, From: run.From + from, N: run.N - from})
+				got, err := l.Read(backlog.RefillRead{Queue: run.Queue, Segment: s.First,
+					From: run.From + from, N: run.N - from})
 				if err != nil || len(got) == 0 {
-					t.Fatalf("%s: %d read, %v", what, len(got), err)
+					t.Fatalf("%s: %d read, %v", label, len(got), err)
 				}
 				for _, g := range got {
 					i := 0
 					if g.Err != nil {
-						t.Fatalf("%s: %v", what, g.Err)
+						t.Fatalf("%s: %v", label, g.Err)
 					}
 					fmt.Sscanf(g.Record.ID, "m%d", &i)
-					want := record(i)
+					want := testRecord(i)
 					want.Seq = g.Record.Seq
-					if !sameRecord(g.Record, want) || g.Entry.Queue != ln.id(want.Queue()) || g.Entry.Seq <= last || g.Entry.IDHash != HashID(want.ID) ||
+					if !sameRecord(g.Record, want) || g.Entry.Queue != queues.id(want.Queue()) ||
+						g.Entry.Seq <= last || g.Entry.IDHash != HashID(want.ID) ||
 						g.Entry.OrderHash != want.OrderHash() || g.Entry.Terms != 1 || found[want.ID] || run.Queue != g.Entry.Queue {
-						t.Fatalf("%s: read %+v %+v", what, g.Entry, g.Record)
+						t.Fatalf("%s: read %+v %+v", label, g.Entry, g.Record)
 					}
-					if n, ok := h.seqs[want.ID]; ok && n != want.Seq {
-						t.Fatalf("%s: %s has the number %d, and had %d", what, want.ID, want.Seq, n)
+					if n, ok := expected.seqs[want.ID]; ok && n != want.Seq {
+						t.Fatalf("%s: %s has the sequence number %d, and had %d", label, want.ID, want.Seq, n)
 					}
 					found[want.ID], last = true, g.Entry.Seq
 				}
@@ -172,59 +177,60 @@
 		}
 		due, after, err := l.ReadExpiring(backlog.ExpiryRead{Segment: s.First, N: uint32(len(s.Entries)) - 1})
 		if err != nil || len(due) != len(s.Entries)-1 || after != s.Entries[s.ByDeadline[len(due)]].Deadline {
-			t.Fatalf("%s: %d ends, %d after, %v", what, len(due), after, err)
+			t.Fatalf("%s: %d expiring, %d after, %v", label, len(due), after, err)
 		}
 		if !slices.IsSortedFunc(due, func(a, b ReadResult) int { return int(a.Record.Deadline - b.Record.Deadline) }) {
-			t.Fatalf("%s: ends out of order", what)
+			t.Fatalf("%s: expiring messages are out of order", label)
 		}
 	}
-	for id := range h.acked {
-		if !found[id] && !h.removing[id] {
-			t.Fatalf("%s: %s is lost", what, id)
+	for id := range expected.acked {
+		if !found[id] && !expected.removing[id] {
+			t.Fatalf("%s: %s is lost", label, id)
 		}
 	}
 	for id := range found {
-		if h.removed[id] || h.refused[id] {
-			t.Fatalf("%s: %s has come back (it was refused: %v)", what, id, h.refused[id])
+		if expected.removed[id] || expected.rejected[id] {
+			t.Fatalf("%s: %s is restored (it was rejected: %v)", label, id, expected.rejected[id])
 		}
 	}
 	if errs.Len() > 0 {
-		t.Fatalf("%s: damage is seen where there is none: %s", what, errs)
+		t.Fatalf("%s: damage is logged where there is none: %s", label, errs)
 	}
-	// It works on, and numbers are not given twice.
-	more := newHeld()
-	if err := play(l, more, 10_000, 3); err != nil {
-		t.Fatalf("%s: afterwards: %v", what, err)
+	// The log still takes messages, and assigns no sequence number twice.
+	more := newExpectation()
+	if err := runWorkload(l, more, 10_000, 3); err != nil {
+		t.Fatalf("%s: afterwards: %v", label, err)
 	}
 	for id, n := range more.seqs {
-		for old, was := range h.seqs {
+		for old, was := range expected.seqs {
 			if n == was && found[old] {
-				t.Fatalf("%s: %s has the number of %s", what, id, old)
+				t.Fatalf("%s: %s has the sequence number of %s", label, id, old)
 			}
 		}
 	}
 }
 
 func sameRecord(a, b *Record) bool {
-	return a.Seq == b.Seq && a.ID == b.ID && a.Order == b.Order && a.Class == b.Class && a.Tenant == b.Tenant && a.Partner == b.Partner && a.Deadline == b.Deadline &&
-		bytes.Equal(a.Body, b.Body) && a.Accepted == b.Accepted && a.Terms == b.Terms && a.Digest == b.Digest && a.Ordered == b.Ordered
+	return a.Seq == b.Seq && a.ID == b.ID && a.Order == b.Order && a.Class == b.Class && a.Tenant == b.Tenant &&
+		a.Partner == b.Partner && a.Deadline == b.Deadline && bytes.Equal(a.Body, b.Body) && a.Accepted == b.Accepted &&
+		a.Terms == b.Terms && a.Digest == b.Digest && a.Ordered == b.Ordered
 }
 
-// restore opens a log and reads what was left, as a process does that only comes up.
+// restore opens a log and restores its segments, like a process that ends after its start.
 func restore(m *vfs.Mem, opts Options) error {
 	l, err := Open(m, 0, opts)
 	if err != nil {
 		return err
 	}
 	defer l.Close()
-	return l.Restore(newLanes().id, func(RestoredSegment) {})
+	return l.Restore(newQueueIDs().id, func(RestoredSegment) {})
 }
 
-// A crash at any call, under each kind of loss, loses nothing that was acknowledged and brings nothing back whose
-// segment was removed; nor does one at any call of the start after it.
+// A crash at any file system call, with each kind of data loss, loses no acknowledged message and restores none whose
+// segment was removed. The same holds for a second crash at any call of the following start.
 func TestCrashAtEveryCall(t *testing.T) {
 	for _, sync := range []store.Sync{store.SyncAlways, store.SyncNever} {
-		opts := small
+		opts := smallOptions
 		opts.Sync = sync
 		const batches = 50
 		whole := vfs.NewMem()
@@ -232,27 +238,27 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := play(l, newHeld(), 0, batches); err != nil {
+		if err := runWorkload(l, newExpectation(), 0, batches); err != nil {
 			t.Fatal(err)
 		}
 		l.Close()
 		losses := vfs.Losses()
 		if sync == store.SyncNever {
-			losses = []vfs.Loss{vfs.LoseNone} // it promises to outlive the process only
+			losses = []vfs.Loss{vfs.LoseNone} // without syncs only the loss of the process is covered
 		}
 		for n := 1; n <= whole.Calls(); n++ {
 			for i, loss := range losses {
-				if len(losses) > 1 && (n+i)%2 == 0 { // two kinds at each call, the others at the next
+				if len(losses) > 1 && (n+i)%2 == 0 { // every other kind at this call, the rest at the next
 					continue
 				}
-				m, h := vfs.NewMem(), newHeld()
+				m, expected := vfs.NewMem(), newExpectation()
 				m.CrashAt(n)
 				if l, err := Open(m, 0, opts); err == nil {
-					if err := l.Restore(newLanes().id, func(RestoredSegment) {}); err == nil {
-						play(l, h, 0, batches)
+					if err := l.Restore(newQueueIDs().id, func(RestoredSegment) {}); err == nil {
+						runWorkload(l, expected, 0, batches)
 					}
 				}
-				what := fmt.Sprintf("sync %v, crash at call %d, loss %d", sync, n, loss)
+				label := fmt.Sprintf("sync %v, crash at call %d, loss %d", sync, n, loss)
 				rng := rand.New(rand.NewPCG(uint64(n), uint64(loss)))
 				left := m.Restart(loss, rng)
 				if (n+int(loss))%13 == 0 {
@@ -262,11 +268,11 @@
 						if restore(deep, opts); !deep.Crashed() {
 							break
 						}
-						check(t, fmt.Sprint(what, ", start at ", again), deep.Restart(loss, rng), opts, h)
+						checkRestored(t, fmt.Sprint(label, ", start at ", again), deep.Restart(loss, rng), opts, expected)
 					}
 					left = left.Restart(vfs.LoseNone, rng)
 				}
-				check(t, what, left, opts, h)
+				checkRestored(t, label, left, opts, expected)
 			}
 		}
 	}
@@ -274,71 +280,73 @@
 
 var errInjected = errors.New("injected")
 
-// A call that fails, whichever it is, loses nothing that was acknowledged, and what was refused is not there unless a
-// sync has failed.
+// A file system call that fails, whichever it is, loses no acknowledged message. A rejected message is not restored,
+// unless a sync has failed: then it is unknown which writes have reached the disk.
 func TestFailAtEveryCall(t *testing.T) {
-	opts := small
+	opts := smallOptions
 	opts.Sync = store.SyncAlways
 	opts.Log = slog.New(slog.NewTextHandler(io.Discard, nil))
 	whole := vfs.NewMem()
 	l, _ := Open(whole, 0, opts)
-	play(l, newHeld(), 0, 30)
+	runWorkload(l, newExpectation(), 0, 30)
 	calls := whole.Calls()
 	l.Close()
 	for n := 2; n <= calls; n++ {
-		m, h := vfs.NewMem(), newHeld()
+		m, expected := vfs.NewMem(), newExpectation()
 		m.FailAt(n, errInjected)
 		l, err := Open(m, 0, opts)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := play(l, h, 0, 30); !errors.Is(err, errInjected) {
+		if err := runWorkload(l, expected, 0, 30); !errors.Is(err, errInjected) {
 			t.Fatalf("call %d: %v", n, err)
 		}
-		before := len(h.acked)
-		err = play(l, h, 500, 5) // on it goes
-		if failed := l.Stats().Failed; failed != errors.Is(err, ErrSyncFailed) || !failed && (err != nil || len(h.acked) <= before) {
+		before := len(expected.acked)
+		err = runWorkload(l, expected, 500, 5) // later messages
+		if failed := l.Stats().Failed; failed != errors.Is(err, ErrSyncFailed) ||
+			!failed && (err != nil || len(expected.acked) <= before) {
 			t.Fatalf("call %d: then %v", n, err)
 		}
 		l.Close()
-		check(t, fmt.Sprint("call ", n, ", the machine dies"), m.Restart(vfs.LoseAll, nil), opts, h)
+		checkRestored(t, fmt.Sprint("call ", n, ", the machine crashes"), m.Restart(vfs.LoseAll, nil), opts, expected)
 	}
 }
 
-// A full disk refuses and leaves nothing; with room again it goes on.
+// A full disk rejects messages and keeps nothing of them; once there is room again, the log takes messages.
 func TestDiskFull(t *testing.T) {
-	opts := small
+	opts := smallOptions
 	opts.Sync = store.SyncAlways
 	for room := int64(512); room < 12_000; room += 512 {
-		m, h := vfs.NewMem(), newHeld()
+		m, expected := vfs.NewMem(), newExpectation()
 		m.Limit(room)
 		l, err := Open(m, 0, opts)
 		if err != nil {
 			t.Fatal(err)
 		}
-		err = play(l, h, 0, 40)
+		err = runWorkload(l, expected, 0, 40)
 		if room < 8192 && err == nil {
-			t.Fatalf("room for %d: all is taken", room)
+			t.Fatalf("room for %d: all messages are taken", room)
 		}
 		m.Limit(0)
-		if err := play(l, h, 500, 1+int(room/512)%2*5); err != nil {
-			t.Fatalf("room for %d: with room again: %v", room, err)
+		if err := runWorkload(l, expected, 500, 1+int(room/512)%2*5); err != nil {
+			t.Fatalf("room for %d: with more room: %v", room, err)
 		}
 		l.Close()
-		check(t, fmt.Sprint("room for ", room), m, opts, h)
+		checkRestored(t, fmt.Sprint("room for ", room), m, opts, expected)
 	}
 }
 
-// What a write that was refused has left in part does not come back behind a message of the size of its first.
-func TestRefusedInPart(t *testing.T) {
-	opts := small
+// Messages whose write was rejected in part are not restored. The next message overwrites the first of them at the same
+// size, so that the rest would follow it as valid records if it were not truncated.
+func TestPartialWriteIsNotRestored(t *testing.T) {
+	opts := smallOptions
 	opts.SegmentBytes = 1 << 20
 	for room := int64(512); room <= 2048; room += 512 {
 		m := vfs.NewMem()
 		l, _ := Open(m, 0, opts)
 		var list []*Record
 		for i := range 5 {
-			r := record(i)
+			r := testRecord(i)
 			r.Partner, r.Class, r.Order, r.Ordered, r.Accepted, r.Deadline, r.Body = "p", "c", "", false, 1, 1, make([]byte, 200)
 			r.Digest = 1
 			list = append(list, r)
@@ -354,7 +362,7 @@
 		}
 		l.Close()
 		l, _ = Open(m, 0, opts)
-		if err := l.Restore(newLanes().id, func(s RestoredSegment) {
+		if err := l.Restore(newQueueIDs().id, func(s RestoredSegment) {
 			if want := 2; err != nil && len(s.Entries) != want {
 				t.Fatalf("room for %d: %d messages, want %d", room, len(s.Entries), want)
 			}
@@ -365,31 +373,31 @@
 	}
 }
 
-// lastWrite is where the last write of a segment begins.
+// lastWrite returns the offset of the first record of a segment's last write.
 func lastWrite(b []byte) (off int) {
-	salt, _, _ := parseHeader(b, SegmentAlignment)
-	list, _ := walk(b, salt)
+	salt, _, _ := parseSegmentHeader(b, SegmentAlignment)
+	list, _ := scanRecords(b, salt)
 	for _, p := range list {
-		if p.start {
+		if p.priorSynced {
 			off = int(p.off)
 		}
 	}
 	return off
 }
 
-// A bit that flips anywhere costs no more than the message that it is in, and that one is named. In a segment that
-// has its index block it is named by that if even its head is damaged.
-func TestDamage(t *testing.T) {
+// A flipped bit anywhere in a segment damages at most the message that it is in, and that message is still identified,
+// with an index block even if its head is damaged.
+func TestDamagedSegment(t *testing.T) {
 	for _, sealed := range []bool{false, true} {
-		opts, _ := logged(small)
+		opts, _ := withErrorLog(smallOptions)
 		opts.SegmentBytes, opts.Sync = 1<<20, store.SyncAlways
 		m := vfs.NewMem()
 		l, err := Open(m, 0, opts)
 		if err != nil {
 			t.Fatal(err)
 		}
-		h := newHeld()
-		if err := play(l, h, 0, 12); err != nil {
+		expected := newExpectation()
+		if err := runWorkload(l, expected, 0, 12); err != nil {
 			t.Fatal(err)
 		}
 		l.Close()
@@ -398,8 +406,8 @@
 				t.Fatal(err)
 			}
 		}
-		data := name(SegmentAlignment, dataSuffix)
-		last := lastWrite(m.Data(data)) // it can't be told from one that a crash cut short, until there is an index block
+		data := fileName(SegmentAlignment, dataSuffix)
+		last := lastWrite(m.Data(data)) // without an index block, damage to it looks like a write that a crash interrupted
 		if sealed {
 			last = len(m.Data(data))
 		}
@@ -408,13 +416,13 @@
 			b := m2.Data(data)
 			b[at] ^= 1 << (at % 8)
 			m2.Set(data, b)
-			opts, errs := logged(opts)
+			opts, errs := withErrorLog(opts)
 			l, err := Open(m2, 0, opts)
 			if err != nil {
 				t.Fatal(err)
 			}
-			whole, named := map[string]bool{}, map[string]bool{}
-			if err := l.Restore(newLanes().id, func(s RestoredSegment) {
+			whole, identified := map[string]bool{}, map[string]bool{}
+			if err := l.Restore(newQueueIDs().id, func(s RestoredSegment) {
 				got, err := l.Read(backlog.RefillRead{Segment: s.First, N: uint32(len(s.Entries))})
 				if err != nil {
 					t.Fatal(err)
@@ -423,11 +431,11 @@
 					switch {
 					case g.Record == nil:
 					case g.Err != nil && g.Record.Body == nil:
-						named[g.Record.ID] = true
+						identified[g.Record.ID] = true
 					case g.Err == nil:
 						i := 0
 						fmt.Sscanf(g.Record.ID, "m%d", &i)
-						want := record(i)
+						want := testRecord(i)
 						if want.Seq = g.Entry.Seq; !sameRecord(g.Record, want) {
 							t.Fatalf("at %d: read %+v", at, g.Record)
 						}
@@ -438,31 +446,32 @@
 				t.Fatal(err)
 			}
 			l.Close()
-			lost := len(h.acked) - len(whole)
-			if lost > 1 || lost > 0 && sealed && len(named) != lost || lost > 0 && !sealed && errs.Len() == 0 {
-				t.Fatalf("sealed %v, at %d: %d of %d are whole, %v named; %s", sealed, at, len(whole), len(h.acked), named, errs)
+			lost := len(expected.acked) - len(whole)
+			if lost > 1 || lost > 0 && sealed && len(identified) != lost || lost > 0 && !sealed && errs.Len() == 0 {
+				t.Fatalf("sealed %v, at %d: %d of %d are whole, %v identified; %s",
+					sealed, at, len(whole), len(expected.acked), identified, errs)
 			}
 		}
 	}
 }
 
-// An index block that is damaged anywhere is made again, also that of a segment whose end a crash has torn.
-func TestDamagedIndexIsMadeAgain(t *testing.T) {
-	opts := small
+// An index block that is damaged anywhere is rebuilt, also that of a segment whose end was truncated after a crash.
+func TestDamagedIndexIsRebuilt(t *testing.T) {
+	opts := smallOptions
 	opts.Sync = store.SyncAlways
-	m, h := vfs.NewMem(), newHeld()
+	m, expected := vfs.NewMem(), newExpectation()
 	l, _ := Open(m, 0, opts)
-	if err := play(l, h, 0, 20); err != nil {
+	if err := runWorkload(l, expected, 0, 20); err != nil {
 		t.Fatal(err)
 	}
 	l.Close()
-	torn := name(h.firsts[len(h.firsts)-1], dataSuffix)
+	torn := fileName(expected.firsts[len(expected.firsts)-1], dataSuffix)
 	m.Set(torn, append(m.Data(torn), make([]byte, 99)...))
 	l, _ = Open(m, 0, opts)
-	if err := l.Restore(newLanes().id, func(RestoredSegment) {}); err != nil {
+	if err := l.Restore(newQueueIDs().id, func(RestoredSegment) {}); err != nil {
 		t.Fatal(err)
 	}
-	if err := play(l, h, 700, 1); err != nil {
+	if err := runWorkload(l, expected, 700, 1); err != nil {
 		t.Fatal(err)
 	}
 	l.Close()
@@ -472,14 +481,14 @@
 		b := m2.Data(index)
 		b[at] ^= 1 << (at % 8)
 		m2.Set(index, b)
-		quiet, errs := logged(opts)
+		quiet, errs := withErrorLog(opts)
 		if err := restore(m2, quiet); err != nil && !errors.Is(err, ErrNewer) {
 			t.Fatalf("at %d: %v", at, err)
 		} else if strings.Contains(errs.String(), dataSuffix) || err == nil && !strings.Contains(errs.String(), index) {
 			t.Fatalf("at %d: %s", at, errs)
 		}
 		if !strings.Contains(errs.String(), ErrNewer.Error()) {
-			check(t, fmt.Sprint("at ", at), m2, opts, h)
+			checkRestored(t, fmt.Sprint("at ", at), m2, opts, expected)
 		}
 	}
 }
--- a/internal/backlog/disk/doc.go
+++ b/internal/backlog/disk/doc.go
@@ -1,4 +1,4 @@
-// Package disk is the room behind the window: messages in files, in the order in
-// which they came, with an index block for each file once it is full. What comes
-// back and when is decided by package backlog; see docs/design/backlog.md.
+// Package disk stores spilled messages in segment files, in the order in which they were
+// spilled. A segment that is full gets an index block in a file beside it. Package
+// backlog decides which messages are read back, and when; see docs/design/backlog.md.
 package disk
--- a/internal/backlog/disk/log.go
+++ b/internal/backlog/disk/log.go
@@ -16,131 +16,142 @@
 	"cometrack/internal/vfs"
 )
 
-// Options bound a log.
+// Options sets the bounds of a [Log].
 type Options struct {
-	MaxBytes      int64 // bytes of all files; 0 for no limit
-	SegmentBytes  int64 // bytes of a segment at most, but for its last batch; 0 for a default
+	MaxBytes      int64 // max bytes of all files; 0 for no limit
+	SegmentBytes  int64 // max bytes of a segment, which its last batch may exceed; 0 for a default
 	Sync          store.Sync
-	FlushInterval time.Duration // store.SyncInterval: how often [Log.Flush] is called; for the books only
+	FlushInterval time.Duration // with store.SyncInterval: how often the caller calls [Log.Flush]; not used by the log
 	Log           *slog.Logger  // nil for none
 }
 
 const (
-	minSegment = 1 << 20
-	maxSegment = 32 << 20
-	segments   = 64 // of the limit
-	// mostEntries bounds what a segment without an index block takes in memory.
-	mostEntries = 64 << 10
-	// SegmentAlignment is what the first number of a segment is a multiple of.
+	minSegmentBytes = 1 << 20
+	maxSegmentBytes = 32 << 20
+	targetSegments  = 64 // number of default-size segments that fill MaxBytes
+	// maxEntries is the max number of messages of a segment. It bounds the memory of a
+	// segment's entries until the segment has its index block.
+	maxEntries = 64 << 10
+	// SegmentAlignment divides the first sequence number of every segment.
 	SegmentAlignment = 1024
-	lockName         = "lock"
+	lockFileName     = "lock"
 )
 
-// Errors of a log. They come wrapped.
+// Errors of a [Log], which its methods return wrapped.
 var (
-	ErrFull       = errors.New("the room behind the window is full")
-	ErrSyncFailed = errors.New("nothing goes behind the window since a sync failed")
-	ErrNewer      = errors.New("the backlog is of a later format")
-	ErrClosed     = errors.New("the backlog is closed")
-	// ErrDamaged says that a message can't be read back.
+	// ErrFull reports that MaxBytes is reached.
+	ErrFull = errors.New("the backlog is full")
+	// ErrSyncFailed reports that the log takes no more messages, since a sync, or the
+	// removal of a file, has failed.
+	ErrSyncFailed = errors.New("the backlog takes no messages since a sync failed")
+	// ErrNewer reports a file that a later version of the program wrote.
+	ErrNewer = errors.New("the backlog is of a later format")
+	// ErrClosed reports that the log is closed.
+	ErrClosed = errors.New("the backlog is closed")
+	// ErrDamaged reports a record that can't be read back.
 	ErrDamaged = errors.New("damaged record")
 )
 
-// Log is the files. Append belongs to one goroutine, all else but Stats to another one,
-// which may be the same.
+// Log is the set of segment files. Append, StartsSegment and Close belong to one
+// goroutine; the other methods but Stats and HasRoom belong to a goroutine that may be
+// another one.
 type Log struct {
 	fs   vfs.FS
 	opts Options
 	lock io.Closer
 
-	mu      sync.Mutex // of the map and the figures
-	files   map[uint64]*file
-	used    int64
-	failure error
-	closed  bool
-	active  *file // that is written; nil if there is none
+	mu        sync.Mutex // protects the fields up to active, and segmentFile.size and synced
+	files     map[uint64]*segmentFile
+	usedBytes int64
+	failure   error
+	closed    bool
+	active    *segmentFile // the segment that Append writes; nil if there is none
 
-	// Of the one that appends:
-	next uint64
-	torn bool
-	buf  bytes.Buffer
+	// Used only by Append:
+	nextSeq      uint64 // sequence number of the next message
+	partialWrite bool   // a failed write may have left bytes behind the end of active
+	buf          bytes.Buffer
 }
 
-// file is a segment.
-type file struct {
-	first uint64
-	salt  uint64
-	data  vfs.File
-	size  int64
-	safe  int64 // bytes that are sure to be on the disk
-	n     uint32
-	lost  bool // its header is damaged: nothing can be read from it
+// segmentFile is a segment.
+type segmentFile struct {
+	first         uint64
+	salt          uint64
+	data          vfs.File
+	size          int64
+	synced        int64 // number of bytes known to be on stable storage
+	n             uint32
+	headerDamaged bool // without the salt of the header, only an index block makes it readable
 
-	index  vfs.File // nil until it has an index block
+	index  vfs.File // nil until the segment has an index block
 	layout layout
-	lanes  []backlog.QueueID // by their number in the index block
+	queues []backlog.QueueID // by their number in the index block
 }
 
-// Stats tells how a log stands.
+// Stats describes the state of a [Log].
 type Stats struct {
 	Segments  int
 	UsedBytes int64 // bytes of all files
-	Failed    bool
+	Failed    bool  // the log takes no more messages, see [ErrSyncFailed]
 }
 
-// Open opens the log in a folder that it has for itself. What an earlier process has
-// left is told by [Log.Restore], which is to be called next. Numbers of new messages
-// begin above least.
-func Open(dir vfs.FS, least uint64, opts Options) (*Log, error) {
+// Open opens the log in a folder of its own, which it locks. The caller must call
+// [Log.Restore] next, which reads the segments of an earlier process. Sequence numbers
+// of new messages are above lastSeq.
+func Open(dir vfs.FS, lastSeq uint64, opts Options) (*Log, error) {
 	if opts.SegmentBytes <= 0 {
 		opts.SegmentBytes = segmentSize(opts.MaxBytes)
 	}
 	if opts.Log == nil {
 		opts.Log = slog.New(slog.DiscardHandler)
 	}
-	lock, err := dir.Lock(lockName)
+	lock, err := dir.Lock(lockFileName)
 	if err != nil {
 		return nil, fmt.Errorf("backlog: %w", err)
 	}
-	return &Log{fs: dir, opts: opts, lock: lock, files: map[uint64]*file{}, next: least + 1}, nil
+	return &Log{fs: dir, opts: opts, lock: lock, files: map[uint64]*segmentFile{}, nextSeq: lastSeq + 1}, nil
 }
 
-func segmentSize(limit int64) int64 {
-	if limit <= 0 {
-		return maxSegment
+// segmentSize returns the default of Options.SegmentBytes.
+func segmentSize(maxBytes int64) int64 {
+	if maxBytes <= 0 {
+		return maxSegmentBytes
 	}
-	return min(max(limit/segments, minSegment), maxSegment)
+	return min(max(maxBytes/targetSegments, minSegmentBytes), maxSegmentBytes)
 }
 
-// MaxOpenFiles is about how many files a log of that limit has open at once.
-func MaxOpenFiles(limit int64) int { return 2*int(limit/segmentSize(limit)) + 4 }
+// MaxOpenFiles returns about how many files a log of at most maxBytes has open at once.
+func MaxOpenFiles(maxBytes int64) int { return 2*int(maxBytes/segmentSize(maxBytes)) + 4 }
 
-// Stats tells how the log stands.
+// Stats returns the state of the log.
 func (l *Log) Stats() Stats {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return Stats{Segments: len(l.files), UsedBytes: l.used, Failed: l.failure != nil}
+	return Stats{Segments: len(l.files), UsedBytes: l.usedBytes, Failed: l.failure != nil}
 }
 
-// HasRoom says whether messages of so many bytes, bodies and heads, are taken.
+// HasRoom reports whether the log takes more bytes of messages, bodies and heads.
 func (l *Log) HasRoom(more int64) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	// An index block is smaller than its segment; one may be owed.
-	return l.failure == nil && !l.closed && (l.opts.MaxBytes <= 0 || l.used+more+l.opts.SegmentBytes <= l.opts.MaxBytes)
+	// Leaves room for one index block to be written, which is smaller than its segment.
+	return l.failure == nil && !l.closed &&
+		(l.opts.MaxBytes <= 0 || l.usedBytes+more+l.opts.SegmentBytes <= l.opts.MaxBytes)
 }
 
-// StartsSegment says whether the next Append begins a segment, and gives its first number.
-func (l *Log) StartsSegment() (first uint64, yes bool) {
-	if a := l.active; a != nil && a.size < l.opts.SegmentBytes && a.n < mostEntries {
+// StartsSegment reports whether the next Append starts a segment, and returns the first
+// sequence number of that segment.
+func (l *Log) StartsSegment() (first uint64, starts bool) {
+	if a := l.active; a != nil && a.size < l.opts.SegmentBytes && a.n < maxEntries {
 		return 0, false
 	}
-	return (l.next + SegmentAlignment - 1) / SegmentAlignment * SegmentAlignment, true
+	return (l.nextSeq + SegmentAlignment - 1) / SegmentAlignment * SegmentAlignment, true
 }
 
-// Append writes messages, as safe as the setting says once it returns, and gives each
-// its number and its place. The caller asks Begins first, and after the first message
-// of a segment the one before is closed. On an error none of them counts.
+// Append writes messages, assigns each its sequence number and returns their entries.
+// When it returns, they are as durable as Options.Sync requires. The caller must call
+// [Log.StartsSegment] first; if Append starts a segment, the one before is closed. On an
+// error none of the messages is stored.
 func (l *Log) Append(list []*Record) ([]backlog.Entry, error) {
 	l.mu.Lock()
 	err := l.failure
@@ -151,44 +162,44 @@
 	if err != nil {
 		return nil, fmt.Errorf("backlog: %w", err)
 	}
-	if err := l.mend(); err != nil {
+	if err := l.truncatePartialWrite(); err != nil {
 		return nil, fmt.Errorf("backlog: %w", err)
 	}
 	g := l.active
-	first, begins := l.StartsSegment()
-	if begins {
-		if g, err = l.begin(first); err != nil {
+	first, starts := l.StartsSegment()
+	if starts {
+		if g, err = l.createSegment(first); err != nil {
 			return nil, fmt.Errorf("backlog: %w", err)
 		}
 	}
 	l.mu.Lock()
-	safe := l.opts.Sync == store.SyncNever || g.safe == g.size
+	priorSynced := l.opts.Sync == store.SyncNever || g.synced == g.size
 	l.mu.Unlock()
 	l.buf.Reset()
 	base := g.size
-	if begins {
-		l.buf.Write(header(first, g.salt))
-		l.next = first
+	if starts {
+		l.buf.Write(segmentHeader(first, g.salt))
+		l.nextSeq = first
 	}
 	entries := make([]backlog.Entry, len(list))
-	next := l.next
+	next := l.nextSeq
 	for i, r := range list {
 		r.Seq = next
 		next++
 		off := base + int64(l.buf.Len())
-		head := appendRecord(&l.buf, g.salt, off, r, i == 0 && safe)
-		entries[i] = backlog.Entry{Seq: r.Seq, Deadline: r.Deadline, Terms: r.Terms, Offset: uint32(off), HeadSize: uint32(head),
-			Size: uint32(head + len(r.Body))}
+		head := appendRecord(&l.buf, g.salt, off, r, i == 0 && priorSynced)
+		entries[i] = backlog.Entry{Seq: r.Seq, Deadline: r.Deadline, Terms: r.Terms,
+			Offset: uint32(off), HeadSize: uint32(head), Size: uint32(head + len(r.Body))}
 	}
-	if err := l.write(g, begins); err != nil {
-		if begins {
+	if err := l.write(g, starts); err != nil {
+		if starts {
 			g.data.Close()
 		}
 		return nil, fmt.Errorf("backlog: %w", err)
 	}
-	l.next = next
+	l.nextSeq = next
 	g.n += uint32(len(list))
-	if begins {
+	if starts {
 		l.mu.Lock()
 		l.files[first], l.active = g, g
 		l.mu.Unlock()
@@ -196,91 +207,92 @@
 	return entries, nil
 }
 
-// begin makes the file of a new segment.
-func (l *Log) begin(first uint64) (*file, error) {
-	if a := l.active; a != nil && l.opts.Sync == store.SyncInterval { // nobody else syncs it later
+// createSegment creates the file of a new segment.
+func (l *Log) createSegment(first uint64) (*segmentFile, error) {
+	if a := l.active; a != nil && l.opts.Sync == store.SyncInterval { // Flush syncs the active segment only
 		if err := l.sync(a); err != nil {
 			return nil, err
 		}
 	}
-	f, err := l.fs.Open(name(first, dataSuffix), true)
+	f, err := l.fs.Open(fileName(first, dataSuffix), true)
 	if err != nil {
 		return nil, err
 	}
-	return &file{first: first, salt: rand.Uint64(), data: f}, nil
+	return &segmentFile{first: first, salt: rand.Uint64(), data: f}, nil
 }
 
-// write writes the buffer behind a segment and makes it as safe as the setting says.
-func (l *Log) write(g *file, begins bool) error {
+// write appends the buffer to a segment and syncs it as Options.Sync requires.
+func (l *Log) write(g *segmentFile, starts bool) error {
 	b := l.buf.Bytes()
 	_, err := g.data.WriteAt(b, g.size)
 	if err != nil {
-		return l.undo(g, begins, err)
+		return l.undoWrite(g, starts, err)
 	}
 	l.mu.Lock()
 	g.size += int64(len(b))
-	l.used += int64(len(b))
+	l.usedBytes += int64(len(b))
 	l.mu.Unlock()
 	switch l.opts.Sync {
 	case store.SyncAlways:
-		if err = l.sync(g); err == nil && begins {
+		if err = l.sync(g); err == nil && starts {
 			if err = l.fs.SyncDir(); err != nil {
-				l.fail(err)
+				l.setFailure(err)
 			}
 		}
 	case store.SyncInterval:
-		if begins {
+		if starts {
 			if err = l.fs.SyncDir(); err != nil {
-				l.fail(err)
+				l.setFailure(err)
 			}
 		}
 	}
 	return err
 }
 
-// undo takes back what a write that failed has left.
-func (l *Log) undo(g *file, begins bool, cause error) error {
-	if begins {
-		if err := l.remove(name(g.first, dataSuffix)); err != nil {
-			l.fail(err) // what is in it must not be found by the next start
+// undoWrite removes the bytes that a failed write may have left. It returns cause.
+func (l *Log) undoWrite(g *segmentFile, starts bool, cause error) error {
+	if starts {
+		if err := l.removeFile(fileName(g.first, dataSuffix)); err != nil {
+			l.setFailure(err) // the next process must not restore messages that were rejected
 		}
 		return cause
 	}
-	l.torn = true
-	if err := l.mend(); err != nil {
-		l.opts.Log.Warn("backlog: a write that failed is not cut off yet", "err", err)
+	l.partialWrite = true
+	if err := l.truncatePartialWrite(); err != nil {
+		l.opts.Log.Warn("backlog: the partial data of a failed write can't be truncated yet", "err", err)
 	}
 	return cause
 }
 
-// mend cuts off what a write that failed has left.
-func (l *Log) mend() error {
-	if !l.torn {
+// truncatePartialWrite truncates the bytes that a failed write may have left.
+func (l *Log) truncatePartialWrite() error {
+	if !l.partialWrite {
 		return nil
 	}
 	if err := l.active.data.Truncate(l.active.size); err != nil {
 		return err
 	}
-	l.torn = false
+	l.partialWrite = false
 	return nil
 }
 
-// sync makes a segment safe. After a sync that failed nothing is known of what was
-// written, so nothing is taken any more.
-func (l *Log) sync(g *file) error {
+// sync syncs a segment. After a failed sync it is unknown which writes have reached the
+// disk, so the log takes no more messages.
+func (l *Log) sync(g *segmentFile) error {
 	l.mu.Lock()
 	size := g.size
 	l.mu.Unlock()
 	if err := g.data.Sync(); err != nil {
-		return l.fail(err)
+		return l.setFailure(err)
 	}
 	l.mu.Lock()
-	g.safe = max(g.safe, size)
+	g.synced = max(g.synced, size)
 	l.mu.Unlock()
 	return nil
 }
 
-func (l *Log) fail(err error) error {
+// setFailure makes the log reject all further messages. It returns the first failure.
+func (l *Log) setFailure(err error) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.failure == nil {
@@ -290,20 +302,21 @@
 	return l.failure
 }
 
-// Flush syncs what was written, for store.SyncInterval.
+// Flush syncs the messages that were written since the last sync, with
+// store.SyncInterval. With other modes it does nothing.
 func (l *Log) Flush() error {
 	l.mu.Lock()
 	g := l.active
-	owed := g != nil && g.safe < g.size && l.failure == nil
+	needsSync := g != nil && g.synced < g.size && l.failure == nil
 	l.mu.Unlock()
-	if !owed || l.opts.Sync != store.SyncInterval {
+	if !needsSync || l.opts.Sync != store.SyncInterval {
 		return nil
 	}
 	return l.sync(g)
 }
 
-// Remove takes away a segment of which nothing is behind the window any more. Once it
-// returns without an error its files do not come back.
+// Remove removes a segment without spilled messages. Once it has returned without an
+// error, the files stay removed after a crash.
 func (l *Log) Remove(first uint64) error {
 	l.mu.Lock()
 	g := l.files[first]
@@ -311,7 +324,7 @@
 	if g == nil {
 		return nil
 	}
-	err := errors.Join(l.remove(name(first, dataSuffix)), l.remove(name(first, indexSuffix)))
+	err := errors.Join(l.removeFile(fileName(first, dataSuffix)), l.removeFile(fileName(first, indexSuffix)))
 	if err == nil && l.opts.Sync != store.SyncNever {
 		err = l.fs.SyncDir()
 	}
@@ -322,18 +335,18 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	delete(l.files, first)
-	l.used -= g.size + g.layout.size()
+	l.usedBytes -= g.size + g.layout.size()
 	return nil
 }
 
-func (l *Log) remove(name string) error {
+func (l *Log) removeFile(name string) error {
 	if err := l.fs.Remove(name); err != nil && !errors.Is(err, fs.ErrNotExist) {
 		return err
 	}
 	return nil
 }
 
-func (g *file) close() error {
+func (g *segmentFile) close() error {
 	var err error
 	if g.index != nil {
 		err = g.index.Close()
@@ -344,7 +357,7 @@
 	return err
 }
 
-// Close syncs what is owed a sync and closes the files.
+// Close flushes the log, closes its files and releases its lock.
 func (l *Log) Close() error {
 	err := l.Flush()
 	l.mu.Lock()
--- a/internal/backlog/disk/restore.go
+++ b/internal/backlog/disk/restore.go
@@ -9,8 +9,8 @@
 	"cometrack/internal/backlog"
 )
 
-// RestoredSegment is what an earlier process has left, with its index block. An entry
-// without a head is of a message that can't be read at all.
+// RestoredSegment is a segment of an earlier process and the contents of its index block.
+// An entry with a HeadSize of 0 is of a message that can't be read at all.
 type RestoredSegment struct {
 	First      uint64
 	Entries    []backlog.Entry
@@ -18,153 +18,163 @@
 	Runs       []backlog.Run
 }
 
-// Restore reads what an earlier process has left, segment by segment in the order of
-// their numbers, and gives each an index block that has none. Lanes get their numbers
-// from lane.
-func (l *Log) Restore(lane func(backlog.Queue) backlog.QueueID, take func(RestoredSegment)) error {
+// Restore reads the segments of an earlier process in the order of their sequence
+// numbers, and passes each to take. It writes the index block of segments that have none
+// or a damaged one. queueID returns the ID of a queue.
+func (l *Log) Restore(queueID func(backlog.Queue) backlog.QueueID, take func(RestoredSegment)) error {
 	names, err := l.fs.List()
 	if err != nil {
 		return fmt.Errorf("backlog: %w", err)
 	}
 	var firsts []uint64
 	for _, n := range names {
-		if first, ok := number(n, dataSuffix); ok {
+		if first, ok := parseFileName(n, dataSuffix); ok {
 			firsts = append(firsts, first)
 		}
 	}
 	slices.Sort(firsts)
 	for _, n := range names {
-		if first, ok := number(n, indexSuffix); ok && !slices.Contains(firsts, first) { // its segment was being removed
-			if err := l.remove(n); err != nil {
+		if first, ok := parseFileName(n, indexSuffix); ok && !slices.Contains(firsts, first) { // a crash interrupted Remove
+			if err := l.removeFile(n); err != nil {
 				return fmt.Errorf("backlog: %w", err)
 			}
 		}
 	}
 	for i, first := range firsts {
-		if err := l.restore(first, i == len(firsts)-1, slices.Contains(names, name(first, indexSuffix)), lane, take); err != nil {
-			return fmt.Errorf("backlog: %s: %w", name(first, dataSuffix), err)
+		if err := l.restoreSegment(first, i == len(firsts)-1, slices.Contains(names, fileName(first, indexSuffix)),
+			queueID, take); err != nil {
+			return fmt.Errorf("backlog: %s: %w", fileName(first, dataSuffix), err)
 		}
 	}
 	return nil
 }
 
-func number(file, suffix string) (uint64, bool) {
+// parseFileName parses the first sequence number of a file with that suffix; false if the
+// file is not one of a segment.
+func parseFileName(file, suffix string) (uint64, bool) {
 	digits, ok := strings.CutSuffix(file, suffix)
 	if !ok || len(digits) != 16 {
 		return 0, false
 	}
 	n, err := strconv.ParseUint(digits, 16, 64)
-	return n, err == nil && name(n, suffix) == file
+	return n, err == nil && fileName(n, suffix) == file
 }
 
-func (l *Log) restore(first uint64, last, indexed bool, lane func(backlog.Queue) backlog.QueueID, take func(RestoredSegment)) error {
-	f, err := l.fs.Open(name(first, dataSuffix), false)
+// restoreSegment opens a segment and passes it to take. last marks the newest segment,
+// which a crash may have left incomplete; indexed reports whether it has an index file.
+func (l *Log) restoreSegment(first uint64, last, indexed bool, queueID func(backlog.Queue) backlog.QueueID,
+	take func(RestoredSegment)) error {
+	f, err := l.fs.Open(fileName(first, dataSuffix), false)
 	if err != nil {
 		return err
 	}
-	g := &file{first: first, data: f}
+	g := &segmentFile{first: first, data: f}
 	l.mu.Lock()
 	l.files[first] = g
 	l.mu.Unlock()
 	if g.size, err = f.Size(); err != nil {
 		return err
 	}
-	head := make([]byte, headerLen)
-	n, err := readFull(f, head, 0)
+	head := make([]byte, headerSize)
+	n, err := readAvailable(f, head, 0)
 	if err != nil {
 		return err
 	}
-	salt, ok, err := parseHeader(head[:n], first)
+	salt, ok, err := parseSegmentHeader(head[:n], first)
 	if err != nil {
 		return err
 	}
-	g.salt, g.lost = salt, !ok
+	g.salt, g.headerDamaged = salt, !ok
 	var s RestoredSegment
 	if good := false; indexed {
-		if s, good, err = l.openIndex(g, lane); err != nil {
+		if s, good, err = l.openIndex(g, queueID); err != nil {
 			return err
 		}
 		indexed = good
 	}
 	if !indexed {
-		if g.lost {
-			return l.setAside(g, last)
+		if g.headerDamaged {
+			return l.quarantine(g, last)
 		}
-		if s, err = l.scan(g, last, lane); err != nil {
+		if s, err = l.recoverSegment(g, last, queueID); err != nil {
 			return err
 		}
 	}
-	g.safe = g.size
+	g.synced = g.size
 	l.mu.Lock()
-	l.used += g.size
-	l.next = max(l.next, first+uint64(len(s.Entries)))
+	l.usedBytes += g.size
+	l.nextSeq = max(l.nextSeq, first+uint64(len(s.Entries)))
 	l.mu.Unlock()
 	take(s)
 	return nil
 }
 
-func (l *Log) openIndex(g *file, lane func(backlog.Queue) backlog.QueueID) (s RestoredSegment, ok bool, err error) {
-	f, err := l.fs.Open(name(g.first, indexSuffix), false)
+// openIndex reads the index block of a segment; ok is false if it is damaged.
+func (l *Log) openIndex(g *segmentFile, queueID func(backlog.Queue) backlog.QueueID) (s RestoredSegment,
+	ok bool, err error) {
+	f, err := l.fs.Open(fileName(g.first, indexSuffix), false)
 	if err != nil {
 		return s, false, err
 	}
 	size, err := f.Size()
 	b := make([]byte, size)
 	if err == nil {
-		_, err = readFull(f, b, 0)
+		_, err = readAvailable(f, b, 0)
 	}
 	if err == nil {
-		s, ok, err = l.loadIndex(g, b, lane)
+		s, ok, err = l.parseIndex(g, b, queueID)
 	}
 	if err != nil || !ok {
 		f.Close()
 		if err == nil {
-			l.opts.Log.Error("backlog: an index block is damaged and made again", "file", name(g.first, indexSuffix))
+			l.opts.Log.Error("backlog: an index block is damaged and rebuilt", "file", fileName(g.first, indexSuffix))
 		}
 		return s, false, err
 	}
 	g.index = f
 	l.mu.Lock()
-	l.used += g.layout.size()
+	l.usedBytes += g.layout.size()
 	l.mu.Unlock()
 	return s, true, nil
 }
 
-// setAside takes away a segment without a header or an index block: a crash has cut
-// its making short, and nothing in it was acknowledged, or it is damaged and is kept.
-func (l *Log) setAside(g *file, last bool) error {
+// quarantine takes a segment with neither a valid header nor an index block out of use.
+// The newest one or an empty one is removed: a crash interrupted its creation, and none
+// of its messages was accepted. Any other is damaged, and is kept under another name.
+func (l *Log) quarantine(g *segmentFile, last bool) error {
 	g.data.Close()
 	l.mu.Lock()
 	delete(l.files, g.first)
 	l.mu.Unlock()
 	if last || g.size == 0 {
-		return l.remove(name(g.first, dataSuffix))
+		return l.removeFile(fileName(g.first, dataSuffix))
 	}
-	to := "damaged-" + name(g.first, dataSuffix)
-	l.opts.Log.Error("backlog: a segment can't be read and is set aside", "file", to, "bytes", g.size)
-	return l.fs.Rename(name(g.first, dataSuffix), to)
+	to := "damaged-" + fileName(g.first, dataSuffix)
+	l.opts.Log.Error("backlog: a segment can't be read and is renamed", "file", to, "bytes", g.size)
+	return l.fs.Rename(fileName(g.first, dataSuffix), to)
 }
 
-// scan reads a segment that has no index block, cuts off what a crash has left of a
-// write at its end, and makes the index block.
-func (l *Log) scan(g *file, last bool, lane func(backlog.Queue) backlog.QueueID) (s RestoredSegment, err error) {
+// recoverSegment reads a segment that has no index block, truncates the incomplete write
+// that a crash may have left at the end of the newest segment, and writes the index block.
+func (l *Log) recoverSegment(g *segmentFile, last bool, queueID func(backlog.Queue) backlog.QueueID) (
+	s RestoredSegment, err error) {
 	b := make([]byte, g.size)
-	if _, err := readFull(g.data, b, 0); err != nil {
+	if _, err := readAvailable(g.data, b, 0); err != nil {
 		return s, err
 	}
-	list, bad := walk(b, g.salt)
+	list, bad := scanRecords(b, g.salt)
 	cut := int64(len(b))
 	if last {
-		// Before what begins a write all was safe; from there on what can't be read is of a write that was not
-		// acknowledged.
-		begun := int64(0)
+		// All data before a record with priorSynced was synced. From the last such record on, unreadable data
+		// belongs to a write that was interrupted, whose messages were not accepted.
+		lastSynced := int64(0)
 		for i := range list {
-			if list[i].start {
-				begun = list[i].off
+			if list[i].priorSynced {
+				lastSynced = list[i].off
 			}
 		}
 		for _, at := range bad {
-			if at >= begun {
+			if at >= lastSynced {
 				cut = at
 				break
 			}
@@ -178,7 +188,7 @@
 	}
 	for _, at := range bad {
 		if at < cut {
-			l.opts.Log.Error("backlog: damage", "file", name(g.first, dataSuffix), "at", at)
+			l.opts.Log.Error("backlog: a damaged record", "file", fileName(g.first, dataSuffix), "at", at)
 		}
 	}
 	names := map[backlog.QueueID]backlog.Queue{}
@@ -187,45 +197,48 @@
 		if p.off >= cut || p.Seq < g.first+uint64(len(s.Entries)) {
 			continue
 		}
-		for g.first+uint64(len(s.Entries)) < p.Seq { // not even its head can be read
-			s.Entries = append(s.Entries, backlog.Entry{Seq: g.first + uint64(len(s.Entries)), Queue: lane(p.Queue()), Deadline: p.Deadline})
+		for g.first+uint64(len(s.Entries)) < p.Seq { // messages whose heads can't be read
+			s.Entries = append(s.Entries, backlog.Entry{Seq: g.first + uint64(len(s.Entries)),
+				Queue: queueID(p.Queue()), Deadline: p.Deadline})
 		}
-		id := lane(p.Queue())
+		id := queueID(p.Queue())
 		names[id] = p.Queue()
-		s.Entries = append(s.Entries, backlog.Entry{Seq: p.Seq, IDHash: HashID(p.ID), OrderHash: p.OrderHash(), Queue: id, Deadline: p.Deadline, Offset: uint32(p.off),
-			HeadSize: uint32(p.head), Size: uint32(p.size), Terms: p.Terms})
+		s.Entries = append(s.Entries, backlog.Entry{Seq: p.Seq, IDHash: HashID(p.ID), OrderHash: p.OrderHash(),
+			Queue: id, Deadline: p.Deadline, Offset: uint32(p.off), HeadSize: uint32(p.headSize),
+			Size: uint32(p.size), Terms: p.Terms})
 	}
 	g.n, s.First = uint32(len(s.Entries)), g.first
-	byLane, byDeadline, runs := backlog.SortEntries(s.Entries)
+	byQueue, byDeadline, runs := backlog.SortEntries(s.Entries)
 	s.ByDeadline, s.Runs = byDeadline, runs
-	return s, l.seal(g, s.Entries, byLane, byDeadline, runs, names)
+	return s, l.buildIndex(g, s.Entries, byQueue, byDeadline, runs, names)
 }
 
-// placed is a record in a segment's bytes.
-type placed struct {
-	parsed
+// placedRecord is a record and its offset in the segment.
+type placedRecord struct {
+	parsedRecord
 	off int64
 }
 
-// walk finds the records of a segment, and where something can't be read, in order.
-func walk(b []byte, salt uint64) (list []placed, bad []int64) {
-	seq, within := uint64(0), false // a stretch that can't be read
-	for off := min(headerLen, len(b)); off < len(b); {
+// scanRecords returns the records of a segment, without bodies, and the offsets at which
+// a damaged range or a record with a damaged body begins, both in order.
+func scanRecords(b []byte, salt uint64) (list []placedRecord, bad []int64) {
+	seq, inDamage := uint64(0), false // inDamage: the preceding bytes can't be read
+	for off := min(headerSize, len(b)); off < len(b); {
 		p, ok := parseHead(b[off:], salt, int64(off))
 		if !ok || p.Seq <= seq {
-			if !within {
+			if !inDamage {
 				bad = append(bad, int64(off))
 			}
-			within = true
+			inDamage = true
 			off++
 			continue
 		}
-		seq, within = p.Seq, false
-		if !p.body(b[off:]) {
+		seq, inDamage = p.Seq, false
+		if !p.parseBody(b[off:]) {
 			bad = append(bad, int64(off))
 		}
 		p.Body = nil
-		list = append(list, placed{p, int64(off)})
+		list = append(list, placedRecord{p, int64(off)})
 		off += p.size
 	}
 	return list, bad
--- a/internal/backlog/spill/crash_test.go
+++ b/internal/backlog/spill/crash_test.go
@@ -14,21 +14,21 @@
 func TestCrashAtEveryCall(t *testing.T) {
 	for _, sync := range []store.Sync{store.SyncAlways, store.SyncNever} {
 		whole := vfs.NewMem()
-		d, err := start(whole, sync, begin, map[string]*life{})
+		d, err := start(whole, sync, startTime, map[string]*expectation{})
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := d.play(); err != nil {
+		if err := d.runWorkload(); err != nil {
 			t.Fatal(err)
 		}
 		over := 0
-		for _, l := range d.lives {
-			if l.over {
+		for _, l := range d.messages {
+			if l.ended {
 				over++
 			}
 		}
 		if behind := d.s.Len(); behind < 5 || over < 20 {
-			t.Fatalf("%d of %d are over, %d behind", over, len(d.lives), behind)
+			t.Fatalf("%d of %d are over, %d behind", over, len(d.messages), behind)
 		}
 		calls := whole.Calls()
 		d.close()
@@ -39,11 +39,11 @@
 		}
 		for n := 1; n <= calls; n++ {
 			for _, loss := range losses[n%len(losses):][:1] {
-				m, lives := vfs.NewMem(), map[string]*life{}
+				m, lives := vfs.NewMem(), map[string]*expectation{}
 				m.CrashAt(n)
-				now := begin
-				if d, err := start(m, sync, begin, lives); err == nil {
-					if err := d.play(); !m.Crashed() {
+				now := startTime
+				if d, err := start(m, sync, startTime, lives); err == nil {
+					if err := d.runWorkload(); !m.Crashed() {
 						t.Fatalf("crash at call %d: %v", n, err)
 					}
 					now = d.now
--- a/internal/backlog/spill/harness_test.go
+++ b/internal/backlog/spill/harness_test.go
@@ -17,19 +17,19 @@
 	"cometrack/internal/vfs"
 )
 
-// room is a folder within one that crashes as a whole: its files have a prefix there.
-type room struct {
+// prefixFS is a folder within one that crashes as a whole: its files have a prefix there.
+type prefixFS struct {
 	vfs.FS
 	prefix string
 }
 
-func (r room) Open(name string, create bool) (vfs.File, error) {
+func (r prefixFS) Open(name string, create bool) (vfs.File, error) {
 	return r.FS.Open(r.prefix+name, create)
 }
-func (r room) Remove(name string) error            { return r.FS.Remove(r.prefix + name) }
-func (r room) Rename(from, to string) error        { return r.FS.Rename(r.prefix+from, r.prefix+to) }
-func (r room) Lock(name string) (io.Closer, error) { return r.FS.Lock(r.prefix + name) }
-func (r room) List() ([]string, error) {
+func (r prefixFS) Remove(name string) error            { return r.FS.Remove(r.prefix + name) }
+func (r prefixFS) Rename(from, to string) error        { return r.FS.Rename(r.prefix+from, r.prefix+to) }
+func (r prefixFS) Lock(name string) (io.Closer, error) { return r.FS.Lock(r.prefix + name) }
+func (r prefixFS) List() ([]string, error) {
 	list, err := r.FS.List()
 	var out []string
 	for _, n := range list {
@@ -40,46 +40,46 @@
 	return out, err
 }
 
-// life is what a test knows of a message.
-type life struct {
-	acked bool // it was acknowledged
-	begun bool // its end was begun
-	over  bool // its end is in the journal
-	seq   int  // of its acknowledgement, to hold order against
+// expectation is what a test knows of a message.
+type expectation struct {
+	acked    bool // it was acknowledged
+	endBegun bool // its end was begun
+	ended    bool // its end is in the journal
+	seq      int  // of its acknowledgement, to hold order against
 }
 
-// daemon is a process without a module: it takes messages on, lets them into their
+// testProcess is a process without a module: it takes messages on, lets them into their
 // windows and ends them.
-type daemon struct {
-	j      *journal.Journal
-	s      *Spill
-	events chan any
-	now    int64 // Unix microseconds, as the test has it
-	lives  map[string]*life
-	window []string // in the module, in order
-	acks   int
+type testProcess struct {
+	j        *journal.Journal
+	s        *Spill
+	events   chan any
+	now      int64 // Unix microseconds, as the test has it
+	messages map[string]*expectation
+	window   []string // in the module, in order
+	acks     int
 }
 
 var testOptions = Options{Window: 3, MaxBytes: 1 << 20, SegmentBytes: 1500, Log: slog.New(slog.DiscardHandler)}
 
-const begin = int64(1_000_000_000_000)
+const startTime = int64(1_000_000_000_000)
 
-// far is a time in which the journal forgets no end.
-var far = journal.Options{Disk: 1 << 20, MostEnded: 10_000, KeepEnded: 1 << 62}
+// journalOptions is a time in which the journal forgets no end.
+var journalOptions = journal.Options{Disk: 1 << 20, MostEnded: 10_000, KeepEnded: 1 << 62}
 
 // start opens what an earlier process has left. known is what a test knows of the
 // messages.
-func start(fs vfs.FS, sync store.Sync, now int64, known map[string]*life) (*daemon, error) {
-	opts := far
+func start(fs vfs.FS, sync store.Sync, now int64, known map[string]*expectation) (*testProcess, error) {
+	opts := journalOptions
 	opts.Sync, opts.Log = sync, slog.New(slog.DiscardHandler)
-	j, err := journal.OpenOn(room{fs, "j-"}, opts)
+	j, err := journal.OpenOn(prefixFS{fs, "j-"}, opts)
 	if err != nil {
 		return nil, err
 	}
-	d := &daemon{j: j, events: make(chan any, 100), now: now, lives: known}
+	d := &testProcess{j: j, events: make(chan any, 100), now: now, messages: known}
 	behind := testOptions
 	behind.Sync = sync
-	d.s, err = Open(room{fs, "b-"}, j, behind, func(ev any, quit <-chan struct{}) {
+	d.s, err = Open(prefixFS{fs, "b-"}, j, behind, func(ev any, quit <-chan struct{}) {
 		select {
 		case d.events <- ev:
 		case <-quit:
@@ -98,23 +98,23 @@
 	return d, nil
 }
 
-func (d *daemon) close() {
+func (d *testProcess) close() {
 	d.s.Close()
 	d.j.Close()
 }
 
-func messageOf(i int) *message.Message {
+func testMessage(i int) *message.Message {
 	return &message.Message{ID: fmt.Sprint("m", i), Class: "c", Tenant: fmt.Sprint("t", i%2), Partner: fmt.Sprint("p", i%3/2),
-		Deadline: begin + int64(20+i*29%60)*1_000_000, Body: bytes.Repeat([]byte{byte(i)}, 100+i%50)}
+		Deadline: startTime + int64(20+i*29%60)*1_000_000, Body: bytes.Repeat([]byte{byte(i)}, 100+i%50)}
 }
 
-// put takes messages on, as one step does.
-func (d *daemon) put(list ...int) error {
+// submit takes messages on, as one step does.
+func (d *testProcess) submit(list ...int) error {
 	var recs []journal.Record
 	var ids []string
 	for _, i := range list {
-		m := messageOf(i)
-		d.lives[m.ID] = &life{}
+		m := testMessage(i)
+		d.messages[m.ID] = &expectation{}
 		switch d.s.Place(m, false) {
 		case backlog.InWindow:
 			d.s.EnterWindow(m.Partner)
@@ -133,26 +133,26 @@
 	}
 	for _, id := range ids {
 		d.acks++
-		d.lives[id].acked, d.lives[id].seq = true, d.acks
+		d.messages[id].acked, d.messages[id].seq = true, d.acks
 	}
 	return nil
 }
 
 // settle has all that is to be read come in, and what is over end.
-func (d *daemon) settle() error {
+func (d *testProcess) settle() error {
 	rounds := 0
 	for {
-		if err := d.end(); err != nil {
+		if err := d.endExpired(); err != nil {
 			return err
 		}
 		d.s.StartReads(d.now)
 		done := make(chan struct{})
-		d.s.work.add(barrier{done})
+		d.s.worker.enqueue(barrier{done})
 		var recs []journal.Record
 		for waiting := true; waiting || len(d.events) > 0; {
 			select {
 			case ev := <-d.events:
-				more, err := d.take(ev)
+				more, err := d.handle(ev)
 				if err != nil {
 					return err
 				}
@@ -178,11 +178,11 @@
 
 func (b barrier) do(*worker) any { close(b.done); return nil }
 
-func (d *daemon) take(ev any) (recs []journal.Record, err error) {
-	switch ev := ev.(told).event.(type) {
-	case cameEvent:
+func (d *testProcess) handle(ev any) (recs []journal.Record, err error) {
+	switch ev := ev.(workerEvent).event.(type) {
+	case refillReadEvent:
 		err = ev.err
-	case dueEvent:
+	case expiryReadEvent:
 		err = ev.err
 	}
 	if err != nil {
@@ -208,8 +208,8 @@
 	return recs, nil
 }
 
-// end ends what is over behind the windows.
-func (d *daemon) end() error {
+// endExpired ends what is over behind the windows.
+func (d *testProcess) endExpired() error {
 	var recs []journal.Record
 	var ids []string
 	for {
@@ -217,10 +217,10 @@
 		if !ok {
 			break
 		}
-		if l := d.lives[r.ID]; l == nil || l.over || r.Deadline > d.now {
+		if l := d.messages[r.ID]; l == nil || l.ended || r.Deadline > d.now {
 			return fmt.Errorf("%s ends: %+v, %d before its time", r.ID, l, r.Deadline-d.now)
 		}
-		d.lives[r.ID].begun = true
+		d.messages[r.ID].endBegun = true
 		recs = append(recs, journal.Record{Op: journal.OpAccept, Entry: &journal.Entry{Message: r.Message, Behind: seq, Left: 1, EndDigest: r.Digest}},
 			journal.Record{Op: journal.OpEnd, ID: r.ID, End: &message.End{ID: r.ID, State: message.Returned, At: d.now}},
 			journal.Record{Op: journal.OpNoticed, ID: r.ID, At: d.now})
@@ -230,19 +230,19 @@
 		return err
 	}
 	for _, id := range ids {
-		d.lives[id].over = true
+		d.messages[id].ended = true
 	}
 	return nil
 }
 
 // deliver ends the first so many messages in the windows.
-func (d *daemon) deliver(n int) error {
+func (d *testProcess) deliver(n int) error {
 	for range min(n, len(d.window)) {
 		id := d.window[0]
-		if l := d.lives[id]; l.over {
+		if l := d.messages[id]; l.ended {
 			return fmt.Errorf("%s is delivered twice", id)
 		}
-		d.lives[id].begun = true
+		d.messages[id].endBegun = true
 		partner := d.j.Entry(id).Partner
 		if err := d.j.Append([]journal.Record{{Op: journal.OpSend, ID: id, At: d.now}}); err != nil {
 			return err
@@ -251,14 +251,14 @@
 			return err
 		}
 		d.window = d.window[1:]
-		d.lives[id].over = true
+		d.messages[id].ended = true
 		d.s.LeaveWindow(partner)
 	}
 	return nil
 }
 
-// play is a life of a daemon: it spills, refills, ends and removes.
-func (d *daemon) play() error {
+// runWorkload is a life of a daemon: it spills, refills, ends and removes.
+func (d *testProcess) runWorkload() error {
 	n := 0
 	for step := range 30 {
 		if step < 20 {
@@ -267,7 +267,7 @@
 				list = append(list, n)
 				n++
 			}
-			if err := d.put(list...); err != nil {
+			if err := d.submit(list...); err != nil {
 				return err
 			}
 		}
@@ -290,31 +290,31 @@
 
 // check holds what a start has found against what is known: each message that was
 // acknowledged and is not over is in one place, and what is over in none.
-func (d *daemon) check(t *testing.T, what string) {
+func (d *testProcess) check(t *testing.T, what string) {
 	t.Helper()
 	behind := map[string]bool{}
-	for id := range d.lives {
+	for id := range d.messages {
 		if d.s.MayContain(id) {
 			found := false
 			d.s.Lookup(id, func(r *disk.Record, _ error) { behind[id], found = r != nil, true })
 			for !found {
-				if _, err := d.take(<-d.events); err != nil {
+				if _, err := d.handle(<-d.events); err != nil {
 					t.Fatalf("%s: %v", what, err)
 				}
 			}
 		}
 	}
-	for id, l := range d.lives {
+	for id, l := range d.messages {
 		e := d.j.Entry(id)
 		inWindow := e != nil && e.End == nil
 		switch {
 		case inWindow && behind[id]:
 			t.Fatalf("%s: %s is in its window and behind it", what, id)
-		case l.over && (e != nil || behind[id]):
+		case l.ended && (e != nil || behind[id]):
 			t.Fatalf("%s: %s is over and lives: %+v, behind %v", what, id, e, behind[id])
-		case l.acked && !l.begun && !inWindow && !behind[id]:
+		case l.acked && !l.endBegun && !inWindow && !behind[id]:
 			t.Fatalf("%s: %s is lost", what, id)
-		case l.begun && !l.over && e == nil && !behind[id] && d.j.Ended(id) == nil:
+		case l.endBegun && !l.ended && e == nil && !behind[id] && d.j.Ended(id) == nil:
 			t.Fatalf("%s: %s was about to end and is lost", what, id)
 		}
 		if d.s.MayContain(id) != behind[id] {
@@ -324,13 +324,13 @@
 }
 
 // drain ends all that there is, and sees that the messages of a partner and tenant are in order.
-func (d *daemon) drain(t *testing.T, what string) {
+func (d *testProcess) drain(t *testing.T, what string) {
 	t.Helper()
-	for id, l := range d.lives { // what the dead process did not know
+	for id, l := range d.messages { // what the dead process did not know
 		e := d.j.Entry(id)
-		l.over = l.over || d.j.Ended(id) != nil
-		if e == nil && !l.over && !d.s.MayContain(id) {
-			delete(d.lives, id)
+		l.ended = l.ended || d.j.Ended(id) != nil
+		if e == nil && !l.ended && !d.s.MayContain(id) {
+			delete(d.messages, id)
 		}
 	}
 	var order []string
@@ -349,8 +349,8 @@
 	if d.s.Len() > 0 || d.j.Len() > 0 {
 		t.Fatalf("%s: %d are left behind, %d in the journal", what, d.s.Len(), d.j.Len())
 	}
-	for id, l := range d.lives {
-		if !l.over {
+	for id, l := range d.messages {
+		if !l.ended {
 			t.Fatalf("%s: %s has no end", what, id)
 		}
 	}
@@ -358,7 +358,7 @@
 	for _, id := range order {
 		i := 0
 		fmt.Sscanf(id, "m%d", &i)
-		m := messageOf(i)
+		m := testMessage(i)
 		lane := m.Partner + m.Tenant
 		if i < last[lane] {
 			t.Fatalf("%s: %s comes after m%d", what, id, last[lane])
--- a/internal/backlog/spill/room_test.go
+++ b/internal/backlog/spill/room_test.go
@@ -9,16 +9,16 @@
 )
 
 // The files keep within their bound, an index block that is owed included, and messages that are not written yet count.
-func TestRoom(t *testing.T) {
+func TestHasRoom(t *testing.T) {
 	fs := vfs.NewMem()
-	d, err := start(fs, store.SyncNever, begin, map[string]*life{})
+	d, err := start(fs, store.SyncNever, startTime, map[string]*expectation{})
 	if err != nil {
 		t.Fatal(err)
 	}
 	d.close()
 	opts := testOptions
 	opts.SegmentBytes, opts.MaxBytes, opts.Sync = 4096, 4096+2000, store.SyncNever
-	s, err := Open(room{fs, "b-"}, d.j, opts, func(any, <-chan struct{}) {})
+	s, err := Open(prefixFS{fs, "b-"}, d.j, opts, func(any, <-chan struct{}) {})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -26,7 +26,7 @@
 	if !s.HasRoom(1400) || s.HasRoom(1500) {
 		t.Errorf("room for 1400: %v, for 1500: %v", s.HasRoom(1400), s.HasRoom(1500))
 	}
-	m := messageOf(1)
+	m := testMessage(1)
 	s.Stage(&disk.Record{Message: *m})
 	if s.HasRoom(1400) || !s.HasRoom(800) {
 		t.Errorf("beside one that is not written: room for 1400: %v, for 800: %v", s.HasRoom(1400), s.HasRoom(800))
@@ -40,19 +40,19 @@
 }
 
 // Taking messages on behind a window reads nothing: each step is one write.
-func TestIntakeNeverReads(t *testing.T) {
+func TestSpillingReadsNothing(t *testing.T) {
 	fs := vfs.NewMem()
-	d, err := start(fs, store.SyncNever, begin, map[string]*life{})
+	d, err := start(fs, store.SyncNever, startTime, map[string]*expectation{})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer d.close()
-	if err := d.put(0, 3, 6, 9, 12); err != nil { // the window of p0 is full, and a segment is begun
+	if err := d.submit(0, 3, 6, 9, 12); err != nil { // the window of p0 is full, and a segment is begun
 		t.Fatal(err)
 	}
 	before := fs.Calls()
 	for i := range 4 { // of p0 too, within the segment
-		if err := d.put(15 + 3*i); err != nil {
+		if err := d.submit(15 + 3*i); err != nil {
 			t.Fatal(err)
 		}
 		d.s.StartReads(d.now)
--- a/internal/backlog/spill/spill.go
+++ b/internal/backlog/spill/spill.go
@@ -33,8 +33,8 @@
 }
 
 const (
-	// heads is room for what a message takes beside its body.
-	heads = 512
+	// headAllowance is room for what a message takes beside its body.
+	headAllowance = 512
 	// ReadRetryDelay is how long after a read that failed it is made again.
 	ReadRetryDelay = 250 * time.Millisecond
 )
@@ -42,48 +42,48 @@
 // Spill holds messages behind the windows of their destinations. All of its methods
 // belong to one goroutine, the one that decides.
 type Spill struct {
-	b       *backlog.Backlog
-	l       *disk.Log
-	log     *slog.Logger
-	since   uint64 // numbers from here on were given by this process
-	pending []*disk.Record
-	bytes   int64                    // of pending, about
-	places  map[string]int           // of pending, by destination
-	keys    map[uint64]backlog.Queue // of pending, by order key
-	work    *worker
-	reads   bool // more is to come into the windows
+	spilled             *backlog.Backlog
+	files               *disk.Log
+	log                 *slog.Logger
+	firstOwnSeq         uint64 // numbers from here on were given by this process
+	staged              []*disk.Record
+	stagedBytes         int64                    // of pending, about
+	stagedByDestination map[string]int           // of pending, by destination
+	stagedOrderKeys     map[uint64]backlog.Queue // of pending, by order key
+	worker              *worker
+	refillEnabled       bool // more is to come into the windows
 }
 
 // The events that Spill hands to tell. The one that decides hands them back to
 // [Spill.HandleEvent].
 type (
-	cameEvent struct {
-		read backlog.RefillRead
-		got  []disk.ReadResult
-		err  error
+	refillReadEvent struct {
+		read    backlog.RefillRead
+		results []disk.ReadResult
+		err     error
 	}
-	dueEvent struct {
-		read  backlog.ExpiryRead
-		got   []disk.ReadResult
-		after int64
-		err   error
+	expiryReadEvent struct {
+		read    backlog.ExpiryRead
+		results []disk.ReadResult
+		after   int64
+		err     error
 	}
 	sealedEvent struct {
 		first      uint64
 		byDeadline []uint32
 		runs       []backlog.Run
 	}
-	removedEvent struct{ first, n uint64 }
-	retryEvent   struct{ lane backlog.QueueID }
-	failedEvent  struct{ read backlog.ExpiryRead }
-	told         struct {
-		by    *worker
-		event any
+	removedEvent     struct{ first, n uint64 }
+	retryEvent       struct{ queue backlog.QueueID }
+	expiryRetryEvent struct{ read backlog.ExpiryRead }
+	workerEvent      struct {
+		worker *worker
+		event  any
 	}
-	foundEvent struct {
-		got  disk.ReadResult
-		err  error
-		then func(*disk.Record, error)
+	lookupEvent struct {
+		result   disk.ReadResult
+		err      error
+		callback func(*disk.Record, error)
 	}
 )
 
@@ -95,61 +95,61 @@
 	if err != nil {
 		return nil, err
 	}
-	s := &Spill{b: backlog.New(backlog.Options{Window: opts.Window}), l: l, log: opts.Log, places: map[string]int{}, keys: map[uint64]backlog.Queue{}, reads: true}
-	err = l.Restore(s.b.Queue, func(x disk.RestoredSegment) {
-		s.b.Restore(x.First, x.Entries, func(seq uint64) bool { return gone.Gone(seq) || x.Entries[seq-x.First].HeadSize == 0 }, x.ByDeadline, x.Runs)
+	s := &Spill{spilled: backlog.New(backlog.Options{Window: opts.Window}), files: l, log: opts.Log, stagedByDestination: map[string]int{}, stagedOrderKeys: map[uint64]backlog.Queue{}, refillEnabled: true}
+	err = l.Restore(s.spilled.Queue, func(x disk.RestoredSegment) {
+		s.spilled.Restore(x.First, x.Entries, func(seq uint64) bool { return gone.Gone(seq) || x.Entries[seq-x.First].HeadSize == 0 }, x.ByDeadline, x.Runs)
 	})
 	if err != nil {
 		l.Close()
 		return nil, err
 	}
-	gone.KeepPassed(s.b.Overlaps)
-	s.since, _ = l.StartsSegment()
-	s.work = newWorker(l, opts, tell)
+	gone.KeepPassed(s.spilled.Overlaps)
+	s.firstOwnSeq, _ = l.StartsSegment()
+	s.worker = newWorker(l, opts, tell)
 	return s, nil
 }
 
 // Close ends what is done beside and closes the files.
 func (s *Spill) Close() error {
-	s.work.stop()
-	return s.l.Close()
+	s.worker.stop()
+	return s.files.Close()
 }
 
 // Len is the number of messages behind the windows, those that Commit is to write
 // included.
-func (s *Spill) Len() int { return s.b.Len() + len(s.pending) }
+func (s *Spill) Len() int { return s.spilled.Len() + len(s.staged) }
 
 // Behind is the number of messages behind the window of a destination.
-func (s *Spill) BacklogLen(destination string) int { return s.b.BacklogLen(destination) }
+func (s *Spill) BacklogLen(destination string) int { return s.spilled.BacklogLen(destination) }
 
 // Terms are the numbers of terms that messages behind the windows may be held to.
 func (s *Spill) Terms() []int64 {
-	out := s.b.Terms()
-	for _, r := range s.pending {
+	out := s.spilled.Terms()
+	for _, r := range s.staged {
 		out = append(out, r.Terms)
 	}
 	return out
 }
 
 // Earlier says whether a number was given by a process before this one.
-func (s *Spill) FromEarlierProcess(seq uint64) bool { return seq < s.since }
+func (s *Spill) FromEarlierProcess(seq uint64) bool { return seq < s.firstOwnSeq }
 
 // Enter counts a message that the module has been given without Spill; Leave counts
 // one out that it has had.
-func (s *Spill) EnterWindow(destination string) { s.b.EnterWindow(destination) }
+func (s *Spill) EnterWindow(destination string) { s.spilled.EnterWindow(destination) }
 
 // Leave counts out a message that the module has had, however it came.
-func (s *Spill) LeaveWindow(destination string) { s.b.LeaveWindow(destination) }
+func (s *Spill) LeaveWindow(destination string) { s.spilled.LeaveWindow(destination) }
 
 // Place says where a new message goes.
 func (s *Spill) Place(m *message.Message, ordered bool) backlog.Placement {
 	r := disk.Record{Message: *m, Ordered: ordered}
 	order := r.OrderHash()
-	if lane, ok := s.keys[order]; ok && order != 0 && lane != r.Queue() {
+	if lane, ok := s.stagedOrderKeys[order]; ok && order != 0 && lane != r.Queue() {
 		return backlog.Rejected
 	}
-	v := s.b.Place(r.Partner, r.Queue(), order)
-	if v == backlog.InWindow && s.places[r.Partner] > 0 {
+	v := s.spilled.Place(r.Partner, r.Queue(), order)
+	if v == backlog.InWindow && s.stagedByDestination[r.Partner] > 0 {
 		v = backlog.InBacklog
 	}
 	return v
@@ -157,58 +157,58 @@
 
 // Put has a message that Place sends behind its window written by the next Commit.
 func (s *Spill) Stage(r *disk.Record) {
-	s.pending = append(s.pending, r)
-	s.bytes += int64(len(r.Body) + heads)
-	s.places[r.Partner]++
+	s.staged = append(s.staged, r)
+	s.stagedBytes += int64(len(r.Body) + headAllowance)
+	s.stagedByDestination[r.Partner]++
 	if order := r.OrderHash(); order != 0 {
-		s.keys[order] = r.Queue()
+		s.stagedOrderKeys[order] = r.Queue()
 	}
 }
 
 // Discard drops the messages that were put behind their windows and not written.
 func (s *Spill) Discard() {
-	s.pending, s.bytes = nil, 0
-	clear(s.places)
-	clear(s.keys)
+	s.staged, s.stagedBytes = nil, 0
+	clear(s.stagedByDestination)
+	clear(s.stagedOrderKeys)
 }
 
 // Room says whether a message with such a body is taken behind a window.
 func (s *Spill) HasRoom(body int) bool {
-	return s.l.HasRoom(s.bytes + int64(body+heads))
+	return s.files.HasRoom(s.stagedBytes + int64(body+headAllowance))
 }
 
 // Commit writes the messages that were put behind their windows. Once it has
 // returned without an error they are as safe as the setting says; else none of them
 // counts.
 func (s *Spill) Commit() error {
-	list := s.pending
+	list := s.staged
 	if len(list) == 0 {
 		return nil
 	}
 	s.Discard()
-	first, begins := s.l.StartsSegment()
-	entries, err := s.l.Append(list)
+	first, begins := s.files.StartsSegment()
+	entries, err := s.files.Append(list)
 	if err != nil {
 		return err
 	}
 	if begins {
-		if before, closed := s.b.Close(); len(closed) > 0 {
-			s.work.add(s.sealing(before, closed))
+		if before, closed := s.spilled.Close(); len(closed) > 0 {
+			s.worker.enqueue(s.newSealJob(before, closed))
 		}
-		s.b.Open(first)
+		s.spilled.Open(first)
 	}
 	for i := range entries {
-		entries[i].IDHash, entries[i].OrderHash, entries[i].Queue = disk.HashID(list[i].ID), list[i].OrderHash(), s.b.Queue(list[i].Queue())
-		s.b.Add(entries[i])
+		entries[i].IDHash, entries[i].OrderHash, entries[i].Queue = disk.HashID(list[i].ID), list[i].OrderHash(), s.spilled.Queue(list[i].Queue())
+		s.spilled.Add(entries[i])
 	}
 	return nil
 }
 
-func (s *Spill) sealing(first uint64, entries []backlog.Entry) job {
+func (s *Spill) newSealJob(first uint64, entries []backlog.Entry) job {
 	names := map[backlog.QueueID]backlog.Queue{}
 	for i := range entries {
 		if _, ok := names[entries[i].Queue]; !ok {
-			names[entries[i].Queue] = s.b.Name(entries[i].Queue)
+			names[entries[i].Queue] = s.spilled.Name(entries[i].Queue)
 		}
 	}
 	return sealJob{first, entries, names}
@@ -216,23 +216,25 @@
 
 // Has says whether a message of that id may be behind a window. It reads nothing;
 // what it finds may prove to be another one.
-func (s *Spill) MayContain(id string) bool { return s.b.Len() > 0 && s.b.Find(disk.HashID(id)) != 0 }
+func (s *Spill) MayContain(id string) bool {
+	return s.spilled.Len() > 0 && s.spilled.Find(disk.HashID(id)) != 0
+}
 
 // Lookup reads the message of an id beside the caller, without its body. then is
 // called by [Spill.HandleEvent] with it, with nil if none of that id is there, or with an
 // error if that can't be told.
 func (s *Spill) Lookup(id string, then func(*disk.Record, error)) {
-	first, at, e, ok := s.b.Resolve(s.b.Find(disk.HashID(id)))
+	first, at, e, ok := s.spilled.Resolve(s.spilled.Find(disk.HashID(id)))
 	if !ok {
-		s.work.add(foundEvent{then: then})
+		s.worker.enqueue(lookupEvent{callback: then})
 		return
 	}
-	j := lookupJob{first: first, at: at, then: then, id: id}
+	j := lookupJob{first: first, at: at, callback: then, id: id}
 	if e != nil {
 		entry := *e
 		j.entry = &entry
 	}
-	s.work.add(j)
+	s.worker.enqueue(j)
 }
 
 // RefilledMessage is a message that comes into the window, or can't.
@@ -241,7 +243,7 @@
 	Seq          uint64
 	Err          error // it is damaged
 	Partner      string
-	lane         backlog.QueueID
+	queue        backlog.QueueID
 	entry        backlog.Entry
 }
 
@@ -249,50 +251,50 @@
 // into the window now, and the numbers of a segment that is gone for good, from
 // first on; or ok is false if it is none of its events.
 func (s *Spill) HandleEvent(ev any) (in []RefilledMessage, first, n uint64, ok bool) {
-	t, ok := ev.(told)
+	t, ok := ev.(workerEvent)
 	if !ok {
 		return nil, 0, 0, false
 	}
-	if t.by != s.work { // of one that was closed
+	if t.worker != s.worker { // of one that was closed
 		return nil, 0, 0, true
 	}
 	switch ev := t.event.(type) {
-	case cameEvent:
-		return s.came(ev), 0, 0, true
-	case dueEvent:
-		s.due(ev)
+	case refillReadEvent:
+		return s.finishRefill(ev), 0, 0, true
+	case expiryReadEvent:
+		s.finishExpiryRead(ev)
 	case sealedEvent:
-		s.b.Seal(ev.first, ev.byDeadline, ev.runs)
+		s.spilled.Seal(ev.first, ev.byDeadline, ev.runs)
 	case removedEvent:
 		return nil, ev.first, ev.n, true
 	case retryEvent:
-		s.b.Retry(ev.lane)
-	case failedEvent:
-		s.b.ExpiryReadFailed(ev.read)
-	case foundEvent:
+		s.spilled.Retry(ev.queue)
+	case expiryRetryEvent:
+		s.spilled.ExpiryReadFailed(ev.read)
+	case lookupEvent:
 		if ev.err != nil {
 			s.log.Error("backlog: a message can't be looked up", "err", ev.err)
 		}
-		ev.then(ev.got.Record, ev.err)
+		ev.callback(ev.result.Record, ev.err)
 	}
 	return nil, 0, 0, true
 }
 
-func (s *Spill) came(ev cameEvent) (in []RefilledMessage) {
+func (s *Spill) finishRefill(ev refillReadEvent) (in []RefilledMessage) {
 	if ev.err != nil {
 		s.log.Error("backlog: messages can't be read yet", "err", ev.err)
-		s.b.RefillFailed(ev.read)
-		s.retry(ev.read.Queue)
+		s.spilled.RefillFailed(ev.read)
+		s.retryLater(ev.read.Queue)
 		return nil
 	}
-	entries := make([]backlog.Entry, len(ev.got))
-	for i := range ev.got {
-		entries[i] = ev.got[i].Entry
+	entries := make([]backlog.Entry, len(ev.results))
+	for i := range ev.results {
+		entries[i] = ev.results[i].Entry
 	}
-	for i, yes := range s.b.RefillDone(ev.read, entries) {
+	for i, yes := range s.spilled.RefillDone(ev.read, entries) {
 		if yes {
-			g := ev.got[i]
-			in = append(in, RefilledMessage{Record: g.Record, Seq: g.Entry.Seq, Err: g.Err, Partner: s.b.Name(ev.read.Queue).Destination, lane: ev.read.Queue, entry: g.Entry})
+			g := ev.results[i]
+			in = append(in, RefilledMessage{Record: g.Record, Seq: g.Entry.Seq, Err: g.Err, Partner: s.spilled.Name(ev.read.Queue).Destination, queue: ev.read.Queue, entry: g.Entry})
 		}
 	}
 	return in
@@ -302,21 +304,21 @@
 func (s *Spill) PutBack(list []RefilledMessage) {
 	for len(list) > 0 {
 		n := 1
-		for n < len(list) && list[n].lane == list[0].lane {
+		for n < len(list) && list[n].queue == list[0].queue {
 			n++
 		}
 		items := make([]backlog.Item, n)
 		for i := range items {
-			items[i] = backlog.Item{Entry: list[i].entry, Payload: head(list[i].Record)}
+			items[i] = backlog.Item{Entry: list[i].entry, Payload: withoutBody(list[i].Record)}
 		}
-		s.b.PutBack(list[0].lane, items)
-		s.retry(list[0].lane)
+		s.spilled.PutBack(list[0].queue, items)
+		s.retryLater(list[0].queue)
 		list = list[n:]
 	}
 }
 
-// head is a message without its body.
-func head(r *disk.Record) *disk.Record {
+// withoutBody is a message without its body.
+func withoutBody(r *disk.Record) *disk.Record {
 	if r == nil {
 		return nil
 	}
@@ -325,26 +327,28 @@
 	return &out
 }
 
-// retry has a lane looked at again after a while.
-func (s *Spill) retry(lane backlog.QueueID) { s.work.after(ReadRetryDelay, retryEvent{lane}) }
+// retryLater has a lane looked at again after a while.
+func (s *Spill) retryLater(lane backlog.QueueID) {
+	s.worker.enqueueAfter(ReadRetryDelay, retryEvent{lane})
+}
 
-func (s *Spill) due(ev dueEvent) {
+func (s *Spill) finishExpiryRead(ev expiryReadEvent) {
 	if ev.err != nil {
 		s.log.Error("backlog: ends can't be read yet", "err", ev.err)
-		s.work.after(ReadRetryDelay, failedEvent{ev.read})
+		s.worker.enqueueAfter(ReadRetryDelay, expiryRetryEvent{ev.read})
 		return
 	}
-	items := make([]backlog.Item, len(ev.got))
-	for i := range ev.got {
-		items[i] = backlog.Item{Entry: ev.got[i].Entry, Payload: ev.got[i].Record}
+	items := make([]backlog.Item, len(ev.results))
+	for i := range ev.results {
+		items[i] = backlog.Item{Entry: ev.results[i].Entry, Payload: ev.results[i].Record}
 	}
-	s.b.ExpiryReadDone(ev.read, items, ev.after)
+	s.spilled.ExpiryReadDone(ev.read, items, ev.after)
 }
 
 // Over returns a message whose time is over at a time, as no longer behind the
 // window; ok is false if there is none. Without a record nothing of it can be read.
 func (s *Spill) PopExpired(at int64) (r *disk.Record, seq uint64, ok bool) {
-	e, ok := s.b.PopExpired(at)
+	e, ok := s.spilled.PopExpired(at)
 	if !ok {
 		return nil, 0, false
 	}
@@ -354,29 +358,29 @@
 
 // Wake is when Over and Work are to be called next, Unix time in microseconds; the
 // largest number for no such time.
-func (s *Spill) WakeTime() int64 { return s.b.WakeTime() }
+func (s *Spill) WakeTime() int64 { return s.spilled.WakeTime() }
 
 // Rest has no more messages come into the windows.
-func (s *Spill) StopRefill() { s.reads = false }
+func (s *Spill) StopRefill() { s.refillEnabled = false }
 
 // Work has read what is to be read next.
 func (s *Spill) StartReads(now int64) {
-	if s.reads {
-		for _, r := range s.b.RefillReads() {
-			s.work.add(readJob{r})
+	if s.refillEnabled {
+		for _, r := range s.spilled.RefillReads() {
+			s.worker.enqueue(refillJob{r})
 		}
 	}
-	for _, r := range s.b.ExpiryReads(now) {
-		s.work.add(dueJob{r})
+	for _, r := range s.spilled.ExpiryReads(now) {
+		s.worker.enqueue(expiryJob{r})
 	}
 }
 
 // Tidy has segments removed of which nothing is behind a window any more.
 func (s *Spill) ReclaimSegments() {
-	for _, x := range s.b.Reclaim() {
-		s.work.add(removeJob{x.First, x.N})
+	for _, x := range s.spilled.Reclaim() {
+		s.worker.enqueue(removeJob{x.First, x.N})
 	}
 }
 
 // Stats tells how the files stand.
-func (s *Spill) Stats() disk.Stats { return s.l.Stats() }
+func (s *Spill) Stats() disk.Stats { return s.files.Stats() }
--- a/internal/backlog/spill/worker.go
+++ b/internal/backlog/spill/worker.go
@@ -13,51 +13,51 @@
 
 // worker does jobs in order, beside the one that decides.
 type worker struct {
-	l     *disk.Log
-	log   *slog.Logger
-	tell  func(event any, quit <-chan struct{})
-	every time.Duration // between two flushes; 0 for none
-
-	mu     sync.Mutex
-	queue  []job
-	wake   chan struct{}
-	ended  chan struct{}
-	closed bool
-	quit   chan struct{}
+	files         *disk.Log
+	log           *slog.Logger
+	notify        func(event any, quit <-chan struct{})
+	flushInterval time.Duration // between two flushes; 0 for none
+
+	mu      sync.Mutex
+	queue   []job
+	wake    chan struct{}
+	stopped chan struct{}
+	closed  bool
+	quit    chan struct{}
 }
 
 // job is one thing to do; it returns an event, or nil.
 type job interface{ do(w *worker) any }
 
 type (
-	readJob   struct{ read backlog.RefillRead }
-	dueJob    struct{ read backlog.ExpiryRead }
+	refillJob struct{ read backlog.RefillRead }
+	expiryJob struct{ read backlog.ExpiryRead }
 	removeJob struct{ first, n uint64 }
 	sealJob   struct {
 		first   uint64
 		entries []backlog.Entry
-		names   map[backlog.QueueID]backlog.Queue
+		queues  map[backlog.QueueID]backlog.Queue
 	}
 	lookupJob struct {
-		first uint64
-		at    uint32
-		entry *backlog.Entry
-		id    string
-		then  func(*disk.Record, error)
+		first    uint64
+		at       uint32
+		entry    *backlog.Entry
+		id       string
+		callback func(*disk.Record, error)
 	}
 )
 
 func newWorker(l *disk.Log, opts Options, tell func(any, <-chan struct{})) *worker {
-	w := &worker{l: l, log: opts.Log, tell: tell, wake: make(chan struct{}, 1), ended: make(chan struct{}), quit: make(chan struct{})}
+	w := &worker{files: l, log: opts.Log, notify: tell, wake: make(chan struct{}, 1), stopped: make(chan struct{}), quit: make(chan struct{})}
 	if opts.Sync == store.SyncInterval {
-		w.every = max(opts.FlushInterval, time.Millisecond)
+		w.flushInterval = max(opts.FlushInterval, time.Millisecond)
 	}
 	go w.run()
 	return w
 }
 
-// add hands it a job; it never waits.
-func (w *worker) add(j job) {
+// enqueue hands it a job; it never waits.
+func (w *worker) enqueue(j job) {
 	w.mu.Lock()
 	w.queue = append(w.queue, j)
 	w.mu.Unlock()
@@ -67,14 +67,14 @@
 	}
 }
 
-// after has an event told after a while, or a job done.
-func (w *worker) after(d time.Duration, j job) { time.AfterFunc(d, func() { w.add(j) }) }
+// enqueueAfter has an event told enqueueAfter a while, or a job done.
+func (w *worker) enqueueAfter(d time.Duration, j job) { time.AfterFunc(d, func() { w.enqueue(j) }) }
 
 func (w *worker) run() {
-	defer close(w.ended)
+	defer close(w.stopped)
 	var tick <-chan time.Time
-	if w.every > 0 {
-		t := time.NewTicker(w.every)
+	if w.flushInterval > 0 {
+		t := time.NewTicker(w.flushInterval)
 		defer t.Stop()
 		tick = t.C
 	}
@@ -82,7 +82,7 @@
 		select {
 		case <-w.wake:
 		case <-tick:
-			if err := w.l.Flush(); err != nil {
+			if err := w.files.Flush(); err != nil {
 				w.log.Error("backlog", "err", err)
 			}
 		}
@@ -103,7 +103,7 @@
 				break
 			}
 			if ev := j.do(w); ev != nil {
-				w.tell(told{w, ev}, w.quit)
+				w.notify(workerEvent{w, ev}, w.quit)
 			}
 		}
 	}
@@ -119,40 +119,40 @@
 	case w.wake <- struct{}{}:
 	default:
 	}
-	<-w.ended
+	<-w.stopped
 }
 
-func (j readJob) do(w *worker) any {
-	got, err := w.l.Read(j.read)
-	return cameEvent{j.read, got, err}
+func (j refillJob) do(w *worker) any {
+	got, err := w.files.Read(j.read)
+	return refillReadEvent{j.read, got, err}
 }
 
-func (j dueJob) do(w *worker) any {
-	got, after, err := w.l.ReadExpiring(j.read)
-	return dueEvent{j.read, got, after, err}
+func (j expiryJob) do(w *worker) any {
+	got, after, err := w.files.ReadExpiring(j.read)
+	return expiryReadEvent{j.read, got, after, err}
 }
 
 func (j removeJob) do(w *worker) any {
-	if err := w.l.Remove(j.first); err != nil {
+	if err := w.files.Remove(j.first); err != nil {
 		w.log.Error("backlog: a segment can't be removed yet", "err", err)
-		w.after(time.Second, j)
+		w.enqueueAfter(time.Second, j)
 		return nil
 	}
 	return removedEvent(j)
 }
 
 func (j sealJob) do(w *worker) any {
-	byDeadline, runs, err := w.l.Seal(j.first, j.entries, j.names)
+	byDeadline, runs, err := w.files.Seal(j.first, j.entries, j.queues)
 	if err != nil { // a full disk, say; until then they are in memory
 		w.log.Error("backlog: an index block can't be written yet", "err", err)
-		w.after(time.Second, j)
+		w.enqueueAfter(time.Second, j)
 		return nil
 	}
 	return sealedEvent{j.first, byDeadline, runs}
 }
 
 func (j lookupJob) do(w *worker) any {
-	got, err := w.l.Lookup(j.first, j.at, j.entry)
+	got, err := w.files.Lookup(j.first, j.at, j.entry)
 	if got.Record != nil && got.Record.ID != j.id {
 		got.Record = nil
 	}
@@ -162,9 +162,9 @@
 	if err != nil {
 		err = fmt.Errorf("message %q: %w", j.id, err)
 	}
-	return foundEvent{got, err, j.then}
+	return lookupEvent{got, err, j.callback}
 }
 
-func (ev retryEvent) do(*worker) any  { return ev }
-func (ev failedEvent) do(*worker) any { return ev }
-func (ev foundEvent) do(*worker) any  { return ev }
+func (ev retryEvent) do(*worker) any       { return ev }
+func (ev expiryRetryEvent) do(*worker) any { return ev }
+func (ev lookupEvent) do(*worker) any      { return ev }
