--- a/internal/backlog/backlog.go
+++ b/internal/backlog/backlog.go
@@ -62,6 +62,7 @@
 	spilled           int                       // number of spilled messages
 }
 
+// destination is the state of one destination.
 type destination struct {
 	name       string
 	inWindow   int      // number of messages in the window
@@ -73,6 +74,7 @@
 	hasQueue   bool     // a queue refers to it
 }
 
+// queue is the state of one queue.
 type queue struct {
 	id      QueueID
 	name    Queue
@@ -147,6 +149,7 @@
 // Name returns the queue that an ID identifies.
 func (b *Backlog) Name(id QueueID) Queue { return b.queues[id].name }
 
+// ensureDestination returns a destination, and adds it if there is none.
 func (b *Backlog) ensureDestination(name string) *destination {
 	d := b.destinations[name]
 	if d == nil {
@@ -224,6 +227,7 @@
 	return 0, nil
 }
 
+// lastSegment returns the newest segment; nil if there is none.
 func (b *Backlog) lastSegment() *segment {
 	if len(b.segments) == 0 {
 		return nil
@@ -255,6 +259,7 @@
 	b.markRefillable(q.dest)
 }
 
+// addTerms records the settings (terms) of a message with its segment.
 func (b *Backlog) addTerms(s *segment, terms int64) {
 	if !slices.Contains(s.terms, terms) {
 		s.terms = append(s.terms, terms)
@@ -412,6 +417,7 @@
 	s.sealed, s.entries, s.byQueue, s.expiryHeap = true, nil, nil, nil
 }
 
+// segmentStartingAt returns the segment with that first sequence number; nil if there is none.
 func (b *Backlog) segmentStartingAt(first uint64) *segment {
 	if s := b.segmentOf(first); s != nil && s.first == first {
 		return s
--- a/internal/backlog/disk/log.go
+++ b/internal/backlog/disk/log.go
@@ -75,13 +75,13 @@
 
 // segmentFile is a segment.
 type segmentFile struct {
-	first         uint64
-	salt          uint64
+	first         uint64 // sequence number of the first message
+	salt          uint64 // seed of the heads' checksums
 	data          vfs.File
-	size          int64
-	synced        int64 // number of bytes known to be on stable storage
-	n             uint32
-	headerDamaged bool // without the salt of the header, only an index block makes it readable
+	size          int64  // bytes of the data file
+	synced        int64  // number of bytes known to be on stable storage
+	n             uint32 // number of messages
+	headerDamaged bool   // without the salt of the header, only an index block makes it readable
 
 	index  vfs.File // nil until the segment has an index block
 	layout layout
--- a/internal/backlog/spill/crash_test.go
+++ b/internal/backlog/spill/crash_test.go
@@ -9,29 +9,30 @@
 	"cometrack/internal/vfs"
 )
 
-// A process that dies at any call, of the journal's or of the files behind the windows, loses no message, has none in
-// two places and ends none twice; the next one takes all to their ends, in order.
+// A crash at any file system call, of the journal or of the spilled messages, loses no message, leaves none in two
+// places and ends none twice, although a message moves between the two logs in separate writes. The next process
+// brings all messages to their ends, in order.
 func TestCrashAtEveryCall(t *testing.T) {
 	for _, sync := range []store.Sync{store.SyncAlways, store.SyncNever} {
 		whole := vfs.NewMem()
-		d, err := start(whole, sync, startTime, map[string]*expectation{})
+		p, err := start(whole, sync, startTime, map[string]*expectation{})
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := d.runWorkload(); err != nil {
+		if err := p.runWorkload(); err != nil {
 			t.Fatal(err)
 		}
-		over := 0
-		for _, l := range d.messages {
-			if l.ended {
-				over++
+		ended := 0
+		for _, x := range p.messages {
+			if x.ended {
+				ended++
 			}
 		}
-		if behind := d.s.Len(); behind < 5 || over < 20 {
-			t.Fatalf("%d of %d are over, %d behind", over, len(d.messages), behind)
+		if spilled := p.s.Len(); spilled < 5 || ended < 20 {
+			t.Fatalf("%d of %d have ended, %d are spilled", ended, len(p.messages), spilled)
 		}
 		calls := whole.Calls()
-		d.close()
+		p.close()
 		t.Logf("%d calls", calls)
 		losses := vfs.Losses()
 		if sync == store.SyncNever {
@@ -39,25 +40,25 @@
 		}
 		for n := 1; n <= calls; n++ {
 			for _, loss := range losses[n%len(losses):][:1] {
-				m, lives := vfs.NewMem(), map[string]*expectation{}
+				m, messages := vfs.NewMem(), map[string]*expectation{}
 				m.CrashAt(n)
 				now := startTime
-				if d, err := start(m, sync, startTime, lives); err == nil {
-					if err := d.runWorkload(); !m.Crashed() {
+				if p, err := start(m, sync, startTime, messages); err == nil {
+					if err := p.runWorkload(); !m.Crashed() {
 						t.Fatalf("crash at call %d: %v", n, err)
 					}
-					now = d.now
-					d.close()
+					now = p.now
+					p.close()
 				}
-				what := fmt.Sprintf("sync %v, crash at call %d, loss %d", sync, n, loss)
+				label := fmt.Sprintf("sync %v, crash at call %d, loss %d", sync, n, loss)
 				left := m.Restart(loss, rand.New(rand.NewPCG(uint64(n), uint64(loss))))
-				d, err := start(left, sync, now, lives)
+				p, err := start(left, sync, now, messages)
 				if err != nil {
-					t.Fatalf("%s: %v", what, err)
+					t.Fatalf("%s: %v", label, err)
 				}
-				d.check(t, what)
-				d.drain(t, what)
-				d.close()
+				p.check(t, label)
+				p.drain(t, label)
+				p.close()
 			}
 		}
 	}
--- a/internal/backlog/spill/doc.go
+++ b/internal/backlog/spill/doc.go
@@ -1,3 +1,4 @@
-// Package spill joins the decisions of package backlog with the files of package
-// disk: what is to be read is read beside the one that decides, and told to it.
+// Package spill combines the decisions of package backlog with the files of package disk.
+// It spills messages in the caller's goroutine; a worker goroutine reads, seals and removes
+// segments, and passes the results back as events.
 package spill
--- a/internal/backlog/spill/harness_test.go
+++ b/internal/backlog/spill/harness_test.go
@@ -17,7 +17,8 @@
 	"cometrack/internal/vfs"
 )
 
-// prefixFS is a folder within one that crashes as a whole: its files have a prefix there.
+// prefixFS is a folder as a file name prefix within another one, so that several folders
+// crash together.
 type prefixFS struct {
 	vfs.FS
 	prefix string
@@ -40,34 +41,34 @@
 	return out, err
 }
 
-// expectation is what a test knows of a message.
+// expectation is the state of a message that a test expects.
 type expectation struct {
 	acked    bool // it was acknowledged
-	endBegun bool // its end was begun
+	endBegun bool // writing its end to the journal was started
 	ended    bool // its end is in the journal
-	seq      int  // of its acknowledgement, to hold order against
+	seq      int  // its place in the order of acknowledgements
 }
 
-// testProcess is a process without a module: it takes messages on, lets them into their
-// windows and ends them.
+// testProcess is a process with a journal and a Spill, but without the delivery logic: it
+// accepts messages, lets them enter their windows and ends them.
 type testProcess struct {
 	j        *journal.Journal
 	s        *Spill
 	events   chan any
-	now      int64 // Unix microseconds, as the test has it
-	messages map[string]*expectation
-	window   []string // in the module, in order
-	acks     int
+	now      int64                   // simulated Unix time in microseconds
+	messages map[string]*expectation // by id
+	window   []string                // ids of the messages in windows, in order
+	acks     int                     // number of acknowledged messages
 }
 
 var testOptions = Options{Window: 3, MaxBytes: 1 << 20, SegmentBytes: 1500, Log: slog.New(slog.DiscardHandler)}
 
 const startTime = int64(1_000_000_000_000)
 
-// journalOptions is a time in which the journal forgets no end.
+// journalOptions has the journal remember the ends of all messages.
 var journalOptions = journal.Options{Disk: 1 << 20, MostEnded: 10_000, KeepEnded: 1 << 62}
 
-// start opens what an earlier process has left. known is what a test knows of the
+// start opens what an earlier process has left. known has the expected state of the
 // messages.
 func start(fs vfs.FS, sync store.Sync, now int64, known map[string]*expectation) (*testProcess, error) {
 	opts := journalOptions
@@ -76,109 +77,113 @@
 	if err != nil {
 		return nil, err
 	}
-	d := &testProcess{j: j, events: make(chan any, 100), now: now, messages: known}
-	behind := testOptions
-	behind.Sync = sync
-	d.s, err = Open(prefixFS{fs, "b-"}, j, behind, func(ev any, quit <-chan struct{}) {
+	p := &testProcess{j: j, events: make(chan any, 100), now: now, messages: known}
+	options := testOptions
+	options.Sync = sync
+	p.s, err = Open(prefixFS{fs, "b-"}, j, options, func(ev any, quit <-chan struct{}) {
 		select {
-		case d.events <- ev:
+		case p.events <- ev:
 		case <-quit:
 		}
 	})
 	if err != nil {
 		return nil, errors.Join(err, j.Close())
 	}
-	j.HoldTerms(d.s.Terms)
+	j.HoldTerms(p.s.Terms)
 	for _, e := range j.Entries() {
 		if e.End == nil {
-			d.window = append(d.window, e.ID)
-			d.s.EnterWindow(e.Partner)
+			p.window = append(p.window, e.ID)
+			p.s.EnterWindow(e.Partner)
 		}
 	}
-	return d, nil
+	return p, nil
 }
 
-func (d *testProcess) close() {
-	d.s.Close()
-	d.j.Close()
+func (p *testProcess) close() {
+	p.s.Close()
+	p.j.Close()
 }
 
+// testMessage returns the message with a number.
 func testMessage(i int) *message.Message {
-	return &message.Message{ID: fmt.Sprint("m", i), Class: "c", Tenant: fmt.Sprint("t", i%2), Partner: fmt.Sprint("p", i%3/2),
-		Deadline: startTime + int64(20+i*29%60)*1_000_000, Body: bytes.Repeat([]byte{byte(i)}, 100+i%50)}
+	return &message.Message{ID: fmt.Sprint("m", i), Class: "c", Tenant: fmt.Sprint("t", i%2),
+		Partner: fmt.Sprint("p", i%3/2), Deadline: startTime + int64(20+i*29%60)*1_000_000,
+		Body: bytes.Repeat([]byte{byte(i)}, 100+i%50)}
 }
 
-// submit takes messages on, as one step does.
-func (d *testProcess) submit(list ...int) error {
-	var recs []journal.Record
+// submit submits messages and commits them together.
+func (p *testProcess) submit(list ...int) error {
+	var records []journal.Record
 	var ids []string
 	for _, i := range list {
 		m := testMessage(i)
-		d.messages[m.ID] = &expectation{}
-		switch d.s.Place(m, false) {
+		p.messages[m.ID] = &expectation{}
+		switch p.s.Place(m, false) {
 		case backlog.InWindow:
-			d.s.EnterWindow(m.Partner)
-			recs = append(recs, journal.Record{Op: journal.OpAccept, Entry: &journal.Entry{Message: *m, Accepted: d.now}})
-			d.window = append(d.window, m.ID)
+			p.s.EnterWindow(m.Partner)
+			records = append(records, journal.Record{Op: journal.OpAccept,
+				Entry: &journal.Entry{Message: *m, Accepted: p.now}})
+			p.window = append(p.window, m.ID)
 		case backlog.InBacklog:
-			d.s.Stage(&disk.Record{Message: *m, Accepted: d.now, Digest: m.Digest()})
+			p.s.Stage(&disk.Record{Message: *m, Accepted: p.now, Digest: m.Digest()})
 		}
 		ids = append(ids, m.ID)
 	}
-	if err := d.s.Commit(); err != nil {
+	if err := p.s.Commit(); err != nil {
 		return err
 	}
-	if err := d.j.Append(recs); err != nil {
+	if err := p.j.Append(records); err != nil {
 		return err
 	}
 	for _, id := range ids {
-		d.acks++
-		d.messages[id].acked, d.messages[id].seq = true, d.acks
+		p.acks++
+		p.messages[id].acked, p.messages[id].seq = true, p.acks
 	}
 	return nil
 }
 
-// settle has all that is to be read come in, and what is over end.
-func (d *testProcess) settle() error {
+// settle handles events and expires messages until no more reads are requested.
+func (p *testProcess) settle() error {
 	rounds := 0
 	for {
-		if err := d.endExpired(); err != nil {
+		if err := p.endExpired(); err != nil {
 			return err
 		}
-		d.s.StartReads(d.now)
+		p.s.StartReads(p.now)
 		done := make(chan struct{})
-		d.s.worker.enqueue(barrier{done})
-		var recs []journal.Record
-		for waiting := true; waiting || len(d.events) > 0; {
+		p.s.worker.enqueue(barrier{done})
+		var records []journal.Record
+		for waiting := true; waiting || len(p.events) > 0; {
 			select {
-			case ev := <-d.events:
-				more, err := d.handle(ev)
+			case ev := <-p.events:
+				more, err := p.handle(ev)
 				if err != nil {
 					return err
 				}
-				recs = append(recs, more...)
+				records = append(records, more...)
 			case <-done:
 				waiting, done = false, nil
 			}
 		}
 		if rounds++; rounds > 10_000 {
-			return errors.New("it does not come to rest")
+			return errors.New("reads are still requested after 10000 rounds")
 		}
-		if len(recs) == 0 && d.s.WakeTime() > d.now {
+		if len(records) == 0 && p.s.WakeTime() > p.now {
 			return nil
 		}
-		if err := d.j.Append(recs); err != nil {
+		if err := p.j.Append(records); err != nil {
 			return err
 		}
 	}
 }
 
-// barrier is a job that says when those before it are done.
+// barrier is a job that closes a channel once the jobs before it are done.
 type barrier struct{ done chan struct{} }
 
 func (b barrier) do(*worker) any { close(b.done); return nil }
 
-func (d *testProcess) handle(ev any) (recs []journal.Record, err error) {
+// handle handles an event. It returns the journal records that the event results in.
+func (p *testProcess) handle(ev any) (records []journal.Record, err error) {
 	switch ev := ev.(workerEvent).event.(type) {
 	case refillReadEvent:
 		err = ev.err
@@ -188,77 +193,80 @@
 	if err != nil {
 		return nil, err
 	}
-	in, first, count, ok := d.s.HandleEvent(ev)
+	in, first, count, ok := p.s.HandleEvent(ev)
 	if !ok {
-		return nil, fmt.Errorf("%T is none of its events", ev)
+		return nil, fmt.Errorf("HandleEvent does not handle %T", ev)
 	}
 	if count > 0 {
-		recs = append(recs, journal.Record{Op: journal.OpCleared, Behind: first, Count: count})
+		records = append(records, journal.Record{Op: journal.OpCleared, Behind: first, Count: count})
 	}
 	for _, x := range in {
 		if x.Err != nil {
 			return nil, x.Err
 		}
 		if x.Body == nil || x.Digest != x.Record.Message.Digest() {
-			return nil, fmt.Errorf("%s came with another body", x.ID)
+			return nil, fmt.Errorf("%s is refilled with another body", x.ID)
 		}
-		recs = append(recs, journal.Record{Op: journal.OpAccept, Entry: &journal.Entry{Message: x.Message, Accepted: x.Accepted, Behind: x.Seq}})
-		d.window = append(d.window, x.ID)
+		records = append(records, journal.Record{Op: journal.OpAccept,
+			Entry: &journal.Entry{Message: x.Message, Accepted: x.Accepted, Behind: x.Seq}})
+		p.window = append(p.window, x.ID)
 	}
-	return recs, nil
+	return records, nil
 }
 
-// endExpired ends what is over behind the windows.
-func (d *testProcess) endExpired() error {
-	var recs []journal.Record
+// endExpired ends the spilled messages that have expired.
+func (p *testProcess) endExpired() error {
+	var records []journal.Record
 	var ids []string
 	for {
-		r, seq, ok := d.s.PopExpired(d.now)
+		r, seq, ok := p.s.PopExpired(p.now)
 		if !ok {
 			break
 		}
-		if l := d.messages[r.ID]; l == nil || l.ended || r.Deadline > d.now {
-			return fmt.Errorf("%s ends: %+v, %d before its time", r.ID, l, r.Deadline-d.now)
+		if want := p.messages[r.ID]; want == nil || want.ended || r.Deadline > p.now {
+			return fmt.Errorf("%s expires: %+v, %d µs before its deadline", r.ID, want, r.Deadline-p.now)
 		}
-		d.messages[r.ID].endBegun = true
-		recs = append(recs, journal.Record{Op: journal.OpAccept, Entry: &journal.Entry{Message: r.Message, Behind: seq, Left: 1, EndDigest: r.Digest}},
-			journal.Record{Op: journal.OpEnd, ID: r.ID, End: &message.End{ID: r.ID, State: message.Returned, At: d.now}},
-			journal.Record{Op: journal.OpNoticed, ID: r.ID, At: d.now})
+		p.messages[r.ID].endBegun = true
+		records = append(records, journal.Record{Op: journal.OpAccept,
+			Entry: &journal.Entry{Message: r.Message, Behind: seq, Left: 1, EndDigest: r.Digest}},
+			journal.Record{Op: journal.OpEnd, ID: r.ID, End: &message.End{ID: r.ID, State: message.Returned, At: p.now}},
+			journal.Record{Op: journal.OpNoticed, ID: r.ID, At: p.now})
 		ids = append(ids, r.ID)
 	}
-	if err := d.j.Append(recs); err != nil {
+	if err := p.j.Append(records); err != nil {
 		return err
 	}
 	for _, id := range ids {
-		d.messages[id].ended = true
+		p.messages[id].ended = true
 	}
 	return nil
 }
 
-// deliver ends the first so many messages in the windows.
-func (d *testProcess) deliver(n int) error {
-	for range min(n, len(d.window)) {
-		id := d.window[0]
-		if l := d.messages[id]; l.ended {
+// deliver delivers the first n messages of the windows.
+func (p *testProcess) deliver(n int) error {
+	for range min(n, len(p.window)) {
+		id := p.window[0]
+		if want := p.messages[id]; want.ended {
 			return fmt.Errorf("%s is delivered twice", id)
 		}
-		d.messages[id].endBegun = true
-		partner := d.j.Entry(id).Partner
-		if err := d.j.Append([]journal.Record{{Op: journal.OpSend, ID: id, At: d.now}}); err != nil {
+		p.messages[id].endBegun = true
+		partner := p.j.Entry(id).Partner
+		if err := p.j.Append([]journal.Record{{Op: journal.OpSend, ID: id, At: p.now}}); err != nil {
 			return err
 		}
-		if err := d.j.Append([]journal.Record{{Op: journal.OpDone, ID: id, At: d.now}}); err != nil {
+		if err := p.j.Append([]journal.Record{{Op: journal.OpDone, ID: id, At: p.now}}); err != nil {
 			return err
 		}
-		d.window = d.window[1:]
-		d.messages[id].ended = true
-		d.s.LeaveWindow(partner)
+		p.window = p.window[1:]
+		p.messages[id].ended = true
+		p.s.LeaveWindow(partner)
 	}
 	return nil
 }
 
-// runWorkload is a life of a daemon: it spills, refills, ends and removes.
-func (d *testProcess) runWorkload() error {
+// runWorkload submits, spills, refills, expires and delivers messages, and reclaims
+// segments.
+func (p *testProcess) runWorkload() error {
 	n := 0
 	for step := range 30 {
 		if step < 20 {
@@ -267,91 +275,91 @@
 				list = append(list, n)
 				n++
 			}
-			if err := d.submit(list...); err != nil {
+			if err := p.submit(list...); err != nil {
 				return err
 			}
 		}
 		if step%3 == 0 {
-			if err := d.deliver(2); err != nil {
+			if err := p.deliver(2); err != nil {
 				return err
 			}
 		}
-		d.now += 1_500_000
-		if err := d.settle(); err != nil {
+		p.now += 1_500_000
+		if err := p.settle(); err != nil {
 			return err
 		}
-		d.s.ReclaimSegments()
-		if err := d.settle(); err != nil {
+		p.s.ReclaimSegments()
+		if err := p.settle(); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// check holds what a start has found against what is known: each message that was
-// acknowledged and is not over is in one place, and what is over in none.
-func (d *testProcess) check(t *testing.T, what string) {
+// check compares what a start has restored with what is expected: each acknowledged
+// message that has not ended is either in its window or spilled, and an ended one neither.
+func (p *testProcess) check(t *testing.T, label string) {
 	t.Helper()
-	behind := map[string]bool{}
-	for id := range d.messages {
-		if d.s.MayContain(id) {
+	spilled := map[string]bool{}
+	for id := range p.messages {
+		if p.s.MayContain(id) {
 			found := false
-			d.s.Lookup(id, func(r *disk.Record, _ error) { behind[id], found = r != nil, true })
+			p.s.Lookup(id, func(r *disk.Record, _ error) { spilled[id], found = r != nil, true })
 			for !found {
-				if _, err := d.handle(<-d.events); err != nil {
-					t.Fatalf("%s: %v", what, err)
+				if _, err := p.handle(<-p.events); err != nil {
+					t.Fatalf("%s: %v", label, err)
 				}
 			}
 		}
 	}
-	for id, l := range d.messages {
-		e := d.j.Entry(id)
+	for id, want := range p.messages {
+		e := p.j.Entry(id)
 		inWindow := e != nil && e.End == nil
 		switch {
-		case inWindow && behind[id]:
-			t.Fatalf("%s: %s is in its window and behind it", what, id)
-		case l.ended && (e != nil || behind[id]):
-			t.Fatalf("%s: %s is over and lives: %+v, behind %v", what, id, e, behind[id])
-		case l.acked && !l.endBegun && !inWindow && !behind[id]:
-			t.Fatalf("%s: %s is lost", what, id)
-		case l.endBegun && !l.ended && e == nil && !behind[id] && d.j.Ended(id) == nil:
-			t.Fatalf("%s: %s was about to end and is lost", what, id)
+		case inWindow && spilled[id]:
+			t.Fatalf("%s: %s is in its window and spilled", label, id)
+		case want.ended && (e != nil || spilled[id]):
+			t.Fatalf("%s: %s has ended and is pending: %+v, spilled %v", label, id, e, spilled[id])
+		case want.acked && !want.endBegun && !inWindow && !spilled[id]:
+			t.Fatalf("%s: %s is lost", label, id)
+		case want.endBegun && !want.ended && e == nil && !spilled[id] && p.j.Ended(id) == nil:
+			t.Fatalf("%s: %s was being ended and is lost", label, id)
 		}
-		if d.s.MayContain(id) != behind[id] {
-			t.Fatalf("%s: %s is behind its window: %v, and found: %v", what, id, behind[id], d.s.MayContain(id))
+		if p.s.MayContain(id) != spilled[id] {
+			t.Fatalf("%s: %s is spilled: %v, and found: %v", label, id, spilled[id], p.s.MayContain(id))
 		}
 	}
 }
 
-// drain ends all that there is, and sees that the messages of a partner and tenant are in order.
-func (d *testProcess) drain(t *testing.T, what string) {
+// drain ends all messages, and checks that those of a partner and tenant are in order.
+func (p *testProcess) drain(t *testing.T, label string) {
 	t.Helper()
-	for id, l := range d.messages { // what the dead process did not know
-		e := d.j.Entry(id)
-		l.ended = l.ended || d.j.Ended(id) != nil
-		if e == nil && !l.ended && !d.s.MayContain(id) {
-			delete(d.messages, id)
+	for id, want := range p.messages { // what the crashed process could not record
+		e := p.j.Entry(id)
+		want.ended = want.ended || p.j.Ended(id) != nil
+		if e == nil && !want.ended && !p.s.MayContain(id) {
+			delete(p.messages, id)
 		}
 	}
 	var order []string
 	for range 1000 {
-		if err := d.settle(); err != nil {
-			t.Fatalf("%s: %v", what, err)
+		if err := p.settle(); err != nil {
+			t.Fatalf("%s: %v", label, err)
 		}
-		if len(d.window) == 0 {
+		if len(p.window) == 0 {
 			break
 		}
-		order = append(order, d.window[0])
-		if err := d.deliver(1); err != nil {
-			t.Fatalf("%s: %v", what, err)
+		order = append(order, p.window[0])
+		if err := p.deliver(1); err != nil {
+			t.Fatalf("%s: %v", label, err)
 		}
 	}
-	if d.s.Len() > 0 || d.j.Len() > 0 {
-		t.Fatalf("%s: %d are left behind, %d in the journal", what, d.s.Len(), d.j.Len())
+	if p.s.Len() > 0 || p.j.Len() > 0 {
+		t.Fatalf("%s: %d are still spilled, %d in the journal", label, p.s.Len(), p.j.Len())
 	}
-	for id, l := range d.messages {
-		if !l.ended {
-			t.Fatalf("%s: %s has no end", what, id)
+	for id, want := range p.messages {
+		if !want.ended {
+			t.Fatalf("%s: %s has not ended", label, id)
 		}
 	}
 	last := map[string]int{}
@@ -359,14 +367,14 @@
 		i := 0
 		fmt.Sscanf(id, "m%d", &i)
 		m := testMessage(i)
-		lane := m.Partner + m.Tenant
-		if i < last[lane] {
-			t.Fatalf("%s: %s comes after m%d", what, id, last[lane])
+		queue := m.Partner + m.Tenant
+		if i < last[queue] {
+			t.Fatalf("%s: %s is delivered after m%d", label, id, last[queue])
 		}
-		last[lane] = i
+		last[queue] = i
 	}
-	d.s.ReclaimSegments()
-	if err := d.settle(); err != nil {
-		t.Fatalf("%s: %v", what, err)
+	p.s.ReclaimSegments()
+	if err := p.settle(); err != nil {
+		t.Fatalf("%s: %v", label, err)
 	}
 }
--- a/internal/backlog/spill/room_test.go
+++ b/internal/backlog/spill/room_test.go
@@ -8,17 +8,17 @@
 	"cometrack/internal/vfs"
 )
 
-// The files keep within their bound, an index block that is owed included, and messages that are not written yet count.
+// The files stay within MaxBytes: HasRoom counts staged messages and leaves room for an index block.
 func TestHasRoom(t *testing.T) {
 	fs := vfs.NewMem()
-	d, err := start(fs, store.SyncNever, startTime, map[string]*expectation{})
+	p, err := start(fs, store.SyncNever, startTime, map[string]*expectation{})
 	if err != nil {
 		t.Fatal(err)
 	}
-	d.close()
+	p.close()
 	opts := testOptions
 	opts.SegmentBytes, opts.MaxBytes, opts.Sync = 4096, 4096+2000, store.SyncNever
-	s, err := Open(prefixFS{fs, "b-"}, d.j, opts, func(any, <-chan struct{}) {})
+	s, err := Open(prefixFS{fs, "b-"}, p.j, opts, func(any, <-chan struct{}) {})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -29,35 +29,35 @@
 	m := testMessage(1)
 	s.Stage(&disk.Record{Message: *m})
 	if s.HasRoom(1400) || !s.HasRoom(800) {
-		t.Errorf("beside one that is not written: room for 1400: %v, for 800: %v", s.HasRoom(1400), s.HasRoom(800))
+		t.Errorf("with a staged message: room for 1400: %v, for 800: %v", s.HasRoom(1400), s.HasRoom(800))
 	}
 	if err := s.Commit(); err != nil {
 		t.Fatal(err)
 	}
 	if s.HasRoom(1400) || !s.HasRoom(800) {
-		t.Errorf("beside one that is written: room for 1400: %v, for 800: %v", s.HasRoom(1400), s.HasRoom(800))
+		t.Errorf("with a committed message: room for 1400: %v, for 800: %v", s.HasRoom(1400), s.HasRoom(800))
 	}
 }
 
-// Taking messages on behind a window reads nothing: each step is one write.
+// Spilling messages reads nothing from disk: each commit is one write.
 func TestSpillingReadsNothing(t *testing.T) {
 	fs := vfs.NewMem()
-	d, err := start(fs, store.SyncNever, startTime, map[string]*expectation{})
+	p, err := start(fs, store.SyncNever, startTime, map[string]*expectation{})
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer d.close()
-	if err := d.submit(0, 3, 6, 9, 12); err != nil { // the window of p0 is full, and a segment is begun
+	defer p.close()
+	if err := p.submit(0, 3, 6, 9, 12); err != nil { // fills the window of p0 and starts a segment
 		t.Fatal(err)
 	}
 	before := fs.Calls()
-	for i := range 4 { // of p0 too, within the segment
-		if err := d.submit(15 + 3*i); err != nil {
+	for i := range 4 { // also of p0, in the same segment
+		if err := p.submit(15 + 3*i); err != nil {
 			t.Fatal(err)
 		}
-		d.s.StartReads(d.now)
+		p.s.StartReads(p.now)
 	}
-	if n := fs.Calls() - before; n != 4 || d.s.Len() != 6 {
-		t.Errorf("%d calls for 4 steps, %d behind", n, d.s.Len())
+	if n := fs.Calls() - before; n != 4 || p.s.Len() != 6 {
+		t.Errorf("%d calls for 4 commits, %d spilled", n, p.s.Len())
 	}
 }
--- a/internal/backlog/spill/spill.go
+++ b/internal/backlog/spill/spill.go
@@ -11,50 +11,52 @@
 	"cometrack/internal/vfs"
 )
 
-// Options bound what is behind the windows.
+// Options sets the bounds of a [Spill].
 type Options struct {
-	Window   int   // messages of a destination in the module
-	MaxBytes int64 // bytes of all files
-	// SegmentBytes is the bytes of a file at most; 0 for a default.
+	Window   int   // max messages of a destination in memory
+	MaxBytes int64 // max bytes of all files
+	// SegmentBytes is the max number of bytes of a segment; 0 for a default.
 	SegmentBytes  int64
 	Sync          store.Sync
-	FlushInterval time.Duration // store.SyncInterval: how often
-	Log           *slog.Logger
+	FlushInterval time.Duration // with store.SyncInterval
+	Log           *slog.Logger  // must not be nil
 }
 
-// Journal is what the journal knows of messages that were behind a window.
+// Journal is the message journal, as far as it records which messages have left the
+// backlog.
 type Journal interface {
-	// Gone says whether the message of that number is no longer behind it.
+	// Gone reports whether the message with a sequence number is no longer spilled.
 	Gone(seq uint64) bool
-	// MostBehind is the largest number that it knows of.
+	// MostBehind returns the largest sequence number in the journal.
 	MostBehind() uint64
-	// KeepPassed drops what it knows of numbers that nothing is left of.
+	// KeepPassed drops the records of sequence numbers in ranges for which lives is false:
+	// no segment has them any more.
 	KeepPassed(lives func(first, last uint64) bool)
 }
 
 const (
-	// headAllowance is room for what a message takes beside its body.
+	// headAllowance is the number of bytes reserved for a message beside its body.
 	headAllowance = 512
-	// ReadRetryDelay is how long after a read that failed it is made again.
+	// ReadRetryDelay is the delay before a failed read is retried.
 	ReadRetryDelay = 250 * time.Millisecond
 )
 
-// Spill holds messages behind the windows of their destinations. All of its methods
-// belong to one goroutine, the one that decides.
+// Spill keeps the spilled messages of all destinations. All of its methods must be called
+// by one goroutine.
 type Spill struct {
 	spilled             *backlog.Backlog
 	files               *disk.Log
 	log                 *slog.Logger
-	firstOwnSeq         uint64 // numbers from here on were given by this process
-	staged              []*disk.Record
-	stagedBytes         int64                    // of pending, about
-	stagedByDestination map[string]int           // of pending, by destination
-	stagedOrderKeys     map[uint64]backlog.Queue // of pending, by order key
+	firstOwnSeq         uint64                   // first sequence number that this process may assign
+	staged              []*disk.Record           // the messages that the next Commit writes
+	stagedBytes         int64                    // estimated bytes of the staged messages
+	stagedByDestination map[string]int           // number of staged messages
+	stagedOrderKeys     map[uint64]backlog.Queue // queues of the staged messages, by hash of the order key
 	worker              *worker
-	refillEnabled       bool // more is to come into the windows
+	refillEnabled       bool // false after StopRefill
 }
 
-// The events that Spill hands to tell. The one that decides hands them back to
+// The events of the worker, wrapped in a workerEvent. The caller of Open passes them to
 // [Spill.HandleEvent].
 type (
 	refillReadEvent struct {
@@ -87,42 +89,46 @@
 	}
 )
 
-// Open opens what an earlier process has left in a folder, and hands what is read
-// beside the caller to tell, which may be called at any time until Close returns, and
-// has to return once quit is closed.
-func Open(fs vfs.FS, gone Journal, opts Options, tell func(event any, quit <-chan struct{})) (*Spill, error) {
-	l, err := disk.Open(fs, gone.MostBehind(), disk.Options{MaxBytes: opts.MaxBytes, SegmentBytes: opts.SegmentBytes, Sync: opts.Sync, FlushInterval: opts.FlushInterval, Log: opts.Log})
+// Open opens the backlog that an earlier process has left in a folder, or a new one. A
+// worker goroutine calls notify with events, for [Spill.HandleEvent], until Close returns;
+// notify must return once quit is closed.
+func Open(fs vfs.FS, journal Journal, opts Options, notify func(event any, quit <-chan struct{})) (*Spill, error) {
+	files, err := disk.Open(fs, journal.MostBehind(), disk.Options{MaxBytes: opts.MaxBytes,
+		SegmentBytes: opts.SegmentBytes, Sync: opts.Sync, FlushInterval: opts.FlushInterval, Log: opts.Log})
 	if err != nil {
 		return nil, err
 	}
-	s := &Spill{spilled: backlog.New(backlog.Options{Window: opts.Window}), files: l, log: opts.Log, stagedByDestination: map[string]int{}, stagedOrderKeys: map[uint64]backlog.Queue{}, refillEnabled: true}
-	err = l.Restore(s.spilled.Queue, func(x disk.RestoredSegment) {
-		s.spilled.Restore(x.First, x.Entries, func(seq uint64) bool { return gone.Gone(seq) || x.Entries[seq-x.First].HeadSize == 0 }, x.ByDeadline, x.Runs)
+	s := &Spill{spilled: backlog.New(backlog.Options{Window: opts.Window}), files: files, log: opts.Log,
+		stagedByDestination: map[string]int{}, stagedOrderKeys: map[uint64]backlog.Queue{}, refillEnabled: true}
+	err = files.Restore(s.spilled.Queue, func(x disk.RestoredSegment) {
+		s.spilled.Restore(x.First, x.Entries,
+			func(seq uint64) bool { return journal.Gone(seq) || x.Entries[seq-x.First].HeadSize == 0 },
+			x.ByDeadline, x.Runs)
 	})
 	if err != nil {
-		l.Close()
+		files.Close()
 		return nil, err
 	}
-	gone.KeepPassed(s.spilled.Overlaps)
-	s.firstOwnSeq, _ = l.StartsSegment()
-	s.worker = newWorker(l, opts, tell)
+	journal.KeepPassed(s.spilled.Overlaps)
+	s.firstOwnSeq, _ = files.StartsSegment()
+	s.worker = newWorker(files, opts, notify)
 	return s, nil
 }
 
-// Close ends what is done beside and closes the files.
+// Close stops the worker and closes the files.
 func (s *Spill) Close() error {
 	s.worker.stop()
 	return s.files.Close()
 }
 
-// Len is the number of messages behind the windows, those that Commit is to write
-// included.
+// Len returns the number of spilled messages, staged ones included.
 func (s *Spill) Len() int { return s.spilled.Len() + len(s.staged) }
 
-// Behind is the number of messages behind the window of a destination.
+// BacklogLen returns the number of spilled messages of a destination, without staged ones.
 func (s *Spill) BacklogLen(destination string) int { return s.spilled.BacklogLen(destination) }
 
-// Terms are the numbers of terms that messages behind the windows may be held to.
+// Terms returns the numbers of the settings (terms) under which spilled messages may have
+// been accepted.
 func (s *Spill) Terms() []int64 {
 	out := s.spilled.Terms()
 	for _, r := range s.staged {
@@ -131,21 +137,23 @@
 	return out
 }
 
-// Earlier says whether a number was given by a process before this one.
+// FromEarlierProcess reports whether an earlier process assigned a sequence number.
 func (s *Spill) FromEarlierProcess(seq uint64) bool { return seq < s.firstOwnSeq }
 
-// Enter counts a message that the module has been given without Spill; Leave counts
-// one out that it has had.
+// EnterWindow counts a message that entered the window of its destination without having
+// been spilled.
 func (s *Spill) EnterWindow(destination string) { s.spilled.EnterWindow(destination) }
 
-// Leave counts out a message that the module has had, however it came.
+// LeaveWindow counts out a message that left the window of its destination, however it had
+// entered it.
 func (s *Spill) LeaveWindow(destination string) { s.spilled.LeaveWindow(destination) }
 
-// Place says where a new message goes.
+// Place decides where a new message goes. ordered reports whether its class keeps order
+// and it has an order key.
 func (s *Spill) Place(m *message.Message, ordered bool) backlog.Placement {
 	r := disk.Record{Message: *m, Ordered: ordered}
 	order := r.OrderHash()
-	if lane, ok := s.stagedOrderKeys[order]; ok && order != 0 && lane != r.Queue() {
+	if queue, ok := s.stagedOrderKeys[order]; ok && order != 0 && queue != r.Queue() {
 		return backlog.Rejected
 	}
 	v := s.spilled.Place(r.Partner, r.Queue(), order)
@@ -155,7 +163,7 @@
 	return v
 }
 
-// Put has a message that Place sends behind its window written by the next Commit.
+// Stage adds a message to those that the next Commit spills.
 func (s *Spill) Stage(r *disk.Record) {
 	s.staged = append(s.staged, r)
 	s.stagedBytes += int64(len(r.Body) + headAllowance)
@@ -165,45 +173,46 @@
 	}
 }
 
-// Discard drops the messages that were put behind their windows and not written.
+// Discard drops the staged messages.
 func (s *Spill) Discard() {
 	s.staged, s.stagedBytes = nil, 0
 	clear(s.stagedByDestination)
 	clear(s.stagedOrderKeys)
 }
 
-// Room says whether a message with such a body is taken behind a window.
+// HasRoom reports whether a message with a body of that many bytes can be staged.
 func (s *Spill) HasRoom(body int) bool {
 	return s.files.HasRoom(s.stagedBytes + int64(body+headAllowance))
 }
 
-// Commit writes the messages that were put behind their windows. Once it has
-// returned without an error they are as safe as the setting says; else none of them
-// counts.
+// Commit writes the staged messages. When it returns nil, they are spilled and as durable
+// as Options.Sync requires; otherwise none of them is.
 func (s *Spill) Commit() error {
 	list := s.staged
 	if len(list) == 0 {
 		return nil
 	}
 	s.Discard()
-	first, begins := s.files.StartsSegment()
+	first, starts := s.files.StartsSegment()
 	entries, err := s.files.Append(list)
 	if err != nil {
 		return err
 	}
-	if begins {
+	if starts {
 		if before, closed := s.spilled.Close(); len(closed) > 0 {
 			s.worker.enqueue(s.newSealJob(before, closed))
 		}
 		s.spilled.Open(first)
 	}
 	for i := range entries {
-		entries[i].IDHash, entries[i].OrderHash, entries[i].Queue = disk.HashID(list[i].ID), list[i].OrderHash(), s.spilled.Queue(list[i].Queue())
+		entries[i].IDHash, entries[i].OrderHash, entries[i].Queue = disk.HashID(list[i].ID), list[i].OrderHash(),
+			s.spilled.Queue(list[i].Queue())
 		s.spilled.Add(entries[i])
 	}
 	return nil
 }
 
+// newSealJob returns the job that writes the index block of a closed segment.
 func (s *Spill) newSealJob(first uint64, entries []backlog.Entry) job {
 	names := map[backlog.QueueID]backlog.Queue{}
 	for i := range entries {
@@ -214,22 +223,22 @@
 	return sealJob{first, entries, names}
 }
 
-// Has says whether a message of that id may be behind a window. It reads nothing;
-// what it finds may prove to be another one.
+// MayContain reports whether a message with that id may be spilled. It reads nothing;
+// [Spill.Lookup] tells false positives apart.
 func (s *Spill) MayContain(id string) bool {
 	return s.spilled.Len() > 0 && s.spilled.Find(disk.HashID(id)) != 0
 }
 
-// Lookup reads the message of an id beside the caller, without its body. then is
-// called by [Spill.HandleEvent] with it, with nil if none of that id is there, or with an
-// error if that can't be told.
-func (s *Spill) Lookup(id string, then func(*disk.Record, error)) {
+// Lookup has the worker read the spilled message with an id, without its body.
+// [Spill.HandleEvent] later calls callback with the message, with nil if there is none, or
+// with an error if the read failed.
+func (s *Spill) Lookup(id string, callback func(*disk.Record, error)) {
 	first, at, e, ok := s.spilled.Resolve(s.spilled.Find(disk.HashID(id)))
 	if !ok {
-		s.worker.enqueue(lookupEvent{callback: then})
+		s.worker.enqueue(lookupEvent{callback: callback})
 		return
 	}
-	j := lookupJob{first: first, at: at, callback: then, id: id}
+	j := lookupJob{first: first, at: at, callback: callback, id: id}
 	if e != nil {
 		entry := *e
 		j.entry = &entry
@@ -237,25 +246,25 @@
 	s.worker.enqueue(j)
 }
 
-// RefilledMessage is a message that comes into the window, or can't.
+// RefilledMessage is a message that enters its window, or one that can't be read.
 type RefilledMessage struct {
 	*disk.Record // nil if nothing of it can be read
 	Seq          uint64
-	Err          error // it is damaged
-	Partner      string
+	Err          error  // wraps disk.ErrDamaged if the message is damaged
+	Partner      string // its destination
 	queue        backlog.QueueID
 	entry        backlog.Entry
 }
 
-// Take takes an event that tell was called with. It returns the messages that come
-// into the window now, and the numbers of a segment that is gone for good, from
-// first on; or ok is false if it is none of its events.
+// HandleEvent handles an event that notify was called with. It returns the messages that
+// enter their windows, or the first sequence number and the number of messages of a
+// segment that was removed. ok is false if the event is not one of a Spill.
 func (s *Spill) HandleEvent(ev any) (in []RefilledMessage, first, n uint64, ok bool) {
 	t, ok := ev.(workerEvent)
 	if !ok {
 		return nil, 0, 0, false
 	}
-	if t.worker != s.worker { // of one that was closed
+	if t.worker != s.worker { // an event of a Spill that has been closed
 		return nil, 0, 0, true
 	}
 	switch ev := t.event.(type) {
@@ -280,11 +289,12 @@
 	return nil, 0, 0, true
 }
 
+// finishRefill completes a refill read and returns the messages that enter their window.
 func (s *Spill) finishRefill(ev refillReadEvent) (in []RefilledMessage) {
 	if ev.err != nil {
 		s.log.Error("backlog: messages can't be read yet", "err", ev.err)
 		s.spilled.RefillFailed(ev.read)
-		s.retryLater(ev.read.Queue)
+		s.retry(ev.read.Queue)
 		return nil
 	}
 	entries := make([]backlog.Entry, len(ev.results))
@@ -294,13 +304,15 @@
 	for i, yes := range s.spilled.RefillDone(ev.read, entries) {
 		if yes {
 			g := ev.results[i]
-			in = append(in, RefilledMessage{Record: g.Record, Seq: g.Entry.Seq, Err: g.Err, Partner: s.spilled.Name(ev.read.Queue).Destination, queue: ev.read.Queue, entry: g.Entry})
+			in = append(in, RefilledMessage{Record: g.Record, Seq: g.Entry.Seq, Err: g.Err,
+				Partner: s.spilled.Name(ev.read.Queue).Destination, queue: ev.read.Queue, entry: g.Entry})
 		}
 	}
 	return in
 }
 
-// Back takes messages back, in order, that could not be taken into the module.
+// PutBack spills refilled messages again, in order, that could not be taken into memory.
+// They are requested again after [ReadRetryDelay].
 func (s *Spill) PutBack(list []RefilledMessage) {
 	for len(list) > 0 {
 		n := 1
@@ -312,12 +324,12 @@
 			items[i] = backlog.Item{Entry: list[i].entry, Payload: withoutBody(list[i].Record)}
 		}
 		s.spilled.PutBack(list[0].queue, items)
-		s.retryLater(list[0].queue)
+		s.retry(list[0].queue)
 		list = list[n:]
 	}
 }
 
-// withoutBody is a message without its body.
+// withoutBody returns a copy of a message without its body.
 func withoutBody(r *disk.Record) *disk.Record {
 	if r == nil {
 		return nil
@@ -327,14 +339,13 @@
 	return &out
 }
 
-// retryLater has a lane looked at again after a while.
-func (s *Spill) retryLater(lane backlog.QueueID) {
-	s.worker.enqueueAfter(ReadRetryDelay, retryEvent{lane})
-}
+// retry makes a queue eligible for refill reads again after [ReadRetryDelay].
+func (s *Spill) retry(id backlog.QueueID) { s.worker.enqueueAfter(ReadRetryDelay, retryEvent{id}) }
 
+// finishExpiryRead completes an expiry read, or has it retried after [ReadRetryDelay].
 func (s *Spill) finishExpiryRead(ev expiryReadEvent) {
 	if ev.err != nil {
-		s.log.Error("backlog: ends can't be read yet", "err", ev.err)
+		s.log.Error("backlog: expiring messages can't be read yet", "err", ev.err)
 		s.worker.enqueueAfter(ReadRetryDelay, expiryRetryEvent{ev.read})
 		return
 	}
@@ -345,8 +356,9 @@
 	s.spilled.ExpiryReadDone(ev.read, items, ev.after)
 }
 
-// Over returns a message whose time is over at a time, as no longer behind the
-// window; ok is false if there is none. Without a record nothing of it can be read.
+// PopExpired removes a message whose deadline is at or before a time, Unix time in
+// microseconds, from the backlog and returns it; ok is false if there is none. r is nil if
+// the message can't be read.
 func (s *Spill) PopExpired(at int64) (r *disk.Record, seq uint64, ok bool) {
 	e, ok := s.spilled.PopExpired(at)
 	if !ok {
@@ -356,14 +368,15 @@
 	return r, e.Seq, true
 }
 
-// Wake is when Over and Work are to be called next, Unix time in microseconds; the
-// largest number for no such time.
+// WakeTime returns when PopExpired and StartReads are to be called next, Unix time in
+// microseconds; math.MaxInt64 if there is no such time.
 func (s *Spill) WakeTime() int64 { return s.spilled.WakeTime() }
 
-// Rest has no more messages come into the windows.
+// StopRefill ends the refilling of the windows.
 func (s *Spill) StopRefill() { s.refillEnabled = false }
 
-// Work has read what is to be read next.
+// StartReads has the worker read the messages that refill the windows and those that
+// expire soon. now is Unix time in microseconds.
 func (s *Spill) StartReads(now int64) {
 	if s.refillEnabled {
 		for _, r := range s.spilled.RefillReads() {
@@ -375,12 +388,12 @@
 	}
 }
 
-// Tidy has segments removed of which nothing is behind a window any more.
+// ReclaimSegments has the worker remove the segments without spilled messages.
 func (s *Spill) ReclaimSegments() {
 	for _, x := range s.spilled.Reclaim() {
 		s.worker.enqueue(removeJob{x.First, x.N})
 	}
 }
 
-// Stats tells how the files stand.
+// Stats returns the state of the files.
 func (s *Spill) Stats() disk.Stats { return s.files.Stats() }
--- a/internal/backlog/spill/worker.go
+++ b/internal/backlog/spill/worker.go
@@ -11,24 +11,25 @@
 	"cometrack/internal/store"
 )
 
-// worker does jobs in order, beside the one that decides.
+// worker runs jobs in order, in a goroutine of its own.
 type worker struct {
 	files         *disk.Log
 	log           *slog.Logger
 	notify        func(event any, quit <-chan struct{})
-	flushInterval time.Duration // between two flushes; 0 for none
+	flushInterval time.Duration // 0 if the worker does not flush
 
-	mu      sync.Mutex
+	mu      sync.Mutex // protects queue and closed
 	queue   []job
-	wake    chan struct{}
-	stopped chan struct{}
+	wake    chan struct{} // signals a change of queue or closed
+	stopped chan struct{} // is closed when run has returned
 	closed  bool
-	quit    chan struct{}
+	quit    chan struct{} // is closed when stop is called
 }
 
-// job is one thing to do; it returns an event, or nil.
+// job is a unit of work; do returns an event for the notify function, or nil.
 type job interface{ do(w *worker) any }
 
+// The jobs.
 type (
 	refillJob struct{ read backlog.RefillRead }
 	expiryJob struct{ read backlog.ExpiryRead }
@@ -47,8 +48,11 @@
 	}
 )
 
-func newWorker(l *disk.Log, opts Options, tell func(any, <-chan struct{})) *worker {
-	w := &worker{files: l, log: opts.Log, notify: tell, wake: make(chan struct{}, 1), stopped: make(chan struct{}), quit: make(chan struct{})}
+// newWorker starts a worker. notify is called with each event until stop returns, and must
+// return once quit is closed.
+func newWorker(files *disk.Log, opts Options, notify func(any, <-chan struct{})) *worker {
+	w := &worker{files: files, log: opts.Log, notify: notify, wake: make(chan struct{}, 1),
+		stopped: make(chan struct{}), quit: make(chan struct{})}
 	if opts.Sync == store.SyncInterval {
 		w.flushInterval = max(opts.FlushInterval, time.Millisecond)
 	}
@@ -56,7 +60,7 @@
 	return w
 }
 
-// enqueue hands it a job; it never waits.
+// enqueue adds a job to the queue; it does not block.
 func (w *worker) enqueue(j job) {
 	w.mu.Lock()
 	w.queue = append(w.queue, j)
@@ -67,9 +71,10 @@
 	}
 }
 
-// enqueueAfter has an event told enqueueAfter a while, or a job done.
+// enqueueAfter adds a job to the queue after a delay; it does not block.
 func (w *worker) enqueueAfter(d time.Duration, j job) { time.AfterFunc(d, func() { w.enqueue(j) }) }
 
+// run runs jobs, and flushes the log with store.SyncInterval, until the worker is stopped.
 func (w *worker) run() {
 	defer close(w.stopped)
 	var tick <-chan time.Time
@@ -109,7 +114,7 @@
 	}
 }
 
-// stop ends it after the job at hand.
+// stop ends the worker after the current job, and drops the jobs in its queue.
 func (w *worker) stop() {
 	w.mu.Lock()
 	w.closed = true
@@ -123,13 +128,13 @@
 }
 
 func (j refillJob) do(w *worker) any {
-	got, err := w.files.Read(j.read)
-	return refillReadEvent{j.read, got, err}
+	result, err := w.files.Read(j.read)
+	return refillReadEvent{j.read, result, err}
 }
 
 func (j expiryJob) do(w *worker) any {
-	got, after, err := w.files.ReadExpiring(j.read)
-	return expiryReadEvent{j.read, got, after, err}
+	result, after, err := w.files.ReadExpiring(j.read)
+	return expiryReadEvent{j.read, result, after, err}
 }
 
 func (j removeJob) do(w *worker) any {
@@ -143,7 +148,7 @@
 
 func (j sealJob) do(w *worker) any {
 	byDeadline, runs, err := w.files.Seal(j.first, j.entries, j.queues)
-	if err != nil { // a full disk, say; until then they are in memory
+	if err != nil { // for example a full disk; until the retry succeeds, the entries stay in memory
 		w.log.Error("backlog: an index block can't be written yet", "err", err)
 		w.enqueueAfter(time.Second, j)
 		return nil
@@ -152,19 +157,20 @@
 }
 
 func (j lookupJob) do(w *worker) any {
-	got, err := w.files.Lookup(j.first, j.at, j.entry)
-	if got.Record != nil && got.Record.ID != j.id {
-		got.Record = nil
+	result, err := w.files.Lookup(j.first, j.at, j.entry)
+	if result.Record != nil && result.Record.ID != j.id {
+		result.Record = nil
 	}
 	if err == nil {
-		err = got.Err
+		err = result.Err
 	}
 	if err != nil {
 		err = fmt.Errorf("message %q: %w", j.id, err)
 	}
-	return lookupEvent{got, err, j.callback}
+	return lookupEvent{result, err, j.callback}
 }
 
+// These events are jobs as well, which are enqueued after a delay or without a read.
 func (ev retryEvent) do(*worker) any       { return ev }
 func (ev expiryRetryEvent) do(*worker) any { return ev }
 func (ev lookupEvent) do(*worker) any      { return ev }
