--- a/internal/backlog/backlog.go
+++ b/internal/backlog/backlog.go
@@ -160,8 +160,8 @@
 }
 
 // Place decides where a new message goes. While a destination has spilled messages,
-// its new ones are spilled as well, since messages are delivered in order. order is
-// the hash of the order key, 0 for none.
+// its new ones are spilled as well, so that older messages enter the window first.
+// order is the hash of the order key, 0 for none.
 func (b *Backlog) Place(destination string, name Queue, order uint64) Placement {
 	if order != 0 {
 		if k := b.orderKeys[order]; k != nil && b.queues[k.queue].name != name {
