--- a/internal/backlog/spill/worker.go
+++ b/internal/backlog/spill/worker.go
@@ -11,53 +11,57 @@
 	"cometrack/internal/store"
 )
 
-// worker does jobs in order, beside the one that decides.
+// worker runs jobs in order, in a goroutine of its own.
 type worker struct {
-	l     *disk.Log
-	log   *slog.Logger
-	tell  func(event any, quit <-chan struct{})
-	every time.Duration // between two flushes; 0 for none
-
-	mu     sync.Mutex
-	queue  []job
-	wake   chan struct{}
-	ended  chan struct{}
-	closed bool
-	quit   chan struct{}
+	files         *disk.Log
+	log           *slog.Logger
+	notify        func(event any, quit <-chan struct{})
+	flushInterval time.Duration // 0 if the worker does not flush
+
+	mu      sync.Mutex // protects queue and closed
+	queue   []job
+	wake    chan struct{} // signals a change of queue or closed
+	stopped chan struct{} // is closed when run has returned
+	closed  bool
+	quit    chan struct{} // is closed when stop is called
 }
 
-// job is one thing to do; it returns an event, or nil.
+// job is a unit of work; do returns an event for the notify function, or nil.
 type job interface{ do(w *worker) any }
 
+// The jobs.
 type (
-	readJob   struct{ read backlog.RefillRead }
-	dueJob    struct{ read backlog.ExpiryRead }
+	refillJob struct{ read backlog.RefillRead }
+	expiryJob struct{ read backlog.ExpiryRead }
 	removeJob struct{ first, n uint64 }
 	sealJob   struct {
 		first   uint64
 		entries []backlog.Entry
-		names   map[backlog.QueueID]backlog.Queue
+		queues  map[backlog.QueueID]backlog.Queue
 	}
 	lookupJob struct {
-		first uint64
-		at    uint32
-		entry *backlog.Entry
-		id    string
-		then  func(*disk.Record, error)
+		first    uint64
+		at       uint32
+		entry    *backlog.Entry
+		id       string
+		callback func(*disk.Record, error)
 	}
 )
 
-func newWorker(l *disk.Log, opts Options, tell func(any, <-chan struct{})) *worker {
-	w := &worker{l: l, log: opts.Log, tell: tell, wake: make(chan struct{}, 1), ended: make(chan struct{}), quit: make(chan struct{})}
+// newWorker starts a worker. notify is called with each event until stop returns, and must
+// return once quit is closed.
+func newWorker(files *disk.Log, opts Options, notify func(any, <-chan struct{})) *worker {
+	w := &worker{files: files, log: opts.Log, notify: notify, wake: make(chan struct{}, 1),
+		stopped: make(chan struct{}), quit: make(chan struct{})}
 	if opts.Sync == store.SyncInterval {
-		w.every = max(opts.FlushInterval, time.Millisecond)
+		w.flushInterval = max(opts.FlushInterval, time.Millisecond)
 	}
 	go w.run()
 	return w
 }
 
-// add hands it a job; it never waits.
-func (w *worker) add(j job) {
+// enqueue adds a job to the queue; it does not block.
+func (w *worker) enqueue(j job) {
 	w.mu.Lock()
 	w.queue = append(w.queue, j)
 	w.mu.Unlock()
@@ -67,14 +71,15 @@
 	}
 }
 
-// after has an event told after a while, or a job done.
-func (w *worker) after(d time.Duration, j job) { time.AfterFunc(d, func() { w.add(j) }) }
+// enqueueAfter adds a job to the queue after a delay; it does not block.
+func (w *worker) enqueueAfter(d time.Duration, j job) { time.AfterFunc(d, func() { w.enqueue(j) }) }
 
+// run runs jobs, and flushes the log with store.SyncInterval, until the worker is stopped.
 func (w *worker) run() {
-	defer close(w.ended)
+	defer close(w.stopped)
 	var tick <-chan time.Time
-	if w.every > 0 {
-		t := time.NewTicker(w.every)
+	if w.flushInterval > 0 {
+		t := time.NewTicker(w.flushInterval)
 		defer t.Stop()
 		tick = t.C
 	}
@@ -82,7 +87,7 @@
 		select {
 		case <-w.wake:
 		case <-tick:
-			if err := w.l.Flush(); err != nil {
+			if err := w.files.Flush(); err != nil {
 				w.log.Error("backlog", "err", err)
 			}
 		}
@@ -103,13 +108,13 @@
 				break
 			}
 			if ev := j.do(w); ev != nil {
-				w.tell(told{w, ev}, w.quit)
+				w.notify(workerEvent{w, ev}, w.quit)
 			}
 		}
 	}
 }
 
-// stop ends it after the job at hand.
+// stop ends the worker after the current job, and drops the jobs in its queue.
 func (w *worker) stop() {
 	w.mu.Lock()
 	w.closed = true
@@ -119,52 +124,53 @@
 	case w.wake <- struct{}{}:
 	default:
 	}
-	<-w.ended
+	<-w.stopped
 }
 
-func (j readJob) do(w *worker) any {
-	got, err := w.l.Read(j.read)
-	return cameEvent{j.read, got, err}
+func (j refillJob) do(w *worker) any {
+	result, err := w.files.Read(j.read)
+	return refillReadEvent{j.read, result, err}
 }
 
-func (j dueJob) do(w *worker) any {
-	got, after, err := w.l.ReadExpiring(j.read)
-	return dueEvent{j.read, got, after, err}
+func (j expiryJob) do(w *worker) any {
+	result, after, err := w.files.ReadExpiring(j.read)
+	return expiryReadEvent{j.read, result, after, err}
 }
 
 func (j removeJob) do(w *worker) any {
-	if err := w.l.Remove(j.first); err != nil {
+	if err := w.files.Remove(j.first); err != nil {
 		w.log.Error("backlog: a segment can't be removed yet", "err", err)
-		w.after(time.Second, j)
+		w.enqueueAfter(time.Second, j)
 		return nil
 	}
 	return removedEvent(j)
 }
 
 func (j sealJob) do(w *worker) any {
-	byDeadline, runs, err := w.l.Seal(j.first, j.entries, j.names)
-	if err != nil { // a full disk, say; until then they are in memory
+	byDeadline, runs, err := w.files.Seal(j.first, j.entries, j.queues)
+	if err != nil { // for example a full disk; until the retry succeeds, the entries stay in memory
 		w.log.Error("backlog: an index block can't be written yet", "err", err)
-		w.after(time.Second, j)
+		w.enqueueAfter(time.Second, j)
 		return nil
 	}
 	return sealedEvent{j.first, byDeadline, runs}
 }
 
 func (j lookupJob) do(w *worker) any {
-	got, err := w.l.Lookup(j.first, j.at, j.entry)
-	if got.Record != nil && got.Record.ID != j.id {
-		got.Record = nil
+	result, err := w.files.Lookup(j.first, j.at, j.entry)
+	if result.Record != nil && result.Record.ID != j.id {
+		result.Record = nil
 	}
 	if err == nil {
-		err = got.Err
+		err = result.Err
 	}
 	if err != nil {
 		err = fmt.Errorf("message %q: %w", j.id, err)
 	}
-	return foundEvent{got, err, j.then}
+	return lookupEvent{result, err, j.callback}
 }
 
-func (ev retryEvent) do(*worker) any  { return ev }
-func (ev failedEvent) do(*worker) any { return ev }
-func (ev foundEvent) do(*worker) any  { return ev }
+// These events are jobs as well, which are enqueued after a delay or without a read.
+func (ev retryEvent) do(*worker) any       { return ev }
+func (ev expiryRetryEvent) do(*worker) any { return ev }
+func (ev lookupEvent) do(*worker) any      { return ev }
