--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -14,86 +14,86 @@
 // callOuts makes the attempts of a step. Those at one endpoint travel as one call
 // as far as its kind allows, in the order of the module's words. Without their
 // records in the journal they are not made.
-func (c *Core) callOuts(work context.Context, outs []logic.CallOut, written bool) {
+func (c *Core) startAttempts(work context.Context, outs []logic.CallOut, written bool) {
 	if len(outs) == 0 {
 		return
 	}
 	calls := map[logic.EndpointID][]*Attempt{} // that may take more
 	for _, a := range outs {
-		out := c.attempt(a)
+		out := c.newAttempt(a)
 		if out == nil {
 			continue
 		}
 		if !written {
-			c.held[a.ID].stop = func() {}
-			ev := replyEvent{{attempt: out, result: Result{Outcome: logic.Moot}}}
-			time.AfterFunc(retryPause, func() { c.post(ev) }) // a full disk, say: room may come
+			c.pending[a.ID].cancel = func() {}
+			ev := outcomesEvent{{attempt: out, result: Result{Outcome: logic.Moot}}}
+			time.AfterFunc(retryDelay, func() { c.post(ev) }) // a full disk, say: room may come
 			continue
 		}
 		call := append(calls[a.Endpoint], out)
-		if len(call) >= c.batch(a.Endpoint) {
-			c.call(work, call)
+		if len(call) >= c.batchSize(a.Endpoint) {
+			c.startCall(work, call)
 			call = nil
 		}
 		calls[a.Endpoint] = call
 	}
 	for _, a := range outs { // in order: map iteration has none
 		if call := calls[a.Endpoint]; len(call) > 0 {
-			c.call(work, call)
+			c.startCall(work, call)
 			delete(calls, a.Endpoint)
 		}
 	}
 }
 
 // batch is how many messages one call to an endpoint takes.
-func (c *Core) batch(ep logic.EndpointID) int {
-	if k := c.dir.eps[ep].kind; k >= 0 && k < len(c.terms.set.Kinds) {
-		return max(c.terms.set.Kinds[k].Batch, 1)
+func (c *Core) batchSize(ep logic.EndpointID) int {
+	if k := c.directory.endpoints[ep].kind; k >= 0 && k < len(c.terms.settings.Kinds) {
+		return max(c.terms.settings.Kinds[k].Batch, 1)
 	}
 	return 1
 }
 
 // attempt books an attempt. It is nil for a message that is not held.
-func (c *Core) attempt(a logic.CallOut) *Attempt {
-	h := c.held[a.ID]
+func (c *Core) newAttempt(a logic.CallOut) *Attempt {
+	h := c.pending[a.ID]
 	if h == nil { // never taken on; the module is still owed its one outcome
-		c.next = append(c.next, logic.Reply{ID: a.ID, NoMore: true, Endpoint: a.Endpoint, Outcome: logic.Moot})
+		c.nextEvents = append(c.nextEvents, logic.Reply{ID: a.ID, NoMore: true, Endpoint: a.Endpoint, Outcome: logic.Moot})
 		return nil
 	}
-	if h.stop != nil || h.over { // the module's books say otherwise: nothing goes out
+	if h.cancel != nil || h.ended { // the module's books say otherwise: nothing goes out
 		kind := permit.TwoAttempts
-		if h.over {
+		if h.ended {
 			kind = permit.SentAfterEnd
 		}
-		c.monitor.Violated(kind, a.ID, "attempt", h.tries, "withheld", true)
-		c.next = append(c.next, logic.Reply{ID: a.ID, NoMore: h.over, Endpoint: a.Endpoint, Attempt: h.tries, Outcome: logic.Moot})
+		c.monitor.Violated(kind, a.ID, "attempt", h.attempts, "withheld", true)
+		c.nextEvents = append(c.nextEvents, logic.Reply{ID: a.ID, NoMore: h.ended, Endpoint: a.Endpoint, Attempt: h.attempts, Outcome: logic.Moot})
 		return nil
 	}
-	to := c.dir.eps[a.Endpoint]
-	out := &Attempt{Message: h.msg, Number: h.tries, Endpoint: a.Endpoint, Addr: to.addr, Timeout: span(a.GiveUp), at: time.Now(), first: a.ID,
-		part: c.part, allowed: c.allowed, monitor: c.monitor}
-	h.tries++
+	to := c.directory.endpoints[a.Endpoint]
+	out := &Attempt{Message: h.msg, Number: h.attempts, Endpoint: a.Endpoint, Addr: to.addr, Timeout: toDuration(a.GiveUp), createdAt: time.Now(), firstID: a.ID,
+		plannedShare: c.weightShare, allowedShare: c.allowedShare, monitor: c.monitor}
+	h.attempts++
 	class := cmp.Or(h.class, &logic.Class{Effect: logic.Unsafe})
 	out.Unrepeatable = class.Effect == logic.Unsafe
 	out.Expires = c.clock.Moment(h.msg.Deadline)
 	if e := c.store.Entry(a.ID); e != nil && e.MayRun {
-		out.Repeat = permit.Repeat{MayHaveRun: true, Effect: class.Effect, Window: span(class.Window), Age: out.at.Sub(c.clock.Moment(e.FirstMay))}
+		out.Repeat = permit.Repeat{MayHaveRun: true, Effect: class.Effect, Window: toDuration(class.Window), Age: out.createdAt.Sub(c.clock.Moment(e.FirstMay))}
 	}
-	h.attempt, out.left = out, h.left
+	h.attempt, out.bodyInStore = out, h.bodyInStore
 	c.metrics.Attempts.Add(1)
-	c.traceCall(out)
+	c.traceAttempt(out)
 	return out
 }
 
 // call makes attempts in one call. It is called off once each of them is; until
 // then one that is called off shares the fate of the rest, if it went out.
-func (c *Core) call(work context.Context, call []*Attempt) {
+func (c *Core) startCall(work context.Context, call []*Attempt) {
 	ctx, stop := context.WithCancel(work)
 	left := len(call)
 	for _, out := range call {
-		out.first = call[0].Message.ID
+		out.firstID = call[0].Message.ID
 		stopped := false
-		c.held[out.Message.ID].stop = func() { // by the loop alone
+		c.pending[out.Message.ID].cancel = func() { // by the loop alone
 			if stopped {
 				return
 			}
@@ -107,24 +107,24 @@
 	go func() {
 		defer stop()
 		at := time.Now()
-		results := c.carry(ctx, call)
+		results := c.executeCall(ctx, call)
 		took := time.Since(at)
-		ev, local := make(replyEvent, len(call)), false
+		ev, local := make(outcomesEvent, len(call)), false
 		for i, out := range call {
-			ev[i], local = reply{out, results[i], took}, local || results[i].LocalFailure || out.Reason() == permit.LeaseReduced
+			ev[i], local = attemptOutcome{out, results[i], took}, local || results[i].LocalFailure || out.Reason() == permit.LeaseReduced
 		}
 		if local {
-			pause(ctx, retryPause) // descriptors, say: room may come
+			sleep(ctx, retryDelay) // descriptors, say: room may come
 		}
 		c.post(ev)
 	}()
 }
 
 // carry makes the attempts of a call. One whose body can't be read back is none.
-func (c *Core) carry(ctx context.Context, call []*Attempt) []Result {
+func (c *Core) executeCall(ctx context.Context, call []*Attempt) []Result {
 	results, whole, at := make([]Result, len(call)), make([]*Attempt, 0, len(call)), make([]int, 0, len(call))
 	for i, out := range call {
-		if err := c.load(out); err != nil {
+		if err := c.loadBody(out); err != nil {
 			if out.Withhold(permit.NotWritten) && ctx.Err() == nil {
 				c.log.Error("a message can't be sent", "id", out.Message.ID, "err", err)
 			}
@@ -146,8 +146,8 @@
 }
 
 // load reads back the body of a message that was left in the store.
-func (c *Core) load(out *Attempt) error {
-	if !out.left {
+func (c *Core) loadBody(out *Attempt) error {
+	if !out.bodyInStore {
 		return nil
 	}
 	c.storeMu.RLock()
@@ -163,7 +163,7 @@
 }
 
 // pause waits for d or until ctx is over.
-func pause(ctx context.Context, d time.Duration) {
+func sleep(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
@@ -173,52 +173,52 @@
 }
 
 // reply takes the one outcome of an attempt.
-func (c *Core) reply(ev reply) {
+func (c *Core) handleOutcome(ev attemptOutcome) {
 	id := ev.attempt.Message.ID
-	h := c.held[id]
+	h := c.pending[id]
 	if h == nil {
 		return
 	}
-	if h.stop != nil {
-		h.stop()
-		h.stop, h.attempt = nil, nil
+	if h.cancel != nil {
+		h.cancel()
+		h.cancel, h.attempt = nil, nil
 	}
-	c.traceReply(ev)
+	c.traceOutcome(ev)
 	r := ev.result
 	if r.RequestedWait > 0 {
-		c.waits(ev.attempt.Endpoint, r.RequestedWait)
-		c.share(Observation{RequestedWait: r.RequestedWait}, ev.attempt.Endpoint)
+		c.applyRequestedWait(ev.attempt.Endpoint, r.RequestedWait)
+		c.publishObservation(Observation{RequestedWait: r.RequestedWait}, ev.attempt.Endpoint)
 	}
-	ended := h.over
+	ended := h.ended
 	done := r.Outcome == logic.Completed || r.MessageEnded
 	switch {
 	case ended:
 	case done:
-		c.deliver(id, h, r)
+		c.endDelivered(id, h, r)
 	default:
 		c.records = append(c.records, journal.Record{Op: journal.OpOutcome, ID: id, MayRun: mayHaveRun(r.Outcome)})
 	}
-	if h.over {
-		delete(c.held, id)
+	if h.ended {
+		delete(c.pending, id)
 	}
-	c.next = append(c.next, logic.Reply{ID: id, NoMore: ended || done, Endpoint: ev.attempt.Endpoint,
-		Attempt: ev.attempt.Number, Outcome: r.Outcome, Took: micros(ev.took), Wait: micros(r.RequestedWait), Load: r.Load})
+	c.nextEvents = append(c.nextEvents, logic.Reply{ID: id, NoMore: ended || done, Endpoint: ev.attempt.Endpoint,
+		Attempt: ev.attempt.Number, Outcome: r.Outcome, Took: toMicros(ev.took), Wait: toMicros(r.RequestedWait), Load: r.Load})
 }
 
 // deliver ends a message that an attempt has ended.
-func (c *Core) deliver(id string, h *held, r Result) {
+func (c *Core) endDelivered(id string, h *pendingMessage, r Result) {
 	now := c.clock.Now()
-	end := message.End{ID: id, State: message.Delivered, At: now, Tries: h.tries}
+	end := message.End{ID: id, State: message.Delivered, At: now, Tries: h.attempts}
 	heard := c.cfg.NotifyDelivered && r.Outcome == logic.Completed // by the sink
 	if heard {
 		c.records = append(c.records, journal.Record{Op: journal.OpEnd, ID: id, End: &end})
 	} else {
 		c.records = append(c.records, journal.Record{Op: journal.OpDone, ID: id, At: now})
 	}
-	c.untold = append(c.untold, toldEnd{h.msg, end, heard})
+	c.unreportedEnds = append(c.unreportedEnds, endReport{h.msg, end, heard})
 	c.metrics.Delivered.Add(1)
 	c.traceEnd(id, h, message.Delivered)
-	c.finish(id, h)
+	c.endMessage(id, h)
 }
 
 // mayHaveRun says what an outcome leaves open.
@@ -229,22 +229,24 @@
 // withhold keeps attempts that have not begun from going out: what the module decided before it knew better would
 // reach the endpoint long after. They end as never sent.
 func (c *Core) withhold(reason permit.Reason, match func(ep logic.EndpointID) bool) {
-	for _, h := range c.held {
-		if h.stop != nil && match(h.attempt.Endpoint) && h.attempt.Withhold(reason) {
-			h.stop()
+	for _, h := range c.pending {
+		if h.cancel != nil && match(h.attempt.Endpoint) && h.attempt.Withhold(reason) {
+			h.cancel()
 		}
 	}
 }
 
 // holdWait withholds calls to where a wait was told: the destination, or the one route where routes are apart.
-func (c *Core) holdWait(ep logic.EndpointID) {
-	to := c.dir.eps[ep]
-	kinds := c.terms.set.Kinds
+func (c *Core) withholdForWait(ep logic.EndpointID) {
+	to := c.directory.endpoints[ep]
+	kinds := c.terms.settings.Kinds
 	apart := to.kind >= 0 && to.kind < len(kinds) && kinds[to.kind].Apart
-	c.withhold(permit.WaitTold, func(x logic.EndpointID) bool { return x == ep || !apart && c.dir.eps[x].partner == to.partner })
+	c.withhold(permit.WaitTold, func(x logic.EndpointID) bool {
+		return x == ep || !apart && c.directory.endpoints[x].partner == to.partner
+	})
 }
 
 func (c *Core) probe(work context.Context, ep logic.EndpointID) {
-	addr := c.dir.eps[ep].addr
-	go func() { c.post(healthEvent{ep, c.transport.Probe(work, ep, addr)}) }()
+	addr := c.directory.endpoints[ep].addr
+	go func() { c.post(probeOutcomeEvent{ep, c.transport.Probe(work, ep, addr)}) }()
 }
--- a/internal/core/backlog.go
+++ b/internal/core/backlog.go
@@ -15,9 +15,9 @@
 const (
 	// endEarly is how long before the end of its time a message behind its window is
 	// over: its end has to be told within it.
-	endEarly = 100 * time.Millisecond
+	endMargin = 100 * time.Millisecond
 	// mostEnds behind the windows are told in one step: others are not held up by a million.
-	mostEnds = 256
+	maxEndsPerStep = 256
 )
 
 // Backlog keeps messages behind the windows of their destinations. [spill.Spill] is
@@ -48,29 +48,29 @@
 
 // behind is the loop's part of the messages behind the windows; its zero value is
 // that of a core without any.
-type behind struct {
-	Backlog                   // nil for none
-	due     *time.Timer       // of the next end behind a window
-	came    []spill.Came      // since the last step
-	fresh   map[string]bool   // of these, by id
-	over    []ending          // ended behind their windows, not written yet
-	ending  map[string]uint64 // of these, the digests by id
-	placed  map[string]bool   // new messages that go behind their windows with this step, by id
-	looks   int               // lookups that have not answered
-	closing bool
+type loopBacklog struct {
+	Backlog                          // nil for none
+	endTimer       *time.Timer       // of the next end behind a window
+	refilled       []spill.Came      // since the last step
+	refilledIDs    map[string]bool   // of these, by id
+	unwrittenEnds  []backlogEnd      // ended behind their windows, not written yet
+	endingDigests  map[string]uint64 // of these, the digests by id
+	spilledIDs     map[string]bool   // new messages that go behind their windows with this step, by id
+	pendingLookups int               // lookups that have not answered
+	stopping       bool
 }
 
-type ending struct {
+type backlogEnd struct {
 	entry journal.Entry
 	end   message.End
 }
 
 // openBacklog opens what is behind the windows, and counts what the module has.
 func (c *Core) openBacklog() error {
-	if c.openBehind == nil {
+	if c.newBacklog == nil {
 		return nil
 	}
-	b, err := c.openBehind(c.store, func(ev any, quit <-chan struct{}) {
+	b, err := c.newBacklog(c.store, func(ev any, quit <-chan struct{}) {
 		select {
 		case c.events <- ev:
 		case <-quit:
@@ -81,14 +81,14 @@
 		return err
 	}
 	due := time.NewTimer(time.Hour)
-	c.behind = behind{Backlog: b, due: due, fresh: map[string]bool{}, ending: map[string]uint64{}, placed: map[string]bool{}, closing: c.behind.closing}
+	c.backlog = loopBacklog{Backlog: b, endTimer: due, refilledIDs: map[string]bool{}, endingDigests: map[string]uint64{}, spilledIDs: map[string]bool{}, stopping: c.backlog.stopping}
 	c.store.HoldTerms(b.Terms)
-	for _, h := range c.held {
-		if !h.over {
+	for _, h := range c.pending {
+		if !h.ended {
 			b.Enter(h.msg.Partner)
 		}
 	}
-	if c.behind.closing {
+	if c.backlog.stopping {
 		b.Rest()
 	}
 	return nil
@@ -96,36 +96,36 @@
 
 // closeBacklog closes it; the store outlives it.
 func (c *Core) closeBacklog() {
-	if c.behind.Backlog == nil {
+	if c.backlog.Backlog == nil {
 		return
 	}
-	if err := c.behind.Close(); err != nil {
+	if err := c.backlog.Close(); err != nil {
 		c.log.Error("backlog", "err", err)
 	}
-	c.behind.due.Stop()
-	c.behind.Backlog = nil
+	c.backlog.endTimer.Stop()
+	c.backlog.Backlog = nil
 }
 
 // ends is when a message behind a window ends next; it never fires without any.
-func (b *behind) ends() <-chan time.Time {
+func (b *loopBacklog) endTimerFired() <-chan time.Time {
 	if b.Backlog == nil {
 		return nil
 	}
-	return b.due.C
+	return b.endTimer.C
 }
 
 // number is how many messages are behind the windows.
-func (b *behind) number() int {
+func (b *loopBacklog) count() int {
 	if b.Backlog == nil {
 		return 0
 	}
-	return b.Len() + len(b.over)
+	return b.Len() + len(b.unwrittenEnds)
 }
 
 // place sends a new message behind its window or turns it away; false if it goes into
 // the module.
-func (c *Core) place(ev putEvent, class *logic.Class) bool {
-	b, m := &c.behind, ev.msg
+func (c *Core) placeInBacklog(ev submitEvent, class *logic.Class) bool {
+	b, m := &c.backlog, ev.msg
 	if b.Backlog == nil {
 		return false
 	}
@@ -134,27 +134,27 @@
 	case v == backlog.InWindow:
 		return false
 	case v == backlog.Turned || !b.Room(len(m.Body)):
-		ev.tell(SubmitResponse{Status: Busy})
+		ev.respond(SubmitResponse{Status: Busy})
 		return true
 	}
-	b.Put(&disk.Record{Message: *m, Accepted: c.clock.Now(), Terms: c.terms.n, Digest: m.Digest(), Ordered: ordered})
-	b.placed[m.ID] = true
-	c.puts = append(c.puts, ev)
-	c.fresh[m.ID] = m
+	b.Put(&disk.Record{Message: *m, Accepted: c.clock.Now(), Terms: c.terms.number, Digest: m.Digest(), Ordered: ordered})
+	b.spilledIDs[m.ID] = true
+	c.submissions = append(c.submissions, ev)
+	c.newMessages[m.ID] = m
 	return true
 }
 
 // commitBehind writes what goes behind the windows with this step, after the journal
 // has got what that refers to; err is what became of the journal.
-func (c *Core) commitBehind(err error) error {
-	if c.behind.Backlog == nil {
+func (c *Core) commitBacklog(err error) error {
+	if c.backlog.Backlog == nil {
 		return nil
 	}
 	if err != nil {
-		c.behind.Discard()
+		c.backlog.Discard()
 		return err
 	}
-	err = c.behind.Commit()
+	err = c.backlog.Commit()
 	if err != nil {
 		c.log.Error("backlog", "err", err)
 	}
@@ -163,24 +163,24 @@
 
 // lookFirst has a message looked up whose id may be behind a window, before it is
 // taken on; false if it is none.
-func (c *Core) lookFirst(ev putEvent) bool {
-	if c.behind.Backlog == nil || ev.sure || !c.behind.Has(ev.msg.ID) {
+func (c *Core) lookUpDuplicate(ev submitEvent) bool {
+	if c.backlog.Backlog == nil || ev.notInBacklog || !c.backlog.Has(ev.msg.ID) {
 		return false
 	}
-	c.behind.looks++
-	c.behind.Lookup(ev.msg.ID, func(r *disk.Record, err error) {
-		c.behind.looks--
-		ev.sure = true
-		_, here := c.known(ev.msg.ID) // it may have come into its window meanwhile
+	c.backlog.pendingLookups++
+	c.backlog.Lookup(ev.msg.ID, func(r *disk.Record, err error) {
+		c.backlog.pendingLookups--
+		ev.notInBacklog = true
+		_, here := c.knownDigest(ev.msg.ID) // it may have come into its window meanwhile
 		switch {
 		case err != nil && !here:
-			ev.tell(SubmitResponse{Status: Busy})
+			ev.respond(SubmitResponse{Status: Busy})
 		case here || r == nil:
-			c.put(ev)
+			c.submit(ev)
 		case r.Digest != ev.msg.Digest():
-			ev.tell(SubmitResponse{Status: Conflict})
+			ev.respond(SubmitResponse{Status: Conflict})
 		default:
-			ev.tell(SubmitResponse{Status: Accepted, Duplicate: true})
+			ev.respond(SubmitResponse{Status: Accepted, Duplicate: true})
 		}
 	})
 	return true
@@ -188,102 +188,102 @@
 
 // lookState answers one who asks for a message that may be behind a window; false
 // if it is none.
-func (c *Core) lookState(ask stateEvent) bool {
-	if c.behind.Backlog == nil || ask.sure || !c.behind.Has(ask.id) {
+func (c *Core) lookUpState(ask stateQueryEvent) bool {
+	if c.backlog.Backlog == nil || ask.lookedUp || !c.backlog.Has(ask.id) {
 		return false
 	}
-	c.behind.looks++
-	c.behind.Lookup(ask.id, func(r *disk.Record, err error) {
-		c.behind.looks--
+	c.backlog.pendingLookups++
+	c.backlog.Lookup(ask.id, func(r *disk.Record, err error) {
+		c.backlog.pendingLookups--
 		if err != nil { // it is held, and more can't be told
 			r = &disk.Record{Message: message.Message{ID: ask.id}}
 		}
-		ask.sure, ask.found = true, r
-		c.asks = append(c.asks, ask)
+		ask.lookedUp, ask.found = true, r
+		c.stateQueries = append(c.stateQueries, ask)
 	})
 	return true
 }
 
 // stateBehind is what is known of a message behind a window.
-func (c *Core) stateBehind(r *disk.Record) State {
-	return State{ID: r.ID, Name: StateAccepted, Tenant: r.Tenant, Partner: r.Partner, Class: r.Class, AcceptedAt: c.wall(r.Accepted), Deadline: c.wall(r.Deadline)}
+func (c *Core) backlogMessageState(r *disk.Record) State {
+	return State{ID: r.ID, Name: StateAccepted, Tenant: r.Tenant, Partner: r.Partner, Class: r.Class, AcceptedAt: c.wallTime(r.Accepted), Deadline: c.wallTime(r.Deadline)}
 }
 
 // fromBehind takes an event of the backlog's; false if it is none.
-func (c *Core) fromBehind(ev any) bool {
-	if c.behind.Backlog == nil {
+func (c *Core) handleBacklogEvent(ev any) bool {
+	if c.backlog.Backlog == nil {
 		return false
 	}
-	list, first, count, ok := c.behind.Take(ev)
+	list, first, count, ok := c.backlog.Take(ev)
 	if count > 0 {
 		c.records = append(c.records, journal.Record{Op: journal.OpCleared, Behind: first, Count: count})
 	}
 	for i := range list {
 		if r := list[i].Record; r != nil && list[i].Err == nil && !c.store.Room(len(r.Body)) {
-			c.behind.Back(list[i:]) // read again later
+			c.backlog.Back(list[i:]) // read again later
 			break
 		}
-		c.enter(list[i])
+		c.refill(list[i])
 	}
 	return ok
 }
 
 // enter has the module take a message on that comes into its window.
-func (c *Core) enter(x spill.Came) {
+func (c *Core) refill(x spill.Came) {
 	r := x.Record
 	if r == nil {
 		c.log.Error("a message behind its window can't be read: nothing is known of it but its number", "number", x.Seq, "err", x.Err)
 		c.records = append(c.records, journal.Record{Op: journal.OpPassed, Behind: x.Seq})
-		c.behind.Leave(x.Partner)
+		c.backlog.Leave(x.Partner)
 		return
 	}
 	if x.Err != nil {
 		c.log.Error("a message behind its window is damaged: it is returned", "id", r.ID, "partner", r.Partner, "err", x.Err)
-		c.behind.Leave(x.Partner)
-		c.overBehind(r, x.Seq)
+		c.backlog.Leave(x.Partner)
+		c.endInBacklog(r, x.Seq)
 		return
 	}
 	now := c.clock.Now()
 	m := &r.Message
-	h := &held{msg: m, accepted: r.Accepted, terms: r.Terms, class: c.terms.class(r.Class)}
-	in := c.callOf(m, now)
-	if r.Terms != c.terms.n {
-		if in.Terms = termsOf(c.store.Terms(r.Terms), r.Class); in.Terms != nil {
+	h := &pendingMessage{msg: m, acceptedAt: r.Accepted, termsNumber: r.Terms, class: c.terms.class(r.Class)}
+	in := c.newMessageEvent(m, now)
+	if r.Terms != c.terms.number {
+		if in.Terms = classTerms(c.store.Terms(r.Terms), r.Class); in.Terms != nil {
 			h.class = &in.Terms.Class
 		}
 	}
 	if h.class == nil {
 		c.log.Error("a message behind its window is of a class that is not configured: it is returned", "id", r.ID, "class", r.Class)
-		c.behind.Leave(x.Partner)
-		c.overBehind(r, x.Seq)
+		c.backlog.Leave(x.Partner)
+		c.endInBacklog(r, x.Seq)
 		return
 	}
-	in.Past = logic.Past{Held: c.from == nil && c.behind.Earlier(x.Seq)}
-	c.held[m.ID] = h
-	c.open++
-	c.behind.came, c.behind.fresh[m.ID] = append(c.behind.came, x), true
+	in.Past = logic.Past{Held: c.takeover == nil && c.backlog.Earlier(x.Seq)}
+	c.pending[m.ID] = h
+	c.pendingCount++
+	c.backlog.refilled, c.backlog.refilledIDs[m.ID] = append(c.backlog.refilled, x), true
 	c.records = append(c.records, journal.Record{Op: journal.OpAccept,
 		Entry: &journal.Entry{Message: *m, Accepted: r.Accepted, Terms: r.Terms, Behind: x.Seq}})
-	c.next = append(c.next, in)
+	c.nextEvents = append(c.nextEvents, in)
 }
 
 // overBehind ends a message that was behind its window: it never ran.
-func (c *Core) overBehind(r *disk.Record, seq uint64) {
+func (c *Core) endInBacklog(r *disk.Record, seq uint64) {
 	m := r.Message
 	m.Body = nil
-	c.behind.over = append(c.behind.over, ending{entry: journal.Entry{Message: m, Accepted: r.Accepted, Terms: r.Terms, Behind: seq, EndDigest: r.Digest, Left: 1},
+	c.backlog.unwrittenEnds = append(c.backlog.unwrittenEnds, backlogEnd{entry: journal.Entry{Message: m, Accepted: r.Accepted, Terms: r.Terms, Behind: seq, EndDigest: r.Digest, Left: 1},
 		end: message.End{ID: r.ID, State: message.Returned, At: c.clock.Now()}})
-	c.behind.ending[r.ID] = r.Digest
+	c.backlog.endingDigests[r.ID] = r.Digest
 }
 
 // endBehind ends what is over behind the windows.
-func (c *Core) endBehind() {
-	if c.behind.Backlog == nil {
+func (c *Core) endExpiredBacklog() {
+	if c.backlog.Backlog == nil {
 		return
 	}
-	at := c.clock.Now() + endEarly.Microseconds()
-	for len(c.behind.over) < mostEnds {
-		r, seq, ok := c.behind.Over(at)
+	at := c.clock.Now() + endMargin.Microseconds()
+	for len(c.backlog.unwrittenEnds) < maxEndsPerStep {
+		r, seq, ok := c.backlog.Over(at)
 		if !ok {
 			break
 		}
@@ -292,10 +292,10 @@
 			c.records = append(c.records, journal.Record{Op: journal.OpPassed, Behind: seq})
 			continue
 		}
-		c.overBehind(r, seq)
+		c.endInBacklog(r, seq)
 	}
-	for i := range c.behind.over {
-		x := &c.behind.over[i]
+	for i := range c.backlog.unwrittenEnds {
+		x := &c.backlog.unwrittenEnds[i]
 		entry, end := x.entry, x.end
 		c.records = append(c.records, journal.Record{Op: journal.OpAccept, Entry: &entry}, journal.Record{Op: journal.OpEnd, ID: end.ID, End: &end})
 	}
@@ -303,49 +303,49 @@
 
 // wroteBehind takes what became of a step's records: those that came into their
 // windows are held, or go back; those that ended are told.
-func (c *Core) wroteBehind(err error) {
-	if c.behind.Backlog == nil {
+func (c *Core) applyBacklogWrite(err error) {
+	if c.backlog.Backlog == nil {
 		return
 	}
 	if err != nil {
-		for _, x := range c.behind.came {
-			if h := c.held[x.Record.ID]; h != nil {
-				c.open--
-				delete(c.held, x.ID)
-				c.next = append(c.next, logic.ClientGone{ID: x.Record.ID})
+		for _, x := range c.backlog.refilled {
+			if h := c.pending[x.Record.ID]; h != nil {
+				c.pendingCount--
+				delete(c.pending, x.ID)
+				c.nextEvents = append(c.nextEvents, logic.ClientGone{ID: x.Record.ID})
 			}
 		}
-		c.behind.Back(c.behind.came)
+		c.backlog.Back(c.backlog.refilled)
 	} else {
-		for _, x := range c.behind.came {
-			c.leaveBody(x.Record.ID)
+		for _, x := range c.backlog.refilled {
+			c.releaseBody(x.Record.ID)
 		}
-		for i := range c.behind.over {
-			x := &c.behind.over[i]
-			c.ended = append(c.ended, x.end.ID)
-			delete(c.behind.ending, x.end.ID)
-			c.tellEnd(&x.entry.Message, x.end)
+		for i := range c.backlog.unwrittenEnds {
+			x := &c.backlog.unwrittenEnds[i]
+			c.endedIDs = append(c.endedIDs, x.end.ID)
+			delete(c.backlog.endingDigests, x.end.ID)
+			c.notifySink(&x.entry.Message, x.end)
 		}
-		clear(c.behind.over)
-		c.behind.over = c.behind.over[:0]
+		clear(c.backlog.unwrittenEnds)
+		c.backlog.unwrittenEnds = c.backlog.unwrittenEnds[:0]
 	}
-	clear(c.behind.came)
-	c.behind.came = c.behind.came[:0]
-	clear(c.behind.fresh)
+	clear(c.backlog.refilled)
+	c.backlog.refilled = c.backlog.refilled[:0]
+	clear(c.backlog.refilledIDs)
 }
 
 // workBehind has what is next read, and the timer set for what ends next.
-func (c *Core) workBehind() {
-	if c.behind.Backlog == nil {
+func (c *Core) scheduleBacklogWork() {
+	if c.backlog.Backlog == nil {
 		return
 	}
-	c.behind.Work(c.clock.Now() + endEarly.Microseconds())
-	if at := c.behind.Wake(); at != math.MaxInt64 {
-		c.behind.due.Reset(max(time.Until(c.clock.Moment(at))-endEarly, time.Millisecond))
+	c.backlog.Work(c.clock.Now() + endMargin.Microseconds())
+	if at := c.backlog.Wake(); at != math.MaxInt64 {
+		c.backlog.endTimer.Reset(max(time.Until(c.clock.Moment(at))-endMargin, time.Millisecond))
 	} else {
-		c.behind.due.Reset(time.Hour)
+		c.backlog.endTimer.Reset(time.Hour)
 	}
-	if len(c.behind.over) > 0 { // they could not be written
-		c.behind.due.Reset(retryPause)
+	if len(c.backlog.unwrittenEnds) > 0 { // they could not be written
+		c.backlog.endTimer.Reset(retryDelay)
 	}
 }
--- a/internal/core/backlog_test.go
+++ b/internal/core/backlog_test.go
@@ -18,7 +18,7 @@
 )
 
 // behindOf has a core keep what is behind windows of one message in a folder.
-func behindOf(fs vfs.FS) func(*Dependencies) {
+func withBacklog(fs vfs.FS) func(*Dependencies) {
 	return func(p *Dependencies) {
 		p.OpenBacklog = func(s Store, tell func(any, <-chan struct{})) (Backlog, error) {
 			return spill.Open(fs, s, spill.Options{Window: 1, Disk: 3e6, Sync: store.SyncAlways, Log: slog.New(slog.DiscardHandler)}, tell)
@@ -27,19 +27,19 @@
 }
 
 // accepted hands messages in that are taken on.
-func (r *rig) accepted(list ...*message.Message) {
+func (r *rig) submitAccepted(list ...*message.Message) {
 	r.t.Helper()
 	for _, m := range list {
-		if a := r.put(m); a.Status != Accepted || a.Duplicate {
+		if a := r.submitAndWait(m); a.Status != Accepted || a.Duplicate {
 			r.t.Fatalf("%s: %+v", m.ID, a)
 		}
 	}
 }
 
 // next is the next attempt, which must be of a message.
-func (r *rig) next(id string) sent {
+func (r *rig) nextAttempt(id string) fakeAttempt {
 	r.t.Helper()
-	s := byhand.Await(r.t, r.hand.attempts, "attempt of "+id)
+	s := byhand.Await(r.t, r.fakeTransport.attempts, "attempt of "+id)
 	if s.Message.ID != id || !bytes.HasPrefix(s.Message.Body, []byte("body of "+id)) {
 		r.t.Fatalf("an attempt of %s with %.20q, want one of %s", s.Message.ID, s.Message.Body, id)
 	}
@@ -48,118 +48,122 @@
 
 // What is behind the window is known, keeps its order, goes past no earlier one, and comes into the window one by one,
 // also over a restart and with large bodies.
-func TestBehindTheWindow(t *testing.T) {
+func TestBacklogRefillsWindow(t *testing.T) {
 	t.Parallel()
 	dir, cfg, fs := t.TempDir(), testConfig(), vfs.NewMem()
-	r := newRig(t, dir, cfg, behindOf(fs)).run()
+	r := newRig(t, dir, cfg, withBacklog(fs)).run()
 	large := newMessage("c", "safe")
 	large.Body = append(large.Body, bytes.Repeat([]byte("x"), 5000)...)
-	r.accepted(newMessage("a", "unsafe"), newMessage("b", "unsafe"), large, newMessage("d", "keyed"))
-	a := r.next("a")
+	r.submitAccepted(newMessage("a", "unsafe"), newMessage("b", "unsafe"), large, newMessage("d", "keyed"))
+	a := r.nextAttempt("a")
 	if s, _ := r.State(t.Context(), "c", false); s.Name != StateAccepted || s.Partner != "acme" || s.Class != "safe" || s.Tenant != "north" || s.Deadline.UnixMicro() != large.Deadline {
 		t.Errorf("the state behind the window is %+v", s)
 	}
-	if again := r.put(newMessage("b", "unsafe")); again.Status != Accepted || !again.Duplicate {
+	if again := r.submitAndWait(newMessage("b", "unsafe")); again.Status != Accepted || !again.Duplicate {
 		t.Errorf("handed in again behind the window: %+v", again)
 	}
 	other := newMessage("b", "unsafe")
 	other.Body = []byte("other")
-	if v := r.put(other).Status; v != Conflict {
+	if v := r.submitAndWait(other).Status; v != Conflict {
 		t.Errorf("another message of an id behind the window: %v", v)
 	}
 	a.result <- Result{Outcome: logic.Completed}
-	r.next("b")
-	r.kill()
-	r = newRig(t, dir, cfg, behindOf(fs.Restart(vfs.LoseNone, nil))).run()
-	if x := byhand.Await(t, r.ends.told, "end of a"); x.ID != "a" && x.ID != "b" {
+	r.nextAttempt("b")
+	r.crash()
+	r = newRig(t, dir, cfg, withBacklog(fs.Restart(vfs.LoseNone, nil))).run()
+	if x := byhand.Await(t, r.fakeSink.added, "end of a"); x.ID != "a" && x.ID != "b" {
 		t.Errorf("told %+v", x)
 	}
-	if x := byhand.Await(t, r.ends.told, "end of b: it may have run"); x.ID != "a" && x.ID != "b" {
+	if x := byhand.Await(t, r.fakeSink.added, "end of b: it may have run"); x.ID != "a" && x.ID != "b" {
 		t.Errorf("told %+v", x)
 	}
-	r.next("c").result <- Result{Outcome: logic.Completed}
-	r.next("d").result <- Result{Outcome: logic.Completed}
+	r.nextAttempt("c").result <- Result{Outcome: logic.Completed}
+	r.nextAttempt("d").result <- Result{Outcome: logic.Completed}
 	for range 2 {
-		if x := byhand.Await(t, r.ends.told, "end"); x.State != message.Delivered {
+		if x := byhand.Await(t, r.fakeSink.added, "end"); x.State != message.Delivered {
 			t.Errorf("told %+v", x)
 		}
 	}
 	for _, id := range []string{"a", "b", "c", "d"} {
-		r.ends.confirm <- id
+		r.fakeSink.confirm <- id
 	}
-	r.halt()
+	r.shutDown()
 }
 
 // A message that can't be written when it comes into its window goes back and comes again, once.
-func TestComesAgainWhenTheJournalFails(t *testing.T) {
+func TestRefillIsRetriedAfterJournalFailure(t *testing.T) {
 	t.Parallel()
 	fs := vfs.NewMem()
-	var log trail
-	r := newRig(t, t.TempDir(), testConfig(), behindOf(fs), func(p *Dependencies) { p.Log = slog.New(slog.NewTextHandler(&log, nil)) }).run()
-	r.accepted(newMessage("a", "safe"), newMessage("b", "safe"), newMessage("c", "safe"))
-	a := r.next("a")
-	r.store.set(true)
+	var log logBuffer
+	r := newRig(t, t.TempDir(), testConfig(), withBacklog(fs), func(p *Dependencies) { p.Log = slog.New(slog.NewTextHandler(&log, nil)) }).run()
+	r.submitAccepted(newMessage("a", "safe"), newMessage("b", "safe"), newMessage("c", "safe"))
+	a := r.nextAttempt("a")
+	r.store.setFailing(true)
 	a.result <- Result{Outcome: logic.Completed}
 	byhand.Until(t, "failed writes", func() bool { return strings.Count(log.String(), "no space left") > 2 })
-	r.store.set(false)
-	r.next("b").result <- Result{Outcome: logic.Completed}
-	r.next("c").result <- Result{Outcome: logic.Completed}
+	r.store.setFailing(false)
+	r.nextAttempt("b").result <- Result{Outcome: logic.Completed}
+	r.nextAttempt("c").result <- Result{Outcome: logic.Completed}
 	for range 3 {
-		x := byhand.Await(t, r.ends.told, "end")
+		x := byhand.Await(t, r.fakeSink.added, "end")
 		if x.State != message.Delivered {
 			t.Errorf("told %+v", x)
 		}
-		r.ends.confirm <- x.ID
+		r.fakeSink.confirm <- x.ID
 	}
-	r.halt()
+	r.shutDown()
 }
 
 // trail is a log.
-type trail struct {
-	mu sync.Mutex
-	b  bytes.Buffer
+type logBuffer struct {
+	mu     sync.Mutex
+	buffer bytes.Buffer
 }
 
-func (l *trail) Write(p []byte) (int, error) { l.mu.Lock(); defer l.mu.Unlock(); return l.b.Write(p) }
-func (l *trail) String() string              { l.mu.Lock(); defer l.mu.Unlock(); return l.b.String() }
+func (l *logBuffer) Write(p []byte) (int, error) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.buffer.Write(p)
+}
+func (l *logBuffer) String() string { l.mu.Lock(); defer l.mu.Unlock(); return l.buffer.String() }
 
 // A message behind its window ends at its time, before it is over, and is remembered.
-func TestEndsBehindTheWindow(t *testing.T) {
+func TestBacklogMessageEndsAtItsDeadline(t *testing.T) {
 	t.Parallel()
-	r := newRig(t, t.TempDir(), testConfig(), behindOf(vfs.NewMem())).run()
+	r := newRig(t, t.TempDir(), testConfig(), withBacklog(vfs.NewMem())).run()
 	short := newMessage("b", "unsafe")
 	short.Deadline = time.Now().Add(500 * time.Millisecond).UnixMicro()
-	r.accepted(newMessage("a", "unsafe"), short, newMessage("c", "unsafe"))
-	a := r.next("a")
-	x := byhand.Await(t, r.ends.told, "end of b")
+	r.submitAccepted(newMessage("a", "unsafe"), short, newMessage("c", "unsafe"))
+	a := r.nextAttempt("a")
+	x := byhand.Await(t, r.fakeSink.added, "end of b")
 	if early := short.Deadline - x.At; x.ID != "b" || x.State != message.Returned || early < 0 || early > 150_000 {
 		t.Errorf("told %+v, %d µs before its time", x, early)
 	}
-	if again := r.put(short); again.Status != Accepted || !again.Duplicate {
+	if again := r.submitAndWait(short); again.Status != Accepted || !again.Duplicate {
 		t.Errorf("handed in again after its end: %+v", again)
 	}
-	if s := r.state("b"); s != message.Returned {
+	if s := r.stateName("b"); s != message.Returned {
 		t.Errorf("its state is %q", s)
 	}
 	a.result <- Result{Outcome: logic.Completed}
-	r.next("c").result <- Result{Outcome: logic.Completed}
+	r.nextAttempt("c").result <- Result{Outcome: logic.Completed}
 	for range 2 {
-		byhand.Await(t, r.ends.told, "end")
+		byhand.Await(t, r.fakeSink.added, "end")
 	}
 	for _, id := range []string{"a", "b", "c"} {
-		r.ends.confirm <- id
+		r.fakeSink.confirm <- id
 	}
-	r.halt()
+	r.shutDown()
 }
 
 // A message that is damaged behind its window is named and returned; the rest goes on.
-func TestDamagedBehindTheWindow(t *testing.T) {
+func TestDamagedBacklogMessageIsReturned(t *testing.T) {
 	t.Parallel()
 	fs := vfs.NewMem()
-	var log trail
-	r := newRig(t, t.TempDir(), testConfig(), behindOf(fs), func(p *Dependencies) { p.Log = slog.New(slog.NewTextHandler(&log, nil)) }).run()
-	r.accepted(newMessage("a", "unsafe"), newMessage("b", "unsafe"), newMessage("c", "unsafe"))
-	a := r.next("a")
+	var log logBuffer
+	r := newRig(t, t.TempDir(), testConfig(), withBacklog(fs), func(p *Dependencies) { p.Log = slog.New(slog.NewTextHandler(&log, nil)) }).run()
+	r.submitAccepted(newMessage("a", "unsafe"), newMessage("b", "unsafe"), newMessage("c", "unsafe"))
+	a := r.nextAttempt("a")
 	names, _ := fs.List()
 	for _, n := range names {
 		if f, err := fs.Open(n, false); err == nil && strings.HasSuffix(n, ".msgs") {
@@ -169,12 +173,12 @@
 		}
 	}
 	a.result <- Result{Outcome: logic.Completed}
-	r.next("c").result <- Result{Outcome: logic.Completed}
+	r.nextAttempt("c").result <- Result{Outcome: logic.Completed}
 	told := map[string]string{}
 	for range 3 {
-		x := byhand.Await(t, r.ends.told, "end")
+		x := byhand.Await(t, r.fakeSink.added, "end")
 		told[x.ID] = x.State
-		r.ends.confirm <- x.ID
+		r.fakeSink.confirm <- x.ID
 	}
 	if told["a"] != message.Delivered || told["b"] != message.Returned || told["c"] != message.Delivered {
 		t.Errorf("told %v", told)
@@ -182,102 +186,102 @@
 	if !strings.Contains(log.String(), "id=b") {
 		t.Errorf("it is not named: %s", &log)
 	}
-	r.halt()
+	r.shutDown()
 }
 
 // A full disk behind the window turns away what would go there, and nothing else; with room again it is taken.
-func TestFullBehindTheWindow(t *testing.T) {
+func TestFullBacklogDiskRejectsMessages(t *testing.T) {
 	t.Parallel()
 	fs := vfs.NewMem()
 	cfg := testConfig()
 	cfg.CachedEndpoints.Endpoints = append(cfg.CachedEndpoints.Endpoints, Endpoint{Name: "e2", Addr: "h:2", Zone: "a", Kind: "std", Partner: "other", Weight: 1000})
-	r := newRig(t, t.TempDir(), cfg, behindOf(fs)).run()
+	r := newRig(t, t.TempDir(), cfg, withBacklog(fs)).run()
 	fs.Limit(512)
-	r.accepted(newMessage("a", "unsafe"))
-	a := r.next("a")
+	r.submitAccepted(newMessage("a", "unsafe"))
+	a := r.nextAttempt("a")
 	big := newMessage("b", "unsafe")
 	big.Body = append(big.Body, make([]byte, 2000)...)
-	if v := r.put(big).Status; v != Busy {
+	if v := r.submitAndWait(big).Status; v != Busy {
 		t.Errorf("with a full disk: %v", v)
 	}
 	other := newMessage("o", "unsafe")
 	other.Partner = "other"
-	r.accepted(other)
-	r.next("o").result <- Result{Outcome: logic.Completed}
+	r.submitAccepted(other)
+	r.nextAttempt("o").result <- Result{Outcome: logic.Completed}
 	fs.Limit(0)
-	r.accepted(big)
+	r.submitAccepted(big)
 	a.result <- Result{Outcome: logic.Completed}
-	r.next("b").result <- Result{Outcome: logic.Completed}
+	r.nextAttempt("b").result <- Result{Outcome: logic.Completed}
 	for range 3 {
-		x := byhand.Await(t, r.ends.told, "end")
-		r.ends.confirm <- x.ID
+		x := byhand.Await(t, r.fakeSink.added, "end")
+		r.fakeSink.confirm <- x.ID
 	}
-	r.halt()
+	r.shutDown()
 }
 
 // Messages of one order key that wait are in one lane: one for another lane is turned away until they have gone.
-func TestOrderKeyBehindTheWindow(t *testing.T) {
+func TestOrderKeyStaysInOneBacklogQueue(t *testing.T) {
 	t.Parallel()
 	cfg := testConfig()
 	cfg.CachedEndpoints.Endpoints = append(cfg.CachedEndpoints.Endpoints, Endpoint{Name: "e2", Addr: "h:2", Zone: "a", Kind: "std", Partner: "other", Weight: 1000})
 	cfg.Settings.Classes[0].KeepOrder = true
-	r := newRig(t, t.TempDir(), cfg, behindOf(vfs.NewMem())).run()
+	r := newRig(t, t.TempDir(), cfg, withBacklog(vfs.NewMem())).run()
 	ordered := func(id, partner string) *message.Message {
 		m := newMessage(id, "safe")
 		m.Order, m.Partner = "k", partner
 		return m
 	}
-	r.accepted(newMessage("a", "unsafe"), ordered("b", "acme"))
-	a := r.next("a")
-	if v := r.put(ordered("c", "other")).Status; v != Busy {
+	r.submitAccepted(newMessage("a", "unsafe"), ordered("b", "acme"))
+	a := r.nextAttempt("a")
+	if v := r.submitAndWait(ordered("c", "other")).Status; v != Busy {
 		t.Errorf("of the same key for another partner: %v", v)
 	}
 	a.result <- Result{Outcome: logic.Completed}
-	b := r.next("b")
-	r.accepted(ordered("c", "other"))
+	b := r.nextAttempt("b")
+	r.submitAccepted(ordered("c", "other"))
 	b.result <- Result{Outcome: logic.Completed}
-	r.next("c").result <- Result{Outcome: logic.Completed}
+	r.nextAttempt("c").result <- Result{Outcome: logic.Completed}
 	for range 3 {
-		x := byhand.Await(t, r.ends.told, "end")
-		r.ends.confirm <- x.ID
+		x := byhand.Await(t, r.fakeSink.added, "end")
+		r.fakeSink.confirm <- x.ID
 	}
-	r.halt()
+	r.shutDown()
 }
 
 // While it can't be read whether an id is behind a window, a message of it is turned away; it is never taken on twice.
-func TestLookupFailsBehindTheWindow(t *testing.T) {
+func TestFailedBacklogLookupRejectsMessages(t *testing.T) {
 	t.Parallel()
 	fs := vfs.NewMem()
-	r := newRig(t, t.TempDir(), testConfig(), behindOf(fs)).run()
-	r.accepted(newMessage("a", "unsafe"), newMessage("b", "unsafe"))
-	a := r.next("a")
+	r := newRig(t, t.TempDir(), testConfig(), withBacklog(fs)).run()
+	r.submitAccepted(newMessage("a", "unsafe"), newMessage("b", "unsafe"))
+	a := r.nextAttempt("a")
 	fs.FailAt(1, vfs.ErrCrashed)
-	if v := r.put(newMessage("b", "unsafe")).Status; v != Busy {
+	if v := r.submitAndWait(newMessage("b", "unsafe")).Status; v != Busy {
 		t.Errorf("while it can't be read: %v", v)
 	}
 	fs.FailAt(1, vfs.ErrCrashed)
-	if s := r.state("b"); s != StateAccepted {
+	if s := r.stateName("b"); s != StateAccepted {
 		t.Errorf("while it can't be read its state is %q", s)
 	}
-	if x := r.put(newMessage("b", "unsafe")); x.Status != Accepted || !x.Duplicate {
+	if x := r.submitAndWait(newMessage("b", "unsafe")); x.Status != Accepted || !x.Duplicate {
 		t.Errorf("after that: %+v", x)
 	}
 	a.result <- Result{Outcome: logic.Completed}
-	r.next("b").result <- Result{Outcome: logic.Completed}
+	r.nextAttempt("b").result <- Result{Outcome: logic.Completed}
 	for range 2 {
-		r.ends.confirm <- byhand.Await(t, r.ends.told, "end").ID
+		r.fakeSink.confirm <- byhand.Await(t, r.fakeSink.added, "end").ID
 	}
-	r.halt()
+	r.shutDown()
 }
 
 // Many whose time is over at once are told in parts, and others are not held up.
-func TestManyEndsAtOnceBehindTheWindow(t *testing.T) {
+func TestManyBacklogMessagesExpireAtOnce(t *testing.T) {
 	t.Parallel()
 	cfg := testConfig()
 	cfg.Settings.MaxOpen = 2000
-	r := newRig(t, t.TempDir(), cfg, behindOf(vfs.NewMem())).run()
-	r.accepted(newMessage("a", "unsafe"))
-	a := r.next("a")
+	r := newRig(t, t.TempDir(), cfg, withBacklog(vfs.NewMem())).run()
+	r.submitAccepted(newMessage("a", "unsafe"))
+	a := r.nextAttempt("a")
 	by := time.Now().Add(1500 * time.Millisecond).UnixMicro()
 	const many = 1000
 	answers := make(chan SubmitResponse, many)
@@ -293,14 +297,14 @@
 	}
 	seen := map[string]bool{}
 	for range many {
-		x := byhand.Await(t, r.ends.told, "end")
+		x := byhand.Await(t, r.fakeSink.added, "end")
 		if seen[x.ID] || x.State != message.Returned {
 			t.Fatalf("told %+v, before: %v", x, seen[x.ID])
 		}
 		seen[x.ID] = true
-		r.ends.confirm <- x.ID
+		r.fakeSink.confirm <- x.ID
 	}
 	a.result <- Result{Outcome: logic.Completed}
-	r.ends.confirm <- byhand.Await(t, r.ends.told, "end of a").ID
-	r.halt()
+	r.fakeSink.confirm <- byhand.Await(t, r.fakeSink.added, "end of a").ID
+	r.shutDown()
 }
--- a/internal/core/check.go
+++ b/internal/core/check.go
@@ -13,7 +13,7 @@
 
 // holdTimes is the longest time that a message may ask for, in times of its
 // class's deadline.
-const holdTimes = 10
+const maxDeadlineFactor = 10
 
 // FieldError says what is wrong with a field of a message that is handed in.
 type FieldError struct {
@@ -26,11 +26,11 @@
 // Deadline is how long messages of a class may be delivered where nobody says
 // otherwise.
 func (c *Core) Deadline(class string) (time.Duration, bool) {
-	x := c.stated.Load().class(class)
+	x := c.clientTerms.Load().class(class)
 	if x == nil {
 		return 0, false
 	}
-	return span(x.Deadline), true
+	return toDuration(x.Deadline), true
 }
 
 // Check says what is wrong with a message that may be delivered for hold from now
@@ -53,7 +53,7 @@
 			return bad(f.field, "holds what is not visible ASCII")
 		}
 	}
-	stated := c.stated.Load()
+	stated := c.clientTerms.Load()
 	class := stated.class(m.Class)
 	if class == nil {
 		return bad("class", "unknown class")
@@ -61,7 +61,7 @@
 	if class.Effect == logic.Keyed && m.Key == "" {
 		return bad("key", "must be given in a keyed class")
 	}
-	if most := min(holdTimes*span(class.Deadline), MaxRequestedTime); hold < 0 || hold > most {
+	if most := min(maxDeadlineFactor*toDuration(class.Deadline), MaxRequestedTime); hold < 0 || hold > most {
 		return bad("deadline", "not within 0 and %v from now", most)
 	}
 	if _, ok := stated.tenants[m.Tenant]; !ok && m.Tenant != "" {
--- a/internal/core/console_test.go
+++ b/internal/core/console_test.go
@@ -14,17 +14,17 @@
 )
 
 // stalled is a store whose writes wait.
-type stalled struct {
+type stalledStore struct {
 	Store
-	entered chan struct{}
-	release chan struct{}
+	writing chan struct{}
+	resume  chan struct{}
 }
 
-func (s *stalled) Append(recs []journal.Record) error {
+func (s *stalledStore) Append(recs []journal.Record) error {
 	if len(recs) > 0 {
 		select {
-		case s.entered <- struct{}{}:
-			<-s.release
+		case s.writing <- struct{}{}:
+			<-s.resume
 		default: // another write waits already
 		}
 	}
@@ -32,19 +32,19 @@
 }
 
 // While the core's loop waits for a disk that does not answer, the console does, and a drain is taken up.
-func TestConsoleBesideStalledCore(t *testing.T) {
+func TestConsoleAnswersWhileStoreStalls(t *testing.T) {
 	r := newRig(t, t.TempDir(), testConfig())
-	store := &stalled{r.Core.store, make(chan struct{}), make(chan struct{})}
+	store := &stalledStore{r.Core.store, make(chan struct{}), make(chan struct{})}
 	r.Core.store = store
 	r.run()
-	c, err := console.Listen("127.0.0.1:0", r.life, slog.New(slog.DiscardHandler))
+	c, err := console.Listen("127.0.0.1:0", r.lifecycle, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
 	go c.Serve()
 	defer c.Close()
 	go r.Submit(newMessage("a", "safe"), make(chan SubmitResponse, 1))
-	byhand.Await(t, store.entered, "write")
+	byhand.Await(t, store.writing, "write")
 	for path, want := range map[string]string{"/_ready": "GET", "/_lameduck/on": "POST"} {
 		at := time.Now()
 		req, _ := http.NewRequest(want, "http://"+c.Addr().(*net.TCPAddr).String()+path, nil)
@@ -57,12 +57,12 @@
 			t.Errorf("%s: answered after %v", path, d)
 		}
 	}
-	if v := r.life.View(); v.State != lifecycle.LameDuck {
+	if v := r.lifecycle.View(); v.State != lifecycle.LameDuck {
 		t.Errorf("%v", v.State)
 	}
-	close(store.release)
-	byhand.Await(t, r.hand.attempts, "attempt").result <- Result{}
-	byhand.Await(t, r.ends.told, "end")
-	r.ends.confirm <- "a"
-	r.halt()
+	close(store.resume)
+	byhand.Await(t, r.fakeTransport.attempts, "attempt").result <- Result{}
+	byhand.Await(t, r.fakeSink.added, "end")
+	r.fakeSink.confirm <- "a"
+	r.shutDown()
 }
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -17,13 +17,13 @@
 )
 
 const (
-	stopSends  = 3200 * time.Millisecond // what is sent after that must end by then
-	sweepEvery = time.Second
-	// lastClients is how long clients may be answered once the loop has ended: longer than
+	attemptStopTimeout = 3200 * time.Millisecond // what is sent after that must end by then
+	sweepInterval      = time.Second
+	// lateClientTimeout is how long clients may be answered once the loop has ended: longer than
 	// the fronts take for it.
-	lastClients = permit.MaxStall + 150*time.Millisecond
-	retryPause  = 250 * time.Millisecond // of an attempt that could not be written to the journal
-	eventRoom   = 4096
+	lateClientTimeout = permit.MaxStall + 150*time.Millisecond
+	retryDelay        = 250 * time.Millisecond // of an attempt that could not be written to the journal
+	eventQueueSize    = 4096
 )
 
 // Config is what the core needs to know of a deployment.
@@ -68,79 +68,79 @@
 // LifecycleTimes are those of the lifecycle that the core keeps to.
 var LifecycleTimes = lifecycle.Times{Door: 500 * time.Millisecond, Stop: 3400 * time.Millisecond}
 
-// held is a message that the module has and that is not over.
-type held struct {
-	msg      *message.Message
-	accepted int64 // when it was taken on, by the core's clock
-	tries    int
-	terms    int64              // the number of the terms that it is held to
-	class    *logic.Class       // of these; nil if it is not known
-	left     bool               // its body is in the store only
-	door     *FrontLimiter      // that it came through; nil after a restart
-	over     bool               // ended; an attempt is still out
-	stop     context.CancelFunc // of the attempt that is out
-	attempt  *Attempt           // that attempt
+// pendingMessage is a message that the module has and that is not over.
+type pendingMessage struct {
+	msg         *message.Message
+	acceptedAt  int64 // when it was taken on, by the core's clock
+	attempts    int
+	termsNumber int64              // the number of the terms that it is held to
+	class       *logic.Class       // of these; nil if it is not known
+	bodyInStore bool               // its body is in the store only
+	front       *FrontLimiter      // that it came through; nil after a restart
+	ended       bool               // ended; an attempt is still out
+	cancel      context.CancelFunc // of the attempt that is out
+	attempt     *Attempt           // that attempt
 }
 
-// toldEnd is an end that is to be told.
-type toldEnd struct {
-	msg  *message.Message
-	end  message.End
-	sink bool // the sink is to hear of it; else only those who wait for the message's state
+// endReport is an end that is to be told.
+type endReport struct {
+	msg    *message.Message
+	end    message.End
+	notify bool // the sink is to hear of it; else only those who wait for the message's state
 }
 
 // Core is one sender.
 type Core struct {
-	cfg        Config
-	reopen     func() (Store, error)
-	allowed    func() float64
-	others     Peers // nil for none
-	from       *Takeover
-	stated     atomic.Pointer[terms] // what clients are held to
-	log        *slog.Logger
-	monitor    *permit.Monitor
-	metrics    Metrics
-	clock      *clock.Clock // of all times that outlive the process
-	store      Store
-	transport  Transport
-	source     Source
-	sink       EndSink
-	life       *lifecycle.Life
-	sender     *logic.Sender
-	openBehind func(Store, func(any, <-chan struct{})) (Backlog, error)
-	events     chan any
-	done       chan struct{} // closed when the loop has ended
-	ready      chan struct{} // closed once clients are served
+	cfg          Config
+	reopenStore  func() (Store, error)
+	allowedShare func() float64
+	peers        Peers // nil for none
+	takeover     *Takeover
+	clientTerms  atomic.Pointer[terms] // what clients are held to
+	log          *slog.Logger
+	monitor      *permit.Monitor
+	metrics      Metrics
+	clock        *clock.Clock // of all times that outlive the process
+	store        Store
+	transport    Transport
+	source       Source
+	sink         EndSink
+	lifecycle    *lifecycle.Life
+	sender       *logic.Sender
+	newBacklog   func(Store, func(any, <-chan struct{})) (Backlog, error)
+	events       chan any
+	done         chan struct{} // closed when the loop has ended
+	ready        chan struct{} // closed once clients are served
 
 	// What follows belongs to the loop.
-	dir       *directory
-	part      float64                     // of each rate that the weights are made for
-	marks     map[logic.EndpointID]uint64 // of the last lesson that the module was told
-	early     map[string]earlyWait        // by endpoint
-	heard     bool                        // the source itself has told of a list, in the life of this process
-	due       *time.Timer
-	token     uint64
-	start     time.Time
-	held      map[string]*held
-	open      int           // of held, those not over
-	sparedAt  time.Time     // when what nothing refers to was last dropped
-	behind    behind        // what the module does not have
-	next      []logic.Event // for the next step
-	puts      []putEvent
-	fresh     map[string]*message.Message // of puts, those that are new, by id
-	asks      []stateEvent
-	records   []journal.Record
-	doors     []*FrontLimiter
-	untold    []toldEnd // ends that are to be told once the journal holds them; no more than messages are held
-	ended     []string  // messages that are over since the last step
-	watchers  map[string][]chan State
-	terms     *terms // what messages are taken on under
-	retunes   int
-	deciding  context.Context             // over once another process decides
-	successor *successorEvent             // has asked
-	remote    map[string]*held            // attempts that another process has out, by message
-	storeMu   sync.RWMutex                // of the field store, for those beside the loop
-	past      map[string]*journal.Partner // what an earlier process knew of partners, until they are on the list
+	directory       *directory
+	weightShare     float64                     // of each rate that the weights are made for
+	causalMarks     map[logic.EndpointID]uint64 // of the last lesson that the module was told
+	earlyWaits      map[string]earlyWait        // by endpoint
+	listReceived    bool                        // the source itself has told of a list, in the life of this process
+	timer           *time.Timer
+	timerToken      uint64
+	start           time.Time
+	pending         map[string]*pendingMessage
+	pendingCount    int           // of held, those not over
+	prunedAt        time.Time     // when what nothing refers to was last dropped
+	backlog         loopBacklog   // what the module does not have
+	nextEvents      []logic.Event // for the next step
+	submissions     []submitEvent
+	newMessages     map[string]*message.Message // of puts, those that are new, by id
+	stateQueries    []stateQueryEvent
+	records         []journal.Record
+	fronts          []*FrontLimiter
+	unreportedEnds  []endReport // ends that are to be told once the journal holds them; no more than messages are held
+	endedIDs        []string    // messages that are over since the last step
+	watchers        map[string][]chan State
+	terms           *terms // what messages are taken on under
+	settingsUpdates int
+	deciding        context.Context             // over once another process decides
+	handoverRequest *handoverEvent              // has asked
+	remoteAttempts  map[string]*pendingMessage  // attempts that another process has out, by message
+	storeMu         sync.RWMutex                // of the field store, for those beside the loop
+	savedPartners   map[string]*journal.Partner // what an earlier process knew of partners, until they are on the list
 }
 
 // New makes a core. Run starts it.
@@ -152,12 +152,12 @@
 	if parts.Lifecycle == nil {
 		parts.Lifecycle = lifecycle.NewLife(LifecycleTimes, parts.Log)
 	}
-	c := &Core{cfg: cfg, life: parts.Lifecycle, reopen: parts.ReopenStore, allowed: parts.AllowedShare, others: parts.Peers, marks: map[logic.EndpointID]uint64{}, early: map[string]earlyWait{}, from: parts.Takeover, openBehind: parts.OpenBacklog, remote: map[string]*held{}, log: parts.Log, monitor: parts.Monitor, clock: parts.Store.Clock(), store: parts.Store,
+	c := &Core{cfg: cfg, lifecycle: parts.Lifecycle, reopenStore: parts.ReopenStore, allowedShare: parts.AllowedShare, peers: parts.Peers, causalMarks: map[logic.EndpointID]uint64{}, earlyWaits: map[string]earlyWait{}, takeover: parts.Takeover, newBacklog: parts.OpenBacklog, remoteAttempts: map[string]*pendingMessage{}, log: parts.Log, monitor: parts.Monitor, clock: parts.Store.Clock(), store: parts.Store,
 		transport: parts.Transport, source: parts.Source, sink: parts.Sink, sender: sender,
-		events: make(chan any, eventRoom), done: make(chan struct{}), ready: make(chan struct{}),
-		dir: newDirectory(cfg.Zones, cfg.Settings.Kinds), start: time.Now(), due: time.NewTimer(time.Hour),
-		held: map[string]*held{}, fresh: map[string]*message.Message{}, watchers: map[string][]chan State{}}
-	c.stated.Store(newTerms(cfg.Settings))
+		events: make(chan any, eventQueueSize), done: make(chan struct{}), ready: make(chan struct{}),
+		directory: newDirectory(cfg.Zones, cfg.Settings.Kinds), start: time.Now(), timer: time.NewTimer(time.Hour),
+		pending: map[string]*pendingMessage{}, newMessages: map[string]*message.Message{}, watchers: map[string][]chan State{}}
+	c.clientTerms.Store(newTerms(cfg.Settings))
 	return c, c.setTerms(newTerms(cfg.Settings))
 }
 
@@ -170,8 +170,8 @@
 // Ready is closed once the fronts serve clients.
 func (c *Core) Ready() <-chan struct{} { return c.ready }
 
-func span(t logic.Micros) time.Duration { return time.Duration(t) * time.Microsecond }
-func micros(d time.Duration) logic.Micros {
+func toDuration(t logic.Micros) time.Duration { return time.Duration(t) * time.Microsecond }
+func toMicros(d time.Duration) logic.Micros {
 	return logic.Micros(d / time.Microsecond)
 }
 
@@ -185,20 +185,20 @@
 	deciding, decided := context.WithCancel(work) // over once another process decides
 	defer decided()
 	c.deciding = deciding
-	if err := c.resume(); err != nil {
+	if err := c.restore(); err != nil {
 		close(c.done)
 		return err
 	}
 	c.step(work)                   // what the store holds comes first: its ends are due
 	if !c.cfg.Settings.OnRequest { // the module does not ask for a list that comes by itself
-		c.watch()
+		c.watchEndpoints()
 	}
-	attrs := []any{"name", c.cfg.Name, "held", len(c.held)}
-	if c.behind.Backlog != nil {
-		attrs = append(attrs, "behind", c.behind.Len())
+	attrs := []any{"name", c.cfg.Name, "held", len(c.pending)}
+	if c.backlog.Backlog != nil {
+		attrs = append(attrs, "behind", c.backlog.Len())
 	}
 	for _, f := range fronts {
-		c.from.listen(f)
+		c.takeover.adoptListener(f)
 		if err := f.Listen(); err != nil {
 			close(c.done)
 			return fmt.Errorf("listen: %w", err)
@@ -206,29 +206,29 @@
 		defer f.CloseListener()
 		attrs = append(attrs, "addr", f.Addr().String())
 	}
-	go c.sink.Run(deciding, func(ids []string) { c.post(confirmedEvent{ids}) })
+	go c.sink.Run(deciding, func(ids []string) { c.post(noticesConfirmedEvent{ids}) })
 	for _, f := range fronts {
 		go f.Serve()
 	}
-	if c.others != nil {
-		go c.others.Receive(deciding, func(list []Observation) { c.post(observationsEvent(list)) })
+	if c.peers != nil {
+		go c.peers.Receive(deciding, func(list []Observation) { c.post(peerObservationsEvent(list)) })
 	}
 	c.log.Info("ready", attrs...)
-	c.life.Tell(lifecycle.Started)
+	c.lifecycle.Tell(lifecycle.Started)
 	close(c.ready)
 	served := make(chan struct{}) // closed when no client is left
 	stopped := make(chan struct{})
 	go func() {
 		select {
 		case <-ctx.Done():
-			c.life.Tell(lifecycle.Terminate)
+			c.lifecycle.Tell(lifecycle.Terminate)
 		case <-work.Done():
 		}
 	}()
-	go c.follow(work, fronts, served, stopped)
-	if c.from != nil {
-		c.from.close()
-		go c.hear(c.from.Predecessor)
+	go c.followLifecycle(work, fronts, served, stopped)
+	if c.takeover != nil {
+		c.takeover.closeListeners()
+		go c.receiveFromPredecessor(c.takeover.Predecessor)
 	}
 	successor, err := c.loop(work, fronts, served, stopped)
 	if successor != nil && err == nil {
@@ -237,20 +237,20 @@
 	}
 	close(c.done)
 	cancel() // ends what clients are left
-	c.turnAway(served)
+	c.rejectLateSubmissions(served)
 	return err
 }
 
 // follow does what the lifecycle's view says until the process is to end.
-func (c *Core) follow(work context.Context, fronts []Front, served, stopped chan<- struct{}) {
+func (c *Core) followLifecycle(work context.Context, fronts []Front, served, stopped chan<- struct{}) {
 	grace, end := context.WithCancel(work) // over when what is under way is cut off
 	defer end()
 	open, keep, leaving := true, true, false
 	for {
-		v, changed := c.life.Watch()
+		v, changed := c.lifecycle.Watch()
 		if v.State == lifecycle.Leaving && !leaving {
 			leaving = true
-			c.post(closingEvent{stopSends})
+			c.post(shutdownEvent{attemptStopTimeout})
 		}
 		if v.Keep != keep {
 			keep = v.Keep
@@ -283,19 +283,19 @@
 }
 
 // watch follows the endpoints, as long as this process decides.
-func (c *Core) watch() {
+func (c *Core) watchEndpoints() {
 	c.source.Watch(c.deciding, func(n EndpointUpdate) { c.post(n) })
 }
 
 // turnAway answers what has come too late for the loop, until no client is left.
-func (c *Core) turnAway(served <-chan struct{}) {
-	late := time.NewTimer(lastClients)
+func (c *Core) rejectLateSubmissions(served <-chan struct{}) {
+	late := time.NewTimer(lateClientTimeout)
 	defer late.Stop()
 	for {
 		select {
 		case ev := <-c.events:
-			if put, ok := ev.(putEvent); ok {
-				put.tell(SubmitResponse{Status: Stopped})
+			if put, ok := ev.(submitEvent); ok {
+				put.respond(SubmitResponse{Status: Stopped})
 			}
 			continue
 		case <-served:
@@ -316,7 +316,7 @@
 }
 
 // settle hands the loop an event and waits until it says on done what became of it.
-func (c *Core) settle(ev any, done <-chan error) error {
+func (c *Core) postAndWait(ev any, done <-chan error) error {
 	if !c.post(ev) {
 		return ErrStopped
 	}
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -20,12 +20,12 @@
 func TestStates(t *testing.T) {
 	dir := t.TempDir()
 	r := newRig(t, dir, testConfig()).run()
-	if got := r.state("a"); got != "" {
+	if got := r.stateName("a"); got != "" {
 		t.Errorf("before: %q", got)
 	}
-	r.put(newMessage("a", "safe"))
-	in := byhand.Await(t, r.hand.attempts, "attempt")
-	if got := r.state("a"); got != StateSending {
+	r.submitAndWait(newMessage("a", "safe"))
+	in := byhand.Await(t, r.fakeTransport.attempts, "attempt")
+	if got := r.stateName("a"); got != StateSending {
 		t.Errorf("with an attempt out: %q", got)
 	}
 	over := make(chan State, 1)
@@ -34,40 +34,40 @@
 		over <- s
 	}()
 	in.result <- Result{Outcome: logic.Full, RequestedWait: 300 * time.Millisecond}
-	for r.state("a") != StateAccepted { // until the outcome has come
+	for r.stateName("a") != StateAccepted { // until the outcome has come
 	}
-	(byhand.Await(t, r.hand.attempts, "attempt after the wait")).result <- Result{Outcome: logic.Completed}
+	(byhand.Await(t, r.fakeTransport.attempts, "attempt after the wait")).result <- Result{Outcome: logic.Completed}
 	if s := byhand.Await(t, over, "state of a message that is over"); s.Name != message.Delivered || s.Attempts != 2 || s.EndedAt.IsZero() || s.Partner != "acme" {
 		t.Errorf("over: %+v", s)
 	}
-	if x := byhand.Await(t, r.ends.told, "end"); x.ID != "a" || x.State != message.Delivered || x.Tries != 2 {
+	if x := byhand.Await(t, r.fakeSink.added, "end"); x.ID != "a" || x.State != message.Delivered || x.Tries != 2 {
 		t.Errorf("told %+v", x)
 	}
-	r.put(newMessage("b", "unsafe"))
-	(byhand.Await(t, r.hand.attempts, "attempt")).result <- Result{Outcome: logic.Severed}
-	byhand.Await(t, r.ends.told, "end")
-	r.ends.confirm <- "b"
+	r.submitAndWait(newMessage("b", "unsafe"))
+	(byhand.Await(t, r.fakeTransport.attempts, "attempt")).result <- Result{Outcome: logic.Severed}
+	byhand.Await(t, r.fakeSink.added, "end")
+	r.fakeSink.confirm <- "b"
 	check := func(when string) {
 		t.Helper()
-		if a, b := r.state("a"), r.state("b"); a != message.Delivered || b != message.Failed {
+		if a, b := r.stateName("a"), r.stateName("b"); a != message.Delivered || b != message.Failed {
 			t.Errorf("%s: %q %q", when, a, b)
 		}
 	}
 	check("before the restart")
-	r.halt()
+	r.shutDown()
 	if _, err := r.State(t.Context(), "a", true); !errors.Is(err, ErrStopped) {
 		t.Errorf("after the end: %v", err)
 	}
 	r = newRig(t, dir, testConfig()).run()
-	if x := byhand.Await(t, r.ends.told, "end that nobody confirmed"); x.ID != "a" || x.State != message.Delivered {
+	if x := byhand.Await(t, r.fakeSink.added, "end that nobody confirmed"); x.ID != "a" || x.State != message.Delivered {
 		t.Errorf("told %+v", x)
 	}
 	check("after the restart")
-	r.ends.confirm <- "a"
-	if a := r.put(newMessage("b", "unsafe")); a.Status != Accepted || !a.Duplicate {
+	r.fakeSink.confirm <- "a"
+	if a := r.submitAndWait(newMessage("b", "unsafe")); a.Status != Accepted || !a.Duplicate {
 		t.Errorf("handed in again after its end: %+v", a)
 	}
-	r.halt()
+	r.shutDown()
 }
 
 // The same id is one message; with another content it is told apart, held or over.
@@ -86,31 +86,31 @@
 	if count[Accepted] != 2 || count[Conflict] != 1 {
 		t.Errorf("answers %v", count)
 	}
-	in := byhand.Await(t, r.hand.attempts, "attempt")
+	in := byhand.Await(t, r.fakeTransport.attempts, "attempt")
 	if string(in.Message.Body) != "body of a" {
 		t.Errorf("sent %q", in.Message.Body)
 	}
 	in.result <- Result{Outcome: logic.Completed}
-	byhand.Await(t, r.ends.told, "end")
-	if a := r.put(other); a.Status != Conflict {
+	byhand.Await(t, r.fakeSink.added, "end")
+	if a := r.submitAndWait(other); a.Status != Conflict {
 		t.Errorf("another message under the id of one that is over: %+v", a)
 	}
-	r.ends.confirm <- "a"
-	if len(r.hand.attempts) != 0 {
+	r.fakeSink.confirm <- "a"
+	if len(r.fakeTransport.attempts) != 0 {
 		t.Error("sent twice")
 	}
-	r.halt()
+	r.shutDown()
 }
 
 // A thousand races of one id over two submitters: one attempt each, and a state asked for meanwhile is one that the
 // message has had.
-func TestRacedID(t *testing.T) {
+func TestConcurrentSubmissionsOfOneID(t *testing.T) {
 	cfg := testConfig()
 	cfg.Settings.MaxOpen = 0
 	r := newRig(t, t.TempDir(), cfg).run()
 	go func() {
-		for x := range r.ends.told {
-			r.ends.confirm <- x.ID
+		for x := range r.fakeSink.added {
+			r.fakeSink.confirm <- x.ID
 		}
 	}()
 	for i := range 1000 {
@@ -119,7 +119,7 @@
 		for range 2 {
 			go r.Submit(newMessage(id, "unsafe"), answers)
 		}
-		in := byhand.Await(t, r.hand.attempts, "attempt")
+		in := byhand.Await(t, r.fakeTransport.attempts, "attempt")
 		if in.Message.ID != id {
 			t.Fatalf("attempt of %s, want %s", in.Message.ID, id)
 		}
@@ -149,17 +149,17 @@
 			t.Fatalf("state %+v, %v", s, err)
 		}
 	}
-	r.halt()
-	if len(r.hand.attempts) != 0 {
+	r.shutDown()
+	if len(r.fakeTransport.attempts) != 0 {
 		t.Error("a message was sent twice")
 	}
 }
 
 // Nobody who gives up waiting leaves anything behind.
-func TestWatchGivenUp(t *testing.T) {
+func TestCancelledStateWaitLeavesNoWatcher(t *testing.T) {
 	r := newRig(t, t.TempDir(), testConfig()).run()
-	r.put(newMessage("a", "safe"))
-	in := byhand.Await(t, r.hand.attempts, "attempt")
+	r.submitAndWait(newMessage("a", "safe"))
+	in := byhand.Await(t, r.fakeTransport.attempts, "attempt")
 	ctx, cancel := context.WithCancel(t.Context())
 	got := make(chan State, 1)
 	go func() {
@@ -174,28 +174,28 @@
 		t.Errorf("state %+v", s)
 	}
 	in.result <- Result{Outcome: logic.Completed}
-	byhand.Await(t, r.ends.told, "end")
-	r.ends.confirm <- "a"
-	r.halt()
+	byhand.Await(t, r.fakeSink.added, "end")
+	r.fakeSink.confirm <- "a"
+	r.shutDown()
 	if len(r.watchers) != 0 {
 		t.Errorf("%d watched messages are left", len(r.watchers))
 	}
 }
 
 // The hold has a limit; what comes above it is turned away, and so is what the store has no room for.
-func TestDoor(t *testing.T) {
+func TestPendingLimitAndStoreRoom(t *testing.T) {
 	r := newRig(t, t.TempDir(), testConfig())
-	r.resume()
+	r.restore()
 	put := func() SubmitResponse {
 		answer := make(chan SubmitResponse, 1)
-		r.Core.put(putEvent{msg: newMessage("a", "safe"), answer: answer})
+		r.Core.submit(submitEvent{msg: newMessage("a", "safe"), response: answer})
 		return byhand.Await(t, answer, "answer")
 	}
-	r.open = r.cfg.Settings.MaxOpen
+	r.pendingCount = r.cfg.Settings.MaxOpen
 	if a := put(); a.Status != Busy {
 		t.Errorf("above max_open: %+v", a)
 	}
-	r.open = 0
+	r.pendingCount = 0
 	for i := 0; r.store.Room(9); i++ {
 		if err := r.store.Append([]journal.Record{{Op: journal.OpAccept, Entry: &journal.Entry{
 			Message: message.Message{ID: fmt.Sprint("f", i), Body: make([]byte, 60000)}}}}); err != nil {
@@ -211,41 +211,41 @@
 // and the module gets the outcome of what it wanted to send, or a slot would be lost for good.
 func TestStoreFails(t *testing.T) {
 	r := newRig(t, t.TempDir(), testConfig()).run()
-	r.store.set(true)
+	r.store.setFailing(true)
 	for i := range 10 { // more than there are slots
-		if a := r.put(newMessage(fmt.Sprint("x", i), "safe")); a.Status != Busy {
+		if a := r.submitAndWait(newMessage(fmt.Sprint("x", i), "safe")); a.Status != Busy {
 			t.Fatalf("answer %+v", a)
 		}
 	}
-	if len(r.hand.attempts) != 0 {
+	if len(r.fakeTransport.attempts) != 0 {
 		t.Error("sent without a record")
 	}
-	r.store.set(false)
-	if a := r.put(newMessage("a", "safe")); a.Status != Accepted {
+	r.store.setFailing(false)
+	if a := r.submitAndWait(newMessage("a", "safe")); a.Status != Accepted {
 		t.Fatalf("answer %+v", a)
 	}
-	in := byhand.Await(t, r.hand.attempts, "attempt")
+	in := byhand.Await(t, r.fakeTransport.attempts, "attempt")
 	if in.Message.ID != "a" {
 		t.Fatalf("attempt of %s", in.Message.ID)
 	}
 	in.result <- Result{Outcome: logic.Completed}
-	byhand.Await(t, r.ends.told, "end")
-	r.ends.confirm <- "a"
-	r.halt()
+	byhand.Await(t, r.fakeSink.added, "end")
+	r.fakeSink.confirm <- "a"
+	r.shutDown()
 }
 
 // A probe that is asked for has its one result.
 func TestProbe(t *testing.T) {
 	r := newRig(t, t.TempDir(), testConfig()).run()
 	r.probe(t.Context(), 1)
-	if ep := byhand.Await(t, r.hand.probes, "probe"); ep != 1 {
+	if ep := byhand.Await(t, r.fakeTransport.probes, "probe"); ep != 1 {
 		t.Errorf("probe of %d", ep)
 	}
-	r.halt()
+	r.shutDown()
 }
 
 // A wait or a drain holds the calls that still connect there, and no others.
-func TestHoldReachesWaitingAttempts(t *testing.T) {
+func TestWaitAndDrainWithholdUnbegunAttempts(t *testing.T) {
 	for _, x := range []struct {
 		name  string
 		apart bool
@@ -253,25 +253,25 @@
 		held  [4]bool // waiting for endpoints 1 and 2 of one partner and 3 of another; begun at 1
 		freed string  // endpoints whose idle connections are given back
 	}{
-		{"wait, one limit", false, func(c *Core) { c.holdWait(1) }, [4]bool{true, true, false, false}, "[]"},
-		{"wait, routes apart", true, func(c *Core) { c.holdWait(1) }, [4]bool{true, false, false, false}, "[]"},
+		{"wait, one limit", false, func(c *Core) { c.withholdForWait(1) }, [4]bool{true, true, false, false}, "[]"},
+		{"wait, routes apart", true, func(c *Core) { c.withholdForWait(1) }, [4]bool{true, false, false, false}, "[]"},
 		{"drain", false, func(c *Core) {
-			c.news(EndpointUpdate{List: EndpointList{Endpoints: []Endpoint{{Name: "b", Partner: "p", State: logic.Draining}}}})
+			c.applyEndpointUpdate(EndpointUpdate{List: EndpointList{Endpoints: []Endpoint{{Name: "b", Partner: "p", State: logic.Draining}}}})
 		}, [4]bool{false, true, false, false}, "[2]"},
 		{"whole list", false, func(c *Core) {
-			c.news(EndpointUpdate{List: EndpointList{Complete: true, Endpoints: []Endpoint{{Name: "a", Partner: "p"}}}})
+			c.applyEndpointUpdate(EndpointUpdate{List: EndpointList{Complete: true, Endpoints: []Endpoint{{Name: "a", Partner: "p"}}}})
 		}, [4]bool{false, true, true, false}, "[2 3]"},
 	} {
 		cfg := testConfig()
 		cfg.Settings.Kinds[0].Apart = x.apart
 		r := newRig(t, t.TempDir(), cfg)
 		c := r.Core
-		c.dir.take(EndpointList{Endpoints: []Endpoint{{Name: "a", Addr: "h:1", Kind: "std", Partner: "p"},
+		c.directory.applyList(EndpointList{Endpoints: []Endpoint{{Name: "a", Addr: "h:1", Kind: "std", Partner: "p"},
 			{Name: "b", Addr: "h:2", Kind: "std", Partner: "p"}, {Name: "c", Addr: "h:3", Kind: "std", Partner: "q"}}})
 		var out []*Attempt
 		for i, ep := range []logic.EndpointID{1, 2, 3, 1} {
 			out = append(out, &Attempt{Endpoint: ep})
-			c.held[fmt.Sprint("m", i)] = &held{attempt: out[i], stop: func() {}}
+			c.pending[fmt.Sprint("m", i)] = &pendingMessage{attempt: out[i], cancel: func() {}}
 		}
 		out[3].Begin()
 		x.learn(c)
@@ -280,8 +280,8 @@
 				t.Errorf("%s: attempt %d held: %v", x.name, i, got)
 			}
 		}
-		slices.Sort(r.hand.released)
-		if got := fmt.Sprint(r.hand.released); got != x.freed {
+		slices.Sort(r.fakeTransport.closedIdle)
+		if got := fmt.Sprint(r.fakeTransport.closedIdle); got != x.freed {
 			t.Errorf("%s: connections to %s are given back, want %s", x.name, got, x.freed)
 		}
 	}
@@ -308,98 +308,98 @@
 		if i > 0 {
 			l.Endpoints = append(l.Endpoints, Endpoint{Name: fmt.Sprint("s-", i-1), Partner: "p", State: logic.Gone})
 		}
-		rows := d.take(l)
+		rows := d.applyList(l)
 		if seen[rows[0].Endpoint] {
 			t.Fatalf("number %d is given twice", rows[0].Endpoint)
 		}
 		seen[rows[0].Endpoint] = true
-		d.forget(now, nil, nil)
+		d.prune(now, nil, nil)
 		if i%10 == 9 {
-			now = now.Add(2 * keepGone)
-			for id, to := range d.eps {
-				if !to.gone.IsZero() {
-					d.forget(now, map[logic.EndpointID]bool{id: true}, nil)
-					if _, ok := d.eps[id]; !ok {
+			now = now.Add(2 * goneRetention)
+			for id, to := range d.endpoints {
+				if !to.goneSince.IsZero() {
+					d.prune(now, map[logic.EndpointID]bool{id: true}, nil)
+					if _, ok := d.endpoints[id]; !ok {
 						t.Fatal("an endpoint with a call out is forgotten")
 					}
 					break
 				}
 			}
-			d.forget(now, nil, nil)
+			d.prune(now, nil, nil)
 		}
-		if !d.serves("p") || d.serves("q") {
+		if !d.hasEndpoint("p") || d.hasEndpoint("q") {
 			t.Fatal("the wrong partners are known")
 		}
 	}
-	d.take(EndpointList{Complete: true})
-	later := time.Now().Add(2 * keepGone)
-	d.forget(later, nil, nil)
-	if d.serves("p") || len(d.eps)+len(d.ids) != 0 {
-		t.Errorf("left: %d endpoints, %d names", len(d.eps), len(d.ids))
+	d.applyList(EndpointList{Complete: true})
+	later := time.Now().Add(2 * goneRetention)
+	d.prune(later, nil, nil)
+	if d.hasEndpoint("p") || len(d.endpoints)+len(d.endpointIDs) != 0 {
+		t.Errorf("left: %d endpoints, %d names", len(d.endpoints), len(d.endpointIDs))
 	}
-	number := d.partner("p").dest
-	later = later.Add(2 * keepPartner)
-	d.forget(later, nil, map[string]bool{"p": true})
-	if d.partner("p").dest != number {
+	number := d.partner("p").destination
+	later = later.Add(2 * partnerRetention)
+	d.prune(later, nil, map[string]bool{"p": true})
+	if d.partner("p").destination != number {
 		t.Error("a partner with a message is forgotten")
 	}
-	d.forget(later.Add(2*keepPartner), nil, nil)
+	d.prune(later.Add(2*partnerRetention), nil, nil)
 	if len(d.partners) != 0 {
 		t.Errorf("left: %d partners", len(d.partners))
 	}
 }
 
 // calls is a transport that tells of each call with several messages and answers it once it is called off.
-type calls struct {
-	hand
-	out chan several
+type batchTransport struct {
+	fakeTransport
+	batches chan batchCall
 }
 
-type several struct {
-	ctx  context.Context
-	call []*Attempt
+type batchCall struct {
+	ctx      context.Context
+	attempts []*Attempt
 }
 
-func (c *calls) Batch(ctx context.Context, call []*Attempt) []Result {
-	c.out <- several{ctx, call}
+func (c *batchTransport) Batch(ctx context.Context, call []*Attempt) []Result {
+	c.batches <- batchCall{ctx, call}
 	<-ctx.Done()
 	return make([]Result, len(call))
 }
 
 // A call with several messages goes on until each of them is called off, and one that is called off before the call
 // has begun is not in it.
-func TestCallOffOneOfSeveral(t *testing.T) {
+func TestCancelOneMessageOfBatch(t *testing.T) {
 	cfg := testConfig()
 	cfg.Settings.Kinds = []logic.Kind{{Name: "k", Batch: 2}}
 	r := newRig(t, t.TempDir(), cfg)
-	out := make(chan several, 8)
-	r.transport = &calls{out: out}
-	r.dir.eps[1] = target{name: "a"}
+	out := make(chan batchCall, 8)
+	r.transport = &batchTransport{batches: out}
+	r.directory.endpoints[1] = listedEndpoint{name: "a"}
 	var outs []logic.CallOut
 	for i := range 5 {
 		id := fmt.Sprint("m", i)
-		r.held[id] = &held{msg: newMessage(id, "safe")}
+		r.pending[id] = &pendingMessage{msg: newMessage(id, "safe")}
 		if i < 4 {
 			outs = append(outs, logic.CallOut{ID: id, Endpoint: 1})
 		}
 	}
-	r.callOuts(t.Context(), outs, true)
-	for _, in := range []several{byhand.Await(t, out, "call"), byhand.Await(t, out, "call")} {
-		pair := in.call
+	r.startAttempts(t.Context(), outs, true)
+	for _, in := range []batchCall{byhand.Await(t, out, "call"), byhand.Await(t, out, "call")} {
+		pair := in.attempts
 		if len(pair) != 2 {
 			t.Fatalf("a call with %d messages, want 2", len(pair))
 		}
-		first, second := r.held[pair[0].Message.ID], r.held[pair[1].Message.ID]
-		first.stop()
-		first.stop()
+		first, second := r.pending[pair[0].Message.ID], r.pending[pair[1].Message.ID]
+		first.cancel()
+		first.cancel()
 		if pair[0].Begin() || !pair[1].Begin() {
 			t.Error("the one called off may begin, or the other may not")
 		}
 		if in.ctx.Err() != nil {
 			t.Error("the call is over with one message still in it")
 		}
-		second.stop()
-		if ev := byhand.Await(t, r.events, "outcomes").(replyEvent); len(ev) != 2 {
+		second.cancel()
+		if ev := byhand.Await(t, r.events, "outcomes").(outcomesEvent); len(ev) != 2 {
 			t.Errorf("%d outcomes", len(ev))
 		}
 	}
@@ -407,11 +407,11 @@
 
 // A call that was decided on by a larger part of each rate than may be used now does
 // not go out, however late it would be begun; it goes once the weights have followed.
-func TestHeldWhenPartIsOver(t *testing.T) {
+func TestWithheldWhenShareShrinks(t *testing.T) {
 	var allowed atomic.Uint64
 	set := func(v float64) { allowed.Store(math.Float64bits(v)) }
 	r := newRig(t, t.TempDir(), testConfig())
-	r.allowed = func() float64 { return math.Float64frombits(allowed.Load()) }
+	r.allowedShare = func() float64 { return math.Float64frombits(allowed.Load()) }
 	set(0.5)
 	r.run()
 	list := *testConfig().CachedEndpoints
@@ -420,40 +420,40 @@
 		r.post(EndpointUpdate{List: list})
 	}
 	weigh(0.5)
-	r.put(newMessage("first", "safe"))
-	in := byhand.Await(t, r.hand.attempts, "call")
+	r.submitAndWait(newMessage("first", "safe"))
+	in := byhand.Await(t, r.fakeTransport.attempts, "call")
 	in.result <- Result{Outcome: logic.Completed}
-	byhand.Await(t, r.ends.told, "end")
+	byhand.Await(t, r.fakeSink.added, "end")
 	set(0.25) // its lease is over
-	r.put(newMessage("late", "safe"))
+	r.submitAndWait(newMessage("late", "safe"))
 	select {
-	case in := <-r.hand.attempts:
+	case in := <-r.fakeTransport.attempts:
 		t.Fatalf("%s goes out by a part that is over", in.Message.ID)
-	case <-time.After(retryPause / 2): // it was held at once
+	case <-time.After(retryDelay / 2): // it was held at once
 	}
 	weigh(0.25)
-	in = byhand.Await(t, r.hand.attempts, "call by the part that holds")
+	in = byhand.Await(t, r.fakeTransport.attempts, "call by the part that holds")
 	in.result <- Result{Outcome: logic.Completed}
-	if end := byhand.Await(t, r.ends.told, "end"); end.ID != "late" || end.State != message.Delivered {
+	if end := byhand.Await(t, r.fakeSink.added, "end"); end.ID != "late" || end.State != message.Delivered {
 		t.Errorf("%+v", end)
 	}
 }
 
 // While every partner has endpoints and none has long been gone, nothing that is held has to be looked at each second.
-func TestDirectorySparesNothing(t *testing.T) {
+func TestDirectoryNeedsNoPruning(t *testing.T) {
 	d, now := newDirectory(nil, nil), time.Now()
-	d.take(EndpointList{Complete: true, Endpoints: []Endpoint{{Name: "a", Partner: "p"}, {Name: "b", Partner: "q"}}})
-	if d.spare(now) {
+	d.applyList(EndpointList{Complete: true, Endpoints: []Endpoint{{Name: "a", Partner: "p"}, {Name: "b", Partner: "q"}}})
+	if d.needsPruning(now) {
 		t.Error("all are listed")
 	}
-	d.take(EndpointList{Endpoints: []Endpoint{{Name: "a", Partner: "p", State: logic.Gone}}})
-	gone := d.spare(now.Add(keepGone / 2))
-	long := d.spare(now.Add(2 * keepGone))
+	d.applyList(EndpointList{Endpoints: []Endpoint{{Name: "a", Partner: "p", State: logic.Gone}}})
+	gone := d.needsPruning(now.Add(goneRetention / 2))
+	long := d.needsPruning(now.Add(2 * goneRetention))
 	if gone || !long {
 		t.Errorf("off the list for half a minute: %v, for two: %v", gone, long)
 	}
-	d.forget(now.Add(2*keepGone), nil, nil)
-	if !d.spare(now) {
+	d.prune(now.Add(2*goneRetention), nil, nil)
+	if !d.needsPruning(now) {
 		t.Error("a partner without endpoints can be forgotten")
 	}
 }
--- a/internal/core/directory.go
+++ b/internal/core/directory.go
@@ -8,65 +8,65 @@
 )
 
 const (
-	keepGone    = time.Minute      // an endpoint off the list is remembered so long: it may come back
-	keepPartner = 10 * time.Minute // a partner without endpoints or messages keeps its number so long
+	goneRetention    = time.Minute      // an endpoint off the list is remembered so long: it may come back
+	partnerRetention = 10 * time.Minute // a partner without endpoints or messages keeps its number so long
 )
 
 // directory maps the names of endpoints and partners to the module's numbers. The
 // loop owns it.
 type directory struct {
-	zones    []string
-	kinds    []logic.Kind
-	ids      map[string]logic.EndpointID
-	eps      map[logic.EndpointID]target
-	partners map[string]*partner
-	last     logic.EndpointID
-	lastDest int64
+	zones           []string
+	kinds           []logic.Kind
+	endpointIDs     map[string]logic.EndpointID
+	endpoints       map[logic.EndpointID]listedEndpoint
+	partners        map[string]*partner
+	lastEndpoint    logic.EndpointID
+	lastDestination int64
 }
 
 // target is where an endpoint can be reached.
-type target struct {
-	name    string // on the list
-	addr    string
-	zone    int
-	partner string
-	kind    int
-	state   logic.Readiness
-	weight  float64
-	gone    time.Time // when it was taken off the list; zero while it is on it
+type listedEndpoint struct {
+	name      string // on the list
+	addr      string
+	zone      int
+	partner   string
+	kind      int
+	state     logic.Readiness
+	weight    float64
+	goneSince time.Time // when it was taken off the list; zero while it is on it
 }
 
 // partner is a destination of the module.
 type partner struct {
-	dest int64
-	eps  int       // endpoints, those that were taken off the list a short while ago too
-	used time.Time // when it last had an endpoint or a message
+	destination int64
+	endpoints   int       // endpoints, those that were taken off the list a short while ago too
+	lastUsed    time.Time // when it last had an endpoint or a message
 }
 
 func newDirectory(zones []string, kinds []logic.Kind) *directory {
-	return &directory{zones: zones, kinds: kinds, ids: map[string]logic.EndpointID{},
-		eps: map[logic.EndpointID]target{}, partners: map[string]*partner{}}
+	return &directory{zones: zones, kinds: kinds, endpointIDs: map[string]logic.EndpointID{},
+		endpoints: map[logic.EndpointID]listedEndpoint{}, partners: map[string]*partner{}}
 }
 
 // partner returns the entry of a partner, and makes one if there is none.
 func (d *directory) partner(name string) *partner {
 	p := d.partners[name]
 	if p == nil {
-		d.lastDest++
-		p = &partner{dest: d.lastDest, used: time.Now()}
+		d.lastDestination++
+		p = &partner{destination: d.lastDestination, lastUsed: time.Now()}
 		d.partners[name] = p
 	}
 	return p
 }
 
 // serves says whether a partner has an endpoint, or had one a short while ago.
-func (d *directory) serves(name string) bool {
+func (d *directory) hasEndpoint(name string) bool {
 	p := d.partners[name]
-	return p != nil && p.eps > 0
+	return p != nil && p.endpoints > 0
 }
 
 // zone is the name of a zone; empty for one that is not known.
-func (d *directory) zone(i int) string {
+func (d *directory) zoneName(i int) string {
 	if i < 0 || i >= len(d.zones) {
 		return ""
 	}
@@ -83,14 +83,14 @@
 
 // spare says that forget needs to know what is in use: an endpoint has long been off
 // the list, or a partner has none.
-func (d *directory) spare(now time.Time) bool {
-	for _, to := range d.eps {
-		if !to.gone.IsZero() && now.Sub(to.gone) > keepGone {
+func (d *directory) needsPruning(now time.Time) bool {
+	for _, to := range d.endpoints {
+		if !to.goneSince.IsZero() && now.Sub(to.goneSince) > goneRetention {
 			return true
 		}
 	}
 	for _, p := range d.partners {
-		if p.eps == 0 {
+		if p.endpoints == 0 {
 			return true
 		}
 	}
@@ -99,35 +99,35 @@
 
 // forget drops endpoints that have long been off the list and partners that have
 // long had nothing, but for those in use.
-func (d *directory) forget(now time.Time, calls map[logic.EndpointID]bool, messages map[string]bool) {
-	for id, to := range d.eps {
-		if !to.gone.IsZero() && now.Sub(to.gone) > keepGone && !calls[id] {
-			d.drop(id)
+func (d *directory) prune(now time.Time, calls map[logic.EndpointID]bool, messages map[string]bool) {
+	for id, to := range d.endpoints {
+		if !to.goneSince.IsZero() && now.Sub(to.goneSince) > goneRetention && !calls[id] {
+			d.removeEndpoint(id)
 		}
 	}
 	for name, p := range d.partners {
 		switch {
-		case p.eps > 0 || messages[name]:
-			p.used = now
-		case now.Sub(p.used) > keepPartner:
+		case p.endpoints > 0 || messages[name]:
+			p.lastUsed = now
+		case now.Sub(p.lastUsed) > partnerRetention:
 			delete(d.partners, name)
 		}
 	}
 }
 
-func (d *directory) drop(id logic.EndpointID) {
-	to, ok := d.eps[id]
+func (d *directory) removeEndpoint(id logic.EndpointID) {
+	to, ok := d.endpoints[id]
 	if !ok {
 		return
 	}
-	delete(d.eps, id)
-	delete(d.ids, to.name)
-	d.partners[to.partner].eps--
+	delete(d.endpoints, id)
+	delete(d.endpointIDs, to.name)
+	d.partners[to.partner].endpoints--
 }
 
 // take turns a list into the module's entries. An endpoint keeps its number as long
 // as it is on the list, whatever its address, and for a while after.
-func (d *directory) take(l EndpointList) []logic.Entry {
+func (d *directory) applyList(l EndpointList) []logic.Entry {
 	rows := make([]logic.Entry, 0, len(l.Endpoints))
 	now := time.Now()
 	if l.Complete {
@@ -135,40 +135,40 @@
 		for _, in := range l.Endpoints {
 			on[in.Name] = true
 		}
-		for id, to := range d.eps {
-			if !on[to.name] && to.gone.IsZero() {
-				to.gone = now
-				d.eps[id] = to
+		for id, to := range d.endpoints {
+			if !on[to.name] && to.goneSince.IsZero() {
+				to.goneSince = now
+				d.endpoints[id] = to
 			}
 		}
 	}
 	for _, in := range l.Endpoints {
-		id, ok := d.ids[in.Name]
+		id, ok := d.endpointIDs[in.Name]
 		if !ok && in.State == logic.Gone {
 			continue // it was never on our list, or is forgotten
 		}
 		if !ok {
-			d.last++
-			id = d.last
-			d.ids[in.Name] = id
+			d.lastEndpoint++
+			id = d.lastEndpoint
+			d.endpointIDs[in.Name] = id
 		}
-		row := logic.Entry{Endpoint: id, Zone: slices.Index(d.zones, in.Zone), Dest: d.partner(in.Partner).dest,
+		row := logic.Entry{Endpoint: id, Zone: slices.Index(d.zones, in.Zone), Dest: d.partner(in.Partner).destination,
 			Kind:  slices.IndexFunc(d.kinds, func(k logic.Kind) bool { return k.Name == in.Kind }),
 			State: in.State, Nominal: in.Weight}
-		to, listed := d.eps[id]
+		to, listed := d.endpoints[id]
 		if listed {
-			d.partners[to.partner].eps--
+			d.partners[to.partner].endpoints--
 		}
 		if in.Addr != "" || !listed {
-			to = target{name: in.Name, addr: in.Addr, zone: row.Zone, partner: in.Partner, kind: row.Kind, gone: to.gone}
+			to = listedEndpoint{name: in.Name, addr: in.Addr, zone: row.Zone, partner: in.Partner, kind: row.Kind, goneSince: to.goneSince}
 		}
 		to.state, to.weight = in.State, in.Weight
-		if d.partner(to.partner).eps++; row.State != logic.Gone {
-			to.gone = time.Time{}
-		} else if to.gone.IsZero() {
-			to.gone = now
+		if d.partner(to.partner).endpoints++; row.State != logic.Gone {
+			to.goneSince = time.Time{}
+		} else if to.goneSince.IsZero() {
+			to.goneSince = now
 		}
-		d.eps[id] = to
+		d.endpoints[id] = to
 		rows = append(rows, row)
 	}
 	return rows
--- a/internal/core/door.go
+++ b/internal/core/door.go
@@ -13,16 +13,16 @@
 // questions that wait for the loop each has an even share, and half of its even
 // share of the messages held is kept free for it.
 type FrontLimiter struct {
-	core *Core
-	room chan struct{} // a place for each request that the loop has yet to answer
+	core  *Core
+	slots chan struct{} // a place for each request that the loop has yet to answer
 
-	open int // messages held that came through it; the loop's
+	pending int // messages held that came through it; the loop's
 }
 
 // NewFrontLimiter makes a way for one of so many fronts. It is called before Run.
 func (c *Core) NewFrontLimiter(fronts int) *FrontLimiter {
-	d := &FrontLimiter{core: c, room: make(chan struct{}, max(eventRoom/2/max(fronts, 1), 1))}
-	c.doors = append(c.doors, d)
+	d := &FrontLimiter{core: c, slots: make(chan struct{}, max(eventQueueSize/2/max(fronts, 1), 1))}
+	c.fronts = append(c.fronts, d)
 	return d
 }
 
@@ -37,9 +37,9 @@
 // Submit is [Core.Submit]; it waits while too many of the front's requests are
 // unanswered.
 func (d *FrontLimiter) Submit(m *message.Message, answer chan<- SubmitResponse) {
-	d.room <- struct{}{}
-	if !d.core.post(putEvent{msg: m, door: d, answer: answer}) {
-		<-d.room
+	d.slots <- struct{}{}
+	if !d.core.post(submitEvent{msg: m, front: d, response: answer}) {
+		<-d.slots
 		answer <- SubmitResponse{Status: Stopped}
 	}
 }
@@ -47,9 +47,9 @@
 // State is [Core.State]; it waits while too many of the front's requests are
 // unanswered.
 func (d *FrontLimiter) State(ctx context.Context, id string, wait bool) (State, error) {
-	d.room <- struct{}{}
+	d.slots <- struct{}{}
 	s, err := d.core.State(ctx, id, false)
-	<-d.room
+	<-d.slots
 	if err != nil || !wait || s.IsFinal() {
 		return s, err
 	}
@@ -57,35 +57,35 @@
 }
 
 // tell gives a message that was handed in its answer.
-func (ev putEvent) tell(a SubmitResponse) {
-	ev.answer <- a
-	if ev.door != nil {
-		<-ev.door.room
+func (ev submitEvent) respond(a SubmitResponse) {
+	ev.response <- a
+	if ev.front != nil {
+		<-ev.front.slots
 	}
 }
 
 // roomFor says whether another message may be held that comes through d.
-func (c *Core) roomFor(d *FrontLimiter) bool {
-	most := c.terms.set.MaxOpen
+func (c *Core) hasRoomFor(d *FrontLimiter) bool {
+	most := c.terms.settings.MaxOpen
 	if most == 0 {
 		return true
 	}
 	kept := 0
-	for _, x := range c.doors {
+	for _, x := range c.fronts {
 		if x != d {
-			kept += max(most/2/len(c.doors)-x.open, 0)
+			kept += max(most/2/len(c.fronts)-x.pending, 0)
 		}
 	}
-	return c.open+c.behind.number()+kept < most
+	return c.pendingCount+c.backlog.count()+kept < most
 }
 
 // leave takes a message that is over, or was never taken on, out of the counts.
-func (c *Core) leave(h *held) {
-	c.open--
-	if c.behind.Backlog != nil {
-		c.behind.Leave(h.msg.Partner)
+func (c *Core) uncount(h *pendingMessage) {
+	c.pendingCount--
+	if c.backlog.Backlog != nil {
+		c.backlog.Leave(h.msg.Partner)
 	}
-	if h.door != nil {
-		h.door.open--
+	if h.front != nil {
+		h.front.pending--
 	}
 }
--- a/internal/core/handover.go
+++ b/internal/core/handover.go
@@ -15,7 +15,7 @@
 // The side of a handover that hands over.
 
 // comeBackTries are the attempts to open the store again, [retryPause] apart.
-const comeBackTries = 20
+const maxReopenAttempts = 20
 
 // Link carries messages of package handover between two processes.
 // [handover.Conn] is one.
@@ -35,38 +35,38 @@
 }
 
 // successorEvent says that a successor has come.
-type successorEvent struct {
+type handoverEvent struct {
 	successor Successor
 	done      chan error // has room; what became of it
 }
 
 // HandOver hands over to a successor, and returns once the successor decides or has failed.
 func (c *Core) HandOver(successor Successor) error {
-	ev := successorEvent{successor, make(chan error, 1)}
-	return c.settle(ev, ev.done)
+	ev := handoverEvent{successor, make(chan error, 1)}
+	return c.postAndWait(ev, ev.done)
 }
 
 // askedFor notes a successor; the loop comes to rest first.
-func (c *Core) askedFor(ev successorEvent) {
+func (c *Core) requestHandover(ev handoverEvent) {
 	switch {
-	case c.successor != nil || c.reopen == nil:
+	case c.handoverRequest != nil || c.reopenStore == nil:
 		ev.done <- fmt.Errorf("not now: another process is being handed over to, or this one can't hand over")
-	case len(c.remote) > 0:
+	case len(c.remoteAttempts) > 0:
 		ev.done <- fmt.Errorf("not now: calls of the process before this one are still out")
-	case !c.life.Tell(lifecycle.SuccessorCame):
-		ev.done <- fmt.Errorf("not now: this process is %v", c.life.View().State)
+	case !c.lifecycle.Tell(lifecycle.SuccessorCame):
+		ev.done <- fmt.Errorf("not now: this process is %v", c.lifecycle.View().State)
 	default:
-		c.successor = &ev
+		c.handoverRequest = &ev
 	}
 }
 
 // handOver takes the step after which a successor decides; false if it does not, and
 // this process goes on.
-func (c *Core) handOver(ev *successorEvent, fronts []Front) (bool, error) {
+func (c *Core) performHandover(ev *handoverEvent, fronts []Front) (bool, error) {
 	at := time.Now()
-	snapshot, err := c.snapshot(fronts)
+	snapshot, err := c.takeSnapshot(fronts)
 	if err != nil { // what can't be written can't be handed over
-		c.life.Tell(lifecycle.SuccessorGone)
+		c.lifecycle.Tell(lifecycle.SuccessorGone)
 		ev.done <- fmt.Errorf("not handed over: %w", err)
 		return false, nil
 	}
@@ -80,25 +80,25 @@
 		taken, err = ev.successor.Transfer(snapshot, listeners)
 	}
 	if taken {
-		c.log.Info("handed over", "held", c.open, "calls_out", len(snapshot.Calls), "took", time.Since(at))
-		c.life.Tell(lifecycle.TakenOver)
+		c.log.Info("handed over", "held", c.pendingCount, "calls_out", len(snapshot.Calls), "took", time.Since(at))
+		c.lifecycle.Tell(lifecycle.TakenOver)
 		ev.done <- nil
 		return true, nil
 	}
 	c.log.Error("not handed over: this process goes on", "err", err, "took", time.Since(at))
 	ev.done <- fmt.Errorf("not handed over: %w", err)
-	if err := c.comeBack(snapshot); err != nil {
+	if err := c.resumeAfterHandover(snapshot); err != nil {
 		return false, err
 	}
-	c.life.Tell(lifecycle.SuccessorGone)
+	c.lifecycle.Tell(lifecycle.SuccessorGone)
 	return false, nil
 }
 
 // comeBack opens the store again. A process that can't, for another has it by now,
 // must not go on.
-func (c *Core) comeBack(snapshot *handover.Snapshot) error {
+func (c *Core) resumeAfterHandover(snapshot *handover.Snapshot) error {
 	for tries := 1; ; tries++ {
-		store, err := c.reopen()
+		store, err := c.reopenStore()
 		if err == nil {
 			if snapshot != nil {
 				store.AddUnsaved(snapshot.Ended)
@@ -115,56 +115,56 @@
 			return nil
 		}
 		c.log.Error("the journal can't be opened again", "err", err)
-		if tries >= comeBackTries {
+		if tries >= maxReopenAttempts {
 			return fmt.Errorf("come back after a handover that failed: %w", err)
 		}
-		time.Sleep(retryPause)
+		time.Sleep(retryDelay)
 	}
 }
 
 // snapshot tells all that a successor needs beside the journal, which is up to date after
 // it. Attempts that have not begun are kept from it.
-func (c *Core) snapshot(fronts []Front) (*handover.Snapshot, error) {
+func (c *Core) takeSnapshot(fronts []Front) (*handover.Snapshot, error) {
 	now := time.Now()
-	out := &handover.Snapshot{Format: handover.Format, At: c.clock.At(now), Heard: c.heard, Version: c.source.Version(),
+	out := &handover.Snapshot{Format: handover.Format, At: c.clock.At(now), Heard: c.listReceived, Version: c.source.Version(),
 		Partners: map[string]*journal.Partner{}, Listeners: len(fronts)}
 	busy := map[logic.EndpointID]bool{} // endpoints with calls
-	for _, h := range c.held {
+	for _, h := range c.pending {
 		if h.attempt != nil {
 			busy[h.attempt.Endpoint] = true
 		}
 	}
-	for id, to := range c.dir.eps {
-		if to.gone.IsZero() || busy[id] {
-			out.Endpoints = append(out.Endpoints, handover.Endpoint{Gone: !to.gone.IsZero(), Name: to.name, Addr: to.addr, Zone: c.dir.zone(to.zone),
-				Kind: c.dir.kindName(to.kind), Partner: to.partner, Drains: to.state != logic.Ready, Weight: to.weight})
+	for id, to := range c.directory.endpoints {
+		if to.goneSince.IsZero() || busy[id] {
+			out.Endpoints = append(out.Endpoints, handover.Endpoint{Gone: !to.goneSince.IsZero(), Name: to.name, Addr: to.addr, Zone: c.directory.zoneName(to.zone),
+				Kind: c.directory.kindName(to.kind), Partner: to.partner, Drains: to.state != logic.Ready, Weight: to.weight})
 		}
 		c.transport.CloseIdle(id)
 	}
-	all, keys := c.sender.HandOver(micros(time.Since(c.start)))
+	all, keys := c.sender.HandOver(toMicros(time.Since(c.start)))
 	for _, m := range all {
-		if name, known := c.toJournal(m); name != "" {
+		if name, known := c.toJournalPartner(m); name != "" {
 			out.Partners[name] = known
 		}
 	}
 	for _, k := range keys {
 		out.Keys = append(out.Keys, handover.Key{Key: k.Key, Left: int64(k.Left)})
 	}
-	for id, h := range c.held {
+	for id, h := range c.pending {
 		if h.attempt == nil {
 			continue
 		}
-		if h.attempt.Withhold(permit.HandedOver) || !h.attempt.begun() { // it never goes out
-			h.stop()
-			if !h.over {
+		if h.attempt.Withhold(permit.HandedOver) || !h.attempt.hasBegun() { // it never goes out
+			h.cancel()
+			if !h.ended {
 				c.records = append(c.records, journal.Record{Op: journal.OpOutcome, ID: id})
 			}
 			continue
 		}
-		call := handover.Call{ID: id, Over: h.over, Number: h.attempt.Number, Endpoint: c.dir.eps[h.attempt.Endpoint].name,
-			Age: now.Sub(h.attempt.at).Microseconds()}
-		if h.attempt.first != id {
-			call.With = h.attempt.first
+		call := handover.Call{ID: id, Over: h.ended, Number: h.attempt.Number, Endpoint: c.directory.endpoints[h.attempt.Endpoint].name,
+			Age: now.Sub(h.attempt.createdAt).Microseconds()}
+		if h.attempt.firstID != id {
+			call.With = h.attempt.firstID
 		}
 		out.Calls = append(out.Calls, call)
 	}
--- a/internal/core/harness_test.go
+++ b/internal/core/harness_test.go
@@ -15,56 +15,56 @@
 )
 
 // sent is an attempt that a test answers.
-type sent struct {
+type fakeAttempt struct {
 	*Attempt
 	result chan Result
 }
 
 // hand is a transport whose attempts are answered by hand.
-type hand struct {
-	attempts chan sent
-	probes   chan logic.EndpointID
-	released []logic.EndpointID // by the loop, or a test in its place
+type fakeTransport struct {
+	attempts   chan fakeAttempt
+	probes     chan logic.EndpointID
+	closedIdle []logic.EndpointID // by the loop, or a test in its place
 }
 
-func (h *hand) Attempt(_ context.Context, a *Attempt) Result {
+func (h *fakeTransport) Attempt(_ context.Context, a *Attempt) Result {
 	if !a.Begin() {
 		return Result{Outcome: logic.Moot}
 	}
-	s := sent{a, make(chan Result, 1)}
+	s := fakeAttempt{a, make(chan Result, 1)}
 	h.attempts <- s
 	return <-s.result
 }
 
-func (h *hand) Batch(ctx context.Context, call []*Attempt) []Result {
+func (h *fakeTransport) Batch(ctx context.Context, call []*Attempt) []Result {
 	out := make([]Result, len(call))
 	for i, a := range call {
 		out[i] = h.Attempt(ctx, a)
 	}
 	return out
 }
-func (h *hand) Probe(_ context.Context, ep logic.EndpointID, _ string) logic.Outcome {
+func (h *fakeTransport) Probe(_ context.Context, ep logic.EndpointID, _ string) logic.Outcome {
 	h.probes <- ep
 	return logic.Completed
 }
-func (h *hand) CloseIdle(ep logic.EndpointID) { h.released = append(h.released, ep) }
-func (h *hand) CloseStale()                   {}
+func (h *fakeTransport) CloseIdle(ep logic.EndpointID) { h.closedIdle = append(h.closedIdle, ep) }
+func (h *fakeTransport) CloseStale()                   {}
 
 // still is a source that has no news.
-type still struct{}
+type silentSource struct{}
 
-func (still) Watch(context.Context, func(EndpointUpdate)) {}
-func (still) AcceptUpdate(EndpointUpdate) bool            { return true }
-func (still) Version() int64                              { return 0 }
+func (silentSource) Watch(context.Context, func(EndpointUpdate)) {}
+func (silentSource) AcceptUpdate(EndpointUpdate) bool            { return true }
+func (silentSource) Version() int64                              { return 0 }
 
 // ends keeps what it is told until a test confirms it.
-type ends struct {
-	told    chan message.End
+type fakeSink struct {
+	added   chan message.End
 	confirm chan string
 }
 
-func (e *ends) Add(_ *message.Message, x message.End) { e.told <- x }
-func (e *ends) Run(ctx context.Context, confirm func([]string)) {
+func (e *fakeSink) Add(_ *message.Message, x message.End) { e.added <- x }
+func (e *fakeSink) Run(ctx context.Context, confirm func([]string)) {
 	for {
 		select {
 		case id := <-e.confirm:
@@ -76,88 +76,88 @@
 }
 
 // failing is a store whose writes fail while it is told so.
-type failing struct {
+type failingStore struct {
 	Store
-	mu   sync.Mutex
-	fail bool
-	past []journal.Record // that could not be written yet
-	lost bool             // bodies can't be read back
-	sick map[string]bool  // partners, as last told
+	mu         sync.Mutex
+	failing    bool
+	postponed  []journal.Record // that could not be written yet
+	bodiesLost bool             // bodies can't be read back
+	unhealthy  map[string]bool  // partners, as last told
 }
 
-func (f *failing) Append(recs []journal.Record) error {
+func (f *failingStore) Append(recs []journal.Record) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.fail && len(recs)+len(f.past) > 0 {
+	if f.failing && len(recs)+len(f.postponed) > 0 {
 		for _, r := range recs { // as the journal does: what only tells of the past is written later
 			if r.Op != journal.OpAccept && r.Op != journal.OpSend {
-				f.past = append(f.past, r)
+				f.postponed = append(f.postponed, r)
 			}
 		}
 		return errors.New("no space left")
 	}
-	recs, f.past = append(f.past, recs...), nil
+	recs, f.postponed = append(f.postponed, recs...), nil
 	for _, r := range recs {
 		if r.Op == journal.OpPartner {
-			f.sick[r.ID] = r.Partner.Sick
+			f.unhealthy[r.ID] = r.Partner.Sick
 		}
 	}
 	return f.Store.Append(recs)
 }
 
 // knows says whether a partner is known to be in trouble.
-func (f *failing) knows(partner string) bool {
+func (f *failingStore) recordedUnhealthy(partner string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.sick[partner]
+	return f.unhealthy[partner]
 }
 
 // Close closes the store beneath a core that may still be at work, as a crash does.
-func (f *failing) Close() error {
+func (f *failingStore) Close() error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.fail = true
+	f.failing = true
 	return f.Store.Close()
 }
 
-func (f *failing) Forget(now int64) {
+func (f *failingStore) Forget(now int64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if !f.fail {
+	if !f.failing {
 		f.Store.Forget(now)
 	}
 }
 
-func (f *failing) Body(id string) ([]byte, error) {
+func (f *failingStore) Body(id string) ([]byte, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.lost {
+	if f.bodiesLost {
 		return nil, errors.New("damaged record")
 	}
 	return f.Store.Body(id)
 }
 
-func (f *failing) lose(lost bool) {
+func (f *failingStore) loseBodies(lost bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.lost = lost
+	f.bodiesLost = lost
 }
 
-func (f *failing) set(fail bool) {
+func (f *failingStore) setFailing(fail bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.fail = fail
+	f.failing = fail
 }
 
 // rig is a core with parts that a test holds in its hands.
 type rig struct {
 	*Core
-	t     *testing.T
-	hand  *hand
-	ends  *ends
-	store *failing
-	stop  context.CancelFunc
-	done  chan error
+	t             *testing.T
+	fakeTransport *fakeTransport
+	fakeSink      *fakeSink
+	store         *failingStore
+	stop          context.CancelFunc
+	done          chan error
 }
 
 func testConfig() Config {
@@ -179,9 +179,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &rig{t: t, hand: &hand{attempts: make(chan sent, 64), probes: make(chan logic.EndpointID, 1)}, store: &failing{Store: j, sick: map[string]bool{}},
-		ends: &ends{make(chan message.End, 64), make(chan string, 64)}, done: make(chan error, 1)}
-	parts := Dependencies{Store: r.store, Transport: r.hand, Source: still{}, Sink: r.ends, Log: slog.New(slog.DiscardHandler)}
+	r := &rig{t: t, fakeTransport: &fakeTransport{attempts: make(chan fakeAttempt, 64), probes: make(chan logic.EndpointID, 1)}, store: &failingStore{Store: j, unhealthy: map[string]bool{}},
+		fakeSink: &fakeSink{make(chan message.End, 64), make(chan string, 64)}, done: make(chan error, 1)}
+	parts := Dependencies{Store: r.store, Transport: r.fakeTransport, Source: silentSource{}, Sink: r.fakeSink, Log: slog.New(slog.DiscardHandler)}
 	for _, f := range with {
 		f(&parts)
 	}
@@ -205,7 +205,7 @@
 	return r
 }
 
-func (r *rig) halt() {
+func (r *rig) shutDown() {
 	r.t.Helper()
 	r.stop()
 	if err := byhand.Await(r.t, r.done, "end of the core"); err != nil {
@@ -218,14 +218,14 @@
 		Deadline: time.Now().Add(10 * time.Second).UnixMicro(), Body: []byte("body of " + id)}
 }
 
-func (r *rig) put(m *message.Message) SubmitResponse {
+func (r *rig) submitAndWait(m *message.Message) SubmitResponse {
 	r.t.Helper()
 	answer := make(chan SubmitResponse, 1)
 	r.Submit(m, answer)
 	return byhand.Await(r.t, answer, "answer to "+m.ID)
 }
 
-func (r *rig) state(id string) string {
+func (r *rig) stateName(id string) string {
 	r.t.Helper()
 	s, err := r.State(r.t.Context(), id, false)
 	if err != nil {
--- a/internal/core/inherit.go
+++ b/internal/core/inherit.go
@@ -22,7 +22,7 @@
 	LockReleaseTime = 150 * time.Millisecond
 	// remoteGrace is for the process that handed over to see that the link has broken and to
 	// call off what it has out, though it is held up meanwhile.
-	remoteGrace = LockReleaseTime + permit.MaxStall + 100*time.Millisecond
+	predecessorGrace = LockReleaseTime + permit.MaxStall + 100*time.Millisecond
 )
 
 // Takeover is what another process hands over to this one.
@@ -40,7 +40,7 @@
 }
 
 // listen gives a front its listener, if there is one.
-func (in *Takeover) listen(f Front) {
+func (in *Takeover) adoptListener(f Front) {
 	if in == nil {
 		return
 	}
@@ -53,7 +53,7 @@
 }
 
 // close closes listeners that no front serves any more.
-func (in *Takeover) close() {
+func (in *Takeover) closeListeners() {
 	for _, ln := range in.Listeners {
 		ln.Close()
 	}
@@ -61,7 +61,7 @@
 }
 
 // list is the endpoints that were handed over.
-func (in *Takeover) list() EndpointList {
+func (in *Takeover) endpointList() EndpointList {
 	out := EndpointList{Complete: true}
 	for _, x := range in.Snapshot.Endpoints {
 		e := Endpoint{Name: x.Name, Addr: x.Addr, Zone: x.Zone, Kind: x.Kind, Partner: x.Partner, Weight: x.Weight}
@@ -76,29 +76,29 @@
 // restoreSnapshot hands the module what was handed over, and returns the calls that are
 // out. It comes before the messages.
 func (c *Core) restoreSnapshot() map[string]handover.Call {
-	if c.from == nil {
+	if c.takeover == nil {
 		return nil
 	}
-	l := c.from.Snapshot
-	c.heard = l.Heard
-	list := c.from.list()
-	c.next = append(c.next, logic.Endpoints{Form: logic.ListFull, Entries: c.dir.take(list)})
+	l := c.takeover.Snapshot
+	c.listReceived = l.Heard
+	list := c.takeover.endpointList()
+	c.nextEvents = append(c.nextEvents, logic.Endpoints{Form: logic.ListFull, Entries: c.directory.applyList(list)})
 	for i, x := range l.Endpoints { // it was on the list, for its calls that are out
 		if x.Gone {
 			list.Endpoints[i].State = logic.Gone
-			c.next = append(c.next, logic.Endpoints{Form: logic.ListDelta, Entries: c.dir.take(EndpointList{Endpoints: list.Endpoints[i : i+1]})})
+			c.nextEvents = append(c.nextEvents, logic.Endpoints{Form: logic.ListDelta, Entries: c.directory.applyList(EndpointList{Endpoints: list.Endpoints[i : i+1]})})
 		}
 	}
 	c.cfg.CachedEndpoints = nil
 	c.store.AddUnsaved(l.Ended)
 	age := logic.Micros(c.clock.Now() - l.At)
 	for name, known := range l.Partners {
-		if c.dir.serves(name) {
-			c.next = append(c.next, logic.Recall{Age: age, Memory: c.toModule(name, known)})
+		if c.directory.hasEndpoint(name) {
+			c.nextEvents = append(c.nextEvents, logic.Recall{Age: age, Memory: c.toDestinationState(name, known)})
 		}
 	}
 	for _, k := range l.Keys {
-		c.next = append(c.next, logic.KeyRest{Key: k.Key, Left: logic.Micros(k.Left) - age})
+		c.nextEvents = append(c.nextEvents, logic.KeyRest{Key: k.Key, Left: logic.Micros(k.Left) - age})
 	}
 	out := map[string]handover.Call{}
 	for _, call := range l.Calls {
@@ -108,18 +108,18 @@
 }
 
 // adopt books an attempt that the other process has out.
-func (c *Core) adopt(h *held, call handover.Call, in *logic.Call, e *journal.Entry, now int64) {
-	age := now - c.from.Snapshot.At + call.Age
-	ep, ok := c.dir.ids[call.Endpoint]
+func (c *Core) adoptAttempt(h *pendingMessage, call handover.Call, in *logic.Call, e *journal.Entry, now int64) {
+	age := now - c.takeover.Snapshot.At + call.Age
+	ep, ok := c.directory.endpointIDs[call.Endpoint]
 	if !ok { // its list is ours, so it has gone meanwhile: the attempt counts, and its outcome too
-		c.dir.last++
-		ep = c.dir.last
+		c.directory.lastEndpoint++
+		ep = c.directory.lastEndpoint
 	}
-	a := &Attempt{Message: h.msg, Number: call.Number, Endpoint: ep, at: c.clock.Moment(now - age), first: call.ID}
+	a := &Attempt{Message: h.msg, Number: call.Number, Endpoint: ep, createdAt: c.clock.Moment(now - age), firstID: call.ID}
 	a.state.Store(attemptBegun)
-	h.attempt, h.stop = a, func() { c.from.Predecessor.Send(&handover.Cancel{ID: call.ID, Number: call.Number}) }
-	h.tries = call.Number + 1
-	c.remote[call.ID] = h
+	h.attempt, h.cancel = a, func() { c.takeover.Predecessor.Send(&handover.Cancel{ID: call.ID, Number: call.Number}) }
+	h.attempts = call.Number + 1
+	c.remoteAttempts[call.ID] = h
 	if e != nil {
 		in.Past.MayRun = e.MayRun
 		in.Past.Age = logic.Micros(max(now-e.FirstMay, 0))
@@ -129,18 +129,18 @@
 
 // leftovers books the attempts that are out of messages that have ended: they hold
 // slots.
-func (c *Core) leftovers(out map[string]handover.Call) (events []logic.Event) {
+func (c *Core) adoptEndedAttempts(out map[string]handover.Call) (events []logic.Event) {
 	now := c.clock.Now()
 	for id, call := range out {
-		ep, ok := c.dir.ids[call.Endpoint]
-		if !call.Over || !ok || c.held[id] != nil {
+		ep, ok := c.directory.endpointIDs[call.Endpoint]
+		if !call.Over || !ok || c.pending[id] != nil {
 			continue
 		}
-		h := &held{msg: &message.Message{ID: id, Partner: c.dir.eps[ep].partner}, over: true}
-		in := c.callOf(h.msg, now)
+		h := &pendingMessage{msg: &message.Message{ID: id, Partner: c.directory.endpoints[ep].partner}, ended: true}
+		in := c.newMessageEvent(h.msg, now)
 		in.Class, in.Past = 0, logic.Past{Tries: call.Number + 1, Over: true}
-		c.adopt(h, call, &in, nil, now)
-		c.held[id] = h
+		c.adoptAttempt(h, call, &in, nil, now)
+		c.pending[id] = h
 		events = append(events, in)
 	}
 	return events
@@ -152,14 +152,14 @@
 
 // takenOver says to the other process that this one decides. One that has not heard so
 // takes the journal back, and knows nothing of what this one would write to it.
-func (c *Core) takenOver() error {
-	if c.from == nil {
+func (c *Core) confirmTakeover() error {
+	if c.takeover == nil {
 		return nil
 	}
-	c.log.Info("taken over", "held", len(c.held), "calls_out", len(c.remote), "endpoints", len(c.dir.eps))
-	if err := c.from.Predecessor.Send(&handover.Taken{}); err != nil {
-		c.from.Predecessor.Close()
-		c.from.close()
+	c.log.Info("taken over", "held", len(c.pending), "calls_out", len(c.remoteAttempts), "endpoints", len(c.directory.endpoints))
+	if err := c.takeover.Predecessor.Send(&handover.Taken{}); err != nil {
+		c.takeover.Predecessor.Close()
+		c.takeover.closeListeners()
 		return fmt.Errorf("%w: %w", ErrPredecessorUnreachable, err)
 	}
 	return nil
@@ -172,29 +172,29 @@
 type predecessorGoneEvent struct{}
 
 // hear takes what the process that handed over sends.
-func (c *Core) hear(link Predecessor) {
+func (c *Core) receiveFromPredecessor(link Predecessor) {
 	link.ReceiveMessages(func(m any) {
 		switch m := m.(type) {
 		case *handover.Outcomes:
 			c.post(remoteOutcomesEvent{m.List})
 		case *handover.Put:
-			go c.forwarded(link, m)
+			go c.submitForwarded(link, m)
 		case *handover.AskState:
 			go func() {
 				s, _ := c.State(context.Background(), m.ID, false)
 				link.Send(&handover.State{Seq: m.Seq, Name: s.Name, Tenant: s.Tenant, Partner: s.Partner, Class: s.Class, Tries: s.Attempts,
-					After: s.RetryAfter, Accepted: micro(s.AcceptedAt), Deadline: micro(s.Deadline), Over: micro(s.EndedAt)})
+					After: s.RetryAfter, Accepted: toUnixMicro(s.AcceptedAt), Deadline: toUnixMicro(s.Deadline), Over: toUnixMicro(s.EndedAt)})
 			}()
 		}
 	}, func(error) {
-		time.Sleep(remoteGrace) // until then its calls may still be out
+		time.Sleep(predecessorGrace) // until then its calls may still be out
 		c.post(predecessorGoneEvent{})
 	})
 	link.Close()
 }
 
 // forwarded takes a message that a client has handed in at the other process.
-func (c *Core) forwarded(link Link, m *handover.Put) {
+func (c *Core) submitForwarded(link Link, m *handover.Put) {
 	answer := make(chan SubmitResponse, 1)
 	msg := m.Message
 	c.Submit(&msg, answer)
@@ -202,7 +202,7 @@
 	link.Send(&handover.Answer{Seq: m.Seq, Verdict: int(a.Status), After: a.RetryAfter, Again: a.Duplicate})
 }
 
-func micro(t time.Time) int64 {
+func toUnixMicro(t time.Time) int64 {
 	if t.IsZero() {
 		return 0
 	}
@@ -210,27 +210,27 @@
 }
 
 // remoteOutcomes takes outcomes of attempts that the other process had out.
-func (c *Core) remoteOutcomes(list []handover.Outcome) {
+func (c *Core) applyRemoteOutcomes(list []handover.Outcome) {
 	for _, o := range list {
-		h := c.remote[o.ID]
+		h := c.remoteAttempts[o.ID]
 		if h == nil || h.attempt == nil || h.attempt.Number != o.Number {
 			continue
 		}
-		delete(c.remote, o.ID)
-		h.stop = func() {}
-		c.reply(reply{attempt: h.attempt, took: o.Took,
+		delete(c.remoteAttempts, o.ID)
+		h.cancel = func() {}
+		c.handleOutcome(attemptOutcome{attempt: h.attempt, took: o.Took,
 			result: Result{Outcome: logic.Outcome(o.Outcome), RequestedWait: o.Wait, MessageEnded: o.Over, Load: o.Load}})
 	}
 }
 
 // endRemoteAttempts ends the attempts that nobody tells of any more: they may have run.
 func (c *Core) endRemoteAttempts() {
-	if n := len(c.remote); n > 0 {
+	if n := len(c.remoteAttempts); n > 0 {
 		c.log.Warn("the process that handed over has ended with calls out", "calls", n)
 	}
-	for id, h := range c.remote {
-		delete(c.remote, id)
-		h.stop = func() {}
-		c.reply(reply{attempt: h.attempt, took: time.Since(h.attempt.at), result: Result{Outcome: logic.Recalled}})
+	for id, h := range c.remoteAttempts {
+		delete(c.remoteAttempts, id)
+		h.cancel = func() {}
+		c.handleOutcome(attemptOutcome{attempt: h.attempt, took: time.Since(h.attempt.createdAt), result: Result{Outcome: logic.Recalled}})
 	}
 }
--- a/internal/core/loop.go
+++ b/internal/core/loop.go
@@ -15,69 +15,69 @@
 // What the loop is handed. Each stands for one thing that has happened.
 type (
 	// putEvent is a message that a client hands in. It gets one answer.
-	putEvent struct {
-		msg    *message.Message
-		door   *FrontLimiter // nil if the front has none
-		answer chan<- SubmitResponse
-		sure   bool // no message of its id is behind a window
+	submitEvent struct {
+		msg          *message.Message
+		front        *FrontLimiter // nil if the front has none
+		response     chan<- SubmitResponse
+		notInBacklog bool // no message of its id is behind a window
 	}
 	// stateEvent asks for the state of a message. With watch, the answer waits
 	// until the message is over.
-	stateEvent struct {
-		id     string
-		watch  bool
-		answer chan State   // has room for one
-		sure   bool         // it has been looked up behind the windows
-		found  *disk.Record // what was found there
+	stateQueryEvent struct {
+		id       string
+		watch    bool
+		response chan State   // has room for one
+		lookedUp bool         // it has been looked up behind the windows
+		found    *disk.Record // what was found there
 	}
 	// unwatchEvent says that nobody waits for an answer any more.
 	unwatchEvent struct {
-		id     string
-		answer chan State
+		id       string
+		response chan State
 	}
 	// replyEvent is the outcomes of the attempts of one call, one each.
-	replyEvent []reply
-	reply      struct {
+	outcomesEvent  []attemptOutcome
+	attemptOutcome struct {
 		attempt *Attempt
 		result  Result
 		took    time.Duration
 	}
 	// healthEvent is the one outcome of a probe.
-	healthEvent struct {
-		ep      logic.EndpointID
-		outcome logic.Outcome
+	probeOutcomeEvent struct {
+		endpoint logic.EndpointID
+		outcome  logic.Outcome
 	}
 	// confirmedEvent says that the end sink has passed on these ends.
-	confirmedEvent struct{ ids []string }
+	noticesConfirmedEvent struct{ ids []string }
 	// writeEvent has the journal write what it could not before.
-	writeEvent struct{}
+	retryWriteEvent struct{}
 	// closingEvent starts the shutdown.
-	closingEvent struct{ left time.Duration }
+	shutdownEvent struct{ timeLeft time.Duration }
 )
 
 // loop owns the module and all of the state: it takes what has come, lets the
 // module step, writes the journal and acts, at most once a tick.
 //
 // It returns the successor once another process decides.
-func (c *Core) loop(work context.Context, fronts []Front, served, stopped <-chan struct{}) (successor *successorEvent, err error) {
-	tick := max(span(c.cfg.Settings.Tick), time.Millisecond)
-	sweep := time.NewTicker(sweepEvery)
+func (c *Core) loop(work context.Context, fronts []Front, served, stopped <-chan struct{}) (successor *handoverEvent, err error) {
+	tick := max(toDuration(c.cfg.Settings.Tick), time.Millisecond)
+	sweep := time.NewTicker(sweepInterval)
 	defer sweep.Stop()
 	rest := time.NewTimer(0)
 	defer rest.Stop()
-	defer c.due.Stop()
+	defer c.timer.Stop()
 	quiet := false // shutting down, and no client is left
 	for {
-		if quiet && c.open == 0 && c.store.Len() == 0 {
+		if quiet && c.pendingCount == 0 && c.store.Len() == 0 {
 			c.log.Info("stopped", "owed", 0)
 			return nil, nil
 		}
 		select {
 		case ev := <-c.events:
-			c.take(ev)
-		case <-c.due.C:
-			c.next = append(c.next, logic.Due{Token: c.token})
-		case <-c.behind.ends():
+			c.handleEvent(ev)
+		case <-c.timer.C:
+			c.nextEvents = append(c.nextEvents, logic.Due{Token: c.timerToken})
+		case <-c.backlog.endTimerFired():
 		case <-sweep.C:
 			c.sweep(time.Now())
 			continue
@@ -92,18 +92,18 @@
 		for more := true; more; {
 			select {
 			case ev := <-c.events:
-				c.take(ev)
+				c.handleEvent(ev)
 			default:
 				more = false
 			}
 		}
 		c.step(work)
-		for len(c.next) > 0 {
+		for len(c.nextEvents) > 0 {
 			c.step(work)
 		}
-		if successor := c.successor; successor != nil && c.behind.looks == 0 {
-			c.successor = nil
-			if taken, err := c.handOver(successor, fronts); taken || err != nil {
+		if successor := c.handoverRequest; successor != nil && c.backlog.pendingLookups == 0 {
+			c.handoverRequest = nil
+			if taken, err := c.performHandover(successor, fronts); taken || err != nil {
 				return successor, err
 			}
 			continue
@@ -116,114 +116,114 @@
 // sweep drops what is of no more use.
 func (c *Core) sweep(now time.Time) {
 	c.transport.CloseStale()
-	if c.behind.Backlog != nil {
-		c.behind.Tidy()
+	if c.backlog.Backlog != nil {
+		c.backlog.Tidy()
 	}
-	c.remember(rememberSweep)
+	c.savePartners(maxSavedPerSweep)
 	if err := c.store.Append(c.records); err != nil {
 		c.log.Error("journal", "err", err) // they are of the past, and written later
 	}
 	clear(c.records)
 	c.records = c.records[:0]
 	c.store.Forget(c.clock.At(now))
-	if c.dir.spare(now) {
-		c.forgetSpare(now)
+	if c.directory.needsPruning(now) {
+		c.pruneDirectory(now)
 	} else {
-		c.dir.forget(now, nil, nil)
+		c.directory.prune(now, nil, nil)
 	}
-	c.listed(now)
-	for id := range c.marks {
-		if _, ok := c.dir.eps[id]; !ok {
-			delete(c.marks, id)
+	c.applyEarlyWaits(now)
+	for id := range c.causalMarks {
+		if _, ok := c.directory.endpoints[id]; !ok {
+			delete(c.causalMarks, id)
 		}
 	}
 }
 
 // forgetSpare drops what nothing that is held refers to. It goes over all that is, so not often.
-func (c *Core) forgetSpare(now time.Time) {
-	if now.Sub(c.sparedAt) < keepGone/4 {
+func (c *Core) pruneDirectory(now time.Time) {
+	if now.Sub(c.prunedAt) < goneRetention/4 {
 		return
 	}
-	c.sparedAt = now
+	c.prunedAt = now
 	calls, partners := map[logic.EndpointID]bool{}, map[string]bool{}
-	for _, h := range c.held {
+	for _, h := range c.pending {
 		partners[h.msg.Partner] = true
 		if h.attempt != nil {
 			calls[h.attempt.Endpoint] = true
 		}
 	}
-	c.dir.forget(now, calls, partners)
+	c.directory.prune(now, calls, partners)
 }
 
 // resume hands the module what the store holds, with what became of it so far, and
 // what another process has handed over.
-func (c *Core) resume() error {
+func (c *Core) restore() error {
 	out := c.restoreSnapshot()
 	if c.cfg.CachedEndpoints != nil {
-		c.next = append(c.next, logic.Endpoints{Form: logic.ListCached, Entries: c.dir.take(*c.cfg.CachedEndpoints)})
+		c.nextEvents = append(c.nextEvents, logic.Endpoints{Form: logic.ListCached, Entries: c.directory.applyList(*c.cfg.CachedEndpoints)})
 	}
 	now := c.clock.Now()
 	if c.cfg.PersistWaits {
 		for name, until := range c.store.Waits() {
-			if id, ok := c.dir.ids[name]; ok {
-				c.next = append(c.next, logic.Told{Endpoint: id, Left: logic.Micros(until - now)})
+			if id, ok := c.directory.endpointIDs[name]; ok {
+				c.nextEvents = append(c.nextEvents, logic.Told{Endpoint: id, Left: logic.Micros(until - now)})
 				if left := time.Duration(until-now) * time.Microsecond; left > 0 { // the others may not have heard of it
-					c.share(Observation{RequestedWait: left}, id)
+					c.publishObservation(Observation{RequestedWait: left}, id)
 				}
 			}
 		}
 	}
 	if c.cfg.Settings.Remember {
-		c.past = c.store.Partners()
-		c.recall()
+		c.savedPartners = c.store.Partners()
+		c.restorePartners()
 	}
 	orphans := map[string]int{}
 	for _, e := range c.store.Entries() {
 		if e.End != nil {
-			c.tellEnd(&e.Message, *e.End)
+			c.notifySink(&e.Message, *e.End)
 			continue
 		}
-		in := c.callOf(&e.Message, now)
-		h := &held{msg: &e.Message, accepted: e.Accepted, tries: e.Tries, left: e.Left > 0, terms: e.Terms, class: c.terms.class(e.Class)}
-		if e.Terms != c.terms.n {
-			if in.Terms = termsOf(c.store.Terms(e.Terms), e.Class); in.Terms != nil {
+		in := c.newMessageEvent(&e.Message, now)
+		h := &pendingMessage{msg: &e.Message, acceptedAt: e.Accepted, attempts: e.Tries, bodyInStore: e.Left > 0, termsNumber: e.Terms, class: c.terms.class(e.Class)}
+		if e.Terms != c.terms.number {
+			if in.Terms = classTerms(c.store.Terms(e.Terms), e.Class); in.Terms != nil {
 				h.class = &in.Terms.Class
 			}
 		}
-		c.held[e.ID] = h
-		c.open++
-		in.Past = logic.Past{Tries: e.Tries, MayRun: e.MayRun || e.Open, Held: c.from == nil}
+		c.pending[e.ID] = h
+		c.pendingCount++
+		in.Past = logic.Past{Tries: e.Tries, MayRun: e.MayRun || e.Open, Held: c.takeover == nil}
 		if in.Past.MayRun {
 			in.Past.Age = logic.Micros(max(now-e.FirstMay, 0))
 			in.Past.Zone = slices.Index(c.cfg.Zones, e.FirstZone)
 		}
 		if call, ok := out[e.ID]; ok && e.Open {
-			c.adopt(h, call, &in, e, now)
+			c.adoptAttempt(h, call, &in, e, now)
 			delete(out, e.ID)
 		} else if e.Open { // whoever reads the journal next must not take its outcome for a later one's
 			c.records = append(c.records, journal.Record{Op: journal.OpOutcome, ID: e.ID, MayRun: true})
 		}
-		if c.cfg.CachedEndpoints != nil && !c.dir.serves(e.Partner) {
+		if c.cfg.CachedEndpoints != nil && !c.directory.hasEndpoint(e.Partner) {
 			orphans[e.Partner]++
 		}
 		if h.class == nil {
 			c.log.Error("a held message is of a class that is not configured", "id", e.ID, "class", e.Class)
 		}
-		c.next = append(c.next, in)
+		c.nextEvents = append(c.nextEvents, in)
 	}
-	c.next = append(c.next, c.leftovers(out)...)
+	c.nextEvents = append(c.nextEvents, c.adoptEndedAttempts(out)...)
 	for name, n := range orphans {
 		c.log.Warn("held messages are for a partner that is not known; they are kept until their time is up", "partner", name, "messages", n)
 	}
 	if err := c.openBacklog(); err != nil {
 		return err
 	}
-	return c.takenOver()
+	return c.confirmTakeover()
 }
 
 // callOf is the module's view of a message.
-func (c *Core) callOf(m *message.Message, now int64) logic.Call {
-	in := logic.Call{ID: m.ID, Key: m.Order, Left: logic.Micros(m.Deadline - now), Dest: c.dir.partner(m.Partner).dest,
+func (c *Core) newMessageEvent(m *message.Message, now int64) logic.Call {
+	in := logic.Call{ID: m.ID, Key: m.Order, Left: logic.Micros(m.Deadline - now), Dest: c.directory.partner(m.Partner).destination,
 		Tenant: -1, Class: -1}
 	if i, ok := c.terms.classes[m.Class]; ok {
 		in.Class = i
@@ -235,59 +235,59 @@
 }
 
 // take turns what has come into events for the next step.
-func (c *Core) take(ev any) {
+func (c *Core) handleEvent(ev any) {
 	switch ev := ev.(type) {
-	case putEvent:
-		c.put(ev)
-	case stateEvent:
-		c.asks = append(c.asks, ev)
+	case submitEvent:
+		c.submit(ev)
+	case stateQueryEvent:
+		c.stateQueries = append(c.stateQueries, ev)
 	case unwatchEvent:
-		c.unwatch(ev)
-	case replyEvent:
+		c.removeWatcher(ev)
+	case outcomesEvent:
 		for _, r := range ev {
-			c.reply(r)
+			c.handleOutcome(r)
 		}
-	case healthEvent:
-		c.next = append(c.next, logic.HealthResult{Endpoint: ev.ep, Outcome: ev.outcome})
+	case probeOutcomeEvent:
+		c.nextEvents = append(c.nextEvents, logic.HealthResult{Endpoint: ev.endpoint, Outcome: ev.outcome})
 	case EndpointUpdate:
-		c.news(ev)
-	case observationsEvent:
-		c.hears(ev)
-	case confirmedEvent:
+		c.applyEndpointUpdate(ev)
+	case peerObservationsEvent:
+		c.applyObservations(ev)
+	case noticesConfirmedEvent:
 		now := c.clock.Now()
 		for _, id := range ev.ids {
 			c.records = append(c.records, journal.Record{Op: journal.OpNoticed, ID: id, At: now})
 		}
 	case remoteOutcomesEvent:
-		c.remoteOutcomes(ev.list)
+		c.applyRemoteOutcomes(ev.list)
 	case predecessorGoneEvent:
 		c.endRemoteAttempts()
-	case successorEvent:
-		c.askedFor(ev)
-	case retuneEvent:
-		c.retune(ev)
-	case writeEvent: // the step that follows does
-	case closingEvent:
-		c.next = append(c.next, logic.Closing{Left: micros(ev.left)})
-		c.behind.closing = true
-		if c.behind.Backlog != nil {
-			c.behind.Rest()
+	case handoverEvent:
+		c.requestHandover(ev)
+	case updateSettingsEvent:
+		c.handleUpdateSettings(ev)
+	case retryWriteEvent: // the step that follows does
+	case shutdownEvent:
+		c.nextEvents = append(c.nextEvents, logic.Closing{Left: toMicros(ev.timeLeft)})
+		c.backlog.stopping = true
+		if c.backlog.Backlog != nil {
+			c.backlog.Rest()
 		}
 	default:
-		c.fromBehind(ev)
+		c.handleBacklogEvent(ev)
 	}
 }
 
-func (c *Core) news(ev EndpointUpdate) {
+func (c *Core) applyEndpointUpdate(ev EndpointUpdate) {
 	if !c.source.AcceptUpdate(ev) {
 		return
 	}
-	c.heard, c.part = true, ev.List.Share
+	c.listReceived, c.weightShare = true, ev.List.Share
 	form := logic.ListDelta
 	if ev.List.Complete {
 		form = logic.ListFull
 	}
-	rows := c.dir.take(ev.List)
+	rows := c.directory.applyList(ev.List)
 	ready := map[logic.EndpointID]bool{}
 	for _, row := range rows {
 		ready[row.Endpoint] = row.State == logic.Ready
@@ -301,19 +301,19 @@
 			c.transport.CloseIdle(row.Endpoint)
 		}
 	}
-	for id, to := range c.dir.eps { // a whole list leaves out what is gone
-		if !to.gone.IsZero() {
+	for id, to := range c.directory.endpoints { // a whole list leaves out what is gone
+		if !to.goneSince.IsZero() {
 			c.transport.CloseIdle(id)
 		}
 	}
 	c.logList(ev, rows)
-	c.next = append(c.next, logic.Endpoints{Form: form, Entries: rows})
-	c.listed(time.Now())
-	c.recall()
+	c.nextEvents = append(c.nextEvents, logic.Endpoints{Form: form, Entries: rows})
+	c.applyEarlyWaits(time.Now())
+	c.restorePartners()
 }
 
 // mostNamed is how many endpoints a line of the log names.
-const mostNamed = 16
+const maxNamedEndpoints = 16
 
 // logList logs a list that is taken: how many endpoints it has in each state, and by name those that want no new calls.
 func (c *Core) logList(ev EndpointUpdate, rows []logic.Entry) {
@@ -323,8 +323,8 @@
 	states, leaving := map[logic.Readiness]int{}, []string{}
 	for _, row := range rows {
 		states[row.State]++
-		if row.State != logic.Ready && len(leaving) < mostNamed {
-			leaving = append(leaving, c.dir.eps[row.Endpoint].name)
+		if row.State != logic.Ready && len(leaving) < maxNamedEndpoints {
+			leaving = append(leaving, c.directory.endpoints[row.Endpoint].name)
 		}
 	}
 	c.log.Info("list", "version", ev.Version, "whole", ev.List.Complete, "ready", states[logic.Ready], "draining", states[logic.Draining], "gone", states[logic.Gone],
--- a/internal/core/others.go
+++ b/internal/core/others.go
@@ -11,20 +11,20 @@
 // decides what it means.
 
 // observationsEvent is what others have learnt.
-type observationsEvent []Observation
+type peerObservationsEvent []Observation
 
 // share tells the others what this sender has learnt itself.
-func (c *Core) share(l Observation, ep logic.EndpointID) {
-	to, ok := c.dir.eps[ep]
-	if c.others == nil || !ok {
+func (c *Core) publishObservation(l Observation, ep logic.EndpointID) {
+	to, ok := c.directory.endpoints[ep]
+	if c.peers == nil || !ok {
 		return
 	}
-	l.Partner, l.Endpoint, l.CausalMark = to.partner, to.name, c.marks[ep]
-	c.others.Publish(l)
+	l.Partner, l.Endpoint, l.CausalMark = to.partner, to.name, c.causalMarks[ep]
+	c.peers.Publish(l)
 }
 
 // mostEarly bounds waits that are kept of endpoints that are not on the list.
-const mostEarly = 1000
+const maxEarlyWaits = 1000
 
 // earlyWait is a wait that was heard of an endpoint before the list told of that.
 type earlyWait struct {
@@ -35,46 +35,46 @@
 // hears takes what others have learnt. What concerns an endpoint that is not on the
 // list, or has another partner there, is not for this sender; but waits are kept in
 // case it comes.
-func (c *Core) hears(list []Observation) {
+func (c *Core) applyObservations(list []Observation) {
 	for _, l := range list {
-		id, ok := c.dir.ids[l.Endpoint]
-		if !ok || c.dir.eps[id].partner != l.Partner {
-			if at := time.Now().Add(l.RequestedWait); l.RequestedWait > 0 && (len(c.early) < mostEarly || c.early[l.Endpoint].partner != "") {
-				c.early[l.Endpoint] = earlyWait{l.Partner, at}
+		id, ok := c.directory.endpointIDs[l.Endpoint]
+		if !ok || c.directory.endpoints[id].partner != l.Partner {
+			if at := time.Now().Add(l.RequestedWait); l.RequestedWait > 0 && (len(c.earlyWaits) < maxEarlyWaits || c.earlyWaits[l.Endpoint].partner != "") {
+				c.earlyWaits[l.Endpoint] = earlyWait{l.Partner, at}
 			}
 			continue
 		}
 		if l.RequestedWait > 0 {
-			c.next = append(c.next, logic.Told{Endpoint: id, Left: micros(l.RequestedWait)})
-			c.waits(id, l.RequestedWait)
+			c.nextEvents = append(c.nextEvents, logic.Told{Endpoint: id, Left: toMicros(l.RequestedWait)})
+			c.applyRequestedWait(id, l.RequestedWait)
 			continue
 		}
-		c.marks[id] = l.CausalMark
-		c.next = append(c.next, logic.Heard{Endpoint: id, Out: l.Outage, Try: l.Recovered || l.TrialIntervalFactor == 1 && !l.Outage, Turn: l.TrialIntervalFactor})
+		c.causalMarks[id] = l.CausalMark
+		c.nextEvents = append(c.nextEvents, logic.Heard{Endpoint: id, Out: l.Outage, Try: l.Recovered || l.TrialIntervalFactor == 1 && !l.Outage, Turn: l.TrialIntervalFactor})
 	}
 }
 
 // listed takes up waits of endpoints that have come onto the list since they were
 // heard, and drops those that are over.
-func (c *Core) listed(now time.Time) {
-	for name, x := range c.early {
-		id, ok := c.dir.ids[name]
+func (c *Core) applyEarlyWaits(now time.Time) {
+	for name, x := range c.earlyWaits {
+		id, ok := c.directory.endpointIDs[name]
 		switch {
 		case !now.Before(x.until):
-			delete(c.early, name)
-		case ok && c.dir.eps[id].partner == x.partner:
-			delete(c.early, name)
-			c.next = append(c.next, logic.Told{Endpoint: id, Left: micros(x.until.Sub(now))})
-			c.waits(id, x.until.Sub(now))
+			delete(c.earlyWaits, name)
+		case ok && c.directory.endpoints[id].partner == x.partner:
+			delete(c.earlyWaits, name)
+			c.nextEvents = append(c.nextEvents, logic.Told{Endpoint: id, Left: toMicros(x.until.Sub(now))})
+			c.applyRequestedWait(id, x.until.Sub(now))
 		}
 	}
 }
 
 // waits keeps calls that have not begun from going to where a wait was told, and has
 // it outlive this process.
-func (c *Core) waits(ep logic.EndpointID, d time.Duration) {
-	c.holdWait(ep)
-	if to, ok := c.dir.eps[ep]; ok && c.cfg.PersistWaits {
+func (c *Core) applyRequestedWait(ep logic.EndpointID, d time.Duration) {
+	c.withholdForWait(ep)
+	if to, ok := c.directory.endpoints[ep]; ok && c.cfg.PersistWaits {
 		c.records = append(c.records, journal.Record{Op: journal.OpWait, ID: to.name, At: c.clock.Now() + d.Microseconds()})
 	}
 }
--- a/internal/core/outgoing.go
+++ b/internal/core/outgoing.go
@@ -25,16 +25,16 @@
 	// when the loop made it.
 	Repeat permit.Repeat
 
-	part    float64        // of each rate, by which it was decided on
-	allowed func() float64 // that may be used now; nil for any
-	monitor *permit.Monitor
+	plannedShare float64        // of each rate, by which it was decided on
+	allowedShare func() float64 // that may be used now; nil for any
+	monitor      *permit.Monitor
 
-	state    atomic.Int32
-	withheld atomic.Int32 // why it is withheld: a permit.Reason
-	ended    atomic.Bool  // its message has had its end
-	at       time.Time    // when the loop made it
-	first    string       // the id of the first message of its call
-	left     bool         // the message's body is in the store only
+	state          atomic.Int32
+	withheldReason atomic.Int32 // why it is withheld: a permit.Reason
+	messageEnded   atomic.Bool  // its message has had its end
+	createdAt      time.Time    // when the loop made it
+	firstID        string       // the id of the first message of its call
+	bodyInStore    bool         // the message's body is in the store only
 }
 
 // The states of an attempt. It goes from the first to one of the others, once.
@@ -52,7 +52,7 @@
 // wait or a drain has become known, the message's time or the window for its repeats
 // is nearly over, or this sender may use less of each rate than it was decided by.
 func (a *Attempt) Begin() bool {
-	if reason := a.check(time.Now()); reason != permit.Granted {
+	if reason := a.checkPermit(time.Now()); reason != permit.Granted {
 		a.Withhold(reason)
 	}
 	if a.state.CompareAndSwap(attemptWaiting, attemptBegun) {
@@ -64,17 +64,17 @@
 	return false
 }
 
-func (a *Attempt) check(now time.Time) permit.Reason {
-	if a.allowed != nil {
-		if part := a.allowed(); part <= 0 || part < a.part-leaseTolerance {
+func (a *Attempt) checkPermit(now time.Time) permit.Reason {
+	if a.allowedShare != nil {
+		if part := a.allowedShare(); part <= 0 || part < a.plannedShare-leaseTolerance {
 			return permit.LeaseReduced
 		}
 	}
-	x := permit.Message{Ended: a.ended.Load(), Left: time.Hour, Repeat: a.Repeat}
+	x := permit.Message{Ended: a.messageEnded.Load(), Left: time.Hour, Repeat: a.Repeat}
 	if !a.Expires.IsZero() {
 		x.Left = a.Expires.Sub(now)
 	}
-	x.Repeat.Age += now.Sub(a.at)
+	x.Repeat.Age += now.Sub(a.createdAt)
 	return permit.Send(x)
 }
 
@@ -87,17 +87,17 @@
 	if late := time.Since(a.Expires); !a.Expires.IsZero() && late > 0 {
 		a.monitor.Violated(permit.SentAfterTime, a.Message.ID, "late", late, "attempt", a.Number)
 	}
-	if a.ended.Load() {
+	if a.messageEnded.Load() {
 		a.monitor.Violated(permit.SentAfterEnd, a.Message.ID, "attempt", a.Number)
 	}
 }
 
 // begun says whether it may have gone out.
-func (a *Attempt) begun() bool { return a.state.Load() == attemptBegun }
+func (a *Attempt) hasBegun() bool { return a.state.Load() == attemptBegun }
 
 // Withhold keeps the attempt from going out, and says whether that was in time.
 func (a *Attempt) Withhold(reason permit.Reason) bool {
-	a.withheld.CompareAndSwap(int32(permit.Granted), int32(reason))
+	a.withheldReason.CompareAndSwap(int32(permit.Granted), int32(reason))
 	return a.state.CompareAndSwap(attemptWaiting, attemptWithheld)
 }
 
@@ -106,5 +106,5 @@
 	if a.state.Load() != attemptWithheld {
 		return permit.Granted
 	}
-	return permit.Reason(a.withheld.Load())
+	return permit.Reason(a.withheldReason.Load())
 }
--- a/internal/core/relay.go
+++ b/internal/core/relay.go
@@ -12,46 +12,46 @@
 
 const (
 	// mostForwarded bounds the requests that wait for the successor.
-	mostForwarded = 1024
+	maxForwarded = 1024
 	// lastForwarded is for the successor's answers to requests as this process ends, though
 	// the successor is held up meanwhile.
-	lastForwarded = permit.MaxStall + 50*time.Millisecond
+	finalResponseTimeout = permit.MaxStall + 50*time.Millisecond
 	// unknownTime is for clients to give up requests that the successor had as it died: it
 	// may have taken them on, and then any answer but yes is wrong.
-	unknownTime = 500 * time.Millisecond
+	clientGiveUpTime = 500 * time.Millisecond
 )
 
 // relay is what a process has under way for its successor. The loop that [relay.run] is
 // owns it.
 type relay struct {
-	core      *Core
-	successor Successor
-	gone      bool // the successor has ended
-	ending    bool // this process ends: only answers are waited for
-	left      bool // no client is left
-	out       map[string]*held
-	puts      map[uint64]putEvent   // by the number they were forwarded under
-	asks      map[uint64]stateEvent // as well
-	seq       uint64
+	core          *Core
+	successor     Successor
+	successorGone bool // the successor has ended
+	stopping      bool // this process ends: only answers are waited for
+	clientsGone   bool // no client is left
+	inFlight      map[string]*pendingMessage
+	submissions   map[uint64]submitEvent     // by the number they were forwarded under
+	stateQueries  map[uint64]stateQueryEvent // as well
+	seq           uint64
 }
 
 // relay forwards until no call is out and no client is left.
-func (c *Core) relay(ev *successorEvent, served, stopped <-chan struct{}) error {
-	r := &relay{core: c, successor: ev.successor, out: map[string]*held{}, puts: map[uint64]putEvent{}, asks: map[uint64]stateEvent{}}
-	for id, h := range c.held {
-		if h.attempt != nil && h.attempt.begun() {
-			r.out[id] = h
+func (c *Core) relay(ev *handoverEvent, served, stopped <-chan struct{}) error {
+	r := &relay{core: c, successor: ev.successor, inFlight: map[string]*pendingMessage{}, submissions: map[uint64]submitEvent{}, stateQueries: map[uint64]stateQueryEvent{}}
+	for id, h := range c.pending {
+		if h.attempt != nil && h.attempt.hasBegun() {
+			r.inFlight[id] = h
 		}
 	}
 	defer r.successor.Close()
-	defer r.lose()
+	defer r.failOutstanding()
 	r.run(served, stopped)
 	return nil
 }
 
 // run takes what comes, until nothing is under way any more.
 func (r *relay) run(served, stopped <-chan struct{}) {
-	told, gone := make(chan any, mostForwarded), make(chan struct{})
+	told, gone := make(chan any, maxForwarded), make(chan struct{})
 	go r.successor.ReceiveMessages(func(m any) {
 		select {
 		case told <- m:
@@ -59,114 +59,114 @@
 		}
 	}, func(err error) { close(gone) })
 	var late, unknown <-chan time.Time // answers are waited for no longer
-	for !r.over() {
+	for !r.finished() {
 		select {
 		case x := <-r.core.events:
-			r.take(x)
+			r.handleEvent(x)
 		case m := <-told:
-			r.hear(m)
+			r.handleMessage(m)
 		case <-gone:
 			r.core.log.Error("the process that took over is gone")
-			gone, r.gone = nil, true
-			r.callOff() // it takes them for ended
-			unknown = time.After(unknownTime)
+			gone, r.successorGone = nil, true
+			r.cancelAttempts() // it takes them for ended
+			unknown = time.After(clientGiveUpTime)
 		case <-unknown:
-			r.lose()
+			r.failOutstanding()
 		case <-served:
-			r.left, served = true, nil
+			r.clientsGone, served = true, nil
 		case <-stopped:
-			r.ending, stopped = true, nil
-			late = time.After(lastForwarded)
+			r.stopping, stopped = true, nil
+			late = time.After(finalResponseTimeout)
 		case <-late:
-			r.core.log.Error("the process that took over has not answered in time", "requests", len(r.puts))
+			r.core.log.Error("the process that took over has not answered in time", "requests", len(r.submissions))
 			return
 		}
 	}
-	r.core.log.Info("stopped", "handed over", true, "calls_out", len(r.out))
+	r.core.log.Info("stopped", "handed over", true, "calls_out", len(r.inFlight))
 }
 
 // over says whether nothing is under way any more. Calls that are out do not hold up a
 // process that is to end whatever is owed.
-func (r *relay) over() bool {
-	return len(r.puts)+len(r.asks) == 0 && (r.ending || r.left && len(r.out) == 0)
+func (r *relay) finished() bool {
+	return len(r.submissions)+len(r.stateQueries) == 0 && (r.stopping || r.clientsGone && len(r.inFlight) == 0)
 }
 
 // closed says whether nothing more is forwarded.
-func (r *relay) closed() bool { return r.gone || r.ending }
+func (r *relay) forwardingClosed() bool { return r.successorGone || r.stopping }
 
 // lose answers what the successor had and will not answer: nobody knows what became of
 // it.
-func (r *relay) lose() {
-	for seq, ev := range r.puts {
-		ev.tell(SubmitResponse{Status: Failed})
-		delete(r.puts, seq)
+func (r *relay) failOutstanding() {
+	for seq, ev := range r.submissions {
+		ev.respond(SubmitResponse{Status: Failed})
+		delete(r.submissions, seq)
 	}
-	for seq, ask := range r.asks {
-		ask.answer <- State{ID: ask.id}
-		delete(r.asks, seq)
+	for seq, ask := range r.stateQueries {
+		ask.response <- State{ID: ask.id}
+		delete(r.stateQueries, seq)
 	}
 }
 
 // take deals with an event of this process.
-func (r *relay) take(event any) {
+func (r *relay) handleEvent(event any) {
 	switch x := event.(type) {
-	case putEvent:
-		r.put(x)
-	case stateEvent:
-		r.ask(x)
-	case replyEvent:
-		r.reply(x)
-	case retuneEvent:
+	case submitEvent:
+		r.forwardSubmission(x)
+	case stateQueryEvent:
+		r.forwardQuery(x)
+	case outcomesEvent:
+		r.forwardOutcomes(x)
+	case updateSettingsEvent:
 		if x.done != nil {
 			x.done <- ErrStopped
 		}
-	case successorEvent:
+	case handoverEvent:
 		x.done <- ErrStopped
-	case closingEvent: // what is out by then is called off, so that its end is known
-		time.AfterFunc(x.left, func() { r.core.post(callOffEvent{}) })
-	case callOffEvent:
-		r.callOff()
+	case shutdownEvent: // what is out by then is called off, so that its end is known
+		time.AfterFunc(x.timeLeft, func() { r.core.post(cancelAttemptsEvent{}) })
+	case cancelAttemptsEvent:
+		r.cancelAttempts()
 	}
 }
 
 // callOff calls off what is out.
-func (r *relay) callOff() {
-	for _, h := range r.out {
-		h.stop()
+func (r *relay) cancelAttempts() {
+	for _, h := range r.inFlight {
+		h.cancel()
 	}
 }
 
 // put forwards a message that a client hands in. If that fails, the successor is gone.
-func (r *relay) put(ev putEvent) {
-	if r.closed() || len(r.puts) >= mostForwarded {
-		ev.tell(SubmitResponse{Status: Busy}) // the successor has never had it
+func (r *relay) forwardSubmission(ev submitEvent) {
+	if r.forwardingClosed() || len(r.submissions) >= maxForwarded {
+		ev.respond(SubmitResponse{Status: Busy}) // the successor has never had it
 		return
 	}
 	r.seq++
-	r.puts[r.seq] = ev
+	r.submissions[r.seq] = ev
 	r.successor.Send(&handover.Put{Seq: r.seq, Message: *ev.msg})
 }
 
 // ask forwards a question for the state of a message.
-func (r *relay) ask(ev stateEvent) {
-	if r.closed() || len(r.asks) >= mostForwarded {
-		ev.answer <- State{ID: ev.id}
+func (r *relay) forwardQuery(ev stateQueryEvent) {
+	if r.forwardingClosed() || len(r.stateQueries) >= maxForwarded {
+		ev.response <- State{ID: ev.id}
 		return
 	}
 	r.seq++
-	r.asks[r.seq] = ev
+	r.stateQueries[r.seq] = ev
 	r.successor.Send(&handover.AskState{Seq: r.seq, ID: ev.id})
 }
 
 // reply tells the successor the outcomes of attempts.
-func (r *relay) reply(event replyEvent) {
+func (r *relay) forwardOutcomes(event outcomesEvent) {
 	list := handover.Outcomes{}
 	for _, x := range event {
 		id := x.attempt.Message.ID
-		if h := r.out[id]; h == nil || h.attempt != x.attempt {
+		if h := r.inFlight[id]; h == nil || h.attempt != x.attempt {
 			continue
 		}
-		delete(r.out, id)
+		delete(r.inFlight, id)
 		list.List = append(list.List, handover.Outcome{ID: id, Number: x.attempt.Number, Outcome: int(x.result.Outcome),
 			Took: x.took, Wait: x.result.RequestedWait, Over: x.result.MessageEnded, Load: x.result.Load})
 	}
@@ -176,28 +176,28 @@
 }
 
 // hear deals with what the successor tells.
-func (r *relay) hear(message any) {
+func (r *relay) handleMessage(message any) {
 	switch m := message.(type) {
 	case *handover.Answer:
-		if ev, ok := r.puts[m.Seq]; ok {
-			delete(r.puts, m.Seq)
-			ev.tell(SubmitResponse{Status: SubmitStatus(m.Verdict), RetryAfter: m.After, Duplicate: m.Again})
+		if ev, ok := r.submissions[m.Seq]; ok {
+			delete(r.submissions, m.Seq)
+			ev.respond(SubmitResponse{Status: SubmitStatus(m.Verdict), RetryAfter: m.After, Duplicate: m.Again})
 		}
 	case *handover.State:
-		if ask, ok := r.asks[m.Seq]; ok {
-			delete(r.asks, m.Seq)
-			ask.answer <- State{ID: ask.id, Name: m.Name, Tenant: m.Tenant, Partner: m.Partner, Class: m.Class, Attempts: m.Tries,
-				RetryAfter: m.After, AcceptedAt: moment(m.Accepted), Deadline: moment(m.Deadline), EndedAt: moment(m.Over)}
+		if ask, ok := r.stateQueries[m.Seq]; ok {
+			delete(r.stateQueries, m.Seq)
+			ask.response <- State{ID: ask.id, Name: m.Name, Tenant: m.Tenant, Partner: m.Partner, Class: m.Class, Attempts: m.Tries,
+				RetryAfter: m.After, AcceptedAt: fromUnixMicro(m.Accepted), Deadline: fromUnixMicro(m.Deadline), EndedAt: fromUnixMicro(m.Over)}
 		}
 	case *handover.Cancel:
-		if h := r.out[m.ID]; h != nil && h.attempt.Number == m.Number {
-			h.stop()
+		if h := r.inFlight[m.ID]; h != nil && h.attempt.Number == m.Number {
+			h.cancel()
 		}
 	}
 }
 
 // moment is a time of the wall clock that another process has told; zero for none.
-func moment(us int64) time.Time {
+func fromUnixMicro(us int64) time.Time {
 	if us == 0 {
 		return time.Time{}
 	}
@@ -205,4 +205,4 @@
 }
 
 // callOffEvent calls off what is out.
-type callOffEvent struct{}
+type cancelAttemptsEvent struct{}
--- a/internal/core/restart_test.go
+++ b/internal/core/restart_test.go
@@ -12,7 +12,7 @@
 )
 
 // kill ends a core as a crash would: what is out has no outcome, and nobody is asked.
-func (r *rig) kill() {
+func (r *rig) crash() {
 	r.t.Helper()
 	r.stop()
 	r.store.Close()
@@ -23,52 +23,52 @@
 	dir, cfg := t.TempDir(), testConfig()
 	cfg.PersistWaits = true
 	r := newRig(t, dir, cfg).run()
-	r.put(newMessage("a", "unsafe"))
-	in := byhand.Await(t, r.hand.attempts, "attempt")
+	r.submitAndWait(newMessage("a", "unsafe"))
+	in := byhand.Await(t, r.fakeTransport.attempts, "attempt")
 	const wait = 1500 * time.Millisecond
 	told := time.Now()
 	in.result <- Result{Outcome: logic.Full, RequestedWait: wait}
-	for r.state("a") != StateAccepted { // until the outcome is in the journal
+	for r.stateName("a") != StateAccepted { // until the outcome is in the journal
 	}
-	r.kill()
+	r.crash()
 	r = newRig(t, dir, cfg).run()
-	byhand.Await(t, r.hand.attempts, "attempt after the restart").result <- Result{Outcome: logic.Completed}
+	byhand.Await(t, r.fakeTransport.attempts, "attempt after the restart").result <- Result{Outcome: logic.Completed}
 	if d := time.Since(told); d < wait {
 		t.Errorf("sent again %v after a wait of %v was told", d, wait)
 	}
-	if x := byhand.Await(t, r.ends.told, "end"); x.State != message.Delivered || x.Tries != 2 {
+	if x := byhand.Await(t, r.fakeSink.added, "end"); x.State != message.Delivered || x.Tries != 2 {
 		t.Errorf("told %+v", x)
 	}
-	r.ends.confirm <- "a"
-	r.halt()
+	r.fakeSink.confirm <- "a"
+	r.shutDown()
 }
 
 // What was sent right before a restart is not known after it: a pace saves
 // nothing up from before the start, so that the first call comes after one span of it.
-func TestPaceHoldsOverRestart(t *testing.T) {
+func TestRateLimitHoldsOverRestart(t *testing.T) {
 	dir, cfg := t.TempDir(), testConfig()
 	cfg.PersistWaits = true
 	cfg.CachedEndpoints.Endpoints[0].Weight = 2
 	r := newRig(t, dir, cfg).run()
-	r.put(newMessage("a", "unsafe"))
-	byhand.Await(t, r.hand.attempts, "attempt").result <- Result{Outcome: logic.Completed}
-	byhand.Await(t, r.ends.told, "end")
-	r.ends.confirm <- "a"
-	r.halt()
+	r.submitAndWait(newMessage("a", "unsafe"))
+	byhand.Await(t, r.fakeTransport.attempts, "attempt").result <- Result{Outcome: logic.Completed}
+	byhand.Await(t, r.fakeSink.added, "end")
+	r.fakeSink.confirm <- "a"
+	r.shutDown()
 	start := time.Now()
 	r = newRig(t, dir, cfg).run()
-	r.put(newMessage("b", "unsafe"))
-	byhand.Await(t, r.hand.attempts, "attempt after the restart").result <- Result{Outcome: logic.Completed}
+	r.submitAndWait(newMessage("b", "unsafe"))
+	byhand.Await(t, r.fakeTransport.attempts, "attempt after the restart").result <- Result{Outcome: logic.Completed}
 	if d := time.Since(start); d < 500*time.Millisecond {
 		t.Errorf("sent %v after the restart, at 2 a second", d)
 	}
-	byhand.Await(t, r.ends.told, "end")
-	r.ends.confirm <- "b"
-	r.halt()
+	byhand.Await(t, r.fakeSink.added, "end")
+	r.fakeSink.confirm <- "b"
+	r.shutDown()
 }
 
 // A message whose class is not configured any more ends by its past, at once.
-func TestVanishedClass(t *testing.T) {
+func TestRemovedClassEndsMessages(t *testing.T) {
 	dir := t.TempDir()
 	j, err := journal.Open(dir, journal.Options{})
 	if err != nil {
@@ -82,35 +82,35 @@
 	j.Close()
 	r := newRig(t, dir, testConfig()).run()
 	for range 2 {
-		x := byhand.Await(t, r.ends.told, "end")
+		x := byhand.Await(t, r.fakeSink.added, "end")
 		if want := map[string]string{"never": message.Returned, "may": message.Failed}[x.ID]; x.State != want {
 			t.Errorf("%s is %s, want %s", x.ID, x.State, want)
 		}
-		r.ends.confirm <- x.ID
+		r.fakeSink.confirm <- x.ID
 	}
-	r.halt()
+	r.shutDown()
 }
 
 // A front may fill no more than the hold less what is kept for the others.
-func TestDoorShares(t *testing.T) {
+func TestFrontsKeepShareOfPendingLimit(t *testing.T) {
 	cfg := testConfig() // holds 8
 	r := newRig(t, t.TempDir(), cfg)
 	a, b := r.NewFrontLimiter(2), r.NewFrontLimiter(2)
 	taken := 0
-	for a.open = 0; r.roomFor(a) && taken < 100; taken++ {
-		a.open++
-		r.open++
+	for a.pending = 0; r.hasRoomFor(a) && taken < 100; taken++ {
+		a.pending++
+		r.pendingCount++
 	}
 	if taken != 6 {
 		t.Errorf("one front holds %d of 8", taken)
 	}
-	for r.roomFor(b) && taken < 100 {
-		b.open++
-		r.open++
+	for r.hasRoomFor(b) && taken < 100 {
+		b.pending++
+		r.pendingCount++
 		taken++
 	}
-	if b.open != 2 {
-		t.Errorf("the other one has room for %d", b.open)
+	if b.pending != 2 {
+		t.Errorf("the other one has room for %d", b.pending)
 	}
 }
 
@@ -127,18 +127,18 @@
 			dir, cfg := t.TempDir(), testConfig()
 			cfg.Settings.Remember = x.known
 			r := newRig(t, dir, cfg).run()
-			r.put(newMessage("a", "safe"))
-			byhand.Await(t, r.hand.attempts, "attempt").result <- Result{Outcome: logic.RefusedConn}
-			for r.state("a") != StateAccepted { // until the outcome is known
+			r.submitAndWait(newMessage("a", "safe"))
+			byhand.Await(t, r.fakeTransport.attempts, "attempt").result <- Result{Outcome: logic.RefusedConn}
+			for r.stateName("a") != StateAccepted { // until the outcome is known
 			}
 			deadline := time.Now().Add(byhand.Patience)
-			for x.known && !r.store.knows("acme") { // changes of health are written within a second or two
+			for x.known && !r.store.recordedUnhealthy("acme") { // changes of health are written within a second or two
 				if time.Now().After(deadline) {
 					t.Fatal("nothing is written of the outage")
 				}
-				r.put(newMessage("a", "safe"))
+				r.submitAndWait(newMessage("a", "safe"))
 			}
-			r.kill()
+			r.crash()
 			list := *cfg.CachedEndpoints
 			if x.late {
 				cfg.CachedEndpoints = nil
@@ -148,12 +148,12 @@
 				r.post(EndpointUpdate{List: list})
 			}
 			for _, id := range []string{"b", "c"} {
-				r.put(newMessage(id, "safe"))
+				r.submitAndWait(newMessage(id, "safe"))
 			}
-			byhand.Await(t, r.hand.attempts, "attempt after the restart")
+			byhand.Await(t, r.fakeTransport.attempts, "attempt after the restart")
 			sending := 0
 			for _, id := range []string{"a", "b", "c"} {
-				if r.state(id) == StateSending {
+				if r.stateName(id) == StateSending {
 					sending++
 				}
 			}
@@ -177,44 +177,44 @@
 	}
 	attempt := func(o logic.Outcome) {
 		t.Helper()
-		in := byhand.Await(t, r.hand.attempts, "attempt")
+		in := byhand.Await(t, r.fakeTransport.attempts, "attempt")
 		if !bytes.Equal(in.Message.Body, big("x").Body) {
 			t.Errorf("attempt %d has a body of %d bytes", in.Number, len(in.Message.Body))
 		}
 		in.result <- Result{Outcome: o}
 	}
-	r.put(big("x"))
+	r.submitAndWait(big("x"))
 	attempt(logic.RefusedConn)
 	attempt(logic.RefusedConn)
 	if e := r.store.Entry("a"); e.Left != 3000 || e.Body != nil {
 		t.Errorf("%d bytes left on the disk, %d in memory", e.Left, len(e.Body))
 	}
-	if a, b := r.put(big("x")), r.put(big("y")); a.Status != Accepted || !a.Duplicate || b.Status != Conflict {
+	if a, b := r.submitAndWait(big("x")), r.submitAndWait(big("y")); a.Status != Accepted || !a.Duplicate || b.Status != Conflict {
 		t.Errorf("again: %+v, with another body: %+v", a, b)
 	}
-	r.kill()
+	r.crash()
 	r = newRig(t, dir, testConfig()).run()
-	if a, b := r.put(big("x")), r.put(big("y")); a.Status != Accepted || b.Status != Conflict {
+	if a, b := r.submitAndWait(big("x")), r.submitAndWait(big("y")); a.Status != Accepted || b.Status != Conflict {
 		t.Errorf("after the restart, again: %+v, with another body: %+v", a, b)
 	}
 	attempt(logic.Completed)
-	if x := byhand.Await(t, r.ends.told, "end"); x.State != message.Delivered {
+	if x := byhand.Await(t, r.fakeSink.added, "end"); x.State != message.Delivered {
 		t.Errorf("told %+v", x)
 	}
-	r.ends.confirm <- "a"
-	r.store.lose(true)
+	r.fakeSink.confirm <- "a"
+	r.store.loseBodies(true)
 	b := big("x")
 	b.ID = "b"
-	r.put(b)
-	byhand.Await(t, r.hand.attempts, "attempt").result <- Result{Outcome: logic.RefusedConn}
-	if x := byhand.Await(t, r.ends.told, "end"); x.ID != "b" || x.State != message.Returned {
+	r.submitAndWait(b)
+	byhand.Await(t, r.fakeTransport.attempts, "attempt").result <- Result{Outcome: logic.RefusedConn}
+	if x := byhand.Await(t, r.fakeSink.added, "end"); x.ID != "b" || x.State != message.Returned {
 		t.Errorf("told %+v", x)
 	}
 	select {
-	case in := <-r.hand.attempts:
+	case in := <-r.fakeTransport.attempts:
 		t.Errorf("attempt %d was made without its body", in.Number)
 	default:
 	}
-	r.ends.confirm <- "b"
-	r.halt()
+	r.fakeSink.confirm <- "b"
+	r.shutDown()
 }
--- a/internal/core/step.go
+++ b/internal/core/step.go
@@ -13,123 +13,123 @@
 
 // step lets the module decide, writes the journal, and then acts, in order.
 func (c *Core) step(work context.Context) {
-	c.endBehind()
-	events := c.next
-	c.next = nil
-	actions := c.sender.Step(micros(time.Since(c.start)), events)
-	answers := c.answers(actions)
+	c.endExpiredBacklog()
+	events := c.nextEvents
+	c.nextEvents = nil
+	actions := c.sender.Step(toMicros(time.Since(c.start)), events)
+	answers := c.immediateResponses(actions)
 	now := c.clock.Now()
-	c.record(actions, answers, now)
+	c.recordActions(actions, answers, now)
 	err := c.store.Append(c.records)
-	notBehind := c.commitBehind(err)
+	notBehind := c.commitBacklog(err)
 	clear(c.records)
 	c.records = c.records[:0]
 	if err != nil {
 		c.metrics.JournalErrors.Add(1)
 		c.log.Error("journal", "err", err)
 	}
-	c.wroteBehind(err)
-	c.answerPuts(answers, err, notBehind)
+	c.applyBacklogWrite(err)
+	c.respondToSubmissions(answers, err, notBehind)
 	var outs []logic.CallOut // some may share a call; the module says nothing more of one in the same step
 	for _, a := range actions {
 		if out, ok := a.(logic.CallOut); ok {
 			outs = append(outs, out)
 			continue
 		}
-		c.act(work, a, answers, now)
+		c.performAction(work, a, answers, now)
 	}
-	c.tellEnds(err == nil)
-	c.callOuts(work, outs, err == nil)
-	c.leaveBodies()
-	clear(c.behind.placed)
-	c.tellStates()
-	c.workBehind()
-	c.metrics.Pending.Store(int64(c.open))
-	c.metrics.EndsAwaitingWrite.Store(int64(len(c.untold)))
+	c.reportEnds(err == nil)
+	c.startAttempts(work, outs, err == nil)
+	c.releaseBodies()
+	clear(c.backlog.spilledIDs)
+	c.answerStateQueries()
+	c.scheduleBacklogWork()
+	c.metrics.Pending.Store(int64(c.pendingCount))
+	c.metrics.EndsAwaitingWrite.Store(int64(len(c.unreportedEnds)))
 }
 
 // record adds what the module has decided to what the journal is to get.
-func (c *Core) record(actions []logic.Action, answers map[string]SubmitResponse, now int64) {
-	for _, p := range c.puts {
+func (c *Core) recordActions(actions []logic.Action, answers map[string]SubmitResponse, now int64) {
+	for _, p := range c.submissions {
 		id := p.msg.ID
-		if _, told := answers[id]; !told && c.fresh[id] == p.msg && !c.behind.placed[id] {
+		if _, told := answers[id]; !told && c.newMessages[id] == p.msg && !c.backlog.spilledIDs[id] {
 			c.records = append(c.records, journal.Record{Op: journal.OpAccept,
-				Entry: &journal.Entry{Message: *p.msg, Accepted: c.held[id].accepted, Terms: c.held[id].terms}})
+				Entry: &journal.Entry{Message: *p.msg, Accepted: c.pending[id].acceptedAt, Terms: c.pending[id].termsNumber}})
 		}
 	}
 	for _, a := range actions {
 		switch a := a.(type) {
 		case logic.CallOut:
 			c.records = append(c.records, journal.Record{Op: journal.OpSend, ID: a.ID, At: now,
-				Zone: c.dir.zone(c.dir.eps[a.Endpoint].zone)})
+				Zone: c.directory.zoneName(c.directory.endpoints[a.Endpoint].zone)})
 		case logic.Refuse, logic.Fail:
-			end := c.endOf(a, now)
-			if _, told := answers[end.ID]; !told && c.isOwed(end.ID) {
+			end := c.endFor(a, now)
+			if _, told := answers[end.ID]; !told && c.isPending(end.ID) {
 				c.records = append(c.records, journal.Record{Op: journal.OpEnd, ID: end.ID, End: &end})
 			}
 		}
 	}
 	if len(c.records) > 0 { // a write is due anyway
-		c.remember(rememberStep)
+		c.savePartners(maxSavedPerStep)
 	}
 }
 
 // answerPuts tells clients what became of the messages that they have handed in. err
 // is what became of the journal, notBehind of what goes behind windows.
-func (c *Core) answerPuts(answers map[string]SubmitResponse, err, notBehind error) {
-	for _, p := range c.puts {
+func (c *Core) respondToSubmissions(answers map[string]SubmitResponse, err, notBehind error) {
+	for _, p := range c.submissions {
 		id := p.msg.ID
 		switch answer, told := answers[id]; {
 		case told:
 			c.metrics.Rejected.Add(1)
-			p.tell(answer)
-		case c.behind.placed[id]:
+			p.respond(answer)
+		case c.backlog.spilledIDs[id]:
 			if notBehind != nil {
-				p.tell(SubmitResponse{Status: Busy})
+				p.respond(SubmitResponse{Status: Busy})
 			} else {
-				p.tell(SubmitResponse{Status: Accepted, Duplicate: c.fresh[id] != p.msg})
+				p.respond(SubmitResponse{Status: Accepted, Duplicate: c.newMessages[id] != p.msg})
 			}
 		case err != nil && c.store.Entry(id) == nil: // not written, so not taken on
 			c.metrics.Rejected.Add(1)
-			p.tell(SubmitResponse{Status: Busy})
-			if c.fresh[id] == p.msg {
-				c.drop(id)
-				c.next = append(c.next, logic.ClientGone{ID: id})
+			p.respond(SubmitResponse{Status: Busy})
+			if c.newMessages[id] == p.msg {
+				c.dropUnaccepted(id)
+				c.nextEvents = append(c.nextEvents, logic.ClientGone{ID: id})
 			}
 		default:
 			c.metrics.Accepted.Add(1)
-			p.tell(SubmitResponse{Status: Accepted, Duplicate: c.fresh[id] != p.msg})
+			p.respond(SubmitResponse{Status: Accepted, Duplicate: c.newMessages[id] != p.msg})
 		}
 	}
-	clear(c.puts)
-	c.puts = c.puts[:0]
+	clear(c.submissions)
+	c.submissions = c.submissions[:0]
 }
 
 // leaveBodies forgets the bodies of new messages that the store has taken over.
 // Calls that are on their way have them still.
-func (c *Core) leaveBodies() {
-	for id := range c.fresh {
-		c.leaveBody(id)
+func (c *Core) releaseBodies() {
+	for id := range c.newMessages {
+		c.releaseBody(id)
 	}
-	clear(c.fresh)
+	clear(c.newMessages)
 }
 
-func (c *Core) leaveBody(id string) {
-	if e, h := c.store.Entry(id), c.held[id]; e != nil && h != nil && e.Left > 0 {
+func (c *Core) releaseBody(id string) {
+	if e, h := c.store.Entry(id), c.pending[id]; e != nil && h != nil && e.Left > 0 {
 		without := *h.msg
 		without.Body = nil
-		h.msg, h.left = &without, true
+		h.msg, h.bodyInStore = &without, true
 	}
 }
 
 // isOwed says whether the message has been taken on and is not over.
-func (c *Core) isOwed(id string) bool {
+func (c *Core) isPending(id string) bool {
 	e := c.store.Entry(id)
-	return e != nil && e.End == nil || c.behind.fresh[id]
+	return e != nil && e.End == nil || c.backlog.refilledIDs[id]
 }
 
 // endOf is the end that the module has decided on.
-func (c *Core) endOf(a logic.Action, now int64) message.End {
+func (c *Core) endFor(a logic.Action, now int64) message.End {
 	end := message.End{At: now}
 	switch a := a.(type) {
 	case logic.Refuse:
@@ -137,17 +137,17 @@
 	case logic.Fail:
 		end.ID, end.State = a.ID, message.Failed
 	}
-	if h := c.held[end.ID]; h != nil {
-		end.Tries = h.tries
+	if h := c.pending[end.ID]; h != nil {
+		end.Tries = h.attempts
 	}
 	return end
 }
 
 // tellEnds tells of what has ended, as far as package permit allows it: what the journal
 // does not hold yet waits for the next good write, which a timer sees to.
-func (c *Core) tellEnds(written bool) {
-	kept, again := c.untold[:0], retryPause
-	for _, x := range c.untold {
+func (c *Core) reportEnds(written bool) {
+	kept, again := c.unreportedEnds[:0], retryDelay
+	for _, x := range c.unreportedEnds {
 		end := permit.End{Written: written, Delivered: x.end.State == message.Delivered, Left: time.Until(c.clock.Moment(x.msg.Deadline))}
 		if reason := permit.TellEnd(end); reason != permit.Granted {
 			c.monitor.Refused(reason, "tell end", x.end.ID)
@@ -157,99 +157,99 @@
 			}
 			continue
 		}
-		if x.sink {
+		if x.notify {
 			if e := c.store.Entry(x.end.ID); written && (e == nil || e.End == nil) {
 				c.monitor.Violated(permit.EndNotWritten, x.end.ID, "state", x.end.State)
 			}
-			c.tellEnd(x.msg, x.end)
+			c.notifySink(x.msg, x.end)
 		}
-		c.ended = append(c.ended, x.end.ID)
+		c.endedIDs = append(c.endedIDs, x.end.ID)
 	}
-	clear(c.untold[len(kept):])
-	c.untold = kept
+	clear(c.unreportedEnds[len(kept):])
+	c.unreportedEnds = kept
 	if len(kept) > 0 {
-		time.AfterFunc(again, func() { c.post(writeEvent{}) })
+		time.AfterFunc(again, func() { c.post(retryWriteEvent{}) })
 	}
 }
 
 // untoldEnd is the end of a message of which nobody may be told yet; nil if there is none.
-func (c *Core) untoldEnd(id string) *toldEnd {
-	i := slices.IndexFunc(c.untold, func(x toldEnd) bool { return x.end.ID == id })
+func (c *Core) unreportedEnd(id string) *endReport {
+	i := slices.IndexFunc(c.unreportedEnds, func(x endReport) bool { return x.end.ID == id })
 	if i < 0 {
 		return nil
 	}
-	return &c.untold[i]
+	return &c.unreportedEnds[i]
 }
 
 // tellEnd has the sink told of an end. To people and other programs its time is that of the wall clock.
-func (c *Core) tellEnd(m *message.Message, end message.End) {
+func (c *Core) notifySink(m *message.Message, end message.End) {
 	end.At = c.clock.Wall(end.At).UnixMicro()
 	c.sink.Add(m, end)
 }
 
 // drop forgets a message that was never taken on.
-func (c *Core) drop(id string) {
-	if h := c.held[id]; h != nil && !h.over {
-		c.leave(h)
-		delete(c.held, id)
+func (c *Core) dropUnaccepted(id string) {
+	if h := c.pending[id]; h != nil && !h.ended {
+		c.uncount(h)
+		delete(c.pending, id)
 	}
 }
 
 // finish takes a message off the books; the store remembers it.
-func (c *Core) finish(id string, h *held) {
-	if h.over {
+func (c *Core) endMessage(id string, h *pendingMessage) {
+	if h.ended {
 		c.monitor.Violated(permit.EndedTwice, id)
 		return
 	}
-	h.over = true
+	h.ended = true
 	if h.attempt != nil {
-		h.attempt.ended.Store(true)
+		h.attempt.messageEnded.Store(true)
 		if h.attempt.Withhold(permit.MessageEnded) { // it is connecting: nothing of the message may go out any more
-			h.stop()
+			h.cancel()
 		}
 	}
-	c.leave(h)
-	if h.stop == nil {
-		delete(c.held, id)
+	c.uncount(h)
+	if h.cancel == nil {
+		delete(c.pending, id)
 	}
 }
 
 // act carries out one word of the module that is no call.
-func (c *Core) act(work context.Context, a logic.Action, answers map[string]SubmitResponse, now int64) {
+func (c *Core) performAction(work context.Context, a logic.Action, answers map[string]SubmitResponse, now int64) {
 	switch a := a.(type) {
 	case logic.Cancel:
-		if h := c.held[a.ID]; h != nil && h.stop != nil && h.tries-1 == a.Attempt {
-			h.stop()
+		if h := c.pending[a.ID]; h != nil && h.cancel != nil && h.attempts-1 == a.Attempt {
+			h.cancel()
 		}
 	case logic.Refuse, logic.Fail:
-		end := c.endOf(a, now)
-		if h := c.held[end.ID]; h != nil && !h.over {
+		end := c.endFor(a, now)
+		if h := c.pending[end.ID]; h != nil && !h.ended {
 			c.traceEnd(end.ID, h, end.State)
 		}
 		if _, told := answers[end.ID]; told {
-			c.drop(end.ID)
+			c.dropUnaccepted(end.ID)
 			return
 		}
-		if h := c.held[end.ID]; h != nil && !h.over {
-			c.finish(end.ID, h)
+		if h := c.pending[end.ID]; h != nil && !h.ended {
+			c.endMessage(end.ID, h)
 			if end.State == message.Returned {
 				c.metrics.Returned.Add(1)
 			} else {
 				c.metrics.Failed.Add(1)
 			}
-			c.untold = append(c.untold, toldEnd{h.msg, end, true})
+			c.unreportedEnds = append(c.unreportedEnds, endReport{h.msg, end, true})
 		}
 	case logic.SetTimer:
-		c.due.Reset(span(a.Wait)) // it goes off no later than the one before
-		c.token = a.Token
+		c.timer.Reset(toDuration(a.Wait)) // it goes off no later than the one before
+		c.timerToken = a.Token
 	case logic.Probe:
 		c.probe(work, a.Endpoint)
 	case logic.Release:
 		c.transport.CloseIdle(a.Endpoint)
 	case logic.Listen:
-		c.watch()
+		c.watchEndpoints()
 	case logic.Learnt:
-		c.share(Observation{Outage: a.Out, Recovered: !a.Out}, a.Endpoint)
+		c.publishObservation(Observation{Outage: a.Out, Recovered: !a.Out}, a.Endpoint)
 	case logic.Log:
 		c.log.Info(a.Text)
 	}
--- a/internal/core/submit.go
+++ b/internal/core/submit.go
@@ -33,14 +33,14 @@
 // soon as the message is journalled, or the module has given it up; answer must
 // have room for it.
 func (c *Core) Submit(m *message.Message, answer chan<- SubmitResponse) {
-	if !c.post(putEvent{msg: m, answer: answer}) {
+	if !c.post(submitEvent{msg: m, response: answer}) {
 		answer <- SubmitResponse{Status: Stopped}
 	}
 }
 
 // known returns the digest of a message that is held or remembered.
-func (c *Core) known(id string) (digest uint64, ok bool) {
-	if h := c.held[id]; h != nil && !h.left {
+func (c *Core) knownDigest(id string) (digest uint64, ok bool) {
+	if h := c.pending[id]; h != nil && !h.bodyInStore {
 		return h.msg.Digest(), true
 	}
 	if e := c.store.Entry(id); e != nil {
@@ -49,91 +49,91 @@
 	if e := c.store.Ended(id); e != nil {
 		return e.Digest, true
 	}
-	if m := c.fresh[id]; m != nil { // goes behind its window with this step
+	if m := c.newMessages[id]; m != nil { // goes behind its window with this step
 		return m.Digest(), true
 	}
-	if digest, ok := c.behind.ending[id]; ok {
+	if digest, ok := c.backlog.endingDigests[id]; ok {
 		return digest, true
 	}
 	return 0, false
 }
 
 // put takes a message on, subject to the module's word in the step that follows.
-func (c *Core) put(ev putEvent) {
+func (c *Core) submit(ev submitEvent) {
 	m := ev.msg
-	if digest, ok := c.known(m.ID); ok {
+	if digest, ok := c.knownDigest(m.ID); ok {
 		switch {
 		case digest != m.Digest():
-			ev.tell(SubmitResponse{Status: Conflict})
-		case c.fresh[m.ID] != nil:
-			c.puts = append(c.puts, ev) // it gets the answer of the first
+			ev.respond(SubmitResponse{Status: Conflict})
+		case c.newMessages[m.ID] != nil:
+			c.submissions = append(c.submissions, ev) // it gets the answer of the first
 		default:
-			ev.tell(SubmitResponse{Status: Accepted, Duplicate: true})
+			ev.respond(SubmitResponse{Status: Accepted, Duplicate: true})
 		}
 		return
 	}
-	if c.lookFirst(ev) {
+	if c.lookUpDuplicate(ev) {
 		return
 	}
 	class := c.terms.class(m.Class)
 	if class == nil { // dropped since it was checked: its client is told when it comes again
-		ev.tell(SubmitResponse{Status: Busy})
+		ev.respond(SubmitResponse{Status: Busy})
 		return
 	}
-	if !c.dir.serves(m.Partner) {
-		if c.heard {
-			ev.tell(SubmitResponse{Status: UnknownPartner})
+	if !c.directory.hasEndpoint(m.Partner) {
+		if c.listReceived {
+			ev.respond(SubmitResponse{Status: UnknownPartner})
 		} else { // nobody has told yet what there is
-			ev.tell(SubmitResponse{Status: Busy, RetryAfter: time.Second})
+			ev.respond(SubmitResponse{Status: Busy, RetryAfter: time.Second})
 		}
 		return
 	}
-	if !c.roomFor(ev.door) {
-		ev.tell(SubmitResponse{Status: Busy})
+	if !c.hasRoomFor(ev.front) {
+		ev.respond(SubmitResponse{Status: Busy})
 		return
 	}
-	if c.place(ev, class) {
+	if c.placeInBacklog(ev, class) {
 		return
 	}
 	if !c.store.Room(len(m.Body)) {
-		ev.tell(SubmitResponse{Status: Busy})
+		ev.respond(SubmitResponse{Status: Busy})
 		return
 	}
 	now := c.clock.Now()
-	c.held[m.ID] = &held{msg: m, accepted: now, door: ev.door, terms: c.terms.n, class: class}
-	c.open++
-	if c.behind.Backlog != nil {
-		c.behind.Enter(m.Partner)
+	c.pending[m.ID] = &pendingMessage{msg: m, acceptedAt: now, front: ev.front, termsNumber: c.terms.number, class: class}
+	c.pendingCount++
+	if c.backlog.Backlog != nil {
+		c.backlog.Enter(m.Partner)
 	}
-	if ev.door != nil {
-		ev.door.open++
+	if ev.front != nil {
+		ev.front.pending++
 	}
-	c.puts = append(c.puts, ev)
-	c.fresh[m.ID] = m
-	call := c.callOf(m, now)
-	c.traceTaken(call, m.Partner, m.Class)
-	c.next = append(c.next, call)
+	c.submissions = append(c.submissions, ev)
+	c.newMessages[m.ID] = m
+	call := c.newMessageEvent(m, now)
+	c.traceAccepted(call, m.Partner, m.Class)
+	c.nextEvents = append(c.nextEvents, call)
 }
 
 // answers finds the messages that the module ends in the step in which they came:
 // their clients are told at once.
-func (c *Core) answers(actions []logic.Action) map[string]SubmitResponse {
+func (c *Core) immediateResponses(actions []logic.Action) map[string]SubmitResponse {
 	var out map[string]SubmitResponse
 	tell := func(id string, a SubmitResponse) {
-		if c.fresh[id] != nil {
+		if c.newMessages[id] != nil {
 			if out == nil {
 				out = map[string]SubmitResponse{}
 			}
 			out[id] = a
 		}
 	}
-	if len(c.fresh) == 0 {
+	if len(c.newMessages) == 0 {
 		return nil
 	}
 	for _, a := range actions {
 		switch a := a.(type) {
 		case logic.Refuse:
-			tell(a.ID, SubmitResponse{Status: Busy, RetryAfter: span(a.RetryIn)})
+			tell(a.ID, SubmitResponse{Status: Busy, RetryAfter: toDuration(a.RetryIn)})
 		case logic.Fail:
 			tell(a.ID, SubmitResponse{Status: Failed})
 		}
@@ -171,7 +171,7 @@
 // State tells the state of a message. With wait it waits until the message is
 // over or ctx is; in the latter case it tells the state then, without an error.
 func (c *Core) State(ctx context.Context, id string, wait bool) (State, error) {
-	ask := stateEvent{id: id, watch: wait, answer: make(chan State, 1)}
+	ask := stateQueryEvent{id: id, watch: wait, response: make(chan State, 1)}
 	if !c.post(ask) {
 		return State{}, ErrStopped
 	}
@@ -180,43 +180,43 @@
 		over = ctx.Done()
 	}
 	select {
-	case s := <-ask.answer:
+	case s := <-ask.response:
 		return s, nil
 	case <-c.done:
 		return State{}, ErrStopped
 	case <-over:
-		c.post(unwatchEvent{id, ask.answer})
+		c.post(unwatchEvent{id, ask.response})
 		return c.State(context.Background(), id, false)
 	}
 }
 
 // state is what is known now, between steps.
 func (c *Core) state(id string) State {
-	if h := c.held[id]; h != nil && !h.over {
+	if h := c.pending[id]; h != nil && !h.ended {
 		s := State{ID: id, Name: StateAccepted, Tenant: h.msg.Tenant, Partner: h.msg.Partner, Class: h.msg.Class,
-			Attempts: h.tries, AcceptedAt: c.wall(h.accepted), Deadline: c.wall(h.msg.Deadline)}
+			Attempts: h.attempts, AcceptedAt: c.wallTime(h.acceptedAt), Deadline: c.wallTime(h.msg.Deadline)}
 		if h.attempt != nil {
 			s.Name = StateSending
 		}
 		return s
 	}
-	if x := c.untoldEnd(id); x != nil { // to others it is not over yet
+	if x := c.unreportedEnd(id); x != nil { // to others it is not over yet
 		return State{ID: id, Name: StateAccepted, Tenant: x.msg.Tenant, Partner: x.msg.Partner, Class: x.msg.Class, Attempts: x.end.Tries,
-			Deadline: c.wall(x.msg.Deadline)}
+			Deadline: c.wallTime(x.msg.Deadline)}
 	}
 	if e := c.store.Entry(id); e != nil && e.End != nil {
 		return State{ID: id, Name: e.End.State, Tenant: e.Tenant, Partner: e.Partner, Class: e.Class, Attempts: e.Tries,
-			RetryAfter: time.Duration(e.End.AfterMS) * time.Millisecond, AcceptedAt: c.wall(e.Accepted), EndedAt: c.wall(e.End.At)}
+			RetryAfter: time.Duration(e.End.AfterMS) * time.Millisecond, AcceptedAt: c.wallTime(e.Accepted), EndedAt: c.wallTime(e.End.At)}
 	}
 	if e := c.store.Ended(id); e != nil {
 		return State{ID: id, Name: e.State, Tenant: e.Tenant, Partner: e.Partner, Class: e.Class, Attempts: e.Tries,
-			RetryAfter: time.Duration(e.AfterMS) * time.Millisecond, AcceptedAt: c.wall(e.Accepted), EndedAt: c.wall(e.Over)}
+			RetryAfter: time.Duration(e.AfterMS) * time.Millisecond, AcceptedAt: c.wallTime(e.Accepted), EndedAt: c.wallTime(e.Over)}
 	}
 	return State{ID: id}
 }
 
 // wall is a time of the journal as the wall clock shows it, for people and other programs; zero for none.
-func (c *Core) wall(us int64) time.Time {
+func (c *Core) wallTime(us int64) time.Time {
 	if us == 0 {
 		return time.Time{}
 	}
@@ -224,8 +224,8 @@
 }
 
 // tellStates answers those who ask, and those who wait for what has ended.
-func (c *Core) tellStates() {
-	for _, id := range c.ended {
+func (c *Core) answerStateQueries() {
+	for _, id := range c.endedIDs {
 		if list := c.watchers[id]; list != nil {
 			s := c.state(id)
 			for _, w := range list {
@@ -234,29 +234,29 @@
 			delete(c.watchers, id)
 		}
 	}
-	c.ended = c.ended[:0]
-	for _, ask := range c.asks {
+	c.endedIDs = c.endedIDs[:0]
+	for _, ask := range c.stateQueries {
 		s := c.state(ask.id)
 		if s.Name == "" && ask.found != nil {
-			s = c.stateBehind(ask.found)
-		} else if s.Name == "" && c.lookState(ask) {
+			s = c.backlogMessageState(ask.found)
+		} else if s.Name == "" && c.lookUpState(ask) {
 			continue
 		}
 		if ask.watch && !s.IsFinal() {
-			c.watchers[ask.id] = append(c.watchers[ask.id], ask.answer)
+			c.watchers[ask.id] = append(c.watchers[ask.id], ask.response)
 			continue
 		}
-		ask.answer <- s
+		ask.response <- s
 	}
-	clear(c.asks)
-	c.asks = c.asks[:0]
+	clear(c.stateQueries)
+	c.stateQueries = c.stateQueries[:0]
 }
 
 // unwatch forgets one who waited.
-func (c *Core) unwatch(ev unwatchEvent) {
+func (c *Core) removeWatcher(ev unwatchEvent) {
 	list := c.watchers[ev.id]
 	for i, w := range list {
-		if w == ev.answer {
+		if w == ev.response {
 			list = append(list[:i], list[i+1:]...)
 			break
 		}
--- a/internal/core/terms.go
+++ b/internal/core/terms.go
@@ -10,18 +10,18 @@
 
 // overlap is how long after new settings a message is held to the stricter of both:
 // clients learn of a change late.
-const overlap = 1500 * time.Millisecond
+const settingsOverlap = 1500 * time.Millisecond
 
 // terms are settings, as messages are taken on under them.
 type terms struct {
-	n       int64 // their number in the journal
-	set     logic.Settings
-	classes map[string]int
-	tenants map[string]int
+	number   int64 // their number in the journal
+	settings logic.Settings
+	classes  map[string]int
+	tenants  map[string]int
 }
 
 func newTerms(set logic.Settings) *terms {
-	t := &terms{set: set, classes: map[string]int{}, tenants: map[string]int{}}
+	t := &terms{settings: set, classes: map[string]int{}, tenants: map[string]int{}}
 	for i, x := range set.Classes {
 		t.classes[x.Name] = i
 	}
@@ -34,15 +34,15 @@
 // class is a class by name; nil if there is none.
 func (t *terms) class(name string) *logic.Class {
 	if i, ok := t.classes[name]; ok {
-		return &t.set.Classes[i]
+		return &t.settings.Classes[i]
 	}
 	return nil
 }
 
 // journalled are the terms as the journal keeps them.
-func (t *terms) journalled() journal.Terms {
-	out := journal.Terms{Attempts: t.set.MaxTries}
-	for _, c := range t.set.Classes {
+func (t *terms) journalTerms() journal.Terms {
+	out := journal.Terms{Attempts: t.settings.MaxTries}
+	for _, c := range t.settings.Classes {
 		out.Classes = append(out.Classes, journal.ClassTerms{Name: c.Name, Aim: int64(c.Aim), Deadline: int64(c.Deadline), Worth: c.Worth,
 			LateWorth: c.LateWorth, Effect: uint8(c.Effect), ByZone: c.ByZone, Window: int64(c.Window), KeepOrder: c.KeepOrder})
 	}
@@ -51,7 +51,7 @@
 
 // termsOf are the terms of a class that a message was taken on under, as the
 // journal has them; nil if it does not have them.
-func termsOf(t *journal.Terms, class string) *logic.Terms {
+func classTerms(t *journal.Terms, class string) *logic.Terms {
 	if t == nil {
 		return nil
 	}
@@ -67,66 +67,66 @@
 
 // setTerms takes messages on under other terms from here on. The loop, or New, calls it.
 func (c *Core) setTerms(t *terms) error {
-	n, rec, err := c.store.AddTerms(t.journalled())
+	n, rec, err := c.store.AddTerms(t.journalTerms())
 	if err != nil {
 		return err
 	}
 	if rec != nil {
 		c.records = append(c.records, *rec)
 	}
-	t.n, c.terms = n, t
+	t.number, c.terms = n, t
 	return nil
 }
 
 // retuneEvent brings other settings.
-type retuneEvent struct {
-	set   logic.Settings
-	zones []string
-	done  chan error // has room; nil for the end of the overlap
-	n     int        // of the change that the overlap is of
+type updateSettingsEvent struct {
+	settings logic.Settings
+	zones    []string
+	done     chan error // has room; nil for the end of the overlap
+	number   int        // of the change that the overlap is of
 }
 
 // UpdateSettings puts other settings in the place of those that hold, whole or not at all.
 // Messages that are held keep the terms that they were taken on under.
 func (c *Core) UpdateSettings(set logic.Settings, zones []string) error {
-	ev := retuneEvent{set: set, zones: zones, done: make(chan error, 1)}
-	return c.settle(ev, ev.done)
+	ev := updateSettingsEvent{settings: set, zones: zones, done: make(chan error, 1)}
+	return c.postAndWait(ev, ev.done)
 }
 
 // retune is [Core.UpdateSettings] in the loop.
-func (c *Core) retune(ev retuneEvent) {
+func (c *Core) handleUpdateSettings(ev updateSettingsEvent) {
 	if ev.done == nil {
-		if ev.n == c.retunes {
-			c.follows(ev.set)
+		if ev.number == c.settingsUpdates {
+			c.applySettings(ev.settings)
 		}
 		return
 	}
-	held := c.stated.Load().set
-	err := logic.Check(held, ev.set)
-	for i, z := range c.dir.zones {
+	held := c.clientTerms.Load().settings
+	err := logic.Check(held, ev.settings)
+	for i, z := range c.directory.zones {
 		if err == nil && (i >= len(ev.zones) || ev.zones[i] != z) {
 			err = fmt.Errorf("settings: zone %q may not change", z)
 		}
 	}
 	if err == nil {
-		err = c.follows(logic.Stricter(held, ev.set))
+		err = c.applySettings(logic.Stricter(held, ev.settings))
 	}
 	if err == nil {
-		c.dir.zones, c.dir.kinds = ev.zones, ev.set.Kinds
-		c.stated.Store(newTerms(ev.set))
-		c.retunes++
-		last := retuneEvent{set: ev.set, n: c.retunes}
-		time.AfterFunc(overlap, func() { c.post(last) })
+		c.directory.zones, c.directory.kinds = ev.zones, ev.settings.Kinds
+		c.clientTerms.Store(newTerms(ev.settings))
+		c.settingsUpdates++
+		last := updateSettingsEvent{settings: ev.settings, number: c.settingsUpdates}
+		time.AfterFunc(settingsOverlap, func() { c.post(last) })
 	}
 	ev.done <- err
 }
 
 // follows has the module follow settings.
-func (c *Core) follows(set logic.Settings) error {
+func (c *Core) applySettings(set logic.Settings) error {
 	if err := c.setTerms(newTerms(set)); err != nil {
 		c.log.Error("settings", "err", err)
 		return err
 	}
-	c.next = append(c.next, logic.Retune{Settings: set})
+	c.nextEvents = append(c.nextEvents, logic.Retune{Settings: set})
 	return nil
 }
