--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -14,7 +14,7 @@
 // callOuts makes the attempts of a step. Those at one endpoint travel as one call
 // as far as its kind allows, in the order of the module's words. Without their
 // records in the journal they are not made.
-func (c *Core) startAttempts(work context.Context, outs []logic.CallOut, written bool) {
+func (c *Core) startAttempts(work context.Context, outs []logic.StartAttempt, written bool) {
 	if len(outs) == 0 {
 		return
 	}
@@ -26,7 +26,7 @@
 		}
 		if !written {
 			c.pending[a.ID].cancel = func() {}
-			ev := outcomesEvent{{attempt: out, result: Result{Outcome: logic.Moot}}}
+			ev := outcomesEvent{{attempt: out, result: Result{Outcome: logic.NotSent}}}
 			time.AfterFunc(retryDelay, func() { c.post(ev) }) // a full disk, say: room may come
 			continue
 		}
@@ -48,29 +48,29 @@
 // batch is how many messages one call to an endpoint takes.
 func (c *Core) batchSize(ep logic.EndpointID) int {
 	if k := c.directory.endpoints[ep].kind; k >= 0 && k < len(c.terms.settings.Kinds) {
-		return max(c.terms.settings.Kinds[k].Batch, 1)
+		return max(c.terms.settings.Kinds[k].MaxBatch, 1)
 	}
 	return 1
 }
 
 // attempt books an attempt. It is nil for a message that is not held.
-func (c *Core) newAttempt(a logic.CallOut) *Attempt {
+func (c *Core) newAttempt(a logic.StartAttempt) *Attempt {
 	h := c.pending[a.ID]
 	if h == nil { // never taken on; the module is still owed its one outcome
-		c.nextEvents = append(c.nextEvents, logic.Reply{ID: a.ID, NoMore: true, Endpoint: a.Endpoint, Outcome: logic.Moot})
+		c.nextEvents = append(c.nextEvents, logic.AttemptResult{ID: a.ID, MessageEnded: true, Endpoint: a.Endpoint, Outcome: logic.NotSent})
 		return nil
 	}
 	if h.cancel != nil || h.ended { // the module's books say otherwise: nothing goes out
-		kind := permit.TwoAttempts
+		kind := permit.ConcurrentAttempts
 		if h.ended {
 			kind = permit.SentAfterEnd
 		}
-		c.monitor.Violated(kind, a.ID, "attempt", h.attempts, "withheld", true)
-		c.nextEvents = append(c.nextEvents, logic.Reply{ID: a.ID, NoMore: h.ended, Endpoint: a.Endpoint, Attempt: h.attempts, Outcome: logic.Moot})
+		c.monitor.CountViolation(kind, a.ID, "attempt", h.attempts, "withheld", true)
+		c.nextEvents = append(c.nextEvents, logic.AttemptResult{ID: a.ID, MessageEnded: h.ended, Endpoint: a.Endpoint, Attempt: h.attempts, Outcome: logic.NotSent})
 		return nil
 	}
 	to := c.directory.endpoints[a.Endpoint]
-	out := &Attempt{Message: h.msg, Number: h.attempts, Endpoint: a.Endpoint, Addr: to.addr, Timeout: toDuration(a.GiveUp), createdAt: time.Now(), firstID: a.ID,
+	out := &Attempt{Message: h.msg, Number: h.attempts, Endpoint: a.Endpoint, Addr: to.addr, Timeout: toDuration(a.Timeout), createdAt: time.Now(), firstID: a.ID,
 		plannedShare: c.weightShare, allowedShare: c.allowedShare, monitor: c.monitor}
 	h.attempts++
 	class := cmp.Or(h.class, &logic.Class{Effect: logic.Unsafe})
@@ -98,7 +98,7 @@
 				return
 			}
 			stopped = true
-			out.Withhold(permit.CalledOff)
+			out.Withhold(permit.Cancelled)
 			if left--; left == 0 {
 				stop()
 			}
@@ -128,7 +128,7 @@
 			if out.Withhold(permit.NotWritten) && ctx.Err() == nil {
 				c.log.Error("a message can't be sent", "id", out.Message.ID, "err", err)
 			}
-			results[i] = Result{Outcome: logic.Moot, LocalFailure: true}
+			results[i] = Result{Outcome: logic.NotSent, LocalFailure: true}
 			continue
 		}
 		whole, at = append(whole, out), append(at, i)
@@ -201,8 +201,8 @@
 	if h.ended {
 		delete(c.pending, id)
 	}
-	c.nextEvents = append(c.nextEvents, logic.Reply{ID: id, NoMore: ended || done, Endpoint: ev.attempt.Endpoint,
-		Attempt: ev.attempt.Number, Outcome: r.Outcome, Took: toMicros(ev.took), Wait: toMicros(r.RequestedWait), Load: r.Load})
+	c.nextEvents = append(c.nextEvents, logic.AttemptResult{ID: id, MessageEnded: ended || done, Endpoint: ev.attempt.Endpoint,
+		Attempt: ev.attempt.Number, Outcome: r.Outcome, Latency: toMicros(ev.took), RetryAfter: toMicros(r.RequestedWait), Load: r.Load})
 }
 
 // deliver ends a message that an attempt has ended.
@@ -223,7 +223,7 @@
 
 // mayHaveRun says what an outcome leaves open.
 func mayHaveRun(o logic.Outcome) bool {
-	return o != logic.Full && o != logic.RefusedConn && o != logic.Moot
+	return o != logic.Overloaded && o != logic.ConnectionRefused && o != logic.NotSent
 }
 
 // withhold keeps attempts that have not begun from going out: what the module decided before it knew better would
@@ -240,8 +240,8 @@
 func (c *Core) withholdForWait(ep logic.EndpointID) {
 	to := c.directory.endpoints[ep]
 	kinds := c.terms.settings.Kinds
-	apart := to.kind >= 0 && to.kind < len(kinds) && kinds[to.kind].Apart
-	c.withhold(permit.WaitTold, func(x logic.EndpointID) bool {
+	apart := to.kind >= 0 && to.kind < len(kinds) && kinds[to.kind].Independent
+	c.withhold(permit.WaitRequested, func(x logic.EndpointID) bool {
 		return x == ep || !apart && c.directory.endpoints[x].partner == to.partner
 	})
 }
--- a/internal/core/backlog.go
+++ b/internal/core/backlog.go
@@ -23,40 +23,40 @@
 // Backlog keeps messages behind the windows of their destinations. [spill.Spill] is
 // one; it says what each method does. All of them belong to the loop.
 type Backlog interface {
-	Place(m *message.Message, ordered bool) backlog.Verdict
-	Put(r *disk.Record)
-	Room(body int) bool
+	Place(m *message.Message, ordered bool) backlog.Placement
+	Stage(r *disk.Record)
+	HasRoom(body int) bool
 	Commit() error
-	Enter(partner string)
-	Leave(partner string)
-	Has(id string) bool
+	EnterWindow(partner string)
+	LeaveWindow(partner string)
+	MayContain(id string) bool
 	Lookup(id string, then func(*disk.Record, error))
 	Discard()
-	Take(event any) (in []spill.Came, first, count uint64, ok bool)
-	Back(list []spill.Came)
-	Over(at int64) (r *disk.Record, seq uint64, ok bool)
-	Wake() int64
-	Work(now int64)
-	Tidy()
-	Rest()
-	Earlier(seq uint64) bool
+	HandleEvent(event any) (in []spill.RefilledMessage, first, count uint64, ok bool)
+	PutBack(list []spill.RefilledMessage)
+	PopExpired(at int64) (r *disk.Record, seq uint64, ok bool)
+	WakeTime() int64
+	StartReads(now int64)
+	ReclaimSegments()
+	StopRefill()
+	FromEarlierProcess(seq uint64) bool
 	Terms() []int64
 	Len() int
-	Behind(partner string) int
+	BacklogLen(partner string) int
 	Close() error
 }
 
 // behind is the loop's part of the messages behind the windows; its zero value is
 // that of a core without any.
 type loopBacklog struct {
-	Backlog                          // nil for none
-	endTimer       *time.Timer       // of the next end behind a window
-	refilled       []spill.Came      // since the last step
-	refilledIDs    map[string]bool   // of these, by id
-	unwrittenEnds  []backlogEnd      // ended behind their windows, not written yet
-	endingDigests  map[string]uint64 // of these, the digests by id
-	spilledIDs     map[string]bool   // new messages that go behind their windows with this step, by id
-	pendingLookups int               // lookups that have not answered
+	Backlog                                // nil for none
+	endTimer       *time.Timer             // of the next end behind a window
+	refilled       []spill.RefilledMessage // since the last step
+	refilledIDs    map[string]bool         // of these, by id
+	unwrittenEnds  []backlogEnd            // ended behind their windows, not written yet
+	endingDigests  map[string]uint64       // of these, the digests by id
+	spilledIDs     map[string]bool         // new messages that go behind their windows with this step, by id
+	pendingLookups int                     // lookups that have not answered
 	stopping       bool
 }
 
@@ -85,11 +85,11 @@
 	c.store.HoldTerms(b.Terms)
 	for _, h := range c.pending {
 		if !h.ended {
-			b.Enter(h.msg.Partner)
+			b.EnterWindow(h.msg.Partner)
 		}
 	}
 	if c.backlog.stopping {
-		b.Rest()
+		b.StopRefill()
 	}
 	return nil
 }
@@ -133,11 +133,11 @@
 	switch v := b.Place(m, ordered); {
 	case v == backlog.InWindow:
 		return false
-	case v == backlog.Turned || !b.Room(len(m.Body)):
+	case v == backlog.Rejected || !b.HasRoom(len(m.Body)):
 		ev.respond(SubmitResponse{Status: Busy})
 		return true
 	}
-	b.Put(&disk.Record{Message: *m, Accepted: c.clock.Now(), Terms: c.terms.number, Digest: m.Digest(), Ordered: ordered})
+	b.Stage(&disk.Record{Message: *m, Accepted: c.clock.Now(), Terms: c.terms.number, Digest: m.Digest(), Ordered: ordered})
 	b.spilledIDs[m.ID] = true
 	c.submissions = append(c.submissions, ev)
 	c.newMessages[m.ID] = m
@@ -164,7 +164,7 @@
 // lookFirst has a message looked up whose id may be behind a window, before it is
 // taken on; false if it is none.
 func (c *Core) lookUpDuplicate(ev submitEvent) bool {
-	if c.backlog.Backlog == nil || ev.notInBacklog || !c.backlog.Has(ev.msg.ID) {
+	if c.backlog.Backlog == nil || ev.notInBacklog || !c.backlog.MayContain(ev.msg.ID) {
 		return false
 	}
 	c.backlog.pendingLookups++
@@ -189,7 +189,7 @@
 // lookState answers one who asks for a message that may be behind a window; false
 // if it is none.
 func (c *Core) lookUpState(ask stateQueryEvent) bool {
-	if c.backlog.Backlog == nil || ask.lookedUp || !c.backlog.Has(ask.id) {
+	if c.backlog.Backlog == nil || ask.lookedUp || !c.backlog.MayContain(ask.id) {
 		return false
 	}
 	c.backlog.pendingLookups++
@@ -214,13 +214,13 @@
 	if c.backlog.Backlog == nil {
 		return false
 	}
-	list, first, count, ok := c.backlog.Take(ev)
+	list, first, count, ok := c.backlog.HandleEvent(ev)
 	if count > 0 {
 		c.records = append(c.records, journal.Record{Op: journal.OpCleared, Behind: first, Count: count})
 	}
 	for i := range list {
 		if r := list[i].Record; r != nil && list[i].Err == nil && !c.store.Room(len(r.Body)) {
-			c.backlog.Back(list[i:]) // read again later
+			c.backlog.PutBack(list[i:]) // read again later
 			break
 		}
 		c.refill(list[i])
@@ -229,17 +229,17 @@
 }
 
 // enter has the module take a message on that comes into its window.
-func (c *Core) refill(x spill.Came) {
+func (c *Core) refill(x spill.RefilledMessage) {
 	r := x.Record
 	if r == nil {
 		c.log.Error("a message behind its window can't be read: nothing is known of it but its number", "number", x.Seq, "err", x.Err)
 		c.records = append(c.records, journal.Record{Op: journal.OpPassed, Behind: x.Seq})
-		c.backlog.Leave(x.Partner)
+		c.backlog.LeaveWindow(x.Partner)
 		return
 	}
 	if x.Err != nil {
 		c.log.Error("a message behind its window is damaged: it is returned", "id", r.ID, "partner", r.Partner, "err", x.Err)
-		c.backlog.Leave(x.Partner)
+		c.backlog.LeaveWindow(x.Partner)
 		c.endInBacklog(r, x.Seq)
 		return
 	}
@@ -254,11 +254,11 @@
 	}
 	if h.class == nil {
 		c.log.Error("a message behind its window is of a class that is not configured: it is returned", "id", r.ID, "class", r.Class)
-		c.backlog.Leave(x.Partner)
+		c.backlog.LeaveWindow(x.Partner)
 		c.endInBacklog(r, x.Seq)
 		return
 	}
-	in.Past = logic.Past{Held: c.takeover == nil && c.backlog.Earlier(x.Seq)}
+	in.History = logic.History{Inherited: c.takeover == nil && c.backlog.FromEarlierProcess(x.Seq)}
 	c.pending[m.ID] = h
 	c.pendingCount++
 	c.backlog.refilled, c.backlog.refilledIDs[m.ID] = append(c.backlog.refilled, x), true
@@ -283,7 +283,7 @@
 	}
 	at := c.clock.Now() + endMargin.Microseconds()
 	for len(c.backlog.unwrittenEnds) < maxEndsPerStep {
-		r, seq, ok := c.backlog.Over(at)
+		r, seq, ok := c.backlog.PopExpired(at)
 		if !ok {
 			break
 		}
@@ -315,7 +315,7 @@
 				c.nextEvents = append(c.nextEvents, logic.ClientGone{ID: x.Record.ID})
 			}
 		}
-		c.backlog.Back(c.backlog.refilled)
+		c.backlog.PutBack(c.backlog.refilled)
 	} else {
 		for _, x := range c.backlog.refilled {
 			c.releaseBody(x.Record.ID)
@@ -339,8 +339,8 @@
 	if c.backlog.Backlog == nil {
 		return
 	}
-	c.backlog.Work(c.clock.Now() + endMargin.Microseconds())
-	if at := c.backlog.Wake(); at != math.MaxInt64 {
+	c.backlog.StartReads(c.clock.Now() + endMargin.Microseconds())
+	if at := c.backlog.WakeTime(); at != math.MaxInt64 {
 		c.backlog.endTimer.Reset(max(time.Until(c.clock.Moment(at))-endMargin, time.Millisecond))
 	} else {
 		c.backlog.endTimer.Reset(time.Hour)
--- a/internal/core/backlog_test.go
+++ b/internal/core/backlog_test.go
@@ -21,7 +21,7 @@
 func withBacklog(fs vfs.FS) func(*Dependencies) {
 	return func(p *Dependencies) {
 		p.OpenBacklog = func(s Store, tell func(any, <-chan struct{})) (Backlog, error) {
-			return spill.Open(fs, s, spill.Options{Window: 1, Disk: 3e6, Sync: store.SyncAlways, Log: slog.New(slog.DiscardHandler)}, tell)
+			return spill.Open(fs, s, spill.Options{Window: 1, MaxBytes: 3e6, Sync: store.SyncAlways, Log: slog.New(slog.DiscardHandler)}, tell)
 		}
 	}
 }
--- a/internal/core/console_test.go
+++ b/internal/core/console_test.go
@@ -57,7 +57,7 @@
 			t.Errorf("%s: answered after %v", path, d)
 		}
 	}
-	if v := r.lifecycle.View(); v.State != lifecycle.LameDuck {
+	if v := r.lifecycle.Behavior(); v.State != lifecycle.LameDuck {
 		t.Errorf("%v", v.State)
 	}
 	close(store.resume)
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -47,8 +47,8 @@
 	Source    Source
 	Sink      EndSink
 	Log       *slog.Logger
-	Lifecycle *lifecycle.Life // nil for one of its own
-	Monitor   *permit.Monitor // counts what was refused and what must not be; nil for none
+	Lifecycle *lifecycle.Controller // nil for one of its own
+	Monitor   *permit.Monitor       // counts what was refused and what must not be; nil for none
 	// ReopenStore opens the store again that was closed for a handover; nil if nothing is
 	// ever handed over.
 	ReopenStore func() (Store, error)
@@ -66,7 +66,7 @@
 }
 
 // LifecycleTimes are those of the lifecycle that the core keeps to.
-var LifecycleTimes = lifecycle.Times{Door: 500 * time.Millisecond, Stop: 3400 * time.Millisecond}
+var LifecycleTimes = lifecycle.Timeouts{DrainGrace: 500 * time.Millisecond, StopTimeout: 3400 * time.Millisecond}
 
 // pendingMessage is a message that the module has and that is not over.
 type pendingMessage struct {
@@ -105,7 +105,7 @@
 	transport    Transport
 	source       Source
 	sink         EndSink
-	lifecycle    *lifecycle.Life
+	lifecycle    *lifecycle.Controller
 	sender       *logic.Sender
 	newBacklog   func(Store, func(any, <-chan struct{})) (Backlog, error)
 	events       chan any
@@ -150,7 +150,7 @@
 		return nil, err
 	}
 	if parts.Lifecycle == nil {
-		parts.Lifecycle = lifecycle.NewLife(LifecycleTimes, parts.Log)
+		parts.Lifecycle = lifecycle.NewController(LifecycleTimes, parts.Log)
 	}
 	c := &Core{cfg: cfg, lifecycle: parts.Lifecycle, reopenStore: parts.ReopenStore, allowedShare: parts.AllowedShare, peers: parts.Peers, causalMarks: map[logic.EndpointID]uint64{}, earlyWaits: map[string]earlyWait{}, takeover: parts.Takeover, newBacklog: parts.OpenBacklog, remoteAttempts: map[string]*pendingMessage{}, log: parts.Log, monitor: parts.Monitor, clock: parts.Store.Clock(), store: parts.Store,
 		transport: parts.Transport, source: parts.Source, sink: parts.Sink, sender: sender,
@@ -189,8 +189,8 @@
 		close(c.done)
 		return err
 	}
-	c.step(work)                   // what the store holds comes first: its ends are due
-	if !c.cfg.Settings.OnRequest { // the module does not ask for a list that comes by itself
+	c.step(work)                       // what the store holds comes first: its ends are due
+	if !c.cfg.Settings.ListOnRequest { // the module does not ask for a list that comes by itself
 		c.watchEndpoints()
 	}
 	attrs := []any{"name", c.cfg.Name, "held", len(c.pending)}
@@ -214,14 +214,14 @@
 		go c.peers.Receive(deciding, func(list []Observation) { c.post(peerObservationsEvent(list)) })
 	}
 	c.log.Info("ready", attrs...)
-	c.lifecycle.Tell(lifecycle.Started)
+	c.lifecycle.HandleEvent(lifecycle.Started)
 	close(c.ready)
 	served := make(chan struct{}) // closed when no client is left
 	stopped := make(chan struct{})
 	go func() {
 		select {
 		case <-ctx.Done():
-			c.lifecycle.Tell(lifecycle.Terminate)
+			c.lifecycle.HandleEvent(lifecycle.Terminate)
 		case <-work.Done():
 		}
 	}()
@@ -252,25 +252,25 @@
 			leaving = true
 			c.post(shutdownEvent{attemptStopTimeout})
 		}
-		if v.Keep != keep {
-			keep = v.Keep
+		if v.KeepAlive != keep {
+			keep = v.KeepAlive
 			for _, f := range fronts {
 				f.DisableKeepAlives(!keep)
 			}
 		}
-		if open && !v.Open {
+		if open && !v.AcceptConnections {
 			open = false
 			var left sync.WaitGroup
 			for _, f := range fronts {
 				f.CloseListener()
-				left.Go(func() { f.Shutdown(grace, v.Hurry) })
+				left.Go(func() { f.Shutdown(grace, v.ShortenDeadlines) })
 			}
 			go func() {
 				left.Wait()
 				close(served)
 			}()
 		}
-		if v.Over {
+		if v.ExitNow {
 			close(stopped)
 			return
 		}
--- a/internal/core/door.go
+++ b/internal/core/door.go
@@ -83,7 +83,7 @@
 func (c *Core) uncount(h *pendingMessage) {
 	c.pendingCount--
 	if c.backlog.Backlog != nil {
-		c.backlog.Leave(h.msg.Partner)
+		c.backlog.LeaveWindow(h.msg.Partner)
 	}
 	if h.front != nil {
 		h.front.pending--
--- a/internal/core/handover.go
+++ b/internal/core/handover.go
@@ -53,8 +53,8 @@
 		ev.done <- fmt.Errorf("not now: another process is being handed over to, or this one can't hand over")
 	case len(c.remoteAttempts) > 0:
 		ev.done <- fmt.Errorf("not now: calls of the process before this one are still out")
-	case !c.lifecycle.Tell(lifecycle.SuccessorCame):
-		ev.done <- fmt.Errorf("not now: this process is %v", c.lifecycle.View().State)
+	case !c.lifecycle.HandleEvent(lifecycle.HandoverRequested):
+		ev.done <- fmt.Errorf("not now: this process is %v", c.lifecycle.Behavior().State)
 	default:
 		c.handoverRequest = &ev
 	}
@@ -66,7 +66,7 @@
 	at := time.Now()
 	snapshot, err := c.takeSnapshot(fronts)
 	if err != nil { // what can't be written can't be handed over
-		c.lifecycle.Tell(lifecycle.SuccessorGone)
+		c.lifecycle.HandleEvent(lifecycle.HandoverAborted)
 		ev.done <- fmt.Errorf("not handed over: %w", err)
 		return false, nil
 	}
@@ -81,7 +81,7 @@
 	}
 	if taken {
 		c.log.Info("handed over", "held", c.pendingCount, "calls_out", len(snapshot.Calls), "took", time.Since(at))
-		c.lifecycle.Tell(lifecycle.TakenOver)
+		c.lifecycle.HandleEvent(lifecycle.HandoverCompleted)
 		ev.done <- nil
 		return true, nil
 	}
@@ -90,7 +90,7 @@
 	if err := c.resumeAfterHandover(snapshot); err != nil {
 		return false, err
 	}
-	c.lifecycle.Tell(lifecycle.SuccessorGone)
+	c.lifecycle.HandleEvent(lifecycle.HandoverAborted)
 	return false, nil
 }
 
@@ -148,7 +148,7 @@
 		}
 	}
 	for _, k := range keys {
-		out.Keys = append(out.Keys, handover.Key{Key: k.Key, Left: int64(k.Left)})
+		out.Keys = append(out.Keys, handover.Key{Key: k.Key, Left: int64(k.Remaining)})
 	}
 	for id, h := range c.pending {
 		if h.attempt == nil {
--- a/internal/core/inherit.go
+++ b/internal/core/inherit.go
@@ -94,11 +94,11 @@
 	age := logic.Micros(c.clock.Now() - l.At)
 	for name, known := range l.Partners {
 		if c.directory.hasEndpoint(name) {
-			c.nextEvents = append(c.nextEvents, logic.Recall{Age: age, Memory: c.toDestinationState(name, known)})
+			c.nextEvents = append(c.nextEvents, logic.RestoreState{Age: age, State: c.toDestinationState(name, known)})
 		}
 	}
 	for _, k := range l.Keys {
-		c.nextEvents = append(c.nextEvents, logic.KeyRest{Key: k.Key, Left: logic.Micros(k.Left) - age})
+		c.nextEvents = append(c.nextEvents, logic.QuietKey{Key: k.Key, Remaining: logic.Micros(k.Left) - age})
 	}
 	out := map[string]handover.Call{}
 	for _, call := range l.Calls {
@@ -108,7 +108,7 @@
 }
 
 // adopt books an attempt that the other process has out.
-func (c *Core) adoptAttempt(h *pendingMessage, call handover.Call, in *logic.Call, e *journal.Entry, now int64) {
+func (c *Core) adoptAttempt(h *pendingMessage, call handover.Call, in *logic.NewMessage, e *journal.Entry, now int64) {
 	age := now - c.takeover.Snapshot.At + call.Age
 	ep, ok := c.directory.endpointIDs[call.Endpoint]
 	if !ok { // its list is ours, so it has gone meanwhile: the attempt counts, and its outcome too
@@ -121,10 +121,10 @@
 	h.attempts = call.Number + 1
 	c.remoteAttempts[call.ID] = h
 	if e != nil {
-		in.Past.MayRun = e.MayRun
-		in.Past.Age = logic.Micros(max(now-e.FirstMay, 0))
+		in.History.MayHaveRun = e.MayRun
+		in.History.SinceFirst = logic.Micros(max(now-e.FirstMay, 0))
 	}
-	in.Past.Out = &logic.Out{Endpoint: ep, Age: logic.Micros(age), With: call.With}
+	in.History.InFlight = &logic.InFlightAttempt{Endpoint: ep, Age: logic.Micros(age), BatchedWith: call.With}
 }
 
 // leftovers books the attempts that are out of messages that have ended: they hold
@@ -138,7 +138,7 @@
 		}
 		h := &pendingMessage{msg: &message.Message{ID: id, Partner: c.directory.endpoints[ep].partner}, ended: true}
 		in := c.newMessageEvent(h.msg, now)
-		in.Class, in.Past = 0, logic.Past{Tries: call.Number + 1, Over: true}
+		in.Class, in.History = 0, logic.History{Attempts: call.Number + 1, Ended: true}
 		c.adoptAttempt(h, call, &in, nil, now)
 		c.pending[id] = h
 		events = append(events, in)
@@ -231,6 +231,6 @@
 	for id, h := range c.remoteAttempts {
 		delete(c.remoteAttempts, id)
 		h.cancel = func() {}
-		c.handleOutcome(attemptOutcome{attempt: h.attempt, took: time.Since(h.attempt.createdAt), result: Result{Outcome: logic.Recalled}})
+		c.handleOutcome(attemptOutcome{attempt: h.attempt, took: time.Since(h.attempt.createdAt), result: Result{Outcome: logic.Cancelled}})
 	}
 }
--- a/internal/core/loop.go
+++ b/internal/core/loop.go
@@ -76,7 +76,7 @@
 		case ev := <-c.events:
 			c.handleEvent(ev)
 		case <-c.timer.C:
-			c.nextEvents = append(c.nextEvents, logic.Due{Token: c.timerToken})
+			c.nextEvents = append(c.nextEvents, logic.TimerFired{Token: c.timerToken})
 		case <-c.backlog.endTimerFired():
 		case <-sweep.C:
 			c.sweep(time.Now())
@@ -117,7 +117,7 @@
 func (c *Core) sweep(now time.Time) {
 	c.transport.CloseStale()
 	if c.backlog.Backlog != nil {
-		c.backlog.Tidy()
+		c.backlog.ReclaimSegments()
 	}
 	c.savePartners(maxSavedPerSweep)
 	if err := c.store.Append(c.records); err != nil {
@@ -166,14 +166,14 @@
 	if c.cfg.PersistWaits {
 		for name, until := range c.store.Waits() {
 			if id, ok := c.directory.endpointIDs[name]; ok {
-				c.nextEvents = append(c.nextEvents, logic.Told{Endpoint: id, Left: logic.Micros(until - now)})
+				c.nextEvents = append(c.nextEvents, logic.RequestedWait{Endpoint: id, Remaining: logic.Micros(until - now)})
 				if left := time.Duration(until-now) * time.Microsecond; left > 0 { // the others may not have heard of it
 					c.publishObservation(Observation{RequestedWait: left}, id)
 				}
 			}
 		}
 	}
-	if c.cfg.Settings.Remember {
+	if c.cfg.Settings.TrackChanges {
 		c.savedPartners = c.store.Partners()
 		c.restorePartners()
 	}
@@ -192,10 +192,10 @@
 		}
 		c.pending[e.ID] = h
 		c.pendingCount++
-		in.Past = logic.Past{Tries: e.Tries, MayRun: e.MayRun || e.Open, Held: c.takeover == nil}
-		if in.Past.MayRun {
-			in.Past.Age = logic.Micros(max(now-e.FirstMay, 0))
-			in.Past.Zone = slices.Index(c.cfg.Zones, e.FirstZone)
+		in.History = logic.History{Attempts: e.Tries, MayHaveRun: e.MayRun || e.Open, Inherited: c.takeover == nil}
+		if in.History.MayHaveRun {
+			in.History.SinceFirst = logic.Micros(max(now-e.FirstMay, 0))
+			in.History.Zone = slices.Index(c.cfg.Zones, e.FirstZone)
 		}
 		if call, ok := out[e.ID]; ok && e.Open {
 			c.adoptAttempt(h, call, &in, e, now)
@@ -222,8 +222,8 @@
 }
 
 // callOf is the module's view of a message.
-func (c *Core) newMessageEvent(m *message.Message, now int64) logic.Call {
-	in := logic.Call{ID: m.ID, Key: m.Order, Left: logic.Micros(m.Deadline - now), Dest: c.directory.partner(m.Partner).destination,
+func (c *Core) newMessageEvent(m *message.Message, now int64) logic.NewMessage {
+	in := logic.NewMessage{ID: m.ID, Key: m.Order, Remaining: logic.Micros(m.Deadline - now), Dest: c.directory.partner(m.Partner).destination,
 		Tenant: -1, Class: -1}
 	if i, ok := c.terms.classes[m.Class]; ok {
 		in.Class = i
@@ -248,7 +248,7 @@
 			c.handleOutcome(r)
 		}
 	case probeOutcomeEvent:
-		c.nextEvents = append(c.nextEvents, logic.HealthResult{Endpoint: ev.endpoint, Outcome: ev.outcome})
+		c.nextEvents = append(c.nextEvents, logic.ProbeResult{Endpoint: ev.endpoint, Outcome: ev.outcome})
 	case EndpointUpdate:
 		c.applyEndpointUpdate(ev)
 	case peerObservationsEvent:
@@ -268,10 +268,10 @@
 		c.handleUpdateSettings(ev)
 	case retryWriteEvent: // the step that follows does
 	case shutdownEvent:
-		c.nextEvents = append(c.nextEvents, logic.Closing{Left: toMicros(ev.timeLeft)})
+		c.nextEvents = append(c.nextEvents, logic.Stopping{Remaining: toMicros(ev.timeLeft)})
 		c.backlog.stopping = true
 		if c.backlog.Backlog != nil {
-			c.backlog.Rest()
+			c.backlog.StopRefill()
 		}
 	default:
 		c.handleBacklogEvent(ev)
--- a/internal/core/others.go
+++ b/internal/core/others.go
@@ -45,12 +45,12 @@
 			continue
 		}
 		if l.RequestedWait > 0 {
-			c.nextEvents = append(c.nextEvents, logic.Told{Endpoint: id, Left: toMicros(l.RequestedWait)})
+			c.nextEvents = append(c.nextEvents, logic.RequestedWait{Endpoint: id, Remaining: toMicros(l.RequestedWait)})
 			c.applyRequestedWait(id, l.RequestedWait)
 			continue
 		}
 		c.causalMarks[id] = l.CausalMark
-		c.nextEvents = append(c.nextEvents, logic.Heard{Endpoint: id, Out: l.Outage, Try: l.Recovered || l.TrialIntervalFactor == 1 && !l.Outage, Turn: l.TrialIntervalFactor})
+		c.nextEvents = append(c.nextEvents, logic.PeerHealth{Endpoint: id, Outage: l.Outage, TryNow: l.Recovered || l.TrialIntervalFactor == 1 && !l.Outage, TrialFactor: l.TrialIntervalFactor})
 	}
 }
 
@@ -64,7 +64,7 @@
 			delete(c.earlyWaits, name)
 		case ok && c.directory.endpoints[id].partner == x.partner:
 			delete(c.earlyWaits, name)
-			c.nextEvents = append(c.nextEvents, logic.Told{Endpoint: id, Left: toMicros(x.until.Sub(now))})
+			c.nextEvents = append(c.nextEvents, logic.RequestedWait{Endpoint: id, Remaining: toMicros(x.until.Sub(now))})
 			c.applyRequestedWait(id, x.until.Sub(now))
 		}
 	}
--- a/internal/core/submit.go
+++ b/internal/core/submit.go
@@ -103,7 +103,7 @@
 	c.pending[m.ID] = &pendingMessage{msg: m, acceptedAt: now, front: ev.front, termsNumber: c.terms.number, class: class}
 	c.pendingCount++
 	if c.backlog.Backlog != nil {
-		c.backlog.Enter(m.Partner)
+		c.backlog.EnterWindow(m.Partner)
 	}
 	if ev.front != nil {
 		ev.front.pending++
@@ -132,9 +132,9 @@
 	}
 	for _, a := range actions {
 		switch a := a.(type) {
-		case logic.Refuse:
+		case logic.ReturnMessage:
 			tell(a.ID, SubmitResponse{Status: Busy, RetryAfter: toDuration(a.RetryIn)})
-		case logic.Fail:
+		case logic.FailMessage:
 			tell(a.ID, SubmitResponse{Status: Failed})
 		}
 	}
--- a/internal/core/terms.go
+++ b/internal/core/terms.go
@@ -102,14 +102,14 @@
 		return
 	}
 	held := c.clientTerms.Load().settings
-	err := logic.Check(held, ev.settings)
+	err := logic.CheckUpdate(held, ev.settings)
 	for i, z := range c.directory.zones {
 		if err == nil && (i >= len(ev.zones) || ev.zones[i] != z) {
 			err = fmt.Errorf("settings: zone %q may not change", z)
 		}
 	}
 	if err == nil {
-		err = c.applySettings(logic.Stricter(held, ev.settings))
+		err = c.applySettings(logic.Strictest(held, ev.settings))
 	}
 	if err == nil {
 		c.directory.zones, c.directory.kinds = ev.zones, ev.settings.Kinds
@@ -127,6 +127,6 @@
 		c.log.Error("settings", "err", err)
 		return err
 	}
-	c.nextEvents = append(c.nextEvents, logic.Retune{Settings: set})
+	c.nextEvents = append(c.nextEvents, logic.UpdateSettings{Settings: set})
 	return nil
 }
--- a/internal/core/terms_test.go
+++ b/internal/core/terms_test.go
@@ -65,7 +65,7 @@
 			}
 			// A refusal each: neither has run, and each has one attempt left.
 			for _, in := range calls {
-				in.result <- Result{Outcome: logic.Full, RequestedWait: 2500e6}
+				in.result <- Result{Outcome: logic.Overloaded, RequestedWait: 2500e6}
 			}
 			for r.stateName("x1") != StateAccepted || r.stateName("y1") != StateAccepted { // until the outcomes are in the journal
 			}
@@ -91,7 +91,7 @@
 			// its two attempts allow, the other never.
 			for range 2 {
 				in := byhand.Await(t, r.fakeTransport.attempts, "second attempt")
-				in.result <- Result{Outcome: logic.Severed}
+				in.result <- Result{Outcome: logic.ConnectionBroken}
 			}
 			ends := map[string]message.End{}
 			for range 2 {
@@ -120,7 +120,7 @@
 		t.Fatal(err)
 	}
 	r.submitAndWait(newMessage("early", "x"))
-	byhand.Await(t, r.fakeTransport.attempts, "attempt").result <- Result{Outcome: logic.Severed}
+	byhand.Await(t, r.fakeTransport.attempts, "attempt").result <- Result{Outcome: logic.ConnectionBroken}
 	if x := byhand.Await(t, r.fakeSink.added, "end"); x.ID != "early" || x.State != message.Failed {
 		t.Errorf("told %+v", x)
 	}
--- a/internal/daemon/others.go
+++ b/internal/daemon/others.go
@@ -58,7 +58,7 @@
 	x.Cluster.Hear(ctx, func(list []facts.Observation) {
 		out := make([]core.Observation, 0, len(list))
 		for _, l := range list {
-			out = append(out, core.Observation{Partner: l.Partner, Endpoint: l.Endpoint, RequestedWait: l.Left, Outage: l.Out, Recovered: l.Back, TrialIntervalFactor: l.Turn, CausalMark: l.Mark})
+			out = append(out, core.Observation{Partner: l.Partner, Endpoint: l.Endpoint, RequestedWait: l.Remaining, Outage: l.OutageReported, Recovered: l.OutageEnded, TrialIntervalFactor: l.TrialSpacing, CausalMark: l.Mark})
 		}
 		take(out)
 	})
--- a/internal/standin/hollow/fleet.go
+++ b/internal/standin/hollow/fleet.go
@@ -156,7 +156,7 @@
 		s := f.senders[rng.IntN(len(f.senders))]
 		s.mu.Lock()
 		if s.life != nil {
-			s.life.TellWait(fmt.Sprintf("partner-%d", n), "192.0.2.1:443", facts.MostFor)
+			s.life.TellWait(fmt.Sprintf("partner-%d", n), "192.0.2.1:443", facts.MaxTTL)
 		}
 		s.mu.Unlock()
 	}
@@ -289,9 +289,9 @@
 			b.agree = false
 			continue
 		}
-		b.wrong += status.Wrong
-		b.agree = b.agree && len(status.Others) == len(f.senders)-1
-		for _, o := range status.Others {
+		b.wrong += status.HeardAfterGone
+		b.agree = b.agree && len(status.Peers) == len(f.senders)-1
+		for _, o := range status.Peers {
 			b.agree = b.agree && (o.State == "here") == runs[o.Name]
 		}
 	}
