--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -55,31 +55,31 @@
 
 // attempt books an attempt. It is nil for a message that is not held.
 func (c *Core) newAttempt(a logic.StartAttempt) *Attempt {
-	h := c.pending[a.ID]
-	if h == nil { // never taken on; the module is still owed its one outcome
+	p := c.pending[a.ID]
+	if p == nil { // never taken on; the module is still owed its one outcome
 		c.nextEvents = append(c.nextEvents, logic.AttemptResult{ID: a.ID, MessageEnded: true, Endpoint: a.Endpoint, Outcome: logic.NotSent})
 		return nil
 	}
-	if h.cancel != nil || h.ended { // the module's books say otherwise: nothing goes out
+	if p.cancel != nil || p.ended { // the module's books say otherwise: nothing goes out
 		kind := permit.ConcurrentAttempts
-		if h.ended {
+		if p.ended {
 			kind = permit.SentAfterEnd
 		}
-		c.monitor.CountViolation(kind, a.ID, "attempt", h.attempts, "withheld", true)
-		c.nextEvents = append(c.nextEvents, logic.AttemptResult{ID: a.ID, MessageEnded: h.ended, Endpoint: a.Endpoint, Attempt: h.attempts, Outcome: logic.NotSent})
+		c.monitor.CountViolation(kind, a.ID, "attempt", p.attempts, "withheld", true)
+		c.nextEvents = append(c.nextEvents, logic.AttemptResult{ID: a.ID, MessageEnded: p.ended, Endpoint: a.Endpoint, Attempt: p.attempts, Outcome: logic.NotSent})
 		return nil
 	}
 	to := c.directory.endpoints[a.Endpoint]
-	out := &Attempt{Message: h.msg, Number: h.attempts, Endpoint: a.Endpoint, Addr: to.addr, Timeout: toDuration(a.Timeout), createdAt: time.Now(), firstID: a.ID,
+	out := &Attempt{Message: p.msg, Number: p.attempts, Endpoint: a.Endpoint, Addr: to.addr, Timeout: toDuration(a.Timeout), createdAt: time.Now(), firstID: a.ID,
 		plannedShare: c.weightShare, allowedShare: c.allowedShare, monitor: c.monitor}
-	h.attempts++
-	class := cmp.Or(h.class, &logic.Class{Effect: logic.Unsafe})
+	p.attempts++
+	class := cmp.Or(p.class, &logic.Class{Effect: logic.Unsafe})
 	out.Unrepeatable = class.Effect == logic.Unsafe
-	out.Expires = c.clock.Moment(h.msg.Deadline)
+	out.Expires = c.clock.Moment(p.msg.Deadline)
 	if e := c.store.Entry(a.ID); e != nil && e.MayRun {
 		out.Repeat = permit.Repeat{MayHaveRun: true, Effect: class.Effect, Window: toDuration(class.Window), Age: out.createdAt.Sub(c.clock.Moment(e.FirstMay))}
 	}
-	h.attempt, out.bodyInStore = out, h.bodyInStore
+	p.attempt, out.bodyInStore = out, p.bodyInStore
 	c.metrics.Attempts.Add(1)
 	c.traceAttempt(out)
 	return out
@@ -175,13 +175,13 @@
 // reply takes the one outcome of an attempt.
 func (c *Core) handleOutcome(ev attemptOutcome) {
 	id := ev.attempt.Message.ID
-	h := c.pending[id]
-	if h == nil {
+	p := c.pending[id]
+	if p == nil {
 		return
 	}
-	if h.cancel != nil {
-		h.cancel()
-		h.cancel, h.attempt = nil, nil
+	if p.cancel != nil {
+		p.cancel()
+		p.cancel, p.attempt = nil, nil
 	}
 	c.traceOutcome(ev)
 	r := ev.result
@@ -189,16 +189,16 @@
 		c.applyRequestedWait(ev.attempt.Endpoint, r.RequestedWait)
 		c.publishObservation(Observation{RequestedWait: r.RequestedWait}, ev.attempt.Endpoint)
 	}
-	ended := h.ended
+	ended := p.ended
 	done := r.Outcome == logic.Completed || r.MessageEnded
 	switch {
 	case ended:
 	case done:
-		c.endDelivered(id, h, r)
+		c.endDelivered(id, p, r)
 	default:
 		c.records = append(c.records, journal.Record{Op: journal.OpOutcome, ID: id, MayRun: mayHaveRun(r.Outcome)})
 	}
-	if h.ended {
+	if p.ended {
 		delete(c.pending, id)
 	}
 	c.nextEvents = append(c.nextEvents, logic.AttemptResult{ID: id, MessageEnded: ended || done, Endpoint: ev.attempt.Endpoint,
@@ -206,19 +206,19 @@
 }
 
 // deliver ends a message that an attempt has ended.
-func (c *Core) endDelivered(id string, h *pendingMessage, r Result) {
+func (c *Core) endDelivered(id string, p *pendingMessage, r Result) {
 	now := c.clock.Now()
-	end := message.End{ID: id, State: message.Delivered, At: now, Tries: h.attempts}
+	end := message.End{ID: id, State: message.Delivered, At: now, Tries: p.attempts}
 	heard := c.cfg.NotifyDelivered && r.Outcome == logic.Completed // by the sink
 	if heard {
 		c.records = append(c.records, journal.Record{Op: journal.OpEnd, ID: id, End: &end})
 	} else {
 		c.records = append(c.records, journal.Record{Op: journal.OpDone, ID: id, At: now})
 	}
-	c.unreportedEnds = append(c.unreportedEnds, endReport{h.msg, end, heard})
+	c.unreportedEnds = append(c.unreportedEnds, endReport{p.msg, end, heard})
 	c.metrics.Delivered.Add(1)
-	c.traceEnd(id, h, message.Delivered)
-	c.endMessage(id, h)
+	c.traceEnd(id, p, message.Delivered)
+	c.endMessage(id, p)
 }
 
 // mayHaveRun says what an outcome leaves open.
@@ -229,9 +229,9 @@
 // withhold keeps attempts that have not begun from going out: what the module decided before it knew better would
 // reach the endpoint long after. They end as never sent.
 func (c *Core) withhold(reason permit.Reason, match func(ep logic.EndpointID) bool) {
-	for _, h := range c.pending {
-		if h.cancel != nil && match(h.attempt.Endpoint) && h.attempt.Withhold(reason) {
-			h.cancel()
+	for _, p := range c.pending {
+		if p.cancel != nil && match(p.attempt.Endpoint) && p.attempt.Withhold(reason) {
+			p.cancel()
 		}
 	}
 }
--- a/internal/core/backlog.go
+++ b/internal/core/backlog.go
@@ -83,9 +83,9 @@
 	due := time.NewTimer(time.Hour)
 	c.backlog = loopBacklog{Backlog: b, endTimer: due, refilledIDs: map[string]bool{}, endingDigests: map[string]uint64{}, spilledIDs: map[string]bool{}, stopping: c.backlog.stopping}
 	c.store.HoldTerms(b.Terms)
-	for _, h := range c.pending {
-		if !h.ended {
-			b.EnterWindow(h.msg.Partner)
+	for _, p := range c.pending {
+		if !p.ended {
+			b.EnterWindow(p.msg.Partner)
 		}
 	}
 	if c.backlog.stopping {
@@ -245,21 +245,21 @@
 	}
 	now := c.clock.Now()
 	m := &r.Message
-	h := &pendingMessage{msg: m, acceptedAt: r.Accepted, termsNumber: r.Terms, class: c.terms.class(r.Class)}
+	p := &pendingMessage{msg: m, acceptedAt: r.Accepted, termsNumber: r.Terms, class: c.terms.class(r.Class)}
 	in := c.newMessageEvent(m, now)
 	if r.Terms != c.terms.number {
 		if in.Terms = classTerms(c.store.Terms(r.Terms), r.Class); in.Terms != nil {
-			h.class = &in.Terms.Class
+			p.class = &in.Terms.Class
 		}
 	}
-	if h.class == nil {
+	if p.class == nil {
 		c.log.Error("a message behind its window is of a class that is not configured: it is returned", "id", r.ID, "class", r.Class)
 		c.backlog.LeaveWindow(x.Partner)
 		c.endInBacklog(r, x.Seq)
 		return
 	}
 	in.History = logic.History{Inherited: c.takeover == nil && c.backlog.FromEarlierProcess(x.Seq)}
-	c.pending[m.ID] = h
+	c.pending[m.ID] = p
 	c.pendingCount++
 	c.backlog.refilled, c.backlog.refilledIDs[m.ID] = append(c.backlog.refilled, x), true
 	c.records = append(c.records, journal.Record{Op: journal.OpAccept,
@@ -309,7 +309,7 @@
 	}
 	if err != nil {
 		for _, x := range c.backlog.refilled {
-			if h := c.pending[x.Record.ID]; h != nil {
+			if p := c.pending[x.Record.ID]; p != nil {
 				c.pendingCount--
 				delete(c.pending, x.ID)
 				c.nextEvents = append(c.nextEvents, logic.ClientGone{ID: x.Record.ID})
--- a/internal/core/check.go
+++ b/internal/core/check.go
@@ -8,14 +8,13 @@
 	"cometrack/logic"
 )
 
-// MaxRequestedTime is the longest time that anybody may name.
+// MaxRequestedTime is the longest deadline that a client, and the longest wait that an endpoint, may request.
 const MaxRequestedTime = 24 * time.Hour
 
-// holdTimes is the longest time that a message may ask for, in times of its
-// class's deadline.
+// maxDeadlineFactor is the longest deadline that may be requested for a message, as a multiple of its class's deadline.
 const maxDeadlineFactor = 10
 
-// FieldError says what is wrong with a field of a message that is handed in.
+// FieldError is the error of an invalid field of a submitted message.
 type FieldError struct {
 	Field  string // id, key, order, class, tenant, partner, deadline or body
 	Reason string
@@ -23,8 +22,8 @@
 
 func (e *FieldError) Error() string { return fmt.Sprintf("%s: %s", e.Field, e.Reason) }
 
-// Deadline is how long messages of a class may be delivered where nobody says
-// otherwise.
+// Deadline returns the time within which messages of a class must be delivered if the client sets no deadline. It
+// returns false if there is no such class.
 func (c *Core) Deadline(class string) (time.Duration, bool) {
 	x := c.clientTerms.Load().class(class)
 	if x == nil {
@@ -33,42 +32,41 @@
 	return toDuration(x.Deadline), true
 }
 
-// Check says what is wrong with a message that may be delivered for hold from now
-// on: the first field at fault, as a *FieldError. Whether its partner is known is
-// for [Core.Submit] to say.
-func (c *Core) Check(m *message.Message, hold time.Duration) error {
-	bad := func(field, format string, args ...any) error {
+// Check validates a message that may be delivered for hold from now on. It returns a *FieldError for the first invalid
+// field. Whether the partner is known is checked by [Core.Submit].
+func (c *Core) Check(m *message.Message, validFor time.Duration) error {
+	fieldError := func(field, format string, args ...any) error {
 		return &FieldError{field, fmt.Sprintf(format, args...)}
 	}
 	for _, f := range [...]struct {
 		field, text string
-		must        bool
+		required    bool
 	}{{"id", m.ID, true}, {"key", m.Key, false}, {"order", m.Order, false}, {"partner", m.Partner, true}} {
 		switch {
-		case f.text == "" && f.must:
-			return bad(f.field, "must be given")
+		case f.text == "" && f.required:
+			return fieldError(f.field, "must be given")
 		case len(f.text) > message.MaxName:
-			return bad(f.field, "over %d bytes", message.MaxName)
+			return fieldError(f.field, "over %d bytes", message.MaxName)
 		case !message.Plain(f.text):
-			return bad(f.field, "holds what is not visible ASCII")
+			return fieldError(f.field, "holds what is not visible ASCII")
 		}
 	}
-	stated := c.clientTerms.Load()
-	class := stated.class(m.Class)
+	current := c.clientTerms.Load()
+	class := current.class(m.Class)
 	if class == nil {
-		return bad("class", "unknown class")
+		return fieldError("class", "unknown class")
 	}
 	if class.Effect == logic.Keyed && m.Key == "" {
-		return bad("key", "must be given in a keyed class")
+		return fieldError("key", "must be given in a keyed class")
 	}
-	if most := min(maxDeadlineFactor*toDuration(class.Deadline), MaxRequestedTime); hold < 0 || hold > most {
-		return bad("deadline", "not within 0 and %v from now", most)
+	if maxValid := min(maxDeadlineFactor*toDuration(class.Deadline), MaxRequestedTime); validFor < 0 || validFor > maxValid {
+		return fieldError("deadline", "not within 0 and %v from now", maxValid)
 	}
-	if _, ok := stated.tenants[m.Tenant]; !ok && m.Tenant != "" {
-		return bad("tenant", "unknown tenant")
+	if _, ok := current.tenants[m.Tenant]; !ok && m.Tenant != "" {
+		return fieldError("tenant", "unknown tenant")
 	}
 	if len(m.Body) > message.MaxBody {
-		return bad("body", "over %d bytes", message.MaxBody)
+		return fieldError("body", "over %d bytes", message.MaxBody)
 	}
 	return nil
 }
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -17,90 +17,95 @@
 )
 
 const (
-	attemptStopTimeout = 3200 * time.Millisecond // what is sent after that must end by then
+	// attemptStopTimeout is the time from the start of a shutdown within which the attempts that are still made
+	// must end.
+	attemptStopTimeout = 3200 * time.Millisecond
 	sweepInterval      = time.Second
-	// lateClientTimeout is how long clients may be answered once the loop has ended: longer than
-	// the fronts take for it.
+	// lateClientTimeout is the time for which submissions are still rejected once the loop has ended. It exceeds
+	// the time that the fronts need to close their connections.
 	lateClientTimeout = permit.MaxStall + 150*time.Millisecond
-	retryDelay        = 250 * time.Millisecond // of an attempt that could not be written to the journal
-	eventQueueSize    = 4096
+	// retryDelay is the pause before an operation is repeated that failed for a lack of local resources, such as
+	// disk space or file descriptors.
+	retryDelay     = 250 * time.Millisecond
+	eventQueueSize = 4096 // events that wait for the loop
 )
 
-// Config is what the core needs to know of a deployment.
+// Config is the part of a deployment's configuration that the core uses.
 type Config struct {
 	Name            string
 	Settings        logic.Settings
 	Seed            uint64
 	Zones           []string      // names, in the order of logic.Entry.Zone
-	CachedEndpoints *EndpointList // the endpoints as last known, perhaps old; nil if none are
-	// NotifyDelivered has the end sink told of deliveries too; else it hears of
-	// messages that ended otherwise.
+	CachedEndpoints *EndpointList // the last known endpoint list, which may be outdated; nil for none
+	// NotifyDelivered passes deliveries to the end sink too; without it the sink gets only
+	// the messages that were returned or failed.
 	NotifyDelivered bool
-	// PersistWaits keeps waits that endpoints have told over a restart.
+	// PersistWaits keeps the waits that endpoints have requested across a restart.
 	PersistWaits bool
 }
 
-// Dependencies are what a core works with. It owns the store from New on.
+// Dependencies are the components that a core works with. The core owns the store once New is called.
 type Dependencies struct {
 	Store     Store
 	Transport Transport
 	Source    Source
 	Sink      EndSink
 	Log       *slog.Logger
-	Lifecycle *lifecycle.Controller // nil for one of its own
-	Monitor   *permit.Monitor       // counts what was refused and what must not be; nil for none
-	// ReopenStore opens the store again that was closed for a handover; nil if nothing is
-	// ever handed over.
+	Lifecycle *lifecycle.Controller // nil to create one
+	Monitor   *permit.Monitor       // counts denied actions and violated rules; nil for none
+	// ReopenStore opens the store again after a failed handover, for which it was closed; nil if this process
+	// never hands over.
 	ReopenStore func() (Store, error)
-	// AllowedShare is which part of each partner's rate may be used now, 0 to 1; nil for all
-	// that the source's weights tell. It may fall at any time.
+	// AllowedShare returns the share of each partner's rate that may be used now, 0 to 1; nil if the source's
+	// weights are the only limit. It may fall at any time.
 	AllowedShare func() float64
 	// Peers are the senders with which observations are shared; nil for none.
 	Peers Peers
-	// OpenBacklog opens what keeps messages behind the windows of their destinations, once
-	// the store is open; nil, or a nil Backlog, for none: all are in the module. What is
-	// told belongs to that Backlog's Take.
+	// OpenBacklog opens the backlog of messages beyond the in-memory windows of their destinations, once the store
+	// is open. If it is nil or returns a nil Backlog, all pending messages are held by the scheduler. The events
+	// given to tell are for that Backlog's HandleEvent.
 	OpenBacklog func(s Store, tell func(event any, quit <-chan struct{})) (Backlog, error)
-	// Takeover is what another process hands over; nil for a start from the store alone.
+	// Takeover is the state handed over by the predecessor; nil for a start from the store alone.
 	Takeover *Takeover
 }
 
-// LifecycleTimes are those of the lifecycle that the core keeps to.
+// LifecycleTimes are the timeouts of the process lifecycle on which the timeouts of this package are based.
 var LifecycleTimes = lifecycle.Timeouts{DrainGrace: 500 * time.Millisecond, StopTimeout: 3400 * time.Millisecond}
 
-// pendingMessage is a message that the module has and that is not over.
+// pendingMessage is a message that the scheduler holds and that has not ended, or of which an attempt is still in
+// flight.
 type pendingMessage struct {
 	msg         *message.Message
-	acceptedAt  int64 // when it was taken on, by the core's clock
+	acceptedAt  int64 // by the core's clock
 	attempts    int
-	termsNumber int64              // the number of the terms that it is held to
-	class       *logic.Class       // of these; nil if it is not known
-	bodyInStore bool               // its body is in the store only
-	front       *FrontLimiter      // that it came through; nil after a restart
-	ended       bool               // ended; an attempt is still out
-	cancel      context.CancelFunc // of the attempt that is out
-	attempt     *Attempt           // that attempt
+	termsNumber int64              // number of the terms under which it was accepted
+	class       *logic.Class       // its class in these terms; nil if the class is unknown
+	bodyInStore bool               // the body is in the store only
+	front       *FrontLimiter      // limiter of the front that submitted it; nil after a restart
+	ended       bool               // it has ended, but an attempt is still in flight
+	cancel      context.CancelFunc // cancels the attempt in flight; nil if there is none
+	attempt     *Attempt           // the attempt in flight; nil if there is none
 }
 
-// endReport is an end that is to be told.
+// endReport is the end of a message that is still to be reported.
 type endReport struct {
 	msg    *message.Message
 	end    message.End
-	notify bool // the sink is to hear of it; else only those who wait for the message's state
+	notify bool // pass it to the end sink; otherwise only to callers that wait for the message's state
 }
 
-// Core is one sender.
+// Core runs the message processing of one sender: its loop owns the scheduler and all pending messages.
 type Core struct {
 	cfg          Config
 	reopenStore  func() (Store, error)
 	allowedShare func() float64
 	peers        Peers // nil for none
 	takeover     *Takeover
-	clientTerms  atomic.Pointer[terms] // what clients are held to
+	clientTerms  atomic.Pointer[terms] // the terms that new messages are checked against
 	log          *slog.Logger
 	monitor      *permit.Monitor
 	metrics      Metrics
-	clock        *clock.Clock // of all times that outlive the process
+	clock        *clock.Clock // for all times that outlive the process
 	store        Store
 	transport    Transport
 	source       Source
@@ -112,62 +117,67 @@
 	done         chan struct{} // closed when the loop has ended
 	ready        chan struct{} // closed once clients are served
 
-	// What follows belongs to the loop.
+	// The fields below are used by the loop only.
 	directory       *directory
-	weightShare     float64                     // of each rate that the weights are made for
-	causalMarks     map[logic.EndpointID]uint64 // of the last lesson that the module was told
-	earlyWaits      map[string]earlyWait        // by endpoint
-	listReceived    bool                        // the source itself has told of a list, in the life of this process
+	weightShare     float64                     // share of each rate on which the weights of the list are based
+	causalMarks     map[logic.EndpointID]uint64 // mark of the last observation by peers given to the scheduler
+	earlyWaits      map[string]earlyWait        // by endpoint name
+	listReceived    bool                        // the source has sent a list to this process, or to the predecessor
 	timer           *time.Timer
 	timerToken      uint64
 	start           time.Time
 	pending         map[string]*pendingMessage
-	pendingCount    int           // of held, those not over
-	prunedAt        time.Time     // when what nothing refers to was last dropped
-	backlog         loopBacklog   // what the module does not have
+	pendingCount    int           // messages in pending that have not ended
+	prunedAt        time.Time     // when the directory was last pruned
+	backlog         loopBacklog   // pending messages that the scheduler does not hold
 	nextEvents      []logic.Event // for the next step
 	submissions     []submitEvent
-	newMessages     map[string]*message.Message // of puts, those that are new, by id
+	newMessages     map[string]*message.Message // new messages among the submissions, by ID
 	stateQueries    []stateQueryEvent
 	records         []journal.Record
 	fronts          []*FrontLimiter
-	unreportedEnds  []endReport // ends that are to be told once the journal holds them; no more than messages are held
-	endedIDs        []string    // messages that are over since the last step
+	unreportedEnds  []endReport // ends that wait for the journal; no more than there are pending messages
+	endedIDs        []string    // messages that ended since the last step
 	watchers        map[string][]chan State
-	terms           *terms // what messages are taken on under
+	terms           *terms // the terms under which messages are accepted
 	settingsUpdates int
-	deciding        context.Context             // over once another process decides
-	handoverRequest *handoverEvent              // has asked
-	remoteAttempts  map[string]*pendingMessage  // attempts that another process has out, by message
-	storeMu         sync.RWMutex                // of the field store, for those beside the loop
-	savedPartners   map[string]*journal.Partner // what an earlier process knew of partners, until they are on the list
+	deciding        context.Context             // done once the successor decides
+	handoverRequest *handoverEvent              // the handover that was requested; nil for none
+	remoteAttempts  map[string]*pendingMessage  // messages with an attempt in flight in the predecessor, by ID
+	storeMu         sync.RWMutex                // guards the field store for goroutines other than the loop
+	savedPartners   map[string]*journal.Partner // partner states of earlier processes whose partners are not listed yet
 }
 
-// New makes a core. Run starts it.
-func New(cfg Config, parts Dependencies) (*Core, error) {
+// New creates a core. Run starts it.
+func New(cfg Config, deps Dependencies) (*Core, error) {
 	sender, err := logic.New(cfg.Settings, cfg.Seed)
 	if err != nil {
 		return nil, err
 	}
-	if parts.Lifecycle == nil {
-		parts.Lifecycle = lifecycle.NewController(LifecycleTimes, parts.Log)
+	if deps.Lifecycle == nil {
+		deps.Lifecycle = lifecycle.NewController(LifecycleTimes, deps.Log)
 	}
-	c := &Core{cfg: cfg, lifecycle: parts.Lifecycle, reopenStore: parts.ReopenStore, allowedShare: parts.AllowedShare, peers: parts.Peers, causalMarks: map[logic.EndpointID]uint64{}, earlyWaits: map[string]earlyWait{}, takeover: parts.Takeover, newBacklog: parts.OpenBacklog, remoteAttempts: map[string]*pendingMessage{}, log: parts.Log, monitor: parts.Monitor, clock: parts.Store.Clock(), store: parts.Store,
-		transport: parts.Transport, source: parts.Source, sink: parts.Sink, sender: sender,
+	c := &Core{cfg: cfg, lifecycle: deps.Lifecycle, reopenStore: deps.ReopenStore,
+		allowedShare: deps.AllowedShare, peers: deps.Peers, causalMarks: map[logic.EndpointID]uint64{},
+		earlyWaits: map[string]earlyWait{}, takeover: deps.Takeover, newBacklog: deps.OpenBacklog,
+		remoteAttempts: map[string]*pendingMessage{}, log: deps.Log, monitor: deps.Monitor,
+		clock: deps.Store.Clock(), store: deps.Store,
+		transport: deps.Transport, source: deps.Source, sink: deps.Sink, sender: sender,
 		events: make(chan any, eventQueueSize), done: make(chan struct{}), ready: make(chan struct{}),
 		directory: newDirectory(cfg.Zones, cfg.Settings.Kinds), start: time.Now(), timer: time.NewTimer(time.Hour),
-		pending: map[string]*pendingMessage{}, newMessages: map[string]*message.Message{}, watchers: map[string][]chan State{}}
+		pending: map[string]*pendingMessage{}, newMessages: map[string]*message.Message{},
+		watchers: map[string][]chan State{}}
 	c.clientTerms.Store(newTerms(cfg.Settings))
 	return c, c.setTerms(newTerms(cfg.Settings))
 }
 
-// Clock is the clock that deadlines of messages are of.
+// Clock returns the clock by which deadlines of messages are given.
 func (c *Core) Clock() *clock.Clock { return c.clock }
 
-// Metrics are what the core counts.
+// Metrics returns the counters of the core.
 func (c *Core) Metrics() *Metrics { return &c.metrics }
 
-// Ready is closed once the fronts serve clients.
+// Ready returns a channel that is closed once the fronts serve clients.
 func (c *Core) Ready() <-chan struct{} { return c.ready }
 
 func toDuration(t logic.Micros) time.Duration { return time.Duration(t) * time.Microsecond }
@@ -175,22 +185,22 @@
 	return logic.Micros(d / time.Microsecond)
 }
 
-// Run serves until ctx is cancelled, then shuts down in good order. It closes the
-// store.
+// Run serves until ctx is cancelled and then shuts down gracefully. After a handover it returns once the requests
+// and attempts of this process have finished. It closes the store.
 func (c *Core) Run(ctx context.Context, fronts ...Front) error {
 	work, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	defer func() { c.store.Close() }()
 	defer c.closeBacklog()
-	deciding, decided := context.WithCancel(work) // over once another process decides
+	deciding, decided := context.WithCancel(work) // done once the successor decides
 	defer decided()
 	c.deciding = deciding
 	if err := c.restore(); err != nil {
 		close(c.done)
 		return err
 	}
-	c.step(work)                       // what the store holds comes first: its ends are due
-	if !c.cfg.Settings.ListOnRequest { // the module does not ask for a list that comes by itself
+	c.step(work)                       // what the store holds comes before new messages: its deadlines may have passed
+	if !c.cfg.Settings.ListOnRequest { // the list is sent without a request by the scheduler
 		c.watchEndpoints()
 	}
 	attrs := []any{"name", c.cfg.Name, "held", len(c.pending)}
@@ -216,7 +226,7 @@
 	c.log.Info("ready", attrs...)
 	c.lifecycle.HandleEvent(lifecycle.Started)
 	close(c.ready)
-	served := make(chan struct{}) // closed when no client is left
+	served := make(chan struct{}) // closed when all client connections are closed
 	stopped := make(chan struct{})
 	go func() {
 		select {
@@ -236,41 +246,42 @@
 		err = c.relay(successor, served, stopped)
 	}
 	close(c.done)
-	cancel() // ends what clients are left
+	cancel() // ends the remaining client connections
 	c.rejectLateSubmissions(served)
 	return err
 }
 
-// follow does what the lifecycle's view says until the process is to end.
+// followLifecycle applies the behavior that the lifecycle prescribes until the process is to exit. It closes served
+// when all client connections are closed, and stopped when the process is to exit in any case.
 func (c *Core) followLifecycle(work context.Context, fronts []Front, served, stopped chan<- struct{}) {
-	grace, end := context.WithCancel(work) // over when what is under way is cut off
-	defer end()
-	open, keep, leaving := true, true, false
+	requestsCtx, abortRequests := context.WithCancel(work) // done when requests in progress are aborted
+	defer abortRequests()
+	accepting, keepAlive, leaving := true, true, false
 	for {
-		v, changed := c.lifecycle.Watch()
-		if v.State == lifecycle.Leaving && !leaving {
+		behavior, changed := c.lifecycle.Watch()
+		if behavior.State == lifecycle.Leaving && !leaving {
 			leaving = true
 			c.post(shutdownEvent{attemptStopTimeout})
 		}
-		if v.KeepAlive != keep {
-			keep = v.KeepAlive
+		if behavior.KeepAlive != keepAlive {
+			keepAlive = behavior.KeepAlive
 			for _, f := range fronts {
-				f.DisableKeepAlives(!keep)
+				f.DisableKeepAlives(!keepAlive)
 			}
 		}
-		if open && !v.AcceptConnections {
-			open = false
-			var left sync.WaitGroup
+		if accepting && !behavior.AcceptConnections {
+			accepting = false
+			var shutdowns sync.WaitGroup
 			for _, f := range fronts {
 				f.CloseListener()
-				left.Go(func() { f.Shutdown(grace, v.ShortenDeadlines) })
+				shutdowns.Go(func() { f.Shutdown(requestsCtx, behavior.ShortenDeadlines) })
 			}
 			go func() {
-				left.Wait()
+				shutdowns.Wait()
 				close(served)
 			}()
 		}
-		if v.ExitNow {
+		if behavior.ExitNow {
 			close(stopped)
 			return
 		}
@@ -282,30 +293,30 @@
 	}
 }
 
-// watch follows the endpoints, as long as this process decides.
+// watchEndpoints passes updates of the endpoint list to the loop as long as this process decides.
 func (c *Core) watchEndpoints() {
-	c.source.Watch(c.deciding, func(n EndpointUpdate) { c.post(n) })
+	c.source.Watch(c.deciding, func(update EndpointUpdate) { c.post(update) })
 }
 
-// turnAway answers what has come too late for the loop, until no client is left.
+// rejectLateSubmissions answers submissions that arrive after the end of the loop, until all clients are gone.
 func (c *Core) rejectLateSubmissions(served <-chan struct{}) {
-	late := time.NewTimer(lateClientTimeout)
-	defer late.Stop()
+	timeout := time.NewTimer(lateClientTimeout)
+	defer timeout.Stop()
 	for {
 		select {
 		case ev := <-c.events:
-			if put, ok := ev.(submitEvent); ok {
-				put.respond(SubmitResponse{Status: Stopped})
+			if submission, ok := ev.(submitEvent); ok {
+				submission.respond(SubmitResponse{Status: Stopped})
 			}
 			continue
 		case <-served:
-		case <-late.C:
+		case <-timeout.C:
 		}
 		return
 	}
 }
 
-// post hands the loop what has happened; false once the loop has ended.
+// post passes an event to the loop. It returns false once the loop has ended.
 func (c *Core) post(ev any) bool {
 	select {
 	case c.events <- ev:
@@ -315,7 +326,7 @@
 	}
 }
 
-// settle hands the loop an event and waits until it says on done what became of it.
+// postAndWait passes an event to the loop and returns the error that the loop sends on done.
 func (c *Core) postAndWait(ev any, done <-chan error) error {
 	if !c.post(ev) {
 		return ErrStopped
--- a/internal/core/directory.go
+++ b/internal/core/directory.go
@@ -8,12 +8,11 @@
 )
 
 const (
-	goneRetention    = time.Minute      // an endpoint off the list is remembered so long: it may come back
-	partnerRetention = 10 * time.Minute // a partner without endpoints or messages keeps its number so long
+	goneRetention    = time.Minute      // an endpoint that left the list is kept for this long, as it may return
+	partnerRetention = 10 * time.Minute // a partner without endpoints and messages keeps its number for this long
 )
 
-// directory maps the names of endpoints and partners to the module's numbers. The
-// loop owns it.
+// directory maps the names of endpoints and partners to the scheduler's numbers. It is used by the loop only.
 type directory struct {
 	zones           []string
 	kinds           []logic.Kind
@@ -24,22 +23,22 @@
 	lastDestination int64
 }
 
-// target is where an endpoint can be reached.
+// listedEndpoint is an endpoint that is on the list, or was a short while ago.
 type listedEndpoint struct {
-	name      string // on the list
+	name      string
 	addr      string
 	zone      int
 	partner   string
 	kind      int
 	state     logic.Readiness
 	weight    float64
-	goneSince time.Time // when it was taken off the list; zero while it is on it
+	goneSince time.Time // when it left the list; zero while it is listed
 }
 
-// partner is a destination of the module.
+// partner is a destination of the scheduler.
 type partner struct {
 	destination int64
-	endpoints   int       // endpoints, those that were taken off the list a short while ago too
+	endpoints   int       // number of endpoints, including those that left the list a short while ago
 	lastUsed    time.Time // when it last had an endpoint or a message
 }
 
@@ -48,7 +47,7 @@
 		endpoints: map[logic.EndpointID]listedEndpoint{}, partners: map[string]*partner{}}
 }
 
-// partner returns the entry of a partner, and makes one if there is none.
+// partner returns the entry of a partner, and creates it if it is missing.
 func (d *directory) partner(name string) *partner {
 	p := d.partners[name]
 	if p == nil {
@@ -59,13 +58,13 @@
 	return p
 }
 
-// serves says whether a partner has an endpoint, or had one a short while ago.
+// hasEndpoint reports whether a partner has an endpoint, or had one a short while ago.
 func (d *directory) hasEndpoint(name string) bool {
 	p := d.partners[name]
 	return p != nil && p.endpoints > 0
 }
 
-// zone is the name of a zone; empty for one that is not known.
+// zoneName returns the name of a zone; empty if the zone is unknown.
 func (d *directory) zoneName(i int) string {
 	if i < 0 || i >= len(d.zones) {
 		return ""
@@ -73,7 +72,7 @@
 	return d.zones[i]
 }
 
-// kindName is the name of a kind; empty for one that is not known.
+// kindName returns the name of a kind; empty if the kind is unknown.
 func (d *directory) kindName(i int) string {
 	if i < 0 || i >= len(d.kinds) {
 		return ""
@@ -81,11 +80,11 @@
 	return d.kinds[i].Name
 }
 
-// spare says that forget needs to know what is in use: an endpoint has long been off
-// the list, or a partner has none.
+// needsPruning reports whether prune must be given the endpoints and partners in use: an endpoint left the list more
+// than goneRetention ago, or a partner has no endpoint.
 func (d *directory) needsPruning(now time.Time) bool {
-	for _, to := range d.endpoints {
-		if !to.goneSince.IsZero() && now.Sub(to.goneSince) > goneRetention {
+	for _, entry := range d.endpoints {
+		if !entry.goneSince.IsZero() && now.Sub(entry.goneSince) > goneRetention {
 			return true
 		}
 	}
@@ -97,17 +96,17 @@
 	return false
 }
 
-// forget drops endpoints that have long been off the list and partners that have
-// long had nothing, but for those in use.
-func (d *directory) prune(now time.Time, calls map[logic.EndpointID]bool, messages map[string]bool) {
-	for id, to := range d.endpoints {
-		if !to.goneSince.IsZero() && now.Sub(to.goneSince) > goneRetention && !calls[id] {
+// prune removes endpoints and partners whose retention has expired, except for endpoints with calls and partners
+// with messages.
+func (d *directory) prune(now time.Time, endpointsInUse map[logic.EndpointID]bool, partnersInUse map[string]bool) {
+	for id, entry := range d.endpoints {
+		if !entry.goneSince.IsZero() && now.Sub(entry.goneSince) > goneRetention && !endpointsInUse[id] {
 			d.removeEndpoint(id)
 		}
 	}
 	for name, p := range d.partners {
 		switch {
-		case p.endpoints > 0 || messages[name]:
+		case p.endpoints > 0 || partnersInUse[name]:
 			p.lastUsed = now
 		case now.Sub(p.lastUsed) > partnerRetention:
 			delete(d.partners, name)
@@ -116,59 +115,61 @@
 }
 
 func (d *directory) removeEndpoint(id logic.EndpointID) {
-	to, ok := d.endpoints[id]
+	entry, ok := d.endpoints[id]
 	if !ok {
 		return
 	}
 	delete(d.endpoints, id)
-	delete(d.endpointIDs, to.name)
-	d.partners[to.partner].endpoints--
+	delete(d.endpointIDs, entry.name)
+	d.partners[entry.partner].endpoints--
 }
 
-// take turns a list into the module's entries. An endpoint keeps its number as long
-// as it is on the list, whatever its address, and for a while after.
-func (d *directory) applyList(l EndpointList) []logic.Entry {
-	rows := make([]logic.Entry, 0, len(l.Endpoints))
+// applyList applies a list to the directory and returns its entries for the scheduler. An endpoint keeps its number
+// while it is listed, even if its address changes, and for goneRetention after that.
+func (d *directory) applyList(list EndpointList) []logic.Entry {
+	rows := make([]logic.Entry, 0, len(list.Endpoints))
 	now := time.Now()
-	if l.Complete {
-		on := map[string]bool{}
-		for _, in := range l.Endpoints {
-			on[in.Name] = true
+	if list.Complete {
+		listedNames := map[string]bool{}
+		for _, listed := range list.Endpoints {
+			listedNames[listed.Name] = true
 		}
-		for id, to := range d.endpoints {
-			if !on[to.name] && to.goneSince.IsZero() {
-				to.goneSince = now
-				d.endpoints[id] = to
+		for id, entry := range d.endpoints {
+			if !listedNames[entry.name] && entry.goneSince.IsZero() {
+				entry.goneSince = now
+				d.endpoints[id] = entry
 			}
 		}
 	}
-	for _, in := range l.Endpoints {
-		id, ok := d.endpointIDs[in.Name]
-		if !ok && in.State == logic.Gone {
-			continue // it was never on our list, or is forgotten
+	for _, listed := range list.Endpoints {
+		id, ok := d.endpointIDs[listed.Name]
+		if !ok && listed.State == logic.Gone {
+			continue // it was never listed, or has been pruned
 		}
 		if !ok {
 			d.lastEndpoint++
 			id = d.lastEndpoint
-			d.endpointIDs[in.Name] = id
+			d.endpointIDs[listed.Name] = id
 		}
-		row := logic.Entry{Endpoint: id, Zone: slices.Index(d.zones, in.Zone), Dest: d.partner(in.Partner).destination,
-			Kind:  slices.IndexFunc(d.kinds, func(k logic.Kind) bool { return k.Name == in.Kind }),
-			State: in.State, NominalRate: in.Weight}
-		to, listed := d.endpoints[id]
-		if listed {
-			d.partners[to.partner].endpoints--
+		row := logic.Entry{Endpoint: id, Zone: slices.Index(d.zones, listed.Zone),
+			Dest:  d.partner(listed.Partner).destination,
+			Kind:  slices.IndexFunc(d.kinds, func(k logic.Kind) bool { return k.Name == listed.Kind }),
+			State: listed.State, NominalRate: listed.Weight}
+		entry, known := d.endpoints[id]
+		if known {
+			d.partners[entry.partner].endpoints--
 		}
-		if in.Addr != "" || !listed {
-			to = listedEndpoint{name: in.Name, addr: in.Addr, zone: row.Zone, partner: in.Partner, kind: row.Kind, goneSince: to.goneSince}
+		if listed.Addr != "" || !known {
+			entry = listedEndpoint{name: listed.Name, addr: listed.Addr, zone: row.Zone, partner: listed.Partner, kind: row.Kind,
+				goneSince: entry.goneSince}
 		}
-		to.state, to.weight = in.State, in.Weight
-		if d.partner(to.partner).endpoints++; row.State != logic.Gone {
-			to.goneSince = time.Time{}
-		} else if to.goneSince.IsZero() {
-			to.goneSince = now
+		entry.state, entry.weight = listed.State, listed.Weight
+		if d.partner(entry.partner).endpoints++; row.State != logic.Gone {
+			entry.goneSince = time.Time{}
+		} else if entry.goneSince.IsZero() {
+			entry.goneSince = now
 		}
-		d.endpoints[id] = to
+		d.endpoints[id] = entry
 		rows = append(rows, row)
 	}
 	return rows
--- a/internal/core/doc.go
+++ b/internal/core/doc.go
@@ -1,8 +1,8 @@
-// Package core owns the decision module: it holds the messages, writes the
-// journal, lets a [logic.Sender] decide what is sent where and when, and acts on
-// its word. It decides nothing about messages itself.
+// Package core runs one sender: it holds the pending messages, writes the journal, passes events to the scheduler, a
+// [logic.Sender] that decides which message is sent where and when, and carries out the actions that the scheduler
+// returns. It makes no decisions about messages itself.
 //
-// How messages come in, how they go out, who the partners are and who is told of
-// ends is a matter of fronts, transports, sources and end sinks. The core knows
-// them by the interfaces in this package and imports none of them.
+// Fronts accept messages from clients, transports deliver them to endpoints, sources list the endpoints of partners,
+// and end sinks report how messages ended. The core uses them through the interfaces of this package and imports
+// none of them.
 package core
--- a/internal/core/door.go
+++ b/internal/core/door.go
@@ -8,18 +8,17 @@
 	"cometrack/internal/message"
 )
 
-// FrontLimiter is the way of one front to the core. It bounds what the front may have
-// under way, so that one that is flooded leaves the others their part: of the
-// questions that wait for the loop each has an even share, and half of its even
-// share of the messages held is kept free for it.
+// FrontLimiter passes the requests of one front to the core and limits them, so that a flooded front leaves the
+// others their share: each front may have an even share of the requests that wait for the loop, and half of its even
+// share of the pending limit is reserved for it.
 type FrontLimiter struct {
 	core  *Core
-	slots chan struct{} // a place for each request that the loop has yet to answer
+	slots chan struct{} // holds an element for each request that the loop has not answered
 
-	pending int // messages held that came through it; the loop's
+	pending int // pending messages that were submitted through it; used by the loop only
 }
 
-// NewFrontLimiter makes a way for one of so many fronts. It is called before Run.
+// NewFrontLimiter creates the limiter of one front; fronts is the number of all fronts. It must be called before Run.
 func (c *Core) NewFrontLimiter(fronts int) *FrontLimiter {
 	d := &FrontLimiter{core: c, slots: make(chan struct{}, max(eventQueueSize/2/max(fronts, 1), 1))}
 	c.fronts = append(c.fronts, d)
@@ -27,25 +26,23 @@
 }
 
 // Check is [Core.Check].
-func (d *FrontLimiter) Check(m *message.Message, hold time.Duration) error {
-	return d.core.Check(m, hold)
+func (d *FrontLimiter) Check(m *message.Message, validFor time.Duration) error {
+	return d.core.Check(m, validFor)
 }
 
 // Clock is [Core.Clock].
 func (d *FrontLimiter) Clock() *clock.Clock { return d.core.clock }
 
-// Submit is [Core.Submit]; it waits while too many of the front's requests are
-// unanswered.
-func (d *FrontLimiter) Submit(m *message.Message, answer chan<- SubmitResponse) {
+// Submit is [Core.Submit]. It blocks while too many requests of the front are unanswered.
+func (d *FrontLimiter) Submit(m *message.Message, response chan<- SubmitResponse) {
 	d.slots <- struct{}{}
-	if !d.core.post(submitEvent{msg: m, front: d, response: answer}) {
+	if !d.core.post(submitEvent{msg: m, front: d, response: response}) {
 		<-d.slots
-		answer <- SubmitResponse{Status: Stopped}
+		response <- SubmitResponse{Status: Stopped}
 	}
 }
 
-// State is [Core.State]; it waits while too many of the front's requests are
-// unanswered.
+// State is [Core.State]. It blocks while too many requests of the front are unanswered.
 func (d *FrontLimiter) State(ctx context.Context, id string, wait bool) (State, error) {
 	d.slots <- struct{}{}
 	s, err := d.core.State(ctx, id, false)
@@ -56,36 +53,36 @@
 	return d.core.State(ctx, id, true)
 }
 
-// tell gives a message that was handed in its answer.
-func (ev submitEvent) respond(a SubmitResponse) {
-	ev.response <- a
+// respond sends the response to a submitted message and frees its slot.
+func (ev submitEvent) respond(response SubmitResponse) {
+	ev.response <- response
 	if ev.front != nil {
 		<-ev.front.slots
 	}
 }
 
-// roomFor says whether another message may be held that comes through d.
+// hasRoomFor reports whether the pending limit allows another message that is submitted through d.
 func (c *Core) hasRoomFor(d *FrontLimiter) bool {
-	most := c.terms.settings.MaxOpen
-	if most == 0 {
+	limit := c.terms.settings.MaxOpen
+	if limit == 0 {
 		return true
 	}
-	kept := 0
-	for _, x := range c.fronts {
-		if x != d {
-			kept += max(most/2/len(c.fronts)-x.pending, 0)
+	reserved := 0
+	for _, other := range c.fronts {
+		if other != d {
+			reserved += max(limit/2/len(c.fronts)-other.pending, 0)
 		}
 	}
-	return c.pendingCount+c.backlog.count()+kept < most
+	return c.pendingCount+c.backlog.count()+reserved < limit
 }
 
-// leave takes a message that is over, or was never taken on, out of the counts.
-func (c *Core) uncount(h *pendingMessage) {
+// uncount removes a message that has ended, or was not accepted, from the counts of pending messages.
+func (c *Core) uncount(p *pendingMessage) {
 	c.pendingCount--
 	if c.backlog.Backlog != nil {
-		c.backlog.LeaveWindow(h.msg.Partner)
+		c.backlog.LeaveWindow(p.msg.Partner)
 	}
-	if h.front != nil {
-		h.front.pending--
+	if p.front != nil {
+		p.front.pending--
 	}
 }
--- a/internal/core/handover.go
+++ b/internal/core/handover.go
@@ -129,9 +129,9 @@
 	out := &handover.Snapshot{Format: handover.Format, At: c.clock.At(now), Heard: c.listReceived, Version: c.source.Version(),
 		Partners: map[string]*journal.Partner{}, Listeners: len(fronts)}
 	busy := map[logic.EndpointID]bool{} // endpoints with calls
-	for _, h := range c.pending {
-		if h.attempt != nil {
-			busy[h.attempt.Endpoint] = true
+	for _, p := range c.pending {
+		if p.attempt != nil {
+			busy[p.attempt.Endpoint] = true
 		}
 	}
 	for id, to := range c.directory.endpoints {
@@ -150,21 +150,21 @@
 	for _, k := range keys {
 		out.Keys = append(out.Keys, handover.Key{Key: k.Key, Left: int64(k.Remaining)})
 	}
-	for id, h := range c.pending {
-		if h.attempt == nil {
+	for id, p := range c.pending {
+		if p.attempt == nil {
 			continue
 		}
-		if h.attempt.Withhold(permit.HandedOver) || !h.attempt.hasBegun() { // it never goes out
-			h.cancel()
-			if !h.ended {
+		if p.attempt.Withhold(permit.HandedOver) || !p.attempt.hasBegun() { // it never goes out
+			p.cancel()
+			if !p.ended {
 				c.records = append(c.records, journal.Record{Op: journal.OpOutcome, ID: id})
 			}
 			continue
 		}
-		call := handover.Call{ID: id, Over: h.ended, Number: h.attempt.Number, Endpoint: c.directory.endpoints[h.attempt.Endpoint].name,
-			Age: now.Sub(h.attempt.createdAt).Microseconds()}
-		if h.attempt.firstID != id {
-			call.With = h.attempt.firstID
+		call := handover.Call{ID: id, Over: p.ended, Number: p.attempt.Number, Endpoint: c.directory.endpoints[p.attempt.Endpoint].name,
+			Age: now.Sub(p.attempt.createdAt).Microseconds()}
+		if p.attempt.firstID != id {
+			call.With = p.attempt.firstID
 		}
 		out.Calls = append(out.Calls, call)
 	}
--- a/internal/core/inherit.go
+++ b/internal/core/inherit.go
@@ -108,18 +108,18 @@
 }
 
 // adopt books an attempt that the other process has out.
-func (c *Core) adoptAttempt(h *pendingMessage, call handover.Call, in *logic.NewMessage, e *journal.Entry, now int64) {
+func (c *Core) adoptAttempt(p *pendingMessage, call handover.Call, in *logic.NewMessage, e *journal.Entry, now int64) {
 	age := now - c.takeover.Snapshot.At + call.Age
 	ep, ok := c.directory.endpointIDs[call.Endpoint]
 	if !ok { // its list is ours, so it has gone meanwhile: the attempt counts, and its outcome too
 		c.directory.lastEndpoint++
 		ep = c.directory.lastEndpoint
 	}
-	a := &Attempt{Message: h.msg, Number: call.Number, Endpoint: ep, createdAt: c.clock.Moment(now - age), firstID: call.ID}
+	a := &Attempt{Message: p.msg, Number: call.Number, Endpoint: ep, createdAt: c.clock.Moment(now - age), firstID: call.ID}
 	a.state.Store(attemptBegun)
-	h.attempt, h.cancel = a, func() { c.takeover.Predecessor.Send(&handover.Cancel{ID: call.ID, Number: call.Number}) }
-	h.attempts = call.Number + 1
-	c.remoteAttempts[call.ID] = h
+	p.attempt, p.cancel = a, func() { c.takeover.Predecessor.Send(&handover.Cancel{ID: call.ID, Number: call.Number}) }
+	p.attempts = call.Number + 1
+	c.remoteAttempts[call.ID] = p
 	if e != nil {
 		in.History.MayHaveRun = e.MayRun
 		in.History.SinceFirst = logic.Micros(max(now-e.FirstMay, 0))
@@ -136,11 +136,11 @@
 		if !call.Over || !ok || c.pending[id] != nil {
 			continue
 		}
-		h := &pendingMessage{msg: &message.Message{ID: id, Partner: c.directory.endpoints[ep].partner}, ended: true}
-		in := c.newMessageEvent(h.msg, now)
+		p := &pendingMessage{msg: &message.Message{ID: id, Partner: c.directory.endpoints[ep].partner}, ended: true}
+		in := c.newMessageEvent(p.msg, now)
 		in.Class, in.History = 0, logic.History{Attempts: call.Number + 1, Ended: true}
-		c.adoptAttempt(h, call, &in, nil, now)
-		c.pending[id] = h
+		c.adoptAttempt(p, call, &in, nil, now)
+		c.pending[id] = p
 		events = append(events, in)
 	}
 	return events
@@ -212,13 +212,13 @@
 // remoteOutcomes takes outcomes of attempts that the other process had out.
 func (c *Core) applyRemoteOutcomes(list []handover.Outcome) {
 	for _, o := range list {
-		h := c.remoteAttempts[o.ID]
-		if h == nil || h.attempt == nil || h.attempt.Number != o.Number {
+		p := c.remoteAttempts[o.ID]
+		if p == nil || p.attempt == nil || p.attempt.Number != o.Number {
 			continue
 		}
 		delete(c.remoteAttempts, o.ID)
-		h.cancel = func() {}
-		c.handleOutcome(attemptOutcome{attempt: h.attempt, took: o.Took,
+		p.cancel = func() {}
+		c.handleOutcome(attemptOutcome{attempt: p.attempt, took: o.Took,
 			result: Result{Outcome: logic.Outcome(o.Outcome), RequestedWait: o.Wait, MessageEnded: o.Over, Load: o.Load}})
 	}
 }
@@ -228,9 +228,9 @@
 	if n := len(c.remoteAttempts); n > 0 {
 		c.log.Warn("the process that handed over has ended with calls out", "calls", n)
 	}
-	for id, h := range c.remoteAttempts {
+	for id, p := range c.remoteAttempts {
 		delete(c.remoteAttempts, id)
-		h.cancel = func() {}
-		c.handleOutcome(attemptOutcome{attempt: h.attempt, took: time.Since(h.attempt.createdAt), result: Result{Outcome: logic.Cancelled}})
+		p.cancel = func() {}
+		c.handleOutcome(attemptOutcome{attempt: p.attempt, took: time.Since(p.attempt.createdAt), result: Result{Outcome: logic.Cancelled}})
 	}
 }
--- a/internal/core/loop.go
+++ b/internal/core/loop.go
@@ -146,10 +146,10 @@
 	}
 	c.prunedAt = now
 	calls, partners := map[logic.EndpointID]bool{}, map[string]bool{}
-	for _, h := range c.pending {
-		partners[h.msg.Partner] = true
-		if h.attempt != nil {
-			calls[h.attempt.Endpoint] = true
+	for _, p := range c.pending {
+		partners[p.msg.Partner] = true
+		if p.attempt != nil {
+			calls[p.attempt.Endpoint] = true
 		}
 	}
 	c.directory.prune(now, calls, partners)
@@ -184,13 +184,13 @@
 			continue
 		}
 		in := c.newMessageEvent(&e.Message, now)
-		h := &pendingMessage{msg: &e.Message, acceptedAt: e.Accepted, attempts: e.Tries, bodyInStore: e.Left > 0, termsNumber: e.Terms, class: c.terms.class(e.Class)}
+		p := &pendingMessage{msg: &e.Message, acceptedAt: e.Accepted, attempts: e.Tries, bodyInStore: e.Left > 0, termsNumber: e.Terms, class: c.terms.class(e.Class)}
 		if e.Terms != c.terms.number {
 			if in.Terms = classTerms(c.store.Terms(e.Terms), e.Class); in.Terms != nil {
-				h.class = &in.Terms.Class
+				p.class = &in.Terms.Class
 			}
 		}
-		c.pending[e.ID] = h
+		c.pending[e.ID] = p
 		c.pendingCount++
 		in.History = logic.History{Attempts: e.Tries, MayHaveRun: e.MayRun || e.Open, Inherited: c.takeover == nil}
 		if in.History.MayHaveRun {
@@ -198,7 +198,7 @@
 			in.History.Zone = slices.Index(c.cfg.Zones, e.FirstZone)
 		}
 		if call, ok := out[e.ID]; ok && e.Open {
-			c.adoptAttempt(h, call, &in, e, now)
+			c.adoptAttempt(p, call, &in, e, now)
 			delete(out, e.ID)
 		} else if e.Open { // whoever reads the journal next must not take its outcome for a later one's
 			c.records = append(c.records, journal.Record{Op: journal.OpOutcome, ID: e.ID, MayRun: true})
@@ -206,7 +206,7 @@
 		if c.cfg.CachedEndpoints != nil && !c.directory.hasEndpoint(e.Partner) {
 			orphans[e.Partner]++
 		}
-		if h.class == nil {
+		if p.class == nil {
 			c.log.Error("a held message is of a class that is not configured", "id", e.ID, "class", e.Class)
 		}
 		c.nextEvents = append(c.nextEvents, in)
--- a/internal/core/memory.go
+++ b/internal/core/memory.go
@@ -8,86 +8,99 @@
 )
 
 const (
-	// rememberStep and rememberSweep are how many partners are written down at once, with the records of a step
-	// and about once a second. What is left waits for the next time.
+	// maxSavedPerStep and maxSavedPerSweep limit how many partner states are written with the records of one step,
+	// and with those of one sweep, about once a second. The others are written later.
 	maxSavedPerStep  = 4
 	maxSavedPerSweep = 64
 )
 
-// remember writes down what the module has news of. The records go out with those
-// of the next step, or by themselves when the store forgets.
-func (c *Core) savePartners(most int) {
+// savePartners adds records of partner states that have changed, at most limit of them. They are written with the
+// records of the step or the sweep that calls it.
+func (c *Core) savePartners(limit int) {
 	if !c.cfg.Settings.TrackChanges {
 		return
 	}
-	for _, m := range c.sender.ChangedStates(toMicros(time.Since(c.start)), most) {
-		if name, known := c.toJournalPartner(m); name != "" {
-			c.records = append(c.records, journal.Record{Op: journal.OpPartner, ID: name, Partner: known})
+	for _, state := range c.sender.ChangedStates(toMicros(time.Since(c.start)), limit) {
+		if name, saved := c.toJournalPartner(state); name != "" {
+			c.records = append(c.records, journal.Record{Op: journal.OpPartner, ID: name, Partner: saved})
 		}
 	}
 }
 
-// recall hands the module what an earlier process knew of partners that are on the
-// list by now. What was known of others stays for when they come.
+// restorePartners passes the saved states of partners that are listed by now to the scheduler. The other states are
+// kept until their partners are listed.
 func (c *Core) restorePartners() {
 	if len(c.savedPartners) == 0 {
 		return
 	}
 	now := c.clock.Now()
-	for name, known := range c.savedPartners {
+	for name, saved := range c.savedPartners {
 		if c.directory.hasEndpoint(name) {
-			c.nextEvents = append(c.nextEvents, logic.RestoreState{Age: logic.Micros(now - known.At), State: c.toDestinationState(name, known)})
+			c.nextEvents = append(c.nextEvents,
+				logic.RestoreState{Age: logic.Micros(now - saved.At), State: c.toDestinationState(name, saved)})
 			delete(c.savedPartners, name)
 		}
 	}
 }
 
-// toJournal puts names in the place of numbers; no name if the partner has none.
-func (c *Core) toJournalPartner(m logic.DestinationState) (name string, out *journal.Partner) {
-	out = &journal.Partner{Exact: m.Exact, At: c.clock.Now(), Sick: m.Unhealthy, Used: int64(m.SinceUsed), Came: m.Arrivals, Down: int64(m.SinceOutage),
-		Limit: toJournalLimit(m.Limiter), Bins: m.Latencies.Bins, Weights: m.Latencies.Weights, Cuts: m.Latencies.Censored,
-		Sampled: int64(m.Latencies.SinceSample)}
-	for _, x := range m.Endpoints {
-		to, ok := c.directory.endpoints[x.Endpoint]
+// toJournalPartner converts a partner state for the journal, with names in place of the scheduler's numbers. The name
+// is empty if none of the endpoints is listed.
+func (c *Core) toJournalPartner(state logic.DestinationState) (name string, out *journal.Partner) {
+	out = &journal.Partner{Exact: state.Exact, At: c.clock.Now(), Sick: state.Unhealthy, Used: int64(state.SinceUsed),
+		Came: state.Arrivals, Down: int64(state.SinceOutage), Limit: toJournalLimit(state.Limiter), Bins: state.Latencies.Bins,
+		Weights: state.Latencies.Weights, Cuts: state.Latencies.Censored, Sampled: int64(state.Latencies.SinceSample)}
+	for _, endpoint := range state.Endpoints {
+		listed, ok := c.directory.endpoints[endpoint.Endpoint]
 		if !ok {
 			continue
 		}
-		name = to.partner
-		out.Endpoints = append(out.Endpoints, journal.PartnerEndpoint{Name: to.name, Limit: toJournalLimit(x.Limiter), Out: x.Outage, Cold: x.Cold,
-			Back: int64(x.SinceRecovery), Good: int64(x.SinceSuccess), Bad: int64(x.SinceFailure), Well: int64(x.SinceIndependentSuccess), Gap: int64(x.TrialInterval), Failing: x.FailureRatio,
-			Slow: int64(x.Latency), Fails: x.Failures, Fulls: x.Overloads, Resets: x.Resets,
-			Sent: toInt64s(x.Sent), LastSent: int64(x.SinceLastSent), Trial: int64(x.UntilTrial), Told: int64(x.RequestedWait)})
+		name = listed.partner
+		out.Endpoints = append(out.Endpoints, journal.PartnerEndpoint{Name: listed.name, Limit: toJournalLimit(endpoint.Limiter),
+			Out: endpoint.Outage, Cold: endpoint.Cold, Back: int64(endpoint.SinceRecovery), Good: int64(endpoint.SinceSuccess),
+			Bad: int64(endpoint.SinceFailure), Well: int64(endpoint.SinceIndependentSuccess), Gap: int64(endpoint.TrialInterval),
+			Failing: endpoint.FailureRatio, Slow: int64(endpoint.Latency), Fails: endpoint.Failures, Fulls: endpoint.Overloads, Resets: endpoint.Resets,
+			Sent: toInt64s(endpoint.Sent), LastSent: int64(endpoint.SinceLastSent), Trial: int64(endpoint.UntilTrial),
+			Told: int64(endpoint.RequestedWait)})
 	}
 	return name, out
 }
 
-func toJournalLimit(l logic.LimiterState) journal.PartnerLimit {
-	return journal.PartnerLimit{Told: l.Limit, Pace: l.Rate, Halved: int64(l.SinceDecrease), Peak: l.PeakRate, Sent: toInt64s(l.Sent),
-		Tokens: l.Tokens, Wait: int64(l.RequestedWait), Fulls: l.Overloads, First: int64(l.SinceFirstOverload), Spent: l.NearLimit}
+func toJournalLimit(state logic.LimiterState) journal.PartnerLimit {
+	return journal.PartnerLimit{Told: state.Limit, Pace: state.Rate, Halved: int64(state.SinceDecrease), Peak: state.PeakRate,
+		Sent: toInt64s(state.Sent), Tokens: state.Tokens, Wait: int64(state.RequestedWait), Fulls: state.Overloads,
+		First: int64(state.SinceFirstOverload), Spent: state.NearLimit}
 }
 
-func (c *Core) toDestinationState(name string, p *journal.Partner) logic.DestinationState {
-	m := logic.DestinationState{Exact: p.Exact, Dest: c.directory.partner(name).destination, Unhealthy: p.Sick, SinceUsed: logic.Micros(p.Used), Arrivals: p.Came,
-		SinceOutage: logic.Micros(p.Down), Limiter: toLimiterState(p.Limit),
-		Latencies: logic.LatencyHistogram{Bins: p.Bins, Weights: p.Weights, Censored: p.Cuts, SinceSample: logic.Micros(p.Sampled)}}
-	for _, x := range p.Endpoints {
-		id, ok := c.directory.endpointIDs[x.Name]
+// toDestinationState converts a saved partner state for the scheduler, with numbers in place of names. Endpoints that
+// are not listed with the partner are left out.
+func (c *Core) toDestinationState(name string, saved *journal.Partner) logic.DestinationState {
+	state := logic.DestinationState{Exact: saved.Exact, Dest: c.directory.partner(name).destination, Unhealthy: saved.Sick,
+		SinceUsed: logic.Micros(saved.Used), Arrivals: saved.Came, SinceOutage: logic.Micros(saved.Down),
+		Limiter: toLimiterState(saved.Limit),
+		Latencies: logic.LatencyHistogram{Bins: saved.Bins, Weights: saved.Weights, Censored: saved.Cuts,
+			SinceSample: logic.Micros(saved.Sampled)}}
+	for _, endpoint := range saved.Endpoints {
+		id, ok := c.directory.endpointIDs[endpoint.Name]
 		if !ok || c.directory.endpoints[id].partner != name {
 			continue
 		}
-		m.Endpoints = append(m.Endpoints, logic.EndpointState{Endpoint: id, Limiter: toLimiterState(x.Limit), Outage: x.Out, Cold: x.Cold,
-			SinceRecovery: logic.Micros(x.Back), SinceSuccess: logic.Micros(x.Good), SinceFailure: logic.Micros(x.Bad), SinceIndependentSuccess: logic.Micros(x.Well),
-			TrialInterval: logic.Micros(x.Gap), FailureRatio: x.Failing, Latency: logic.Micros(x.Slow), Failures: x.Fails, Overloads: x.Fulls, Resets: x.Resets,
-			EndpointHandover: logic.EndpointHandover{Sent: toMicrosList(x.Sent), SinceLastSent: logic.Micros(x.LastSent), UntilTrial: logic.Micros(x.Trial),
-				RequestedWait: logic.Micros(x.Told)}})
+		state.Endpoints = append(state.Endpoints, logic.EndpointState{Endpoint: id, Limiter: toLimiterState(endpoint.Limit),
+			Outage: endpoint.Out, Cold: endpoint.Cold, SinceRecovery: logic.Micros(endpoint.Back), SinceSuccess: logic.Micros(endpoint.Good),
+			SinceFailure: logic.Micros(endpoint.Bad), SinceIndependentSuccess: logic.Micros(endpoint.Well),
+			TrialInterval: logic.Micros(endpoint.Gap), FailureRatio: endpoint.Failing, Latency: logic.Micros(endpoint.Slow),
+			Failures: endpoint.Fails, Overloads: endpoint.Fulls, Resets: endpoint.Resets,
+			EndpointHandover: logic.EndpointHandover{Sent: toMicrosList(endpoint.Sent),
+				SinceLastSent: logic.Micros(endpoint.LastSent), UntilTrial: logic.Micros(endpoint.Trial),
+				RequestedWait: logic.Micros(endpoint.Told)}})
 	}
-	return m
+	return state
 }
 
-func toLimiterState(l journal.PartnerLimit) logic.LimiterState {
-	return logic.LimiterState{Limit: l.Told, Rate: l.Pace, SinceDecrease: logic.Micros(l.Halved), PeakRate: l.Peak,
-		LimiterHandover: logic.LimiterHandover{Sent: toMicrosList(l.Sent), Tokens: l.Tokens, RequestedWait: logic.Micros(l.Wait), Overloads: l.Fulls,
-			SinceFirstOverload: logic.Micros(l.First), NearLimit: l.Spent}}
+func toLimiterState(limit journal.PartnerLimit) logic.LimiterState {
+	return logic.LimiterState{Limit: limit.Told, Rate: limit.Pace, SinceDecrease: logic.Micros(limit.Halved), PeakRate: limit.Peak,
+		LimiterHandover: logic.LimiterHandover{Sent: toMicrosList(limit.Sent), Tokens: limit.Tokens,
+			RequestedWait: logic.Micros(limit.Wait), Overloads: limit.Fulls,
+			SinceFirstOverload: logic.Micros(limit.First), NearLimit: limit.Spent}}
 }
 
 func toInt64s(list []logic.Micros) (out []int64) {
--- a/internal/core/metrics.go
+++ b/internal/core/metrics.go
@@ -2,24 +2,25 @@
 
 import "sync/atomic"
 
-// Metrics count what a sender has done since it started. They may be read at any time.
+// Metrics are the counters of a sender since its start. They are safe for concurrent use.
 type Metrics struct {
-	Accepted          atomic.Int64 // messages taken on
-	Rejected          atomic.Int64 // messages answered as busy or failed at once
+	Accepted          atomic.Int64 // submitted messages that were accepted
+	Rejected          atomic.Int64 // submitted messages that were rejected as busy or failed at once
 	Delivered         atomic.Int64
 	Returned          atomic.Int64
 	Failed            atomic.Int64
-	Attempts          atomic.Int64 // decided on by the module
+	Attempts          atomic.Int64 // attempts started by the scheduler
 	JournalErrors     atomic.Int64 // steps whose records could not be written
-	EndsAwaitingWrite atomic.Int64 // now: ends that can't be told before they are written
-	Pending           atomic.Int64 // now: messages that are not over
+	EndsAwaitingWrite atomic.Int64 // gauge: ends that are not reported because the journal could not be written
+	Pending           atomic.Int64 // gauge: pending messages held by the scheduler
 }
 
-// Counts tells the metrics by their names.
+// Counts returns the values of all metrics by their names.
 func (m *Metrics) Counts() map[string]int64 {
 	out := map[string]int64{}
-	for name, v := range map[string]*atomic.Int64{"accepted": &m.Accepted, "turned_away": &m.Rejected, "delivered": &m.Delivered, "returned": &m.Returned,
-		"failed": &m.Failed, "attempts": &m.Attempts, "journal_errors": &m.JournalErrors, "ends_waiting": &m.EndsAwaitingWrite, "held": &m.Pending} {
+	for name, v := range map[string]*atomic.Int64{"accepted": &m.Accepted, "turned_away": &m.Rejected,
+		"delivered": &m.Delivered, "returned": &m.Returned, "failed": &m.Failed, "attempts": &m.Attempts,
+		"journal_errors": &m.JournalErrors, "ends_waiting": &m.EndsAwaitingWrite, "held": &m.Pending} {
 		out[name] = v.Load()
 	}
 	return out
--- a/internal/core/others.go
+++ b/internal/core/others.go
@@ -7,74 +7,76 @@
 	"cometrack/logic"
 )
 
-// What senders that know of each other tell each other of partners; the module
-// decides what it means.
+// This file shares observations of partners with the peers; the scheduler decides what follows from them.
 
-// observationsEvent is what others have learnt.
+// peerObservationsEvent are observations by peers.
 type peerObservationsEvent []Observation
 
-// share tells the others what this sender has learnt itself.
-func (c *Core) publishObservation(l Observation, ep logic.EndpointID) {
-	to, ok := c.directory.endpoints[ep]
+// publishObservation publishes an observation that this sender has made of an endpoint.
+func (c *Core) publishObservation(observation Observation, ep logic.EndpointID) {
+	entry, ok := c.directory.endpoints[ep]
 	if c.peers == nil || !ok {
 		return
 	}
-	l.Partner, l.Endpoint, l.CausalMark = to.partner, to.name, c.causalMarks[ep]
-	c.peers.Publish(l)
+	observation.Partner, observation.Endpoint, observation.CausalMark = entry.partner, entry.name, c.causalMarks[ep]
+	c.peers.Publish(observation)
 }
 
-// mostEarly bounds waits that are kept of endpoints that are not on the list.
+// maxEarlyWaits is the maximum number of waits that are kept for endpoints that are not listed.
 const maxEarlyWaits = 1000
 
-// earlyWait is a wait that was heard of an endpoint before the list told of that.
+// earlyWait is a wait that was received from peers before its endpoint was listed.
 type earlyWait struct {
 	partner string
 	until   time.Time
 }
 
-// hears takes what others have learnt. What concerns an endpoint that is not on the
-// list, or has another partner there, is not for this sender; but waits are kept in
-// case it comes.
+// applyObservations applies observations by peers. An observation of an endpoint that is not listed, or is listed with
+// another partner, is ignored, but its wait is kept in case the endpoint is listed later.
 func (c *Core) applyObservations(list []Observation) {
-	for _, l := range list {
-		id, ok := c.directory.endpointIDs[l.Endpoint]
-		if !ok || c.directory.endpoints[id].partner != l.Partner {
-			if at := time.Now().Add(l.RequestedWait); l.RequestedWait > 0 && (len(c.earlyWaits) < maxEarlyWaits || c.earlyWaits[l.Endpoint].partner != "") {
-				c.earlyWaits[l.Endpoint] = earlyWait{l.Partner, at}
+	for _, observation := range list {
+		id, ok := c.directory.endpointIDs[observation.Endpoint]
+		if !ok || c.directory.endpoints[id].partner != observation.Partner {
+			if until := time.Now().Add(observation.RequestedWait); observation.RequestedWait > 0 &&
+				(len(c.earlyWaits) < maxEarlyWaits || c.earlyWaits[observation.Endpoint].partner != "") {
+				c.earlyWaits[observation.Endpoint] = earlyWait{observation.Partner, until}
 			}
 			continue
 		}
-		if l.RequestedWait > 0 {
-			c.nextEvents = append(c.nextEvents, logic.RequestedWait{Endpoint: id, Remaining: toMicros(l.RequestedWait)})
-			c.applyRequestedWait(id, l.RequestedWait)
+		if observation.RequestedWait > 0 {
+			c.nextEvents = append(c.nextEvents, logic.RequestedWait{Endpoint: id, Remaining: toMicros(observation.RequestedWait)})
+			c.applyRequestedWait(id, observation.RequestedWait)
 			continue
 		}
-		c.causalMarks[id] = l.CausalMark
-		c.nextEvents = append(c.nextEvents, logic.PeerHealth{Endpoint: id, Outage: l.Outage, TryNow: l.Recovered || l.TrialIntervalFactor == 1 && !l.Outage, TrialFactor: l.TrialIntervalFactor})
+		c.causalMarks[id] = observation.CausalMark
+		c.nextEvents = append(c.nextEvents, logic.PeerHealth{Endpoint: id, Outage: observation.Outage,
+			TryNow:      observation.Recovered || observation.TrialIntervalFactor == 1 && !observation.Outage,
+			TrialFactor: observation.TrialIntervalFactor})
 	}
 }
 
-// listed takes up waits of endpoints that have come onto the list since they were
-// heard, and drops those that are over.
+// applyEarlyWaits applies the waits of endpoints that have been listed since the waits were received, and drops waits
+// that have expired.
 func (c *Core) applyEarlyWaits(now time.Time) {
-	for name, x := range c.earlyWaits {
+	for name, wait := range c.earlyWaits {
 		id, ok := c.directory.endpointIDs[name]
 		switch {
-		case !now.Before(x.until):
+		case !now.Before(wait.until):
 			delete(c.earlyWaits, name)
-		case ok && c.directory.endpoints[id].partner == x.partner:
+		case ok && c.directory.endpoints[id].partner == wait.partner:
 			delete(c.earlyWaits, name)
-			c.nextEvents = append(c.nextEvents, logic.RequestedWait{Endpoint: id, Remaining: toMicros(x.until.Sub(now))})
-			c.applyRequestedWait(id, x.until.Sub(now))
+			c.nextEvents = append(c.nextEvents, logic.RequestedWait{Endpoint: id, Remaining: toMicros(wait.until.Sub(now))})
+			c.applyRequestedWait(id, wait.until.Sub(now))
 		}
 	}
 }
 
-// waits keeps calls that have not begun from going to where a wait was told, and has
-// it outlive this process.
-func (c *Core) applyRequestedWait(ep logic.EndpointID, d time.Duration) {
+// applyRequestedWait withholds the attempts that have not begun and to which the wait applies, and writes the wait to
+// the journal so that it survives a restart.
+func (c *Core) applyRequestedWait(ep logic.EndpointID, wait time.Duration) {
 	c.withholdForWait(ep)
-	if to, ok := c.directory.endpoints[ep]; ok && c.cfg.PersistWaits {
-		c.records = append(c.records, journal.Record{Op: journal.OpWait, ID: to.name, At: c.clock.Now() + d.Microseconds()})
+	if entry, ok := c.directory.endpoints[ep]; ok && c.cfg.PersistWaits {
+		c.records = append(c.records,
+			journal.Record{Op: journal.OpWait, ID: entry.name, At: c.clock.Now() + wait.Microseconds()})
 	}
 }
--- a/internal/core/relay.go
+++ b/internal/core/relay.go
@@ -38,9 +38,9 @@
 // relay forwards until no call is out and no client is left.
 func (c *Core) relay(ev *handoverEvent, served, stopped <-chan struct{}) error {
 	r := &relay{core: c, successor: ev.successor, inFlight: map[string]*pendingMessage{}, submissions: map[uint64]submitEvent{}, stateQueries: map[uint64]stateQueryEvent{}}
-	for id, h := range c.pending {
-		if h.attempt != nil && h.attempt.hasBegun() {
-			r.inFlight[id] = h
+	for id, p := range c.pending {
+		if p.attempt != nil && p.attempt.hasBegun() {
+			r.inFlight[id] = p
 		}
 	}
 	defer r.successor.Close()
@@ -131,8 +131,8 @@
 
 // callOff calls off what is out.
 func (r *relay) cancelAttempts() {
-	for _, h := range r.inFlight {
-		h.cancel()
+	for _, p := range r.inFlight {
+		p.cancel()
 	}
 }
 
@@ -163,7 +163,7 @@
 	list := handover.Outcomes{}
 	for _, x := range event {
 		id := x.attempt.Message.ID
-		if h := r.inFlight[id]; h == nil || h.attempt != x.attempt {
+		if p := r.inFlight[id]; p == nil || p.attempt != x.attempt {
 			continue
 		}
 		delete(r.inFlight, id)
@@ -190,8 +190,8 @@
 				RetryAfter: m.After, AcceptedAt: fromUnixMicro(m.Accepted), Deadline: fromUnixMicro(m.Deadline), EndedAt: fromUnixMicro(m.Over)}
 		}
 	case *handover.Cancel:
-		if h := r.inFlight[m.ID]; h != nil && h.attempt.Number == m.Number {
-			h.cancel()
+		if p := r.inFlight[m.ID]; p != nil && p.attempt.Number == m.Number {
+			p.cancel()
 		}
 	}
 }
--- a/internal/core/seams.go
+++ b/internal/core/seams.go
@@ -11,160 +11,156 @@
 	"cometrack/logic"
 )
 
-// Front takes messages in from clients. Between Listen and the return of
-// Shutdown it submits them through [Core.Submit].
+// Front receives messages from clients and submits them through [Core.Submit] between Listen and the return of
+// Shutdown.
 type Front interface {
-	// Listen opens the listener, unless Use has given one. Nothing is served before.
+	// Listen opens the listener, unless AdoptListener has provided one. Clients are not served yet.
 	Listen() error
-	// AdoptListener gives a listener that another process has listened on, before Listen. It
-	// says whether that is the front's own address; if not, it is not taken.
+	// AdoptListener offers a listener that the predecessor has opened. It is called before Listen and reports
+	// whether the listener has the front's own address; otherwise the front does not use it.
 	AdoptListener(ln net.Listener) bool
-	// Listener is what it listens on; valid after Listen.
+	// Listener returns the front's listener; valid after Listen.
 	Listener() net.Listener
-	// Addr is where it listens; valid after Listen.
+	// Addr returns the address of the listener; valid after Listen.
 	Addr() net.Addr
-	// Serve takes clients until CloseListener.
+	// Serve accepts and serves clients until CloseListener.
 	Serve()
-	// DisableKeepAlives says whether connections are to be closed once no request is under way
-	// on them. New ones are taken all the same, for one request.
+	// DisableKeepAlives sets whether each connection is closed as soon as no request is in progress on it. New
+	// connections are still accepted, for one request each.
 	DisableKeepAlives(on bool)
-	// CloseListener ends the taking of new clients.
+	// CloseListener stops accepting connections.
 	CloseListener()
-	// Shutdown closes each client's connection once no request is under way on
-	// it, and returns when all are closed or ctx is over. With hurry, requests that
-	// have begun to come have little time left.
+	// Shutdown closes each client connection once no request is in progress on it, and returns when all are closed
+	// or ctx is done. If hurry is set, requests that are partly received have little time left to arrive.
 	Shutdown(ctx context.Context, hurry bool)
 }
 
-// Transport makes attempts.
+// Transport makes attempts to deliver messages to endpoints.
 type Transport interface {
-	// Attempt makes one attempt and returns its one outcome. It calls
-	// [Attempt.Begin] before the first byte of the message goes out and sends
-	// nothing if that says no. When ctx is cancelled the attempt is called off;
-	// its outcome still tells the truth: [logic.Overloaded], [logic.ConnectionRefused] and
-	// [logic.NotSent] only if it never ran, [logic.Completed] only if it did. When
-	// Attempt returns, the attempt is over for the peer too as far as a transport
-	// can see to that: the next one may begin at once.
+	// Attempt makes one attempt and returns its only outcome. It calls [Attempt.Begin] before the first byte of the
+	// message is written, and writes nothing if that returns false. Cancelling ctx cancels the attempt, but its
+	// outcome stays accurate: [logic.Overloaded], [logic.ConnectionRefused] and [logic.NotSent] only if the message
+	// was not processed, [logic.Completed] only if it was. As far as the transport can ensure it, the endpoint no
+	// longer works on the attempt when Attempt returns, so that the next attempt may begin at once.
 	Attempt(ctx context.Context, a *Attempt) Result
-	// Batch makes attempts of several messages at one endpoint that travel as one
-	// call where it can, and returns the outcome of each. What holds for Attempt
-	// holds for each of them; one that may not begin is left out of the call. The
-	// call has the least of their times.
+	// Batch makes attempts of several messages at one endpoint, in one call where possible, and returns the result
+	// of each in the order of the attempts. The rules of Attempt apply to each of them; an attempt that may not
+	// begin is left out of the call. The shortest timeout applies to the call.
 	Batch(ctx context.Context, call []*Attempt) []Result
-	// Probe asks an endpoint whether it is well.
+	// Probe checks the health of an endpoint.
 	Probe(ctx context.Context, ep logic.EndpointID, addr string) logic.Outcome
 	// CloseIdle closes the idle connections to an endpoint.
 	CloseIdle(ep logic.EndpointID)
-	// CloseStale closes idle connections that are no good any more; it is called about
-	// once a second.
+	// CloseStale closes idle connections that can't be used any more. It is called about once a second.
 	CloseStale()
 }
 
-// Result is how an attempt ended.
+// Result is the result of an attempt.
 type Result struct {
 	Outcome       logic.Outcome
-	RequestedWait time.Duration // told by the answer; it binds whatever the outcome
-	MessageEnded  bool          // the peer says that the message is over
-	LocalFailure  bool          // nothing was sent for want of something at this end
-	Load          []float64     // what the answer reports of the load, in the order of the settings; nil for nothing
+	RequestedWait time.Duration // delay requested in the response, such as Retry-After; applies with any outcome
+	MessageEnded  bool          // the endpoint has declared that the message has ended
+	LocalFailure  bool          // nothing was sent for lack of a local resource
+	Load          []float64     // load values reported in the response, in the order of the settings; nil if none
 }
 
-// Endpoint is one endpoint of a partner as a source names it.
+// Endpoint is one endpoint of a partner in a source's list.
 type Endpoint struct {
-	Name    string // unique, and the same for the endpoint's life
-	Addr    string // may change; empty leaves it as it is
+	Name    string // unique, and constant for the endpoint's lifetime
+	Addr    string // may change; empty keeps the last address
 	Zone    string
 	Kind    string
 	Partner string
 	State   logic.Readiness
-	Weight  float64 // the partner's rate in calls a second over all senders; 0 if not told
+	Weight  float64 // the partner's rate in calls per second over all senders; 0 if unknown
 }
 
-// EndpointList is news of the endpoints.
+// EndpointList is a list of endpoints or of changes to such a list.
 type EndpointList struct {
-	Complete  bool // what is not in it is gone; else changes only
+	Complete  bool // endpoints that are not in the list are gone; otherwise the list holds changes only
 	Endpoints []Endpoint
-	Share     float64 // of each partner's rate that the weights are made for; see [Dependencies.AllowedShare]
+	Share     float64 // share of each partner's rate on which the weights are based; see [Dependencies.AllowedShare]
 }
 
-// EndpointUpdate is what a source has to tell.
+// EndpointUpdate is an update of the endpoint list by a source.
 type EndpointUpdate struct {
 	List EndpointList
-	// Epoch and Version are the source's own marks of where the news came from.
+	// Epoch and Version identify the origin of the update to its source.
 	Epoch   int
 	Version int64
 }
 
-// Source tells which endpoints there are.
+// Source lists the endpoints of the partners.
 type Source interface {
-	// Watch begins to follow the endpoints, unless it does so already. News come
-	// through tell, in order, until ctx is over. That single calls for them fail is
-	// the source's own affair: it goes on asking.
+	// Watch starts to follow the endpoints, unless it has been started before. It passes updates to tell, in order,
+	// until ctx is done. The source retries failed requests itself.
 	Watch(ctx context.Context, tell func(EndpointUpdate))
-	// AcceptUpdate says whether news that Watch has told are still good. The core asks
-	// right before it uses them.
+	// AcceptUpdate reports whether an update that Watch has passed on is still valid. The core calls it right
+	// before it applies the update, and applies it if the result is true.
 	AcceptUpdate(n EndpointUpdate) bool
-	// Version is the mark of the last news that were taken; 0 if there were none.
+	// Version returns the version of the last accepted update; 0 if there was none.
 	Version() int64
 }
 
-// Observation is what a sender has learnt of an endpoint, itself or from another one.
+// Observation is an observation of an endpoint by this sender or by a peer.
 type Observation struct {
-	Partner             string
-	Endpoint            string        // its name
-	RequestedWait       time.Duration // it has told to be left alone for so long from now
-	Outage              bool          // it is out
-	Recovered           bool          // it has answered again, to a call that was begun when that was known
-	TrialIntervalFactor int           // heard: how many times more rarely than one alone it is to try it while it is out; 0 for 1
-	// CausalMark stands for what others had told when this was heard, and comes back with
-	// what was found since.
+	Partner       string
+	Endpoint      string        // the endpoint's name
+	RequestedWait time.Duration // the endpoint has requested a wait that ends this long from now
+	Outage        bool          // the endpoint is in outage
+	Recovered     bool          // the endpoint has answered a call that was started after its outage was known
+	// TrialIntervalFactor is, in an observation by peers, the factor by which this sender has to lengthen the
+	// interval between its trials during an outage, which the peers test too; 0 for 1.
+	TrialIntervalFactor int
+	// CausalMark identifies what peers had published when the observation was received. It is returned with the
+	// observations that this sender makes of the endpoint afterwards.
 	CausalMark uint64
 }
 
-// Peers are senders with which observations are shared.
+// Peers are the senders with which observations are shared.
 type Peers interface {
-	// Publish has the others told what this sender has learnt itself. It never waits.
+	// Publish sends an observation of this sender to the peers. It does not block.
 	Publish(Observation)
-	// Receive has what others have learnt handed to take, in order, until ctx is over.
+	// Receive passes the observations of the peers to take, in order, until ctx is done.
 	Receive(ctx context.Context, take func([]Observation))
 }
 
-// EndSink is told how messages ended.
+// EndSink reports how messages ended.
 type EndSink interface {
-	// Add takes the end of a message, whose body may be gone; it never waits.
+	// Add queues the end of a message, whose body may be missing. It does not block.
 	Add(m *message.Message, e message.End)
-	// Run passes ends on until ctx is over. It confirms those that have been
-	// heard; what is not confirmed is added again after a restart.
+	// Run reports the queued ends until ctx is done, and confirms those that were received. Unconfirmed ends are
+	// added again after a restart.
 	Run(ctx context.Context, confirm func(ids []string))
 }
 
-// Store keeps what must outlive the process. [journal.Journal] is one.
+// Store keeps the state that must survive a restart. [journal.Journal] is the implementation; see there for the
+// methods without a comment.
 type Store interface {
 	Append(recs []journal.Record) error
 	Room(body int) bool
 	Entry(id string) *journal.Entry
 	Entries() []*journal.Entry
 	Ended(id string) *journal.Ended
-	// Body reads back a body that an entry tells to be left in the store. It may be
-	// called beside all else.
+	// Body reads a body that is not kept in memory. It is safe for concurrent use with all other methods.
 	Body(id string) ([]byte, error)
 	Unsaved() []*journal.Ended
 	AddUnsaved(list []*journal.Ended)
 	Waits() map[string]int64
 	AddTerms(t journal.Terms) (n int64, rec *journal.Record, err error)
 	Terms(n int64) *journal.Terms
-	// HoldTerms has terms kept that messages elsewhere are held to.
+	// HoldTerms keeps the terms whose numbers list returns, which messages outside the store refer to.
 	HoldTerms(list func() []int64)
-	// Gone says whether the message of a number is no longer behind its window;
-	// MostBehind is the largest number that is known of.
+	// Gone reports whether the message with a sequence number has left the backlog. MostBehind returns the largest
+	// known sequence number.
 	Gone(seq uint64) bool
 	MostBehind() uint64
-	// KeepPassed drops what is known of numbers that nothing is left of.
+	// KeepPassed drops the records of sequence numbers of which the backlog holds nothing any more.
 	KeepPassed(lives func(first, last uint64) bool)
 	Partners() map[string]*journal.Partner
-	// Forget drops what is remembered no longer; now is a time of Clock.
+	// Forget drops ended messages whose retention has expired by now, a time of Clock.
 	Forget(now int64)
-	// Clock is the clock that all times in the store are of.
+	// Clock returns the clock of all times in the store.
 	Clock() *clock.Clock
 	Len() int
 	Close() error
--- a/internal/core/step.go
+++ b/internal/core/step.go
@@ -115,10 +115,10 @@
 }
 
 func (c *Core) releaseBody(id string) {
-	if e, h := c.store.Entry(id), c.pending[id]; e != nil && h != nil && e.Left > 0 {
-		without := *h.msg
+	if e, p := c.store.Entry(id), c.pending[id]; e != nil && p != nil && e.Left > 0 {
+		without := *p.msg
 		without.Body = nil
-		h.msg, h.bodyInStore = &without, true
+		p.msg, p.bodyInStore = &without, true
 	}
 }
 
@@ -137,8 +137,8 @@
 	case logic.FailMessage:
 		end.ID, end.State = a.ID, message.Failed
 	}
-	if h := c.pending[end.ID]; h != nil {
-		end.Tries = h.attempts
+	if p := c.pending[end.ID]; p != nil {
+		end.Tries = p.attempts
 	}
 	return end
 }
@@ -189,27 +189,27 @@
 
 // drop forgets a message that was never taken on.
 func (c *Core) dropUnaccepted(id string) {
-	if h := c.pending[id]; h != nil && !h.ended {
-		c.uncount(h)
+	if p := c.pending[id]; p != nil && !p.ended {
+		c.uncount(p)
 		delete(c.pending, id)
 	}
 }
 
 // finish takes a message off the books; the store remembers it.
-func (c *Core) endMessage(id string, h *pendingMessage) {
-	if h.ended {
+func (c *Core) endMessage(id string, p *pendingMessage) {
+	if p.ended {
 		c.monitor.CountViolation(permit.EndedTwice, id)
 		return
 	}
-	h.ended = true
-	if h.attempt != nil {
-		h.attempt.messageEnded.Store(true)
-		if h.attempt.Withhold(permit.MessageEnded) { // it is connecting: nothing of the message may go out any more
-			h.cancel()
+	p.ended = true
+	if p.attempt != nil {
+		p.attempt.messageEnded.Store(true)
+		if p.attempt.Withhold(permit.MessageEnded) { // it is connecting: nothing of the message may go out any more
+			p.cancel()
 		}
 	}
-	c.uncount(h)
-	if h.cancel == nil {
+	c.uncount(p)
+	if p.cancel == nil {
 		delete(c.pending, id)
 	}
 }
@@ -218,26 +218,26 @@
 func (c *Core) performAction(work context.Context, a logic.Action, answers map[string]SubmitResponse, now int64) {
 	switch a := a.(type) {
 	case logic.Cancel:
-		if h := c.pending[a.ID]; h != nil && h.cancel != nil && h.attempts-1 == a.Attempt {
-			h.cancel()
+		if p := c.pending[a.ID]; p != nil && p.cancel != nil && p.attempts-1 == a.Attempt {
+			p.cancel()
 		}
 	case logic.ReturnMessage, logic.FailMessage:
 		end := c.endFor(a, now)
-		if h := c.pending[end.ID]; h != nil && !h.ended {
-			c.traceEnd(end.ID, h, end.State)
+		if p := c.pending[end.ID]; p != nil && !p.ended {
+			c.traceEnd(end.ID, p, end.State)
 		}
 		if _, told := answers[end.ID]; told {
 			c.dropUnaccepted(end.ID)
 			return
 		}
-		if h := c.pending[end.ID]; h != nil && !h.ended {
-			c.endMessage(end.ID, h)
+		if p := c.pending[end.ID]; p != nil && !p.ended {
+			c.endMessage(end.ID, p)
 			if end.State == message.Returned {
 				c.metrics.Returned.Add(1)
 			} else {
 				c.metrics.Failed.Add(1)
 			}
-			c.unreportedEnds = append(c.unreportedEnds, endReport{h.msg, end, true})
+			c.unreportedEnds = append(c.unreportedEnds, endReport{p.msg, end, true})
 		}
 	case logic.SetTimer:
 		c.timer.Reset(toDuration(a.Wait)) // it goes off no later than the one before
--- a/internal/core/submit.go
+++ b/internal/core/submit.go
@@ -9,39 +9,38 @@
 	"cometrack/logic"
 )
 
-// SubmitStatus says what became of a message that was handed in.
+// SubmitStatus is the outcome of the submission of a message.
 type SubmitStatus int
 
-// The verdicts.
+// The outcomes of a submission.
 const (
-	Accepted       SubmitStatus = iota // taken on: the sender owes it its end
-	Busy                               // turned away; handing it in again is harmless
-	Failed                             // ended at once, and not to be handed in again
-	UnknownPartner                     // no endpoint of this partner is known
-	Conflict                           // its id belongs to another message
-	Stopped                            // the sender has stopped; not taken on
+	Accepted       SubmitStatus = iota // the sender will bring the message to an end
+	Busy                               // rejected; the client may submit the message again
+	Failed                             // failed at once; the client must not submit the message again
+	UnknownPartner                     // rejected; the partner has no known endpoint
+	Conflict                           // rejected; the ID belongs to a message with other content
+	Stopped                            // rejected; the sender has stopped
 )
 
-// SubmitResponse is the one answer to a message that was handed in.
+// SubmitResponse is the only response to a submitted message.
 type SubmitResponse struct {
 	Status     SubmitStatus
-	RetryAfter time.Duration // Busy: when to come again; 0 if that is not told
-	Duplicate  bool          // Accepted: the message was known already
+	RetryAfter time.Duration // with Busy: delay after which the client may retry; 0 if unknown
+	Duplicate  bool          // with Accepted: the message had been accepted before
 }
 
-// Submit hands a message in that [Core.Check] has passed. The answer comes as
-// soon as the message is journalled, or the module has given it up; answer must
-// have room for it.
-func (c *Core) Submit(m *message.Message, answer chan<- SubmitResponse) {
-	if !c.post(submitEvent{msg: m, response: answer}) {
-		answer <- SubmitResponse{Status: Stopped}
+// Submit submits a message that has passed [Core.Check]. The response is sent as soon as the message is in the journal
+// or has been rejected. The channel must be buffered.
+func (c *Core) Submit(m *message.Message, response chan<- SubmitResponse) {
+	if !c.post(submitEvent{msg: m, response: response}) {
+		response <- SubmitResponse{Status: Stopped}
 	}
 }
 
-// known returns the digest of a message that is held or remembered.
+// knownDigest returns the digest of a message that is pending or whose end is still known.
 func (c *Core) knownDigest(id string) (digest uint64, ok bool) {
-	if h := c.pending[id]; h != nil && !h.bodyInStore {
-		return h.msg.Digest(), true
+	if p := c.pending[id]; p != nil && !p.bodyInStore {
+		return p.msg.Digest(), true
 	}
 	if e := c.store.Entry(id); e != nil {
 		return e.Told(), true
@@ -49,7 +48,7 @@
 	if e := c.store.Ended(id); e != nil {
 		return e.Digest, true
 	}
-	if m := c.newMessages[id]; m != nil { // goes behind its window with this step
+	if m := c.newMessages[id]; m != nil { // added to the backlog in this step
 		return m.Digest(), true
 	}
 	if digest, ok := c.backlog.endingDigests[id]; ok {
@@ -58,7 +57,8 @@
 	return 0, false
 }
 
-// put takes a message on, subject to the module's word in the step that follows.
+// submit accepts or rejects a submitted message. An accepted one may still be rejected by the scheduler in the next
+// step.
 func (c *Core) submit(ev submitEvent) {
 	m := ev.msg
 	if digest, ok := c.knownDigest(m.ID); ok {
@@ -66,7 +66,7 @@
 		case digest != m.Digest():
 			ev.respond(SubmitResponse{Status: Conflict})
 		case c.newMessages[m.ID] != nil:
-			c.submissions = append(c.submissions, ev) // it gets the answer of the first
+			c.submissions = append(c.submissions, ev) // it gets the same response as the first
 		default:
 			ev.respond(SubmitResponse{Status: Accepted, Duplicate: true})
 		}
@@ -76,14 +76,14 @@
 		return
 	}
 	class := c.terms.class(m.Class)
-	if class == nil { // dropped since it was checked: its client is told when it comes again
+	if class == nil { // removed from the settings since the check; the check of the retry reports it
 		ev.respond(SubmitResponse{Status: Busy})
 		return
 	}
 	if !c.directory.hasEndpoint(m.Partner) {
 		if c.listReceived {
 			ev.respond(SubmitResponse{Status: UnknownPartner})
-		} else { // nobody has told yet what there is
+		} else { // the source has not sent a list yet
 			ev.respond(SubmitResponse{Status: Busy, RetryAfter: time.Second})
 		}
 		return
@@ -100,7 +100,8 @@
 		return
 	}
 	now := c.clock.Now()
-	c.pending[m.ID] = &pendingMessage{msg: m, acceptedAt: now, front: ev.front, termsNumber: c.terms.number, class: class}
+	c.pending[m.ID] = &pendingMessage{msg: m, acceptedAt: now, front: ev.front, termsNumber: c.terms.number,
+		class: class}
 	c.pendingCount++
 	if c.backlog.Backlog != nil {
 		c.backlog.EnterWindow(m.Partner)
@@ -110,21 +111,21 @@
 	}
 	c.submissions = append(c.submissions, ev)
 	c.newMessages[m.ID] = m
-	call := c.newMessageEvent(m, now)
-	c.traceAccepted(call, m.Partner, m.Class)
-	c.nextEvents = append(c.nextEvents, call)
+	event := c.newMessageEvent(m, now)
+	c.traceAccepted(event, m.Partner, m.Class)
+	c.nextEvents = append(c.nextEvents, event)
 }
 
-// answers finds the messages that the module ends in the step in which they came:
-// their clients are told at once.
+// immediateResponses returns the responses, by ID, to new messages that the scheduler ends in the step in which they
+// were submitted. These messages are not accepted.
 func (c *Core) immediateResponses(actions []logic.Action) map[string]SubmitResponse {
-	var out map[string]SubmitResponse
-	tell := func(id string, a SubmitResponse) {
+	var responses map[string]SubmitResponse
+	add := func(id string, a SubmitResponse) {
 		if c.newMessages[id] != nil {
-			if out == nil {
-				out = map[string]SubmitResponse{}
+			if responses == nil {
+				responses = map[string]SubmitResponse{}
 			}
-			out[id] = a
+			responses[id] = a
 		}
 	}
 	if len(c.newMessages) == 0 {
@@ -133,89 +134,90 @@
 	for _, a := range actions {
 		switch a := a.(type) {
 		case logic.ReturnMessage:
-			tell(a.ID, SubmitResponse{Status: Busy, RetryAfter: toDuration(a.RetryIn)})
+			add(a.ID, SubmitResponse{Status: Busy, RetryAfter: toDuration(a.RetryIn)})
 		case logic.FailMessage:
-			tell(a.ID, SubmitResponse{Status: Failed})
+			add(a.ID, SubmitResponse{Status: Failed})
 		}
 	}
-	return out
+	return responses
 }
 
-// The states of a message that is not over. One that is over has a state of
-// package message.
+// The states of a pending message. The final states are those of package message.
 const (
-	StateAccepted = "accepted" // taken on; no attempt is out
-	StateSending  = "sending"  // an attempt is out
+	StateAccepted = "accepted" // no attempt is in flight
+	StateSending  = "sending"  // an attempt is in flight
 )
 
-// State is what the sender knows of a message.
+// State describes a message and its state.
 type State struct {
 	ID         string
-	Name       string // empty if nothing is known of it
+	Name       string // name of the state; empty if the message is unknown
 	Tenant     string
 	Partner    string
 	Class      string
 	Attempts   int
-	RetryAfter time.Duration // returned: when to come again; 0 if not told
-	AcceptedAt time.Time     // zero if not known
-	Deadline   time.Time     // zero once it is over
-	EndedAt    time.Time     // zero while it is not
+	RetryAfter time.Duration // of a returned message: delay after which the client may retry; 0 if unknown
+	AcceptedAt time.Time     // zero if unknown
+	Deadline   time.Time     // zero once the message has ended
+	EndedAt    time.Time     // zero until the message has ended
 }
 
-// IsFinal says whether the message has had its end, or nothing is known of it.
+// IsFinal reports whether the message has ended or is unknown.
 func (s *State) IsFinal() bool { return s.Name != StateAccepted && s.Name != StateSending }
 
-// ErrStopped says that the sender has stopped.
+// ErrStopped is returned once the sender has stopped.
 var ErrStopped = errors.New("the sender has stopped")
 
-// State tells the state of a message. With wait it waits until the message is
-// over or ctx is; in the latter case it tells the state then, without an error.
+// State returns the state of a message. If wait is set, it blocks until the message has ended or ctx is done; in the
+// latter case it returns the state at that time and no error. It returns ErrStopped once the sender has stopped.
 func (c *Core) State(ctx context.Context, id string, wait bool) (State, error) {
-	ask := stateQueryEvent{id: id, watch: wait, response: make(chan State, 1)}
-	if !c.post(ask) {
+	query := stateQueryEvent{id: id, watch: wait, response: make(chan State, 1)}
+	if !c.post(query) {
 		return State{}, ErrStopped
 	}
-	var over <-chan struct{}
+	var cancelled <-chan struct{}
 	if wait {
-		over = ctx.Done()
+		cancelled = ctx.Done()
 	}
 	select {
-	case s := <-ask.response:
+	case s := <-query.response:
 		return s, nil
 	case <-c.done:
 		return State{}, ErrStopped
-	case <-over:
-		c.post(unwatchEvent{id, ask.response})
+	case <-cancelled:
+		c.post(unwatchEvent{id, query.response})
 		return c.State(context.Background(), id, false)
 	}
 }
 
-// state is what is known now, between steps.
+// state returns the current state of a message that is not in the backlog.
 func (c *Core) state(id string) State {
-	if h := c.pending[id]; h != nil && !h.ended {
-		s := State{ID: id, Name: StateAccepted, Tenant: h.msg.Tenant, Partner: h.msg.Partner, Class: h.msg.Class,
-			Attempts: h.attempts, AcceptedAt: c.wallTime(h.acceptedAt), Deadline: c.wallTime(h.msg.Deadline)}
-		if h.attempt != nil {
+	if p := c.pending[id]; p != nil && !p.ended {
+		s := State{ID: id, Name: StateAccepted, Tenant: p.msg.Tenant, Partner: p.msg.Partner, Class: p.msg.Class,
+			Attempts: p.attempts, AcceptedAt: c.wallTime(p.acceptedAt), Deadline: c.wallTime(p.msg.Deadline)}
+		if p.attempt != nil {
 			s.Name = StateSending
 		}
 		return s
 	}
-	if x := c.unreportedEnd(id); x != nil { // to others it is not over yet
-		return State{ID: id, Name: StateAccepted, Tenant: x.msg.Tenant, Partner: x.msg.Partner, Class: x.msg.Class, Attempts: x.end.Tries,
-			Deadline: c.wallTime(x.msg.Deadline)}
+	if report := c.unreportedEnd(id); report != nil { // the end must not be visible yet
+		return State{ID: id, Name: StateAccepted, Tenant: report.msg.Tenant, Partner: report.msg.Partner, Class: report.msg.Class,
+			Attempts: report.end.Tries, Deadline: c.wallTime(report.msg.Deadline)}
 	}
-	if e := c.store.Entry(id); e != nil && e.End != nil {
-		return State{ID: id, Name: e.End.State, Tenant: e.Tenant, Partner: e.Partner, Class: e.Class, Attempts: e.Tries,
-			RetryAfter: time.Duration(e.End.AfterMS) * time.Millisecond, AcceptedAt: c.wallTime(e.Accepted), EndedAt: c.wallTime(e.End.At)}
+	if entry := c.store.Entry(id); entry != nil && entry.End != nil {
+		return State{ID: id, Name: entry.End.State, Tenant: entry.Tenant, Partner: entry.Partner, Class: entry.Class,
+			Attempts: entry.Tries, RetryAfter: time.Duration(entry.End.AfterMS) * time.Millisecond,
+			AcceptedAt: c.wallTime(entry.Accepted), EndedAt: c.wallTime(entry.End.At)}
 	}
-	if e := c.store.Ended(id); e != nil {
-		return State{ID: id, Name: e.State, Tenant: e.Tenant, Partner: e.Partner, Class: e.Class, Attempts: e.Tries,
-			RetryAfter: time.Duration(e.AfterMS) * time.Millisecond, AcceptedAt: c.wallTime(e.Accepted), EndedAt: c.wallTime(e.Over)}
+	if entry := c.store.Ended(id); entry != nil {
+		return State{ID: id, Name: entry.State, Tenant: entry.Tenant, Partner: entry.Partner, Class: entry.Class, Attempts: entry.Tries,
+			RetryAfter: time.Duration(entry.AfterMS) * time.Millisecond, AcceptedAt: c.wallTime(entry.Accepted),
+			EndedAt: c.wallTime(entry.Over)}
 	}
 	return State{ID: id}
 }
 
-// wall is a time of the journal as the wall clock shows it, for people and other programs; zero for none.
+// wallTime converts a time of the journal to wall-clock time, for operators and other programs; zero for 0.
 func (c *Core) wallTime(us int64) time.Time {
 	if us == 0 {
 		return time.Time{}
@@ -223,47 +225,47 @@
 	return c.clock.Wall(us)
 }
 
-// tellStates answers those who ask, and those who wait for what has ended.
+// answerStateQueries answers the state queries of this step and those that waited for messages that have ended.
 func (c *Core) answerStateQueries() {
 	for _, id := range c.endedIDs {
 		if list := c.watchers[id]; list != nil {
 			s := c.state(id)
-			for _, w := range list {
-				w <- s
+			for _, watcher := range list {
+				watcher <- s
 			}
 			delete(c.watchers, id)
 		}
 	}
 	c.endedIDs = c.endedIDs[:0]
-	for _, ask := range c.stateQueries {
-		s := c.state(ask.id)
-		if s.Name == "" && ask.found != nil {
-			s = c.backlogMessageState(ask.found)
-		} else if s.Name == "" && c.lookUpState(ask) {
+	for _, query := range c.stateQueries {
+		s := c.state(query.id)
+		if s.Name == "" && query.found != nil {
+			s = c.backlogMessageState(query.found)
+		} else if s.Name == "" && c.lookUpState(query) {
 			continue
 		}
-		if ask.watch && !s.IsFinal() {
-			c.watchers[ask.id] = append(c.watchers[ask.id], ask.response)
+		if query.watch && !s.IsFinal() {
+			c.watchers[query.id] = append(c.watchers[query.id], query.response)
 			continue
 		}
-		ask.response <- s
+		query.response <- s
 	}
 	clear(c.stateQueries)
 	c.stateQueries = c.stateQueries[:0]
 }
 
-// unwatch forgets one who waited.
+// removeWatcher removes a state query that has stopped waiting.
 func (c *Core) removeWatcher(ev unwatchEvent) {
-	list := c.watchers[ev.id]
-	for i, w := range list {
-		if w == ev.response {
-			list = append(list[:i], list[i+1:]...)
+	watchers := c.watchers[ev.id]
+	for i, watcher := range watchers {
+		if watcher == ev.response {
+			watchers = append(watchers[:i], watchers[i+1:]...)
 			break
 		}
 	}
-	if len(list) == 0 {
+	if len(watchers) == 0 {
 		delete(c.watchers, ev.id)
 	} else {
-		c.watchers[ev.id] = list
+		c.watchers[ev.id] = watchers
 	}
 }
