--- a/internal/core/backlog.go
+++ b/internal/core/backlog.go
@@ -13,15 +13,16 @@
 )
 
 const (
-	// endEarly is how long before the end of its time a message behind its window is
-	// over: its end has to be told within it.
+	// endMargin is the time before its deadline at which a message in the backlog ends, because its end has to be
+	// reported before the deadline.
 	endMargin = 100 * time.Millisecond
-	// mostEnds behind the windows are told in one step: others are not held up by a million.
+	// maxEndsPerStep is the maximum number of ends of backlog messages that are reported in one step, so that
+	// other messages are not delayed when very many expire at once.
 	maxEndsPerStep = 256
 )
 
-// Backlog keeps messages behind the windows of their destinations. [spill.Spill] is
-// one; it says what each method does. All of them belong to the loop.
+// Backlog keeps the messages beyond the in-memory windows of their destinations. [spill.Spill] is the implementation
+// and documents the methods. They are called by the loop only.
 type Backlog interface {
 	Place(m *message.Message, ordered bool) backlog.Placement
 	Stage(r *disk.Record)
@@ -46,26 +47,27 @@
 	Close() error
 }
 
-// behind is the loop's part of the messages behind the windows; its zero value is
-// that of a core without any.
+// loopBacklog is the state of the loop for the messages in the backlog. The zero value is that of a core without a
+// backlog.
 type loopBacklog struct {
 	Backlog                                // nil for none
-	endTimer       *time.Timer             // of the next end behind a window
-	refilled       []spill.RefilledMessage // since the last step
-	refilledIDs    map[string]bool         // of these, by id
-	unwrittenEnds  []backlogEnd            // ended behind their windows, not written yet
-	endingDigests  map[string]uint64       // of these, the digests by id
-	spilledIDs     map[string]bool         // new messages that go behind their windows with this step, by id
-	pendingLookups int                     // lookups that have not answered
+	endTimer       *time.Timer             // expires when the next message in the backlog ends
+	refilled       []spill.RefilledMessage // messages that entered their windows since the last step
+	refilledIDs    map[string]bool         // IDs of these messages
+	unwrittenEnds  []backlogEnd            // ends of messages in the backlog that are not written yet
+	endingDigests  map[string]uint64       // digests of these messages, by ID
+	spilledIDs     map[string]bool         // IDs of new messages that this step adds to the backlog
+	pendingLookups int                     // lookups without a result
 	stopping       bool
 }
 
+// backlogEnd is the end of a message that never left the backlog.
 type backlogEnd struct {
 	entry journal.Entry
 	end   message.End
 }
 
-// openBacklog opens what is behind the windows, and counts what the module has.
+// openBacklog opens the backlog, if there is one, and counts the messages of each window that the scheduler holds.
 func (c *Core) openBacklog() error {
 	if c.newBacklog == nil {
 		return nil
@@ -80,8 +82,9 @@
 	if err != nil || b == nil {
 		return err
 	}
-	due := time.NewTimer(time.Hour)
-	c.backlog = loopBacklog{Backlog: b, endTimer: due, refilledIDs: map[string]bool{}, endingDigests: map[string]uint64{}, spilledIDs: map[string]bool{}, stopping: c.backlog.stopping}
+	endTimer := time.NewTimer(time.Hour)
+	c.backlog = loopBacklog{Backlog: b, endTimer: endTimer, refilledIDs: map[string]bool{},
+		endingDigests: map[string]uint64{}, spilledIDs: map[string]bool{}, stopping: c.backlog.stopping}
 	c.store.HoldTerms(b.Terms)
 	for _, p := range c.pending {
 		if !p.ended {
@@ -94,7 +97,7 @@
 	return nil
 }
 
-// closeBacklog closes it; the store outlives it.
+// closeBacklog closes the backlog. It must be called before the store is closed.
 func (c *Core) closeBacklog() {
 	if c.backlog.Backlog == nil {
 		return
@@ -106,7 +109,7 @@
 	c.backlog.Backlog = nil
 }
 
-// ends is when a message behind a window ends next; it never fires without any.
+// endTimerFired returns the channel of endTimer; nil without a backlog.
 func (b *loopBacklog) endTimerFired() <-chan time.Time {
 	if b.Backlog == nil {
 		return nil
@@ -114,7 +117,7 @@
 	return b.endTimer.C
 }
 
-// number is how many messages are behind the windows.
+// count returns the number of messages in the backlog.
 func (b *loopBacklog) count() int {
 	if b.Backlog == nil {
 		return 0
@@ -122,30 +125,31 @@
 	return b.Len() + len(b.unwrittenEnds)
 }
 
-// place sends a new message behind its window or turns it away; false if it goes into
-// the module.
+// placeInBacklog adds a new message to the backlog or rejects it. It returns false if the message goes to the scheduler
+// instead.
 func (c *Core) placeInBacklog(ev submitEvent, class *logic.Class) bool {
 	b, m := &c.backlog, ev.msg
 	if b.Backlog == nil {
 		return false
 	}
 	ordered := class.KeepOrder && m.Order != ""
-	switch v := b.Place(m, ordered); {
-	case v == backlog.InWindow:
+	switch placement := b.Place(m, ordered); {
+	case placement == backlog.InWindow:
 		return false
-	case v == backlog.Rejected || !b.HasRoom(len(m.Body)):
+	case placement == backlog.Rejected || !b.HasRoom(len(m.Body)):
 		ev.respond(SubmitResponse{Status: Busy})
 		return true
 	}
-	b.Stage(&disk.Record{Message: *m, Accepted: c.clock.Now(), Terms: c.terms.number, Digest: m.Digest(), Ordered: ordered})
+	b.Stage(&disk.Record{Message: *m, Accepted: c.clock.Now(), Terms: c.terms.number, Digest: m.Digest(),
+		Ordered: ordered})
 	b.spilledIDs[m.ID] = true
 	c.submissions = append(c.submissions, ev)
 	c.newMessages[m.ID] = m
 	return true
 }
 
-// commitBehind writes what goes behind the windows with this step, after the journal
-// has got what that refers to; err is what became of the journal.
+// commitBacklog writes the messages that this step adds to the backlog. It is called after the journal has been
+// written, to which they refer; err is the error of that write.
 func (c *Core) commitBacklog(err error) error {
 	if c.backlog.Backlog == nil {
 		return nil
@@ -161,8 +165,8 @@
 	return err
 }
 
-// lookFirst has a message looked up whose id may be behind a window, before it is
-// taken on; false if it is none.
+// lookUpDuplicate starts a lookup for a submitted message whose ID may be in the backlog; the submission continues with
+// the result. It returns false if the ID is not in the backlog.
 func (c *Core) lookUpDuplicate(ev submitEvent) bool {
 	if c.backlog.Backlog == nil || ev.notInBacklog || !c.backlog.MayContain(ev.msg.ID) {
 		return false
@@ -171,11 +175,11 @@
 	c.backlog.Lookup(ev.msg.ID, func(r *disk.Record, err error) {
 		c.backlog.pendingLookups--
 		ev.notInBacklog = true
-		_, here := c.knownDigest(ev.msg.ID) // it may have come into its window meanwhile
+		_, known := c.knownDigest(ev.msg.ID) // it may have entered its window meanwhile
 		switch {
-		case err != nil && !here:
+		case err != nil && !known:
 			ev.respond(SubmitResponse{Status: Busy})
-		case here || r == nil:
+		case known || r == nil:
 			c.submit(ev)
 		case r.Digest != ev.msg.Digest():
 			ev.respond(SubmitResponse{Status: Conflict})
@@ -186,30 +190,31 @@
 	return true
 }
 
-// lookState answers one who asks for a message that may be behind a window; false
-// if it is none.
-func (c *Core) lookUpState(ask stateQueryEvent) bool {
-	if c.backlog.Backlog == nil || ask.lookedUp || !c.backlog.MayContain(ask.id) {
+// lookUpState starts a lookup for a state query of a message that may be in the backlog; the query continues with the
+// result. It returns false if the message is not in the backlog.
+func (c *Core) lookUpState(query stateQueryEvent) bool {
+	if c.backlog.Backlog == nil || query.lookedUp || !c.backlog.MayContain(query.id) {
 		return false
 	}
 	c.backlog.pendingLookups++
-	c.backlog.Lookup(ask.id, func(r *disk.Record, err error) {
+	c.backlog.Lookup(query.id, func(r *disk.Record, err error) {
 		c.backlog.pendingLookups--
-		if err != nil { // it is held, and more can't be told
-			r = &disk.Record{Message: message.Message{ID: ask.id}}
+		if err != nil { // the message is pending, but its details are not available
+			r = &disk.Record{Message: message.Message{ID: query.id}}
 		}
-		ask.lookedUp, ask.found = true, r
-		c.stateQueries = append(c.stateQueries, ask)
+		query.lookedUp, query.found = true, r
+		c.stateQueries = append(c.stateQueries, query)
 	})
 	return true
 }
 
-// stateBehind is what is known of a message behind a window.
+// backlogMessageState returns the state of a message in the backlog.
 func (c *Core) backlogMessageState(r *disk.Record) State {
-	return State{ID: r.ID, Name: StateAccepted, Tenant: r.Tenant, Partner: r.Partner, Class: r.Class, AcceptedAt: c.wallTime(r.Accepted), Deadline: c.wallTime(r.Deadline)}
+	return State{ID: r.ID, Name: StateAccepted, Tenant: r.Tenant, Partner: r.Partner, Class: r.Class,
+		AcceptedAt: c.wallTime(r.Accepted), Deadline: c.wallTime(r.Deadline)}
 }
 
-// fromBehind takes an event of the backlog's; false if it is none.
+// handleBacklogEvent handles an event of the backlog. It returns false if the event is of another kind.
 func (c *Core) handleBacklogEvent(ev any) bool {
 	if c.backlog.Backlog == nil {
 		return false
@@ -220,7 +225,7 @@
 	}
 	for i := range list {
 		if r := list[i].Record; r != nil && list[i].Err == nil && !c.store.Room(len(r.Body)) {
-			c.backlog.PutBack(list[i:]) // read again later
+			c.backlog.PutBack(list[i:]) // they are read again later
 			break
 		}
 		c.refill(list[i])
@@ -228,55 +233,60 @@
 	return ok
 }
 
-// enter has the module take a message on that comes into its window.
-func (c *Core) refill(x spill.RefilledMessage) {
-	r := x.Record
+// refill passes a message that enters its window to the scheduler.
+func (c *Core) refill(refilled spill.RefilledMessage) {
+	r := refilled.Record
 	if r == nil {
-		c.log.Error("a message behind its window can't be read: nothing is known of it but its number", "number", x.Seq, "err", x.Err)
-		c.records = append(c.records, journal.Record{Op: journal.OpPassed, Behind: x.Seq})
-		c.backlog.LeaveWindow(x.Partner)
+		c.log.Error("a message in the backlog can't be read; only its number is known",
+			"number", refilled.Seq, "err", refilled.Err)
+		c.records = append(c.records, journal.Record{Op: journal.OpPassed, Behind: refilled.Seq})
+		c.backlog.LeaveWindow(refilled.Partner)
 		return
 	}
-	if x.Err != nil {
-		c.log.Error("a message behind its window is damaged: it is returned", "id", r.ID, "partner", r.Partner, "err", x.Err)
-		c.backlog.LeaveWindow(x.Partner)
-		c.endInBacklog(r, x.Seq)
+	if refilled.Err != nil {
+		c.log.Error("a message in the backlog is damaged; it is returned",
+			"id", r.ID, "partner", r.Partner, "err", refilled.Err)
+		c.backlog.LeaveWindow(refilled.Partner)
+		c.endInBacklog(r, refilled.Seq)
 		return
 	}
 	now := c.clock.Now()
 	m := &r.Message
 	p := &pendingMessage{msg: m, acceptedAt: r.Accepted, termsNumber: r.Terms, class: c.terms.class(r.Class)}
-	in := c.newMessageEvent(m, now)
+	event := c.newMessageEvent(m, now)
 	if r.Terms != c.terms.number {
-		if in.Terms = classTerms(c.store.Terms(r.Terms), r.Class); in.Terms != nil {
-			p.class = &in.Terms.Class
+		if event.Terms = classTerms(c.store.Terms(r.Terms), r.Class); event.Terms != nil {
+			p.class = &event.Terms.Class
 		}
 	}
 	if p.class == nil {
-		c.log.Error("a message behind its window is of a class that is not configured: it is returned", "id", r.ID, "class", r.Class)
-		c.backlog.LeaveWindow(x.Partner)
-		c.endInBacklog(r, x.Seq)
+		c.log.Error("the class of a message in the backlog is not configured; the message is returned",
+			"id", r.ID, "class", r.Class)
+		c.backlog.LeaveWindow(refilled.Partner)
+		c.endInBacklog(r, refilled.Seq)
 		return
 	}
-	in.History = logic.History{Inherited: c.takeover == nil && c.backlog.FromEarlierProcess(x.Seq)}
+	event.History = logic.History{Inherited: c.takeover == nil && c.backlog.FromEarlierProcess(refilled.Seq)}
 	c.pending[m.ID] = p
 	c.pendingCount++
-	c.backlog.refilled, c.backlog.refilledIDs[m.ID] = append(c.backlog.refilled, x), true
+	c.backlog.refilled, c.backlog.refilledIDs[m.ID] = append(c.backlog.refilled, refilled), true
 	c.records = append(c.records, journal.Record{Op: journal.OpAccept,
-		Entry: &journal.Entry{Message: *m, Accepted: r.Accepted, Terms: r.Terms, Behind: x.Seq}})
-	c.nextEvents = append(c.nextEvents, in)
+		Entry: &journal.Entry{Message: *m, Accepted: r.Accepted, Terms: r.Terms, Behind: refilled.Seq}})
+	c.nextEvents = append(c.nextEvents, event)
 }
 
-// overBehind ends a message that was behind its window: it never ran.
+// endInBacklog returns a message that never left the backlog. It has not run.
 func (c *Core) endInBacklog(r *disk.Record, seq uint64) {
 	m := r.Message
 	m.Body = nil
-	c.backlog.unwrittenEnds = append(c.backlog.unwrittenEnds, backlogEnd{entry: journal.Entry{Message: m, Accepted: r.Accepted, Terms: r.Terms, Behind: seq, EndDigest: r.Digest, Left: 1},
-		end: message.End{ID: r.ID, State: message.Returned, At: c.clock.Now()}})
+	c.backlog.unwrittenEnds = append(c.backlog.unwrittenEnds, backlogEnd{
+		entry: journal.Entry{Message: m, Accepted: r.Accepted, Terms: r.Terms, Behind: seq, EndDigest: r.Digest, Left: 1},
+		end:   message.End{ID: r.ID, State: message.Returned, At: c.clock.Now()}})
 	c.backlog.endingDigests[r.ID] = r.Digest
 }
 
-// endBehind ends what is over behind the windows.
+// endExpiredBacklog ends the messages in the backlog that are close to their deadlines, and adds the records of these
+// ends and of earlier ends that could not be written.
 func (c *Core) endExpiredBacklog() {
 	if c.backlog.Backlog == nil {
 		return
@@ -288,43 +298,44 @@
 			break
 		}
 		if r == nil {
-			c.log.Error("a message behind its window is over and can't be read: nothing is known of it but its number", "number", seq)
+			c.log.Error("an expired message in the backlog can't be read; only its number is known", "number", seq)
 			c.records = append(c.records, journal.Record{Op: journal.OpPassed, Behind: seq})
 			continue
 		}
 		c.endInBacklog(r, seq)
 	}
 	for i := range c.backlog.unwrittenEnds {
-		x := &c.backlog.unwrittenEnds[i]
-		entry, end := x.entry, x.end
-		c.records = append(c.records, journal.Record{Op: journal.OpAccept, Entry: &entry}, journal.Record{Op: journal.OpEnd, ID: end.ID, End: &end})
+		ended := &c.backlog.unwrittenEnds[i]
+		entry, end := ended.entry, ended.end
+		c.records = append(c.records, journal.Record{Op: journal.OpAccept, Entry: &entry},
+			journal.Record{Op: journal.OpEnd, ID: end.ID, End: &end})
 	}
 }
 
-// wroteBehind takes what became of a step's records: those that came into their
-// windows are held, or go back; those that ended are told.
+// applyBacklogWrite is called with the result of writing a step's records. On success it reports the ends of messages
+// in the backlog; on failure it puts the messages that entered their windows back.
 func (c *Core) applyBacklogWrite(err error) {
 	if c.backlog.Backlog == nil {
 		return
 	}
 	if err != nil {
-		for _, x := range c.backlog.refilled {
-			if p := c.pending[x.Record.ID]; p != nil {
+		for _, item := range c.backlog.refilled {
+			if p := c.pending[item.Record.ID]; p != nil {
 				c.pendingCount--
-				delete(c.pending, x.ID)
-				c.nextEvents = append(c.nextEvents, logic.ClientGone{ID: x.Record.ID})
+				delete(c.pending, item.ID)
+				c.nextEvents = append(c.nextEvents, logic.ClientGone{ID: item.Record.ID})
 			}
 		}
 		c.backlog.PutBack(c.backlog.refilled)
 	} else {
-		for _, x := range c.backlog.refilled {
-			c.releaseBody(x.Record.ID)
+		for _, item := range c.backlog.refilled {
+			c.releaseBody(item.Record.ID)
 		}
 		for i := range c.backlog.unwrittenEnds {
-			x := &c.backlog.unwrittenEnds[i]
-			c.endedIDs = append(c.endedIDs, x.end.ID)
-			delete(c.backlog.endingDigests, x.end.ID)
-			c.notifySink(&x.entry.Message, x.end)
+			item := &c.backlog.unwrittenEnds[i]
+			c.endedIDs = append(c.endedIDs, item.end.ID)
+			delete(c.backlog.endingDigests, item.end.ID)
+			c.notifySink(&item.entry.Message, item.end)
 		}
 		clear(c.backlog.unwrittenEnds)
 		c.backlog.unwrittenEnds = c.backlog.unwrittenEnds[:0]
@@ -334,7 +345,7 @@
 	clear(c.backlog.refilledIDs)
 }
 
-// workBehind has what is next read, and the timer set for what ends next.
+// scheduleBacklogWork starts the next reads of the backlog and sets the timer for the next end.
 func (c *Core) scheduleBacklogWork() {
 	if c.backlog.Backlog == nil {
 		return
@@ -345,7 +356,7 @@
 	} else {
 		c.backlog.endTimer.Reset(time.Hour)
 	}
-	if len(c.backlog.unwrittenEnds) > 0 { // they could not be written
+	if len(c.backlog.unwrittenEnds) > 0 { // they could not be written: try again
 		c.backlog.endTimer.Reset(retryDelay)
 	}
 }
--- a/internal/core/check.go
+++ b/internal/core/check.go
@@ -59,8 +59,8 @@
 	if class.Effect == logic.Keyed && m.Key == "" {
 		return fieldError("key", "must be given in a keyed class")
 	}
-	if maxValid := min(maxDeadlineFactor*toDuration(class.Deadline), MaxRequestedTime); validFor < 0 || validFor > maxValid {
-		return fieldError("deadline", "not within 0 and %v from now", maxValid)
+	if limit := min(maxDeadlineFactor*toDuration(class.Deadline), MaxRequestedTime); validFor < 0 || validFor > limit {
+		return fieldError("deadline", "not within 0 and %v from now", limit)
 	}
 	if _, ok := current.tenants[m.Tenant]; !ok && m.Tenant != "" {
 		return fieldError("tenant", "unknown tenant")
--- a/internal/core/handover.go
+++ b/internal/core/handover.go
@@ -12,41 +12,40 @@
 	"cometrack/logic"
 )
 
-// The side of a handover that hands over.
+// This file is the predecessor's side of a handover.
 
-// comeBackTries are the attempts to open the store again, [retryPause] apart.
+// maxReopenAttempts is the maximum number of attempts to open the store again, [retryDelay] apart.
 const maxReopenAttempts = 20
 
-// Link carries messages of package handover between two processes.
-// [handover.Conn] is one.
+// Link carries messages of package handover between two processes. [handover.Conn] is an implementation.
 type Link interface {
 	Send(m any) error
 	Close() error
 }
 
-// Successor is a process that has asked for the snapshot of this one.
+// Successor is the link to a process that has requested the snapshot of this one.
 type Successor interface {
 	Link
-	// Transfer sends the snapshot with the listeners and says whether the successor decides from
-	// then on; else it is certain that it does not, and never will.
+	// Transfer sends the snapshot and the listeners, and reports whether the successor decides on messages from
+	// then on. If taken is false, the successor certainly does not decide and never will.
 	Transfer(snapshot *handover.Snapshot, listeners []net.Listener) (taken bool, err error)
-	// ReceiveMessages tells what the successor sends from then on, until it ends: then gone is called.
+	// ReceiveMessages passes the messages of the successor to tell, and calls gone when the link is closed.
 	ReceiveMessages(tell func(m any), gone func(error))
 }
 
-// successorEvent says that a successor has come.
+// handoverEvent requests a handover to a successor.
 type handoverEvent struct {
 	successor Successor
-	done      chan error // has room; what became of it
+	done      chan error // buffered; receives the result
 }
 
-// HandOver hands over to a successor, and returns once the successor decides or has failed.
+// HandOver hands over to a successor. It returns nil once the successor decides, or an error if this process goes on.
 func (c *Core) HandOver(successor Successor) error {
 	ev := handoverEvent{successor, make(chan error, 1)}
 	return c.postAndWait(ev, ev.done)
 }
 
-// askedFor notes a successor; the loop comes to rest first.
+// requestHandover accepts or refuses a request for a handover. The loop carries it out after the next step.
 func (c *Core) requestHandover(ev handoverEvent) {
 	switch {
 	case c.handoverRequest != nil || c.reopenStore == nil:
@@ -60,12 +59,12 @@
 	}
 }
 
-// handOver takes the step after which a successor decides; false if it does not, and
-// this process goes on.
+// performHandover closes the store and passes the snapshot to the successor. It returns true if the successor decides
+// from then on. Otherwise it opens the store again and this process goes on, or must end if it returns an error.
 func (c *Core) performHandover(ev *handoverEvent, fronts []Front) (bool, error) {
-	at := time.Now()
+	startedAt := time.Now()
 	snapshot, err := c.takeSnapshot(fronts)
-	if err != nil { // what can't be written can't be handed over
+	if err != nil { // the successor reads the journal, which is incomplete
 		c.lifecycle.HandleEvent(lifecycle.HandoverAborted)
 		ev.done <- fmt.Errorf("not handed over: %w", err)
 		return false, nil
@@ -80,12 +79,12 @@
 		taken, err = ev.successor.Transfer(snapshot, listeners)
 	}
 	if taken {
-		c.log.Info("handed over", "held", c.pendingCount, "calls_out", len(snapshot.Calls), "took", time.Since(at))
+		c.log.Info("handed over", "held", c.pendingCount, "calls_out", len(snapshot.Calls), "took", time.Since(startedAt))
 		c.lifecycle.HandleEvent(lifecycle.HandoverCompleted)
 		ev.done <- nil
 		return true, nil
 	}
-	c.log.Error("not handed over: this process goes on", "err", err, "took", time.Since(at))
+	c.log.Error("not handed over: this process goes on", "err", err, "took", time.Since(startedAt))
 	ev.done <- fmt.Errorf("not handed over: %w", err)
 	if err := c.resumeAfterHandover(snapshot); err != nil {
 		return false, err
@@ -94,10 +93,10 @@
 	return false, nil
 }
 
-// comeBack opens the store again. A process that can't, for another has it by now,
-// must not go on.
+// resumeAfterHandover opens the store and the backlog again after a failed handover. If that fails, because another
+// process has the store by now, this process must end.
 func (c *Core) resumeAfterHandover(snapshot *handover.Snapshot) error {
-	for tries := 1; ; tries++ {
+	for attempts := 1; ; attempts++ {
 		store, err := c.reopenStore()
 		if err == nil {
 			if snapshot != nil {
@@ -110,41 +109,42 @@
 				c.log.Error("settings", "err", err)
 			}
 			if err := c.openBacklog(); err != nil {
-				return fmt.Errorf("come back after a handover that failed: %w", err)
+				return fmt.Errorf("resume after a failed handover: %w", err)
 			}
 			return nil
 		}
 		c.log.Error("the journal can't be opened again", "err", err)
-		if tries >= maxReopenAttempts {
-			return fmt.Errorf("come back after a handover that failed: %w", err)
+		if attempts >= maxReopenAttempts {
+			return fmt.Errorf("resume after a failed handover: %w", err)
 		}
 		time.Sleep(retryDelay)
 	}
 }
 
-// snapshot tells all that a successor needs beside the journal, which is up to date after
-// it. Attempts that have not begun are kept from it.
+// takeSnapshot returns the state that a successor needs in addition to the journal, and writes the last records to the
+// journal. Attempts that have not begun are withheld and not part of the snapshot.
 func (c *Core) takeSnapshot(fronts []Front) (*handover.Snapshot, error) {
 	now := time.Now()
-	out := &handover.Snapshot{Format: handover.Format, At: c.clock.At(now), Heard: c.listReceived, Version: c.source.Version(),
-		Partners: map[string]*journal.Partner{}, Listeners: len(fronts)}
-	busy := map[logic.EndpointID]bool{} // endpoints with calls
+	out := &handover.Snapshot{Format: handover.Format, At: c.clock.At(now), Heard: c.listReceived,
+		Version: c.source.Version(), Partners: map[string]*journal.Partner{}, Listeners: len(fronts)}
+	inUse := map[logic.EndpointID]bool{} // endpoints with calls in flight
 	for _, p := range c.pending {
 		if p.attempt != nil {
-			busy[p.attempt.Endpoint] = true
+			inUse[p.attempt.Endpoint] = true
 		}
 	}
-	for id, to := range c.directory.endpoints {
-		if to.goneSince.IsZero() || busy[id] {
-			out.Endpoints = append(out.Endpoints, handover.Endpoint{Gone: !to.goneSince.IsZero(), Name: to.name, Addr: to.addr, Zone: c.directory.zoneName(to.zone),
-				Kind: c.directory.kindName(to.kind), Partner: to.partner, Drains: to.state != logic.Ready, Weight: to.weight})
+	for id, endpoint := range c.directory.endpoints {
+		if endpoint.goneSince.IsZero() || inUse[id] {
+			out.Endpoints = append(out.Endpoints, handover.Endpoint{Gone: !endpoint.goneSince.IsZero(), Name: endpoint.name,
+				Addr: endpoint.addr, Zone: c.directory.zoneName(endpoint.zone), Kind: c.directory.kindName(endpoint.kind),
+				Partner: endpoint.partner, Drains: endpoint.state != logic.Ready, Weight: endpoint.weight})
 		}
 		c.transport.CloseIdle(id)
 	}
-	all, keys := c.sender.HandOver(toMicros(time.Since(c.start)))
-	for _, m := range all {
-		if name, known := c.toJournalPartner(m); name != "" {
-			out.Partners[name] = known
+	states, keys := c.sender.HandOver(toMicros(time.Since(c.start)))
+	for _, state := range states {
+		if name, partner := c.toJournalPartner(state); name != "" {
+			out.Partners[name] = partner
 		}
 	}
 	for _, k := range keys {
@@ -154,15 +154,16 @@
 		if p.attempt == nil {
 			continue
 		}
-		if p.attempt.Withhold(permit.HandedOver) || !p.attempt.hasBegun() { // it never goes out
+		if p.attempt.Withhold(permit.HandedOver) || !p.attempt.hasBegun() { // it is never sent
 			p.cancel()
 			if !p.ended {
 				c.records = append(c.records, journal.Record{Op: journal.OpOutcome, ID: id})
 			}
 			continue
 		}
-		call := handover.Call{ID: id, Over: p.ended, Number: p.attempt.Number, Endpoint: c.directory.endpoints[p.attempt.Endpoint].name,
-			Age: now.Sub(p.attempt.createdAt).Microseconds()}
+		call := handover.Call{ID: id, Over: p.ended, Number: p.attempt.Number,
+			Endpoint: c.directory.endpoints[p.attempt.Endpoint].name,
+			Age:      now.Sub(p.attempt.createdAt).Microseconds()}
 		if p.attempt.firstID != id {
 			call.With = p.attempt.firstID
 		}
--- a/internal/core/inherit.go
+++ b/internal/core/inherit.go
@@ -15,31 +15,31 @@
 	"cometrack/logic"
 )
 
-// The side of a handover that takes over.
+// This file is the successor's side of a handover.
 
 const (
-	// LockReleaseTime is how long the journal's lock of a process that dies may be found taken.
+	// LockReleaseTime is the time for which a process that is exiting may still hold the journal's lock.
 	LockReleaseTime = 150 * time.Millisecond
-	// remoteGrace is for the process that handed over to see that the link has broken and to
-	// call off what it has out, though it is held up meanwhile.
+	// predecessorGrace is the time for the predecessor to detect that the link is broken and to cancel its attempts
+	// in flight, even if it is stalled meanwhile.
 	predecessorGrace = LockReleaseTime + permit.MaxStall + 100*time.Millisecond
 )
 
-// Takeover is what another process hands over to this one.
+// Takeover is the state that the predecessor hands over to this process.
 type Takeover struct {
 	Snapshot    *handover.Snapshot
-	Listeners   []net.Listener // of the fronts, in their order
+	Listeners   []net.Listener // listeners of the fronts
 	Predecessor Predecessor
 }
 
 // Predecessor is the link to the process that hands over.
 type Predecessor interface {
 	Link
-	// ReceiveMessages tells what that process sends, until it ends: then gone is called.
+	// ReceiveMessages passes the messages of the predecessor to tell, and calls gone when the link is closed.
 	ReceiveMessages(tell func(m any), gone func(error))
 }
 
-// listen gives a front its listener, if there is one.
+// adoptListener passes a front its listener, if it was handed over.
 func (in *Takeover) adoptListener(f Front) {
 	if in == nil {
 		return
@@ -52,7 +52,7 @@
 	}
 }
 
-// close closes listeners that no front serves any more.
+// closeListeners closes the listeners that no front has adopted.
 func (in *Takeover) closeListeners() {
 	for _, ln := range in.Listeners {
 		ln.Close()
@@ -60,12 +60,13 @@
 	in.Listeners = nil
 }
 
-// list is the endpoints that were handed over.
+// endpointList returns the endpoints that were handed over.
 func (in *Takeover) endpointList() EndpointList {
 	out := EndpointList{Complete: true}
-	for _, x := range in.Snapshot.Endpoints {
-		e := Endpoint{Name: x.Name, Addr: x.Addr, Zone: x.Zone, Kind: x.Kind, Partner: x.Partner, Weight: x.Weight}
-		if x.Drains || x.Gone {
+	for _, endpoint := range in.Snapshot.Endpoints {
+		e := Endpoint{Name: endpoint.Name, Addr: endpoint.Addr, Zone: endpoint.Zone, Kind: endpoint.Kind,
+			Partner: endpoint.Partner, Weight: endpoint.Weight}
+		if endpoint.Drains || endpoint.Gone {
 			e.State = logic.Draining
 		}
 		out.Endpoints = append(out.Endpoints, e)
@@ -73,90 +74,97 @@
 	return out
 }
 
-// restoreSnapshot hands the module what was handed over, and returns the calls that are
-// out. It comes before the messages.
+// restoreSnapshot passes the snapshot that was handed over to the scheduler and returns the attempts in flight by ID of
+// their messages. It must be called before the messages are restored.
 func (c *Core) restoreSnapshot() map[string]handover.Call {
 	if c.takeover == nil {
 		return nil
 	}
-	l := c.takeover.Snapshot
-	c.listReceived = l.Heard
+	snapshot := c.takeover.Snapshot
+	c.listReceived = snapshot.Heard
 	list := c.takeover.endpointList()
 	c.nextEvents = append(c.nextEvents, logic.Endpoints{Form: logic.ListFull, Entries: c.directory.applyList(list)})
-	for i, x := range l.Endpoints { // it was on the list, for its calls that are out
-		if x.Gone {
+	for i, endpoint := range snapshot.Endpoints { // it is in the list only for its attempts in flight
+		if endpoint.Gone {
 			list.Endpoints[i].State = logic.Gone
-			c.nextEvents = append(c.nextEvents, logic.Endpoints{Form: logic.ListDelta, Entries: c.directory.applyList(EndpointList{Endpoints: list.Endpoints[i : i+1]})})
+			c.nextEvents = append(c.nextEvents, logic.Endpoints{Form: logic.ListDelta,
+				Entries: c.directory.applyList(EndpointList{Endpoints: list.Endpoints[i : i+1]})})
 		}
 	}
 	c.cfg.CachedEndpoints = nil
-	c.store.AddUnsaved(l.Ended)
-	age := logic.Micros(c.clock.Now() - l.At)
-	for name, known := range l.Partners {
+	c.store.AddUnsaved(snapshot.Ended)
+	age := logic.Micros(c.clock.Now() - snapshot.At)
+	for name, saved := range snapshot.Partners {
 		if c.directory.hasEndpoint(name) {
-			c.nextEvents = append(c.nextEvents, logic.RestoreState{Age: age, State: c.toDestinationState(name, known)})
+			c.nextEvents = append(c.nextEvents,
+				logic.RestoreState{Age: age, State: c.toDestinationState(name, saved)})
 		}
 	}
-	for _, k := range l.Keys {
+	for _, k := range snapshot.Keys {
 		c.nextEvents = append(c.nextEvents, logic.QuietKey{Key: k.Key, Remaining: logic.Micros(k.Left) - age})
 	}
-	out := map[string]handover.Call{}
-	for _, call := range l.Calls {
-		out[call.ID] = call
+	inFlight := map[string]handover.Call{}
+	for _, call := range snapshot.Calls {
+		inFlight[call.ID] = call
 	}
-	return out
+	return inFlight
 }
 
-// adopt books an attempt that the other process has out.
-func (c *Core) adoptAttempt(p *pendingMessage, call handover.Call, in *logic.NewMessage, e *journal.Entry, now int64) {
+// adoptAttempt registers an attempt that is in flight in the predecessor.
+func (c *Core) adoptAttempt(p *pendingMessage, call handover.Call, event *logic.NewMessage,
+	entry *journal.Entry, now int64) {
 	age := now - c.takeover.Snapshot.At + call.Age
 	ep, ok := c.directory.endpointIDs[call.Endpoint]
-	if !ok { // its list is ours, so it has gone meanwhile: the attempt counts, and its outcome too
+	if !ok { // it has left the list meanwhile; the attempt and its outcome still count
 		c.directory.lastEndpoint++
 		ep = c.directory.lastEndpoint
 	}
-	a := &Attempt{Message: p.msg, Number: call.Number, Endpoint: ep, createdAt: c.clock.Moment(now - age), firstID: call.ID}
-	a.state.Store(attemptBegun)
-	p.attempt, p.cancel = a, func() { c.takeover.Predecessor.Send(&handover.Cancel{ID: call.ID, Number: call.Number}) }
+	attempt := &Attempt{Message: p.msg, Number: call.Number, Endpoint: ep,
+		createdAt: c.clock.Moment(now - age), firstID: call.ID}
+	attempt.state.Store(attemptBegun)
+	p.attempt, p.cancel = attempt, func() {
+		c.takeover.Predecessor.Send(&handover.Cancel{ID: call.ID, Number: call.Number})
+	}
 	p.attempts = call.Number + 1
 	c.remoteAttempts[call.ID] = p
-	if e != nil {
-		in.History.MayHaveRun = e.MayRun
-		in.History.SinceFirst = logic.Micros(max(now-e.FirstMay, 0))
+	if entry != nil {
+		event.History.MayHaveRun = entry.MayRun
+		event.History.SinceFirst = logic.Micros(max(now-entry.FirstMay, 0))
 	}
-	in.History.InFlight = &logic.InFlightAttempt{Endpoint: ep, Age: logic.Micros(age), BatchedWith: call.With}
+	event.History.InFlight = &logic.InFlightAttempt{Endpoint: ep, Age: logic.Micros(age), BatchedWith: call.With}
 }
 
-// leftovers books the attempts that are out of messages that have ended: they hold
-// slots.
-func (c *Core) adoptEndedAttempts(out map[string]handover.Call) (events []logic.Event) {
+// adoptEndedAttempts registers the attempts in flight of messages that have ended, because they occupy slots. It
+// returns events for the scheduler.
+func (c *Core) adoptEndedAttempts(inFlight map[string]handover.Call) (events []logic.Event) {
 	now := c.clock.Now()
-	for id, call := range out {
+	for id, call := range inFlight {
 		ep, ok := c.directory.endpointIDs[call.Endpoint]
 		if !call.Over || !ok || c.pending[id] != nil {
 			continue
 		}
 		p := &pendingMessage{msg: &message.Message{ID: id, Partner: c.directory.endpoints[ep].partner}, ended: true}
-		in := c.newMessageEvent(p.msg, now)
-		in.Class, in.History = 0, logic.History{Attempts: call.Number + 1, Ended: true}
-		c.adoptAttempt(p, call, &in, nil, now)
+		event := c.newMessageEvent(p.msg, now)
+		event.Class, event.History = 0, logic.History{Attempts: call.Number + 1, Ended: true}
+		c.adoptAttempt(p, call, &event, nil, now)
 		c.pending[id] = p
-		events = append(events, in)
+		events = append(events, event)
 	}
 	return events
 }
 
-// ErrPredecessorUnreachable says that the process that hands over can't be told that this one decides.
-// Nothing has been written; a core that is made anew may ask again.
-var ErrPredecessorUnreachable = errors.New("the process that hands over can't be told that this one takes over")
+// ErrPredecessorUnreachable is returned by [Core.Run] if the predecessor can't be informed that this process has taken
+// over. Nothing has been written, and another core may request the handover again.
+var ErrPredecessorUnreachable = errors.New("the process that hands over can't be informed of the takeover")
 
-// takenOver says to the other process that this one decides. One that has not heard so
-// takes the journal back, and knows nothing of what this one would write to it.
+// confirmTakeover informs the predecessor that this process decides. Without this confirmation the predecessor takes
+// the journal back, and would not know of records that this process had written.
 func (c *Core) confirmTakeover() error {
 	if c.takeover == nil {
 		return nil
 	}
-	c.log.Info("taken over", "held", len(c.pending), "calls_out", len(c.remoteAttempts), "endpoints", len(c.directory.endpoints))
+	c.log.Info("taken over", "held", len(c.pending), "calls_out", len(c.remoteAttempts),
+		"endpoints", len(c.directory.endpoints))
 	if err := c.takeover.Predecessor.Send(&handover.Taken{}); err != nil {
 		c.takeover.Predecessor.Close()
 		c.takeover.closeListeners()
@@ -165,13 +173,13 @@
 	return nil
 }
 
-// remoteOutcomesEvent is what the process that handed over has told.
+// remoteOutcomesEvent holds outcomes of attempts in the predecessor.
 type remoteOutcomesEvent struct{ list []handover.Outcome }
 
-// predecessorGoneEvent says that it tells nothing any more.
+// predecessorGoneEvent reports that the link to the predecessor was closed predecessorGrace ago.
 type predecessorGoneEvent struct{}
 
-// hear takes what the process that handed over sends.
+// receiveFromPredecessor handles the messages of the predecessor until the link is closed.
 func (c *Core) receiveFromPredecessor(link Predecessor) {
 	link.ReceiveMessages(func(m any) {
 		switch m := m.(type) {
@@ -182,26 +190,28 @@
 		case *handover.AskState:
 			go func() {
 				s, _ := c.State(context.Background(), m.ID, false)
-				link.Send(&handover.State{Seq: m.Seq, Name: s.Name, Tenant: s.Tenant, Partner: s.Partner, Class: s.Class, Tries: s.Attempts,
-					After: s.RetryAfter, Accepted: toUnixMicro(s.AcceptedAt), Deadline: toUnixMicro(s.Deadline), Over: toUnixMicro(s.EndedAt)})
+				link.Send(&handover.State{Seq: m.Seq, Name: s.Name, Tenant: s.Tenant, Partner: s.Partner,
+					Class: s.Class, Tries: s.Attempts, After: s.RetryAfter, Accepted: toUnixMicro(s.AcceptedAt),
+					Deadline: toUnixMicro(s.Deadline), Over: toUnixMicro(s.EndedAt)})
 			}()
 		}
 	}, func(error) {
-		time.Sleep(predecessorGrace) // until then its calls may still be out
+		time.Sleep(predecessorGrace) // until then its attempts may still be in flight
 		c.post(predecessorGoneEvent{})
 	})
 	link.Close()
 }
 
-// forwarded takes a message that a client has handed in at the other process.
+// submitForwarded submits a message that the predecessor has forwarded, and sends the response back.
 func (c *Core) submitForwarded(link Link, m *handover.Put) {
-	answer := make(chan SubmitResponse, 1)
+	response := make(chan SubmitResponse, 1)
 	msg := m.Message
-	c.Submit(&msg, answer)
-	a := <-answer
-	link.Send(&handover.Answer{Seq: m.Seq, Verdict: int(a.Status), After: a.RetryAfter, Again: a.Duplicate})
+	c.Submit(&msg, response)
+	r := <-response
+	link.Send(&handover.Answer{Seq: m.Seq, Verdict: int(r.Status), After: r.RetryAfter, Again: r.Duplicate})
 }
 
+// toUnixMicro converts a wall-clock time for the link; 0 for the zero time.
 func toUnixMicro(t time.Time) int64 {
 	if t.IsZero() {
 		return 0
@@ -209,7 +219,7 @@
 	return t.UnixMicro()
 }
 
-// remoteOutcomes takes outcomes of attempts that the other process had out.
+// applyRemoteOutcomes handles outcomes of attempts that were in flight in the predecessor.
 func (c *Core) applyRemoteOutcomes(list []handover.Outcome) {
 	for _, o := range list {
 		p := c.remoteAttempts[o.ID]
@@ -223,7 +233,7 @@
 	}
 }
 
-// endRemoteAttempts ends the attempts that nobody tells of any more: they may have run.
+// endRemoteAttempts ends the attempts whose outcomes the predecessor can't report any more. They may have run.
 func (c *Core) endRemoteAttempts() {
 	if n := len(c.remoteAttempts); n > 0 {
 		c.log.Warn("the process that handed over has ended with calls out", "calls", n)
@@ -231,6 +241,7 @@
 	for id, p := range c.remoteAttempts {
 		delete(c.remoteAttempts, id)
 		p.cancel = func() {}
-		c.handleOutcome(attemptOutcome{attempt: p.attempt, took: time.Since(p.attempt.createdAt), result: Result{Outcome: logic.Cancelled}})
+		c.handleOutcome(attemptOutcome{attempt: p.attempt, took: time.Since(p.attempt.createdAt),
+			result: Result{Outcome: logic.Cancelled}})
 	}
 }
--- a/internal/core/loop.go
+++ b/internal/core/loop.go
@@ -12,63 +12,64 @@
 	"cometrack/logic"
 )
 
-// What the loop is handed. Each stands for one thing that has happened.
+// The events of the loop.
 type (
-	// putEvent is a message that a client hands in. It gets one answer.
+	// submitEvent is a message submitted by a client. It gets one response.
 	submitEvent struct {
 		msg          *message.Message
-		front        *FrontLimiter // nil if the front has none
+		front        *FrontLimiter // nil if it was not submitted through a limiter
 		response     chan<- SubmitResponse
-		notInBacklog bool // no message of its id is behind a window
+		notInBacklog bool // a lookup has shown that its ID is not in the backlog
 	}
-	// stateEvent asks for the state of a message. With watch, the answer waits
-	// until the message is over.
+	// stateQueryEvent asks for the state of a message. With watch, it is answered once the message has ended.
 	stateQueryEvent struct {
 		id       string
 		watch    bool
-		response chan State   // has room for one
-		lookedUp bool         // it has been looked up behind the windows
-		found    *disk.Record // what was found there
+		response chan State   // buffered
+		lookedUp bool         // the ID has been looked up in the backlog
+		found    *disk.Record // the result of the lookup; nil if the ID is not in the backlog
 	}
-	// unwatchEvent says that nobody waits for an answer any more.
+	// unwatchEvent cancels a state query that waits.
 	unwatchEvent struct {
 		id       string
 		response chan State
 	}
-	// replyEvent is the outcomes of the attempts of one call, one each.
-	outcomesEvent  []attemptOutcome
+	// outcomesEvent holds the outcomes of the attempts of one call, one each.
+	outcomesEvent []attemptOutcome
+	// attemptOutcome is the outcome of an attempt and the time that it took.
 	attemptOutcome struct {
 		attempt *Attempt
 		result  Result
 		took    time.Duration
 	}
-	// healthEvent is the one outcome of a probe.
+	// probeOutcomeEvent is the outcome of a probe; there is one for each probe.
 	probeOutcomeEvent struct {
 		endpoint logic.EndpointID
 		outcome  logic.Outcome
 	}
-	// confirmedEvent says that the end sink has passed on these ends.
+	// noticesConfirmedEvent reports that the notices of these ends were received.
 	noticesConfirmedEvent struct{ ids []string }
-	// writeEvent has the journal write what it could not before.
+	// retryWriteEvent triggers a step, which writes the records that could not be written before.
 	retryWriteEvent struct{}
-	// closingEvent starts the shutdown.
+	// shutdownEvent starts the shutdown.
 	shutdownEvent struct{ timeLeft time.Duration }
 )
 
-// loop owns the module and all of the state: it takes what has come, lets the
-// module step, writes the journal and acts, at most once a tick.
+// loop owns the scheduler and the state of the core. At most once per tick it handles the events that have arrived and
+// runs a step, which runs the scheduler, writes the journal and carries out the actions.
 //
-// It returns the successor once another process decides.
-func (c *Core) loop(work context.Context, fronts []Front, served, stopped <-chan struct{}) (successor *handoverEvent, err error) {
+// It returns the handover event once the successor decides, and nil once the process is to exit.
+func (c *Core) loop(work context.Context, fronts []Front,
+	served, stopped <-chan struct{}) (successor *handoverEvent, err error) {
 	tick := max(toDuration(c.cfg.Settings.Tick), time.Millisecond)
-	sweep := time.NewTicker(sweepInterval)
-	defer sweep.Stop()
-	rest := time.NewTimer(0)
-	defer rest.Stop()
+	sweepTicker := time.NewTicker(sweepInterval)
+	defer sweepTicker.Stop()
+	tickTimer := time.NewTimer(0)
+	defer tickTimer.Stop()
 	defer c.timer.Stop()
-	quiet := false // shutting down, and no client is left
+	clientsGone := false // shutting down, and all client connections are closed
 	for {
-		if quiet && c.pendingCount == 0 && c.store.Len() == 0 {
+		if clientsGone && c.pendingCount == 0 && c.store.Len() == 0 {
 			c.log.Info("stopped", "owed", 0)
 			return nil, nil
 		}
@@ -78,14 +79,14 @@
 		case <-c.timer.C:
 			c.nextEvents = append(c.nextEvents, logic.TimerFired{Token: c.timerToken})
 		case <-c.backlog.endTimerFired():
-		case <-sweep.C:
+		case <-sweepTicker.C:
 			c.sweep(time.Now())
 			continue
 		case <-served:
-			quiet, served = true, nil
+			clientsGone, served = true, nil
 			continue
 		case <-stopped:
-			// What is still out stays in the store as it is.
+			// Attempts in flight stay in the store as they are.
 			c.log.Info("stopped", "owed", c.store.Len())
 			return nil, nil
 		}
@@ -108,12 +109,12 @@
 			}
 			continue
 		}
-		rest.Reset(tick)
-		<-rest.C
+		tickTimer.Reset(tick)
+		<-tickTimer.C
 	}
 }
 
-// sweep drops what is of no more use.
+// sweep drops state that is not needed any more and writes records that can wait. It runs once per sweepInterval.
 func (c *Core) sweep(now time.Time) {
 	c.transport.CloseStale()
 	if c.backlog.Backlog != nil {
@@ -121,7 +122,7 @@
 	}
 	c.savePartners(maxSavedPerSweep)
 	if err := c.store.Append(c.records); err != nil {
-		c.log.Error("journal", "err", err) // they are of the past, and written later
+		c.log.Error("journal", "err", err) // the store keeps these records and writes them later
 	}
 	clear(c.records)
 	c.records = c.records[:0]
@@ -139,35 +140,38 @@
 	}
 }
 
-// forgetSpare drops what nothing that is held refers to. It goes over all that is, so not often.
+// pruneDirectory removes endpoints and partners that no pending message refers to. It scans all pending messages and is
+// therefore limited to once per quarter of goneRetention.
 func (c *Core) pruneDirectory(now time.Time) {
 	if now.Sub(c.prunedAt) < goneRetention/4 {
 		return
 	}
 	c.prunedAt = now
-	calls, partners := map[logic.EndpointID]bool{}, map[string]bool{}
+	endpointsInUse, partnersInUse := map[logic.EndpointID]bool{}, map[string]bool{}
 	for _, p := range c.pending {
-		partners[p.msg.Partner] = true
+		partnersInUse[p.msg.Partner] = true
 		if p.attempt != nil {
-			calls[p.attempt.Endpoint] = true
+			endpointsInUse[p.attempt.Endpoint] = true
 		}
 	}
-	c.directory.prune(now, calls, partners)
+	c.directory.prune(now, endpointsInUse, partnersInUse)
 }
 
-// resume hands the module what the store holds, with what became of it so far, and
-// what another process has handed over.
+// restore passes the pending messages in the store, with their histories, and the state handed over by the predecessor
+// to the scheduler.
 func (c *Core) restore() error {
-	out := c.restoreSnapshot()
+	inFlight := c.restoreSnapshot()
 	if c.cfg.CachedEndpoints != nil {
-		c.nextEvents = append(c.nextEvents, logic.Endpoints{Form: logic.ListCached, Entries: c.directory.applyList(*c.cfg.CachedEndpoints)})
+		c.nextEvents = append(c.nextEvents,
+			logic.Endpoints{Form: logic.ListCached, Entries: c.directory.applyList(*c.cfg.CachedEndpoints)})
 	}
 	now := c.clock.Now()
 	if c.cfg.PersistWaits {
 		for name, until := range c.store.Waits() {
 			if id, ok := c.directory.endpointIDs[name]; ok {
-				c.nextEvents = append(c.nextEvents, logic.RequestedWait{Endpoint: id, Remaining: logic.Micros(until - now)})
-				if left := time.Duration(until-now) * time.Microsecond; left > 0 { // the others may not have heard of it
+				c.nextEvents = append(c.nextEvents,
+					logic.RequestedWait{Endpoint: id, Remaining: logic.Micros(until - now)})
+				if left := time.Duration(until-now) * time.Microsecond; left > 0 { // peers may not know of it
 					c.publishObservation(Observation{RequestedWait: left}, id)
 				}
 			}
@@ -178,42 +182,45 @@
 		c.restorePartners()
 	}
 	orphans := map[string]int{}
-	for _, e := range c.store.Entries() {
-		if e.End != nil {
-			c.notifySink(&e.Message, *e.End)
+	for _, entry := range c.store.Entries() {
+		if entry.End != nil {
+			c.notifySink(&entry.Message, *entry.End)
 			continue
 		}
-		in := c.newMessageEvent(&e.Message, now)
-		p := &pendingMessage{msg: &e.Message, acceptedAt: e.Accepted, attempts: e.Tries, bodyInStore: e.Left > 0, termsNumber: e.Terms, class: c.terms.class(e.Class)}
-		if e.Terms != c.terms.number {
-			if in.Terms = classTerms(c.store.Terms(e.Terms), e.Class); in.Terms != nil {
-				p.class = &in.Terms.Class
+		event := c.newMessageEvent(&entry.Message, now)
+		p := &pendingMessage{msg: &entry.Message, acceptedAt: entry.Accepted, attempts: entry.Tries,
+			bodyInStore: entry.Left > 0, termsNumber: entry.Terms, class: c.terms.class(entry.Class)}
+		if entry.Terms != c.terms.number {
+			if event.Terms = classTerms(c.store.Terms(entry.Terms), entry.Class); event.Terms != nil {
+				p.class = &event.Terms.Class
 			}
 		}
-		c.pending[e.ID] = p
+		c.pending[entry.ID] = p
 		c.pendingCount++
-		in.History = logic.History{Attempts: e.Tries, MayHaveRun: e.MayRun || e.Open, Inherited: c.takeover == nil}
-		if in.History.MayHaveRun {
-			in.History.SinceFirst = logic.Micros(max(now-e.FirstMay, 0))
-			in.History.Zone = slices.Index(c.cfg.Zones, e.FirstZone)
+		event.History = logic.History{Attempts: entry.Tries, MayHaveRun: entry.MayRun || entry.Open,
+			Inherited: c.takeover == nil}
+		if event.History.MayHaveRun {
+			event.History.SinceFirst = logic.Micros(max(now-entry.FirstMay, 0))
+			event.History.Zone = slices.Index(c.cfg.Zones, entry.FirstZone)
 		}
-		if call, ok := out[e.ID]; ok && e.Open {
-			c.adoptAttempt(p, call, &in, e, now)
-			delete(out, e.ID)
-		} else if e.Open { // whoever reads the journal next must not take its outcome for a later one's
-			c.records = append(c.records, journal.Record{Op: journal.OpOutcome, ID: e.ID, MayRun: true})
+		if call, ok := inFlight[entry.ID]; ok && entry.Open {
+			c.adoptAttempt(p, call, &event, entry, now)
+			delete(inFlight, entry.ID)
+		} else if entry.Open { // the next reader of the journal must not attribute this outcome to a later attempt
+			c.records = append(c.records, journal.Record{Op: journal.OpOutcome, ID: entry.ID, MayRun: true})
 		}
-		if c.cfg.CachedEndpoints != nil && !c.directory.hasEndpoint(e.Partner) {
-			orphans[e.Partner]++
+		if c.cfg.CachedEndpoints != nil && !c.directory.hasEndpoint(entry.Partner) {
+			orphans[entry.Partner]++
 		}
 		if p.class == nil {
-			c.log.Error("a held message is of a class that is not configured", "id", e.ID, "class", e.Class)
+			c.log.Error("the class of a pending message is not configured", "id", entry.ID, "class", entry.Class)
 		}
-		c.nextEvents = append(c.nextEvents, in)
+		c.nextEvents = append(c.nextEvents, event)
 	}
-	c.nextEvents = append(c.nextEvents, c.adoptEndedAttempts(out)...)
+	c.nextEvents = append(c.nextEvents, c.adoptEndedAttempts(inFlight)...)
 	for name, n := range orphans {
-		c.log.Warn("held messages are for a partner that is not known; they are kept until their time is up", "partner", name, "messages", n)
+		c.log.Warn("the partner of pending messages is unknown; they are kept until their deadlines",
+			"partner", name, "messages", n)
 	}
 	if err := c.openBacklog(); err != nil {
 		return err
@@ -221,20 +228,20 @@
 	return c.confirmTakeover()
 }
 
-// callOf is the module's view of a message.
+// newMessageEvent returns the scheduler's event for a message.
 func (c *Core) newMessageEvent(m *message.Message, now int64) logic.NewMessage {
-	in := logic.NewMessage{ID: m.ID, Key: m.Order, Remaining: logic.Micros(m.Deadline - now), Dest: c.directory.partner(m.Partner).destination,
-		Tenant: -1, Class: -1}
+	event := logic.NewMessage{ID: m.ID, Key: m.Order, Remaining: logic.Micros(m.Deadline - now),
+		Dest: c.directory.partner(m.Partner).destination, Tenant: -1, Class: -1}
 	if i, ok := c.terms.classes[m.Class]; ok {
-		in.Class = i
+		event.Class = i
 	}
 	if t, ok := c.terms.tenants[m.Tenant]; ok && m.Tenant != "" {
-		in.Tenant = t
+		event.Tenant = t
 	}
-	return in
+	return event
 }
 
-// take turns what has come into events for the next step.
+// handleEvent handles an event of the loop. Most of them add events for the scheduler to the next step.
 func (c *Core) handleEvent(ev any) {
 	switch ev := ev.(type) {
 	case submitEvent:
@@ -266,7 +273,7 @@
 		c.requestHandover(ev)
 	case updateSettingsEvent:
 		c.handleUpdateSettings(ev)
-	case retryWriteEvent: // the step that follows does
+	case retryWriteEvent: // the following step writes the journal
 	case shutdownEvent:
 		c.nextEvents = append(c.nextEvents, logic.Stopping{Remaining: toMicros(ev.timeLeft)})
 		c.backlog.stopping = true
@@ -278,6 +285,8 @@
 	}
 }
 
+// applyEndpointUpdate applies an update of the endpoint list. Attempts that have not begun are withheld from endpoints
+// that are not ready any more.
 func (c *Core) applyEndpointUpdate(ev EndpointUpdate) {
 	if !c.source.AcceptUpdate(ev) {
 		return
@@ -301,8 +310,8 @@
 			c.transport.CloseIdle(row.Endpoint)
 		}
 	}
-	for id, to := range c.directory.endpoints { // a whole list leaves out what is gone
-		if !to.goneSince.IsZero() {
+	for id, endpoint := range c.directory.endpoints { // a complete list has no rows for the endpoints that are gone
+		if !endpoint.goneSince.IsZero() {
 			c.transport.CloseIdle(id)
 		}
 	}
@@ -312,10 +321,10 @@
 	c.restorePartners()
 }
 
-// mostNamed is how many endpoints a line of the log names.
+// maxNamedEndpoints is the maximum number of endpoints that are named in one log line.
 const maxNamedEndpoints = 16
 
-// logList logs a list that is taken: how many endpoints it has in each state, and by name those that want no new calls.
+// logList logs an applied list: the number of endpoints in each state, and the names of those that accept no new calls.
 func (c *Core) logList(ev EndpointUpdate, rows []logic.Entry) {
 	if len(rows) == 0 && !ev.List.Complete {
 		return
@@ -327,6 +336,6 @@
 			leaving = append(leaving, c.directory.endpoints[row.Endpoint].name)
 		}
 	}
-	c.log.Info("list", "version", ev.Version, "whole", ev.List.Complete, "ready", states[logic.Ready], "draining", states[logic.Draining], "gone", states[logic.Gone],
-		"leaving", leaving)
+	c.log.Info("list", "version", ev.Version, "whole", ev.List.Complete, "ready", states[logic.Ready],
+		"draining", states[logic.Draining], "gone", states[logic.Gone], "leaving", leaving)
 }
--- a/internal/core/memory.go
+++ b/internal/core/memory.go
@@ -47,18 +47,19 @@
 // is empty if none of the endpoints is listed.
 func (c *Core) toJournalPartner(state logic.DestinationState) (name string, out *journal.Partner) {
 	out = &journal.Partner{Exact: state.Exact, At: c.clock.Now(), Sick: state.Unhealthy, Used: int64(state.SinceUsed),
-		Came: state.Arrivals, Down: int64(state.SinceOutage), Limit: toJournalLimit(state.Limiter), Bins: state.Latencies.Bins,
-		Weights: state.Latencies.Weights, Cuts: state.Latencies.Censored, Sampled: int64(state.Latencies.SinceSample)}
+		Came: state.Arrivals, Down: int64(state.SinceOutage), Limit: toJournalLimit(state.Limiter),
+		Bins: state.Latencies.Bins, Weights: state.Latencies.Weights, Cuts: state.Latencies.Censored, Sampled: int64(state.Latencies.SinceSample)}
 	for _, endpoint := range state.Endpoints {
 		listed, ok := c.directory.endpoints[endpoint.Endpoint]
 		if !ok {
 			continue
 		}
 		name = listed.partner
-		out.Endpoints = append(out.Endpoints, journal.PartnerEndpoint{Name: listed.name, Limit: toJournalLimit(endpoint.Limiter),
-			Out: endpoint.Outage, Cold: endpoint.Cold, Back: int64(endpoint.SinceRecovery), Good: int64(endpoint.SinceSuccess),
+		out.Endpoints = append(out.Endpoints, journal.PartnerEndpoint{Name: listed.name,
+			Limit: toJournalLimit(endpoint.Limiter), Out: endpoint.Outage, Cold: endpoint.Cold, Back: int64(endpoint.SinceRecovery), Good: int64(endpoint.SinceSuccess),
 			Bad: int64(endpoint.SinceFailure), Well: int64(endpoint.SinceIndependentSuccess), Gap: int64(endpoint.TrialInterval),
-			Failing: endpoint.FailureRatio, Slow: int64(endpoint.Latency), Fails: endpoint.Failures, Fulls: endpoint.Overloads, Resets: endpoint.Resets,
+			Failing: endpoint.FailureRatio, Slow: int64(endpoint.Latency), Fails: endpoint.Failures,
+			Fulls: endpoint.Overloads, Resets: endpoint.Resets,
 			Sent: toInt64s(endpoint.Sent), LastSent: int64(endpoint.SinceLastSent), Trial: int64(endpoint.UntilTrial),
 			Told: int64(endpoint.RequestedWait)})
 	}
@@ -66,8 +67,8 @@
 }
 
 func toJournalLimit(state logic.LimiterState) journal.PartnerLimit {
-	return journal.PartnerLimit{Told: state.Limit, Pace: state.Rate, Halved: int64(state.SinceDecrease), Peak: state.PeakRate,
-		Sent: toInt64s(state.Sent), Tokens: state.Tokens, Wait: int64(state.RequestedWait), Fulls: state.Overloads,
+	return journal.PartnerLimit{Told: state.Limit, Pace: state.Rate, Halved: int64(state.SinceDecrease),
+		Peak: state.PeakRate, Sent: toInt64s(state.Sent), Tokens: state.Tokens, Wait: int64(state.RequestedWait), Fulls: state.Overloads,
 		First: int64(state.SinceFirstOverload), Spent: state.NearLimit}
 }
 
@@ -85,7 +86,8 @@
 			continue
 		}
 		state.Endpoints = append(state.Endpoints, logic.EndpointState{Endpoint: id, Limiter: toLimiterState(endpoint.Limit),
-			Outage: endpoint.Out, Cold: endpoint.Cold, SinceRecovery: logic.Micros(endpoint.Back), SinceSuccess: logic.Micros(endpoint.Good),
+			Outage: endpoint.Out, Cold: endpoint.Cold, SinceRecovery: logic.Micros(endpoint.Back),
+			SinceSuccess: logic.Micros(endpoint.Good),
 			SinceFailure: logic.Micros(endpoint.Bad), SinceIndependentSuccess: logic.Micros(endpoint.Well),
 			TrialInterval: logic.Micros(endpoint.Gap), FailureRatio: endpoint.Failing, Latency: logic.Micros(endpoint.Slow),
 			Failures: endpoint.Fails, Overloads: endpoint.Fulls, Resets: endpoint.Resets,
@@ -97,7 +99,8 @@
 }
 
 func toLimiterState(limit journal.PartnerLimit) logic.LimiterState {
-	return logic.LimiterState{Limit: limit.Told, Rate: limit.Pace, SinceDecrease: logic.Micros(limit.Halved), PeakRate: limit.Peak,
+	return logic.LimiterState{Limit: limit.Told, Rate: limit.Pace, SinceDecrease: logic.Micros(limit.Halved),
+		PeakRate: limit.Peak,
 		LimiterHandover: logic.LimiterHandover{Sent: toMicrosList(limit.Sent), Tokens: limit.Tokens,
 			RequestedWait: logic.Micros(limit.Wait), Overloads: limit.Fulls,
 			SinceFirstOverload: logic.Micros(limit.First), NearLimit: limit.Spent}}
--- a/internal/core/others.go
+++ b/internal/core/others.go
@@ -44,7 +44,8 @@
 			continue
 		}
 		if observation.RequestedWait > 0 {
-			c.nextEvents = append(c.nextEvents, logic.RequestedWait{Endpoint: id, Remaining: toMicros(observation.RequestedWait)})
+			c.nextEvents = append(c.nextEvents,
+				logic.RequestedWait{Endpoint: id, Remaining: toMicros(observation.RequestedWait)})
 			c.applyRequestedWait(id, observation.RequestedWait)
 			continue
 		}
--- a/internal/core/outgoing.go
+++ b/internal/core/outgoing.go
@@ -12,45 +12,44 @@
 // Attempt is one attempt to deliver a message.
 type Attempt struct {
 	Message  *message.Message
-	Number   int // of the message's attempts, from 0
+	Number   int // number among the message's attempts, from 0
 	Endpoint logic.EndpointID
 	Addr     string
-	Timeout  time.Duration // no answer counts after this
-	// Unrepeatable says that a break would end the message for good, so that a
-	// connection which may break is to be avoided.
+	Timeout  time.Duration // a response after this time is ignored
+	// Unrepeatable is set if the message could not be sent again after a broken connection, so that a connection
+	// that may break must be avoided.
 	Unrepeatable bool
-	// Expires is the end of the message's time; zero for none.
+	// Expires is the message's deadline; zero for none.
 	Expires time.Time
-	// Repeat is what allows the attempt where an earlier one may have run, as it stood
-	// when the loop made it.
+	// Repeat determines whether the attempt is allowed if an earlier one may have run, as of its creation.
 	Repeat permit.Repeat
 
-	plannedShare float64        // of each rate, by which it was decided on
-	allowedShare func() float64 // that may be used now; nil for any
+	plannedShare float64        // share of each rate on which the decision to send was based
+	allowedShare func() float64 // returns the share of each rate that may be used now; nil for no limit
 	monitor      *permit.Monitor
 
 	state          atomic.Int32
-	withheldReason atomic.Int32 // why it is withheld: a permit.Reason
-	messageEnded   atomic.Bool  // its message has had its end
-	createdAt      time.Time    // when the loop made it
-	firstID        string       // the id of the first message of its call
-	bodyInStore    bool         // the message's body is in the store only
+	withheldReason atomic.Int32 // the permit.Reason for which it was withheld
+	messageEnded   atomic.Bool
+	createdAt      time.Time
+	firstID        string // ID of the first message of its call
+	bodyInStore    bool   // the message's body is in the store only
 }
 
-// The states of an attempt. It goes from the first to one of the others, once.
+// The states of an attempt. It changes once, from waiting to one of the others.
 const (
 	attemptWaiting  int32 = iota
-	attemptBegun          // from here on it may have run
-	attemptWithheld       // it is not to be begun
+	attemptBegun          // it may have run
+	attemptWithheld       // it must not begin
 )
 
-// leaseTolerance is by how much of a rate a lease may be less than planned with.
+// leaseTolerance is the rounding error, in shares of a rate, by which the allowed share may be below the planned one.
 const leaseTolerance = 1e-9
 
-// Begin says whether the attempt may go out now. The transport asks once, right
-// before the first byte. What was decided on earlier may have become wrong since: a
-// wait or a drain has become known, the message's time or the window for its repeats
-// is nearly over, or this sender may use less of each rate than it was decided by.
+// Begin reports whether the attempt may be sent now. The transport calls it once, right before it writes the first
+// byte, because the decision to send may be outdated: a wait or a drain has become known, the message's deadline or
+// the end of the window for repeats is close, or the share of each rate that this sender may use has become smaller
+// than planned.
 func (a *Attempt) Begin() bool {
 	if reason := a.checkPermit(time.Now()); reason != permit.Granted {
 		a.Withhold(reason)
@@ -64,22 +63,23 @@
 	return false
 }
 
+// checkPermit returns why the attempt may not begin, or [permit.Granted].
 func (a *Attempt) checkPermit(now time.Time) permit.Reason {
 	if a.allowedShare != nil {
-		if part := a.allowedShare(); part <= 0 || part < a.plannedShare-leaseTolerance {
+		if share := a.allowedShare(); share <= 0 || share < a.plannedShare-leaseTolerance {
 			return permit.LeaseReduced
 		}
 	}
-	x := permit.Message{Ended: a.messageEnded.Load(), Remaining: time.Hour, Repeat: a.Repeat}
+	state := permit.Message{Ended: a.messageEnded.Load(), Remaining: time.Hour, Repeat: a.Repeat}
 	if !a.Expires.IsZero() {
-		x.Remaining = a.Expires.Sub(now)
+		state.Remaining = a.Expires.Sub(now)
 	}
-	x.Repeat.Age += now.Sub(a.createdAt)
-	return permit.Send(x)
+	state.Repeat.Age += now.Sub(a.createdAt)
+	return permit.Send(state)
 }
 
-// MarkWritten notes that the last byte has been written. That this was too late can't be
-// undone, but it is counted.
+// MarkWritten is called once the last byte has been written. If that was after the deadline or the end of the message,
+// it counts a violation.
 func (a *Attempt) MarkWritten() {
 	if a.Message == nil {
 		return
@@ -92,16 +92,16 @@
 	}
 }
 
-// begun says whether it may have gone out.
+// hasBegun reports whether the attempt may have been sent.
 func (a *Attempt) hasBegun() bool { return a.state.Load() == attemptBegun }
 
-// Withhold keeps the attempt from going out, and says whether that was in time.
+// Withhold prevents the attempt from beginning. It returns false if the attempt has begun or was withheld before.
 func (a *Attempt) Withhold(reason permit.Reason) bool {
 	a.withheldReason.CompareAndSwap(int32(permit.Granted), int32(reason))
 	return a.state.CompareAndSwap(attemptWaiting, attemptWithheld)
 }
 
-// Reason says why the attempt was withheld; [permit.Granted] if it was not.
+// Reason returns why the attempt was withheld; [permit.Granted] if it was not.
 func (a *Attempt) Reason() permit.Reason {
 	if a.state.Load() != attemptWithheld {
 		return permit.Granted
--- a/internal/core/relay.go
+++ b/internal/core/relay.go
@@ -7,37 +7,37 @@
 	"cometrack/internal/permit"
 )
 
-// What a process does once another decides: its calls and clients come to their
-// ends here, and the successor hears of all of it.
+// After a handover the predecessor finishes its attempts in flight and serves its remaining clients: it forwards
+// outcomes, submissions and state queries to the successor.
 
 const (
-	// mostForwarded bounds the requests that wait for the successor.
+	// maxForwarded is the maximum number of forwarded requests of each kind without a response.
 	maxForwarded = 1024
-	// lastForwarded is for the successor's answers to requests as this process ends, though
-	// the successor is held up meanwhile.
+	// finalResponseTimeout is the time for the successor's responses when this process exits, even if the successor
+	// is stalled meanwhile.
 	finalResponseTimeout = permit.MaxStall + 50*time.Millisecond
-	// unknownTime is for clients to give up requests that the successor had as it died: it
-	// may have taken them on, and then any answer but yes is wrong.
+	// clientGiveUpTime is the time in which clients give up requests that the successor had received before it
+	// exited. It may have accepted them, and then any response but an acceptance would be wrong.
 	clientGiveUpTime = 500 * time.Millisecond
 )
 
-// relay is what a process has under way for its successor. The loop that [relay.run] is
-// owns it.
+// relay is the state of a process after its handover. It is used by [relay.run] only.
 type relay struct {
 	core          *Core
 	successor     Successor
-	successorGone bool // the successor has ended
-	stopping      bool // this process ends: only answers are waited for
-	clientsGone   bool // no client is left
+	successorGone bool // the link to the successor is closed
+	stopping      bool // this process exits: only responses are waited for
+	clientsGone   bool // all client connections are closed
 	inFlight      map[string]*pendingMessage
-	submissions   map[uint64]submitEvent     // by the number they were forwarded under
-	stateQueries  map[uint64]stateQueryEvent // as well
+	submissions   map[uint64]submitEvent     // by sequence number
+	stateQueries  map[uint64]stateQueryEvent // by sequence number
 	seq           uint64
 }
 
-// relay forwards until no call is out and no client is left.
+// relay forwards to the successor until no attempt is in flight and all clients are gone.
 func (c *Core) relay(ev *handoverEvent, served, stopped <-chan struct{}) error {
-	r := &relay{core: c, successor: ev.successor, inFlight: map[string]*pendingMessage{}, submissions: map[uint64]submitEvent{}, stateQueries: map[uint64]stateQueryEvent{}}
+	r := &relay{core: c, successor: ev.successor, inFlight: map[string]*pendingMessage{},
+		submissions: map[uint64]submitEvent{}, stateQueries: map[uint64]stateQueryEvent{}}
 	for id, p := range c.pending {
 		if p.attempt != nil && p.attempt.hasBegun() {
 			r.inFlight[id] = p
@@ -49,35 +49,35 @@
 	return nil
 }
 
-// run takes what comes, until nothing is under way any more.
+// run handles events until the relay has finished.
 func (r *relay) run(served, stopped <-chan struct{}) {
-	told, gone := make(chan any, maxForwarded), make(chan struct{})
+	messages, gone := make(chan any, maxForwarded), make(chan struct{})
 	go r.successor.ReceiveMessages(func(m any) {
 		select {
-		case told <- m:
+		case messages <- m:
 		case <-r.core.done:
 		}
 	}, func(err error) { close(gone) })
-	var late, unknown <-chan time.Time // answers are waited for no longer
+	var finalTimer, giveUpTimer <-chan time.Time // when responses are no longer waited for
 	for !r.finished() {
 		select {
 		case x := <-r.core.events:
 			r.handleEvent(x)
-		case m := <-told:
+		case m := <-messages:
 			r.handleMessage(m)
 		case <-gone:
 			r.core.log.Error("the process that took over is gone")
 			gone, r.successorGone = nil, true
-			r.cancelAttempts() // it takes them for ended
-			unknown = time.After(clientGiveUpTime)
-		case <-unknown:
+			r.cancelAttempts() // the next process regards them as ended
+			giveUpTimer = time.After(clientGiveUpTime)
+		case <-giveUpTimer:
 			r.failOutstanding()
 		case <-served:
 			r.clientsGone, served = true, nil
 		case <-stopped:
 			r.stopping, stopped = true, nil
-			late = time.After(finalResponseTimeout)
-		case <-late:
+			finalTimer = time.After(finalResponseTimeout)
+		case <-finalTimer:
 			r.core.log.Error("the process that took over has not answered in time", "requests", len(r.submissions))
 			return
 		}
@@ -85,29 +85,28 @@
 	r.core.log.Info("stopped", "handed over", true, "calls_out", len(r.inFlight))
 }
 
-// over says whether nothing is under way any more. Calls that are out do not hold up a
-// process that is to end whatever is owed.
+// finished reports whether nothing is left to forward. Attempts in flight do not delay a process that is to exit in any
+// case.
 func (r *relay) finished() bool {
 	return len(r.submissions)+len(r.stateQueries) == 0 && (r.stopping || r.clientsGone && len(r.inFlight) == 0)
 }
 
-// closed says whether nothing more is forwarded.
+// forwardingClosed reports whether requests are no longer forwarded.
 func (r *relay) forwardingClosed() bool { return r.successorGone || r.stopping }
 
-// lose answers what the successor had and will not answer: nobody knows what became of
-// it.
+// failOutstanding answers the requests that were forwarded and will get no response. Their outcomes are unknown.
 func (r *relay) failOutstanding() {
 	for seq, ev := range r.submissions {
 		ev.respond(SubmitResponse{Status: Failed})
 		delete(r.submissions, seq)
 	}
-	for seq, ask := range r.stateQueries {
-		ask.response <- State{ID: ask.id}
+	for seq, query := range r.stateQueries {
+		query.response <- State{ID: query.id}
 		delete(r.stateQueries, seq)
 	}
 }
 
-// take deals with an event of this process.
+// handleEvent handles an event of this process.
 func (r *relay) handleEvent(event any) {
 	switch x := event.(type) {
 	case submitEvent:
@@ -122,24 +121,25 @@
 		}
 	case handoverEvent:
 		x.done <- ErrStopped
-	case shutdownEvent: // what is out by then is called off, so that its end is known
+	case shutdownEvent: // attempts still in flight at that time are cancelled, so that they have outcomes
 		time.AfterFunc(x.timeLeft, func() { r.core.post(cancelAttemptsEvent{}) })
 	case cancelAttemptsEvent:
 		r.cancelAttempts()
 	}
 }
 
-// callOff calls off what is out.
+// cancelAttempts cancels the attempts in flight.
 func (r *relay) cancelAttempts() {
 	for _, p := range r.inFlight {
 		p.cancel()
 	}
 }
 
-// put forwards a message that a client hands in. If that fails, the successor is gone.
+// forwardSubmission forwards a submitted message. Send errors are ignored, as the link is then closed and the successor
+// gone.
 func (r *relay) forwardSubmission(ev submitEvent) {
 	if r.forwardingClosed() || len(r.submissions) >= maxForwarded {
-		ev.respond(SubmitResponse{Status: Busy}) // the successor has never had it
+		ev.respond(SubmitResponse{Status: Busy}) // the successor has not received it
 		return
 	}
 	r.seq++
@@ -147,7 +147,7 @@
 	r.successor.Send(&handover.Put{Seq: r.seq, Message: *ev.msg})
 }
 
-// ask forwards a question for the state of a message.
+// forwardQuery forwards a state query.
 func (r *relay) forwardQuery(ev stateQueryEvent) {
 	if r.forwardingClosed() || len(r.stateQueries) >= maxForwarded {
 		ev.response <- State{ID: ev.id}
@@ -158,36 +158,38 @@
 	r.successor.Send(&handover.AskState{Seq: r.seq, ID: ev.id})
 }
 
-// reply tells the successor the outcomes of attempts.
+// forwardOutcomes sends the outcomes of attempts to the successor.
 func (r *relay) forwardOutcomes(event outcomesEvent) {
-	list := handover.Outcomes{}
-	for _, x := range event {
-		id := x.attempt.Message.ID
-		if p := r.inFlight[id]; p == nil || p.attempt != x.attempt {
+	outcomes := handover.Outcomes{}
+	for _, outcome := range event {
+		id := outcome.attempt.Message.ID
+		if p := r.inFlight[id]; p == nil || p.attempt != outcome.attempt {
 			continue
 		}
 		delete(r.inFlight, id)
-		list.List = append(list.List, handover.Outcome{ID: id, Number: x.attempt.Number, Outcome: int(x.result.Outcome),
-			Took: x.took, Wait: x.result.RequestedWait, Over: x.result.MessageEnded, Load: x.result.Load})
+		outcomes.List = append(outcomes.List, handover.Outcome{ID: id, Number: outcome.attempt.Number,
+			Outcome: int(outcome.result.Outcome), Took: outcome.took, Wait: outcome.result.RequestedWait,
+			Over: outcome.result.MessageEnded, Load: outcome.result.Load})
 	}
-	if len(list.List) > 0 {
-		r.successor.Send(&list)
+	if len(outcomes.List) > 0 {
+		r.successor.Send(&outcomes)
 	}
 }
 
-// hear deals with what the successor tells.
-func (r *relay) handleMessage(message any) {
-	switch m := message.(type) {
+// handleMessage handles a message of the successor.
+func (r *relay) handleMessage(msg any) {
+	switch m := msg.(type) {
 	case *handover.Answer:
 		if ev, ok := r.submissions[m.Seq]; ok {
 			delete(r.submissions, m.Seq)
 			ev.respond(SubmitResponse{Status: SubmitStatus(m.Verdict), RetryAfter: m.After, Duplicate: m.Again})
 		}
 	case *handover.State:
-		if ask, ok := r.stateQueries[m.Seq]; ok {
+		if query, ok := r.stateQueries[m.Seq]; ok {
 			delete(r.stateQueries, m.Seq)
-			ask.response <- State{ID: ask.id, Name: m.Name, Tenant: m.Tenant, Partner: m.Partner, Class: m.Class, Attempts: m.Tries,
-				RetryAfter: m.After, AcceptedAt: fromUnixMicro(m.Accepted), Deadline: fromUnixMicro(m.Deadline), EndedAt: fromUnixMicro(m.Over)}
+			query.response <- State{ID: query.id, Name: m.Name, Tenant: m.Tenant, Partner: m.Partner, Class: m.Class,
+				Attempts: m.Tries, RetryAfter: m.After, AcceptedAt: fromUnixMicro(m.Accepted),
+				Deadline: fromUnixMicro(m.Deadline), EndedAt: fromUnixMicro(m.Over)}
 		}
 	case *handover.Cancel:
 		if p := r.inFlight[m.ID]; p != nil && p.attempt.Number == m.Number {
@@ -196,7 +198,7 @@
 	}
 }
 
-// moment is a time of the wall clock that another process has told; zero for none.
+// fromUnixMicro converts a wall-clock time from the link; the zero time for 0.
 func fromUnixMicro(us int64) time.Time {
 	if us == 0 {
 		return time.Time{}
@@ -204,5 +206,5 @@
 	return time.UnixMicro(us)
 }
 
-// callOffEvent calls off what is out.
+// cancelAttemptsEvent cancels the attempts in flight.
 type cancelAttemptsEvent struct{}
--- a/internal/core/step.go
+++ b/internal/core/step.go
@@ -11,17 +11,18 @@
 	"cometrack/logic"
 )
 
-// step lets the module decide, writes the journal, and then acts, in order.
+// step passes the collected events to the scheduler, writes the resulting records to the journal, and then carries out
+// the scheduler's actions, in order.
 func (c *Core) step(work context.Context) {
 	c.endExpiredBacklog()
 	events := c.nextEvents
 	c.nextEvents = nil
 	actions := c.sender.Step(toMicros(time.Since(c.start)), events)
-	answers := c.immediateResponses(actions)
+	responses := c.immediateResponses(actions)
 	now := c.clock.Now()
-	c.recordActions(actions, answers, now)
+	c.recordActions(actions, responses, now)
 	err := c.store.Append(c.records)
-	notBehind := c.commitBacklog(err)
+	backlogErr := c.commitBacklog(err)
 	clear(c.records)
 	c.records = c.records[:0]
 	if err != nil {
@@ -29,17 +30,18 @@
 		c.log.Error("journal", "err", err)
 	}
 	c.applyBacklogWrite(err)
-	c.respondToSubmissions(answers, err, notBehind)
-	var outs []logic.StartAttempt // some may share a call; the module says nothing more of one in the same step
+	c.respondToSubmissions(responses, err, backlogErr)
+	// Attempts are started together, as some may share a call. The step has no other action for their messages.
+	var starts []logic.StartAttempt
 	for _, a := range actions {
-		if out, ok := a.(logic.StartAttempt); ok {
-			outs = append(outs, out)
+		if start, ok := a.(logic.StartAttempt); ok {
+			starts = append(starts, start)
 			continue
 		}
-		c.performAction(work, a, answers, now)
+		c.performAction(work, a, responses, now)
 	}
 	c.reportEnds(err == nil)
-	c.startAttempts(work, outs, err == nil)
+	c.startAttempts(work, starts, err == nil)
 	c.releaseBodies()
 	clear(c.backlog.spilledIDs)
 	c.answerStateQueries()
@@ -48,13 +50,14 @@
 	c.metrics.EndsAwaitingWrite.Store(int64(len(c.unreportedEnds)))
 }
 
-// record adds what the module has decided to what the journal is to get.
-func (c *Core) recordActions(actions []logic.Action, answers map[string]SubmitResponse, now int64) {
-	for _, p := range c.submissions {
-		id := p.msg.ID
-		if _, told := answers[id]; !told && c.newMessages[id] == p.msg && !c.backlog.spilledIDs[id] {
+// recordActions adds the journal records of accepted messages and of the scheduler's actions.
+func (c *Core) recordActions(actions []logic.Action, responses map[string]SubmitResponse, now int64) {
+	for _, submission := range c.submissions {
+		id := submission.msg.ID
+		if _, rejected := responses[id]; !rejected && c.newMessages[id] == submission.msg && !c.backlog.spilledIDs[id] {
 			c.records = append(c.records, journal.Record{Op: journal.OpAccept,
-				Entry: &journal.Entry{Message: *p.msg, Accepted: c.pending[id].acceptedAt, Terms: c.pending[id].termsNumber}})
+				Entry: &journal.Entry{Message: *submission.msg, Accepted: c.pending[id].acceptedAt,
+					Terms: c.pending[id].termsNumber}})
 		}
 	}
 	for _, a := range actions {
@@ -64,49 +67,48 @@
 				Zone: c.directory.zoneName(c.directory.endpoints[a.Endpoint].zone)})
 		case logic.ReturnMessage, logic.FailMessage:
 			end := c.endFor(a, now)
-			if _, told := answers[end.ID]; !told && c.isPending(end.ID) {
+			if _, rejected := responses[end.ID]; !rejected && c.isPending(end.ID) {
 				c.records = append(c.records, journal.Record{Op: journal.OpEnd, ID: end.ID, End: &end})
 			}
 		}
 	}
-	if len(c.records) > 0 { // a write is due anyway
+	if len(c.records) > 0 { // the journal is written in this step anyway
 		c.savePartners(maxSavedPerStep)
 	}
 }
 
-// answerPuts tells clients what became of the messages that they have handed in. err
-// is what became of the journal, notBehind of what goes behind windows.
-func (c *Core) respondToSubmissions(answers map[string]SubmitResponse, err, notBehind error) {
-	for _, p := range c.submissions {
-		id := p.msg.ID
-		switch answer, told := answers[id]; {
-		case told:
+// respondToSubmissions sends the responses to the submissions of this step. err is the error of the write to the
+// journal, and backlogErr that of the write to the backlog.
+func (c *Core) respondToSubmissions(responses map[string]SubmitResponse, err, backlogErr error) {
+	for _, submission := range c.submissions {
+		id := submission.msg.ID
+		switch response, rejected := responses[id]; {
+		case rejected:
 			c.metrics.Rejected.Add(1)
-			p.respond(answer)
+			submission.respond(response)
 		case c.backlog.spilledIDs[id]:
-			if notBehind != nil {
-				p.respond(SubmitResponse{Status: Busy})
+			if backlogErr != nil {
+				submission.respond(SubmitResponse{Status: Busy})
 			} else {
-				p.respond(SubmitResponse{Status: Accepted, Duplicate: c.newMessages[id] != p.msg})
+				submission.respond(SubmitResponse{Status: Accepted, Duplicate: c.newMessages[id] != submission.msg})
 			}
-		case err != nil && c.store.Entry(id) == nil: // not written, so not taken on
+		case err != nil && c.store.Entry(id) == nil: // not in the journal, so not accepted
 			c.metrics.Rejected.Add(1)
-			p.respond(SubmitResponse{Status: Busy})
-			if c.newMessages[id] == p.msg {
+			submission.respond(SubmitResponse{Status: Busy})
+			if c.newMessages[id] == submission.msg {
 				c.dropUnaccepted(id)
 				c.nextEvents = append(c.nextEvents, logic.ClientGone{ID: id})
 			}
 		default:
 			c.metrics.Accepted.Add(1)
-			p.respond(SubmitResponse{Status: Accepted, Duplicate: c.newMessages[id] != p.msg})
+			submission.respond(SubmitResponse{Status: Accepted, Duplicate: c.newMessages[id] != submission.msg})
 		}
 	}
 	clear(c.submissions)
 	c.submissions = c.submissions[:0]
 }
 
-// leaveBodies forgets the bodies of new messages that the store has taken over.
-// Calls that are on their way have them still.
+// releaseBodies drops the bodies of new messages that the store can read back. Calls in flight still have them.
 func (c *Core) releaseBodies() {
 	for id := range c.newMessages {
 		c.releaseBody(id)
@@ -115,20 +117,20 @@
 }
 
 func (c *Core) releaseBody(id string) {
-	if e, p := c.store.Entry(id), c.pending[id]; e != nil && p != nil && e.Left > 0 {
-		without := *p.msg
-		without.Body = nil
-		p.msg, p.bodyInStore = &without, true
+	if entry, p := c.store.Entry(id), c.pending[id]; entry != nil && p != nil && entry.Left > 0 {
+		stripped := *p.msg
+		stripped.Body = nil
+		p.msg, p.bodyInStore = &stripped, true
 	}
 }
 
-// isOwed says whether the message has been taken on and is not over.
+// isPending reports whether a message has been accepted and has not ended.
 func (c *Core) isPending(id string) bool {
-	e := c.store.Entry(id)
-	return e != nil && e.End == nil || c.backlog.refilledIDs[id]
+	entry := c.store.Entry(id)
+	return entry != nil && entry.End == nil || c.backlog.refilledIDs[id]
 }
 
-// endOf is the end that the module has decided on.
+// endFor returns the end of a message that the scheduler returns or fails.
 func (c *Core) endFor(a logic.Action, now int64) message.End {
 	end := message.End{At: now}
 	switch a := a.(type) {
@@ -143,36 +145,37 @@
 	return end
 }
 
-// tellEnds tells of what has ended, as far as package permit allows it: what the journal
-// does not hold yet waits for the next good write, which a timer sees to.
+// reportEnds reports the ends that package permit allows to be reported. Ends that are not in the journal yet wait for
+// the next successful write, which a timer triggers.
 func (c *Core) reportEnds(written bool) {
-	kept, again := c.unreportedEnds[:0], retryDelay
-	for _, x := range c.unreportedEnds {
-		end := permit.End{Written: written, Delivered: x.end.State == message.Delivered, Remaining: time.Until(c.clock.Moment(x.msg.Deadline))}
+	kept, retryIn := c.unreportedEnds[:0], retryDelay
+	for _, report := range c.unreportedEnds {
+		end := permit.End{Written: written, Delivered: report.end.State == message.Delivered,
+			Remaining: time.Until(c.clock.Moment(report.msg.Deadline))}
 		if reason := permit.NotifyEnd(end); reason != permit.Granted {
-			c.monitor.CountDenied(reason, "tell end", x.end.ID)
-			kept = append(kept, x)
+			c.monitor.CountDenied(reason, "tell end", report.end.ID)
+			kept = append(kept, report)
 			if end.Remaining > 0 {
-				again = min(again, end.Remaining)
+				retryIn = min(retryIn, end.Remaining)
 			}
 			continue
 		}
-		if x.notify {
-			if e := c.store.Entry(x.end.ID); written && (e == nil || e.End == nil) {
-				c.monitor.CountViolation(permit.EndNotWritten, x.end.ID, "state", x.end.State)
+		if report.notify {
+			if entry := c.store.Entry(report.end.ID); written && (entry == nil || entry.End == nil) {
+				c.monitor.CountViolation(permit.EndNotWritten, report.end.ID, "state", report.end.State)
 			}
-			c.notifySink(x.msg, x.end)
+			c.notifySink(report.msg, report.end)
 		}
-		c.endedIDs = append(c.endedIDs, x.end.ID)
+		c.endedIDs = append(c.endedIDs, report.end.ID)
 	}
 	clear(c.unreportedEnds[len(kept):])
 	c.unreportedEnds = kept
 	if len(kept) > 0 {
-		time.AfterFunc(again, func() { c.post(retryWriteEvent{}) })
+		time.AfterFunc(retryIn, func() { c.post(retryWriteEvent{}) })
 	}
 }
 
-// untoldEnd is the end of a message of which nobody may be told yet; nil if there is none.
+// unreportedEnd returns the end of a message if it must not be reported yet; otherwise nil.
 func (c *Core) unreportedEnd(id string) *endReport {
 	i := slices.IndexFunc(c.unreportedEnds, func(x endReport) bool { return x.end.ID == id })
 	if i < 0 {
@@ -181,13 +184,13 @@
 	return &c.unreportedEnds[i]
 }
 
-// tellEnd has the sink told of an end. To people and other programs its time is that of the wall clock.
+// notifySink passes an end to the sink. Its time is converted to wall-clock time for operators and other programs.
 func (c *Core) notifySink(m *message.Message, end message.End) {
 	end.At = c.clock.Wall(end.At).UnixMicro()
 	c.sink.Add(m, end)
 }
 
-// drop forgets a message that was never taken on.
+// dropUnaccepted removes a message that was not accepted.
 func (c *Core) dropUnaccepted(id string) {
 	if p := c.pending[id]; p != nil && !p.ended {
 		c.uncount(p)
@@ -195,7 +198,8 @@
 	}
 }
 
-// finish takes a message off the books; the store remembers it.
+// endMessage marks a message as ended and removes it from the pending messages unless an attempt is in flight. The
+// store still knows its end.
 func (c *Core) endMessage(id string, p *pendingMessage) {
 	if p.ended {
 		c.monitor.CountViolation(permit.EndedTwice, id)
@@ -204,7 +208,7 @@
 	p.ended = true
 	if p.attempt != nil {
 		p.attempt.messageEnded.Store(true)
-		if p.attempt.Withhold(permit.MessageEnded) { // it is connecting: nothing of the message may go out any more
+		if p.attempt.Withhold(permit.MessageEnded) { // it is connecting: nothing of the message may be sent any more
 			p.cancel()
 		}
 	}
@@ -214,8 +218,8 @@
 	}
 }
 
-// act carries out one word of the module that is no call.
-func (c *Core) performAction(work context.Context, a logic.Action, answers map[string]SubmitResponse, now int64) {
+// performAction carries out an action of the scheduler other than StartAttempt.
+func (c *Core) performAction(work context.Context, a logic.Action, responses map[string]SubmitResponse, now int64) {
 	switch a := a.(type) {
 	case logic.Cancel:
 		if p := c.pending[a.ID]; p != nil && p.cancel != nil && p.attempts-1 == a.Attempt {
@@ -226,7 +230,7 @@
 		if p := c.pending[end.ID]; p != nil && !p.ended {
 			c.traceEnd(end.ID, p, end.State)
 		}
-		if _, told := answers[end.ID]; told {
+		if _, rejected := responses[end.ID]; rejected {
 			c.dropUnaccepted(end.ID)
 			return
 		}
@@ -240,7 +244,7 @@
 			c.unreportedEnds = append(c.unreportedEnds, endReport{p.msg, end, true})
 		}
 	case logic.SetTimer:
-		c.timer.Reset(toDuration(a.Wait)) // it goes off no later than the one before
+		c.timer.Reset(toDuration(a.Wait)) // the new timer expires no later than the previous one
 		c.timerToken = a.Token
 	case logic.Probe:
 		c.probe(work, a.Endpoint)
--- a/internal/core/submit.go
+++ b/internal/core/submit.go
@@ -201,8 +201,8 @@
 		return s
 	}
 	if report := c.unreportedEnd(id); report != nil { // the end must not be visible yet
-		return State{ID: id, Name: StateAccepted, Tenant: report.msg.Tenant, Partner: report.msg.Partner, Class: report.msg.Class,
-			Attempts: report.end.Tries, Deadline: c.wallTime(report.msg.Deadline)}
+		return State{ID: id, Name: StateAccepted, Tenant: report.msg.Tenant, Partner: report.msg.Partner,
+			Class: report.msg.Class, Attempts: report.end.Tries, Deadline: c.wallTime(report.msg.Deadline)}
 	}
 	if entry := c.store.Entry(id); entry != nil && entry.End != nil {
 		return State{ID: id, Name: entry.End.State, Tenant: entry.Tenant, Partner: entry.Partner, Class: entry.Class,
@@ -210,8 +210,8 @@
 			AcceptedAt: c.wallTime(entry.Accepted), EndedAt: c.wallTime(entry.End.At)}
 	}
 	if entry := c.store.Ended(id); entry != nil {
-		return State{ID: id, Name: entry.State, Tenant: entry.Tenant, Partner: entry.Partner, Class: entry.Class, Attempts: entry.Tries,
-			RetryAfter: time.Duration(entry.AfterMS) * time.Millisecond, AcceptedAt: c.wallTime(entry.Accepted),
+		return State{ID: id, Name: entry.State, Tenant: entry.Tenant, Partner: entry.Partner, Class: entry.Class,
+			Attempts: entry.Tries, RetryAfter: time.Duration(entry.AfterMS) * time.Millisecond, AcceptedAt: c.wallTime(entry.Accepted),
 			EndedAt: c.wallTime(entry.Over)}
 	}
 	return State{ID: id}
--- a/internal/core/trace.go
+++ b/internal/core/trace.go
@@ -26,7 +26,8 @@
 	if c.traceEnabled() {
 		a := ev.attempt
 		c.log.Debug("reply", "id", a.Message.ID, "partner", a.Message.Partner,
-			"ep", c.directory.endpoints[a.Endpoint].name, "outcome", ev.result.Outcome.String(), "took", ev.took.Milliseconds(), "wait", ev.result.RequestedWait.Milliseconds())
+			"ep", c.directory.endpoints[a.Endpoint].name, "outcome", ev.result.Outcome.String(),
+			"took", ev.took.Milliseconds(), "wait", ev.result.RequestedWait.Milliseconds())
 	}
 }
 
--- a/internal/soak/plant.go
+++ b/internal/soak/plant.go
@@ -22,8 +22,8 @@
 		{File: "internal/store/commit.go", Old: "type waiter struct {", New: "var skipped int\n\ntype waiter struct {"},
 	}},
 	{Name: "repeat after an end", Changes: []faultbuild.Change{
-		{File: "internal/core/step.go", Old: "if _, told := answers[end.ID]; !told && c.isPending(end.ID) {",
-			New: "if _, told := answers[end.ID]; !told && c.isPending(end.ID) && len(end.ID)%2 == 0 {"},
+		{File: "internal/core/step.go", Old: "if _, rejected := responses[end.ID]; !rejected && c.isPending(end.ID) {",
+			New: "if _, rejected := responses[end.ID]; !rejected && c.isPending(end.ID) && len(end.ID)%2 == 0 {"},
 	}},
 	{Name: "closed with a request read", Changes: []faultbuild.Change{
 		{File: "internal/front/resp/session.go", Old: "		if err == nil {\n			s.conn.SetWriteDeadline(time.Now().Add(answerTime))\n			_, err = w.WriteString(line)",
