--- a/internal/core/backlog_test.go
+++ b/internal/core/backlog_test.go
@@ -17,16 +17,17 @@
 	"cometrack/logic"
 )
 
-// behindOf has a core keep what is behind windows of one message in a folder.
+// withBacklog gives a core a backlog in a folder, with a window of one message.
 func withBacklog(fs vfs.FS) func(*Dependencies) {
 	return func(p *Dependencies) {
 		p.OpenBacklog = func(s Store, tell func(any, <-chan struct{})) (Backlog, error) {
-			return spill.Open(fs, s, spill.Options{Window: 1, MaxBytes: 3e6, Sync: store.SyncAlways, Log: slog.New(slog.DiscardHandler)}, tell)
+			return spill.Open(fs, s, spill.Options{Window: 1, MaxBytes: 3e6, Sync: store.SyncAlways,
+				Log: slog.New(slog.DiscardHandler)}, tell)
 		}
 	}
 }
 
-// accepted hands messages in that are taken on.
+// submitAccepted submits messages that must be accepted.
 func (r *rig) submitAccepted(list ...*message.Message) {
 	r.t.Helper()
 	for _, m := range list {
@@ -36,7 +37,7 @@
 	}
 }
 
-// next is the next attempt, which must be of a message.
+// nextAttempt returns the next attempt, which must be of the given message.
 func (r *rig) nextAttempt(id string) fakeAttempt {
 	r.t.Helper()
 	s := byhand.Await(r.t, r.fakeTransport.attempts, "attempt of "+id)
@@ -46,8 +47,8 @@
 	return s
 }
 
-// What is behind the window is known, keeps its order, goes past no earlier one, and comes into the window one by one,
-// also over a restart and with large bodies.
+// Messages in the backlog have a state, are recognized when submitted again, and enter the window one by one in order,
+// also across a crash and with large bodies.
 func TestBacklogRefillsWindow(t *testing.T) {
 	t.Parallel()
 	dir, cfg, fs := t.TempDir(), testConfig(), vfs.NewMem()
@@ -56,32 +57,33 @@
 	large.Body = append(large.Body, bytes.Repeat([]byte("x"), 5000)...)
 	r.submitAccepted(newMessage("a", "unsafe"), newMessage("b", "unsafe"), large, newMessage("d", "keyed"))
 	a := r.nextAttempt("a")
-	if s, _ := r.State(t.Context(), "c", false); s.Name != StateAccepted || s.Partner != "acme" || s.Class != "safe" || s.Tenant != "north" || s.Deadline.UnixMicro() != large.Deadline {
-		t.Errorf("the state behind the window is %+v", s)
+	if s, _ := r.State(t.Context(), "c", false); s.Name != StateAccepted || s.Partner != "acme" || s.Class != "safe" ||
+		s.Tenant != "north" || s.Deadline.UnixMicro() != large.Deadline {
+		t.Errorf("the state in the backlog is %+v", s)
 	}
 	if again := r.submitAndWait(newMessage("b", "unsafe")); again.Status != Accepted || !again.Duplicate {
-		t.Errorf("handed in again behind the window: %+v", again)
+		t.Errorf("submitted again while in the backlog: %+v", again)
 	}
 	other := newMessage("b", "unsafe")
 	other.Body = []byte("other")
 	if v := r.submitAndWait(other).Status; v != Conflict {
-		t.Errorf("another message of an id behind the window: %v", v)
+		t.Errorf("another message with an ID in the backlog: %v", v)
 	}
 	a.result <- Result{Outcome: logic.Completed}
 	r.nextAttempt("b")
 	r.crash()
 	r = newRig(t, dir, cfg, withBacklog(fs.Restart(vfs.LoseNone, nil))).run()
 	if x := byhand.Await(t, r.fakeSink.added, "end of a"); x.ID != "a" && x.ID != "b" {
-		t.Errorf("told %+v", x)
+		t.Errorf("end %+v", x)
 	}
 	if x := byhand.Await(t, r.fakeSink.added, "end of b: it may have run"); x.ID != "a" && x.ID != "b" {
-		t.Errorf("told %+v", x)
+		t.Errorf("end %+v", x)
 	}
 	r.nextAttempt("c").result <- Result{Outcome: logic.Completed}
 	r.nextAttempt("d").result <- Result{Outcome: logic.Completed}
 	for range 2 {
 		if x := byhand.Await(t, r.fakeSink.added, "end"); x.State != message.Delivered {
-			t.Errorf("told %+v", x)
+			t.Errorf("end %+v", x)
 		}
 	}
 	for _, id := range []string{"a", "b", "c", "d"} {
@@ -90,12 +92,13 @@
 	r.shutDown()
 }
 
-// A message that can't be written when it comes into its window goes back and comes again, once.
+// A message that can't be written to the journal when it enters its window is put back and enters it later, once.
 func TestRefillIsRetriedAfterJournalFailure(t *testing.T) {
 	t.Parallel()
 	fs := vfs.NewMem()
 	var log logBuffer
-	r := newRig(t, t.TempDir(), testConfig(), withBacklog(fs), func(p *Dependencies) { p.Log = slog.New(slog.NewTextHandler(&log, nil)) }).run()
+	r := newRig(t, t.TempDir(), testConfig(), withBacklog(fs),
+		func(p *Dependencies) { p.Log = slog.New(slog.NewTextHandler(&log, nil)) }).run()
 	r.submitAccepted(newMessage("a", "safe"), newMessage("b", "safe"), newMessage("c", "safe"))
 	a := r.nextAttempt("a")
 	r.store.setFailing(true)
@@ -107,14 +110,14 @@
 	for range 3 {
 		x := byhand.Await(t, r.fakeSink.added, "end")
 		if x.State != message.Delivered {
-			t.Errorf("told %+v", x)
+			t.Errorf("end %+v", x)
 		}
 		r.fakeSink.confirm <- x.ID
 	}
 	r.shutDown()
 }
 
-// trail is a log.
+// logBuffer collects the output of a logger in memory.
 type logBuffer struct {
 	mu     sync.Mutex
 	buffer bytes.Buffer
@@ -127,7 +130,7 @@
 }
 func (l *logBuffer) String() string { l.mu.Lock(); defer l.mu.Unlock(); return l.buffer.String() }
 
-// A message behind its window ends at its time, before it is over, and is remembered.
+// A message in the backlog is returned shortly before its deadline, and its end is still known afterwards.
 func TestBacklogMessageEndsAtItsDeadline(t *testing.T) {
 	t.Parallel()
 	r := newRig(t, t.TempDir(), testConfig(), withBacklog(vfs.NewMem())).run()
@@ -137,10 +140,10 @@
 	a := r.nextAttempt("a")
 	x := byhand.Await(t, r.fakeSink.added, "end of b")
 	if early := short.Deadline - x.At; x.ID != "b" || x.State != message.Returned || early < 0 || early > 150_000 {
-		t.Errorf("told %+v, %d µs before its time", x, early)
+		t.Errorf("end %+v, %d µs before the deadline", x, early)
 	}
 	if again := r.submitAndWait(short); again.Status != Accepted || !again.Duplicate {
-		t.Errorf("handed in again after its end: %+v", again)
+		t.Errorf("submitted again after its end: %+v", again)
 	}
 	if s := r.stateName("b"); s != message.Returned {
 		t.Errorf("its state is %q", s)
@@ -156,12 +159,13 @@
 	r.shutDown()
 }
 
-// A message that is damaged behind its window is named and returned; the rest goes on.
+// A damaged message in the backlog is named in the log and returned; the other messages are delivered.
 func TestDamagedBacklogMessageIsReturned(t *testing.T) {
 	t.Parallel()
 	fs := vfs.NewMem()
 	var log logBuffer
-	r := newRig(t, t.TempDir(), testConfig(), withBacklog(fs), func(p *Dependencies) { p.Log = slog.New(slog.NewTextHandler(&log, nil)) }).run()
+	r := newRig(t, t.TempDir(), testConfig(), withBacklog(fs),
+		func(p *Dependencies) { p.Log = slog.New(slog.NewTextHandler(&log, nil)) }).run()
 	r.submitAccepted(newMessage("a", "unsafe"), newMessage("b", "unsafe"), newMessage("c", "unsafe"))
 	a := r.nextAttempt("a")
 	names, _ := fs.List()
@@ -174,27 +178,28 @@
 	}
 	a.result <- Result{Outcome: logic.Completed}
 	r.nextAttempt("c").result <- Result{Outcome: logic.Completed}
-	told := map[string]string{}
+	states := map[string]string{}
 	for range 3 {
 		x := byhand.Await(t, r.fakeSink.added, "end")
-		told[x.ID] = x.State
+		states[x.ID] = x.State
 		r.fakeSink.confirm <- x.ID
 	}
-	if told["a"] != message.Delivered || told["b"] != message.Returned || told["c"] != message.Delivered {
-		t.Errorf("told %v", told)
+	if states["a"] != message.Delivered || states["b"] != message.Returned || states["c"] != message.Delivered {
+		t.Errorf("ends %v", states)
 	}
 	if !strings.Contains(log.String(), "id=b") {
-		t.Errorf("it is not named: %s", &log)
+		t.Errorf("the log does not name the message: %s", &log)
 	}
 	r.shutDown()
 }
 
-// A full disk behind the window turns away what would go there, and nothing else; with room again it is taken.
+// With a full disk only messages that would go to the backlog are rejected; with free space they are accepted again.
 func TestFullBacklogDiskRejectsMessages(t *testing.T) {
 	t.Parallel()
 	fs := vfs.NewMem()
 	cfg := testConfig()
-	cfg.CachedEndpoints.Endpoints = append(cfg.CachedEndpoints.Endpoints, Endpoint{Name: "e2", Addr: "h:2", Zone: "a", Kind: "std", Partner: "other", Weight: 1000})
+	cfg.CachedEndpoints.Endpoints = append(cfg.CachedEndpoints.Endpoints, Endpoint{Name: "e2", Addr: "h:2", Zone: "a",
+		Kind: "std", Partner: "other", Weight: 1000})
 	r := newRig(t, t.TempDir(), cfg, withBacklog(fs)).run()
 	fs.Limit(512)
 	r.submitAccepted(newMessage("a", "unsafe"))
@@ -219,11 +224,13 @@
 	r.shutDown()
 }
 
-// Messages of one order key that wait are in one lane: one for another lane is turned away until they have gone.
+// The waiting messages of one order key are in one queue of the backlog. A message of that key for another queue is
+// rejected until they have left the backlog.
 func TestOrderKeyStaysInOneBacklogQueue(t *testing.T) {
 	t.Parallel()
 	cfg := testConfig()
-	cfg.CachedEndpoints.Endpoints = append(cfg.CachedEndpoints.Endpoints, Endpoint{Name: "e2", Addr: "h:2", Zone: "a", Kind: "std", Partner: "other", Weight: 1000})
+	cfg.CachedEndpoints.Endpoints = append(cfg.CachedEndpoints.Endpoints, Endpoint{Name: "e2", Addr: "h:2", Zone: "a",
+		Kind: "std", Partner: "other", Weight: 1000})
 	cfg.Settings.Classes[0].KeepOrder = true
 	r := newRig(t, t.TempDir(), cfg, withBacklog(vfs.NewMem())).run()
 	ordered := func(id, partner string) *message.Message {
@@ -234,7 +241,7 @@
 	r.submitAccepted(newMessage("a", "unsafe"), ordered("b", "acme"))
 	a := r.nextAttempt("a")
 	if v := r.submitAndWait(ordered("c", "other")).Status; v != Busy {
-		t.Errorf("of the same key for another partner: %v", v)
+		t.Errorf("message of the same order key for another partner: %v", v)
 	}
 	a.result <- Result{Outcome: logic.Completed}
 	b := r.nextAttempt("b")
@@ -248,7 +255,7 @@
 	r.shutDown()
 }
 
-// While it can't be read whether an id is behind a window, a message of it is turned away; it is never taken on twice.
+// While a lookup of an ID in the backlog fails, a message with that ID is rejected, so that it is not accepted twice.
 func TestFailedBacklogLookupRejectsMessages(t *testing.T) {
 	t.Parallel()
 	fs := vfs.NewMem()
@@ -257,14 +264,14 @@
 	a := r.nextAttempt("a")
 	fs.FailAt(1, vfs.ErrCrashed)
 	if v := r.submitAndWait(newMessage("b", "unsafe")).Status; v != Busy {
-		t.Errorf("while it can't be read: %v", v)
+		t.Errorf("submitted while the lookup fails: %v", v)
 	}
 	fs.FailAt(1, vfs.ErrCrashed)
 	if s := r.stateName("b"); s != StateAccepted {
-		t.Errorf("while it can't be read its state is %q", s)
+		t.Errorf("its state while the lookup fails is %q", s)
 	}
 	if x := r.submitAndWait(newMessage("b", "unsafe")); x.Status != Accepted || !x.Duplicate {
-		t.Errorf("after that: %+v", x)
+		t.Errorf("submitted after that: %+v", x)
 	}
 	a.result <- Result{Outcome: logic.Completed}
 	r.nextAttempt("b").result <- Result{Outcome: logic.Completed}
@@ -274,7 +281,7 @@
 	r.shutDown()
 }
 
-// Many whose time is over at once are told in parts, and others are not held up.
+// The ends of many messages that expire at the same time are reported over several steps, once each.
 func TestManyBacklogMessagesExpireAtOnce(t *testing.T) {
 	t.Parallel()
 	cfg := testConfig()
@@ -284,14 +291,14 @@
 	a := r.nextAttempt("a")
 	by := time.Now().Add(1500 * time.Millisecond).UnixMicro()
 	const many = 1000
-	answers := make(chan SubmitResponse, many)
+	responses := make(chan SubmitResponse, many)
 	for i := range many {
 		m := newMessage(fmt.Sprint("m", i), "unsafe")
 		m.Deadline = by
-		r.Submit(m, answers)
+		r.Submit(m, responses)
 	}
 	for range many {
-		if x := byhand.Await(t, answers, "answer"); x.Status != Accepted {
+		if x := byhand.Await(t, responses, "response"); x.Status != Accepted {
 			t.Fatalf("%+v", x)
 		}
 	}
@@ -299,7 +306,7 @@
 	for range many {
 		x := byhand.Await(t, r.fakeSink.added, "end")
 		if seen[x.ID] || x.State != message.Returned {
-			t.Fatalf("told %+v, before: %v", x, seen[x.ID])
+			t.Fatalf("end %+v, reported before: %v", x, seen[x.ID])
 		}
 		seen[x.ID] = true
 		r.fakeSink.confirm <- x.ID
--- a/internal/core/console_test.go
+++ b/internal/core/console_test.go
@@ -13,7 +13,7 @@
 	"cometrack/internal/standin/byhand"
 )
 
-// stalled is a store whose writes wait.
+// stalledStore is a store whose writes block until the test resumes them.
 type stalledStore struct {
 	Store
 	writing chan struct{}
@@ -25,13 +25,13 @@
 		select {
 		case s.writing <- struct{}{}:
 			<-s.resume
-		default: // another write waits already
+		default: // another write is blocked already
 		}
 	}
 	return s.Store.Append(recs)
 }
 
-// While the core's loop waits for a disk that does not answer, the console does, and a drain is taken up.
+// While the loop of the core is blocked by a disk that does not respond, the console responds and a drain takes effect.
 func TestConsoleAnswersWhileStoreStalls(t *testing.T) {
 	r := newRig(t, t.TempDir(), testConfig())
 	store := &stalledStore{r.Core.store, make(chan struct{}), make(chan struct{})}
@@ -54,7 +54,7 @@
 		}
 		resp.Body.Close()
 		if d := time.Since(at); d > time.Second {
-			t.Errorf("%s: answered after %v", path, d)
+			t.Errorf("%s: response after %v", path, d)
 		}
 	}
 	if v := r.lifecycle.Behavior(); v.State != lifecycle.LameDuck {
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -63,8 +63,8 @@
 	Peers Peers
 	// OpenBacklog opens the backlog of messages beyond the in-memory windows of their destinations, once the store
 	// is open. If it is nil or returns a nil Backlog, all pending messages are held by the scheduler. The events
-	// given to tell are for that Backlog's HandleEvent.
-	OpenBacklog func(s Store, tell func(event any, quit <-chan struct{})) (Backlog, error)
+	// given to handle are for that Backlog's HandleEvent.
+	OpenBacklog func(s Store, handle func(event any, quit <-chan struct{})) (Backlog, error)
 	// Takeover is the state handed over by the predecessor; nil for a start from the store alone.
 	Takeover *Takeover
 }
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -16,7 +16,7 @@
 	"cometrack/logic"
 )
 
-// One state from hand-in to end, over the end's confirmation and over a restart.
+// A message's state is consistent from submission to its end, across the confirmation of the end and a restart.
 func TestStates(t *testing.T) {
 	dir := t.TempDir()
 	r := newRig(t, dir, testConfig()).run()
@@ -24,24 +24,25 @@
 		t.Errorf("before: %q", got)
 	}
 	r.submitAndWait(newMessage("a", "safe"))
-	in := byhand.Await(t, r.fakeTransport.attempts, "attempt")
+	attempt := byhand.Await(t, r.fakeTransport.attempts, "attempt")
 	if got := r.stateName("a"); got != StateSending {
-		t.Errorf("with an attempt out: %q", got)
+		t.Errorf("with an attempt in flight: %q", got)
 	}
-	over := make(chan State, 1)
+	final := make(chan State, 1)
 	go func() {
 		s, _ := r.State(t.Context(), "a", true)
-		over <- s
+		final <- s
 	}()
-	in.result <- Result{Outcome: logic.Overloaded, RequestedWait: 300 * time.Millisecond}
-	for r.stateName("a") != StateAccepted { // until the outcome has come
+	attempt.result <- Result{Outcome: logic.Overloaded, RequestedWait: 300 * time.Millisecond}
+	for r.stateName("a") != StateAccepted { // until the outcome has been handled
 	}
 	(byhand.Await(t, r.fakeTransport.attempts, "attempt after the wait")).result <- Result{Outcome: logic.Completed}
-	if s := byhand.Await(t, over, "state of a message that is over"); s.Name != message.Delivered || s.Attempts != 2 || s.EndedAt.IsZero() || s.Partner != "acme" {
-		t.Errorf("over: %+v", s)
+	if s := byhand.Await(t, final, "state of an ended message"); s.Name != message.Delivered || s.Attempts != 2 ||
+		s.EndedAt.IsZero() || s.Partner != "acme" {
+		t.Errorf("final state: %+v", s)
 	}
 	if x := byhand.Await(t, r.fakeSink.added, "end"); x.ID != "a" || x.State != message.Delivered || x.Tries != 2 {
-		t.Errorf("told %+v", x)
+		t.Errorf("end %+v", x)
 	}
 	r.submitAndWait(newMessage("b", "unsafe"))
 	(byhand.Await(t, r.fakeTransport.attempts, "attempt")).result <- Result{Outcome: logic.ConnectionBroken}
@@ -59,41 +60,42 @@
 		t.Errorf("after the end: %v", err)
 	}
 	r = newRig(t, dir, testConfig()).run()
-	if x := byhand.Await(t, r.fakeSink.added, "end that nobody confirmed"); x.ID != "a" || x.State != message.Delivered {
-		t.Errorf("told %+v", x)
+	if x := byhand.Await(t, r.fakeSink.added, "unconfirmed end"); x.ID != "a" || x.State != message.Delivered {
+		t.Errorf("end %+v", x)
 	}
 	check("after the restart")
 	r.fakeSink.confirm <- "a"
 	if a := r.submitAndWait(newMessage("b", "unsafe")); a.Status != Accepted || !a.Duplicate {
-		t.Errorf("handed in again after its end: %+v", a)
+		t.Errorf("submitted again after its end: %+v", a)
 	}
 	r.shutDown()
 }
 
-// The same id is one message; with another content it is told apart, held or over.
+// Submissions with one ID and the same content are one message; other content is a conflict, while the message is
+// pending and after its end.
 func TestSameID(t *testing.T) {
 	r := newRig(t, t.TempDir(), testConfig()).run()
 	other := newMessage("a", "safe")
 	other.Body = []byte("another")
-	answers := make(chan SubmitResponse, 3)
-	r.Submit(newMessage("a", "safe"), answers)
-	r.Submit(newMessage("a", "safe"), answers)
-	r.Submit(other, answers)
+	responses := make(chan SubmitResponse, 3)
+	r.Submit(newMessage("a", "safe"), responses)
+	r.Submit(newMessage("a", "safe"), responses)
+	r.Submit(other, responses)
 	count := map[SubmitStatus]int{}
 	for range 3 {
-		count[byhand.Await(t, answers, "answer").Status]++
+		count[byhand.Await(t, responses, "response").Status]++
 	}
 	if count[Accepted] != 2 || count[Conflict] != 1 {
-		t.Errorf("answers %v", count)
+		t.Errorf("responses %v", count)
 	}
-	in := byhand.Await(t, r.fakeTransport.attempts, "attempt")
-	if string(in.Message.Body) != "body of a" {
-		t.Errorf("sent %q", in.Message.Body)
+	attempt := byhand.Await(t, r.fakeTransport.attempts, "attempt")
+	if string(attempt.Message.Body) != "body of a" {
+		t.Errorf("sent %q", attempt.Message.Body)
 	}
-	in.result <- Result{Outcome: logic.Completed}
+	attempt.result <- Result{Outcome: logic.Completed}
 	byhand.Await(t, r.fakeSink.added, "end")
 	if a := r.submitAndWait(other); a.Status != Conflict {
-		t.Errorf("another message under the id of one that is over: %+v", a)
+		t.Errorf("another message with the ID of an ended one: %+v", a)
 	}
 	r.fakeSink.confirm <- "a"
 	if len(r.fakeTransport.attempts) != 0 {
@@ -102,8 +104,8 @@
 	r.shutDown()
 }
 
-// A thousand races of one id over two submitters: one attempt each, and a state asked for meanwhile is one that the
-// message has had.
+// Two clients submit the same message concurrently, a thousand times: it must be sent once, one response must report
+// the duplicate, and a concurrent state query must return a state of the message.
 func TestConcurrentSubmissionsOfOneID(t *testing.T) {
 	cfg := testConfig()
 	cfg.Settings.MaxOpen = 0
@@ -115,32 +117,32 @@
 	}()
 	for i := range 1000 {
 		id := fmt.Sprint("m", i)
-		answers := make(chan SubmitResponse, 2)
+		responses := make(chan SubmitResponse, 2)
 		for range 2 {
-			go r.Submit(newMessage(id, "unsafe"), answers)
+			go r.Submit(newMessage(id, "unsafe"), responses)
 		}
-		in := byhand.Await(t, r.fakeTransport.attempts, "attempt")
-		if in.Message.ID != id {
-			t.Fatalf("attempt of %s, want %s", in.Message.ID, id)
+		attempt := byhand.Await(t, r.fakeTransport.attempts, "attempt")
+		if attempt.Message.ID != id {
+			t.Fatalf("attempt of %s, want %s", attempt.Message.ID, id)
 		}
 		seen := make(chan string, 1)
 		go func() {
 			s, _ := r.State(context.Background(), id, false)
 			seen <- s.Name
 		}()
-		in.result <- Result{Outcome: logic.Completed}
-		again := 0
+		attempt.result <- Result{Outcome: logic.Completed}
+		duplicates := 0
 		for range 2 {
-			a := byhand.Await(t, answers, "answer")
+			a := byhand.Await(t, responses, "response")
 			if a.Status != Accepted {
-				t.Fatalf("answer %+v", a)
+				t.Fatalf("response %+v", a)
 			}
 			if a.Duplicate {
-				again++
+				duplicates++
 			}
 		}
-		if again != 1 {
-			t.Fatalf("%d of two answers say that it was known", again)
+		if duplicates != 1 {
+			t.Fatalf("%d of two responses report a duplicate", duplicates)
 		}
 		if s := byhand.Await(t, seen, "state"); s != StateSending && s != message.Delivered && s != StateAccepted {
 			t.Fatalf("state %q", s)
@@ -155,44 +157,44 @@
 	}
 }
 
-// Nobody who gives up waiting leaves anything behind.
+// A state query that is cancelled must not leave a watcher.
 func TestCancelledStateWaitLeavesNoWatcher(t *testing.T) {
 	r := newRig(t, t.TempDir(), testConfig()).run()
 	r.submitAndWait(newMessage("a", "safe"))
-	in := byhand.Await(t, r.fakeTransport.attempts, "attempt")
+	attempt := byhand.Await(t, r.fakeTransport.attempts, "attempt")
 	ctx, cancel := context.WithCancel(t.Context())
-	got := make(chan State, 1)
+	states := make(chan State, 1)
 	go func() {
 		s, err := r.State(ctx, "a", true)
 		if err != nil {
 			t.Error(err)
 		}
-		got <- s
+		states <- s
 	}()
 	cancel()
-	if s := byhand.Await(t, got, "state"); s.Name != StateSending {
+	if s := byhand.Await(t, states, "state"); s.Name != StateSending {
 		t.Errorf("state %+v", s)
 	}
-	in.result <- Result{Outcome: logic.Completed}
+	attempt.result <- Result{Outcome: logic.Completed}
 	byhand.Await(t, r.fakeSink.added, "end")
 	r.fakeSink.confirm <- "a"
 	r.shutDown()
 	if len(r.watchers) != 0 {
-		t.Errorf("%d watched messages are left", len(r.watchers))
+		t.Errorf("%d messages still have watchers", len(r.watchers))
 	}
 }
 
-// The hold has a limit; what comes above it is turned away, and so is what the store has no room for.
+// Messages above the pending limit, and messages for which the store has no room, are rejected.
 func TestPendingLimitAndStoreRoom(t *testing.T) {
 	r := newRig(t, t.TempDir(), testConfig())
 	r.restore()
-	put := func() SubmitResponse {
-		answer := make(chan SubmitResponse, 1)
-		r.Core.submit(submitEvent{msg: newMessage("a", "safe"), response: answer})
-		return byhand.Await(t, answer, "answer")
+	submit := func() SubmitResponse {
+		response := make(chan SubmitResponse, 1)
+		r.Core.submit(submitEvent{msg: newMessage("a", "safe"), response: response})
+		return byhand.Await(t, response, "response")
 	}
 	r.pendingCount = r.cfg.Settings.MaxOpen
-	if a := put(); a.Status != Busy {
+	if a := submit(); a.Status != Busy {
 		t.Errorf("above max_open: %+v", a)
 	}
 	r.pendingCount = 0
@@ -202,39 +204,39 @@
 			t.Fatal(err)
 		}
 	}
-	if a := put(); a.Status != Busy {
+	if a := submit(); a.Status != Busy {
 		t.Errorf("without room in the store: %+v", a)
 	}
 }
 
-// A message that can't be journalled is not taken on: it would be lost with the process. Nothing of it is sent,
-// and the module gets the outcome of what it wanted to send, or a slot would be lost for good.
+// A message that can't be written to the journal is not accepted, as it would be lost with the process. It is not sent,
+// and the scheduler gets outcomes for its attempts; otherwise their slots would be lost.
 func TestStoreFails(t *testing.T) {
 	r := newRig(t, t.TempDir(), testConfig()).run()
 	r.store.setFailing(true)
 	for i := range 10 { // more than there are slots
 		if a := r.submitAndWait(newMessage(fmt.Sprint("x", i), "safe")); a.Status != Busy {
-			t.Fatalf("answer %+v", a)
+			t.Fatalf("response %+v", a)
 		}
 	}
 	if len(r.fakeTransport.attempts) != 0 {
-		t.Error("sent without a record")
+		t.Error("sent without a journal record")
 	}
 	r.store.setFailing(false)
 	if a := r.submitAndWait(newMessage("a", "safe")); a.Status != Accepted {
-		t.Fatalf("answer %+v", a)
+		t.Fatalf("response %+v", a)
 	}
-	in := byhand.Await(t, r.fakeTransport.attempts, "attempt")
-	if in.Message.ID != "a" {
-		t.Fatalf("attempt of %s", in.Message.ID)
+	attempt := byhand.Await(t, r.fakeTransport.attempts, "attempt")
+	if attempt.Message.ID != "a" {
+		t.Fatalf("attempt of %s", attempt.Message.ID)
 	}
-	in.result <- Result{Outcome: logic.Completed}
+	attempt.result <- Result{Outcome: logic.Completed}
 	byhand.Await(t, r.fakeSink.added, "end")
 	r.fakeSink.confirm <- "a"
 	r.shutDown()
 }
 
-// A probe that is asked for has its one result.
+// A probe that the scheduler requests is sent to its endpoint.
 func TestProbe(t *testing.T) {
 	r := newRig(t, t.TempDir(), testConfig()).run()
 	r.probe(t.Context(), 1)
@@ -244,83 +246,88 @@
 	r.shutDown()
 }
 
-// A wait or a drain holds the calls that still connect there, and no others.
+// A requested wait or a drain withholds the attempts at the endpoint that have not begun, and no others.
 func TestWaitAndDrainWithholdUnbegunAttempts(t *testing.T) {
 	for _, x := range []struct {
-		name  string
-		apart bool
-		learn func(c *Core)
-		held  [4]bool // waiting for endpoints 1 and 2 of one partner and 3 of another; begun at 1
-		freed string  // endpoints whose idle connections are given back
+		name        string
+		independent bool
+		apply       func(c *Core)
+		withheld    [4]bool // attempts at endpoints 1 and 2 of one partner and 3 of another, and one at 1 that has begun
+		closed      string  // endpoints whose idle connections are closed
 	}{
 		{"wait, one limit", false, func(c *Core) { c.withholdForWait(1) }, [4]bool{true, true, false, false}, "[]"},
-		{"wait, routes apart", true, func(c *Core) { c.withholdForWait(1) }, [4]bool{true, false, false, false}, "[]"},
+		{"wait, independent endpoints", true, func(c *Core) { c.withholdForWait(1) },
+			[4]bool{true, false, false, false}, "[]"},
 		{"drain", false, func(c *Core) {
-			c.applyEndpointUpdate(EndpointUpdate{List: EndpointList{Endpoints: []Endpoint{{Name: "b", Partner: "p", State: logic.Draining}}}})
+			c.applyEndpointUpdate(EndpointUpdate{List: EndpointList{Endpoints: []Endpoint{{Name: "b", Partner: "p",
+				State: logic.Draining}}}})
 		}, [4]bool{false, true, false, false}, "[2]"},
-		{"whole list", false, func(c *Core) {
-			c.applyEndpointUpdate(EndpointUpdate{List: EndpointList{Complete: true, Endpoints: []Endpoint{{Name: "a", Partner: "p"}}}})
+		{"complete list", false, func(c *Core) {
+			c.applyEndpointUpdate(EndpointUpdate{List: EndpointList{Complete: true,
+				Endpoints: []Endpoint{{Name: "a", Partner: "p"}}}})
 		}, [4]bool{false, true, true, false}, "[2 3]"},
 	} {
 		cfg := testConfig()
-		cfg.Settings.Kinds[0].Independent = x.apart
+		cfg.Settings.Kinds[0].Independent = x.independent
 		r := newRig(t, t.TempDir(), cfg)
 		c := r.Core
 		c.directory.applyList(EndpointList{Endpoints: []Endpoint{{Name: "a", Addr: "h:1", Kind: "std", Partner: "p"},
 			{Name: "b", Addr: "h:2", Kind: "std", Partner: "p"}, {Name: "c", Addr: "h:3", Kind: "std", Partner: "q"}}})
-		var out []*Attempt
+		var attempts []*Attempt
 		for i, ep := range []logic.EndpointID{1, 2, 3, 1} {
-			out = append(out, &Attempt{Endpoint: ep})
-			c.pending[fmt.Sprint("m", i)] = &pendingMessage{attempt: out[i], cancel: func() {}}
+			attempts = append(attempts, &Attempt{Endpoint: ep})
+			c.pending[fmt.Sprint("m", i)] = &pendingMessage{attempt: attempts[i], cancel: func() {}}
 		}
-		out[3].Begin()
-		x.learn(c)
-		for i, a := range out {
-			if got := a.state.Load() == attemptWithheld; got != x.held[i] {
-				t.Errorf("%s: attempt %d held: %v", x.name, i, got)
+		attempts[3].Begin()
+		x.apply(c)
+		for i, a := range attempts {
+			if got := a.state.Load() == attemptWithheld; got != x.withheld[i] {
+				t.Errorf("%s: attempt %d withheld: %v", x.name, i, got)
 			}
 		}
 		slices.Sort(r.fakeTransport.closedIdle)
-		if got := fmt.Sprint(r.fakeTransport.closedIdle); got != x.freed {
-			t.Errorf("%s: connections to %s are given back, want %s", x.name, got, x.freed)
+		if got := fmt.Sprint(r.fakeTransport.closedIdle); got != x.closed {
+			t.Errorf("%s: connections to %s are closed, want %s", x.name, got, x.closed)
 		}
 	}
 }
 
-// Whether an attempt may have run decides after a restart whether an unsafe message is sent again.
+// Whether an attempt may have run determines after a restart whether an unsafe message is sent again.
 func TestMayHaveRunByOutcome(t *testing.T) {
-	for o, want := range map[logic.Outcome]bool{logic.Completed: true, logic.Errored: true, logic.TimedOut: true, logic.InvalidResponse: true,
-		logic.ConnectionBroken: true, logic.Cancelled: true, logic.Overloaded: false, logic.ConnectionRefused: false, logic.NotSent: false} {
+	for o, want := range map[logic.Outcome]bool{logic.Completed: true, logic.Errored: true, logic.TimedOut: true,
+		logic.InvalidResponse: true, logic.ConnectionBroken: true, logic.Cancelled: true,
+		logic.Overloaded: false, logic.ConnectionRefused: false, logic.NotSent: false} {
 		if mayHaveRun(o) != want {
 			t.Errorf("outcome %d: may have run %v", o, !want)
 		}
 	}
 }
 
-// Endpoints are ever new: what is off the list for long is forgotten, and no number is given twice.
+// With endpoints that are replaced all the time, those that left the list long ago are pruned, and no number is used
+// twice.
 func TestDirectoryChurn(t *testing.T) {
 	d := newDirectory(nil, nil)
 	seen := map[logic.EndpointID]bool{}
 	now := time.Now()
 	for i := range 1000 {
-		at := fmt.Sprintf("127.0.0.1:%d", 1+i%3) // at the address of one that has gone
-		l := EndpointList{Endpoints: []Endpoint{{Name: fmt.Sprint("s-", i), Addr: at, Partner: "p"}}}
+		addr := fmt.Sprintf("127.0.0.1:%d", 1+i%3) // an address that was used by an endpoint that is gone
+		list := EndpointList{Endpoints: []Endpoint{{Name: fmt.Sprint("s-", i), Addr: addr, Partner: "p"}}}
 		if i > 0 {
-			l.Endpoints = append(l.Endpoints, Endpoint{Name: fmt.Sprint("s-", i-1), Partner: "p", State: logic.Gone})
+			list.Endpoints = append(list.Endpoints, Endpoint{Name: fmt.Sprint("s-", i-1), Partner: "p", State: logic.Gone})
 		}
-		rows := d.applyList(l)
+		rows := d.applyList(list)
 		if seen[rows[0].Endpoint] {
-			t.Fatalf("number %d is given twice", rows[0].Endpoint)
+			t.Fatalf("number %d is used twice", rows[0].Endpoint)
 		}
 		seen[rows[0].Endpoint] = true
 		d.prune(now, nil, nil)
 		if i%10 == 9 {
 			now = now.Add(2 * goneRetention)
-			for id, to := range d.endpoints {
-				if !to.goneSince.IsZero() {
+			for id, entry := range d.endpoints {
+				if !entry.goneSince.IsZero() {
 					d.prune(now, map[logic.EndpointID]bool{id: true}, nil)
 					if _, ok := d.endpoints[id]; !ok {
-						t.Fatal("an endpoint with a call out is forgotten")
+						t.Fatal("an endpoint with a call in flight is pruned")
 					}
 					break
 				}
@@ -328,7 +335,7 @@
 			d.prune(now, nil, nil)
 		}
 		if !d.hasEndpoint("p") || d.hasEndpoint("q") {
-			t.Fatal("the wrong partners are known")
+			t.Fatal("the directory has the wrong partners")
 		}
 	}
 	d.applyList(EndpointList{Complete: true})
@@ -341,7 +348,7 @@
 	later = later.Add(2 * partnerRetention)
 	d.prune(later, nil, map[string]bool{"p": true})
 	if d.partner("p").destination != number {
-		t.Error("a partner with a message is forgotten")
+		t.Error("a partner with a message is pruned")
 	}
 	d.prune(later.Add(2*partnerRetention), nil, nil)
 	if len(d.partners) != 0 {
@@ -349,7 +356,8 @@
 	}
 }
 
-// calls is a transport that tells of each call with several messages and answers it once it is called off.
+// batchTransport is a transport that passes each call with several messages to the test and ends the call once it is
+// cancelled.
 type batchTransport struct {
 	fakeTransport
 	batches chan batchCall
@@ -366,26 +374,26 @@
 	return make([]Result, len(call))
 }
 
-// A call with several messages goes on until each of them is called off, and one that is called off before the call
-// has begun is not in it.
+// A call with several messages goes on until all of its attempts are cancelled, and an attempt that is cancelled before
+// the call has begun may not begin.
 func TestCancelOneMessageOfBatch(t *testing.T) {
 	cfg := testConfig()
 	cfg.Settings.Kinds = []logic.Kind{{Name: "k", MaxBatch: 2}}
 	r := newRig(t, t.TempDir(), cfg)
-	out := make(chan batchCall, 8)
-	r.transport = &batchTransport{batches: out}
+	calls := make(chan batchCall, 8)
+	r.transport = &batchTransport{batches: calls}
 	r.directory.endpoints[1] = listedEndpoint{name: "a"}
-	var outs []logic.StartAttempt
+	var starts []logic.StartAttempt
 	for i := range 5 {
 		id := fmt.Sprint("m", i)
 		r.pending[id] = &pendingMessage{msg: newMessage(id, "safe")}
 		if i < 4 {
-			outs = append(outs, logic.StartAttempt{ID: id, Endpoint: 1})
+			starts = append(starts, logic.StartAttempt{ID: id, Endpoint: 1})
 		}
 	}
-	r.startAttempts(t.Context(), outs, true)
-	for _, in := range []batchCall{byhand.Await(t, out, "call"), byhand.Await(t, out, "call")} {
-		pair := in.attempts
+	r.startAttempts(t.Context(), starts, true)
+	for _, call := range []batchCall{byhand.Await(t, calls, "call"), byhand.Await(t, calls, "call")} {
+		pair := call.attempts
 		if len(pair) != 2 {
 			t.Fatalf("a call with %d messages, want 2", len(pair))
 		}
@@ -393,10 +401,10 @@
 		first.cancel()
 		first.cancel()
 		if pair[0].Begin() || !pair[1].Begin() {
-			t.Error("the one called off may begin, or the other may not")
+			t.Error("the cancelled attempt may begin, or the other one may not")
 		}
-		if in.ctx.Err() != nil {
-			t.Error("the call is over with one message still in it")
+		if call.ctx.Err() != nil {
+			t.Error("the call is cancelled with one attempt still in it")
 		}
 		second.cancel()
 		if ev := byhand.Await(t, r.events, "outcomes").(outcomesEvent); len(ev) != 2 {
@@ -405,8 +413,8 @@
 	}
 }
 
-// A call that was decided on by a larger part of each rate than may be used now does
-// not go out, however late it would be begun; it goes once the weights have followed.
+// A call that was planned with a larger share of each rate than may be used now must not be sent, even if it begins
+// late. It is sent once the weights are based on the smaller share.
 func TestWithheldWhenShareShrinks(t *testing.T) {
 	var allowed atomic.Uint64
 	set := func(v float64) { allowed.Store(math.Float64bits(v)) }
@@ -415,45 +423,46 @@
 	set(0.5)
 	r.run()
 	list := *testConfig().CachedEndpoints
-	weigh := func(part float64) {
-		list.Share = part
+	setShare := func(share float64) {
+		list.Share = share
 		r.post(EndpointUpdate{List: list})
 	}
-	weigh(0.5)
+	setShare(0.5)
 	r.submitAndWait(newMessage("first", "safe"))
-	in := byhand.Await(t, r.fakeTransport.attempts, "call")
-	in.result <- Result{Outcome: logic.Completed}
+	attempt := byhand.Await(t, r.fakeTransport.attempts, "call")
+	attempt.result <- Result{Outcome: logic.Completed}
 	byhand.Await(t, r.fakeSink.added, "end")
-	set(0.25) // its lease is over
+	set(0.25) // the lease of the larger share has expired
 	r.submitAndWait(newMessage("late", "safe"))
 	select {
-	case in := <-r.fakeTransport.attempts:
-		t.Fatalf("%s goes out by a part that is over", in.Message.ID)
-	case <-time.After(retryDelay / 2): // it was held at once
+	case attempt := <-r.fakeTransport.attempts:
+		t.Fatalf("%s is sent with an expired share", attempt.Message.ID)
+	case <-time.After(retryDelay / 2): // it was withheld at once
 	}
-	weigh(0.25)
-	in = byhand.Await(t, r.fakeTransport.attempts, "call by the part that holds")
-	in.result <- Result{Outcome: logic.Completed}
+	setShare(0.25)
+	attempt = byhand.Await(t, r.fakeTransport.attempts, "call with the valid share")
+	attempt.result <- Result{Outcome: logic.Completed}
 	if end := byhand.Await(t, r.fakeSink.added, "end"); end.ID != "late" || end.State != message.Delivered {
 		t.Errorf("%+v", end)
 	}
 }
 
-// While every partner has endpoints and none has long been gone, nothing that is held has to be looked at each second.
+// As long as every partner has endpoints and no endpoint left the list long ago, the directory needs no pruning, which
+// would scan all pending messages.
 func TestDirectoryNeedsNoPruning(t *testing.T) {
 	d, now := newDirectory(nil, nil), time.Now()
 	d.applyList(EndpointList{Complete: true, Endpoints: []Endpoint{{Name: "a", Partner: "p"}, {Name: "b", Partner: "q"}}})
 	if d.needsPruning(now) {
-		t.Error("all are listed")
+		t.Error("pruning is needed though all endpoints are listed")
 	}
 	d.applyList(EndpointList{Endpoints: []Endpoint{{Name: "a", Partner: "p", State: logic.Gone}}})
 	gone := d.needsPruning(now.Add(goneRetention / 2))
 	long := d.needsPruning(now.Add(2 * goneRetention))
 	if gone || !long {
-		t.Errorf("off the list for half a minute: %v, for two: %v", gone, long)
+		t.Errorf("pruning after half a minute off the list: %v, after two minutes: %v", gone, long)
 	}
 	d.prune(now.Add(2*goneRetention), nil, nil)
 	if !d.needsPruning(now) {
-		t.Error("a partner without endpoints can be forgotten")
+		t.Error("no pruning is needed though a partner has no endpoints")
 	}
 }
--- a/internal/core/disk_test.go
+++ b/internal/core/disk_test.go
@@ -14,7 +14,7 @@
 	"cometrack/logic"
 )
 
-// flaky is a folder whose writes fail while it is told so, after half of their bytes.
+// faultyFolder is a folder whose writes fail after half of their bytes while fail is set.
 type faultyFolder struct {
 	vfs.Dir
 	fail *atomic.Bool
@@ -38,13 +38,14 @@
 	return f.File.WriteAt(b, at)
 }
 
-// flakyRig is a rig whose journal is in such a folder.
+// newFaultyDiskRig returns a rig whose journal is in a faultyFolder.
 func newFaultyDiskRig(t *testing.T, dir string) (r *rig, fail *atomic.Bool) {
 	t.Helper()
 	fail = &atomic.Bool{}
 	r = newRig(t, t.TempDir(), testConfig(), func(p *Dependencies) {
 		p.Store.Close()
-		j, err := journal.OpenOn(faultyFolder{vfs.Dir(dir), fail}, journal.Options{Disk: 3e6, KeepEnded: time.Hour, MostEnded: 100, Bodies: 100})
+		j, err := journal.OpenOn(faultyFolder{vfs.Dir(dir), fail}, journal.Options{Disk: 3e6, KeepEnded: time.Hour,
+			MostEnded: 100, Bodies: 100})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -53,45 +54,45 @@
 	return r, fail
 }
 
-// An end that can't be written is not told, neither to the sink nor to those who wait for the state, as long as another
-// process might still send the message: it would take it up as open. It is told once the disk is well, by itself.
+// An end that can't be written is reported neither to the sink nor to state queries, because a process started after a
+// crash would find the message pending and could send it again. The end is reported once the disk works again.
 func TestUnwrittenEndIsNotReported(t *testing.T) {
 	r, fail := newFaultyDiskRig(t, t.TempDir())
 	r.run()
 	if a := r.submitAndWait(newMessage("a", "unsafe")); a.Status != Accepted {
 		t.Fatalf("%+v", a)
 	}
-	call := byhand.Await(t, r.fakeTransport.attempts, "attempt")
-	waits := make(chan State, 1)
+	attempt := byhand.Await(t, r.fakeTransport.attempts, "attempt")
+	states := make(chan State, 1)
 	go func() {
 		s, _ := r.State(t.Context(), "a", true)
-		waits <- s
+		states <- s
 	}()
 	fail.Store(true)
-	call.result <- Result{Outcome: logic.Errored} // unsafe: it has failed
+	attempt.result <- Result{Outcome: logic.Errored} // the message is unsafe, so it has failed
 	if a := r.submitAndWait(newMessage("b", "safe")); a.Status != Busy {
-		t.Errorf("taken on without a journal: %+v", a)
+		t.Errorf("response without a journal: %+v", a)
 	}
 	byhand.Until(t, "end of the attempt", func() bool { return r.stateName("a") == StateAccepted })
 	select {
 	case e := <-r.fakeSink.added:
-		t.Errorf("told, and not written: %+v", e)
-	case s := <-waits:
-		t.Errorf("told to one who waits, and not written: %+v", s)
+		t.Errorf("reported to the sink, but not written: %+v", e)
+	case s := <-states:
+		t.Errorf("reported to a state query, but not written: %+v", s)
 	case <-time.After(3 * retryDelay):
 	}
 	fail.Store(false)
 	if e := byhand.Await(t, r.fakeSink.added, "end"); e.ID != "a" || e.State != message.Failed {
 		t.Errorf("%+v", e)
 	}
-	if s := byhand.Await(t, waits, "state"); s.Name != message.Failed {
+	if s := byhand.Await(t, states, "state"); s.Name != message.Failed {
 		t.Errorf("%+v", s)
 	}
 	r.fakeSink.confirm <- "a"
 	r.shutDown()
 }
 
-// Once its time is up nobody sends a message any more, so its end is told also if it can't be written.
+// After its deadline a message is not sent any more, so its end is reported even if it can't be written.
 func TestUnwrittenEndIsReportedAtDeadline(t *testing.T) {
 	r, fail := newFaultyDiskRig(t, t.TempDir())
 	r.run()
@@ -100,20 +101,20 @@
 	if a := r.submitAndWait(m); a.Status != Accepted {
 		t.Fatalf("%+v", a)
 	}
-	call := byhand.Await(t, r.fakeTransport.attempts, "attempt")
+	attempt := byhand.Await(t, r.fakeTransport.attempts, "attempt")
 	fail.Store(true)
-	call.result <- Result{Outcome: logic.Errored}
+	attempt.result <- Result{Outcome: logic.Errored}
 	e := byhand.Await(t, r.fakeSink.added, "end")
 	if late := time.Since(time.UnixMicro(m.Deadline)); e.ID != "a" || late < 0 || late > 2*retryDelay {
-		t.Errorf("%+v, %v after its time", e, late)
+		t.Errorf("%+v, %v after its deadline", e, late)
 	}
 	fail.Store(false)
 	r.fakeSink.confirm <- "a"
 	r.shutDown()
 }
 
-// A process that dies while its disk fails leaves nothing that was told to be sent again: the next one takes up what
-// was open, and what it sends was not told to have ended.
+// A process that is killed while its disk fails must not have reported the end of a message that the next process may
+// send again.
 func TestCrashWhileDiskFails(t *testing.T) {
 	dir := t.TempDir()
 	r, fail := newFaultyDiskRig(t, dir)
@@ -127,19 +128,22 @@
 	second := byhand.Await(t, r.fakeTransport.attempts, "attempt")
 	fail.Store(true)
 	first.result <- Result{Outcome: logic.Errored}
-	second.result <- Result{Outcome: logic.Overloaded} // it has not run, and would be sent again
-	byhand.Until(t, "end of the attempts", func() bool { return r.stateName("a") == StateAccepted && r.stateName("b") == StateAccepted })
-	r.stop() // as a kill leaves it: nothing more is written
+	second.result <- Result{Outcome: logic.Overloaded} // it has not run and could be sent again
+	byhand.Until(t, "end of the attempts", func() bool {
+		return r.stateName("a") == StateAccepted &&
+			r.stateName("b") == StateAccepted
+	})
+	r.stop() // nothing more can be written, as after a kill
 	byhand.Await(t, r.done, "end of the core")
 	select {
 	case e := <-r.fakeSink.added:
-		t.Errorf("told, and not written: %+v", e)
+		t.Errorf("reported, but not written: %+v", e)
 	default:
 	}
 	fail.Store(false)
 	next, _ := newFaultyDiskRig(t, dir)
 	next.run()
-	for range 2 { // both may have run, as far as the journal knows
+	for range 2 { // by the journal both may have run
 		if e := byhand.Await(t, next.fakeSink.added, "end"); e.State != message.Failed {
 			t.Errorf("%+v", e)
 		}
--- a/internal/core/handover.go
+++ b/internal/core/handover.go
@@ -29,8 +29,8 @@
 	// Transfer sends the snapshot and the listeners, and reports whether the successor decides on messages from
 	// then on. If taken is false, the successor certainly does not decide and never will.
 	Transfer(snapshot *handover.Snapshot, listeners []net.Listener) (taken bool, err error)
-	// ReceiveMessages passes the messages of the successor to tell, and calls gone when the link is closed.
-	ReceiveMessages(tell func(m any), gone func(error))
+	// ReceiveMessages passes the messages of the successor to handle, and calls closed when the link is closed.
+	ReceiveMessages(handle func(m any), closed func(error))
 }
 
 // handoverEvent requests a handover to a successor.
--- a/internal/core/harness_test.go
+++ b/internal/core/harness_test.go
@@ -14,60 +14,60 @@
 	"cometrack/logic"
 )
 
-// sent is an attempt that a test answers.
+// fakeAttempt is an attempt whose result the test provides.
 type fakeAttempt struct {
 	*Attempt
 	result chan Result
 }
 
-// hand is a transport whose attempts are answered by hand.
+// fakeTransport is a transport that passes its attempts and probes to the test.
 type fakeTransport struct {
 	attempts   chan fakeAttempt
 	probes     chan logic.EndpointID
-	closedIdle []logic.EndpointID // by the loop, or a test in its place
+	closedIdle []logic.EndpointID // written by the loop, or by a test in its place
 }
 
-func (h *fakeTransport) Attempt(_ context.Context, a *Attempt) Result {
+func (f *fakeTransport) Attempt(_ context.Context, a *Attempt) Result {
 	if !a.Begin() {
 		return Result{Outcome: logic.NotSent}
 	}
 	s := fakeAttempt{a, make(chan Result, 1)}
-	h.attempts <- s
+	f.attempts <- s
 	return <-s.result
 }
 
-func (h *fakeTransport) Batch(ctx context.Context, call []*Attempt) []Result {
+func (f *fakeTransport) Batch(ctx context.Context, call []*Attempt) []Result {
 	out := make([]Result, len(call))
 	for i, a := range call {
-		out[i] = h.Attempt(ctx, a)
+		out[i] = f.Attempt(ctx, a)
 	}
 	return out
 }
-func (h *fakeTransport) Probe(_ context.Context, ep logic.EndpointID, _ string) logic.Outcome {
-	h.probes <- ep
+func (f *fakeTransport) Probe(_ context.Context, ep logic.EndpointID, _ string) logic.Outcome {
+	f.probes <- ep
 	return logic.Completed
 }
-func (h *fakeTransport) CloseIdle(ep logic.EndpointID) { h.closedIdle = append(h.closedIdle, ep) }
-func (h *fakeTransport) CloseStale()                   {}
+func (f *fakeTransport) CloseIdle(ep logic.EndpointID) { f.closedIdle = append(f.closedIdle, ep) }
+func (f *fakeTransport) CloseStale()                   {}
 
-// still is a source that has no news.
+// silentSource is a source without updates.
 type silentSource struct{}
 
 func (silentSource) Watch(context.Context, func(EndpointUpdate)) {}
 func (silentSource) AcceptUpdate(EndpointUpdate) bool            { return true }
 func (silentSource) Version() int64                              { return 0 }
 
-// ends keeps what it is told until a test confirms it.
+// fakeSink is an end sink that passes the ends to the test, which confirms them.
 type fakeSink struct {
 	added   chan message.End
 	confirm chan string
 }
 
-func (e *fakeSink) Add(_ *message.Message, x message.End) { e.added <- x }
-func (e *fakeSink) Run(ctx context.Context, confirm func([]string)) {
+func (s *fakeSink) Add(_ *message.Message, end message.End) { s.added <- end }
+func (s *fakeSink) Run(ctx context.Context, confirm func([]string)) {
 	for {
 		select {
-		case id := <-e.confirm:
+		case id := <-s.confirm:
 			confirm([]string{id})
 		case <-ctx.Done():
 			return
@@ -75,21 +75,21 @@
 	}
 }
 
-// failing is a store whose writes fail while it is told so.
+// failingStore is a store whose operations fail on request.
 type failingStore struct {
 	Store
 	mu         sync.Mutex
 	failing    bool
-	postponed  []journal.Record // that could not be written yet
-	bodiesLost bool             // bodies can't be read back
-	unhealthy  map[string]bool  // partners, as last told
+	postponed  []journal.Record // records that could not be written yet
+	bodiesLost bool             // bodies can't be read
+	unhealthy  map[string]bool  // last written health of partners
 }
 
 func (f *failingStore) Append(recs []journal.Record) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.failing && len(recs)+len(f.postponed) > 0 {
-		for _, r := range recs { // as the journal does: what only tells of the past is written later
+		for _, r := range recs { // like the journal: records of past events are written later
 			if r.Op != journal.OpAccept && r.Op != journal.OpSend {
 				f.postponed = append(f.postponed, r)
 			}
@@ -105,14 +105,14 @@
 	return f.Store.Append(recs)
 }
 
-// knows says whether a partner is known to be in trouble.
+// recordedUnhealthy reports whether the last record of a partner says that it is unhealthy.
 func (f *failingStore) recordedUnhealthy(partner string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.unhealthy[partner]
 }
 
-// Close closes the store beneath a core that may still be at work, as a crash does.
+// Close closes the store under a core that may still be running, as a crash does.
 func (f *failingStore) Close() error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -149,7 +149,7 @@
 	f.failing = fail
 }
 
-// rig is a core with parts that a test holds in its hands.
+// rig is a core whose dependencies are controlled by the test.
 type rig struct {
 	*Core
 	t             *testing.T
@@ -162,30 +162,39 @@
 
 func testConfig() Config {
 	return Config{Name: "t", Zones: []string{"a", "b"}, NotifyDelivered: true,
-		CachedEndpoints: &EndpointList{Complete: true, Endpoints: []Endpoint{{Name: "e1", Addr: "h:1", Zone: "a", Kind: "std", Partner: "acme", Weight: 1000}}},
-		Settings: logic.Settings{Senders: 1, Zones: 2, Slots: 8, MaxOpen: 8, MaxTries: 3, Tick: 1000, MayCancel: true, AdviseRetry: true,
-			MaxRetryAfter: 2 * logic.Second, Weights: logic.WeightsNominal, ConnIdle: 10 * logic.Second, ConnCalls: 1, ExponentialDecay: true,
-			DrainGrace: 2 * logic.Second, FallMultiple: 2, FallWindow: 3 * logic.Second, ColdFrom: 0.2, WarmAfter: 14 * logic.Second,
-			RemainingIndex: -1, LimitIndex: -1, Kinds: []logic.Kind{{Name: "std", MaxBatch: 1}}, Tenants: []logic.Tenant{{Name: "north"}},
+		CachedEndpoints: &EndpointList{Complete: true, Endpoints: []Endpoint{{Name: "e1", Addr: "h:1", Zone: "a",
+			Kind: "std", Partner: "acme", Weight: 1000}}},
+		Settings: logic.Settings{Senders: 1, Zones: 2, Slots: 8, MaxOpen: 8, MaxTries: 3, Tick: 1000, MayCancel: true,
+			AdviseRetry: true, MaxRetryAfter: 2 * logic.Second, Weights: logic.WeightsNominal,
+			ConnIdle: 10 * logic.Second, ConnCalls: 1, ExponentialDecay: true, DrainGrace: 2 * logic.Second,
+			FallMultiple: 2, FallWindow: 3 * logic.Second, ColdFrom: 0.2, WarmAfter: 14 * logic.Second,
+			RemainingIndex: -1, LimitIndex: -1, Kinds: []logic.Kind{{Name: "std", MaxBatch: 1}},
+			Tenants: []logic.Tenant{{Name: "north"}},
 			Classes: []logic.Class{
 				{Name: "safe", Aim: 2 * logic.Second, Deadline: 16 * logic.Second, Worth: 1, LateWorth: 0.4},
-				{Name: "keyed", Aim: 2 * logic.Second, Deadline: 16 * logic.Second, Worth: 1, LateWorth: 0.4, Effect: logic.Keyed, Window: 20 * logic.Second},
-				{Name: "unsafe", Aim: 2 * logic.Second, Deadline: 16 * logic.Second, Worth: 1, LateWorth: 0.4, Effect: logic.Unsafe}}}}
+				{Name: "keyed", Aim: 2 * logic.Second, Deadline: 16 * logic.Second, Worth: 1, LateWorth: 0.4,
+					Effect: logic.Keyed, Window: 20 * logic.Second},
+				{Name: "unsafe", Aim: 2 * logic.Second, Deadline: 16 * logic.Second, Worth: 1, LateWorth: 0.4,
+					Effect: logic.Unsafe}}}}
 }
 
-func newRig(t *testing.T, dir string, cfg Config, with ...func(*Dependencies)) *rig {
+func newRig(t *testing.T, dir string, cfg Config, options ...func(*Dependencies)) *rig {
 	t.Helper()
-	j, err := journal.Open(dir, journal.Options{Disk: 3e6, KeepEnded: time.Hour, MostEnded: 100, Partners: cfg.Settings.TrackChanges, Bodies: 100})
+	j, err := journal.Open(dir, journal.Options{Disk: 3e6, KeepEnded: time.Hour, MostEnded: 100,
+		Partners: cfg.Settings.TrackChanges, Bodies: 100})
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &rig{t: t, fakeTransport: &fakeTransport{attempts: make(chan fakeAttempt, 64), probes: make(chan logic.EndpointID, 1)}, store: &failingStore{Store: j, unhealthy: map[string]bool{}},
-		fakeSink: &fakeSink{make(chan message.End, 64), make(chan string, 64)}, done: make(chan error, 1)}
-	parts := Dependencies{Store: r.store, Transport: r.fakeTransport, Source: silentSource{}, Sink: r.fakeSink, Log: slog.New(slog.DiscardHandler)}
-	for _, f := range with {
-		f(&parts)
+	r := &rig{t: t,
+		fakeTransport: &fakeTransport{attempts: make(chan fakeAttempt, 64), probes: make(chan logic.EndpointID, 1)},
+		store:         &failingStore{Store: j, unhealthy: map[string]bool{}},
+		fakeSink:      &fakeSink{make(chan message.End, 64), make(chan string, 64)}, done: make(chan error, 1)}
+	deps := Dependencies{Store: r.store, Transport: r.fakeTransport, Source: silentSource{}, Sink: r.fakeSink,
+		Log: slog.New(slog.DiscardHandler)}
+	for _, option := range options {
+		option(&deps)
 	}
-	r.Core, err = New(cfg, parts)
+	r.Core, err = New(cfg, deps)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -200,7 +209,7 @@
 	select {
 	case <-r.Ready():
 	case <-time.After(byhand.Patience):
-		r.t.Fatal("the core is not ready")
+		r.t.Fatal("the core has not become ready in time")
 	}
 	return r
 }
@@ -220,9 +229,9 @@
 
 func (r *rig) submitAndWait(m *message.Message) SubmitResponse {
 	r.t.Helper()
-	answer := make(chan SubmitResponse, 1)
-	r.Submit(m, answer)
-	return byhand.Await(r.t, answer, "answer to "+m.ID)
+	response := make(chan SubmitResponse, 1)
+	r.Submit(m, response)
+	return byhand.Await(r.t, response, "response to "+m.ID)
 }
 
 func (r *rig) stateName(id string) string {
--- a/internal/core/inherit.go
+++ b/internal/core/inherit.go
@@ -35,8 +35,8 @@
 // Predecessor is the link to the process that hands over.
 type Predecessor interface {
 	Link
-	// ReceiveMessages passes the messages of the predecessor to tell, and calls gone when the link is closed.
-	ReceiveMessages(tell func(m any), gone func(error))
+	// ReceiveMessages passes the messages of the predecessor to handle, and calls closed when the link is closed.
+	ReceiveMessages(handle func(m any), closed func(error))
 }
 
 // adoptListener passes a front its listener, if it was handed over.
--- a/internal/core/memory.go
+++ b/internal/core/memory.go
@@ -48,7 +48,8 @@
 func (c *Core) toJournalPartner(state logic.DestinationState) (name string, out *journal.Partner) {
 	out = &journal.Partner{Exact: state.Exact, At: c.clock.Now(), Sick: state.Unhealthy, Used: int64(state.SinceUsed),
 		Came: state.Arrivals, Down: int64(state.SinceOutage), Limit: toJournalLimit(state.Limiter),
-		Bins: state.Latencies.Bins, Weights: state.Latencies.Weights, Cuts: state.Latencies.Censored, Sampled: int64(state.Latencies.SinceSample)}
+		Bins: state.Latencies.Bins, Weights: state.Latencies.Weights, Cuts: state.Latencies.Censored,
+		Sampled: int64(state.Latencies.SinceSample)}
 	for _, endpoint := range state.Endpoints {
 		listed, ok := c.directory.endpoints[endpoint.Endpoint]
 		if !ok {
@@ -56,10 +57,11 @@
 		}
 		name = listed.partner
 		out.Endpoints = append(out.Endpoints, journal.PartnerEndpoint{Name: listed.name,
-			Limit: toJournalLimit(endpoint.Limiter), Out: endpoint.Outage, Cold: endpoint.Cold, Back: int64(endpoint.SinceRecovery), Good: int64(endpoint.SinceSuccess),
-			Bad: int64(endpoint.SinceFailure), Well: int64(endpoint.SinceIndependentSuccess), Gap: int64(endpoint.TrialInterval),
-			Failing: endpoint.FailureRatio, Slow: int64(endpoint.Latency), Fails: endpoint.Failures,
-			Fulls: endpoint.Overloads, Resets: endpoint.Resets,
+			Limit: toJournalLimit(endpoint.Limiter), Out: endpoint.Outage, Cold: endpoint.Cold,
+			Back: int64(endpoint.SinceRecovery), Good: int64(endpoint.SinceSuccess),
+			Bad: int64(endpoint.SinceFailure), Well: int64(endpoint.SinceIndependentSuccess),
+			Gap: int64(endpoint.TrialInterval), Failing: endpoint.FailureRatio, Slow: int64(endpoint.Latency),
+			Fails: endpoint.Failures, Fulls: endpoint.Overloads, Resets: endpoint.Resets,
 			Sent: toInt64s(endpoint.Sent), LastSent: int64(endpoint.SinceLastSent), Trial: int64(endpoint.UntilTrial),
 			Told: int64(endpoint.RequestedWait)})
 	}
@@ -68,8 +70,8 @@
 
 func toJournalLimit(state logic.LimiterState) journal.PartnerLimit {
 	return journal.PartnerLimit{Told: state.Limit, Pace: state.Rate, Halved: int64(state.SinceDecrease),
-		Peak: state.PeakRate, Sent: toInt64s(state.Sent), Tokens: state.Tokens, Wait: int64(state.RequestedWait), Fulls: state.Overloads,
-		First: int64(state.SinceFirstOverload), Spent: state.NearLimit}
+		Peak: state.PeakRate, Sent: toInt64s(state.Sent), Tokens: state.Tokens, Wait: int64(state.RequestedWait),
+		Fulls: state.Overloads, First: int64(state.SinceFirstOverload), Spent: state.NearLimit}
 }
 
 // toDestinationState converts a saved partner state for the scheduler, with numbers in place of names. Endpoints that
--- a/internal/core/relay_test.go
+++ b/internal/core/relay_test.go
@@ -14,7 +14,7 @@
 	"cometrack/internal/standin/byhand"
 )
 
-// successorByHand is a successor whose messages a test gives.
+// fakeSuccessor is a successor whose messages the test provides.
 type fakeSuccessor struct {
 	sent     chan any
 	incoming chan any
@@ -32,8 +32,8 @@
 	gone(io.EOF)
 }
 
-// Calls that the process before had out were sent again while they were out, as the link to it broke and it lived on:
-// they are taken for ended only once it has had the time to call them off.
+// When the link to a predecessor broke that was still running, its attempts in flight were sent again. They may be
+// regarded as ended only after the time in which the predecessor cancels them.
 func TestRemoteAttemptsOutliveBrokenLink(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &fakeSuccessor{make(chan any, 4), make(chan any)}
@@ -42,16 +42,16 @@
 		from := time.Now()
 		c.receiveFromPredecessor(s)
 		if _, ok := (<-c.events).(predecessorGoneEvent); !ok {
-			t.Fatal("another event")
+			t.Fatal("unexpected event")
 		}
 		if took := time.Since(from); took < LockReleaseTime+permit.MaxStall {
-			t.Errorf("taken for ended after %v", took)
+			t.Errorf("regarded as ended after %v", took)
 		}
 	})
 }
 
-// A request that the successor had as it died was answered as failed, and sent by the process after it: its client is
-// left to give it up.
+// A request that the successor had received before it died was answered as failed, although the process after it sent
+// the message. The response must come only after the client has given up.
 func TestRelayDelaysUnknownResponses(t *testing.T) {
 	const clientsWait = 400 * time.Millisecond
 	synctest.Test(t, func(t *testing.T) {
@@ -59,52 +59,52 @@
 		c := &Core{events: make(chan any, 4), done: make(chan struct{}), log: slog.New(slog.DiscardHandler)}
 		served := make(chan struct{})
 		go c.relay(&handoverEvent{successor: s}, served, nil)
-		answer := make(chan SubmitResponse, 1)
-		c.post(submitEvent{msg: &message.Message{ID: "m"}, response: answer})
+		response := make(chan SubmitResponse, 1)
+		c.post(submitEvent{msg: &message.Message{ID: "m"}, response: response})
 		<-s.sent
 		from := time.Now()
-		close(s.incoming) // it dies
-		<-answer
+		close(s.incoming) // the successor dies
+		<-response
 		if took := time.Since(from); took <= clientsWait {
-			t.Errorf("answered %v after the successor has died", took)
+			t.Errorf("response %v after the death of the successor", took)
 		}
 		close(served)
 	})
 }
 
-// A request was answered as failed and forwarded all the same: the process that had handed over ended while its
-// successor was held up with it. The end waits for the successor's answer, and takes nothing more on.
+// A predecessor that exited while its successor was stalled answered a request as failed that it had forwarded. It must
+// wait for the successor's response, and must not forward new requests meanwhile.
 func TestRelayWaitsForSuccessorResponses(t *testing.T) {
 	s := &fakeSuccessor{make(chan any, 4), make(chan any, 4)}
 	defer close(s.incoming)
 	c := &Core{events: make(chan any, 4), done: make(chan struct{}), log: slog.New(slog.DiscardHandler)}
-	stopped, over := make(chan struct{}), make(chan struct{})
+	stopped, finished := make(chan struct{}), make(chan struct{})
 	go func() {
-		defer close(over)
+		defer close(finished)
 		c.relay(&handoverEvent{successor: s}, nil, stopped)
 	}()
-	put := func(id string) chan SubmitResponse {
-		answer := make(chan SubmitResponse, 1)
-		c.post(submitEvent{msg: &message.Message{ID: id}, response: answer})
-		return answer
+	submit := func(id string) chan SubmitResponse {
+		response := make(chan SubmitResponse, 1)
+		c.post(submitEvent{msg: &message.Message{ID: id}, response: response})
+		return response
 	}
-	first := put("first")
+	first := submit("first")
 	forwarded := byhand.Await(t, s.sent, "request at the successor").(*handover.Put)
 	close(stopped)
 	select {
 	case a := <-first:
-		t.Errorf("answered as %+v before the successor has", a)
+		t.Errorf("response %+v before that of the successor", a)
 	case <-time.After(permit.MaxStall):
 	}
-	if a := byhand.Await(t, put("second"), "answer to the second"); a.Status != Busy {
-		t.Errorf("one that comes as the process ends gets %+v", a)
+	if a := byhand.Await(t, submit("second"), "response to the second"); a.Status != Busy {
+		t.Errorf("a request during the exit gets %+v", a)
 	}
 	s.incoming <- &handover.Answer{Seq: forwarded.Seq, Verdict: int(Accepted)}
-	if a := byhand.Await(t, first, "answer to the first"); a.Status != Accepted {
+	if a := byhand.Await(t, first, "response to the first"); a.Status != Accepted {
 		t.Errorf("the first gets %+v", a)
 	}
-	<-over
+	<-finished
 	if len(s.sent) > 0 {
-		t.Error("something was forwarded as the process ended")
+		t.Error("a request was forwarded during the exit")
 	}
 }
--- a/internal/core/restart_test.go
+++ b/internal/core/restart_test.go
@@ -11,40 +11,40 @@
 	"cometrack/logic"
 )
 
-// kill ends a core as a crash would: what is out has no outcome, and nobody is asked.
+// crash ends a core like a crash: attempts in flight have no outcome, and nothing more is written.
 func (r *rig) crash() {
 	r.t.Helper()
 	r.stop()
 	r.store.Close()
 }
 
-// A wait that was told before a restart is heeded after it.
+// A wait that was requested before a restart applies after it.
 func TestWaitOutlivesRestart(t *testing.T) {
 	dir, cfg := t.TempDir(), testConfig()
 	cfg.PersistWaits = true
 	r := newRig(t, dir, cfg).run()
 	r.submitAndWait(newMessage("a", "unsafe"))
-	in := byhand.Await(t, r.fakeTransport.attempts, "attempt")
+	attempt := byhand.Await(t, r.fakeTransport.attempts, "attempt")
 	const wait = 1500 * time.Millisecond
-	told := time.Now()
-	in.result <- Result{Outcome: logic.Overloaded, RequestedWait: wait}
+	requestedAt := time.Now()
+	attempt.result <- Result{Outcome: logic.Overloaded, RequestedWait: wait}
 	for r.stateName("a") != StateAccepted { // until the outcome is in the journal
 	}
 	r.crash()
 	r = newRig(t, dir, cfg).run()
 	byhand.Await(t, r.fakeTransport.attempts, "attempt after the restart").result <- Result{Outcome: logic.Completed}
-	if d := time.Since(told); d < wait {
-		t.Errorf("sent again %v after a wait of %v was told", d, wait)
+	if d := time.Since(requestedAt); d < wait {
+		t.Errorf("sent again %v after a wait of %v was requested", d, wait)
 	}
 	if x := byhand.Await(t, r.fakeSink.added, "end"); x.State != message.Delivered || x.Tries != 2 {
-		t.Errorf("told %+v", x)
+		t.Errorf("end %+v", x)
 	}
 	r.fakeSink.confirm <- "a"
 	r.shutDown()
 }
 
-// What was sent right before a restart is not known after it: a pace saves
-// nothing up from before the start, so that the first call comes after one span of it.
+// Calls right before a restart are not known after it. A rate limiter therefore starts without tokens, so that the
+// first call comes after one interval of the rate.
 func TestRateLimitHoldsOverRestart(t *testing.T) {
 	dir, cfg := t.TempDir(), testConfig()
 	cfg.PersistWaits = true
@@ -67,15 +67,16 @@
 	r.shutDown()
 }
 
-// A message whose class is not configured any more ends by its past, at once.
+// A message whose class is not configured any more ends at once: returned if it has not run, failed if it may have run.
 func TestRemovedClassEndsMessages(t *testing.T) {
 	dir := t.TempDir()
 	j, err := journal.Open(dir, journal.Options{})
 	if err != nil {
 		t.Fatal(err)
 	}
-	never, may := newMessage("never", "gone"), newMessage("may", "gone")
-	if err := j.Append([]journal.Record{{Op: journal.OpAccept, Entry: &journal.Entry{Message: *never}}, {Op: journal.OpAccept, Entry: &journal.Entry{Message: *may}},
+	never, mayHaveRun := newMessage("never", "gone"), newMessage("may", "gone")
+	if err := j.Append([]journal.Record{{Op: journal.OpAccept, Entry: &journal.Entry{Message: *never}},
+		{Op: journal.OpAccept, Entry: &journal.Entry{Message: *mayHaveRun}},
 		{Op: journal.OpSend, ID: "may", At: 1, Zone: "a"}}); err != nil {
 		t.Fatal(err)
 	}
@@ -91,37 +92,36 @@
 	r.shutDown()
 }
 
-// A front may fill no more than the hold less what is kept for the others.
+// A front may use the pending limit except for the share that is reserved for the other fronts.
 func TestFrontsKeepShareOfPendingLimit(t *testing.T) {
-	cfg := testConfig() // holds 8
+	cfg := testConfig() // pending limit 8
 	r := newRig(t, t.TempDir(), cfg)
 	a, b := r.NewFrontLimiter(2), r.NewFrontLimiter(2)
-	taken := 0
-	for a.pending = 0; r.hasRoomFor(a) && taken < 100; taken++ {
+	accepted := 0
+	for a.pending = 0; r.hasRoomFor(a) && accepted < 100; accepted++ {
 		a.pending++
 		r.pendingCount++
 	}
-	if taken != 6 {
-		t.Errorf("one front holds %d of 8", taken)
+	if accepted != 6 {
+		t.Errorf("one front has %d of 8 pending messages", accepted)
 	}
-	for r.hasRoomFor(b) && taken < 100 {
+	for r.hasRoomFor(b) && accepted < 100 {
 		b.pending++
 		r.pendingCount++
-		taken++
+		accepted++
 	}
 	if b.pending != 2 {
 		t.Errorf("the other one has room for %d", b.pending)
 	}
 }
 
-// A partner that was out when the process died is tried with one call by the next
-// one, whether its list is there at the start or comes later; without the memory
-// all messages would go out at once.
+// A partner in outage at a crash is tested with one call by the next process, whether its list is cached or arrives
+// later. Without the saved partner state all messages would be sent at once.
 func TestOutageOutlivesRestart(t *testing.T) {
 	for _, x := range []struct {
 		name        string
 		known, late bool
-		want        int // attempts out at once
+		want        int // attempts in flight
 	}{{"known", true, false, 1}, {"known, its list comes late", true, true, 1}, {"not known", false, false, 3}} {
 		t.Run(x.name, func(t *testing.T) {
 			dir, cfg := t.TempDir(), testConfig()
@@ -129,12 +129,12 @@
 			r := newRig(t, dir, cfg).run()
 			r.submitAndWait(newMessage("a", "safe"))
 			byhand.Await(t, r.fakeTransport.attempts, "attempt").result <- Result{Outcome: logic.ConnectionRefused}
-			for r.stateName("a") != StateAccepted { // until the outcome is known
+			for r.stateName("a") != StateAccepted { // until the outcome has been handled
 			}
 			deadline := time.Now().Add(byhand.Patience)
-			for x.known && !r.store.recordedUnhealthy("acme") { // changes of health are written within a second or two
+			for x.known && !r.store.recordedUnhealthy("acme") { // changes of health are written within two seconds
 				if time.Now().After(deadline) {
-					t.Fatal("nothing is written of the outage")
+					t.Fatal("the outage is not written")
 				}
 				r.submitAndWait(newMessage("a", "safe"))
 			}
@@ -158,15 +158,14 @@
 				}
 			}
 			if sending != x.want {
-				t.Errorf("%d messages are out, want %d", sending, x.want)
+				t.Errorf("%d messages are in flight, want %d", sending, x.want)
 			}
 		})
 	}
 }
 
-// A large body that is left on the disk is in each attempt, of a new message and of
-// one that is sent again, before and after a restart; what comes again is known by
-// it. One that can't be read back is never sent, and the message has its end.
+// A large body that is kept on disk only is in each attempt, the first and later ones, before and after a restart, and
+// duplicates are recognized by it. If it can't be read, the message is not sent and is returned.
 func TestLargeBodyIsReadBack(t *testing.T) {
 	dir := t.TempDir()
 	r := newRig(t, dir, testConfig()).run()
@@ -175,31 +174,32 @@
 		m.Body = bytes.Repeat([]byte(fill), 3000)
 		return m
 	}
-	attempt := func(o logic.Outcome) {
+	answer := func(o logic.Outcome) {
 		t.Helper()
-		in := byhand.Await(t, r.fakeTransport.attempts, "attempt")
-		if !bytes.Equal(in.Message.Body, big("x").Body) {
-			t.Errorf("attempt %d has a body of %d bytes", in.Number, len(in.Message.Body))
+		attempt := byhand.Await(t, r.fakeTransport.attempts, "attempt")
+		if !bytes.Equal(attempt.Message.Body, big("x").Body) {
+			t.Errorf("attempt %d has a body of %d bytes", attempt.Number, len(attempt.Message.Body))
 		}
-		in.result <- Result{Outcome: o}
+		attempt.result <- Result{Outcome: o}
 	}
 	r.submitAndWait(big("x"))
-	attempt(logic.ConnectionRefused)
-	attempt(logic.ConnectionRefused)
+	answer(logic.ConnectionRefused)
+	answer(logic.ConnectionRefused)
 	if e := r.store.Entry("a"); e.Left != 3000 || e.Body != nil {
-		t.Errorf("%d bytes left on the disk, %d in memory", e.Left, len(e.Body))
+		t.Errorf("%d bytes on disk, %d in memory", e.Left, len(e.Body))
 	}
-	if a, b := r.submitAndWait(big("x")), r.submitAndWait(big("y")); a.Status != Accepted || !a.Duplicate || b.Status != Conflict {
-		t.Errorf("again: %+v, with another body: %+v", a, b)
+	if a, b := r.submitAndWait(big("x")), r.submitAndWait(big("y")); a.Status != Accepted || !a.Duplicate ||
+		b.Status != Conflict {
+		t.Errorf("submitted again: %+v, with another body: %+v", a, b)
 	}
 	r.crash()
 	r = newRig(t, dir, testConfig()).run()
 	if a, b := r.submitAndWait(big("x")), r.submitAndWait(big("y")); a.Status != Accepted || b.Status != Conflict {
-		t.Errorf("after the restart, again: %+v, with another body: %+v", a, b)
+		t.Errorf("submitted again after the restart: %+v, with another body: %+v", a, b)
 	}
-	attempt(logic.Completed)
+	answer(logic.Completed)
 	if x := byhand.Await(t, r.fakeSink.added, "end"); x.State != message.Delivered {
-		t.Errorf("told %+v", x)
+		t.Errorf("end %+v", x)
 	}
 	r.fakeSink.confirm <- "a"
 	r.store.loseBodies(true)
@@ -208,11 +208,11 @@
 	r.submitAndWait(b)
 	byhand.Await(t, r.fakeTransport.attempts, "attempt").result <- Result{Outcome: logic.ConnectionRefused}
 	if x := byhand.Await(t, r.fakeSink.added, "end"); x.ID != "b" || x.State != message.Returned {
-		t.Errorf("told %+v", x)
+		t.Errorf("end %+v", x)
 	}
 	select {
-	case in := <-r.fakeTransport.attempts:
-		t.Errorf("attempt %d was made without its body", in.Number)
+	case attempt := <-r.fakeTransport.attempts:
+		t.Errorf("attempt %d was made without its body", attempt.Number)
 	default:
 	}
 	r.fakeSink.confirm <- "b"
--- a/internal/core/seams.go
+++ b/internal/core/seams.go
@@ -92,12 +92,12 @@
 
 // Source lists the endpoints of the partners.
 type Source interface {
-	// Watch starts to follow the endpoints, unless it has been started before. It passes updates to tell, in order,
+	// Watch starts to follow the endpoints, unless it has been started before. It passes updates to handle, in order,
 	// until ctx is done. The source retries failed requests itself.
-	Watch(ctx context.Context, tell func(EndpointUpdate))
+	Watch(ctx context.Context, handle func(EndpointUpdate))
 	// AcceptUpdate reports whether an update that Watch has passed on is still valid. The core calls it right
 	// before it applies the update, and applies it if the result is true.
-	AcceptUpdate(n EndpointUpdate) bool
+	AcceptUpdate(update EndpointUpdate) bool
 	// Version returns the version of the last accepted update; 0 if there was none.
 	Version() int64
 }
@@ -121,8 +121,8 @@
 type Peers interface {
 	// Publish sends an observation of this sender to the peers. It does not block.
 	Publish(Observation)
-	// Receive passes the observations of the peers to take, in order, until ctx is done.
-	Receive(ctx context.Context, take func([]Observation))
+	// Receive passes the observations of the peers to handle, in order, until ctx is done.
+	Receive(ctx context.Context, handle func([]Observation))
 }
 
 // EndSink reports how messages ended.
--- a/internal/core/step.go
+++ b/internal/core/step.go
@@ -153,7 +153,7 @@
 		end := permit.End{Written: written, Delivered: report.end.State == message.Delivered,
 			Remaining: time.Until(c.clock.Moment(report.msg.Deadline))}
 		if reason := permit.NotifyEnd(end); reason != permit.Granted {
-			c.monitor.CountDenied(reason, "tell end", report.end.ID)
+			c.monitor.CountDenied(reason, "report end", report.end.ID)
 			kept = append(kept, report)
 			if end.Remaining > 0 {
 				retryIn = min(retryIn, end.Remaining)
--- a/internal/core/structure_test.go
+++ b/internal/core/structure_test.go
@@ -10,7 +10,7 @@
 	"testing"
 )
 
-// The core knows fronts, transports, sources and sinks by its interfaces only, and its files stay short.
+// The core imports no fronts, transports, sources or sinks, and its files stay short.
 func TestStructure(t *testing.T) {
 	files, err := filepath.Glob("*.go")
 	if err != nil || len(files) < 8 {
--- a/internal/core/submit.go
+++ b/internal/core/submit.go
@@ -211,8 +211,8 @@
 	}
 	if entry := c.store.Ended(id); entry != nil {
 		return State{ID: id, Name: entry.State, Tenant: entry.Tenant, Partner: entry.Partner, Class: entry.Class,
-			Attempts: entry.Tries, RetryAfter: time.Duration(entry.AfterMS) * time.Millisecond, AcceptedAt: c.wallTime(entry.Accepted),
-			EndedAt: c.wallTime(entry.Over)}
+			Attempts: entry.Tries, RetryAfter: time.Duration(entry.AfterMS) * time.Millisecond,
+			AcceptedAt: c.wallTime(entry.Accepted), EndedAt: c.wallTime(entry.Over)}
 	}
 	return State{ID: id}
 }
--- a/internal/core/terms_test.go
+++ b/internal/core/terms_test.go
@@ -11,10 +11,10 @@
 	"cometrack/logic"
 )
 
-// with is the test's settings with other classes: "name effect" each.
+// settingsWith returns the settings of cfg with other classes, each given as "name effect".
 func settingsWith(cfg Config, attempts int, classes ...string) logic.Settings {
-	set := cfg.Settings
-	set.MaxTries, set.Classes = attempts, nil
+	settings := cfg.Settings
+	settings.MaxTries, settings.Classes = attempts, nil
 	for _, c := range classes {
 		name, effect, _ := strings.Cut(c, " ")
 		class := logic.Class{Name: name, Aim: 2 * logic.Second, Deadline: 16 * logic.Second, Worth: 1, LateWorth: 0.4}
@@ -24,13 +24,13 @@
 		case "unsafe":
 			class.Effect = logic.Unsafe
 		}
-		set.Classes = append(set.Classes, class)
+		settings.Classes = append(settings.Classes, class)
 	}
-	return set
+	return settings
 }
 
-// A class changes its effect, is dropped, and comes back as another, with a crash before each step or without:
-// what was taken on under it stays what it was, and the number of its attempts too.
+// A class changes its effect, is removed and is added with another effect, with and without a crash at each step.
+// Messages accepted before keep the effect and the maximum number of attempts of their acceptance.
 func TestPendingMessagesKeepTheirTerms(t *testing.T) {
 	for crash := range 4 {
 		t.Run(fmt.Sprint("crash at step ", crash), func(t *testing.T) {
@@ -38,10 +38,10 @@
 			dir, cfg := t.TempDir(), testConfig()
 			cfg.Settings = settingsWith(cfg, 2, "x safe", "y unsafe")
 			r := newRig(t, dir, cfg).run()
-			step := 0
-			next := func(set logic.Settings) {
+			change := 0
+			changeSettings := func(set logic.Settings) {
 				t.Helper()
-				if step++; step-1 == crash {
+				if change++; change-1 == crash {
 					r.crash()
 					cfg.Settings = set
 					r = newRig(t, dir, cfg).run()
@@ -50,7 +50,7 @@
 				}
 				cfg.Settings = set
 			}
-			check := func(class string, want bool) {
+			checkClass := func(class string, want bool) {
 				t.Helper()
 				if err := r.Check(newMessage("c", class), testDeadline); (err == nil) != want {
 					t.Errorf("class %s: %v", class, err)
@@ -58,40 +58,41 @@
 			}
 			r.submitAndWait(newMessage("x1", "x"))
 			r.submitAndWait(newMessage("y1", "y"))
-			calls := map[string]fakeAttempt{}
+			attempts := map[string]fakeAttempt{}
 			for range 2 {
-				in := byhand.Await(t, r.fakeTransport.attempts, "attempt")
-				calls[in.Message.ID] = in
+				attempt := byhand.Await(t, r.fakeTransport.attempts, "attempt")
+				attempts[attempt.Message.ID] = attempt
 			}
-			// A refusal each: neither has run, and each has one attempt left.
-			for _, in := range calls {
-				in.result <- Result{Outcome: logic.Overloaded, RequestedWait: 2500e6}
+			// Both are rejected for overload: neither has run, and each has one attempt left.
+			for _, attempt := range attempts {
+				attempt.result <- Result{Outcome: logic.Overloaded, RequestedWait: 2500e6}
 			}
-			for r.stateName("x1") != StateAccepted || r.stateName("y1") != StateAccepted { // until the outcomes are in the journal
+			// until the outcomes are in the journal
+			for r.stateName("x1") != StateAccepted || r.stateName("y1") != StateAccepted {
 			}
-			next(settingsWith(cfg, 5, "x unsafe", "y safe", "z keyed"))
-			check("z", true)
-			next(settingsWith(cfg, 5, "y safe")) // x is dropped, with a message of it held
-			check("x", false)
-			next(settingsWith(cfg, 1, "x unsafe", "y safe"))
-			check("x", true)
+			changeSettings(settingsWith(cfg, 5, "x unsafe", "y safe", "z keyed"))
+			checkClass("z", true)
+			changeSettings(settingsWith(cfg, 5, "y safe")) // class x is removed while a message of it is pending
+			checkClass("x", false)
+			changeSettings(settingsWith(cfg, 1, "x unsafe", "y safe"))
+			checkClass("x", true)
 			bad := settingsWith(cfg, 1, "x unsafe")
 			bad.Classes[0].Deadline = 0
 			if err := r.UpdateSettings(bad, cfg.Zones); err == nil {
-				t.Error("a class without a deadline is taken up")
+				t.Error("a class without a deadline is accepted")
 			}
 			if err := r.UpdateSettings(settingsWith(cfg, 1, "x unsafe"), []string{"b", "a"}); err == nil {
-				t.Error("zones that change places are taken up")
+				t.Error("a change of the order of zones is accepted")
 			}
-			check("y", true) // a refusal changes nothing
+			checkClass("y", true) // a rejected update changes nothing
 			if got := r.submitAndWait(newMessage("x1", "x")); got.Status != Accepted || !got.Duplicate {
-				t.Errorf("handed in again: %+v", got)
+				t.Errorf("submitted again: %+v", got)
 			}
-			// x1 was safe and y1 unsafe when they were taken on: after a break the one is sent again no more than
-			// its two attempts allow, the other never.
+			// x1 was safe and y1 unsafe when they were accepted: after a broken connection x1 has used its two
+			// attempts, and y1 may not be sent again.
 			for range 2 {
-				in := byhand.Await(t, r.fakeTransport.attempts, "second attempt")
-				in.result <- Result{Outcome: logic.ConnectionBroken}
+				attempt := byhand.Await(t, r.fakeTransport.attempts, "second attempt")
+				attempt.result <- Result{Outcome: logic.ConnectionBroken}
 			}
 			ends := map[string]message.End{}
 			for range 2 {
@@ -109,9 +110,9 @@
 	}
 }
 
-const testDeadline = 2 * time.Second // a span that each class allows
+const testDeadline = 2 * time.Second // allowed by each class
 
-// Right after a change clients may not know it: a class that becomes safe is still held to what it was.
+// Right after a change of settings, clients may not know it. A class that becomes safe is still treated as unsafe.
 func TestSettingsOverlapIsStrict(t *testing.T) {
 	cfg := testConfig()
 	cfg.Settings = settingsWith(cfg, 3, "x unsafe")
@@ -122,7 +123,7 @@
 	r.submitAndWait(newMessage("early", "x"))
 	byhand.Await(t, r.fakeTransport.attempts, "attempt").result <- Result{Outcome: logic.ConnectionBroken}
 	if x := byhand.Await(t, r.fakeSink.added, "end"); x.ID != "early" || x.State != message.Failed {
-		t.Errorf("told %+v", x)
+		t.Errorf("end %+v", x)
 	}
 	r.fakeSink.confirm <- "early"
 	r.shutDown()
