--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -111,7 +111,7 @@
 	source       Source
 	sink         EndSink
 	lifecycle    *lifecycle.Controller
-	sender       *logic.Sender
+	scheduler    *logic.Sender
 	newBacklog   func(Store, func(any, <-chan struct{})) (Backlog, error)
 	events       chan any
 	done         chan struct{} // closed when the loop has ended
@@ -123,9 +123,9 @@
 	causalMarks     map[logic.EndpointID]uint64 // mark of the last observation by peers given to the scheduler
 	earlyWaits      map[string]earlyWait        // by endpoint name
 	listReceived    bool                        // the source has sent a list to this process, or to the predecessor
-	timer           *time.Timer
+	schedulerTimer  *time.Timer
 	timerToken      uint64
-	start           time.Time
+	startedAt       time.Time
 	pending         map[string]*pendingMessage
 	pendingCount    int           // messages in pending that have not ended
 	prunedAt        time.Time     // when the directory was last pruned
@@ -162,10 +162,11 @@
 		earlyWaits: map[string]earlyWait{}, takeover: deps.Takeover, newBacklog: deps.OpenBacklog,
 		remoteAttempts: map[string]*pendingMessage{}, log: deps.Log, monitor: deps.Monitor,
 		clock: deps.Store.Clock(), store: deps.Store,
-		transport: deps.Transport, source: deps.Source, sink: deps.Sink, sender: sender,
+		transport: deps.Transport, source: deps.Source, sink: deps.Sink, scheduler: sender,
 		events: make(chan any, eventQueueSize), done: make(chan struct{}), ready: make(chan struct{}),
-		directory: newDirectory(cfg.Zones, cfg.Settings.Kinds), start: time.Now(), timer: time.NewTimer(time.Hour),
-		pending: map[string]*pendingMessage{}, newMessages: map[string]*message.Message{},
+		directory: newDirectory(cfg.Zones, cfg.Settings.Kinds), startedAt: time.Now(),
+		schedulerTimer: time.NewTimer(time.Hour),
+		pending:        map[string]*pendingMessage{}, newMessages: map[string]*message.Message{},
 		watchers: map[string][]chan State{}}
 	c.clientTerms.Store(newTerms(cfg.Settings))
 	return c, c.setTerms(newTerms(cfg.Settings))
--- a/internal/core/handover.go
+++ b/internal/core/handover.go
@@ -141,7 +141,7 @@
 		}
 		c.transport.CloseIdle(id)
 	}
-	states, keys := c.sender.HandOver(toMicros(time.Since(c.start)))
+	states, keys := c.scheduler.HandOver(toMicros(time.Since(c.startedAt)))
 	for _, state := range states {
 		if name, partner := c.toJournalPartner(state); name != "" {
 			out.Partners[name] = partner
--- a/internal/core/loop.go
+++ b/internal/core/loop.go
@@ -66,7 +66,7 @@
 	defer sweepTicker.Stop()
 	tickTimer := time.NewTimer(0)
 	defer tickTimer.Stop()
-	defer c.timer.Stop()
+	defer c.schedulerTimer.Stop()
 	clientsGone := false // shutting down, and all client connections are closed
 	for {
 		if clientsGone && c.pendingCount == 0 && c.store.Len() == 0 {
@@ -76,7 +76,7 @@
 		select {
 		case ev := <-c.events:
 			c.handleEvent(ev)
-		case <-c.timer.C:
+		case <-c.schedulerTimer.C:
 			c.nextEvents = append(c.nextEvents, logic.TimerFired{Token: c.timerToken})
 		case <-c.backlog.endTimerFired():
 		case <-sweepTicker.C:
--- a/internal/core/memory.go
+++ b/internal/core/memory.go
@@ -20,7 +20,7 @@
 	if !c.cfg.Settings.TrackChanges {
 		return
 	}
-	for _, state := range c.sender.ChangedStates(toMicros(time.Since(c.start)), limit) {
+	for _, state := range c.scheduler.ChangedStates(toMicros(time.Since(c.startedAt)), limit) {
 		if name, saved := c.toJournalPartner(state); name != "" {
 			c.records = append(c.records, journal.Record{Op: journal.OpPartner, ID: name, Partner: saved})
 		}
--- a/internal/core/relay.go
+++ b/internal/core/relay.go
@@ -68,7 +68,7 @@
 		case <-gone:
 			r.core.log.Error("the process that took over is gone")
 			gone, r.successorGone = nil, true
-			r.cancelAttempts() // the next process regards them as ended
+			r.cancelAttempts() // a successor that still runs regards them as ended after predecessorGrace
 			giveUpTimer = time.After(clientGiveUpTime)
 		case <-giveUpTimer:
 			r.failOutstanding()
--- a/internal/core/step.go
+++ b/internal/core/step.go
@@ -17,7 +17,7 @@
 	c.endExpiredBacklog()
 	events := c.nextEvents
 	c.nextEvents = nil
-	actions := c.sender.Step(toMicros(time.Since(c.start)), events)
+	actions := c.scheduler.Step(toMicros(time.Since(c.startedAt)), events)
 	responses := c.immediateResponses(actions)
 	now := c.clock.Now()
 	c.recordActions(actions, responses, now)
@@ -244,7 +244,7 @@
 			c.unreportedEnds = append(c.unreportedEnds, endReport{p.msg, end, true})
 		}
 	case logic.SetTimer:
-		c.timer.Reset(toDuration(a.Wait)) // the new timer expires no later than the previous one
+		c.schedulerTimer.Reset(toDuration(a.Wait)) // the new timer expires no later than the previous one
 		c.timerToken = a.Token
 	case logic.Probe:
 		c.probe(work, a.Endpoint)
