--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -11,159 +11,165 @@
 	"cometrack/logic"
 )
 
-// callOuts makes the attempts of a step. Those at one endpoint travel as one call
-// as far as its kind allows, in the order of the module's words. Without their
-// records in the journal they are not made.
-func (c *Core) callOuts(work context.Context, outs []logic.StartAttempt, written bool) {
-	if len(outs) == 0 {
+// startAttempts starts the attempts of a step. Attempts at one endpoint share calls as far as the endpoint's kind
+// allows, in the order of the scheduler's actions. If their records could not be written, the attempts are not made.
+func (c *Core) startAttempts(work context.Context, starts []logic.StartAttempt, written bool) {
+	if len(starts) == 0 {
 		return
 	}
-	calls := map[logic.EndpointID][]*Attempt{} // that may take more
-	for _, a := range outs {
-		out := c.attempt(a)
-		if out == nil {
+	calls := map[logic.EndpointID][]*Attempt{} // calls that have room for more attempts
+	for _, start := range starts {
+		attempt := c.newAttempt(start)
+		if attempt == nil {
 			continue
 		}
 		if !written {
-			c.held[a.ID].stop = func() {}
-			ev := replyEvent{{attempt: out, result: Result{Outcome: logic.NotSent}}}
-			time.AfterFunc(retryPause, func() { c.post(ev) }) // a full disk, say: room may come
+			c.pending[start.ID].cancel = func() {}
+			ev := outcomesEvent{{attempt: attempt, result: Result{Outcome: logic.NotSent}}}
+			time.AfterFunc(retryDelay, func() { c.post(ev) }) // the cause may pass, such as a full disk
 			continue
 		}
-		call := append(calls[a.Endpoint], out)
-		if len(call) >= c.batch(a.Endpoint) {
-			c.call(work, call)
+		call := append(calls[start.Endpoint], attempt)
+		if len(call) >= c.batchSize(start.Endpoint) {
+			c.startCall(work, call)
 			call = nil
 		}
-		calls[a.Endpoint] = call
+		calls[start.Endpoint] = call
 	}
-	for _, a := range outs { // in order: map iteration has none
-		if call := calls[a.Endpoint]; len(call) > 0 {
-			c.call(work, call)
-			delete(calls, a.Endpoint)
+	for _, start := range starts { // over the slice, as the map has no order
+		if call := calls[start.Endpoint]; len(call) > 0 {
+			c.startCall(work, call)
+			delete(calls, start.Endpoint)
 		}
 	}
 }
 
-// batch is how many messages one call to an endpoint takes.
-func (c *Core) batch(ep logic.EndpointID) int {
-	if k := c.dir.eps[ep].kind; k >= 0 && k < len(c.terms.set.Kinds) {
-		return max(c.terms.set.Kinds[k].MaxBatch, 1)
+// batchSize returns the maximum number of messages in one call to an endpoint.
+func (c *Core) batchSize(ep logic.EndpointID) int {
+	if kind := c.directory.endpoints[ep].kind; kind >= 0 && kind < len(c.terms.settings.Kinds) {
+		return max(c.terms.settings.Kinds[kind].MaxBatch, 1)
 	}
 	return 1
 }
 
-// attempt books an attempt. It is nil for a message that is not held.
-func (c *Core) attempt(a logic.StartAttempt) *Attempt {
-	h := c.held[a.ID]
-	if h == nil { // never taken on; the module is still owed its one outcome
-		c.next = append(c.next, logic.AttemptResult{ID: a.ID, MessageEnded: true, Endpoint: a.Endpoint, Outcome: logic.NotSent})
+// newAttempt creates an attempt. It returns nil and sends nothing if the message is not pending, has ended or has an
+// attempt in flight; the scheduler gets an outcome for each of them.
+func (c *Core) newAttempt(start logic.StartAttempt) *Attempt {
+	p := c.pending[start.ID]
+	if p == nil { // not accepted; the scheduler still expects one outcome
+		c.nextEvents = append(c.nextEvents,
+			logic.AttemptResult{ID: start.ID, MessageEnded: true, Endpoint: start.Endpoint, Outcome: logic.NotSent})
 		return nil
 	}
-	if h.stop != nil || h.over { // the module's books say otherwise: nothing goes out
+	if p.cancel != nil || p.ended { // the scheduler's state is inconsistent with that of the core: send nothing
 		kind := permit.ConcurrentAttempts
-		if h.over {
+		if p.ended {
 			kind = permit.SentAfterEnd
 		}
-		c.monitor.CountViolation(kind, a.ID, "attempt", h.tries, "withheld", true)
-		c.next = append(c.next, logic.AttemptResult{ID: a.ID, MessageEnded: h.over, Endpoint: a.Endpoint, Attempt: h.tries, Outcome: logic.NotSent})
+		c.monitor.CountViolation(kind, start.ID, "attempt", p.attempts, "withheld", true)
+		c.nextEvents = append(c.nextEvents, logic.AttemptResult{ID: start.ID, MessageEnded: p.ended,
+			Endpoint: start.Endpoint, Attempt: p.attempts, Outcome: logic.NotSent})
 		return nil
 	}
-	to := c.dir.eps[a.Endpoint]
-	out := &Attempt{Message: h.msg, Number: h.tries, Endpoint: a.Endpoint, Addr: to.addr, Timeout: span(a.Timeout), at: time.Now(), first: a.ID,
-		part: c.part, allowed: c.allowed, monitor: c.monitor}
-	h.tries++
-	class := cmp.Or(h.class, &logic.Class{Effect: logic.Unsafe})
-	out.Unrepeatable = class.Effect == logic.Unsafe
-	out.Expires = c.clock.Moment(h.msg.Deadline)
-	if e := c.store.Entry(a.ID); e != nil && e.MayRun {
-		out.Repeat = permit.Repeat{MayHaveRun: true, Effect: class.Effect, Window: span(class.Window), Age: out.at.Sub(c.clock.Moment(e.FirstMay))}
-	}
-	h.attempt, out.left = out, h.left
+	endpoint := c.directory.endpoints[start.Endpoint]
+	attempt := &Attempt{Message: p.msg, Number: p.attempts, Endpoint: start.Endpoint, Addr: endpoint.addr,
+		Timeout: toDuration(start.Timeout), createdAt: time.Now(), firstID: start.ID,
+		plannedShare: c.weightShare, allowedShare: c.allowedShare, monitor: c.monitor}
+	p.attempts++
+	class := cmp.Or(p.class, &logic.Class{Effect: logic.Unsafe})
+	attempt.Unrepeatable = class.Effect == logic.Unsafe
+	attempt.Expires = c.clock.Moment(p.msg.Deadline)
+	if entry := c.store.Entry(start.ID); entry != nil && entry.MayRun {
+		attempt.Repeat = permit.Repeat{MayHaveRun: true, Effect: class.Effect, Window: toDuration(class.Window),
+			Age: attempt.createdAt.Sub(c.clock.Moment(entry.FirstMay))}
+	}
+	p.attempt, attempt.bodyInStore = attempt, p.bodyInStore
 	c.metrics.Attempts.Add(1)
-	c.traceCall(out)
-	return out
+	c.traceAttempt(attempt)
+	return attempt
 }
 
-// call makes attempts in one call. It is called off once each of them is; until
-// then one that is called off shares the fate of the rest, if it went out.
-func (c *Core) call(work context.Context, call []*Attempt) {
-	ctx, stop := context.WithCancel(work)
-	left := len(call)
-	for _, out := range call {
-		out.first = call[0].Message.ID
-		stopped := false
-		c.held[out.Message.ID].stop = func() { // by the loop alone
-			if stopped {
+// startCall makes attempts in one call, in a goroutine of its own. The call is cancelled once all of its attempts are;
+// until then a cancelled attempt that has begun stays in the call.
+func (c *Core) startCall(work context.Context, call []*Attempt) {
+	ctx, cancel := context.WithCancel(work)
+	remaining := len(call)
+	for _, attempt := range call {
+		attempt.firstID = call[0].Message.ID
+		cancelled := false
+		c.pending[attempt.Message.ID].cancel = func() { // called by the loop only
+			if cancelled {
 				return
 			}
-			stopped = true
-			out.Withhold(permit.Cancelled)
-			if left--; left == 0 {
-				stop()
+			cancelled = true
+			attempt.Withhold(permit.Cancelled)
+			if remaining--; remaining == 0 {
+				cancel()
 			}
 		}
 	}
 	go func() {
-		defer stop()
-		at := time.Now()
-		results := c.carry(ctx, call)
-		took := time.Since(at)
-		ev, local := make(replyEvent, len(call)), false
-		for i, out := range call {
-			ev[i], local = reply{out, results[i], took}, local || results[i].LocalFailure || out.Reason() == permit.LeaseReduced
+		defer cancel()
+		startedAt := time.Now()
+		results := c.executeCall(ctx, call)
+		took := time.Since(startedAt)
+		outcomes, localFailure := make(outcomesEvent, len(call)), false
+		for i, attempt := range call {
+			outcomes[i], localFailure = attemptOutcome{attempt, results[i], took},
+				localFailure || results[i].LocalFailure || attempt.Reason() == permit.LeaseReduced
 		}
-		if local {
-			pause(ctx, retryPause) // descriptors, say: room may come
+		if localFailure {
+			sleep(ctx, retryDelay) // the cause may pass, such as a lack of file descriptors
 		}
-		c.post(ev)
+		c.post(outcomes)
 	}()
 }
 
-// carry makes the attempts of a call. One whose body can't be read back is none.
-func (c *Core) carry(ctx context.Context, call []*Attempt) []Result {
-	results, whole, at := make([]Result, len(call)), make([]*Attempt, 0, len(call)), make([]int, 0, len(call))
-	for i, out := range call {
-		if err := c.load(out); err != nil {
-			if out.Withhold(permit.NotWritten) && ctx.Err() == nil {
-				c.log.Error("a message can't be sent", "id", out.Message.ID, "err", err)
+// executeCall makes the attempts of a call and returns their results. An attempt whose body can't be read back from the
+// store is left out of the call and has the outcome [logic.NotSent].
+func (c *Core) executeCall(ctx context.Context, call []*Attempt) []Result {
+	results, loaded, indexes := make([]Result, len(call)), make([]*Attempt, 0, len(call)), make([]int, 0, len(call))
+	for i, attempt := range call {
+		if err := c.loadBody(attempt); err != nil {
+			if attempt.Withhold(permit.NotWritten) && ctx.Err() == nil {
+				c.log.Error("a message can't be sent", "id", attempt.Message.ID, "err", err)
 			}
 			results[i] = Result{Outcome: logic.NotSent, LocalFailure: true}
 			continue
 		}
-		whole, at = append(whole, out), append(at, i)
+		loaded, indexes = append(loaded, attempt), append(indexes, i)
 	}
-	switch len(whole) {
+	switch len(loaded) {
 	case 0:
 	case 1:
-		results[at[0]] = c.transport.Attempt(ctx, whole[0])
+		results[indexes[0]] = c.transport.Attempt(ctx, loaded[0])
 	default:
-		for i, r := range c.transport.Batch(ctx, whole) {
-			results[at[i]] = r
+		for i, r := range c.transport.Batch(ctx, loaded) {
+			results[indexes[i]] = r
 		}
 	}
 	return results
 }
 
-// load reads back the body of a message that was left in the store.
-func (c *Core) load(out *Attempt) error {
-	if !out.left {
+// loadBody reads the body of a message from the store if it is not in memory.
+func (c *Core) loadBody(attempt *Attempt) error {
+	if !attempt.bodyInStore {
 		return nil
 	}
 	c.storeMu.RLock()
-	body, err := c.store.Body(out.Message.ID)
+	body, err := c.store.Body(attempt.Message.ID)
 	c.storeMu.RUnlock()
 	if err != nil {
 		return err
 	}
-	whole := *out.Message
-	whole.Body = body
-	out.Message = &whole
+	loaded := *attempt.Message
+	loaded.Body = body
+	attempt.Message = &loaded
 	return nil
 }
 
-// pause waits for d or until ctx is over.
-func pause(ctx context.Context, d time.Duration) {
+// sleep waits for d or until ctx is done.
+func sleep(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
@@ -172,79 +178,83 @@
 	}
 }
 
-// reply takes the one outcome of an attempt.
-func (c *Core) reply(ev reply) {
+// handleOutcome handles the outcome of an attempt; there is one for each attempt.
+func (c *Core) handleOutcome(ev attemptOutcome) {
 	id := ev.attempt.Message.ID
-	h := c.held[id]
-	if h == nil {
+	p := c.pending[id]
+	if p == nil {
 		return
 	}
-	if h.stop != nil {
-		h.stop()
-		h.stop, h.attempt = nil, nil
+	if p.cancel != nil {
+		p.cancel()
+		p.cancel, p.attempt = nil, nil
 	}
-	c.traceReply(ev)
-	r := ev.result
-	if r.RequestedWait > 0 {
-		c.waits(ev.attempt.Endpoint, r.RequestedWait)
-		c.share(Observation{RequestedWait: r.RequestedWait}, ev.attempt.Endpoint)
+	c.traceOutcome(ev)
+	result := ev.result
+	if result.RequestedWait > 0 {
+		c.applyRequestedWait(ev.attempt.Endpoint, result.RequestedWait)
+		c.publishObservation(Observation{RequestedWait: result.RequestedWait}, ev.attempt.Endpoint)
 	}
-	ended := h.over
-	done := r.Outcome == logic.Completed || r.MessageEnded
+	ended := p.ended
+	done := result.Outcome == logic.Completed || result.MessageEnded
 	switch {
 	case ended:
 	case done:
-		c.deliver(id, h, r)
+		c.endDelivered(id, p, result)
 	default:
-		c.records = append(c.records, journal.Record{Op: journal.OpOutcome, ID: id, MayRun: mayHaveRun(r.Outcome)})
+		c.records = append(c.records, journal.Record{Op: journal.OpOutcome, ID: id, MayRun: mayHaveRun(result.Outcome)})
 	}
-	if h.over {
-		delete(c.held, id)
+	if p.ended {
+		delete(c.pending, id)
 	}
-	c.next = append(c.next, logic.AttemptResult{ID: id, MessageEnded: ended || done, Endpoint: ev.attempt.Endpoint,
-		Attempt: ev.attempt.Number, Outcome: r.Outcome, Latency: micros(ev.took), RetryAfter: micros(r.RequestedWait), Load: r.Load})
+	c.nextEvents = append(c.nextEvents, logic.AttemptResult{ID: id, MessageEnded: ended || done,
+		Endpoint: ev.attempt.Endpoint, Attempt: ev.attempt.Number, Outcome: result.Outcome, Latency: toMicros(ev.took),
+		RetryAfter: toMicros(result.RequestedWait), Load: result.Load})
 }
 
-// deliver ends a message that an attempt has ended.
-func (c *Core) deliver(id string, h *held, r Result) {
+// endDelivered ends a message that was delivered, or that the endpoint has declared as ended.
+func (c *Core) endDelivered(id string, p *pendingMessage, result Result) {
 	now := c.clock.Now()
-	end := message.End{ID: id, State: message.Delivered, At: now, Tries: h.tries}
-	heard := c.cfg.NotifyDelivered && r.Outcome == logic.Completed // by the sink
-	if heard {
+	end := message.End{ID: id, State: message.Delivered, At: now, Tries: p.attempts}
+	notify := c.cfg.NotifyDelivered && result.Outcome == logic.Completed
+	if notify {
 		c.records = append(c.records, journal.Record{Op: journal.OpEnd, ID: id, End: &end})
 	} else {
 		c.records = append(c.records, journal.Record{Op: journal.OpDone, ID: id, At: now})
 	}
-	c.untold = append(c.untold, toldEnd{h.msg, end, heard})
+	c.unreportedEnds = append(c.unreportedEnds, endReport{p.msg, end, notify})
 	c.metrics.Delivered.Add(1)
-	c.traceEnd(id, h, message.Delivered)
-	c.finish(id, h)
+	c.traceEnd(id, p, message.Delivered)
+	c.endMessage(id, p)
 }
 
-// mayHaveRun says what an outcome leaves open.
+// mayHaveRun reports whether a message may have taken effect at the endpoint, given the outcome of an attempt.
 func mayHaveRun(o logic.Outcome) bool {
 	return o != logic.Overloaded && o != logic.ConnectionRefused && o != logic.NotSent
 }
 
-// withhold keeps attempts that have not begun from going out: what the module decided before it knew better would
-// reach the endpoint long after. They end as never sent.
+// withhold prevents attempts that have not begun from being sent. They were decided on before the scheduler had the
+// information that reason stands for, and would reach the endpoint long after. They end as not sent.
 func (c *Core) withhold(reason permit.Reason, match func(ep logic.EndpointID) bool) {
-	for _, h := range c.held {
-		if h.stop != nil && match(h.attempt.Endpoint) && h.attempt.Withhold(reason) {
-			h.stop()
+	for _, p := range c.pending {
+		if p.cancel != nil && match(p.attempt.Endpoint) && p.attempt.Withhold(reason) {
+			p.cancel()
 		}
 	}
 }
 
-// holdWait withholds calls to where a wait was told: the destination, or the one route where routes are apart.
-func (c *Core) holdWait(ep logic.EndpointID) {
-	to := c.dir.eps[ep]
-	kinds := c.terms.set.Kinds
-	apart := to.kind >= 0 && to.kind < len(kinds) && kinds[to.kind].Independent
-	c.withhold(permit.WaitRequested, func(x logic.EndpointID) bool { return x == ep || !apart && c.dir.eps[x].partner == to.partner })
+// withholdForWait withholds the attempts to which a wait requested by an endpoint applies: those at the whole
+// destination, or at this endpoint only if the endpoints of its kind are independent.
+func (c *Core) withholdForWait(ep logic.EndpointID) {
+	endpoint := c.directory.endpoints[ep]
+	kinds := c.terms.settings.Kinds
+	independent := endpoint.kind >= 0 && endpoint.kind < len(kinds) && kinds[endpoint.kind].Independent
+	c.withhold(permit.WaitRequested, func(other logic.EndpointID) bool {
+		return other == ep || !independent && c.directory.endpoints[other].partner == endpoint.partner
+	})
 }
 
 func (c *Core) probe(work context.Context, ep logic.EndpointID) {
-	addr := c.dir.eps[ep].addr
-	go func() { c.post(healthEvent{ep, c.transport.Probe(work, ep, addr)}) }()
+	addr := c.directory.endpoints[ep].addr
+	go func() { c.post(probeOutcomeEvent{ep, c.transport.Probe(work, ep, addr)}) }()
 }
--- a/internal/core/directory.go
+++ b/internal/core/directory.go
@@ -8,72 +8,71 @@
 )
 
 const (
-	keepGone    = time.Minute      // an endpoint off the list is remembered so long: it may come back
-	keepPartner = 10 * time.Minute // a partner without endpoints or messages keeps its number so long
+	goneRetention    = time.Minute      // an endpoint that left the list is kept for this long, as it may return
+	partnerRetention = 10 * time.Minute // a partner without endpoints and messages keeps its number for this long
 )
 
-// directory maps the names of endpoints and partners to the module's numbers. The
-// loop owns it.
+// directory maps the names of endpoints and partners to the scheduler's numbers. It is used by the loop only.
 type directory struct {
-	zones    []string
-	kinds    []logic.Kind
-	ids      map[string]logic.EndpointID
-	eps      map[logic.EndpointID]target
-	partners map[string]*partner
-	last     logic.EndpointID
-	lastDest int64
+	zones           []string
+	kinds           []logic.Kind
+	endpointIDs     map[string]logic.EndpointID
+	endpoints       map[logic.EndpointID]listedEndpoint
+	partners        map[string]*partner
+	lastEndpoint    logic.EndpointID
+	lastDestination int64
 }
 
-// target is where an endpoint can be reached.
-type target struct {
-	name    string // on the list
-	addr    string
-	zone    int
-	partner string
-	kind    int
-	state   logic.Readiness
-	weight  float64
-	gone    time.Time // when it was taken off the list; zero while it is on it
+// listedEndpoint is an endpoint that is on the list, or was a short while ago.
+type listedEndpoint struct {
+	name      string
+	addr      string
+	zone      int
+	partner   string
+	kind      int
+	state     logic.Readiness
+	weight    float64
+	goneSince time.Time // when it left the list; zero while it is listed
 }
 
-// partner is a destination of the module.
+// partner is a destination of the scheduler.
 type partner struct {
-	dest int64
-	eps  int       // endpoints, those that were taken off the list a short while ago too
-	used time.Time // when it last had an endpoint or a message
+	destination int64
+	endpoints   int       // number of endpoints, including those that left the list a short while ago
+	lastUsed    time.Time // when it last had an endpoint or a message
 }
 
 func newDirectory(zones []string, kinds []logic.Kind) *directory {
-	return &directory{zones: zones, kinds: kinds, ids: map[string]logic.EndpointID{},
-		eps: map[logic.EndpointID]target{}, partners: map[string]*partner{}}
+	return &directory{zones: zones, kinds: kinds, endpointIDs: map[string]logic.EndpointID{},
+		endpoints: map[logic.EndpointID]listedEndpoint{}, partners: map[string]*partner{}}
 }
 
-// partner returns the entry of a partner, and makes one if there is none.
+// partner returns the entry of a partner, and creates it if it is missing.
 func (d *directory) partner(name string) *partner {
 	p := d.partners[name]
 	if p == nil {
-		d.lastDest++
-		p = &partner{dest: d.lastDest, used: time.Now()}
+		d.lastDestination++
+		p = &partner{destination: d.lastDestination, lastUsed: time.Now()}
 		d.partners[name] = p
 	}
 	return p
 }
 
-// serves says whether a partner has an endpoint, or had one a short while ago.
-func (d *directory) serves(name string) bool {
+// hasEndpoint reports whether a partner has an endpoint, or had one a short while ago.
+func (d *directory) hasEndpoint(name string) bool {
 	p := d.partners[name]
-	return p != nil && p.eps > 0
+	return p != nil && p.endpoints > 0
 }
 
-// zone is the name of a zone; empty for one that is not known.
-func (d *directory) zone(i int) string {
+// zoneName returns the name of a zone; empty if the zone is unknown.
+func (d *directory) zoneName(i int) string {
 	if i < 0 || i >= len(d.zones) {
 		return ""
 	}
 	return d.zones[i]
 }
 
-// kindName is the name of a kind; empty for one that is not known.
+// kindName returns the name of a kind; empty if the kind is unknown.
 func (d *directory) kindName(i int) string {
 	if i < 0 || i >= len(d.kinds) {
 		return ""
@@ -81,94 +80,96 @@
 	return d.kinds[i].Name
 }
 
-// spare says that forget needs to know what is in use: an endpoint has long been off
-// the list, or a partner has none.
-func (d *directory) spare(now time.Time) bool {
-	for _, to := range d.eps {
-		if !to.gone.IsZero() && now.Sub(to.gone) > keepGone {
+// needsPruning reports whether prune must be given the endpoints and partners in use: an endpoint left the list more
+// than goneRetention ago, or a partner has no endpoint.
+func (d *directory) needsPruning(now time.Time) bool {
+	for _, entry := range d.endpoints {
+		if !entry.goneSince.IsZero() && now.Sub(entry.goneSince) > goneRetention {
 			return true
 		}
 	}
 	for _, p := range d.partners {
-		if p.eps == 0 {
+		if p.endpoints == 0 {
 			return true
 		}
 	}
 	return false
 }
 
-// forget drops endpoints that have long been off the list and partners that have
-// long had nothing, but for those in use.
-func (d *directory) forget(now time.Time, calls map[logic.EndpointID]bool, messages map[string]bool) {
-	for id, to := range d.eps {
-		if !to.gone.IsZero() && now.Sub(to.gone) > keepGone && !calls[id] {
-			d.drop(id)
+// prune removes endpoints and partners whose retention has expired, except for endpoints with calls and partners
+// with messages.
+func (d *directory) prune(now time.Time, endpointsInUse map[logic.EndpointID]bool, partnersInUse map[string]bool) {
+	for id, entry := range d.endpoints {
+		if !entry.goneSince.IsZero() && now.Sub(entry.goneSince) > goneRetention && !endpointsInUse[id] {
+			d.removeEndpoint(id)
 		}
 	}
 	for name, p := range d.partners {
 		switch {
-		case p.eps > 0 || messages[name]:
-			p.used = now
-		case now.Sub(p.used) > keepPartner:
+		case p.endpoints > 0 || partnersInUse[name]:
+			p.lastUsed = now
+		case now.Sub(p.lastUsed) > partnerRetention:
 			delete(d.partners, name)
 		}
 	}
 }
 
-func (d *directory) drop(id logic.EndpointID) {
-	to, ok := d.eps[id]
+func (d *directory) removeEndpoint(id logic.EndpointID) {
+	entry, ok := d.endpoints[id]
 	if !ok {
 		return
 	}
-	delete(d.eps, id)
-	delete(d.ids, to.name)
-	d.partners[to.partner].eps--
+	delete(d.endpoints, id)
+	delete(d.endpointIDs, entry.name)
+	d.partners[entry.partner].endpoints--
 }
 
-// take turns a list into the module's entries. An endpoint keeps its number as long
-// as it is on the list, whatever its address, and for a while after.
-func (d *directory) take(l EndpointList) []logic.Entry {
-	rows := make([]logic.Entry, 0, len(l.Endpoints))
+// applyList applies a list to the directory and returns its entries for the scheduler. An endpoint keeps its number
+// while it is listed, even if its address changes, and for goneRetention after that.
+func (d *directory) applyList(list EndpointList) []logic.Entry {
+	rows := make([]logic.Entry, 0, len(list.Endpoints))
 	now := time.Now()
-	if l.Complete {
-		on := map[string]bool{}
-		for _, in := range l.Endpoints {
-			on[in.Name] = true
+	if list.Complete {
+		listedNames := map[string]bool{}
+		for _, listed := range list.Endpoints {
+			listedNames[listed.Name] = true
 		}
-		for id, to := range d.eps {
-			if !on[to.name] && to.gone.IsZero() {
-				to.gone = now
-				d.eps[id] = to
+		for id, entry := range d.endpoints {
+			if !listedNames[entry.name] && entry.goneSince.IsZero() {
+				entry.goneSince = now
+				d.endpoints[id] = entry
 			}
 		}
 	}
-	for _, in := range l.Endpoints {
-		id, ok := d.ids[in.Name]
-		if !ok && in.State == logic.Gone {
-			continue // it was never on our list, or is forgotten
+	for _, listed := range list.Endpoints {
+		id, ok := d.endpointIDs[listed.Name]
+		if !ok && listed.State == logic.Gone {
+			continue // it was never listed, or has been pruned
 		}
 		if !ok {
-			d.last++
-			id = d.last
-			d.ids[in.Name] = id
+			d.lastEndpoint++
+			id = d.lastEndpoint
+			d.endpointIDs[listed.Name] = id
 		}
-		row := logic.Entry{Endpoint: id, Zone: slices.Index(d.zones, in.Zone), Dest: d.partner(in.Partner).dest,
-			Kind:  slices.IndexFunc(d.kinds, func(k logic.Kind) bool { return k.Name == in.Kind }),
-			State: in.State, NominalRate: in.Weight}
-		to, listed := d.eps[id]
-		if listed {
-			d.partners[to.partner].eps--
+		row := logic.Entry{Endpoint: id, Zone: slices.Index(d.zones, listed.Zone),
+			Dest:  d.partner(listed.Partner).destination,
+			Kind:  slices.IndexFunc(d.kinds, func(k logic.Kind) bool { return k.Name == listed.Kind }),
+			State: listed.State, NominalRate: listed.Weight}
+		entry, known := d.endpoints[id]
+		if known {
+			d.partners[entry.partner].endpoints--
 		}
-		if in.Addr != "" || !listed {
-			to = target{name: in.Name, addr: in.Addr, zone: row.Zone, partner: in.Partner, kind: row.Kind, gone: to.gone}
+		if listed.Addr != "" || !known {
+			entry = listedEndpoint{name: listed.Name, addr: listed.Addr, zone: row.Zone, partner: listed.Partner, kind: row.Kind,
+				goneSince: entry.goneSince}
 		}
-		to.state, to.weight = in.State, in.Weight
-		if d.partner(to.partner).eps++; row.State != logic.Gone {
-			to.gone = time.Time{}
-		} else if to.gone.IsZero() {
-			to.gone = now
+		entry.state, entry.weight = listed.State, listed.Weight
+		if d.partner(entry.partner).endpoints++; row.State != logic.Gone {
+			entry.goneSince = time.Time{}
+		} else if entry.goneSince.IsZero() {
+			entry.goneSince = now
 		}
-		d.eps[id] = to
+		d.endpoints[id] = entry
 		rows = append(rows, row)
 	}
 	return rows
--- a/internal/core/handover.go
+++ b/internal/core/handover.go
@@ -12,61 +12,60 @@
 	"cometrack/logic"
 )
 
-// The side of a handover that hands over.
+// This file is the predecessor's side of a handover.
 
-// comeBackTries are the attempts to open the store again, [retryPause] apart.
-const comeBackTries = 20
+// maxReopenAttempts is the maximum number of attempts to open the store again, [retryDelay] apart.
+const maxReopenAttempts = 20
 
-// Link carries messages of package handover between two processes.
-// [handover.Conn] is one.
+// Link carries messages of package handover between two processes. [handover.Conn] is an implementation.
 type Link interface {
 	Send(m any) error
 	Close() error
 }
 
-// Successor is a process that has asked for the snapshot of this one.
+// Successor is the link to a process that has requested the snapshot of this one.
 type Successor interface {
 	Link
-	// Transfer sends the snapshot with the listeners and says whether the successor decides from
-	// then on; else it is certain that it does not, and never will.
+	// Transfer sends the snapshot and the listeners, and reports whether the successor decides on messages from
+	// then on. If taken is false, the successor certainly does not decide and never will.
 	Transfer(snapshot *handover.Snapshot, listeners []net.Listener) (taken bool, err error)
-	// ReceiveMessages tells what the successor sends from then on, until it ends: then gone is called.
-	ReceiveMessages(tell func(m any), gone func(error))
+	// ReceiveMessages passes the messages of the successor to handle, and calls closed when the link is closed.
+	ReceiveMessages(handle func(m any), closed func(error))
 }
 
-// successorEvent says that a successor has come.
-type successorEvent struct {
+// handoverEvent requests a handover to a successor.
+type handoverEvent struct {
 	successor Successor
-	done      chan error // has room; what became of it
+	done      chan error // buffered; receives the result
 }
 
-// HandOver hands over to a successor, and returns once the successor decides or has failed.
+// HandOver hands over to a successor. It returns nil once the successor decides, or an error if this process goes on.
 func (c *Core) HandOver(successor Successor) error {
-	ev := successorEvent{successor, make(chan error, 1)}
-	return c.settle(ev, ev.done)
+	ev := handoverEvent{successor, make(chan error, 1)}
+	return c.postAndWait(ev, ev.done)
 }
 
-// askedFor notes a successor; the loop comes to rest first.
-func (c *Core) askedFor(ev successorEvent) {
+// requestHandover accepts or refuses a request for a handover. The loop carries it out after the next step.
+func (c *Core) requestHandover(ev handoverEvent) {
 	switch {
-	case c.successor != nil || c.reopen == nil:
+	case c.handoverRequest != nil || c.reopenStore == nil:
 		ev.done <- fmt.Errorf("not now: another process is being handed over to, or this one can't hand over")
-	case len(c.remote) > 0:
+	case len(c.remoteAttempts) > 0:
 		ev.done <- fmt.Errorf("not now: calls of the process before this one are still out")
-	case !c.life.HandleEvent(lifecycle.HandoverRequested):
-		ev.done <- fmt.Errorf("not now: this process is %v", c.life.Behavior().State)
+	case !c.lifecycle.HandleEvent(lifecycle.HandoverRequested):
+		ev.done <- fmt.Errorf("not now: this process is %v", c.lifecycle.Behavior().State)
 	default:
-		c.successor = &ev
+		c.handoverRequest = &ev
 	}
 }
 
-// handOver takes the step after which a successor decides; false if it does not, and
-// this process goes on.
-func (c *Core) handOver(ev *successorEvent, fronts []Front) (bool, error) {
-	at := time.Now()
-	snapshot, err := c.snapshot(fronts)
-	if err != nil { // what can't be written can't be handed over
-		c.life.HandleEvent(lifecycle.HandoverAborted)
+// performHandover closes the store and passes the snapshot to the successor. It returns true if the successor decides
+// from then on. Otherwise it opens the store again and this process goes on, or must end if it returns an error.
+func (c *Core) performHandover(ev *handoverEvent, fronts []Front) (bool, error) {
+	startedAt := time.Now()
+	snapshot, err := c.takeSnapshot(fronts)
+	if err != nil { // the successor reads the journal, which is incomplete
+		c.lifecycle.HandleEvent(lifecycle.HandoverAborted)
 		ev.done <- fmt.Errorf("not handed over: %w", err)
 		return false, nil
 	}
@@ -80,25 +79,25 @@
 		taken, err = ev.successor.Transfer(snapshot, listeners)
 	}
 	if taken {
-		c.log.Info("handed over", "held", c.open, "calls_out", len(snapshot.Calls), "took", time.Since(at))
-		c.life.HandleEvent(lifecycle.HandoverCompleted)
+		c.log.Info("handed over", "held", c.pendingCount, "calls_out", len(snapshot.Calls), "took", time.Since(startedAt))
+		c.lifecycle.HandleEvent(lifecycle.HandoverCompleted)
 		ev.done <- nil
 		return true, nil
 	}
-	c.log.Error("not handed over: this process goes on", "err", err, "took", time.Since(at))
+	c.log.Error("not handed over: this process goes on", "err", err, "took", time.Since(startedAt))
 	ev.done <- fmt.Errorf("not handed over: %w", err)
-	if err := c.comeBack(snapshot); err != nil {
+	if err := c.resumeAfterHandover(snapshot); err != nil {
 		return false, err
 	}
-	c.life.HandleEvent(lifecycle.HandoverAborted)
+	c.lifecycle.HandleEvent(lifecycle.HandoverAborted)
 	return false, nil
 }
 
-// comeBack opens the store again. A process that can't, for another has it by now,
-// must not go on.
-func (c *Core) comeBack(snapshot *handover.Snapshot) error {
-	for tries := 1; ; tries++ {
-		store, err := c.reopen()
+// resumeAfterHandover opens the store and the backlog again after a failed handover. If that fails, because another
+// process has the store by now, this process must end.
+func (c *Core) resumeAfterHandover(snapshot *handover.Snapshot) error {
+	for attempts := 1; ; attempts++ {
+		store, err := c.reopenStore()
 		if err == nil {
 			if snapshot != nil {
 				store.AddUnsaved(snapshot.Ended)
@@ -110,61 +109,63 @@
 				c.log.Error("settings", "err", err)
 			}
 			if err := c.openBacklog(); err != nil {
-				return fmt.Errorf("come back after a handover that failed: %w", err)
+				return fmt.Errorf("resume after a failed handover: %w", err)
 			}
 			return nil
 		}
 		c.log.Error("the journal can't be opened again", "err", err)
-		if tries >= comeBackTries {
-			return fmt.Errorf("come back after a handover that failed: %w", err)
+		if attempts >= maxReopenAttempts {
+			return fmt.Errorf("resume after a failed handover: %w", err)
 		}
-		time.Sleep(retryPause)
+		time.Sleep(retryDelay)
 	}
 }
 
-// snapshot tells all that a successor needs beside the journal, which is up to date after
-// it. Attempts that have not begun are kept from it.
-func (c *Core) snapshot(fronts []Front) (*handover.Snapshot, error) {
+// takeSnapshot returns the state that a successor needs in addition to the journal, and writes the last records to the
+// journal. Attempts that have not begun are withheld and not part of the snapshot.
+func (c *Core) takeSnapshot(fronts []Front) (*handover.Snapshot, error) {
 	now := time.Now()
-	out := &handover.Snapshot{Format: handover.Format, At: c.clock.At(now), Heard: c.heard, Version: c.source.Version(),
-		Partners: map[string]*journal.Partner{}, Listeners: len(fronts)}
-	busy := map[logic.EndpointID]bool{} // endpoints with calls
-	for _, h := range c.held {
-		if h.attempt != nil {
-			busy[h.attempt.Endpoint] = true
+	out := &handover.Snapshot{Format: handover.Format, At: c.clock.At(now), Heard: c.listReceived,
+		Version: c.source.Version(), Partners: map[string]*journal.Partner{}, Listeners: len(fronts)}
+	inUse := map[logic.EndpointID]bool{} // endpoints with calls in flight
+	for _, p := range c.pending {
+		if p.attempt != nil {
+			inUse[p.attempt.Endpoint] = true
 		}
 	}
-	for id, to := range c.dir.eps {
-		if to.gone.IsZero() || busy[id] {
-			out.Endpoints = append(out.Endpoints, handover.Endpoint{Gone: !to.gone.IsZero(), Name: to.name, Addr: to.addr, Zone: c.dir.zone(to.zone),
-				Kind: c.dir.kindName(to.kind), Partner: to.partner, Drains: to.state != logic.Ready, Weight: to.weight})
+	for id, endpoint := range c.directory.endpoints {
+		if endpoint.goneSince.IsZero() || inUse[id] {
+			out.Endpoints = append(out.Endpoints, handover.Endpoint{Gone: !endpoint.goneSince.IsZero(), Name: endpoint.name,
+				Addr: endpoint.addr, Zone: c.directory.zoneName(endpoint.zone), Kind: c.directory.kindName(endpoint.kind),
+				Partner: endpoint.partner, Drains: endpoint.state != logic.Ready, Weight: endpoint.weight})
 		}
 		c.transport.CloseIdle(id)
 	}
-	all, keys := c.sender.HandOver(micros(time.Since(c.start)))
-	for _, m := range all {
-		if name, known := c.toJournal(m); name != "" {
-			out.Partners[name] = known
+	states, keys := c.scheduler.HandOver(toMicros(time.Since(c.startedAt)))
+	for _, state := range states {
+		if name, partner := c.toJournalPartner(state); name != "" {
+			out.Partners[name] = partner
 		}
 	}
 	for _, k := range keys {
 		out.Keys = append(out.Keys, handover.Key{Key: k.Key, Left: int64(k.Remaining)})
 	}
-	for id, h := range c.held {
-		if h.attempt == nil {
+	for id, p := range c.pending {
+		if p.attempt == nil {
 			continue
 		}
-		if h.attempt.Withhold(permit.HandedOver) || !h.attempt.begun() { // it never goes out
-			h.stop()
-			if !h.over {
+		if p.attempt.Withhold(permit.HandedOver) || !p.attempt.hasBegun() { // it is never sent
+			p.cancel()
+			if !p.ended {
 				c.records = append(c.records, journal.Record{Op: journal.OpOutcome, ID: id})
 			}
 			continue
 		}
-		call := handover.Call{ID: id, Over: h.over, Number: h.attempt.Number, Endpoint: c.dir.eps[h.attempt.Endpoint].name,
-			Age: now.Sub(h.attempt.at).Microseconds()}
-		if h.attempt.first != id {
-			call.With = h.attempt.first
+		call := handover.Call{ID: id, Over: p.ended, Number: p.attempt.Number,
+			Endpoint: c.directory.endpoints[p.attempt.Endpoint].name,
+			Age:      now.Sub(p.attempt.createdAt).Microseconds()}
+		if p.attempt.firstID != id {
+			call.With = p.attempt.firstID
 		}
 		out.Calls = append(out.Calls, call)
 	}
--- a/internal/core/inherit.go
+++ b/internal/core/inherit.go
@@ -15,32 +15,32 @@
 	"cometrack/logic"
 )
 
-// The side of a handover that takes over.
+// This file is the successor's side of a handover.
 
 const (
-	// LockReleaseTime is how long the journal's lock of a process that dies may be found taken.
+	// LockReleaseTime is the time for which a process that is exiting may still hold the journal's lock.
 	LockReleaseTime = 150 * time.Millisecond
-	// remoteGrace is for the process that handed over to see that the link has broken and to
-	// call off what it has out, though it is held up meanwhile.
-	remoteGrace = LockReleaseTime + permit.MaxStall + 100*time.Millisecond
+	// predecessorGrace is the time for the predecessor to detect that the link is broken and to cancel its attempts
+	// in flight, even if it is stalled meanwhile.
+	predecessorGrace = LockReleaseTime + permit.MaxStall + 100*time.Millisecond
 )
 
-// Takeover is what another process hands over to this one.
+// Takeover is the state that the predecessor hands over to this process.
 type Takeover struct {
 	Snapshot    *handover.Snapshot
-	Listeners   []net.Listener // of the fronts, in their order
+	Listeners   []net.Listener // listeners of the fronts
 	Predecessor Predecessor
 }
 
 // Predecessor is the link to the process that hands over.
 type Predecessor interface {
 	Link
-	// ReceiveMessages tells what that process sends, until it ends: then gone is called.
-	ReceiveMessages(tell func(m any), gone func(error))
+	// ReceiveMessages passes the messages of the predecessor to handle, and calls closed when the link is closed.
+	ReceiveMessages(handle func(m any), closed func(error))
 }
 
-// listen gives a front its listener, if there is one.
-func (in *Takeover) listen(f Front) {
+// adoptListener passes a front its listener, if it was handed over.
+func (in *Takeover) adoptListener(f Front) {
 	if in == nil {
 		return
 	}
@@ -52,20 +52,21 @@
 	}
 }
 
-// close closes listeners that no front serves any more.
-func (in *Takeover) close() {
+// closeListeners closes the listeners that no front has adopted.
+func (in *Takeover) closeListeners() {
 	for _, ln := range in.Listeners {
 		ln.Close()
 	}
 	in.Listeners = nil
 }
 
-// list is the endpoints that were handed over.
-func (in *Takeover) list() EndpointList {
+// endpointList returns the endpoints that were handed over.
+func (in *Takeover) endpointList() EndpointList {
 	out := EndpointList{Complete: true}
-	for _, x := range in.Snapshot.Endpoints {
-		e := Endpoint{Name: x.Name, Addr: x.Addr, Zone: x.Zone, Kind: x.Kind, Partner: x.Partner, Weight: x.Weight}
-		if x.Drains || x.Gone {
+	for _, endpoint := range in.Snapshot.Endpoints {
+		e := Endpoint{Name: endpoint.Name, Addr: endpoint.Addr, Zone: endpoint.Zone, Kind: endpoint.Kind,
+			Partner: endpoint.Partner, Weight: endpoint.Weight}
+		if endpoint.Drains || endpoint.Gone {
 			e.State = logic.Draining
 		}
 		out.Endpoints = append(out.Endpoints, e)
@@ -73,164 +74,174 @@
 	return out
 }
 
-// restoreSnapshot hands the module what was handed over, and returns the calls that are
-// out. It comes before the messages.
+// restoreSnapshot passes the snapshot that was handed over to the scheduler and returns the attempts in flight by ID of
+// their messages. It must be called before the messages are restored.
 func (c *Core) restoreSnapshot() map[string]handover.Call {
-	if c.from == nil {
+	if c.takeover == nil {
 		return nil
 	}
-	l := c.from.Snapshot
-	c.heard = l.Heard
-	list := c.from.list()
-	c.next = append(c.next, logic.Endpoints{Form: logic.ListFull, Entries: c.dir.take(list)})
-	for i, x := range l.Endpoints { // it was on the list, for its calls that are out
-		if x.Gone {
+	snapshot := c.takeover.Snapshot
+	c.listReceived = snapshot.Heard
+	list := c.takeover.endpointList()
+	c.nextEvents = append(c.nextEvents, logic.Endpoints{Form: logic.ListFull, Entries: c.directory.applyList(list)})
+	for i, endpoint := range snapshot.Endpoints { // it is in the list only for its attempts in flight
+		if endpoint.Gone {
 			list.Endpoints[i].State = logic.Gone
-			c.next = append(c.next, logic.Endpoints{Form: logic.ListDelta, Entries: c.dir.take(EndpointList{Endpoints: list.Endpoints[i : i+1]})})
+			c.nextEvents = append(c.nextEvents, logic.Endpoints{Form: logic.ListDelta,
+				Entries: c.directory.applyList(EndpointList{Endpoints: list.Endpoints[i : i+1]})})
 		}
 	}
 	c.cfg.CachedEndpoints = nil
-	c.store.AddUnsaved(l.Ended)
-	age := logic.Micros(c.clock.Now() - l.At)
-	for name, known := range l.Partners {
-		if c.dir.serves(name) {
-			c.next = append(c.next, logic.RestoreState{Age: age, State: c.toModule(name, known)})
+	c.store.AddUnsaved(snapshot.Ended)
+	age := logic.Micros(c.clock.Now() - snapshot.At)
+	for name, saved := range snapshot.Partners {
+		if c.directory.hasEndpoint(name) {
+			c.nextEvents = append(c.nextEvents,
+				logic.RestoreState{Age: age, State: c.toDestinationState(name, saved)})
 		}
 	}
-	for _, k := range l.Keys {
-		c.next = append(c.next, logic.QuietKey{Key: k.Key, Remaining: logic.Micros(k.Left) - age})
+	for _, k := range snapshot.Keys {
+		c.nextEvents = append(c.nextEvents, logic.QuietKey{Key: k.Key, Remaining: logic.Micros(k.Left) - age})
 	}
-	out := map[string]handover.Call{}
-	for _, call := range l.Calls {
-		out[call.ID] = call
+	inFlight := map[string]handover.Call{}
+	for _, call := range snapshot.Calls {
+		inFlight[call.ID] = call
 	}
-	return out
+	return inFlight
 }
 
-// adopt books an attempt that the other process has out.
-func (c *Core) adopt(h *held, call handover.Call, in *logic.NewMessage, e *journal.Entry, now int64) {
-	age := now - c.from.Snapshot.At + call.Age
-	ep, ok := c.dir.ids[call.Endpoint]
-	if !ok { // its list is ours, so it has gone meanwhile: the attempt counts, and its outcome too
-		c.dir.last++
-		ep = c.dir.last
-	}
-	a := &Attempt{Message: h.msg, Number: call.Number, Endpoint: ep, at: c.clock.Moment(now - age), first: call.ID}
-	a.state.Store(attemptBegun)
-	h.attempt, h.stop = a, func() { c.from.Predecessor.Send(&handover.Cancel{ID: call.ID, Number: call.Number}) }
-	h.tries = call.Number + 1
-	c.remote[call.ID] = h
-	if e != nil {
-		in.History.MayHaveRun = e.MayRun
-		in.History.SinceFirst = logic.Micros(max(now-e.FirstMay, 0))
-	}
-	in.History.InFlight = &logic.InFlightAttempt{Endpoint: ep, Age: logic.Micros(age), BatchedWith: call.With}
+// adoptAttempt registers an attempt that is in flight in the predecessor.
+func (c *Core) adoptAttempt(p *pendingMessage, call handover.Call, event *logic.NewMessage,
+	entry *journal.Entry, now int64) {
+	age := now - c.takeover.Snapshot.At + call.Age
+	ep, ok := c.directory.endpointIDs[call.Endpoint]
+	if !ok { // it has left the list meanwhile; the attempt and its outcome still count
+		c.directory.lastEndpoint++
+		ep = c.directory.lastEndpoint
+	}
+	attempt := &Attempt{Message: p.msg, Number: call.Number, Endpoint: ep,
+		createdAt: c.clock.Moment(now - age), firstID: call.ID}
+	attempt.state.Store(attemptBegun)
+	p.attempt, p.cancel = attempt, func() {
+		c.takeover.Predecessor.Send(&handover.Cancel{ID: call.ID, Number: call.Number})
+	}
+	p.attempts = call.Number + 1
+	c.remoteAttempts[call.ID] = p
+	if entry != nil {
+		event.History.MayHaveRun = entry.MayRun
+		event.History.SinceFirst = logic.Micros(max(now-entry.FirstMay, 0))
+	}
+	event.History.InFlight = &logic.InFlightAttempt{Endpoint: ep, Age: logic.Micros(age), BatchedWith: call.With}
 }
 
-// leftovers books the attempts that are out of messages that have ended: they hold
-// slots.
-func (c *Core) leftovers(out map[string]handover.Call) (events []logic.Event) {
+// adoptEndedAttempts registers the attempts in flight of messages that have ended, because they occupy slots. It
+// returns events for the scheduler.
+func (c *Core) adoptEndedAttempts(inFlight map[string]handover.Call) (events []logic.Event) {
 	now := c.clock.Now()
-	for id, call := range out {
-		ep, ok := c.dir.ids[call.Endpoint]
-		if !call.Over || !ok || c.held[id] != nil {
+	for id, call := range inFlight {
+		ep, ok := c.directory.endpointIDs[call.Endpoint]
+		if !call.Over || !ok || c.pending[id] != nil {
 			continue
 		}
-		h := &held{msg: &message.Message{ID: id, Partner: c.dir.eps[ep].partner}, over: true}
-		in := c.callOf(h.msg, now)
-		in.Class, in.History = 0, logic.History{Attempts: call.Number + 1, Ended: true}
-		c.adopt(h, call, &in, nil, now)
-		c.held[id] = h
-		events = append(events, in)
+		p := &pendingMessage{msg: &message.Message{ID: id, Partner: c.directory.endpoints[ep].partner}, ended: true}
+		event := c.newMessageEvent(p.msg, now)
+		event.Class, event.History = 0, logic.History{Attempts: call.Number + 1, Ended: true}
+		c.adoptAttempt(p, call, &event, nil, now)
+		c.pending[id] = p
+		events = append(events, event)
 	}
 	return events
 }
 
-// ErrPredecessorUnreachable says that the process that hands over can't be told that this one decides.
-// Nothing has been written; a core that is made anew may ask again.
-var ErrPredecessorUnreachable = errors.New("the process that hands over can't be told that this one takes over")
+// ErrPredecessorUnreachable is returned by [Core.Run] if the predecessor can't be informed that this process has taken
+// over. Nothing has been written, and another core may request the handover again.
+var ErrPredecessorUnreachable = errors.New("the process that hands over can't be informed of the takeover")
 
-// takenOver says to the other process that this one decides. One that has not heard so
-// takes the journal back, and knows nothing of what this one would write to it.
-func (c *Core) takenOver() error {
-	if c.from == nil {
+// confirmTakeover informs the predecessor that this process decides. Without this confirmation the predecessor takes
+// the journal back, and would not know of records that this process had written.
+func (c *Core) confirmTakeover() error {
+	if c.takeover == nil {
 		return nil
 	}
-	c.log.Info("taken over", "held", len(c.held), "calls_out", len(c.remote), "endpoints", len(c.dir.eps))
-	if err := c.from.Predecessor.Send(&handover.Taken{}); err != nil {
-		c.from.Predecessor.Close()
-		c.from.close()
+	c.log.Info("taken over", "held", len(c.pending), "calls_out", len(c.remoteAttempts),
+		"endpoints", len(c.directory.endpoints))
+	if err := c.takeover.Predecessor.Send(&handover.Taken{}); err != nil {
+		c.takeover.Predecessor.Close()
+		c.takeover.closeListeners()
 		return fmt.Errorf("%w: %w", ErrPredecessorUnreachable, err)
 	}
 	return nil
 }
 
-// remoteOutcomesEvent is what the process that handed over has told.
+// remoteOutcomesEvent holds outcomes of attempts in the predecessor.
 type remoteOutcomesEvent struct{ list []handover.Outcome }
 
-// predecessorGoneEvent says that it tells nothing any more.
+// predecessorGoneEvent reports that the link to the predecessor was closed predecessorGrace ago.
 type predecessorGoneEvent struct{}
 
-// hear takes what the process that handed over sends.
-func (c *Core) hear(link Predecessor) {
+// receiveFromPredecessor handles the messages of the predecessor until the link is closed.
+func (c *Core) receiveFromPredecessor(link Predecessor) {
 	link.ReceiveMessages(func(m any) {
 		switch m := m.(type) {
 		case *handover.Outcomes:
 			c.post(remoteOutcomesEvent{m.List})
 		case *handover.Put:
-			go c.forwarded(link, m)
+			go c.submitForwarded(link, m)
 		case *handover.AskState:
 			go func() {
 				s, _ := c.State(context.Background(), m.ID, false)
-				link.Send(&handover.State{Seq: m.Seq, Name: s.Name, Tenant: s.Tenant, Partner: s.Partner, Class: s.Class, Tries: s.Attempts,
-					After: s.RetryAfter, Accepted: micro(s.AcceptedAt), Deadline: micro(s.Deadline), Over: micro(s.EndedAt)})
+				link.Send(&handover.State{Seq: m.Seq, Name: s.Name, Tenant: s.Tenant, Partner: s.Partner,
+					Class: s.Class, Tries: s.Attempts, After: s.RetryAfter, Accepted: toUnixMicro(s.AcceptedAt),
+					Deadline: toUnixMicro(s.Deadline), Over: toUnixMicro(s.EndedAt)})
 			}()
 		}
 	}, func(error) {
-		time.Sleep(remoteGrace) // until then its calls may still be out
+		time.Sleep(predecessorGrace) // until then its attempts may still be in flight
 		c.post(predecessorGoneEvent{})
 	})
 	link.Close()
 }
 
-// forwarded takes a message that a client has handed in at the other process.
-func (c *Core) forwarded(link Link, m *handover.Put) {
-	answer := make(chan SubmitResponse, 1)
+// submitForwarded submits a message that the predecessor has forwarded, and sends the response back.
+func (c *Core) submitForwarded(link Link, m *handover.Put) {
+	response := make(chan SubmitResponse, 1)
 	msg := m.Message
-	c.Submit(&msg, answer)
-	a := <-answer
-	link.Send(&handover.Answer{Seq: m.Seq, Verdict: int(a.Status), After: a.RetryAfter, Again: a.Duplicate})
+	c.Submit(&msg, response)
+	r := <-response
+	link.Send(&handover.Answer{Seq: m.Seq, Verdict: int(r.Status), After: r.RetryAfter, Again: r.Duplicate})
 }
 
-func micro(t time.Time) int64 {
+// toUnixMicro converts a wall-clock time for the link; 0 for the zero time.
+func toUnixMicro(t time.Time) int64 {
 	if t.IsZero() {
 		return 0
 	}
 	return t.UnixMicro()
 }
 
-// remoteOutcomes takes outcomes of attempts that the other process had out.
-func (c *Core) remoteOutcomes(list []handover.Outcome) {
+// applyRemoteOutcomes handles outcomes of attempts that were in flight in the predecessor.
+func (c *Core) applyRemoteOutcomes(list []handover.Outcome) {
 	for _, o := range list {
-		h := c.remote[o.ID]
-		if h == nil || h.attempt == nil || h.attempt.Number != o.Number {
+		p := c.remoteAttempts[o.ID]
+		if p == nil || p.attempt == nil || p.attempt.Number != o.Number {
 			continue
 		}
-		delete(c.remote, o.ID)
-		h.stop = func() {}
-		c.reply(reply{attempt: h.attempt, took: o.Took,
+		delete(c.remoteAttempts, o.ID)
+		p.cancel = func() {}
+		c.handleOutcome(attemptOutcome{attempt: p.attempt, took: o.Took,
 			result: Result{Outcome: logic.Outcome(o.Outcome), RequestedWait: o.Wait, MessageEnded: o.Over, Load: o.Load}})
 	}
 }
 
-// endRemoteAttempts ends the attempts that nobody tells of any more: they may have run.
+// endRemoteAttempts ends the attempts whose outcomes the predecessor can't report any more. They may have run.
 func (c *Core) endRemoteAttempts() {
-	if n := len(c.remote); n > 0 {
+	if n := len(c.remoteAttempts); n > 0 {
 		c.log.Warn("the process that handed over has ended with calls out", "calls", n)
 	}
-	for id, h := range c.remote {
-		delete(c.remote, id)
-		h.stop = func() {}
-		c.reply(reply{attempt: h.attempt, took: time.Since(h.attempt.at), result: Result{Outcome: logic.Cancelled}})
+	for id, p := range c.remoteAttempts {
+		delete(c.remoteAttempts, id)
+		p.cancel = func() {}
+		c.handleOutcome(attemptOutcome{attempt: p.attempt, took: time.Since(p.attempt.createdAt),
+			result: Result{Outcome: logic.Cancelled}})
 	}
 }
--- a/internal/core/loop.go
+++ b/internal/core/loop.go
@@ -12,282 +12,291 @@
 	"cometrack/logic"
 )
 
-// What the loop is handed. Each stands for one thing that has happened.
+// The events of the loop.
 type (
-	// putEvent is a message that a client hands in. It gets one answer.
-	putEvent struct {
-		msg    *message.Message
-		door   *FrontLimiter // nil if the front has none
-		answer chan<- SubmitResponse
-		sure   bool // no message of its id is behind a window
+	// submitEvent is a message submitted by a client. It gets one response.
+	submitEvent struct {
+		msg          *message.Message
+		front        *FrontLimiter // nil if it was not submitted through a limiter
+		response     chan<- SubmitResponse
+		notInBacklog bool // a lookup has shown that its ID is not in the backlog
 	}
-	// stateEvent asks for the state of a message. With watch, the answer waits
-	// until the message is over.
-	stateEvent struct {
-		id     string
-		watch  bool
-		answer chan State   // has room for one
-		sure   bool         // it has been looked up behind the windows
-		found  *disk.Record // what was found there
+	// stateQueryEvent asks for the state of a message. With watch, it is answered once the message has ended.
+	stateQueryEvent struct {
+		id       string
+		watch    bool
+		response chan State   // buffered
+		lookedUp bool         // the ID has been looked up in the backlog
+		found    *disk.Record // the result of the lookup; nil if the ID is not in the backlog
 	}
-	// unwatchEvent says that nobody waits for an answer any more.
+	// unwatchEvent cancels a state query that waits.
 	unwatchEvent struct {
-		id     string
-		answer chan State
+		id       string
+		response chan State
 	}
-	// replyEvent is the outcomes of the attempts of one call, one each.
-	replyEvent []reply
-	reply      struct {
+	// outcomesEvent holds the outcomes of the attempts of one call, one each.
+	outcomesEvent []attemptOutcome
+	// attemptOutcome is the outcome of an attempt and the time that it took.
+	attemptOutcome struct {
 		attempt *Attempt
 		result  Result
 		took    time.Duration
 	}
-	// healthEvent is the one outcome of a probe.
-	healthEvent struct {
-		ep      logic.EndpointID
-		outcome logic.Outcome
+	// probeOutcomeEvent is the outcome of a probe; there is one for each probe.
+	probeOutcomeEvent struct {
+		endpoint logic.EndpointID
+		outcome  logic.Outcome
 	}
-	// confirmedEvent says that the end sink has passed on these ends.
-	confirmedEvent struct{ ids []string }
-	// writeEvent has the journal write what it could not before.
-	writeEvent struct{}
-	// closingEvent starts the shutdown.
-	closingEvent struct{ left time.Duration }
+	// noticesConfirmedEvent reports that the notices of these ends were received.
+	noticesConfirmedEvent struct{ ids []string }
+	// retryWriteEvent triggers a step, which writes the records that could not be written before.
+	retryWriteEvent struct{}
+	// shutdownEvent starts the shutdown.
+	shutdownEvent struct{ timeLeft time.Duration }
 )
 
-// loop owns the module and all of the state: it takes what has come, lets the
-// module step, writes the journal and acts, at most once a tick.
+// loop owns the scheduler and the state of the core. At most once per tick it handles the events that have arrived and
+// runs a step, which runs the scheduler, writes the journal and carries out the actions.
 //
-// It returns the successor once another process decides.
-func (c *Core) loop(work context.Context, fronts []Front, served, stopped <-chan struct{}) (successor *successorEvent, err error) {
-	tick := max(span(c.cfg.Settings.Tick), time.Millisecond)
-	sweep := time.NewTicker(sweepEvery)
-	defer sweep.Stop()
-	rest := time.NewTimer(0)
-	defer rest.Stop()
-	defer c.due.Stop()
-	quiet := false // shutting down, and no client is left
+// It returns the handover event once the successor decides, and nil once the process is to exit.
+func (c *Core) loop(work context.Context, fronts []Front,
+	served, stopped <-chan struct{}) (successor *handoverEvent, err error) {
+	tick := max(toDuration(c.cfg.Settings.Tick), time.Millisecond)
+	sweepTicker := time.NewTicker(sweepInterval)
+	defer sweepTicker.Stop()
+	tickTimer := time.NewTimer(0)
+	defer tickTimer.Stop()
+	defer c.schedulerTimer.Stop()
+	clientsGone := false // shutting down, and all client connections are closed
 	for {
-		if quiet && c.open == 0 && c.store.Len() == 0 {
+		if clientsGone && c.pendingCount == 0 && c.store.Len() == 0 {
 			c.log.Info("stopped", "owed", 0)
 			return nil, nil
 		}
 		select {
 		case ev := <-c.events:
-			c.take(ev)
-		case <-c.due.C:
-			c.next = append(c.next, logic.TimerFired{Token: c.token})
-		case <-c.behind.ends():
-		case <-sweep.C:
+			c.handleEvent(ev)
+		case <-c.schedulerTimer.C:
+			c.nextEvents = append(c.nextEvents, logic.TimerFired{Token: c.timerToken})
+		case <-c.backlog.endTimerFired():
+		case <-sweepTicker.C:
 			c.sweep(time.Now())
 			continue
 		case <-served:
-			quiet, served = true, nil
+			clientsGone, served = true, nil
 			continue
 		case <-stopped:
-			// What is still out stays in the store as it is.
+			// Attempts in flight stay in the store as they are.
 			c.log.Info("stopped", "owed", c.store.Len())
 			return nil, nil
 		}
 		for more := true; more; {
 			select {
 			case ev := <-c.events:
-				c.take(ev)
+				c.handleEvent(ev)
 			default:
 				more = false
 			}
 		}
 		c.step(work)
-		for len(c.next) > 0 {
+		for len(c.nextEvents) > 0 {
 			c.step(work)
 		}
-		if successor := c.successor; successor != nil && c.behind.looks == 0 {
-			c.successor = nil
-			if taken, err := c.handOver(successor, fronts); taken || err != nil {
+		if successor := c.handoverRequest; successor != nil && c.backlog.pendingLookups == 0 {
+			c.handoverRequest = nil
+			if taken, err := c.performHandover(successor, fronts); taken || err != nil {
 				return successor, err
 			}
 			continue
 		}
-		rest.Reset(tick)
-		<-rest.C
+		tickTimer.Reset(tick)
+		<-tickTimer.C
 	}
 }
 
-// sweep drops what is of no more use.
+// sweep drops state that is not needed any more and writes records that can wait. It runs once per sweepInterval.
 func (c *Core) sweep(now time.Time) {
 	c.transport.CloseStale()
-	if c.behind.Backlog != nil {
-		c.behind.ReclaimSegments()
+	if c.backlog.Backlog != nil {
+		c.backlog.ReclaimSegments()
 	}
-	c.remember(rememberSweep)
+	c.savePartners(maxSavedPerSweep)
 	if err := c.store.Append(c.records); err != nil {
-		c.log.Error("journal", "err", err) // they are of the past, and written later
+		c.log.Error("journal", "err", err) // the store keeps these records and writes them later
 	}
 	clear(c.records)
 	c.records = c.records[:0]
 	c.store.Forget(c.clock.At(now))
-	if c.dir.spare(now) {
-		c.forgetSpare(now)
+	if c.directory.needsPruning(now) {
+		c.pruneDirectory(now)
 	} else {
-		c.dir.forget(now, nil, nil)
+		c.directory.prune(now, nil, nil)
 	}
-	c.listed(now)
-	for id := range c.marks {
-		if _, ok := c.dir.eps[id]; !ok {
-			delete(c.marks, id)
+	c.applyEarlyWaits(now)
+	for id := range c.causalMarks {
+		if _, ok := c.directory.endpoints[id]; !ok {
+			delete(c.causalMarks, id)
 		}
 	}
 }
 
-// forgetSpare drops what nothing that is held refers to. It goes over all that is, so not often.
-func (c *Core) forgetSpare(now time.Time) {
-	if now.Sub(c.sparedAt) < keepGone/4 {
+// pruneDirectory removes endpoints and partners that no pending message refers to. It scans all pending messages and is
+// therefore limited to once per quarter of goneRetention.
+func (c *Core) pruneDirectory(now time.Time) {
+	if now.Sub(c.prunedAt) < goneRetention/4 {
 		return
 	}
-	c.sparedAt = now
-	calls, partners := map[logic.EndpointID]bool{}, map[string]bool{}
-	for _, h := range c.held {
-		partners[h.msg.Partner] = true
-		if h.attempt != nil {
-			calls[h.attempt.Endpoint] = true
+	c.prunedAt = now
+	endpointsInUse, partnersInUse := map[logic.EndpointID]bool{}, map[string]bool{}
+	for _, p := range c.pending {
+		partnersInUse[p.msg.Partner] = true
+		if p.attempt != nil {
+			endpointsInUse[p.attempt.Endpoint] = true
 		}
 	}
-	c.dir.forget(now, calls, partners)
+	c.directory.prune(now, endpointsInUse, partnersInUse)
 }
 
-// resume hands the module what the store holds, with what became of it so far, and
-// what another process has handed over.
-func (c *Core) resume() error {
-	out := c.restoreSnapshot()
+// restore passes the pending messages in the store, with their histories, and the state handed over by the predecessor
+// to the scheduler.
+func (c *Core) restore() error {
+	inFlight := c.restoreSnapshot()
 	if c.cfg.CachedEndpoints != nil {
-		c.next = append(c.next, logic.Endpoints{Form: logic.ListCached, Entries: c.dir.take(*c.cfg.CachedEndpoints)})
+		c.nextEvents = append(c.nextEvents,
+			logic.Endpoints{Form: logic.ListCached, Entries: c.directory.applyList(*c.cfg.CachedEndpoints)})
 	}
 	now := c.clock.Now()
 	if c.cfg.PersistWaits {
 		for name, until := range c.store.Waits() {
-			if id, ok := c.dir.ids[name]; ok {
-				c.next = append(c.next, logic.RequestedWait{Endpoint: id, Remaining: logic.Micros(until - now)})
-				if left := time.Duration(until-now) * time.Microsecond; left > 0 { // the others may not have heard of it
-					c.share(Observation{RequestedWait: left}, id)
+			if id, ok := c.directory.endpointIDs[name]; ok {
+				c.nextEvents = append(c.nextEvents,
+					logic.RequestedWait{Endpoint: id, Remaining: logic.Micros(until - now)})
+				if left := time.Duration(until-now) * time.Microsecond; left > 0 { // peers may not know of it
+					c.publishObservation(Observation{RequestedWait: left}, id)
 				}
 			}
 		}
 	}
 	if c.cfg.Settings.TrackChanges {
-		c.past = c.store.Partners()
-		c.recall()
+		c.savedPartners = c.store.Partners()
+		c.restorePartners()
 	}
 	orphans := map[string]int{}
-	for _, e := range c.store.Entries() {
-		if e.End != nil {
-			c.tellEnd(&e.Message, *e.End)
+	for _, entry := range c.store.Entries() {
+		if entry.End != nil {
+			c.notifySink(&entry.Message, *entry.End)
 			continue
 		}
-		in := c.callOf(&e.Message, now)
-		h := &held{msg: &e.Message, accepted: e.Accepted, tries: e.Tries, left: e.Left > 0, terms: e.Terms, class: c.terms.class(e.Class)}
-		if e.Terms != c.terms.n {
-			if in.Terms = termsOf(c.store.Terms(e.Terms), e.Class); in.Terms != nil {
-				h.class = &in.Terms.Class
+		event := c.newMessageEvent(&entry.Message, now)
+		p := &pendingMessage{msg: &entry.Message, acceptedAt: entry.Accepted, attempts: entry.Tries,
+			bodyInStore: entry.Left > 0, termsNumber: entry.Terms, class: c.terms.class(entry.Class)}
+		if entry.Terms != c.terms.number {
+			if event.Terms = classTerms(c.store.Terms(entry.Terms), entry.Class); event.Terms != nil {
+				p.class = &event.Terms.Class
 			}
 		}
-		c.held[e.ID] = h
-		c.open++
-		in.History = logic.History{Attempts: e.Tries, MayHaveRun: e.MayRun || e.Open, Inherited: c.from == nil}
-		if in.History.MayHaveRun {
-			in.History.SinceFirst = logic.Micros(max(now-e.FirstMay, 0))
-			in.History.Zone = slices.Index(c.cfg.Zones, e.FirstZone)
+		c.pending[entry.ID] = p
+		c.pendingCount++
+		event.History = logic.History{Attempts: entry.Tries, MayHaveRun: entry.MayRun || entry.Open,
+			Inherited: c.takeover == nil}
+		if event.History.MayHaveRun {
+			event.History.SinceFirst = logic.Micros(max(now-entry.FirstMay, 0))
+			event.History.Zone = slices.Index(c.cfg.Zones, entry.FirstZone)
 		}
-		if call, ok := out[e.ID]; ok && e.Open {
-			c.adopt(h, call, &in, e, now)
-			delete(out, e.ID)
-		} else if e.Open { // whoever reads the journal next must not take its outcome for a later one's
-			c.records = append(c.records, journal.Record{Op: journal.OpOutcome, ID: e.ID, MayRun: true})
+		if call, ok := inFlight[entry.ID]; ok && entry.Open {
+			c.adoptAttempt(p, call, &event, entry, now)
+			delete(inFlight, entry.ID)
+		} else if entry.Open { // the next reader of the journal must not attribute this outcome to a later attempt
+			c.records = append(c.records, journal.Record{Op: journal.OpOutcome, ID: entry.ID, MayRun: true})
 		}
-		if c.cfg.CachedEndpoints != nil && !c.dir.serves(e.Partner) {
-			orphans[e.Partner]++
+		if c.cfg.CachedEndpoints != nil && !c.directory.hasEndpoint(entry.Partner) {
+			orphans[entry.Partner]++
 		}
-		if h.class == nil {
-			c.log.Error("a held message is of a class that is not configured", "id", e.ID, "class", e.Class)
+		if p.class == nil {
+			c.log.Error("the class of a pending message is not configured", "id", entry.ID, "class", entry.Class)
 		}
-		c.next = append(c.next, in)
+		c.nextEvents = append(c.nextEvents, event)
 	}
-	c.next = append(c.next, c.leftovers(out)...)
+	c.nextEvents = append(c.nextEvents, c.adoptEndedAttempts(inFlight)...)
 	for name, n := range orphans {
-		c.log.Warn("held messages are for a partner that is not known; they are kept until their time is up", "partner", name, "messages", n)
+		c.log.Warn("the partner of pending messages is unknown; they are kept until their deadlines",
+			"partner", name, "messages", n)
 	}
 	if err := c.openBacklog(); err != nil {
 		return err
 	}
-	return c.takenOver()
+	return c.confirmTakeover()
 }
 
-// callOf is the module's view of a message.
-func (c *Core) callOf(m *message.Message, now int64) logic.NewMessage {
-	in := logic.NewMessage{ID: m.ID, Key: m.Order, Remaining: logic.Micros(m.Deadline - now), Dest: c.dir.partner(m.Partner).dest,
-		Tenant: -1, Class: -1}
+// newMessageEvent returns the scheduler's event for a message.
+func (c *Core) newMessageEvent(m *message.Message, now int64) logic.NewMessage {
+	event := logic.NewMessage{ID: m.ID, Key: m.Order, Remaining: logic.Micros(m.Deadline - now),
+		Dest: c.directory.partner(m.Partner).destination, Tenant: -1, Class: -1}
 	if i, ok := c.terms.classes[m.Class]; ok {
-		in.Class = i
+		event.Class = i
 	}
 	if t, ok := c.terms.tenants[m.Tenant]; ok && m.Tenant != "" {
-		in.Tenant = t
+		event.Tenant = t
 	}
-	return in
+	return event
 }
 
-// take turns what has come into events for the next step.
-func (c *Core) take(ev any) {
+// handleEvent handles an event of the loop. Most of them add events for the scheduler to the next step.
+func (c *Core) handleEvent(ev any) {
 	switch ev := ev.(type) {
-	case putEvent:
-		c.put(ev)
-	case stateEvent:
-		c.asks = append(c.asks, ev)
+	case submitEvent:
+		c.submit(ev)
+	case stateQueryEvent:
+		c.stateQueries = append(c.stateQueries, ev)
 	case unwatchEvent:
-		c.unwatch(ev)
-	case replyEvent:
+		c.removeWatcher(ev)
+	case outcomesEvent:
 		for _, r := range ev {
-			c.reply(r)
+			c.handleOutcome(r)
 		}
-	case healthEvent:
-		c.next = append(c.next, logic.ProbeResult{Endpoint: ev.ep, Outcome: ev.outcome})
+	case probeOutcomeEvent:
+		c.nextEvents = append(c.nextEvents, logic.ProbeResult{Endpoint: ev.endpoint, Outcome: ev.outcome})
 	case EndpointUpdate:
-		c.news(ev)
-	case observationsEvent:
-		c.hears(ev)
-	case confirmedEvent:
+		c.applyEndpointUpdate(ev)
+	case peerObservationsEvent:
+		c.applyObservations(ev)
+	case noticesConfirmedEvent:
 		now := c.clock.Now()
 		for _, id := range ev.ids {
 			c.records = append(c.records, journal.Record{Op: journal.OpNoticed, ID: id, At: now})
 		}
 	case remoteOutcomesEvent:
-		c.remoteOutcomes(ev.list)
+		c.applyRemoteOutcomes(ev.list)
 	case predecessorGoneEvent:
 		c.endRemoteAttempts()
-	case successorEvent:
-		c.askedFor(ev)
-	case retuneEvent:
-		c.retune(ev)
-	case writeEvent: // the step that follows does
-	case closingEvent:
-		c.next = append(c.next, logic.Stopping{Remaining: micros(ev.left)})
-		c.behind.closing = true
-		if c.behind.Backlog != nil {
-			c.behind.StopRefill()
+	case handoverEvent:
+		c.requestHandover(ev)
+	case updateSettingsEvent:
+		c.handleUpdateSettings(ev)
+	case retryWriteEvent: // the following step writes the journal
+	case shutdownEvent:
+		c.nextEvents = append(c.nextEvents, logic.Stopping{Remaining: toMicros(ev.timeLeft)})
+		c.backlog.stopping = true
+		if c.backlog.Backlog != nil {
+			c.backlog.StopRefill()
 		}
 	default:
-		c.fromBehind(ev)
+		c.handleBacklogEvent(ev)
 	}
 }
 
-func (c *Core) news(ev EndpointUpdate) {
+// applyEndpointUpdate applies an update of the endpoint list. Attempts that have not begun are withheld from endpoints
+// that are not ready any more.
+func (c *Core) applyEndpointUpdate(ev EndpointUpdate) {
 	if !c.source.AcceptUpdate(ev) {
 		return
 	}
-	c.heard, c.part = true, ev.List.Share
+	c.listReceived, c.weightShare = true, ev.List.Share
 	form := logic.ListDelta
 	if ev.List.Complete {
 		form = logic.ListFull
 	}
-	rows := c.dir.take(ev.List)
+	rows := c.directory.applyList(ev.List)
 	ready := map[logic.EndpointID]bool{}
 	for _, row := range rows {
 		ready[row.Endpoint] = row.State == logic.Ready
@@ -301,21 +310,21 @@
 			c.transport.CloseIdle(row.Endpoint)
 		}
 	}
-	for id, to := range c.dir.eps { // a whole list leaves out what is gone
-		if !to.gone.IsZero() {
+	for id, endpoint := range c.directory.endpoints { // a complete list has no rows for the endpoints that are gone
+		if !endpoint.goneSince.IsZero() {
 			c.transport.CloseIdle(id)
 		}
 	}
 	c.logList(ev, rows)
-	c.next = append(c.next, logic.Endpoints{Form: form, Entries: rows})
-	c.listed(time.Now())
-	c.recall()
+	c.nextEvents = append(c.nextEvents, logic.Endpoints{Form: form, Entries: rows})
+	c.applyEarlyWaits(time.Now())
+	c.restorePartners()
 }
 
-// mostNamed is how many endpoints a line of the log names.
-const mostNamed = 16
+// maxNamedEndpoints is the maximum number of endpoints that are named in one log line.
+const maxNamedEndpoints = 16
 
-// logList logs a list that is taken: how many endpoints it has in each state, and by name those that want no new calls.
+// logList logs an applied list: the number of endpoints in each state, and the names of those that accept no new calls.
 func (c *Core) logList(ev EndpointUpdate, rows []logic.Entry) {
 	if len(rows) == 0 && !ev.List.Complete {
 		return
@@ -323,10 +332,10 @@
 	states, leaving := map[logic.Readiness]int{}, []string{}
 	for _, row := range rows {
 		states[row.State]++
-		if row.State != logic.Ready && len(leaving) < mostNamed {
-			leaving = append(leaving, c.dir.eps[row.Endpoint].name)
+		if row.State != logic.Ready && len(leaving) < maxNamedEndpoints {
+			leaving = append(leaving, c.directory.endpoints[row.Endpoint].name)
 		}
 	}
-	c.log.Info("list", "version", ev.Version, "whole", ev.List.Complete, "ready", states[logic.Ready], "draining", states[logic.Draining], "gone", states[logic.Gone],
-		"leaving", leaving)
+	c.log.Info("list", "version", ev.Version, "whole", ev.List.Complete, "ready", states[logic.Ready],
+		"draining", states[logic.Draining], "gone", states[logic.Gone], "leaving", leaving)
 }
--- a/internal/core/relay.go
+++ b/internal/core/relay.go
@@ -7,202 +7,204 @@
 	"cometrack/internal/permit"
 )
 
-// What a process does once another decides: its calls and clients come to their
-// ends here, and the successor hears of all of it.
+// After a handover the predecessor finishes its attempts in flight and serves its remaining clients: it forwards
+// outcomes, submissions and state queries to the successor.
 
 const (
-	// mostForwarded bounds the requests that wait for the successor.
-	mostForwarded = 1024
-	// lastForwarded is for the successor's answers to requests as this process ends, though
-	// the successor is held up meanwhile.
-	lastForwarded = permit.MaxStall + 50*time.Millisecond
-	// unknownTime is for clients to give up requests that the successor had as it died: it
-	// may have taken them on, and then any answer but yes is wrong.
-	unknownTime = 500 * time.Millisecond
+	// maxForwarded is the maximum number of forwarded requests of each kind without a response.
+	maxForwarded = 1024
+	// finalResponseTimeout is the time for the successor's responses when this process exits, even if the successor
+	// is stalled meanwhile.
+	finalResponseTimeout = permit.MaxStall + 50*time.Millisecond
+	// clientGiveUpTime is the time in which clients give up requests that the successor had received before it
+	// exited. It may have accepted them, and then any response but an acceptance would be wrong.
+	clientGiveUpTime = 500 * time.Millisecond
 )
 
-// relay is what a process has under way for its successor. The loop that [relay.run] is
-// owns it.
+// relay is the state of a process after its handover. It is used by [relay.run] only.
 type relay struct {
-	core      *Core
-	successor Successor
-	gone      bool // the successor has ended
-	ending    bool // this process ends: only answers are waited for
-	left      bool // no client is left
-	out       map[string]*held
-	puts      map[uint64]putEvent   // by the number they were forwarded under
-	asks      map[uint64]stateEvent // as well
-	seq       uint64
+	core          *Core
+	successor     Successor
+	successorGone bool // the link to the successor is closed
+	stopping      bool // this process exits: only responses are waited for
+	clientsGone   bool // all client connections are closed
+	inFlight      map[string]*pendingMessage
+	submissions   map[uint64]submitEvent     // by sequence number
+	stateQueries  map[uint64]stateQueryEvent // by sequence number
+	seq           uint64
 }
 
-// relay forwards until no call is out and no client is left.
-func (c *Core) relay(ev *successorEvent, served, stopped <-chan struct{}) error {
-	r := &relay{core: c, successor: ev.successor, out: map[string]*held{}, puts: map[uint64]putEvent{}, asks: map[uint64]stateEvent{}}
-	for id, h := range c.held {
-		if h.attempt != nil && h.attempt.begun() {
-			r.out[id] = h
+// relay forwards to the successor until no attempt is in flight and all clients are gone.
+func (c *Core) relay(ev *handoverEvent, served, stopped <-chan struct{}) error {
+	r := &relay{core: c, successor: ev.successor, inFlight: map[string]*pendingMessage{},
+		submissions: map[uint64]submitEvent{}, stateQueries: map[uint64]stateQueryEvent{}}
+	for id, p := range c.pending {
+		if p.attempt != nil && p.attempt.hasBegun() {
+			r.inFlight[id] = p
 		}
 	}
 	defer r.successor.Close()
-	defer r.lose()
+	defer r.failOutstanding()
 	r.run(served, stopped)
 	return nil
 }
 
-// run takes what comes, until nothing is under way any more.
+// run handles events until the relay has finished.
 func (r *relay) run(served, stopped <-chan struct{}) {
-	told, gone := make(chan any, mostForwarded), make(chan struct{})
+	messages, gone := make(chan any, maxForwarded), make(chan struct{})
 	go r.successor.ReceiveMessages(func(m any) {
 		select {
-		case told <- m:
+		case messages <- m:
 		case <-r.core.done:
 		}
 	}, func(err error) { close(gone) })
-	var late, unknown <-chan time.Time // answers are waited for no longer
-	for !r.over() {
+	var finalTimer, giveUpTimer <-chan time.Time // when responses are no longer waited for
+	for !r.finished() {
 		select {
 		case x := <-r.core.events:
-			r.take(x)
-		case m := <-told:
-			r.hear(m)
+			r.handleEvent(x)
+		case m := <-messages:
+			r.handleMessage(m)
 		case <-gone:
 			r.core.log.Error("the process that took over is gone")
-			gone, r.gone = nil, true
-			r.callOff() // it takes them for ended
-			unknown = time.After(unknownTime)
-		case <-unknown:
-			r.lose()
+			gone, r.successorGone = nil, true
+			r.cancelAttempts() // a successor that still runs regards them as ended after predecessorGrace
+			giveUpTimer = time.After(clientGiveUpTime)
+		case <-giveUpTimer:
+			r.failOutstanding()
 		case <-served:
-			r.left, served = true, nil
+			r.clientsGone, served = true, nil
 		case <-stopped:
-			r.ending, stopped = true, nil
-			late = time.After(lastForwarded)
-		case <-late:
-			r.core.log.Error("the process that took over has not answered in time", "requests", len(r.puts))
+			r.stopping, stopped = true, nil
+			finalTimer = time.After(finalResponseTimeout)
+		case <-finalTimer:
+			r.core.log.Error("the process that took over has not answered in time", "requests", len(r.submissions))
 			return
 		}
 	}
-	r.core.log.Info("stopped", "handed over", true, "calls_out", len(r.out))
+	r.core.log.Info("stopped", "handed over", true, "calls_out", len(r.inFlight))
 }
 
-// over says whether nothing is under way any more. Calls that are out do not hold up a
-// process that is to end whatever is owed.
-func (r *relay) over() bool {
-	return len(r.puts)+len(r.asks) == 0 && (r.ending || r.left && len(r.out) == 0)
+// finished reports whether nothing is left to forward. Attempts in flight do not delay a process that is to exit in any
+// case.
+func (r *relay) finished() bool {
+	return len(r.submissions)+len(r.stateQueries) == 0 && (r.stopping || r.clientsGone && len(r.inFlight) == 0)
 }
 
-// closed says whether nothing more is forwarded.
-func (r *relay) closed() bool { return r.gone || r.ending }
+// forwardingClosed reports whether requests are no longer forwarded.
+func (r *relay) forwardingClosed() bool { return r.successorGone || r.stopping }
 
-// lose answers what the successor had and will not answer: nobody knows what became of
-// it.
-func (r *relay) lose() {
-	for seq, ev := range r.puts {
-		ev.tell(SubmitResponse{Status: Failed})
-		delete(r.puts, seq)
+// failOutstanding answers the requests that were forwarded and will get no response. Their outcomes are unknown.
+func (r *relay) failOutstanding() {
+	for seq, ev := range r.submissions {
+		ev.respond(SubmitResponse{Status: Failed})
+		delete(r.submissions, seq)
 	}
-	for seq, ask := range r.asks {
-		ask.answer <- State{ID: ask.id}
-		delete(r.asks, seq)
+	for seq, query := range r.stateQueries {
+		query.response <- State{ID: query.id}
+		delete(r.stateQueries, seq)
 	}
 }
 
-// take deals with an event of this process.
-func (r *relay) take(event any) {
+// handleEvent handles an event of this process.
+func (r *relay) handleEvent(event any) {
 	switch x := event.(type) {
-	case putEvent:
-		r.put(x)
-	case stateEvent:
-		r.ask(x)
-	case replyEvent:
-		r.reply(x)
-	case retuneEvent:
+	case submitEvent:
+		r.forwardSubmission(x)
+	case stateQueryEvent:
+		r.forwardQuery(x)
+	case outcomesEvent:
+		r.forwardOutcomes(x)
+	case updateSettingsEvent:
 		if x.done != nil {
 			x.done <- ErrStopped
 		}
-	case successorEvent:
+	case handoverEvent:
 		x.done <- ErrStopped
-	case closingEvent: // what is out by then is called off, so that its end is known
-		time.AfterFunc(x.left, func() { r.core.post(callOffEvent{}) })
-	case callOffEvent:
-		r.callOff()
+	case shutdownEvent: // attempts still in flight at that time are cancelled, so that they have outcomes
+		time.AfterFunc(x.timeLeft, func() { r.core.post(cancelAttemptsEvent{}) })
+	case cancelAttemptsEvent:
+		r.cancelAttempts()
 	}
 }
 
-// callOff calls off what is out.
-func (r *relay) callOff() {
-	for _, h := range r.out {
-		h.stop()
+// cancelAttempts cancels the attempts in flight.
+func (r *relay) cancelAttempts() {
+	for _, p := range r.inFlight {
+		p.cancel()
 	}
 }
 
-// put forwards a message that a client hands in. If that fails, the successor is gone.
-func (r *relay) put(ev putEvent) {
-	if r.closed() || len(r.puts) >= mostForwarded {
-		ev.tell(SubmitResponse{Status: Busy}) // the successor has never had it
+// forwardSubmission forwards a submitted message. Send errors are ignored, as the link is then closed and the successor
+// gone.
+func (r *relay) forwardSubmission(ev submitEvent) {
+	if r.forwardingClosed() || len(r.submissions) >= maxForwarded {
+		ev.respond(SubmitResponse{Status: Busy}) // the successor has not received it
 		return
 	}
 	r.seq++
-	r.puts[r.seq] = ev
+	r.submissions[r.seq] = ev
 	r.successor.Send(&handover.Put{Seq: r.seq, Message: *ev.msg})
 }
 
-// ask forwards a question for the state of a message.
-func (r *relay) ask(ev stateEvent) {
-	if r.closed() || len(r.asks) >= mostForwarded {
-		ev.answer <- State{ID: ev.id}
+// forwardQuery forwards a state query.
+func (r *relay) forwardQuery(ev stateQueryEvent) {
+	if r.forwardingClosed() || len(r.stateQueries) >= maxForwarded {
+		ev.response <- State{ID: ev.id}
 		return
 	}
 	r.seq++
-	r.asks[r.seq] = ev
+	r.stateQueries[r.seq] = ev
 	r.successor.Send(&handover.AskState{Seq: r.seq, ID: ev.id})
 }
 
-// reply tells the successor the outcomes of attempts.
-func (r *relay) reply(event replyEvent) {
-	list := handover.Outcomes{}
-	for _, x := range event {
-		id := x.attempt.Message.ID
-		if h := r.out[id]; h == nil || h.attempt != x.attempt {
+// forwardOutcomes sends the outcomes of attempts to the successor.
+func (r *relay) forwardOutcomes(event outcomesEvent) {
+	outcomes := handover.Outcomes{}
+	for _, outcome := range event {
+		id := outcome.attempt.Message.ID
+		if p := r.inFlight[id]; p == nil || p.attempt != outcome.attempt {
 			continue
 		}
-		delete(r.out, id)
-		list.List = append(list.List, handover.Outcome{ID: id, Number: x.attempt.Number, Outcome: int(x.result.Outcome),
-			Took: x.took, Wait: x.result.RequestedWait, Over: x.result.MessageEnded, Load: x.result.Load})
+		delete(r.inFlight, id)
+		outcomes.List = append(outcomes.List, handover.Outcome{ID: id, Number: outcome.attempt.Number,
+			Outcome: int(outcome.result.Outcome), Took: outcome.took, Wait: outcome.result.RequestedWait,
+			Over: outcome.result.MessageEnded, Load: outcome.result.Load})
 	}
-	if len(list.List) > 0 {
-		r.successor.Send(&list)
+	if len(outcomes.List) > 0 {
+		r.successor.Send(&outcomes)
 	}
 }
 
-// hear deals with what the successor tells.
-func (r *relay) hear(message any) {
-	switch m := message.(type) {
+// handleMessage handles a message of the successor.
+func (r *relay) handleMessage(msg any) {
+	switch m := msg.(type) {
 	case *handover.Answer:
-		if ev, ok := r.puts[m.Seq]; ok {
-			delete(r.puts, m.Seq)
-			ev.tell(SubmitResponse{Status: SubmitStatus(m.Verdict), RetryAfter: m.After, Duplicate: m.Again})
+		if ev, ok := r.submissions[m.Seq]; ok {
+			delete(r.submissions, m.Seq)
+			ev.respond(SubmitResponse{Status: SubmitStatus(m.Verdict), RetryAfter: m.After, Duplicate: m.Again})
 		}
 	case *handover.State:
-		if ask, ok := r.asks[m.Seq]; ok {
-			delete(r.asks, m.Seq)
-			ask.answer <- State{ID: ask.id, Name: m.Name, Tenant: m.Tenant, Partner: m.Partner, Class: m.Class, Attempts: m.Tries,
-				RetryAfter: m.After, AcceptedAt: moment(m.Accepted), Deadline: moment(m.Deadline), EndedAt: moment(m.Over)}
+		if query, ok := r.stateQueries[m.Seq]; ok {
+			delete(r.stateQueries, m.Seq)
+			query.response <- State{ID: query.id, Name: m.Name, Tenant: m.Tenant, Partner: m.Partner, Class: m.Class,
+				Attempts: m.Tries, RetryAfter: m.After, AcceptedAt: fromUnixMicro(m.Accepted),
+				Deadline: fromUnixMicro(m.Deadline), EndedAt: fromUnixMicro(m.Over)}
 		}
 	case *handover.Cancel:
-		if h := r.out[m.ID]; h != nil && h.attempt.Number == m.Number {
-			h.stop()
+		if p := r.inFlight[m.ID]; p != nil && p.attempt.Number == m.Number {
+			p.cancel()
 		}
 	}
 }
 
-// moment is a time of the wall clock that another process has told; zero for none.
-func moment(us int64) time.Time {
+// fromUnixMicro converts a wall-clock time from the link; the zero time for 0.
+func fromUnixMicro(us int64) time.Time {
 	if us == 0 {
 		return time.Time{}
 	}
 	return time.UnixMicro(us)
 }
 
-// callOffEvent calls off what is out.
-type callOffEvent struct{}
+// cancelAttemptsEvent cancels the attempts in flight.
+type cancelAttemptsEvent struct{}
