--- a/logic/admission.go
+++ b/logic/admission.go
@@ -5,43 +5,47 @@
 	"slices"
 )
 
-// What of a hold that has little room is kept: quotas, and who makes room.
+// Quotas, and load shedding when the pending limit is near.
 
-// shareOf is the part of its worth that a new message keeps: less while its tenant sends past its quota here,
-// taking an even part of the quota for this sender.
-func (s *Sender) shareOf(tenant int) float64 {
-	if tenant < 0 || tenant >= len(s.set.Tenants) || s.set.Tenants[tenant].QuotaRPS <= 0 {
+// quotaFactor is the fraction of its worth that a new message keeps. It is less than 1 while the tenant sends
+// more than this sender's even part of its quota.
+func (s *Sender) quotaFactor(tenant int) float64 {
+	if tenant < 0 || tenant >= len(s.settings.Tenants) || s.settings.Tenants[tenant].QuotaRPS <= 0 {
 		return 1
 	}
-	u := &s.usage[tenant]
-	u.n = u.n*math.Exp2(-seconds(s.now-u.at)/seconds(quotaHalf)) + 1
-	u.at = s.now
-	if u.n*math.Ln2/seconds(quotaHalf) > s.set.Tenants[tenant].QuotaRPS/float64(s.set.Senders) {
-		return s.set.OverQuotaWorth
+	u := &s.tenantUsage[tenant]
+	u.count = u.count*math.Exp2(-seconds(s.now-u.updatedAt)/seconds(quotaHalfLife)) + 1
+	u.updatedAt = s.now
+	if u.count*math.Ln2/seconds(quotaHalfLife) >
+		s.settings.Tenants[tenant].QuotaRPS/float64(s.settings.Senders) {
+		return s.settings.OverQuotaWorth
 	}
 	return 1
 }
 
-// shed makes room in a hold that has little: what the pace cannot send in time ends, paces and limits come
-// back; and the least worthy, rather than that new messages are turned away unseen.
-func (s *Sender) shed(sent []*msg) {
-	if s.crowd() <= holdHalf {
+// shed ends messages when the pending limit is near: those that cannot be sent in time at the present rate
+// (rates and limits may recover), and the message of least priority, so that new messages are not rejected
+// unseen.
+func (s *Sender) shed(sent []*message) {
+	if s.pendingRatio() <= shedLateAbove {
 		return
 	}
-	q := s.judged()
-	for _, m := range q {
-		p := s.destPace(m.dest)
-		late := m.step == s.step || !m.owed && m.deadline-s.now < Micros(lateEnd*float64(m.span)) // or just come
-		if late && p > 0 && m.ahead/p > seconds(m.deadline-s.now-s.usual(m)) && s.crowd() > holdHalf {
-			s.end(m)
+	candidates := s.shedCandidates()
+	for _, m := range candidates {
+		rate := s.destinationRate(m.dest)
+		unprotected := m.arrivalStep == s.step ||
+			!m.inherited && m.deadline-s.now < Micros(protectedRemaining*float64(m.initialTime))
+		if unprotected && rate > 0 && m.ahead/rate > seconds(m.deadline-s.now-s.usualLatency(m)) &&
+			s.pendingRatio() > shedLateAbove {
+			s.endMessage(m)
 		}
 	}
-	if len(q) == 0 || s.crowd() <= holdFull {
+	if len(candidates) == 0 || s.pendingRatio() <= shedLeastAbove {
 		return
 	}
-	least := q[len(q)-1]
-	behind := func(m *msg) bool { return sooner(least, m) < 0 }
-	if !least.mayRun && !least.owed && !slices.ContainsFunc(sent, behind) {
-		s.end(least)
+	lowest := candidates[len(candidates)-1]
+	afterLowest := func(m *message) bool { return comparePriority(lowest, m) < 0 }
+	if !lowest.mayHaveRun && !lowest.inherited && !slices.ContainsFunc(sent, afterLowest) {
+		s.endMessage(lowest)
 	}
 }
--- a/logic/books.go
+++ b/logic/books.go
@@ -2,149 +2,154 @@
 
 import "slices"
 
-// The books of messages and calls: taken on, out, landed, over.
+// The records of messages and calls, from acceptance to the end.
 
-// accept takes a new message into the books.
-func (s *Sender) accept(c NewMessage) {
-	if s.msgs[c.ID] != nil {
+// acceptMessage records a new message.
+func (s *Sender) acceptMessage(c NewMessage) {
+	if s.messages[c.ID] != nil {
 		return
 	}
 	var class *Class
-	most := s.set.MaxTries
+	maxAttempts := s.settings.MaxTries
 	switch {
 	case c.Terms != nil:
-		class, most = &c.Terms.Class, c.Terms.MaxTries
-	case c.Class >= 0 && c.Class < len(s.set.Classes):
-		class = &s.set.Classes[c.Class]
+		class, maxAttempts = &c.Terms.Class, c.Terms.MaxTries
+	case c.Class >= 0 && c.Class < len(s.settings.Classes):
+		class = &s.settings.Classes[c.Class]
 	default:
 		if c.History.MayHaveRun {
-			s.do(FailMessage{ID: c.ID})
+			s.emit(FailMessage{ID: c.ID})
 		} else {
-			s.do(ReturnMessage{ID: c.ID})
+			s.emit(ReturnMessage{ID: c.ID})
 		}
 		return
 	}
-	seen := s.byClass[class.Name]
-	if seen == nil { // of earlier settings
-		seen = &hist{}
-		s.byClass[class.Name] = seen
+	latencies := s.classLatencies[class.Name]
+	if latencies == nil { // class of earlier settings
+		latencies = &histogram{}
+		s.classLatencies[class.Name] = latencies
 	}
 	s.seq++
-	m := &msg{id: c.ID, class: class, seen: seen, most: most, dest: s.dest(c.Dest), seq: s.seq, step: s.step,
-		span: c.Remaining, deadline: s.now + c.Remaining, first: min(s.now, s.now+c.Remaining-class.Deadline)}
-	s.ageOut(m.dest)
-	if d := m.dest; s.now-d.downAt > idleAge { // what comes is a mean of the last minutes
-		d.came, d.downAt = d.came/2, s.now-idleAge/2
+	m := &message{id: c.ID, class: class, classLatencies: latencies, maxAttempts: maxAttempts,
+		dest: s.destinationFor(c.Dest), seq: s.seq, arrivalStep: s.step,
+		initialTime: c.Remaining, deadline: s.now + c.Remaining,
+		submittedAt: min(s.now, s.now+c.Remaining-class.Deadline)}
+	s.resetIfIdle(m.dest)
+	if d := m.dest; s.now-d.outageAt > idleStateAge { // demand is the mean over the last minutes
+		d.arrivals, d.outageAt = d.arrivals/2, s.now-idleStateAge/2
 	}
-	m.dest.came++
-	m.share, m.owed = s.shareOf(c.Tenant), c.History.Inherited && c.History.Attempts == 0
-	s.msgs[m.id] = m
-	s.held++
-	m.dest.held++
-	m.dest.msgs++
-	s.came = append(s.came, m)
+	m.dest.arrivals++
+	m.quotaFactor, m.inherited = s.quotaFactor(c.Tenant), c.History.Inherited && c.History.Attempts == 0
+	s.messages[m.id] = m
+	s.pending++
+	m.dest.pending++
+	m.dest.messages++
+	s.arrivals = append(s.arrivals, m)
 	if class.KeepOrder && c.Key != "" {
-		line := s.keys[c.Key]
-		if line == nil {
-			line = &keyLine{key: c.Key}
-			s.keys[c.Key] = line
+		queue := s.keyQueues[c.Key]
+		if queue == nil {
+			queue = &keyQueue{key: c.Key}
+			s.keyQueues[c.Key] = queue
 		}
-		line.q = append(line.q, m)
-		m.line = line
+		queue.messages = append(queue.messages, m)
+		m.keyQueue = queue
 	}
-	if s.resume(m, c.History); m.out == nil && !m.over {
+	if s.restoreHistory(m, c.History); m.inFlight == nil && !m.ended {
 		s.enqueue(m)
 	}
 }
 
-// close forgets a message that is over, once nothing of it is out.
-func (s *Sender) close(m *msg) {
-	if !m.over {
-		m.over = true
-		s.held--
-		m.dest.held--
+// closeMessage marks a message as ended, and removes it once no attempt of it is in flight.
+func (s *Sender) closeMessage(m *message) {
+	if !m.ended {
+		m.ended = true
+		s.pending--
+		m.dest.pending--
 		if m.group != nil {
 			s.dequeue(m)
 		}
 	}
-	if m.out != nil {
+	if m.inFlight != nil {
 		return
 	}
-	delete(s.msgs, m.id)
-	m.dest.msgs--
-	if m.line != nil {
-		s.leaveLine(m)
+	delete(s.messages, m.id)
+	m.dest.messages--
+	if m.keyQueue != nil {
+		s.leaveKeyQueue(m)
 	}
 }
 
-// leaveLine takes a message off the line of its key.
-func (s *Sender) leaveLine(m *msg) {
-	l := m.line
-	m.line = nil
-	if l.q[0] != m {
-		l.q = slices.DeleteFunc(l.q, func(x *msg) bool { return x == m })
+// leaveKeyQueue removes a message from the queue of its order key.
+func (s *Sender) leaveKeyQueue(m *message) {
+	queue := m.keyQueue
+	m.keyQueue = nil
+	if queue.messages[0] != m {
+		queue.messages = slices.DeleteFunc(queue.messages, func(x *message) bool { return x == m })
 		return
 	}
-	l.q[0] = nil
-	if l.q = l.q[1:]; len(l.q) == 0 {
-		l.q = nil
-		s.emptied = append(s.emptied, l.key)
-	} else if x := l.q[0]; x.group != nil {
-		s.ready(x)
+	queue.messages[0] = nil
+	if queue.messages = queue.messages[1:]; len(queue.messages) == 0 {
+		queue.messages = nil
+		s.idleKeys = append(s.idleKeys, queue.key)
+	} else if x := queue.messages[0]; x.group != nil {
+		s.makeEligible(x)
 	}
 }
 
-// fly books an attempt of m at e.
-func (s *Sender) fly(m *msg, e *endpoint) *attempt {
-	e.open.n++
-	e.open.left++
+// recordAttempt records a new attempt of m at e.
+func (s *Sender) recordAttempt(m *message, e *endpoint) *attempt {
+	e.openCall.size++
+	e.openCall.unresolved++
 	e.lastSent = s.now
-	a := &attempt{m: m, n: m.tries, ep: e, at: s.now, call: e.open}
-	m.tries++
-	m.out, m.last = a, e
-	if !m.mayRun {
-		m.firstMay, m.mayZone = s.now, e.zone
+	a := &attempt{msg: m, number: m.attempts, endpoint: e, startedAt: s.now, call: e.openCall}
+	m.attempts++
+	m.inFlight, m.lastEndpoint = a, e
+	if !m.mayHaveRun {
+		m.mayHaveRunAt, m.mayHaveRunZone = s.now, e.zone
 	}
-	s.flying = append(s.flying, a)
+	s.inFlight = append(s.inFlight, a)
 	return a
 }
 
-// landed takes an attempt that has its outcome off the books and reports whether its call is over with it.
-func (s *Sender) landed(a *attempt) bool {
-	a.m.out, a.m.flows = nil, false
-	s.flying = slices.DeleteFunc(s.flying, func(x *attempt) bool { return x == a })
-	if a.call.left--; a.call.left > 0 {
+// finishAttempt removes an attempt that has its outcome, and reports whether all attempts of its call have
+// theirs.
+func (s *Sender) finishAttempt(a *attempt) bool {
+	a.msg.inFlight, a.msg.streaming = nil, false
+	s.inFlight = slices.DeleteFunc(s.inFlight, func(x *attempt) bool { return x == a })
+	if a.call.unresolved--; a.call.unresolved > 0 {
 		return false
 	}
-	s.busy--
-	a.ep.inflight--
-	a.ep.lane.inflight--
+	s.usedSlots--
+	a.endpoint.inFlight--
+	a.endpoint.limiter.inFlight--
 	return true
 }
 
-// joins says whether m, sent to e now, would travel in a call that this step opens anyway. A call ends when
-// the first of its messages runs out of time, so none joins that may leave the others too little.
-func (s *Sender) joins(m *msg, e *endpoint) bool {
-	return e.open != nil && e.open.step == s.step && e.open.n < s.kind(e.dest).MaxBatch &&
-		min(e.open.by, m.deadline)-s.now >= 2*s.usual(m)
+// joinsCall reports whether m, sent to e now, would travel in a call that this step has already opened. A
+// call ends when the first of its messages expires, so a message may not join if that would leave the others
+// too little time.
+func (s *Sender) joinsCall(m *message, e *endpoint) bool {
+	return e.openCall != nil && e.openCall.step == s.step && e.openCall.size < s.kindOf(e.dest).MaxBatch &&
+		min(e.openCall.deadline, m.deadline)-s.now >= 2*s.usualLatency(m)
 }
 
-// mark notes a call to e for the budget and the pace.
-func (s *Sender) mark(e *endpoint) {
-	l := e.lane
-	keep := s.now - max(s.set.FallWindow, Second) - 1
-	e.sent, l.sent = append(trim(e.sent, keep), s.now), append(trim(l.sent, keep), s.now)
-	// What goes to a lane that is cold shows nothing of what it takes: the budget rests on the peak, and would
-	// rise with each call that it lets through.
-	if !slices.ContainsFunc(e.dest.eps, func(x *endpoint) bool { return s.isCold(x) && x.lane == l }) {
-		l.peak = max(l.peak, float64(since(l.sent, s.now-Second)))
+// recordCall records the time of a call to e for slow start and for the rate.
+func (s *Sender) recordCall(e *endpoint) {
+	l := e.limiter
+	keepFrom := s.now - max(s.settings.FallWindow, Second) - 1
+	e.callTimes, l.callTimes =
+		append(trimBefore(e.callTimes, keepFrom), s.now), append(trimBefore(l.callTimes, keepFrom), s.now)
+	// The rate of a cold limiter shows nothing about its capacity. Counting it would raise the peak, and
+	// thereby the slow start budget, with each call that the budget allows.
+	if !slices.ContainsFunc(e.dest.endpoints, func(x *endpoint) bool { return s.isCold(x) && x.limiter == l }) {
+		l.peakRate = max(l.peakRate, float64(countAfter(l.callTimes, s.now-Second)))
 	}
 }
 
-// cancel calls an attempt off, once.
-func (s *Sender) cancel(a *attempt) {
-	if !a.cancelled && s.set.MayCancel && !a.m.flows {
+// cancelAttempt cancels an attempt, at most once.
+func (s *Sender) cancelAttempt(a *attempt) {
+	if !a.cancelled && s.settings.MayCancel && !a.msg.streaming {
 		a.cancelled = true
-		s.do(Cancel{ID: a.m.id, Attempt: a.n})
+		s.emit(Cancel{ID: a.msg.id, Attempt: a.number})
 	}
 }
--- a/logic/churn_test.go
+++ b/logic/churn_test.go
@@ -35,21 +35,21 @@
 		now += Second
 		s.Step(now, []Event{AttemptResult{ID: name, MessageEnded: true, Endpoint: id, Outcome: Completed, Latency: Second / 10}})
 		now += Second
-		if len(s.eps) > 60 || len(s.gone) > 60 || len(s.dests) > 20 || len(s.order) != len(s.dests) ||
-			len(s.keys) > 10 || len(s.msgs) > 0 {
-			t.Fatalf("after %d: %d endpoints, %d gone, %d destinations, %d keys, %d messages", i, len(s.eps),
-				len(s.gone), len(s.dests), len(s.keys), len(s.msgs))
+		if len(s.endpoints) > 60 || len(s.removed) > 60 || len(s.destinations) > 20 || len(s.destinationOrder) != len(s.destinations) ||
+			len(s.keyQueues) > 10 || len(s.messages) > 0 {
+			t.Fatalf("after %d: %d endpoints, %d gone, %d destinations, %d keys, %d messages", i, len(s.endpoints),
+				len(s.removed), len(s.destinations), len(s.keyQueues), len(s.messages))
 		}
 	}
 	s.Step(now, []Event{NewMessage{ID: "out", Remaining: 1000 * Second, Dest: 200, Tenant: -1}})
 	s.Step(now, []Event{Endpoints{Entries: []Entry{{Endpoint: 2000, Dest: 200, State: Gone}}}})
-	s.Step(now+2*keepGone, nil)
-	if s.eps[2000] == nil {
+	s.Step(now+2*removedRetention, nil)
+	if s.endpoints[2000] == nil {
 		t.Error("an endpoint with a call out is forgotten")
 	}
-	s.Step(now+2*keepGone, []Event{AttemptResult{ID: "out", MessageEnded: true, Endpoint: 2000, Outcome: Completed}})
-	s.Step(now+3*keepGone, nil)
-	if s.eps[2000] != nil {
+	s.Step(now+2*removedRetention, []Event{AttemptResult{ID: "out", MessageEnded: true, Endpoint: 2000, Outcome: Completed}})
+	s.Step(now+3*removedRetention, nil)
+	if s.endpoints[2000] != nil {
 		t.Error("an endpoint off the list without a call is kept")
 	}
 }
@@ -64,14 +64,14 @@
 	}
 	s.Step(0, []Event{Endpoints{Form: ListFull, Entries: []Entry{{Endpoint: 1, Dest: 1}}},
 		NewMessage{ID: "a", Remaining: 10 * Second, Dest: 1, Tenant: -1}})
-	for i := range spoiltDown {
-		if s.eps[1].suspect {
+	for i := range outageInvalidResponses {
+		if s.endpoints[1].suspect {
 			t.Fatalf("out after %d spoilt answers", i)
 		}
 		s.Step(Micros(i+1)*100_000, []Event{AttemptResult{ID: "a", Attempt: i, Endpoint: 1, Outcome: InvalidResponse}})
 	}
-	if !s.eps[1].suspect {
-		t.Errorf("not out after %d spoilt answers in a row", spoiltDown)
+	if !s.endpoints[1].suspect {
+		t.Errorf("not out after %d spoilt answers in a row", outageInvalidResponses)
 	}
 }
 
@@ -97,7 +97,7 @@
 				t.Fatal(err)
 			}
 			s.Step(0, []Event{Endpoints{Form: ListFull, Entries: []Entry{{Endpoint: 1, Dest: 1}}}})
-			e, now := s.eps[1], Micros(0)
+			e, now := s.endpoints[1], Micros(0)
 			for i, o := range x.outcomes {
 				id := string(rune('a' + i))
 				s.Step(now, []Event{NewMessage{ID: id, Remaining: 10 * Second, Dest: 1, Tenant: -1}})
--- a/logic/cold_test.go
+++ b/logic/cold_test.go
@@ -536,7 +536,7 @@
 func TestOneSignOutlivesTheProcess(t *testing.T) {
 	for _, how := range []Outcome{Errored, Overloaded, ConnectionRefused, ConnectionBroken} {
 		r := crowdOf(t, 100, 50, 1)
-		r.s.set.TrackChanges = true
+		r.s.settings.TrackChanges = true
 		var told []DestinationState
 		for _, o := range []Outcome{Completed, how} {
 			c := only[StartAttempt](r.step(float64(r.n)*15+1, r.call(0)))[0]
--- a/logic/dispatch.go
+++ b/logic/dispatch.go
@@ -5,115 +5,117 @@
 	"slices"
 )
 
-// How a step goes over what is held: which destinations it looks at, and of each what goes first, until
-// nothing more can go there. Who goes first is rate's word, whether anything goes the gate's; that each
-// step sends what a pass over all that is held would send is what queue_test.go holds it to.
+// A step visits the destinations for which something has changed or is due, and sends their messages by
+// priority until nothing more can be sent. [Sender.priority] sets the order, [Sender.admit] whether a message
+// may be sent. queue_test.go checks that each step sends what a pass over all queued messages would send.
 
-// dispatch sends what the gate lets through, the most urgent first. It looks at destinations of which
-// something has happened or is due, and of each at what goes first, until nothing more can go there.
+// dispatch sends the messages that are admitted, in order of priority. It visits the active destinations, and
+// of each the messages in order until none can be sent any more.
 func (s *Sender) dispatch() {
-	var looked []*dest
-	if s.busy < s.set.Slots { // else until a call is over
-		looked = slices.Clone(s.active[:min(len(s.active), lookMost)])
-		if s.active = slices.Delete(s.active, 0, len(looked)); len(s.active) > 0 {
-			s.at(s.now) // those that this step has no time for come first in the next
+	var visited []*destination
+	if s.usedSlots < s.settings.Slots { // otherwise no destination is visited until a call ends
+		visited = slices.Clone(s.active[:min(len(s.active), maxVisits)])
+		if s.active = slices.Delete(s.active, 0, len(visited)); len(s.active) > 0 {
+			s.wakeBy(s.now) // the next step visits the remaining destinations first
 		}
 	}
-	var next merge
-	for _, d := range looked {
-		d.active, d.again, d.lookedIn = false, never, s.step
-		d.load = float64(1 + d.lane.inflight)
-		if d.again = s.shut(d); d.again > s.now {
+	var cursors cursorHeap
+	for _, d := range visited {
+		d.active, d.revisitAt, d.visitedStep = false, never, s.step
+		d.load = float64(1 + d.limiter.inFlight)
+		if d.revisitAt = s.destinationAvailableAt(d); d.revisitAt > s.now {
 			continue
 		}
-		d.again = never
+		d.revisitAt = never
 		for _, g := range d.groups {
-			if !s.tooLate(g) {
-				next = s.cursors(next, g)
+			if !s.stopsTooSoon(g) {
+				cursors = s.appendCursors(cursors, g)
 			}
 		}
 	}
-	heap.Init(&next)
-	var sent []*msg
-	for len(next) > 0 {
-		c := next[0]
-		m, d := c.m, c.m.dest
-		if d.shutIn == s.step {
-			heap.Pop(&next)
+	heap.Init(&cursors)
+	var sent []*message
+	for len(cursors) > 0 {
+		c := cursors[0]
+		m, d := c.msg, c.msg.dest
+		if d.blockedStep == s.step {
+			heap.Pop(&cursors)
 			continue
 		}
 		switch {
-		case s.send(m):
+		case s.trySend(m):
 			sent = append(sent, m)
 			s.advance(c)
-		case s.shut(d) > s.now:
-			d.shutIn, d.again = s.step, s.shut(d)
-			c.m = nil
-		case m.class.Effect != Unsafe || s.now >= m.first+m.class.Aim || !s.unreliable(d) ||
-			s.kind(d).MaxBatch > 1 && c.passed < lookMost: // it may join a call that opens later in this pass
-			c.passed++
+		case s.destinationAvailableAt(d) > s.now:
+			d.blockedStep, d.revisitAt = s.step, s.destinationAvailableAt(d)
+			c.msg = nil
+		case m.class.Effect != Unsafe || s.now >= m.submittedAt+m.class.Aim || !s.allUnreliable(d) ||
+			s.kindOf(d).MaxBatch > 1 && c.heldBack < maxVisits: // it may join a call opened later in this pass
+			c.heldBack++
 			s.advance(c)
-		default: // what keeps this one back keeps the younger ones back too
-			d.again = min(d.again, s.skip(c, s.now-m.class.Aim))
+		default: // newer messages of the group are not admitted for the same reason
+			d.revisitAt = min(d.revisitAt, s.skipNewer(c, s.now-m.class.Aim))
 		}
-		if c.m == nil {
-			heap.Pop(&next)
+		if c.msg == nil {
+			heap.Pop(&cursors)
 		} else {
-			heap.Fix(&next, 0)
+			heap.Fix(&cursors, 0)
 		}
 	}
 	for _, m := range sent {
 		s.dequeue(m)
 	}
-	for _, d := range looked {
-		if d.waiting > 0 {
-			s.sleep(d, d.again)
+	for _, d := range visited {
+		if d.queued > 0 {
+			s.scheduleVisit(d, d.revisitAt)
 		}
 	}
 	s.shed(sent)
-	s.came = s.came[:0]
+	s.arrivals = s.arrivals[:0]
 }
 
-// tooLate says that this sender stops before a call of the group's would be over, whichever endpoint takes
-// it.
-func (s *Sender) tooLate(g *group) bool {
-	first, _ := g.ends.first()
-	return s.closeAt != 0 && !slices.ContainsFunc(g.dest.eps, func(e *endpoint) bool {
-		return s.now+s.lasts(first.m, e) <= s.closeAt
+// stopsTooSoon reports whether this sender stops before a call with a message of the group could end, at any
+// endpoint.
+func (s *Sender) stopsTooSoon(g *group) bool {
+	first, _ := g.byExpiry.first()
+	return s.stopAt != 0 && !slices.ContainsFunc(g.dest.endpoints, func(e *endpoint) bool {
+		return s.now+s.timeNeeded(first.msg, e) <= s.stopAt
 	})
 }
 
-// sleep looks at a destination again at a time, or in the next step where that can't be told.
-func (s *Sender) sleep(d *dest, at Micros) {
+// scheduleVisit visits a destination again at the given time, or in the next step if the time cannot be
+// determined.
+func (s *Sender) scheduleVisit(d *destination, at Micros) {
 	if d.active {
 		return
 	}
-	if s.busy >= s.set.Slots || slices.ContainsFunc(d.eps, func(e *endpoint) bool {
-		return e.cold && (!e.suspect || s.now >= e.trialAt) || // budgets change with time
-			e.suspect && e.inflight == 0 && s.crowded()
+	if s.usedSlots >= s.settings.Slots || slices.ContainsFunc(d.endpoints, func(e *endpoint) bool {
+		return e.cold && (!e.suspect || s.now >= e.trialAt) || // slow start budgets change with time
+			e.suspect && e.inFlight == 0 && s.trialSlotsUsed()
 	}) {
-		s.touch(d)
+		s.activate(d)
 	}
-	s.at(at)
+	s.wakeBy(at)
 	if !d.active {
-		s.alarms.set(&d.wake, at-1) // a time of a pace is rounded up
+		s.timers.set(&d.timer, at-1) // times computed from a rate are rounded up
 	}
 }
 
-// shut says when a call to d may begin again, whatever the message; a time that is past if one may now.
-func (s *Sender) shut(d *dest) Micros {
+// destinationAvailableAt returns the time at which a call to d may start, regardless of the message. A time
+// in the past means that one may start now.
+func (s *Sender) destinationAvailableAt(d *destination) Micros {
 	at := never
-	for _, e := range d.eps {
-		x := s.opensAt(e)
-		if o := e.open; o != nil && o.step == s.step && o.n < s.kind(d).MaxBatch {
-			x = s.now + 1
-			for _, g := range d.groups { // it may take more
-				if first, _ := g.ends.first(); o.by-s.now >= 2*s.usual(first.m) {
+	for _, e := range d.endpoints {
+		endpointAt := s.availableAt(e)
+		if o := e.openCall; o != nil && o.step == s.step && o.size < s.kindOf(d).MaxBatch {
+			endpointAt = s.now + 1
+			for _, g := range d.groups { // the open call may take more messages
+				if first, _ := g.byExpiry.first(); o.deadline-s.now >= 2*s.usualLatency(first.msg) {
 					return s.now
 				}
 			}
 		}
-		at = min(at, x)
+		at = min(at, endpointAt)
 	}
 	return at
 }
--- a/logic/endpoint_list.go
+++ b/logic/endpoint_list.go
@@ -1,83 +1,87 @@
 package logic
 
-// The list of endpoints: what is on it, and when to ask for it.
+// The endpoint list: its entries, and when it is requested.
 
-func (s *Sender) list(ev Endpoints) {
+// handleList processes an update of the endpoint list.
+func (s *Sender) handleList(ev Endpoints) {
 	if ev.Form == ListFailed {
-		// Asked in vain or subscription broken: ask again before it counts as told, and not when all others do.
-		s.askAt = s.now - ev.Elapsed + Micros((1-s.askJitter*s.rng.Float64())*float64(s.askAgain))
-		s.askJitter = askJitter / 8 // they are apart by now
+		// The request failed or the subscription broke. Retry within the time limit, and not at the same time
+		// as all other senders.
+		s.listRequestAt = s.now - ev.Elapsed + Micros((1-s.listRetryJitter*s.rng.Float64())*float64(s.maxListRetry))
+		s.listRetryJitter = listRetryJitter / 8 // the first retry has spread the senders
 		return
 	}
-	if s.askAt == never {
-		s.askJitter = askJitter
+	if s.listRequestAt == never {
+		s.listRetryJitter = listRetryJitter
 	}
 	if ev.Form != ListDelta {
-		s.keepOnly(ev.Entries)
+		s.removeUnlisted(ev.Entries)
 	}
-	for _, row := range ev.Entries {
-		s.entry(row)
+	for _, entry := range ev.Entries {
+		s.applyEntry(entry)
 	}
 }
 
-func (s *Sender) entry(row Entry) {
-	e := s.eps[row.Endpoint]
-	if row.State == Gone {
+// applyEntry adds, changes or removes an endpoint as its entry says.
+func (s *Sender) applyEntry(entry Entry) {
+	e := s.endpoints[entry.Endpoint]
+	if entry.State == Gone {
 		if e != nil {
-			s.unlist(e)
+			s.removeEndpoint(e)
 		}
 		return
 	}
-	d := s.dest(row.Dest)
-	s.touch(d)
-	d.kind = row.Kind
+	d := s.destinationFor(entry.Dest)
+	s.activate(d)
+	d.kind = entry.Kind
 	if e == nil || e.dest != d {
 		if e != nil {
-			s.unlist(e)
+			s.removeEndpoint(e)
 		}
-		e = &endpoint{id: row.Endpoint, dest: d, lane: d.lane, state: Gone}
-		e.lastOK, e.lastBad, e.lastSent = longAgo, longAgo, longAgo
-		e.well, e.good, e.doubt = longAgo, longAgo, longAgo
-		if s.kind(d).Independent {
-			e.lane = &lane{dest: d}
+		e = &endpoint{id: entry.Endpoint, dest: d, limiter: d.limiter, state: Gone}
+		e.lastSuccess, e.lastFailure, e.lastSent = distantPast, distantPast, distantPast
+		e.independentSuccess, e.lastSuccessSent, e.peerReportAt = distantPast, distantPast, distantPast
+		if s.kindOf(d).Independent {
+			e.limiter = &limiter{dest: d}
 		}
-		s.eps[e.id] = e
-		s.inherit(e)
+		s.endpoints[e.id] = e
+		s.inheritOutage(e)
 	}
 	if e.state == Gone {
-		d.eps = append(d.eps, e)
-		if len(d.eps) > 1 {
-			d.next = s.rng.IntN(len(d.eps))
+		d.endpoints = append(d.endpoints, e)
+		if len(d.endpoints) > 1 {
+			d.nextEndpoint = s.rng.IntN(len(d.endpoints))
 		}
 	}
-	e.zone, e.state = row.Zone, row.State
-	if s.set.Weights != WeightsOff && row.NominalRate > 0 && !e.lane.told {
-		if e.lane.limit == 0 && row.NominalRate < paceFloor*float64(s.set.Senders) {
-			e.lane.tokens, e.lane.filled = 1, s.now // thin: one call at the start, not after a span
+	e.zone, e.state = entry.Zone, entry.State
+	if s.settings.Weights != WeightsOff && entry.NominalRate > 0 && !e.limiter.limitReported {
+		if e.limiter.limit == 0 && entry.NominalRate < minRate*float64(s.settings.Senders) {
+			e.limiter.tokens, e.limiter.refilledAt = 1, s.now // small share: the first call needs no wait
 		}
-		e.lane.limit = row.NominalRate
+		e.limiter.limit = entry.NominalRate
 	}
 }
 
-// inherit takes a machine that joins a destination in trouble for as cold as the others: what topples it is
-// shared.
-func (s *Sender) inherit(e *endpoint) {
-	for _, x := range e.dest.eps {
-		if s.isCold(x) && e.lane == x.lane {
-			e.cold, e.suspect, e.backAt, e.trialAt, e.lastBad = true, x.suspect, x.backAt, x.trialAt, x.lastBad
+// inheritOutage makes an endpoint that joins a destination in outage as cold as the others, as they are
+// overloaded together.
+func (s *Sender) inheritOutage(e *endpoint) {
+	for _, x := range e.dest.endpoints {
+		if s.isCold(x) && e.limiter == x.limiter {
+			e.cold, e.suspect, e.recoveredAt, e.trialAt, e.lastFailure =
+				true, x.suspect, x.recoveredAt, x.trialAt, x.lastFailure
 		}
 	}
 }
 
-// subscribe asks for the list where it comes only on request.
-func (s *Sender) subscribe() {
-	if s.askAt == never {
+// requestList requests the endpoint list if it is sent only on request.
+func (s *Sender) requestList() {
+	if s.listRequestAt == never {
 		return
 	}
-	if s.now < s.askAt {
-		s.at(s.askAt)
+	if s.now < s.listRequestAt {
+		s.wakeBy(s.listRequestAt)
 		return
 	}
-	s.do(RequestEndpoints{})
-	s.askAt = never
+	s.emit(RequestEndpoints{})
+	s.listRequestAt = never
 }
--- a/logic/fleet_test.go
+++ b/logic/fleet_test.go
@@ -192,7 +192,7 @@
 			}
 			f.run(45)
 			trials, _ := f.count(down+5, up)
-			set := f.senders[0].set
+			set := f.senders[0].settings
 			worst, at := 0.0, 0.0
 			for from := up; from < up+10; from += 0.25 {
 				calls, _ := f.count(from, from+3)
@@ -304,11 +304,11 @@
 	if got[1] != 100 || got[2] != 30 || got[3] != 20 {
 		t.Errorf("calls by route %v, want 100, 30 and 20", got)
 	}
-	r.s.set.Senders = 1000
+	r.s.settings.Senders = 1000
 	c := only[StartAttempt](r.step(20, r.call(0)))[0]
 	r.step(20.1, answer(c.ID, c.Endpoint, 0, Overloaded))
-	for _, e := range r.s.eps {
-		if e.lane.pace == 0 {
+	for _, e := range r.s.endpoints {
+		if e.limiter.rate == 0 {
 			t.Errorf("route %d is free after a refusal on %d", e.id, c.Endpoint)
 		}
 	}
@@ -316,14 +316,14 @@
 
 // Found on quiet days of many senders: endpoints were full of idle connections.
 func TestRareConnectionsAreGivenBackAmongManySenders(t *testing.T) {
-	for _, senders := range []int{2, manySenders + 1} {
+	for _, senders := range []int{2, manySendersOver + 1} {
 		set := base()
 		set.Senders = senders
 		r := newRig(t, set)
 		r.step(0, list(2))
 		c := only[StartAttempt](r.step(0.1, r.call(0)))[0]
 		got := only[CloseIdle](r.step(0.2, answer(c.ID, c.Endpoint, 0, Completed)))
-		if (len(got) > 0) != (senders > manySenders) {
+		if (len(got) > 0) != (senders > manySendersOver) {
 			t.Errorf("%d senders: released %v", senders, got)
 		}
 	}
@@ -331,9 +331,9 @@
 
 // New connections cost time and points: among many senders the endpoint that still has one comes first.
 func TestWarmConnectionComesFirstAmongManySenders(t *testing.T) {
-	for _, senders := range []int{2, manySenders + 1} {
+	for _, senders := range []int{2, manySendersOver + 1} {
 		set := base()
-		set.Senders, set.ConnIdle, set.ConnCalls, set.ConnCost = senders, 10*Second, 1, 2*dearConn
+		set.Senders, set.ConnIdle, set.ConnCalls, set.ConnCost = senders, 10*Second, 1, 2*expensiveConn
 		r := newRig(t, set)
 		r.step(0, list(3))
 		used := map[EndpointID]bool{}
@@ -345,7 +345,7 @@
 			}
 			used[c.Endpoint] = true
 		}
-		if (len(used) == 1) != (senders > manySenders) {
+		if (len(used) == 1) != (senders > manySendersOver) {
 			t.Errorf("%d senders: %d endpoints used", senders, len(used))
 		}
 	}
--- a/logic/gate.go
+++ b/logic/gate.go
@@ -1,6 +1,6 @@
 package logic
 
-// Whether and when a message may go to an endpoint: every send passes here.
+// Whether and when a message may be sent to an endpoint.
 
 import (
 	"time"
@@ -8,78 +8,82 @@
 	"cometrack/internal/permit"
 )
 
-// gate says whether m may go to e now, and if not, when to look again. Every send of a message passes it.
-func (s *Sender) gate(m *msg, e *endpoint) (bool, Micros) {
+// admit reports whether m may be sent to e now, and if not, when to check again. Each message is checked here
+// before it is sent.
+func (s *Sender) admit(m *message, e *endpoint) (bool, Micros) {
 	switch {
-	case e.state != Ready || s.permitted(m, e) != permit.Granted: // drain; rules of the message
+	case e.state != Ready || s.checkPermit(m, e) != permit.Granted: // draining, or not permitted
 		return false, never
-	case s.now < max(e.lane.until, m.rest): // told wait
-		return false, max(e.lane.until, m.rest)
-	case m.deadline-s.now <= max(s.usual(m), 2*s.set.Tick): // median gate
+	case s.now < max(e.limiter.waitUntil, m.backoffUntil): // requested wait or backoff
+		return false, max(e.limiter.waitUntil, m.backoffUntil)
+	case m.deadline-s.now <= max(s.usualLatency(m), 2*s.settings.Tick): // too little time left
 		return false, never
-	case s.closeAt != 0 && s.now+s.lasts(m, e) > s.closeAt: // it stays in the journal for the next start
+	case s.stopAt != 0 && s.now+s.timeNeeded(m, e) > s.stopAt: // the journal keeps m for the next start
 		return false, never
 	}
-	if l := m.line; l != nil { // order of its key
-		if l.q[0] != m {
+	if l := m.keyQueue; l != nil { // order of the key
+		if l.messages[0] != m {
 			return false, never
 		}
-		if s.now < l.quiet && l.by != m {
-			return false, l.quiet
+		if s.now < l.quietUntil && l.quietMessage != m {
+			return false, l.quietUntil
 		}
 	}
-	if s.joins(m, e) {
+	if s.joinsCall(m, e) {
 		return true, 0
 	}
-	if o := e.open; o != nil && o.step == s.step && o.n < s.kind(e.dest).MaxBatch { // it would join that
+	// A step opens only one call to an endpoint at a time; m may join a call in the next step.
+	if o := e.openCall; o != nil && o.step == s.step && o.size < s.kindOf(e.dest).MaxBatch {
 		return false, s.now + 1
 	}
-	if e.unreliable() && m.class.Effect == Unsafe && s.now < m.first+m.class.Aim { // unsafe messages last
-		return false, m.first + m.class.Aim
+	// Unsafe messages avoid unreliable endpoints until their Aim.
+	if e.unreliable() && m.class.Effect == Unsafe && s.now < m.submittedAt+m.class.Aim {
+		return false, m.submittedAt + m.class.Aim
 	}
-	at := s.opensAt(e)
+	at := s.availableAt(e)
 	return at <= s.now, at
 }
 
-// permitted says whether the rules of m allow it another attempt now, at e or, if that is nil, at any
-// endpoint.
-func (s *Sender) permitted(m *msg, e *endpoint) permit.Reason {
-	x := permit.Message{Ended: m.over, InFlight: m.out != nil, Attempts: m.tries, MaxAttempts: m.most,
-		Remaining: span(m.deadline - s.now)}
-	if c := m.class; m.mayRun {
-		x.Repeat = permit.Repeat{MayHaveRun: true, Effect: c.Effect, Window: span(c.Window),
-			Age:       span(s.now - m.firstMay + s.set.Tick),
-			OtherZone: c.ByZone && e != nil && e.zone != m.mayZone}
+// checkPermit returns why the rules of m forbid another attempt now, at e or, if e is nil, at any endpoint;
+// permit.Granted if they do not.
+func (s *Sender) checkPermit(m *message, e *endpoint) permit.Reason {
+	state := permit.Message{Ended: m.ended, InFlight: m.inFlight != nil, Attempts: m.attempts,
+		MaxAttempts: m.maxAttempts, Remaining: duration(m.deadline - s.now)}
+	if c := m.class; m.mayHaveRun {
+		state.Repeat = permit.Repeat{MayHaveRun: true, Effect: c.Effect, Window: duration(c.Window),
+			Age:       duration(s.now - m.mayHaveRunAt + s.settings.Tick),
+			OtherZone: c.ByZone && e != nil && e.zone != m.mayHaveRunZone}
 	}
-	return permit.Send(x)
+	return permit.Send(state)
 }
 
-func span(t Micros) time.Duration { return time.Duration(t) * time.Microsecond }
+// duration converts t to a time.Duration.
+func duration(t Micros) time.Duration { return time.Duration(t) * time.Microsecond }
 
-// opensAt says when e may take a call, whatever the message: a time that is past if now, never if nobody
-// knows.
-func (s *Sender) opensAt(e *endpoint) Micros {
+// availableAt returns the time at which e may take a call, regardless of the message. A time in the past
+// means now; never means that the time is not known.
+func (s *Sender) availableAt(e *endpoint) Micros {
 	switch {
 	case e.state != Ready:
 		return never
-	case s.now < e.lane.until:
-		return e.lane.until
-	case s.busy >= s.set.Slots || e.lane.inflight >= (s.set.Slots+1)/2: // slots
+	case s.now < e.limiter.waitUntil:
+		return e.limiter.waitUntil
+	case s.usedSlots >= s.settings.Slots || e.limiter.inFlight >= (s.settings.Slots+1)/2: // half per limiter
 		return never
 	}
-	if at := s.health(e); at > s.now {
+	if at := s.trialAvailableAt(e); at > s.now {
 		return at
 	}
-	if at := s.budget(e); at > s.now {
+	if at := s.budgetAvailableAt(e); at > s.now {
 		return at
 	}
-	return s.paced(e.lane)
+	return s.rateAvailableAt(e.limiter)
 }
 
-// lasts is the time that an attempt needs before this sender stops. One that is cut off by the stop is resent
-// if its class allows it, but an unsafe one is lost.
-func (s *Sender) lasts(m *msg, e *endpoint) Micros {
-	if h := &e.dest.hist; m.class.Effect != Unsafe && h.total >= minWeight {
+// timeNeeded is the time that an attempt needs to end before this sender stops. An attempt that is cut off by
+// the stop is repeated if its class allows it, but an unsafe message would be lost.
+func (s *Sender) timeNeeded(m *message, e *endpoint) Micros {
+	if h := &e.dest.latencies; m.class.Effect != Unsafe && h.total >= minSamples {
 		return h.p95
 	}
 	return s.stuckAfter(e.dest, m)
--- a/logic/handover.go
+++ b/logic/handover.go
@@ -2,132 +2,138 @@
 
 import "slices"
 
-// What a Sender hands to the one that decides in its place from then on, beside
-// its memory: what is of use only if nothing happens in between.
+// The state that a Sender hands over to another one that continues in its place, beyond the snapshots of
+// destinations. It is valid only if nothing happens in between.
 
-// LimiterHandover is the part of a [LimiterState] that a handover adds. Spans are those
-// since something was.
+// LimiterHandover is the part of a [LimiterState] that only a handover includes. Durations are times since an
+// event.
 type LimiterHandover struct {
-	Sent               []Micros // calls within the spans that are counted
-	Tokens             float64  // that the pace has saved up
-	RequestedWait      Micros   // that is left of one that was told
-	Overloads          int      // refusals in a row
-	SinceFirstOverload Micros   // since the first of them
-	NearLimit          bool     // the last report told that little of the limit is left
+	Sent               []Micros // times since the calls that still count
+	Tokens             float64  // tokens of the rate limiter
+	RequestedWait      Micros   // time left of a requested wait
+	Overloads          int      // rejections for overload in a row
+	SinceFirstOverload Micros   // time since the first of them
+	NearLimit          bool     // the last load report said that little of the limit is left
 }
 
-// EndpointHandover is the part of an [EndpointState] that a handover adds.
+// EndpointHandover is the part of an [EndpointState] that only a handover includes.
 type EndpointHandover struct {
-	Sent          []Micros
+	Sent          []Micros // times since the calls that still count
 	SinceLastSent Micros
-	UntilTrial    Micros // until the next trial; less than 0 if it is due
-	RequestedWait Micros // that is left of a wait that was told to its lane
+	UntilTrial    Micros // time until the next trial; negative if it is due
+	RequestedWait Micros // time left of a requested wait of its limiter
 }
 
-// HandOver tells all that another Sender needs to decide in this one's place at
-// once: of each destination, and of keys at rest. This one must not step again
-// unless the other never has.
-func (s *Sender) HandOver(now Micros) (all []DestinationState, keys []QuietKey) {
+// HandOver returns all state that another Sender needs to continue in this one's place at once: the states of
+// the destinations and the paused order keys. This Sender must not step again unless the other one never has.
+func (s *Sender) HandOver(now Micros) (states []DestinationState, keys []QuietKey) {
 	s.now = max(s.now, now)
-	for _, d := range s.order {
-		m := s.memory(d)
-		m.Exact = true
-		m.Arrivals = max(d.came-d.held, 0) // those that are held are counted when they are handed in
-		m.Limiter.LimiterHandover = s.laneExact(d.lane)
-		for i := range m.Endpoints {
-			e, x := d.eps[i], &m.Endpoints[i]
-			x.EndpointHandover = EndpointHandover{Sent: s.agos(e.sent), SinceLastSent: s.ago(e.lastSent),
+	for _, d := range s.destinationOrder {
+		state := s.destinationState(d)
+		state.Exact = true
+		state.Arrivals = max(d.arrivals-d.pending, 0) // pending messages count when they are submitted again
+		state.Limiter.LimiterHandover = s.limiterHandover(d.limiter)
+		for i := range state.Endpoints {
+			e, x := d.endpoints[i], &state.Endpoints[i]
+			x.EndpointHandover = EndpointHandover{Sent: s.timesSince(e.callTimes),
+				SinceLastSent: s.timeSince(e.lastSent),
 				UntilTrial:    e.trialAt - s.now,
-				RequestedWait: max(e.lane.until-s.now, 0)}
-			if e.lane != d.lane {
-				x.Limiter.LimiterHandover = s.laneExact(e.lane)
+				RequestedWait: max(e.limiter.waitUntil-s.now, 0)}
+			if e.limiter != d.limiter {
+				x.Limiter.LimiterHandover = s.limiterHandover(e.limiter)
 			}
 		}
-		all = append(all, m)
+		states = append(states, state)
 	}
-	for key, l := range s.keys {
-		if l.quiet > s.now {
-			keys = append(keys, QuietKey{Key: key, Remaining: l.quiet - s.now})
+	for key, l := range s.keyQueues {
+		if l.quietUntil > s.now {
+			keys = append(keys, QuietKey{Key: key, Remaining: l.quietUntil - s.now})
 		}
 	}
-	return all, keys
+	return states, keys
 }
 
-func (s *Sender) agos(marks []Micros) []Micros {
-	keep := s.now - max(s.set.FallWindow, Second) - 1
+// timesSince returns the times since the given times of calls, without those that no longer count.
+func (s *Sender) timesSince(times []Micros) []Micros {
+	keepFrom := s.now - max(s.settings.FallWindow, Second) - 1
 	var out []Micros
-	for _, t := range marks {
-		if t >= keep {
+	for _, t := range times {
+		if t >= keepFrom {
 			out = append(out, s.now-t)
 		}
 	}
 	return out
 }
 
-func (s *Sender) thens(agos []Micros) []Micros {
+// timesBefore returns the points in time that lie the given spans before now, in order.
+func (s *Sender) timesBefore(spans []Micros) []Micros {
 	var out []Micros
-	for _, t := range agos {
-		if t >= 0 {
-			out = append(out, s.now-t)
+	for _, span := range spans {
+		if span >= 0 {
+			out = append(out, s.now-span)
 		}
 	}
 	slices.Sort(out)
 	return out
 }
 
-func (s *Sender) laneExact(l *lane) LimiterHandover {
-	s.settle(l)
-	return LimiterHandover{Sent: s.agos(l.sent), Tokens: l.tokens,
-		RequestedWait: max(l.until-s.now, 0), Overloads: l.fulls,
-		SinceFirstOverload: s.ago(l.firstFull),
-		NearLimit:          l.spent}
+// limiterHandover returns the part of a limiter's state that only a handover includes.
+func (s *Sender) limiterHandover(l *limiter) LimiterHandover {
+	s.refillTokens(l)
+	return LimiterHandover{Sent: s.timesSince(l.callTimes), Tokens: l.tokens,
+		RequestedWait: max(l.waitUntil-s.now, 0), Overloads: l.overloads,
+		SinceFirstOverload: s.timeSince(l.firstOverload),
+		NearLimit:          l.nearLimit}
 }
 
-// recallExact adds to a memory that has been taken up what a handover told.
-func (s *Sender) recallExact(d *dest, m DestinationState) {
-	lane := func(l *lane, m LimiterState) {
-		l.sent, l.tokens, l.filled = s.thens(m.Sent), m.Tokens, s.now
-		l.until = max(l.until, s.now+m.RequestedWait)
-		l.fulls, l.firstFull, l.spent = m.Overloads, s.then(m.SinceFirstOverload, 0), m.NearLimit
+// restoreHandover restores the parts of a snapshot that only a handover includes.
+func (s *Sender) restoreHandover(d *destination, m DestinationState) {
+	restore := func(l *limiter, m LimiterState) {
+		l.callTimes, l.tokens, l.refilledAt = s.timesBefore(m.Sent), m.Tokens, s.now
+		l.waitUntil = max(l.waitUntil, s.now+m.RequestedWait)
+		l.overloads, l.firstOverload, l.nearLimit = m.Overloads, s.timeBefore(m.SinceFirstOverload, 0), m.NearLimit
 	}
-	lane(d.lane, m.Limiter)
+	restore(d.limiter, m.Limiter)
 	for _, x := range m.Endpoints {
-		e := s.eps[x.Endpoint]
+		e := s.endpoints[x.Endpoint]
 		if e == nil || e.dest != d {
 			continue
 		}
-		e.sent, e.lastSent, e.trialAt = s.thens(x.Sent), s.then(x.SinceLastSent, 0), s.now+x.UntilTrial
-		if e.lane != d.lane {
-			lane(e.lane, x.Limiter)
+		e.callTimes, e.lastSent, e.trialAt =
+			s.timesBefore(x.Sent), s.timeBefore(x.SinceLastSent, 0), s.now+x.UntilTrial
+		if e.limiter != d.limiter {
+			restore(e.limiter, x.Limiter)
 		}
-		e.lane.until = max(e.lane.until, s.now+x.RequestedWait)
+		e.limiter.waitUntil = max(e.limiter.waitUntil, s.now+x.RequestedWait)
 	}
 }
 
-// adopt books an attempt that another process has out; false if its endpoint is not
-// known.
-func (s *Sender) adopt(m *msg, p History) bool {
-	e := s.eps[p.InFlight.Endpoint]
+// adoptAttempt records an attempt that another process has in flight. It returns false if the endpoint is
+// unknown.
+func (s *Sender) adoptAttempt(m *message, history History) bool {
+	e := s.endpoints[history.InFlight.Endpoint]
 	if e == nil {
 		return false
 	}
 	var c *call
-	if with := s.msgs[p.InFlight.BatchedWith]; with != nil && with != m && with.out != nil && with.out.ep == e {
-		c = with.out.call
+	if other := s.messages[history.InFlight.BatchedWith]; other != nil && other != m &&
+		other.inFlight != nil && other.inFlight.endpoint == e {
+		c = other.inFlight.call
 	} else {
-		c = &call{by: m.deadline}
-		s.busy++
-		e.inflight++
-		e.lane.inflight++
+		c = &call{deadline: m.deadline}
+		s.usedSlots++
+		e.inFlight++
+		e.limiter.inFlight++
 	}
-	c.n++
-	c.left++
-	a := &attempt{m: m, n: m.tries - 1, ep: e, at: s.now - max(p.InFlight.Age, 0), call: c}
-	m.out, m.last = a, e
-	s.flying = append(s.flying, a)
-	if p.Ended { // its end is told; what is left of it holds a slot
-		s.close(m)
+	c.size++
+	c.unresolved++
+	a := &attempt{msg: m, number: m.attempts - 1, endpoint: e, startedAt: s.now - max(history.InFlight.Age, 0),
+		call: c}
+	m.inFlight, m.lastEndpoint = a, e
+	s.inFlight = append(s.inFlight, a)
+	if history.Ended { // the client has been notified; the attempt still occupies a slot
+		s.closeMessage(m)
 	}
-	s.at(s.now + s.stuckAfter(e.dest, m) + 1)
+	s.wakeBy(s.now + s.stuckAfter(e.dest, m) + 1)
 	return true
 }
--- a/logic/health.go
+++ b/logic/health.go
@@ -2,22 +2,25 @@
 
 import "slices"
 
-// Which endpoints are out or unreliable, by what attempts and other senders tell.
+// Outage detection: which endpoints are suspected or unreliable, from the outcomes of attempts and the
+// reports of peers.
 
-// health holds messages back from an endpoint that seems out: single trials only.
-func (s *Sender) health(e *endpoint) Micros {
+// trialAvailableAt returns the time at which e may take a call as far as its health is concerned. A suspected
+// endpoint takes single trials only.
+func (s *Sender) trialAvailableAt(e *endpoint) Micros {
 	switch {
-	case e.suspect && (e.inflight > 0 || s.crowded()):
+	case e.suspect && (e.inFlight > 0 || s.trialSlotsUsed()):
 		return never
 	case e.suspect:
 		return e.trialAt
-	case e.inflight > 0 && e.doubt > e.good: // others say that it is out: singly, until an answer
+	case e.inFlight > 0 && e.peerReportAt > e.lastSuccessSent: // reported by a peer: one call until an answer
 		return never
 	}
-	// Outages mostly take all endpoints: after one has failed, the others are tried singly until they answer.
-	if e.inflight > 0 && e.lane == e.dest.lane {
-		for _, x := range e.dest.eps {
-			if x.suspect && x.lastBad > e.lastOK {
+	// Most outages affect all endpoints of a destination. After one has failed, the others take one call at a
+	// time until they answer.
+	if e.inFlight > 0 && e.limiter == e.dest.limiter {
+		for _, x := range e.dest.endpoints {
+			if x.suspect && x.lastFailure > e.lastSuccess {
 				return never
 			}
 		}
@@ -25,122 +28,133 @@
 	return 0
 }
 
-// unreliable says that an endpoint fails too often for unsafe messages, which go elsewhere while they are
-// in time.
-func (e *endpoint) unreliable() bool { return e.suspect || e.bad > badUnsafe }
+// unreliable reports whether an endpoint fails too often for unsafe messages, which are sent elsewhere until
+// their Aim.
+func (e *endpoint) unreliable() bool { return e.suspect || e.failureRatio > maxUnsafeFailureRatio }
 
-// unreliable says that none of d's endpoints that would take a call is good enough for unsafe messages,
-// and none takes them along in one.
-func (s *Sender) unreliable(d *dest) bool {
-	return !slices.ContainsFunc(d.eps, func(e *endpoint) bool {
-		return !e.unreliable() && s.opensAt(e) <= s.now || e.open != nil && e.open.step == s.step
+// allUnreliable reports whether no endpoint of d is reliable enough for an unsafe message and can take a call
+// now, and no call is open that the message could join.
+func (s *Sender) allUnreliable(d *destination) bool {
+	return !slices.ContainsFunc(d.endpoints, func(e *endpoint) bool {
+		return !e.unreliable() && s.availableAt(e) <= s.now || e.openCall != nil && e.openCall.step == s.step
 	})
 }
 
-// crowded says that trials hold the slots that they may.
-func (s *Sender) crowded() bool { return s.onTrial() >= max(1, s.set.Slots*2/3) }
+// trialSlotsUsed reports whether trials occupy all the slots that they may.
+func (s *Sender) trialSlotsUsed() bool { return s.slotsOnTrial() >= max(1, s.settings.Slots*2/3) }
 
-// succeeded notes an answer to what was sent at a time. One sent before the last failure tells nothing of a
-// return: else a call that was under way when a destination shut would end the watch before it opens.
-func (s *Sender) succeeded(e *endpoint, sent Micros) {
-	if e.suspect && sent < e.lastBad {
+// recordSuccess records an answer to a call that was sent at the given time. An answer to a call from before
+// the last failure does not end an outage: a call that was in flight when the destination failed may still be
+// answered.
+func (s *Sender) recordSuccess(e *endpoint, sent Micros) {
+	if e.suspect && sent < e.lastFailure {
 		return
 	}
-	if e.suspect || e.doubt > e.good && sent >= e.doubt {
-		s.learnt(e, false)
+	if e.suspect || e.peerReportAt > e.lastSuccessSent && sent >= e.peerReportAt {
+		s.publishHealth(e, false)
 	}
 	if e.suspect {
 		s.log("endpoint %d answers again", e.id)
-		s.note(e.dest, true)
-		e.suspect, e.backAt, e.trialGap = false, s.now, 0
+		s.noteChange(e.dest, true)
+		e.suspect, e.recoveredAt, e.trialInterval = false, s.now, 0
 	}
-	e.good, e.lastOK = max(e.good, sent), s.now
-	e.fails, e.fulls, e.spoilt, e.lane.fulls = 0, 0, 0, 0
-	e.bad *= 1 - badAlpha
+	e.lastSuccessSent, e.lastSuccess = max(e.lastSuccessSent, sent), s.now
+	e.failures, e.overloads, e.invalidResponses, e.limiter.overloads = 0, 0, 0, 0
+	e.failureRatio *= 1 - ewmaWeight
 }
 
-// noteOutage notes when e was last seen to be out. A sibling that has answered between two such times is
-// well for itself; an answer after the last may be of the return of both.
+// noteOutage records the time at which e was last seen to be in outage. A sibling that has answered between
+// two such times is healthy on its own. An answer after the last one may be due to the recovery of both.
 func (s *Sender) noteOutage(e *endpoint) {
-	for _, x := range e.dest.eps {
-		if x != e && e.suspect && x.good > e.lastBad {
-			x.well = s.now
+	for _, x := range e.dest.endpoints {
+		if x != e && e.suspect && x.lastSuccessSent > e.lastFailure {
+			x.independentSuccess = s.now
 		}
 	}
-	e.lastBad = s.now
+	e.lastFailure = s.now
 }
 
-// failed notes a sign of an outage at e: an error, a reset, no connection or no answer.
-func (s *Sender) failed(e *endpoint, how string) {
-	e.fails++
+// recordFailure records a failure that indicates an outage of e: an error, a broken or refused connection, or
+// a missing answer.
+func (s *Sender) recordFailure(e *endpoint, reason string) {
+	e.failures++
 	s.noteOutage(e)
-	e.bad += badAlpha * (1 - e.bad)
-	if e.fails >= 2 || e.bad > badShare || how != "errors" {
-		s.takeOut(e, how)
-		s.learnt(e, true)
+	e.failureRatio += ewmaWeight * (1 - e.failureRatio)
+	if e.failures >= 2 || e.failureRatio > outageFailureRatio || reason != "errors" {
+		s.startOutage(e, reason)
+		s.publishHealth(e, true)
 	}
 }
 
-// full notes a refusal; refusals in a row over longer than a limit's window, or a long told wait, mean shut.
-// While the last report says that the limit is used up, only the latter does: a cold budget costs more.
-func (s *Sender) full(e *endpoint, wait Micros) {
-	s.refused(e.lane)
-	for _, x := range e.dest.eps { // routes apart take their parts of the same traffic
-		if share := s.share(x.lane); share < paceFloor && x.lane.pace == 0 {
-			x.lane.pace = share
+// recordOverload records a rejection for overload. Rejections in a row over longer than the window of a
+// limit, or a long requested wait, indicate an outage. While the last load report says that the limit is
+// nearly used up, only the wait does, as the slow start after a falsely detected outage costs more than the
+// rejections.
+func (s *Sender) recordOverload(e *endpoint, wait Micros) {
+	s.decreaseRate(e.limiter)
+	for _, x := range e.dest.endpoints { // independent endpoints get parts of the same traffic
+		if share := s.evenShare(x.limiter); share < minRate && x.limiter.rate == 0 {
+			x.limiter.rate = share
 		}
 	}
-	e.fulls++
-	l := e.lane
-	if l.fulls++; l.fulls == 1 {
-		l.firstFull = s.now
+	e.overloads++
+	l := e.limiter
+	if l.overloads++; l.overloads == 1 {
+		l.firstOverload = s.now
 	}
-	if e.suspect || wait > longWait || !l.spent && l.fulls >= fullsDown && s.now-l.firstFull > fullsSpan {
+	if e.suspect || wait > outageWait ||
+		!l.nearLimit && l.overloads >= outageOverloads && s.now-l.firstOverload > outageOverloadSpan {
 		s.noteOutage(e)
-		s.takeOut(e, "refuses all")
-		s.learnt(e, true)
+		s.startOutage(e, "refuses all")
+		s.publishHealth(e, true)
 	}
 }
 
-// heard takes what another sender has found. One that had an answer a moment ago believes that, and goes on
-// singly until the next. What answers others, or is ours to try, gets a trial.
-func (s *Sender) heard(e *endpoint, h PeerHealth) {
-	if e.doubt = s.now; h.Outage && (e.suspect || e.lastOK < s.now-lately) {
+// handlePeerHealth processes a report of a peer. An endpoint that has just answered this sender is not
+// suspected, but takes one call at a time until the next answer. An endpoint that has answered a peer, or
+// that this sender is to test, gets a trial.
+func (s *Sender) handlePeerHealth(e *endpoint, report PeerHealth) {
+	if e.peerReportAt = s.now; report.Outage && (e.suspect || e.lastSuccess < s.now-recentSuccess) {
 		s.noteOutage(e)
-		s.takeOut(e, "others say so")
-	} else if h.TryNow && e.suspect {
-		e.trialAt = min(e.trialAt, s.now+Micros(s.rng.Float64()*float64(trialGap)))
+		s.startOutage(e, "reported by a peer")
+	} else if report.TryNow && e.suspect {
+		e.trialAt = min(e.trialAt, s.now+Micros(s.rng.Float64()*float64(firstTrialInterval)))
 	}
 }
 
-// takeOut takes an endpoint for out: from now on single trials, and after its return a budget.
-func (s *Sender) takeOut(e *endpoint, how string) {
-	s.suspect(e, how)
+// startOutage marks an endpoint as in outage: it takes single trials only, and is in slow start after its
+// recovery.
+func (s *Sender) startOutage(e *endpoint, reason string) {
+	s.markSuspect(e, reason)
 	if !s.isCold(e) {
-		s.note(e.dest, true)
+		s.noteChange(e.dest, true)
 		e.cold = true
-		e.dest.came, e.dest.downAt = 1, s.now
+		e.dest.arrivals, e.dest.outageAt = 1, s.now
 	}
 }
 
-// leave has those that were not tried since an endpoint failed keep its outage when it goes off the list.
-func (s *Sender) leave(e *endpoint) {
-	for _, x := range e.dest.eps {
-		if e.suspect && !x.cold && x.good < e.lastBad {
-			s.inherit(x)
+// propagateOutage applies the outage of an endpoint that leaves the list to the siblings that have not been
+// tried since it failed.
+func (s *Sender) propagateOutage(e *endpoint) {
+	for _, x := range e.dest.endpoints {
+		if e.suspect && !x.cold && x.lastSuccessSent < e.lastFailure {
+			s.inheritOutage(x)
 		}
 	}
 }
 
-func (s *Sender) suspect(e *endpoint, how string) {
+// markSuspect suspects an endpoint of an outage: it takes single trials only.
+func (s *Sender) markSuspect(e *endpoint, reason string) {
 	if !e.suspect {
-		s.log("endpoint %d out: %s", e.id, how)
-		s.note(e.dest, true)
-		e.suspect, e.trialGap, e.trialAt = true, trialGap, s.now+trialGap
+		s.log("endpoint %d out: %s", e.id, reason)
+		s.noteChange(e.dest, true)
+		e.suspect, e.trialInterval, e.trialAt = true, firstTrialInterval, s.now+firstTrialInterval
 	}
 }
 
-func (s *Sender) backOff(e *endpoint) {
-	e.trialGap = min(2*max(e.trialGap, trialGap), trialMost)
-	e.trialAt = s.now + e.trialGap*Micros(max(e.turn, 1)*(80+s.rng.IntN(40)))/100
+// backOffTrial sets the time of the next trial. The interval doubles with each trial, with a random deviation
+// that spreads the trials of several senders.
+func (s *Sender) backOffTrial(e *endpoint) {
+	e.trialInterval = min(2*max(e.trialInterval, firstTrialInterval), maxTrialInterval)
+	e.trialAt = s.now + e.trialInterval*Micros(max(e.trialFactor, 1)*(80+s.rng.IntN(40)))/100
 }
--- a/logic/heard_test.go
+++ b/logic/heard_test.go
@@ -63,9 +63,9 @@
 	if l := only[HealthChange](r.step(0.1, answer(first[0].ID, 1, 0, ConnectionRefused))); len(l) != 1 || !l[0].Outage {
 		t.Errorf("found out: %+v", l)
 	}
-	next := r.s.eps[1].trialAt
-	if r.step(0.12, back); r.s.eps[1].trialAt >= next || r.s.eps[1].trialAt < sec(0.12) {
-		t.Errorf("the next trial is at %d, was at %d", r.s.eps[1].trialAt, next)
+	next := r.s.endpoints[1].trialAt
+	if r.step(0.12, back); r.s.endpoints[1].trialAt >= next || r.s.endpoints[1].trialAt < sec(0.12) {
+		t.Errorf("the next trial is at %d, was at %d", r.s.endpoints[1].trialAt, next)
 	}
 
 	gaps := func(turn int) (all Micros) { // between trials at one that stays out
@@ -74,15 +74,15 @@
 		var last Micros
 		r.step(0, r.call(0))
 		for at := 0.1; at < 9.9; at += 0.1 {
-			for _, m := range r.s.msgs {
-				if m.out != nil {
+			for _, m := range r.s.messages {
+				if m.inFlight != nil {
 					last = r.s.now
-					r.step(at, AttemptResult{ID: m.id, Endpoint: 1, Attempt: m.out.n, Outcome: ConnectionRefused})
+					r.step(at, AttemptResult{ID: m.id, Endpoint: 1, Attempt: m.inFlight.number, Outcome: ConnectionRefused})
 				}
 			}
 			r.step(at)
 		}
-		return r.s.eps[1].trialAt - last
+		return r.s.endpoints[1].trialAt - last
 	}
 	if one, eight := gaps(1), gaps(8); one > sec(2.5) || eight < sec(2.9) {
 		t.Errorf("trials: the next comes after %d alone, and %d where others try it", one, eight)
--- a/logic/latency.go
+++ b/logic/latency.go
@@ -2,10 +2,11 @@
 
 import "math"
 
-// The discounted histogram of latencies and its restart time τ.
+// The discounted histogram of latencies, and the restart time τ computed from it.
 
-var edges = func() (e [binCount]Micros) {
-	x := float64(binBase)
+// binEdges are the upper edges of the bins.
+var binEdges = func() (e [binCount]Micros) {
+	x := float64(firstBinEdge)
 	for i := range e {
 		e[i] = Micros(x)
 		x *= binRatio
@@ -13,35 +14,38 @@
 	return e
 }()
 
-func (h *hist) add(now, took Micros, cut bool) {
-	f := math.Exp2(-float64(now-h.at) / float64(halfLife))
-	h.at = now
-	for i := range h.w {
-		h.w[i] *= f
+// add adds a latency after discounting the earlier ones. The latency of a censored sample is only a lower
+// bound, as the call was cancelled or is still in flight.
+func (h *histogram) add(now, latency Micros, censored bool) {
+	f := math.Exp2(-float64(now-h.updatedAt) / float64(latencyHalfLife))
+	h.updatedAt = now
+	for i := range h.weights {
+		h.weights[i] *= f
 	}
-	h.total, h.cuts = h.total*f, h.cuts*f
-	if cut {
-		h.cuts++
+	h.total, h.censored = h.total*f, h.censored*f
+	if censored {
+		h.censored++
 	} else {
-		h.w[bin(took)]++
+		h.weights[binIndex(latency)]++
 		h.total++
 	}
 	h.update()
 }
 
-// update finds τ, the edge with the least mean time to an answer under unlimited restarts, and percentiles.
-func (h *hist) update() {
-	h.tau, h.median, h.p95 = 0, 0, 0
-	all := h.total + max(h.cuts, 0)
-	var m0, m1 float64
+// update computes τ, which is the bin edge with the least mean time to an answer under unlimited restarts,
+// and the percentiles.
+func (h *histogram) update() {
+	h.restartTime, h.median, h.p95 = 0, 0, 0
+	all := h.total + max(h.censored, 0)
+	var m0, m1 float64 // count and sum of the latencies up to the edge
 	best, bestAt, wait := math.Inf(1), Micros(0), math.Inf(1)
-	for i, edge := range edges {
+	for i, edge := range binEdges {
 		low := Micros(0)
 		if i > 0 {
-			low = edges[i-1]
+			low = binEdges[i-1]
 		}
-		m0 += h.w[i]
-		m1 += h.w[i] * float64(low+edge) / 2
+		m0 += h.weights[i]
+		m1 += h.weights[i] * float64(low+edge) / 2
 		if h.median == 0 && m0 >= h.total/2 {
 			h.median = edge
 		}
@@ -57,7 +61,7 @@
 			best, bestAt = wait, edge
 		}
 	}
-	if h.total >= tauWeight && best < tauGain*wait {
-		h.tau = bestAt
+	if h.total >= minRestartSamples && best < maxRestartRatio*wait {
+		h.restartTime = bestAt
 	}
 }
--- a/logic/logic.go
+++ b/logic/logic.go
@@ -1,67 +1,69 @@
 package logic
 
-// One step of the module: events in, decisions, actions out. The interface is in logic/types.go, tuned
-// values in tuning.go; each kind of decision has a file of its name.
+// The interface of the package is in types.go and its constants are in tuning.go. Each kind of decision has a
+// file of its own.
 
 import (
 	"math"
 	"math/rand/v2"
 )
 
-// New makes a Sender. An error names the setting that makes no sense.
-func New(set Settings, seed uint64) (*Sender, error) {
-	if err := check(&set); err != nil {
+// New creates a Sender. The error names the invalid setting.
+func New(settings Settings, seed uint64) (*Sender, error) {
+	if err := validate(&settings); err != nil {
 		return nil, err
 	}
-	s := &Sender{rng: rand.New(rand.NewPCG(seed, 0)), now: math.MinInt64, askAt: never,
-		askJitter: askJitter, newsAt: never,
-		eps: map[EndpointID]*endpoint{}, dests: map[int64]*dest{}, msgs: map[string]*msg{},
-		keys: map[string]*keyLine{}}
-	if set.ListOnRequest {
-		s.askAt = math.MinInt64
+	s := &Sender{rng: rand.New(rand.NewPCG(seed, 0)), now: math.MinInt64, listRequestAt: never,
+		listRetryJitter: listRetryJitter, changesDue: never,
+		endpoints: map[EndpointID]*endpoint{}, destinations: map[int64]*destination{},
+		messages: map[string]*message{}, keyQueues: map[string]*keyQueue{}}
+	if settings.ListOnRequest {
+		s.listRequestAt = math.MinInt64
 	}
-	s.retune(set)
+	s.applySettings(settings)
 	return s, nil
 }
 
-// Step takes what happened up to now and returns what to do.
+// Step processes the events that happened up to now and returns the actions to carry out, in order.
 func (s *Sender) Step(now Micros, events []Event) []Action {
 	s.now = max(s.now, now)
 	s.step++
-	s.out, s.wake = nil, never
+	s.actions, s.wakeAt = nil, never
 	for _, ev := range events {
-		s.take(ev)
+		s.handle(ev)
 	}
-	s.subscribe()
-	s.forget()
-	s.endHopeless()
-	s.cutLong()
+	s.requestList()
+	s.cleanup()
+	s.endExpiring()
+	s.cancelSlowAttempts()
 	s.dispatch()
-	s.arm()
-	return s.out
+	s.armTimer()
+	return s.actions
 }
 
-// ageOut drops the state of a destination that was long idle, once a message for it comes.
-func (s *Sender) ageOut(d *dest) {
-	if s.now-d.used > idleAge && d.lane.inflight == 0 {
-		d.hist, d.lane.pace = hist{}, 0
-		s.refreshAll(d)
+// resetIfIdle drops outdated state of a destination that has been idle for long, when a message for it is
+// submitted.
+func (s *Sender) resetIfIdle(d *destination) {
+	if s.now-d.lastUsed > idleStateAge && d.limiter.inFlight == 0 {
+		d.latencies, d.limiter.rate = histogram{}, 0
+		s.updateExpiries(d)
 	}
-	d.used = s.now
+	d.lastUsed = s.now
 }
 
-// arm sets a timer for the next thing to be done, unless one that goes off by then is out.
-func (s *Sender) arm() {
-	if at := s.alarms.next(); at < never {
-		s.at(at + 1) // destinations are looked at from the instant before
+// armTimer sets a timer for the next time at which work is due, unless a timer that fires by then is already
+// set.
+func (s *Sender) armTimer() {
+	if at := s.timers.nextAt(); at < never {
+		s.wakeBy(at + 1) // the timers of destinations fire one microsecond early
 	}
-	if s.wake == never {
+	if s.wakeAt == never {
 		return
 	}
-	s.wake = max(s.wake, s.now+max(s.set.Tick, 1000))
-	if s.timer > s.now && s.timer <= s.wake {
+	s.wakeAt = max(s.wakeAt, s.now+max(s.settings.Tick, 1000))
+	if s.timerAt > s.now && s.timerAt <= s.wakeAt {
 		return
 	}
-	s.timer = s.wake
-	s.do(SetTimer{Wait: s.wake - s.now, Token: uint64(s.step)})
+	s.timerAt = s.wakeAt
+	s.emit(SetTimer{Wait: s.wakeAt - s.now, Token: uint64(s.step)})
 }
--- a/logic/mechanism_test.go
+++ b/logic/mechanism_test.go
@@ -6,7 +6,7 @@
 )
 
 // feed fills a histogram with n samples each of the given latencies.
-func feed(h *hist, n int, took ...float64) {
+func feed(h *histogram, n int, took ...float64) {
 	for range n {
 		for _, x := range took {
 			h.add(0, sec(x), false)
@@ -17,39 +17,39 @@
 func TestTau(t *testing.T) {
 	for _, c := range []struct {
 		name    string
-		fill    func(*hist)
+		fill    func(*histogram)
 		restart bool
 	}{
-		{"one speed: waiting is best", func(h *hist) { feed(h, 20, 0.1) }, false},
-		{"a few very slow: restart early", func(h *hist) { feed(h, 20, 0.1); feed(h, 4, 8) }, true},
-		{"too few samples", func(h *hist) { feed(h, 4, 0.1); feed(h, 1, 8) }, false},
-		{"cut attempts lower M0", func(h *hist) {
+		{"one speed: waiting is best", func(h *histogram) { feed(h, 20, 0.1) }, false},
+		{"a few very slow: restart early", func(h *histogram) { feed(h, 20, 0.1); feed(h, 4, 8) }, true},
+		{"too few samples", func(h *histogram) { feed(h, 4, 0.1); feed(h, 1, 8) }, false},
+		{"cut attempts lower M0", func(h *histogram) {
 			feed(h, 20, 0.1)
 			for range 5 {
 				h.add(0, sec(0.4), true)
 			}
 		}, true},
 	} {
-		var h hist
+		var h histogram
 		c.fill(&h)
-		if got := h.tau > 0; got != c.restart {
-			t.Errorf("%s: tau %d", c.name, h.tau)
+		if got := h.restartTime > 0; got != c.restart {
+			t.Errorf("%s: tau %d", c.name, h.restartTime)
 		}
-		if h.tau > 0 && (h.tau < sec(0.1) || h.tau > sec(0.2)) {
-			t.Errorf("%s: tau %d is not at the edge past the quick ones", c.name, h.tau)
+		if h.restartTime > 0 && (h.restartTime < sec(0.1) || h.restartTime > sec(0.2)) {
+			t.Errorf("%s: tau %d is not at the edge past the quick ones", c.name, h.restartTime)
 		}
 	}
 }
 
 func TestHistogramForgets(t *testing.T) {
-	var h hist
+	var h histogram
 	feed(&h, 16, 0.1)
-	h.add(halfLife, sec(1), false)
+	h.add(latencyHalfLife, sec(1), false)
 	if math.Abs(h.total-9) > 1e-9 {
 		t.Errorf("after a half-life 16 samples and a new one weigh %v, want 9", h.total)
 	}
 	for range 20 {
-		h.add(halfLife, sec(1), false)
+		h.add(latencyHalfLife, sec(1), false)
 	}
 	if h.median < sec(0.9) {
 		t.Errorf("median %d stays at the old latency after a lasting shift", h.median)
@@ -91,16 +91,16 @@
 		ev.Entries[0].NominalRate, ev.Entries[1].NominalRate = 40, 40
 		r.step(0, ev)
 		at := r.warm(1, 20)
-		d := r.s.dests[9]
-		feed(&d.hist, 2, 5) // a slow few: restarting pays
-		d.hist.add(r.s.now, sec(5), false)
-		if d.hist.tau == 0 {
+		d := r.s.destinations[9]
+		feed(&d.latencies, 2, 5) // a slow few: restarting pays
+		d.latencies.add(r.s.now, sec(5), false)
+		if d.latencies.restartTime == 0 {
 			t.Fatal("no tau")
 		}
-		d.hist.p95 = d.hist.tau
+		d.latencies.p95 = d.latencies.restartTime
 		m := r.call(class)
 		first := only[StartAttempt](r.step(at, m))[0]
-		limit := seconds(max(d.hist.tau, r.s.stuckAfter(d, r.s.msgs[m.ID])))
+		limit := seconds(max(d.latencies.restartTime, r.s.stuckAfter(d, r.s.messages[m.ID])))
 		if c := only[Cancel](r.step(at+limit-0.05, TimerFired{})); len(c) > 0 {
 			t.Errorf("class %d: cut before the limit", class)
 		}
@@ -136,49 +136,49 @@
 
 func TestPaceHalvesOnceASecondToItsFloor(t *testing.T) {
 	r := newRig(t, base())
-	l := &lane{}
+	l := &limiter{}
 	r.s.now = sec(1)
 	for range 6 {
-		l.sent = append(l.sent, r.s.now)
+		l.callTimes = append(l.callTimes, r.s.now)
 	}
-	r.s.refused(l)
-	if l.pace != 6 {
-		t.Fatalf("first refusal set the pace to %v, want the last second's 6", l.pace)
+	r.s.decreaseRate(l)
+	if l.rate != 6 {
+		t.Fatalf("first refusal set the pace to %v, want the last second's 6", l.rate)
 	}
-	r.s.refused(l)
-	if l.pace != 6 {
-		t.Errorf("pace %v, want no second cut within a second", l.pace)
+	r.s.decreaseRate(l)
+	if l.rate != 6 {
+		t.Errorf("pace %v, want no second cut within a second", l.rate)
 	}
 	for i, want := range []float64{3, 1.5, 1, 1} {
 		r.s.now = sec(2 + float64(i))
-		r.s.refused(l)
-		if l.pace != want {
-			t.Errorf("refusal %d: pace %v, want %v", i+2, l.pace, want)
+		r.s.decreaseRate(l)
+		if l.rate != want {
+			t.Errorf("refusal %d: pace %v, want %v", i+2, l.rate, want)
 		}
 	}
-	r.s.creep(l)
-	if l.pace != 1.1 {
-		t.Errorf("after a success the pace is %v, want 1.1", l.pace)
+	r.s.increaseRate(l)
+	if l.rate != 1.1 {
+		t.Errorf("after a success the pace is %v, want 1.1", l.rate)
 	}
 	// A told limit: the floor is no more than an even share, and the pace creeps by a share of it.
-	l = &lane{limit: 20, pace: 1}
-	r.s.creep(l)
-	if l.pace != 2 {
-		t.Errorf("pace %v under a limit of 20 for two senders, want 2", l.pace)
+	l = &limiter{limit: 20, rate: 1}
+	r.s.increaseRate(l)
+	if l.rate != 2 {
+		t.Errorf("pace %v under a limit of 20 for two senders, want 2", l.rate)
 	}
 	// Thin: the even share is under a call a second. The first refusal leaves most of it, further ones less.
-	l = &lane{limit: 1}
+	l = &limiter{limit: 1}
 	for i, want := range []float64{0.4, 0.2, 0.1, 0.05, 0.05} {
 		r.s.now = sec(20 + float64(i))
-		if r.s.refused(l); math.Abs(l.pace-want) > 1e-9 {
-			t.Errorf("thin lane, refusal %d: pace %v, want %v", i+1, l.pace, want)
+		if r.s.decreaseRate(l); math.Abs(l.rate-want) > 1e-9 {
+			t.Errorf("thin lane, refusal %d: pace %v, want %v", i+1, l.rate, want)
 		}
 	}
 	for range 40 {
-		r.s.creep(l)
+		r.s.increaseRate(l)
 	}
-	if l.pace != 0 {
-		t.Errorf("thin lane: pace %v after 40 successes, want it dropped", l.pace)
+	if l.rate != 0 {
+		t.Errorf("thin lane: pace %v after 40 successes, want it dropped", l.rate)
 	}
 }
 
@@ -193,7 +193,7 @@
 	for range 12 {
 		calls = append(calls, r.call(0))
 	}
-	r.s.dests[9].lane.filled = 0
+	r.s.destinations[9].limiter.refilledAt = 0
 	r.step(5)
 	if n := len(only[StartAttempt](r.step(5, calls...))); n != 1 {
 		t.Errorf("%d sends of a clump at once under a limit of 4 a second, want half a second of its share", n)
@@ -263,7 +263,7 @@
 					ended[a.ID] = true
 				}
 			}
-			for i, c := range r.s.set.Classes {
+			for i, c := range r.s.settings.Classes {
 				if id := []string{"m1", "m2", "m3"}[i]; sec(at) >= sec(1)+c.Deadline && !ended[id] {
 					t.Fatalf("%s: %s has no answer at its deadline", name, id)
 				}
@@ -287,7 +287,7 @@
 		}
 		s.Step(0, nil)
 		s.Step(Second, []Event{Endpoints{Form: ListFailed}})
-		first, last = min(first, s.askAt), max(last, s.askAt)
+		first, last = min(first, s.listRequestAt), max(last, s.listRequestAt)
 	}
 	if last-first < 2*Second {
 		t.Errorf("80 senders ask again within %d µs", last-first)
@@ -334,7 +334,7 @@
 	shut.RetryAfter = sec(8)
 	r.step(1.2, shut)
 	r.step(1.3, answer(a.ID, a.Endpoint, 0, Completed))
-	if e := r.s.eps[1]; !e.suspect || !e.cold {
+	if e := r.s.endpoints[1]; !e.suspect || !e.cold {
 		t.Error("an answer to an older call ended the watch on a shut endpoint")
 	}
 }
@@ -346,7 +346,7 @@
 	c := only[StartAttempt](r.step(1, r.call(0)))[0]
 	r.step(1.1, answer(c.ID, c.Endpoint, 0, ConnectionRefused))
 	r.step(2, Endpoints{Form: ListDelta, Entries: []Entry{{Endpoint: 2, Dest: 9}}})
-	if e := r.s.eps[2]; !e.cold || !e.suspect {
+	if e := r.s.endpoints[2]; !e.cold || !e.suspect {
 		t.Error("the new endpoint has no budget")
 	}
 }
@@ -355,12 +355,12 @@
 func TestRefusalsBesideAnswersAreNotShut(t *testing.T) {
 	r := newRig(t, base())
 	r.step(0, list(2))
-	e := r.s.eps[1]
+	e := r.s.endpoints[1]
 	for i := range 8 {
 		r.s.now = sec(1 + 0.5*float64(i))
-		r.s.full(e, 0)
+		r.s.recordOverload(e, 0)
 		if i%3 == 2 {
-			r.s.succeeded(r.s.eps[2], r.s.now)
+			r.s.recordSuccess(r.s.endpoints[2], r.s.now)
 		}
 	}
 	if e.suspect {
@@ -368,7 +368,7 @@
 	}
 	for i := range 5 {
 		r.s.now = sec(10 + 0.5*float64(i))
-		r.s.full(e, 0)
+		r.s.recordOverload(e, 0)
 	}
 	if !e.suspect {
 		t.Error("a destination that refuses everything without a wait was not noticed")
@@ -382,8 +382,8 @@
 		set.MaxOpen = c.hold
 		r := newRig(t, set)
 		r.step(0, list(1))
-		r.s.dests[9].lane.pace = 1
-		r.s.dests[9].lane.until = sec(2)
+		r.s.destinations[9].limiter.rate = 1
+		r.s.destinations[9].limiter.waitUntil = sec(2)
 		var calls []Event
 		for range 25 {
 			calls = append(calls, r.call(0))
@@ -415,9 +415,9 @@
 	r := newRig(t, base())
 	r.step(0, list(1))
 	at := r.warm(1, 10)
-	r.s.dests[9].lane.pace = 1
-	r.step(at+seconds(idleAge)+1, r.call(0))
-	if d := r.s.dests[9]; d.hist.total != 0 || d.lane.pace != 0 {
+	r.s.destinations[9].limiter.rate = 1
+	r.step(at+seconds(idleStateAge)+1, r.call(0))
+	if d := r.s.destinations[9]; d.latencies.total != 0 || d.limiter.rate != 0 {
 		t.Error("an idle destination kept its histogram or pace")
 	}
 }
@@ -433,8 +433,8 @@
 	c := only[StartAttempt](r.step(6, r.call(0)))[0]
 	r.step(6.1, ClientGone{c.ID})
 	acts = r.step(6.2, answer(c.ID, c.Endpoint, 0, Errored), answer(c.ID, c.Endpoint, 0, Errored))
-	if len(acts) != 0 || r.s.busy != 0 {
-		t.Errorf("a late outcome of a withdrawn message caused %v; %d slots busy", acts, r.s.busy)
+	if len(acts) != 0 || r.s.usedSlots != 0 {
+		t.Errorf("a late outcome of a withdrawn message caused %v; %d slots busy", acts, r.s.usedSlots)
 	}
 	before := r.s.now
 	r.step(1, r.call(0)) // a clock that steps back does no harm
@@ -454,14 +454,14 @@
 		calls = append(calls, r.call(0))
 	}
 	out := only[StartAttempt](r.step(1, calls...))
-	if len(out) != 10 || r.s.busy != 1 {
-		t.Fatalf("%d sends in %d slots, want 10 in one", len(out), r.s.busy)
+	if len(out) != 10 || r.s.usedSlots != 1 {
+		t.Fatalf("%d sends in %d slots, want 10 in one", len(out), r.s.usedSlots)
 	}
 	for _, c := range out {
 		r.step(1.2, answer(c.ID, c.Endpoint, 0, Completed))
 	}
-	if len(r.s.flying) != 5 {
-		t.Errorf("%d calls out after the first batch, want the other five", len(r.s.flying))
+	if len(r.s.inFlight) != 5 {
+		t.Errorf("%d calls out after the first batch, want the other five", len(r.s.inFlight))
 	}
 }
 
@@ -478,11 +478,11 @@
 	}
 	at = r.warm(at, 8)
 	r.step(at, TimerFired{})
-	if h := &r.s.dests[9].hist; h.cuts < 0.8 || h.tau == 0 {
-		t.Errorf("lost answers: %v counted while out, tau %d", h.cuts, h.tau)
+	if h := &r.s.destinations[9].latencies; h.censored < 0.8 || h.restartTime == 0 {
+		t.Errorf("lost answers: %v counted while out, tau %d", h.censored, h.restartTime)
 	}
 	cut := 0
-	for _, a := range r.s.flying {
+	for _, a := range r.s.inFlight {
 		if a.cancelled {
 			cut++
 		}
@@ -491,9 +491,9 @@
 		t.Errorf("%d of %d lost calls were called off", cut, len(lost))
 	}
 	// One that answers after all is no longer counted.
-	before := r.s.dests[9].hist.cuts
+	before := r.s.destinations[9].latencies.censored
 	r.step(at, answer(lost[0].ID, lost[0].Endpoint, 0, Completed))
-	if got := r.s.dests[9].hist.cuts; got > before-0.9 {
+	if got := r.s.destinations[9].latencies.censored; got > before-0.9 {
 		t.Errorf("a late answer left %v of %v counted as lost", got, before)
 	}
 }
@@ -534,7 +534,7 @@
 	sent := 0
 	for i := range 20 {
 		for _, x := range only[StartAttempt](r.step(1.2+0.1*float64(i), r.call(0))) {
-			r.s.eps[x.Endpoint].inflight = 0 // only the budget holds
+			r.s.endpoints[x.Endpoint].inFlight = 0 // only the budget holds
 			sent++
 		}
 	}
@@ -554,7 +554,7 @@
 	shut.RetryAfter = sec(8)
 	r.step(1.2, shut)
 	r.step(1.3, answer(a.ID, a.Endpoint, 0, Completed))
-	if x, e := r.s.eps[b.Endpoint], r.s.eps[a.Endpoint]; e.well >= x.lastBad {
+	if x, e := r.s.endpoints[b.Endpoint], r.s.endpoints[a.Endpoint]; e.independentSuccess >= x.lastFailure {
 		t.Error("an answer to an older call shows a sibling to be well")
 	}
 }
@@ -565,9 +565,9 @@
 	r := newRig(t, set)
 	for i := range 40 {
 		r.s.now = sec(0.1 * float64(i))
-		r.s.shareOf(0)
+		r.s.quotaFactor(0)
 	}
-	if a, b := r.s.shareOf(0), r.s.shareOf(1); a != 0.2 || b != 1 {
+	if a, b := r.s.quotaFactor(0), r.s.quotaFactor(1); a != 0.2 || b != 1 {
 		t.Errorf("ten a second of a quota of two keeps %v, a quiet tenant %v", a, b)
 	}
 }
@@ -579,7 +579,7 @@
 	late, near := r.call(0), r.call(0)
 	late.Remaining, near.Remaining = sec(8.8), sec(9.1) // of 10; wanted within 1
 	r.s.Step(sec(5), []Event{Endpoints{Form: ListFull}, late, near})
-	if a, b := r.s.rate(r.s.msgs[late.ID]), r.s.rate(r.s.msgs[near.ID]); a >= b {
+	if a, b := r.s.priority(r.s.messages[late.ID]), r.s.priority(r.s.messages[near.ID]); a >= b {
 		t.Errorf("late ranks %g, in time %g", a, b)
 	}
 }
--- a/logic/memory.go
+++ b/logic/memory.go
@@ -1,188 +1,201 @@
 package logic
 
-// What a Sender tells of destinations for a later process, and takes from an earlier one.
+// Snapshots of the state of destinations for a later process, and their restore.
 
 import (
 	"math"
 	"slices"
 )
 
-// note marks a destination as one with news, if anybody asks for them.
-func (s *Sender) note(d *dest, health bool) {
-	if !s.set.TrackChanges {
+// noteChange marks a destination as changed since its last snapshot, if changes are tracked.
+func (s *Sender) noteChange(d *destination, health bool) {
+	if !s.settings.TrackChanges {
 		return
 	}
-	if !d.noted {
-		d.noted = true
-		s.news = append(s.news, d)
+	if !d.changed {
+		d.changed = true
+		s.changed = append(s.changed, d)
 	}
-	d.urgent = d.urgent || health
-	s.newsAt = min(s.newsAt, d.newsDue())
+	d.healthChanged = d.healthChanged || health
+	s.changesDue = min(s.changesDue, d.changeDue())
 }
 
-// newsDue is when a destination's news are to be told.
-func (d *dest) newsDue() Micros {
-	if d.urgent {
-		return d.toldAt + tellHealth
+// changeDue is the time at which the next snapshot of a changed destination is due.
+func (d *destination) changeDue() Micros {
+	if d.healthChanged {
+		return d.reportedAt + healthChangeInterval
 	}
-	return d.toldAt + tellRest
+	return d.reportedAt + stateChangeInterval
 }
 
-// ChangedStates tells of destinations with news, of at most so many: of changes of health first, of others
-// from time to time. It is empty unless Settings.ChangedStates is set. It is called between two Steps.
-func (s *Sender) ChangedStates(now Micros, most int) []DestinationState {
+// ChangedStates returns the states of changed destinations whose next snapshot is due, up to the given
+// number, changes of health first. It returns none unless Settings.TrackChanges is set. It is called between
+// two Steps.
+func (s *Sender) ChangedStates(now Micros, limit int) []DestinationState {
 	s.now = max(s.now, now)
-	if s.now < s.newsAt {
+	if s.now < s.changesDue {
 		return nil
 	}
 	var out []DestinationState
-	for _, urgent := range [...]bool{true, false} {
-		for _, d := range s.news {
-			if len(out) < most && d.noted && d.urgent == urgent && s.now >= d.newsDue() {
-				out = append(out, s.memory(d))
-				d.noted, d.urgent, d.toldAt = false, false, s.now
+	for _, health := range [...]bool{true, false} {
+		for _, d := range s.changed {
+			if len(out) < limit && d.changed && d.healthChanged == health && s.now >= d.changeDue() {
+				out = append(out, s.destinationState(d))
+				d.changed, d.healthChanged, d.reportedAt = false, false, s.now
 			}
 		}
 	}
-	s.news = slices.DeleteFunc(s.news, func(d *dest) bool { return !d.noted })
-	s.newsAt = never
-	for _, d := range s.news {
-		s.newsAt = min(s.newsAt, d.newsDue())
+	s.changed = slices.DeleteFunc(s.changed, func(d *destination) bool { return !d.changed })
+	s.changesDue = never
+	for _, d := range s.changed {
+		s.changesDue = min(s.changesDue, d.changeDue())
 	}
 	return out
 }
 
-// ago is the span since t.
-func (s *Sender) ago(t Micros) Micros {
+// timeSince is the time since t.
+func (s *Sender) timeSince(t Micros) Micros {
 	if t < s.now-SinceNever {
 		return SinceNever
 	}
 	return max(s.now-t, 0)
 }
 
-// then is when it was a span before a memory of some age.
-func (s *Sender) then(span, age Micros) Micros {
+// timeBefore is the point in time that lies the given span before a snapshot of the given age.
+func (s *Sender) timeBefore(span, age Micros) Micros {
 	if span < 0 || span >= SinceNever {
-		return longAgo
+		return distantPast
 	}
 	return s.now - span - min(age, SinceNever)
 }
 
-func (s *Sender) memory(d *dest) DestinationState {
-	m := DestinationState{Dest: d.id, SinceUsed: s.ago(d.used), Arrivals: d.came, SinceOutage: s.ago(d.downAt)}
-	m.Limiter = s.laneMemory(d.lane)
-	for _, e := range d.eps {
-		x := EndpointState{Endpoint: e.id, Outage: e.suspect, Cold: s.isCold(e), SinceRecovery: s.ago(e.backAt),
-			SinceSuccess: s.ago(e.lastOK), SinceFailure: s.ago(e.lastBad),
-			SinceIndependentSuccess: s.ago(e.well), TrialInterval: e.trialGap,
-			FailureRatio: e.bad, Latency: Micros(e.slow), Failures: e.fails, Overloads: e.fulls, Resets: e.resets}
-		if e.lane != d.lane {
-			x.Limiter = s.laneMemory(e.lane)
+// destinationState returns a snapshot of the state of a destination.
+func (s *Sender) destinationState(d *destination) DestinationState {
+	state := DestinationState{Dest: d.id, SinceUsed: s.timeSince(d.lastUsed), Arrivals: d.arrivals,
+		SinceOutage: s.timeSince(d.outageAt)}
+	state.Limiter = s.limiterState(d.limiter)
+	for _, e := range d.endpoints {
+		x := EndpointState{Endpoint: e.id, Outage: e.suspect, Cold: s.isCold(e),
+			SinceRecovery: s.timeSince(e.recoveredAt), SinceSuccess: s.timeSince(e.lastSuccess),
+			SinceFailure:            s.timeSince(e.lastFailure),
+			SinceIndependentSuccess: s.timeSince(e.independentSuccess), TrialInterval: e.trialInterval,
+			FailureRatio: e.failureRatio, Latency: Micros(e.latency),
+			Failures: e.failures, Overloads: e.overloads, Resets: e.resets}
+		if e.limiter != d.limiter {
+			x.Limiter = s.limiterState(e.limiter)
 		}
-		m.Unhealthy = m.Unhealthy || x.Outage || x.Cold
-		m.Endpoints = append(m.Endpoints, x)
+		state.Unhealthy = state.Unhealthy || x.Outage || x.Cold
+		state.Endpoints = append(state.Endpoints, x)
 	}
-	for i, w := range d.hist.w {
+	for i, w := range d.latencies.weights {
 		if n := sixteenths(w); n > 0 {
-			m.Latencies.Bins, m.Latencies.Weights = append(m.Latencies.Bins, uint8(i)), append(m.Latencies.Weights, n)
+			state.Latencies.Bins, state.Latencies.Weights =
+				append(state.Latencies.Bins, uint8(i)), append(state.Latencies.Weights, n)
 		}
 	}
-	m.Latencies.Censored, m.Latencies.SinceSample = sixteenths(d.hist.cuts), s.ago(d.hist.at)
-	return m
+	state.Latencies.Censored, state.Latencies.SinceSample =
+		sixteenths(d.latencies.censored), s.timeSince(d.latencies.updatedAt)
+	return state
 }
 
+// sixteenths rounds a weight to a number of sixteenths.
 func sixteenths(w float64) uint16 { return uint16(min(max(math.Round(16*w), 0), math.MaxUint16)) }
 
-func (s *Sender) laneMemory(l *lane) LimiterState {
-	m := LimiterState{Rate: l.pace, PeakRate: l.peak}
-	if l.pace > 0 {
-		m.SinceDecrease = s.ago(l.halved)
+// limiterState returns a snapshot of the state of a limiter.
+func (s *Sender) limiterState(l *limiter) LimiterState {
+	state := LimiterState{Rate: l.rate, PeakRate: l.peakRate}
+	if l.rate > 0 {
+		state.SinceDecrease = s.timeSince(l.decreasedAt)
 	}
-	if l.told {
-		m.Limit = l.limit
+	if l.limitReported {
+		state.Limit = l.limit
 	}
-	return m
+	return state
 }
 
-// recall takes up what an earlier Sender knew. What cannot be is left out.
-func (s *Sender) recall(r RestoreState) {
-	d := s.dests[r.State.Dest]
-	if d == nil || d.recalled {
+// restoreState restores the state of a destination from a snapshot. Impossible values are ignored.
+func (s *Sender) restoreState(r RestoreState) {
+	d := s.destinations[r.State.Dest]
+	if d == nil || d.restored {
 		return
 	}
-	d.recalled = true
-	s.touch(d)
-	m, age := r.State, max(r.Age, 0)
-	fresh := func(e *endpoint) bool { return e.lastSent == longAgo }
-	used := slices.ContainsFunc(d.eps, func(e *endpoint) bool { return !fresh(e) })
+	d.restored = true
+	s.activate(d)
+	state, age := r.State, max(r.Age, 0)
+	fresh := func(e *endpoint) bool { return e.lastSent == distantPast }
+	used := slices.ContainsFunc(d.endpoints, func(e *endpoint) bool { return !fresh(e) })
 	if !used {
-		d.used, d.came, d.downAt = s.then(m.SinceUsed, age), max(m.Arrivals, 0), s.then(m.SinceOutage, age)
-		s.recallLane(d.lane, m.Limiter, age)
-		d.hist.recall(m.Latencies, s.then(m.Latencies.SinceSample, age))
-		s.refreshAll(d)
-	}
-	sick, told := false, map[*endpoint]bool{}
-	for _, x := range m.Endpoints {
-		e := s.eps[x.Endpoint]
+		d.lastUsed, d.arrivals, d.outageAt =
+			s.timeBefore(state.SinceUsed, age), max(state.Arrivals, 0), s.timeBefore(state.SinceOutage, age)
+		s.restoreLimiter(d.limiter, state.Limiter, age)
+		d.latencies.restore(state.Latencies, s.timeBefore(state.Latencies.SinceSample, age))
+		s.updateExpiries(d)
+	}
+	unhealthy, restored := false, map[*endpoint]bool{}
+	for _, x := range state.Endpoints {
+		e := s.endpoints[x.Endpoint]
 		if e == nil || e.dest != d || !fresh(e) {
 			continue
 		}
-		told[e] = true
-		e.backAt, e.lastOK = s.then(x.SinceRecovery, age), s.then(x.SinceSuccess, age)
-		e.lastBad, e.well = s.then(x.SinceFailure, age), s.then(x.SinceIndependentSuccess, age)
-		e.fails, e.fulls, e.resets = max(x.Failures, 0), max(x.Overloads, 0), max(x.Resets, 0)
+		restored[e] = true
+		e.recoveredAt, e.lastSuccess = s.timeBefore(x.SinceRecovery, age), s.timeBefore(x.SinceSuccess, age)
+		e.lastFailure, e.independentSuccess =
+			s.timeBefore(x.SinceFailure, age), s.timeBefore(x.SinceIndependentSuccess, age)
+		e.failures, e.overloads, e.resets = max(x.Failures, 0), max(x.Overloads, 0), max(x.Resets, 0)
 		e.suspect, e.cold = x.Outage, x.Cold || x.Outage
 		if x.FailureRatio > 0 && x.FailureRatio <= 1 {
-			e.bad = x.FailureRatio
+			e.failureRatio = x.FailureRatio
 		}
-		e.slow = float64(max(x.Latency, 0))
-		if e.lane != d.lane {
-			s.recallLane(e.lane, x.Limiter, age)
+		e.latency = float64(max(x.Latency, 0))
+		if e.limiter != d.limiter {
+			s.restoreLimiter(e.limiter, x.Limiter, age)
 		}
-		if e.suspect { // tried singly, not by all that restart in the same instant
-			e.trialGap = min(max(x.TrialInterval, trialGap), trialMost)
-			e.trialAt = s.now + Micros(s.rng.Float64()*float64(e.trialGap))
+		if e.suspect { // single trials, and not of all processes that restart at the same time
+			e.trialInterval = min(max(x.TrialInterval, firstTrialInterval), maxTrialInterval)
+			e.trialAt = s.now + Micros(s.rng.Float64()*float64(e.trialInterval))
 		}
-		sick = sick || s.isCold(e)
+		unhealthy = unhealthy || s.isCold(e)
 	}
-	for _, e := range d.eps { // one that has joined meanwhile
-		if fresh(e) && !told[e] {
-			s.inherit(e)
+	for _, e := range d.endpoints { // endpoints that have joined since
+		if fresh(e) && !restored[e] {
+			s.inheritOutage(e)
 		}
 	}
-	if m.Exact {
-		s.recallExact(d, m)
-	} else if sick { // the one before may have used up the window that this restart fell into
-		d.restTo, d.came = s.now+s.set.FallWindow, max(d.came, 1)
-		if d.downAt == longAgo {
-			d.downAt = s.now
+	if state.Exact {
+		s.restoreHandover(d, state)
+	} else if unhealthy { // the previous process may have used the budget of the present window
+		d.pausedUntil, d.arrivals = s.now+s.settings.FallWindow, max(d.arrivals, 1)
+		if d.outageAt == distantPast {
+			d.outageAt = s.now
 		}
 	}
 }
 
-func (s *Sender) recallLane(l *lane, m LimiterState, age Micros) {
-	if m.Limit > 0 && !math.IsInf(m.Limit, 0) && s.set.LimitIndex >= 0 {
-		l.limit, l.told = m.Limit, true
+// restoreLimiter restores the state of a limiter from a snapshot of the given age.
+func (s *Sender) restoreLimiter(l *limiter, state LimiterState, age Micros) {
+	if state.Limit > 0 && !math.IsInf(state.Limit, 0) && s.settings.LimitIndex >= 0 {
+		l.limit, l.limitReported = state.Limit, true
 	}
-	if m.Rate > 0 && !math.IsInf(m.Rate, 0) {
-		l.pace, l.halved, l.filled, l.tokens = m.Rate, s.then(m.SinceDecrease, age), s.now, 0
+	if state.Rate > 0 && !math.IsInf(state.Rate, 0) {
+		l.rate, l.decreasedAt, l.refilledAt, l.tokens = state.Rate, s.timeBefore(state.SinceDecrease, age), s.now, 0
 	}
-	if m.PeakRate > 0 && !math.IsInf(m.PeakRate, 0) {
-		l.peak = m.PeakRate
+	if state.PeakRate > 0 && !math.IsInf(state.PeakRate, 0) {
+		l.peakRate = state.PeakRate
 	}
 }
 
-func (h *hist) recall(m LatencyHistogram, at Micros) {
-	if len(m.Bins) != len(m.Weights) || h.total > 0 || at == longAgo {
+// restore restores a histogram whose last sample was added at the given time.
+func (h *histogram) restore(m LatencyHistogram, at Micros) {
+	if len(m.Bins) != len(m.Weights) || h.total > 0 || at == distantPast {
 		return
 	}
 	for i, b := range m.Bins {
-		if int(b) < len(h.w) {
-			h.w[b] = float64(m.Weights[i]) / 16
-			h.total += h.w[b]
+		if int(b) < len(h.weights) {
+			h.weights[b] = float64(m.Weights[i]) / 16
+			h.total += h.weights[b]
 		}
 	}
-	h.cuts, h.at = float64(m.Censored)/16, at
+	h.censored, h.updatedAt = float64(m.Censored)/16, at
 	if h.total > 0 {
 		h.update()
 	}
--- a/logic/memory_test.go
+++ b/logic/memory_test.go
@@ -26,16 +26,16 @@
 				list.Entries = append(list.Entries, row)
 			}
 			again.Step(w.now, []Event{list})
-			for _, d := range w.s.order {
-				if len(d.eps) == 0 {
+			for _, d := range w.s.destinationOrder {
+				if len(d.endpoints) == 0 {
 					continue
 				}
-				m := w.s.memory(d)
+				m := w.s.destinationState(d)
 				if m.Unhealthy {
 					sick++
 				}
 				again.Step(w.now, []Event{RestoreState{State: m}, RestoreState{State: DestinationState{Dest: d.id, Arrivals: 99}}}) // the first counts
-				got := again.memory(again.dests[d.id])
+				got := again.destinationState(again.destinations[d.id])
 				got.Endpoints, m.Endpoints = byEndpoint(got), byEndpoint(m)
 				if !reflect.DeepEqual(got, m) {
 					t.Errorf("%s: destination %d:\n%+v, had\n%+v", name, d.id, got, m)
--- a/logic/outcomes.go
+++ b/logic/outcomes.go
@@ -1,90 +1,95 @@
 package logic
 
-// What the outcome of an attempt means for its message, its endpoint and its lane.
+// The effect of an attempt's outcome on its message, its endpoint and the rate limiter.
 
-func (s *Sender) reply(r AttemptResult) {
-	m := s.msgs[r.ID]
-	if m == nil || m.out == nil || m.out.n != r.Attempt {
+// handleResult processes the outcome of an attempt.
+func (s *Sender) handleResult(r AttemptResult) {
+	m := s.messages[r.ID]
+	if m == nil || m.inFlight == nil || m.inFlight.number != r.Attempt {
 		return
 	}
-	a, e := m.out, m.out.ep
-	lastOfCall := s.landed(a)
-	s.touch(e.dest)
-	s.report(e, r.Load)
-	m.owed = m.owed && r.Outcome == NotSent
-	if r.RetryAfter > 0 { // an answer to several messages may tell one beside those that were delivered
-		e.lane.until = max(e.lane.until, s.now+r.RetryAfter)
+	a, e := m.inFlight, m.inFlight.endpoint
+	lastOfCall := s.finishAttempt(a)
+	s.activate(e.dest)
+	s.recordLoadReport(e, r.Load)
+	m.inherited = m.inherited && r.Outcome == NotSent
+	if r.RetryAfter > 0 { // also in the answer to a batch that delivered other messages
+		e.limiter.waitUntil = max(e.limiter.waitUntil, s.now+r.RetryAfter)
 	}
-	// Many on a thin lane: one sign may be all that this sender sees of an outage. A restart is to know it.
-	sign := s.many && s.share(e.lane) < paceFloor && r.Outcome >= Errored && r.Outcome <= ConnectionBroken
-	if s.note(e.dest, sign); sign {
-		s.refused(e.lane)
+	// With many senders and a small share each, one failure may be all that this sender sees of an outage.
+	// The snapshot for a restart must include it.
+	failed := s.manySenders && s.evenShare(e.limiter) < minRate &&
+		r.Outcome >= Errored && r.Outcome <= ConnectionBroken
+	if s.noteChange(e.dest, failed); failed {
+		s.decreaseRate(e.limiter)
 	}
 	if r.Outcome == Completed || r.Outcome == Overloaded || r.Outcome == Errored {
 		e.resets = 0
 	}
 	if r.Outcome != Overloaded && r.Outcome != ConnectionRefused && r.Outcome != NotSent {
-		m.mayRun = true
+		m.mayHaveRun = true
 	}
-	if m.line != nil && (r.Outcome == TimedOut || r.Outcome == ConnectionBroken || r.Outcome == Cancelled) {
-		m.line.quiet, m.line.by = max(m.line.quiet, s.now+s.set.KeyQuiet), m
+	if m.keyQueue != nil && (r.Outcome == TimedOut || r.Outcome == ConnectionBroken || r.Outcome == Cancelled) {
+		m.keyQueue.quietUntil, m.keyQueue.quietMessage = max(m.keyQueue.quietUntil, s.now+s.settings.KeyQuiet), m
 	}
 	switch r.Outcome {
 	case Completed:
-		for _, h := range []*hist{&e.dest.hist, m.seen} {
-			if a.late {
-				h.cuts--
+		for _, h := range []*histogram{&e.dest.latencies, m.classLatencies} {
+			if a.censored {
+				h.censored--
 			}
 			h.add(s.now, r.Latency, false)
 		}
-		s.learn(e.dest, m.seen)
-		e.slow += badAlpha * (float64(r.Latency) - e.slow)
-		s.succeeded(e, a.at)
-		s.creep(e.lane)
+		s.latenciesChanged(e.dest, m.classLatencies)
+		e.latency += ewmaWeight * (float64(r.Latency) - e.latency)
+		s.recordSuccess(e, a.startedAt)
+		s.increaseRate(e.limiter)
 	case Overloaded:
-		if lastOfCall { // a batch is one call: one refusal
-			s.full(e, r.RetryAfter)
+		if lastOfCall { // a batch is one call, so it counts as one rejection
+			s.recordOverload(e, r.RetryAfter)
 		}
 	case Cancelled, TimedOut:
-		if a.cut {
-			if !a.late {
-				e.dest.hist.add(s.now, s.now-a.at, true)
-				s.learn(e.dest, m.seen)
+		if a.restart {
+			if !a.censored {
+				e.dest.latencies.add(s.now, s.now-a.startedAt, true)
+				s.latenciesChanged(e.dest, m.classLatencies)
 			}
-			e.slow += badAlpha * max(0, float64(s.now-a.at)-e.slow)
-		} else if a.stuck && e.lastOK < a.at {
-			s.failed(e, "silent")
+			e.latency += ewmaWeight * max(0, float64(s.now-a.startedAt)-e.latency)
+		} else if a.stuck && e.lastSuccess < a.startedAt {
+			s.recordFailure(e, "silent")
 		}
-	case InvalidResponse: // from any endpoint alike, so it tells nothing of health unless nothing else comes
-		if e.spoilt++; e.spoilt >= spoiltDown {
-			s.failed(e, "spoilt answers")
+	case InvalidResponse: // healthy endpoints send these as well, so only several in a row are an outage
+		if e.invalidResponses++; e.invalidResponses >= outageInvalidResponses {
+			s.recordFailure(e, "invalid responses")
 		}
 	case ConnectionRefused:
-		if e.resets++; e.resets > 1 || e.lastOK < s.now-lately {
-			s.failed(e, "refuses connections")
+		if e.resets++; e.resets > 1 || e.lastSuccess < s.now-recentSuccess {
+			s.recordFailure(e, "refuses connections")
 		}
 	case ConnectionBroken:
-		// The connection itself may be at fault; an endpoint that is down breaks all, and takes no new ones.
-		if e.resets++; e.resets >= resetsDown || e.suspect {
-			s.failed(e, "resets")
+		// The fault may be in the connection only. An endpoint in outage breaks all connections and accepts
+		// no new ones.
+		if e.resets++; e.resets >= outageResets || e.suspect {
+			s.recordFailure(e, "resets")
 		}
-		m.rest = s.now + errorRest
+		m.backoffUntil = s.now + errorBackoff
 	case Errored:
-		s.failed(e, "errors")
-		m.rest = s.now + errorRest<<min(m.tries, 5)
+		s.recordFailure(e, "errors")
+		m.backoffUntil = s.now + errorBackoff<<min(m.attempts, 5)
 	}
-	// Idle connections of many senders fill an endpoint: rarely used ones go back, unless new ones are dear.
-	e.warm = s.now + s.set.ConnIdle
-	if n := len(e.sent); s.many && s.set.ConnCost < dearConn && e.inflight == 0 &&
-		(n < 2 || s.now-e.sent[n-2] > reuse) {
-		e.warm = s.now
-		s.do(CloseIdle{e.id})
+	// The idle connections of many senders exhaust an endpoint, so rarely used ones are closed unless a new
+	// connection is expensive.
+	e.idleConnUntil = s.now + s.settings.ConnIdle
+	if n := len(e.callTimes); s.manySenders && s.settings.ConnCost < expensiveConn && e.inFlight == 0 &&
+		(n < 2 || s.now-e.callTimes[n-2] > connReuseInterval) {
+		e.idleConnUntil = s.now
+		s.emit(CloseIdle{e.id})
 	}
-	if r.MessageEnded || m.over {
-		s.close(m)
+	if r.MessageEnded || m.ended {
+		s.closeMessage(m)
 		return
 	}
-	if s.endIfStuck(m); !m.over {
+	if s.endIfUndeliverable(m); !m.ended {
 		s.enqueue(m)
 	}
 }
--- a/logic/queue.go
+++ b/logic/queue.go
@@ -6,367 +6,379 @@
 	"slices"
 )
 
-// What is held and not out, indexed so that a step costs what it does and not what is held. The index decides
-// nothing: messages come out of it in the order of [Sender.rate], and equals the older first (queue_test.go
-// holds it against a sort of all).
+// The index of the queued messages, so that the cost of a step depends on what it does and not on the number
+// of pending messages. The index makes no decisions: messages leave it in the order of [Sender.priority], and
+// among equals the oldest first (queue_test.go compares this with a sort of all messages).
 
-// group is the messages of a destination that differ in nothing that rate looks at but their times.
+// group holds the messages of a destination that differ, of all that their priority depends on, only in their
+// times.
 type group struct {
-	dest  *dest
-	class Class
-	seen  *hist
-	share float64
-	kind  groupKind
-
-	ends   sorted // all of them, by the time up to which they can wait
-	far    sorted // those that may go, by when they were first handed in; owed ones by deadline
-	near   sorted // of these, those whose time is over within lossAhead of a usual call
-	nearTo Micros // before which deadlines are near
-	due    alarm  // when the first of ends is hopeless
-	at     int    // place in Sender.groups
+	dest           *destination
+	class          Class
+	classLatencies *histogram
+	quotaFactor    float64
+	kind           groupKind
+
+	byExpiry     sortedList // all messages, by the time at which they expire
+	eligible     sortedList // messages that may be sent, by submission time; in an inheritedGroup by deadline
+	nearDeadline sortedList // such messages with a deadline before nearBefore, by submission time
+	nearBefore   Micros     // lossHorizon after a call that started at the last update would usually end
+	expiryTimer  timer      // fires when the first message of byExpiry can no longer be sent in time
+	index        int        // index in Sender.groups
 }
 
+// groupKind is the kind of the messages of a group.
 type groupKind int
 
 const (
-	plain groupKind = iota
-	owed            // by an earlier process, and untried
-	again           // keyed ones that may have run: few, as each has been out within its window
+	plainGroup     groupKind = iota
+	inheritedGroup           // accepted by a previous process, and never sent
+	repeatGroup              // keyed messages that may have run; few, as each was in flight within its window
 )
 
-// Where a message stands in its group.
+// The list of its group that holds a message, beside byExpiry.
 const (
-	aside  = iota // in ends only: it rests, or waits for its key
-	inFar         // in far
-	inNear        // in near
+	notEligible    = iota // none: the message is backing off, or waits for its order key
+	inEligible            // group.eligible
+	inNearDeadline        // group.nearDeadline
 )
 
-// enqueue takes up a message that waits to be sent.
-func (s *Sender) enqueue(m *msg) {
+// enqueue adds a message that waits to be sent.
+func (s *Sender) enqueue(m *message) {
 	g := s.groupOf(m)
-	m.group, m.until = g, m.deadline
-	if g.kind == again {
-		m.until = min(m.until, m.firstMay+m.class.Window)
-	}
-	g.ends.insert(item{m.until, m})
-	s.waiting++
-	m.dest.waiting++
-	s.refresh(g)
-	s.ready(m)
+	m.group, m.expiresAt = g, m.deadline
+	if g.kind == repeatGroup {
+		m.expiresAt = min(m.expiresAt, m.mayHaveRunAt+m.class.Window)
+	}
+	g.byExpiry.insert(item{m.expiresAt, m})
+	s.queued++
+	m.dest.queued++
+	s.updateExpiry(g)
+	s.makeEligible(m)
 }
 
-// dequeue takes out what is sent or over.
-func (s *Sender) dequeue(m *msg) {
+// dequeue removes a message that was sent or has ended.
+func (s *Sender) dequeue(m *message) {
 	g := m.group
-	s.aside(m)
-	g.ends.remove(item{m.until, m})
+	s.makeIneligible(m)
+	g.byExpiry.remove(item{m.expiresAt, m})
 	m.group = nil
-	s.waiting--
-	m.dest.waiting--
-	if g.ends.n == 0 {
+	s.queued--
+	m.dest.queued--
+	if g.byExpiry.size == 0 {
 		m.dest.groups = slices.DeleteFunc(m.dest.groups, func(x *group) bool { return x == g })
-		s.alarms.set(&g.due, never)
-		last := len(s.groups) - 1 // in no order
-		s.groups[last].at = g.at
-		s.groups[g.at], s.groups[last] = s.groups[last], nil
+		s.timers.set(&g.expiryTimer, never)
+		last := len(s.groups) - 1 // the groups are not ordered
+		s.groups[last].index = g.index
+		s.groups[g.index], s.groups[last] = s.groups[last], nil
 		s.groups = s.groups[:last]
 		return
 	}
-	s.refresh(g)
+	s.updateExpiry(g)
 }
 
-func (s *Sender) groupOf(m *msg) *group {
-	kind := plain
+// groupOf returns the group of a message, and creates it if necessary.
+func (s *Sender) groupOf(m *message) *group {
+	kind := plainGroup
 	switch {
-	case m.owed:
-		kind = owed
-	case m.mayRun && m.class.Effect == Keyed:
-		kind = again
+	case m.inherited:
+		kind = inheritedGroup
+	case m.mayHaveRun && m.class.Effect == Keyed:
+		kind = repeatGroup
 	}
 	for _, g := range m.dest.groups {
-		if g.kind == kind && g.share == m.share && g.seen == m.seen && g.class == *m.class {
+		if g.kind == kind && g.quotaFactor == m.quotaFactor && g.classLatencies == m.classLatencies &&
+			g.class == *m.class {
 			return g
 		}
 	}
-	g := &group{dest: m.dest, class: *m.class, seen: m.seen, share: m.share, kind: kind,
-		nearTo: math.MinInt64, at: len(s.groups)}
-	g.due.g = g
+	g := &group{dest: m.dest, class: *m.class, classLatencies: m.classLatencies, quotaFactor: m.quotaFactor,
+		kind: kind, nearBefore: math.MinInt64, index: len(s.groups)}
+	g.expiryTimer.group = g
 	m.dest.groups = append(m.dest.groups, g)
 	s.groups = append(s.groups, g)
 	return g
 }
 
-// ready puts a message among those that may go, unless it rests or waits for its key.
-func (s *Sender) ready(m *msg) {
-	at := m.rest
-	if l := m.line; l != nil {
-		if l.q[0] != m {
-			return // taken up again once it is the first
+// makeEligible adds a message to those that may be sent, unless it is backing off or waits for its order key.
+func (s *Sender) makeEligible(m *message) {
+	at := m.backoffUntil
+	if l := m.keyQueue; l != nil {
+		if l.messages[0] != m {
+			return // called again once the message is the first of its key
 		}
-		if l.by != m {
-			at = max(at, l.quiet)
+		if l.quietMessage != m {
+			at = max(at, l.quietUntil)
 		}
 	}
 	if at > s.now {
-		if m.alarm == nil {
-			m.alarm = &alarm{m: m}
+		if m.timer == nil {
+			m.timer = &timer{msg: m}
 		}
-		s.alarms.set(m.alarm, at)
+		s.timers.set(m.timer, at)
 		return
 	}
 	g := m.group
-	if g.kind == plain && m.deadline < g.nearTo {
-		m.stands = inNear
-		g.near.insert(item{m.first, m})
+	if g.kind == plainGroup && m.deadline < g.nearBefore {
+		m.listing = inNearDeadline
+		g.nearDeadline.insert(item{m.submittedAt, m})
 	} else {
-		m.stands = inFar
-		g.far.insert(item{g.key(m), m})
+		m.listing = inEligible
+		g.eligible.insert(item{g.sortKey(m), m})
 	}
-	s.touch(m.dest)
+	s.activate(m.dest)
 }
 
-// aside takes a message off those that may go.
-func (s *Sender) aside(m *msg) {
-	switch g := m.group; m.stands {
-	case inFar:
-		g.far.remove(item{g.key(m), m})
-	case inNear:
-		g.near.remove(item{m.first, m})
+// makeIneligible removes a message from those that may be sent.
+func (s *Sender) makeIneligible(m *message) {
+	switch g := m.group; m.listing {
+	case inEligible:
+		g.eligible.remove(item{g.sortKey(m), m})
+	case inNearDeadline:
+		g.nearDeadline.remove(item{m.submittedAt, m})
 	}
-	m.stands = aside
-	if m.alarm != nil {
-		s.alarms.set(m.alarm, never)
+	m.listing = notEligible
+	if m.timer != nil {
+		s.timers.set(m.timer, never)
 	}
 }
 
-func (g *group) key(m *msg) Micros {
-	if g.kind == owed {
+// sortKey is the key of a message in g.eligible.
+func (g *group) sortKey(m *message) Micros {
+	if g.kind == inheritedGroup {
 		return m.deadline
 	}
-	return m.first
+	return m.submittedAt
 }
 
-// refresh sets when the first of a group is hopeless.
-func (s *Sender) refresh(g *group) {
-	x, _ := g.ends.first()
-	s.alarms.set(&g.due, x.at-s.needs(x.m))
+// updateExpiry sets the timer of a group to the time at which its first message can no longer be sent.
+func (s *Sender) updateExpiry(g *group) {
+	x, _ := g.byExpiry.first()
+	s.timers.set(&g.expiryTimer, x.key-s.minTimeToSend(x.msg))
 }
 
-func (s *Sender) refreshAll(d *dest) {
+// updateExpiries calls updateExpiry for all groups of a destination.
+func (s *Sender) updateExpiries(d *destination) {
 	for _, g := range d.groups {
-		s.refresh(g)
+		s.updateExpiry(g)
 	}
 }
 
-// learn notes that latencies have changed: what is usual at d, and for the class that seen is of.
-func (s *Sender) learn(d *dest, seen *hist) {
-	s.refreshAll(d)
+// latenciesChanged updates the timers that depend on the latencies of d and of a class.
+func (s *Sender) latenciesChanged(d *destination, classLatencies *histogram) {
+	s.updateExpiries(d)
 	usual := unknownLatency
-	if seen.total >= minWeight {
-		usual = seen.median
+	if classLatencies.total >= minSamples {
+		usual = classLatencies.median
 	}
-	if usual == seen.shown {
+	if usual == classLatencies.lastUsual {
 		return
 	}
-	seen.shown = usual
+	classLatencies.lastUsual = usual
 	for _, g := range s.groups {
-		if g.seen == seen {
-			s.refresh(g)
+		if g.classLatencies == classLatencies {
+			s.updateExpiry(g)
 		}
 	}
 }
 
-// touch has the next step look at a destination.
-func (s *Sender) touch(d *dest) {
+// activate makes the next step visit a destination.
+func (s *Sender) activate(d *destination) {
 	if !d.active {
 		d.active = true
 		s.active = append(s.active, d)
-		s.alarms.set(&d.wake, never)
+		s.timers.set(&d.timer, never)
 	}
 }
 
-// ring takes up what is due, but for messages that are hopeless: their groups are returned.
-func (s *Sender) ring() (out []*group) {
-	for a := s.alarms.due(s.now); a != nil; a = s.alarms.due(s.now) {
+// fireTimers handles the timers that are due. It returns the groups whose expiry timer has fired.
+func (s *Sender) fireTimers() (expired []*group) {
+	for a := s.timers.popDue(s.now); a != nil; a = s.timers.popDue(s.now) {
 		switch {
-		case a.m != nil:
-			s.ready(a.m)
-		case a.d != nil:
-			s.touch(a.d)
+		case a.msg != nil:
+			s.makeEligible(a.msg)
+		case a.dest != nil:
+			s.activate(a.dest)
 		default:
-			out = append(out, a.g)
+			expired = append(expired, a.group)
 		}
 	}
-	return out
+	return expired
 }
 
-// turn moves messages between far and near as time goes and what is usual changes.
-func (s *Sender) turn(g *group) {
-	first, _ := g.ends.first()
-	to := s.now + max(s.usual(first.m), leastUsual) + lossAhead
-	for p := g.ends.seek(min(to, g.nearTo)); to != g.nearTo; p = g.ends.next(p) {
-		x, ok := g.ends.get(p)
-		if !ok || x.at >= max(to, g.nearTo) {
+// updateNearDeadline moves messages between eligible and nearDeadline as time passes and the usual latency
+// changes.
+func (s *Sender) updateNearDeadline(g *group) {
+	first, _ := g.byExpiry.first()
+	nearBefore := s.now + max(s.usualLatency(first.msg), minUsualLatency) + lossHorizon
+	for p := g.byExpiry.seek(min(nearBefore, g.nearBefore)); nearBefore != g.nearBefore; p = g.byExpiry.next(p) {
+		x, ok := g.byExpiry.get(p)
+		if !ok || x.key >= max(nearBefore, g.nearBefore) {
 			break
 		}
 		switch {
-		case x.m.stands == inFar && to > g.nearTo:
-			g.far.remove(item{x.m.first, x.m})
-			g.near.insert(item{x.m.first, x.m})
-			x.m.stands = inNear
-		case x.m.stands == inNear && to < g.nearTo:
-			g.near.remove(item{x.m.first, x.m})
-			g.far.insert(item{x.m.first, x.m})
-			x.m.stands = inFar
+		case x.msg.listing == inEligible && nearBefore > g.nearBefore:
+			g.eligible.remove(item{x.msg.submittedAt, x.msg})
+			g.nearDeadline.insert(item{x.msg.submittedAt, x.msg})
+			x.msg.listing = inNearDeadline
+		case x.msg.listing == inNearDeadline && nearBefore < g.nearBefore:
+			g.nearDeadline.remove(item{x.msg.submittedAt, x.msg})
+			g.eligible.insert(item{x.msg.submittedAt, x.msg})
+			x.msg.listing = inEligible
 		}
 	}
-	g.nearTo = to
+	g.nearBefore = nearBefore
 }
 
-// cursor goes over a piece of a list in the order of rate.
+// cursor iterates over a range of a list in order of priority.
 type cursor struct {
-	m      *msg // the first that is left
-	list   *sorted
-	at     place
-	lo     Micros // least key of the piece
-	hi     Micros // keys are under this
-	down   bool   // the youngest first, those of one time in order of arrival
-	rest   []*msg // instead of a list
-	passed int    // messages that were kept back each for itself
+	msg         *message // current message; nil at the end
+	list        *sortedList
+	position    position
+	minKey      Micros     // lower bound of the keys
+	endKey      Micros     // upper bound of the keys, exclusive
+	newestFirst bool       // newest key first; messages with the same key in order of arrival
+	remaining   []*message // messages left to iterate over, if list is nil
+	heldBack    int        // number of messages that were passed over one by one as they were not admitted
 }
 
-// cursors appends those of a group. Along the time since a message was first handed in, its rate is flat,
-// then rises up to where a usual call could not be in time any more, falls from there (the factor lateLess
-// lies between what is in time and what is late) and is flat again where the worth is.
-func (s *Sender) cursors(out []*cursor, g *group) []*cursor {
+// appendCursors appends the cursors of a group. As the age of a message grows, its priority is first
+// constant, then rises until a call of usual latency would miss its Aim, falls from there (the factor
+// lateWeight separates messages before and after their Aim) and is constant again once the worth is. Each
+// cursor covers a range in which the priority changes in one direction.
+func (s *Sender) appendCursors(out []*cursor, g *group) []*cursor {
 	switch g.kind {
-	case owed:
-		return s.cursor(out, &cursor{list: &g.far, lo: math.MinInt64, hi: never})
-	case again:
+	case inheritedGroup:
+		return s.appendCursor(out, &cursor{list: &g.eligible, minKey: math.MinInt64, endKey: never})
+	case repeatGroup:
 		c := &cursor{}
-		for p := (place{}); p.chunk < len(g.far.chunks); p = g.far.next(p) {
-			x, _ := g.far.get(p)
-			if x.m.prio = s.rate(x.m); s.inTime(x.m) {
-				c.rest = append(c.rest, x.m)
+		for p := (position{}); p.chunk < len(g.eligible.chunks); p = g.eligible.next(p) {
+			x, _ := g.eligible.get(p)
+			if x.msg.priority = s.priority(x.msg); s.canMeetDeadline(x.msg) {
+				c.remaining = append(c.remaining, x.msg)
 			}
 		}
-		slices.SortFunc(c.rest, sooner)
-		return s.cursor(out, c)
-	}
-	s.turn(g)
-	first, _ := g.ends.first()
-	u, aim := max(s.usual(first.m), leastUsual), g.class.Aim
-	flat := g.class.flat(s.set.ExponentialDecay) // from this age on the worth stays
-	rise, fall, late := s.now-aim+u, s.now-flat+u, s.now-aim
-	for _, l := range [...]*sorted{&g.far, &g.near} {
-		if l.n == 0 {
+		slices.SortFunc(c.remaining, comparePriority)
+		return s.appendCursor(out, c)
+	}
+	s.updateNearDeadline(g)
+	first, _ := g.byExpiry.first()
+	usual, aim := max(s.usualLatency(first.msg), minUsualLatency), g.class.Aim
+	floorAge := g.class.worthFloorAge(s.settings.ExponentialDecay) // the worth is constant from this age on
+	rise, fall, late := s.now-aim+usual, s.now-floorAge+usual, s.now-aim
+	for _, l := range [...]*sortedList{&g.eligible, &g.nearDeadline} {
+		if l.size == 0 {
 			continue
 		}
-		out = s.cursor(out, &cursor{list: l, lo: rise, hi: never})
-		out = s.cursor(out, &cursor{list: l, lo: max(fall, late), hi: rise, down: true})
-		out = s.cursor(out, &cursor{list: l, lo: fall, hi: late, down: true})
-		out = s.cursor(out, &cursor{list: l, lo: late, hi: fall})
-		out = s.cursor(out, &cursor{list: l, lo: math.MinInt64, hi: min(fall, late)})
+		out = s.appendCursor(out, &cursor{list: l, minKey: rise, endKey: never})
+		out = s.appendCursor(out, &cursor{list: l, minKey: max(fall, late), endKey: rise, newestFirst: true})
+		out = s.appendCursor(out, &cursor{list: l, minKey: fall, endKey: late, newestFirst: true})
+		out = s.appendCursor(out, &cursor{list: l, minKey: late, endKey: fall})
+		out = s.appendCursor(out, &cursor{list: l, minKey: math.MinInt64, endKey: min(fall, late)})
 	}
 	return out
 }
 
-// flat is the age from which on the worth of a message does not fall any more.
-func (c *Class) flat(halves bool) Micros {
+// worthFloorAge is the age from which on the worth of a message no longer falls.
+func (c *Class) worthFloorAge(exponential bool) Micros {
 	switch {
 	case c.LateWorth >= 1 || c.Worth == 0:
 		return c.Aim
-	case !halves:
+	case !exponential:
 		return c.Aim + max(c.Deadline-c.Aim, 1)
 	}
-	halvings := min(-math.Log2(c.LateWorth), 1075) // by then a number that is halved is 0
+	halvings := min(-math.Log2(c.LateWorth), 1075) // after more halvings any number is 0
 	return c.Aim + Micros(math.Ceil(float64(max(c.Aim, 1))*halvings))
 }
 
-// cursor appends one that is not empty.
-func (s *Sender) cursor(out []*cursor, c *cursor) []*cursor {
+// appendCursor appends a cursor unless it has no message.
+func (s *Sender) appendCursor(out []*cursor, c *cursor) []*cursor {
 	switch {
 	case c.list == nil:
-	case c.lo >= c.hi:
+	case c.minKey >= c.endKey:
 		return out
-	case c.down:
-		c.at = c.list.seek(c.hi)
-		c.younger()
+	case c.newestFirst:
+		c.position = c.list.seek(c.endKey)
+		c.seekPreviousKey()
 	default:
-		c.at = c.list.seek(c.lo)
+		c.position = c.list.seek(c.minKey)
 	}
-	if s.point(c); c.m == nil {
+	if s.skipExpired(c); c.msg == nil {
 		return out
 	}
 	return append(out, c)
 }
 
-// younger goes to the first of the times before the one at hand.
-func (c *cursor) younger() {
-	x, ok := c.list.before(c.at)
-	if !ok || x.at < c.lo {
+// seekPreviousKey moves the cursor to the first item with the greatest key before the current one.
+func (c *cursor) seekPreviousKey() {
+	x, ok := c.list.previous(c.position)
+	if !ok || x.key < c.minKey {
 		c.list = nil
 		return
 	}
-	c.hi = x.at + 1
-	c.at = c.list.seek(x.at)
+	c.endKey = x.key + 1
+	c.position = c.list.seek(x.key)
 }
 
-// advance goes on to the next message.
+// advance moves the cursor to the next message.
 func (s *Sender) advance(c *cursor) {
-	c.step()
-	s.point(c)
+	c.next()
+	s.skipExpired(c)
 }
 
-func (c *cursor) step() {
+// next moves the cursor by one item.
+func (c *cursor) next() {
 	if c.list == nil {
-		c.rest = c.rest[1:]
+		c.remaining = c.remaining[1:]
 		return
 	}
-	was, _ := c.list.get(c.at)
-	c.at = c.list.next(c.at)
-	if x, ok := c.list.get(c.at); c.down && (!ok || x.at != was.at) {
-		c.at = c.list.seek(was.at)
-		c.younger()
+	was, _ := c.list.get(c.position)
+	c.position = c.list.next(c.position)
+	if x, ok := c.list.get(c.position); c.newestFirst && (!ok || x.key != was.key) {
+		c.position = c.list.seek(was.key)
+		c.seekPreviousKey()
 	}
 }
 
-// point finds out which message a cursor is at. It passes over those whose time is up before a call arrives.
-func (s *Sender) point(c *cursor) {
-	for c.m = nil; c.list != nil; c.step() {
-		x, ok := c.list.get(c.at)
-		if !ok || x.at >= c.hi {
+// skipExpired moves the cursor to the first message from its position on that can meet its deadline, and sets
+// the message's priority.
+func (s *Sender) skipExpired(c *cursor) {
+	for c.msg = nil; c.list != nil; c.next() {
+		x, ok := c.list.get(c.position)
+		if !ok || x.key >= c.endKey {
 			return
 		}
-		if s.inTime(x.m) {
-			c.m = x.m
-			c.m.prio = s.rate(c.m)
+		if s.canMeetDeadline(x.msg) {
+			c.msg = x.msg
+			c.msg.priority = s.priority(c.msg)
 			return
 		}
 	}
-	if len(c.rest) > 0 {
-		c.m = c.rest[0]
+	if len(c.remaining) > 0 {
+		c.msg = c.remaining[0]
 	}
 }
 
-// inTime says that a call of m now would arrive before its time is over; an owed one is tried in any case.
-func (s *Sender) inTime(m *msg) bool {
-	return m.owed || s.now+max(s.usual(m), leastUsual) <= m.deadline
+// canMeetDeadline reports whether a call that starts now would deliver m before its deadline. Messages of a
+// previous process that were never sent are tried in any case.
+func (s *Sender) canMeetDeadline(m *message) bool {
+	return m.inherited || s.now+max(s.usualLatency(m), minUsualLatency) <= m.deadline
 }
 
-// sooner orders messages as they go: by rate, equals the older first.
-func sooner(a, b *msg) int {
-	return cmp.Or(cmp.Compare(b.prio, a.prio), cmp.Compare(a.first, b.first), cmp.Compare(a.seq, b.seq))
+// comparePriority orders messages by priority, and among equals the oldest first.
+func comparePriority(a, b *message) int {
+	return cmp.Or(cmp.Compare(b.priority, a.priority),
+		cmp.Compare(a.submittedAt, b.submittedAt), cmp.Compare(a.seq, b.seq))
 }
 
-// merge is a heap of cursors, the one with the soonest message first.
-type merge []*cursor
+// cursorHeap is a heap of cursors by the priority of their current messages.
+type cursorHeap []*cursor
 
-func (h merge) Len() int           { return len(h) }
-func (h merge) Less(i, j int) bool { return sooner(h[i].m, h[j].m) < 0 }
-func (h merge) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
-func (h *merge) Push(x any)        { *h = append(*h, x.(*cursor)) }
-func (h *merge) Pop() any {
+func (h cursorHeap) Len() int           { return len(h) }
+func (h cursorHeap) Less(i, j int) bool { return comparePriority(h[i].msg, h[j].msg) < 0 }
+func (h cursorHeap) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
+func (h *cursorHeap) Push(x any)        { *h = append(*h, x.(*cursor)) }
+func (h *cursorHeap) Pop() any {
 	old := *h
 	c := old[len(old)-1]
 	old[len(old)-1] = nil
@@ -374,73 +386,74 @@
 	return c
 }
 
-// skip passes over those of a piece that were first handed in after a time. It says when the first of them
-// will be as old as one of that time is now.
-func (s *Sender) skip(c *cursor, first Micros) Micros {
+// skipNewer moves the cursor past the messages that were submitted after a time. It returns when the oldest
+// of them will have the age that a message submitted at that time has now.
+func (s *Sender) skipNewer(c *cursor, submittedAt Micros) Micros {
 	at := never
 	if c.list == nil {
-		at = c.rest[0].first - first + s.now
+		at = c.remaining[0].submittedAt - submittedAt + s.now
 		s.advance(c)
 		return at
 	}
-	if x, ok := c.list.get(c.list.seek(max(c.lo, first+1))); ok {
-		at = x.at - first + s.now
+	if x, ok := c.list.get(c.list.seek(max(c.minKey, submittedAt+1))); ok {
+		at = x.key - submittedAt + s.now
 	}
-	c.hi = min(c.hi, first+1)
-	if c.down {
-		c.at = c.list.seek(c.hi)
-		c.younger()
+	c.endKey = min(c.endKey, submittedAt+1)
+	if c.newestFirst {
+		c.position = c.list.seek(c.endKey)
+		c.seekPreviousKey()
 	}
-	s.point(c)
+	s.skipExpired(c)
 	return at
 }
 
-// judged lists what may have to make room, soonest first, with how many of its destination go before each:
-// all that waits, or where that is much, what came in this step and the first to run out of time of some
-// groups in turn, as many ahead as run out of time earlier.
-func (s *Sender) judged() (q []*msg) {
-	if s.waiting <= shedAll {
+// shedCandidates returns messages that may be ended to shed load, in order of priority, and sets how many
+// messages of the same destination go before each. These are all queued messages; or, if there are many,
+// those that arrived in this step and the first to expire of some groups, in turn, with the number of
+// messages that expire earlier.
+func (s *Sender) shedCandidates() (candidates []*message) {
+	if s.queued <= shedExactMax {
 		for _, g := range s.groups {
-			q = s.firsts(q, g, shedAll)
+			candidates = s.appendEarliest(candidates, g, shedExactMax)
 		}
-		slices.SortFunc(q, sooner)
-		for _, m := range q {
+		slices.SortFunc(candidates, comparePriority)
+		for _, m := range candidates {
 			m.dest.rank = 0
 		}
-		for _, m := range q {
+		for _, m := range candidates {
 			m.dest.rank++
 			m.ahead = m.dest.rank
 		}
-		return q
-	}
-	for range min(shedLook, len(s.groups)) {
-		s.shedAt = (s.shedAt + 1) % len(s.groups)
-		q = s.firsts(q, s.groups[s.shedAt], shedLook)
-	}
-	for _, m := range s.came {
-		if g := m.group; g != nil && m.judgedIn != s.step {
-			m.prio = s.rate(m)
-			own := g.ends.find(func(x item) bool { return !x.before(item{m.until, m}) })
-			m.ahead = float64((g.ends.index(own) + 1) * m.dest.waiting / g.ends.n)
-			q = append(q, m)
+		return candidates
+	}
+	for range min(shedSample, len(s.groups)) {
+		s.shedIndex = (s.shedIndex + 1) % len(s.groups)
+		candidates = s.appendEarliest(candidates, s.groups[s.shedIndex], shedSample)
+	}
+	for _, m := range s.arrivals {
+		if g := m.group; g != nil && m.candidateStep != s.step {
+			m.priority = s.priority(m)
+			at := g.byExpiry.find(func(x item) bool { return !x.before(item{m.expiresAt, m}) })
+			m.ahead = float64((g.byExpiry.index(at) + 1) * m.dest.queued / g.byExpiry.size)
+			candidates = append(candidates, m)
 		}
 	}
-	slices.SortFunc(q, sooner)
-	return q
+	slices.SortFunc(candidates, comparePriority)
+	return candidates
 }
 
-// firsts appends the first of a group to run out of time, so many at most.
-func (s *Sender) firsts(q []*msg, g *group, most int) []*msg {
-	if g.dest.lookedIn != s.step {
-		g.dest.load = float64(1 + g.dest.lane.inflight)
+// appendEarliest appends the first messages of a group to expire, up to a number.
+func (s *Sender) appendEarliest(candidates []*message, g *group, limit int) []*message {
+	if g.dest.visitedStep != s.step {
+		g.dest.load = float64(1 + g.dest.limiter.inFlight)
 	}
-	for p := (place{}); p.chunk < len(g.ends.chunks) && most > 0; p = g.ends.next(p) {
-		x, _ := g.ends.get(p)
-		x.m.prio = s.rate(x.m)
-		x.m.ahead = float64((g.ends.index(p) + 1) * g.dest.waiting / g.ends.n)
-		x.m.judgedIn = s.step
-		q = append(q, x.m)
-		most--
+	for p := (position{}); p.chunk < len(g.byExpiry.chunks) && limit > 0; p = g.byExpiry.next(p) {
+		x, _ := g.byExpiry.get(p)
+		x.msg.priority = s.priority(x.msg)
+		x.msg.ahead = float64((g.byExpiry.index(p) + 1) * g.dest.queued / g.byExpiry.size)
+		x.msg.candidateStep = s.step
+		candidates = append(candidates, x.msg)
+		limit--
 	}
-	return q
+	return candidates
 }
--- a/logic/queue_test.go
+++ b/logic/queue_test.go
@@ -25,76 +25,76 @@
 func (s *Sender) stepBySort(now Micros, events []Event) []Action {
 	s.now = max(s.now, now)
 	s.step++
-	s.out, s.wake = nil, never
+	s.actions, s.wakeAt = nil, never
 	for _, ev := range events {
-		s.take(ev)
+		s.handle(ev)
 	}
-	s.subscribe()
-	s.forget()
+	s.requestList()
+	s.cleanup()
 	for _, m := range s.all() {
-		if m.over || m.flows {
+		if m.ended || m.streaming {
 			continue
 		}
-		left, need := m.deadline-s.now, 2*max(s.set.Tick, 1000)
-		if m.out == nil {
-			need = max(need, s.usual(m), leastLeft)
-			if m.mayRun && m.class.Effect == Keyed {
-				left = min(left, m.firstMay+m.class.Window-s.now)
+		left, need := m.deadline-s.now, 2*max(s.settings.Tick, 1000)
+		if m.inFlight == nil {
+			need = max(need, s.usualLatency(m), minRemaining)
+			if m.mayHaveRun && m.class.Effect == Keyed {
+				left = min(left, m.mayHaveRunAt+m.class.Window-s.now)
 			}
 		}
 		if left <= need {
-			s.end(m)
+			s.endMessage(m)
 		}
 	}
-	for _, g := range s.ring() {
-		s.refresh(g)
+	for _, g := range s.fireTimers() {
+		s.updateExpiry(g)
 	}
-	s.cutLong()
+	s.cancelSlowAttempts()
 	s.dispatchBySort()
-	s.active, s.came = s.active[:0], s.came[:0]
-	s.arm()
-	return s.out
+	s.active, s.arrivals = s.active[:0], s.arrivals[:0]
+	s.armTimer()
+	return s.actions
 }
 
-func (s *Sender) all() (q []*msg) {
-	for _, m := range s.msgs {
+func (s *Sender) all() (q []*message) {
+	for _, m := range s.messages {
 		q = append(q, m)
 	}
-	slices.SortFunc(q, func(a, b *msg) int { return cmp.Compare(a.seq, b.seq) })
+	slices.SortFunc(q, func(a, b *message) int { return cmp.Compare(a.seq, b.seq) })
 	return q
 }
 
 func (s *Sender) dispatchBySort() {
-	var q []*msg
+	var q []*message
 	for _, m := range s.all() {
-		if m.out == nil && !m.over {
-			m.dest.load = float64(1 + m.dest.lane.inflight)
-			m.prio = s.rate(m)
+		if m.inFlight == nil && !m.ended {
+			m.dest.load = float64(1 + m.dest.limiter.inFlight)
+			m.priority = s.priority(m)
 			m.dest.rank = 0
 			q = append(q, m)
 		}
 	}
-	slices.SortFunc(q, sooner)
+	slices.SortFunc(q, comparePriority)
 	for _, m := range q {
 		// One with less left than a call takes at least is not begun. Before the index, the sort had it go last.
-		if (m.owed || s.now+max(s.usual(m), leastUsual) <= m.deadline) && s.send(m) {
+		if (m.inherited || s.now+max(s.usualLatency(m), minUsualLatency) <= m.deadline) && s.trySend(m) {
 			s.dequeue(m)
 		}
 	}
 	// Room is made after all have had their turn. Before the index, it was made between one message and the next.
 	for i, m := range q {
-		if m.out != nil {
+		if m.inFlight != nil {
 			continue
 		}
 		m.dest.rank++
-		p := s.destPace(m.dest)
-		late := m.step == s.step || !m.owed && m.deadline-s.now < Micros(lateEnd*float64(m.span))
-		if late && p > 0 && m.dest.rank/p > seconds(m.deadline-s.now-s.usual(m)) && s.crowd() > holdHalf {
-			s.end(m)
+		p := s.destinationRate(m.dest)
+		late := m.arrivalStep == s.step || !m.inherited && m.deadline-s.now < Micros(protectedRemaining*float64(m.initialTime))
+		if late && p > 0 && m.dest.rank/p > seconds(m.deadline-s.now-s.usualLatency(m)) && s.pendingRatio() > shedLateAbove {
+			s.endMessage(m)
 			continue
 		}
-		if s.crowd() > holdFull && i >= len(q)-1 && !m.mayRun && !m.owed {
-			s.end(m)
+		if s.pendingRatio() > shedLeastAbove && i >= len(q)-1 && !m.mayHaveRun && !m.inherited {
+			s.endMessage(m)
 		}
 	}
 }
@@ -184,16 +184,16 @@
 		for _, m := range s.all() { // some may have run
 			if m.class.Effect == Keyed && m.group != nil && rapid.IntRange(0, 5).Draw(t, "may run") == 0 {
 				s.dequeue(m)
-				m.mayRun, m.firstMay, m.owed = true, s.now, false
+				m.mayHaveRun, m.mayHaveRunAt, m.inherited = true, s.now, false
 				s.enqueue(m)
 			}
 		}
-		for _, d := range s.order {
+		for _, d := range s.destinationOrder {
 			if rapid.Bool().Draw(t, "learnt") {
 				for range 6 {
-					d.hist.add(s.now, 1000+span("took", 3*Second), false)
+					d.latencies.add(s.now, 1000+span("took", 3*Second), false)
 				}
-				s.refreshAll(d)
+				s.updateExpiries(d)
 			}
 		}
 	}
@@ -202,18 +202,18 @@
 }
 
 // order is the order in which all cursors together give what waits.
-func (s *Sender) sorted() (out []*msg) {
-	var next merge
-	for _, d := range s.order {
-		d.load, d.lookedIn = float64(1+d.lane.inflight), s.step
+func (s *Sender) sorted() (out []*message) {
+	var next cursorHeap
+	for _, d := range s.destinationOrder {
+		d.load, d.visitedStep = float64(1+d.limiter.inFlight), s.step
 		for _, g := range d.groups {
-			next = s.cursors(next, g)
+			next = s.appendCursors(next, g)
 		}
 	}
 	heap.Init(&next)
 	for len(next) > 0 {
-		out = append(out, next[0].m)
-		if s.advance(next[0]); next[0].m == nil {
+		out = append(out, next[0].msg)
+		if s.advance(next[0]); next[0].msg == nil {
 			heap.Pop(&next)
 		} else {
 			heap.Fix(&next, 0)
@@ -227,22 +227,22 @@
 	rapid.Check(t, func(t *rapid.T) {
 		s := drawn(t)
 		got := s.sorted()
-		var want []*msg
+		var want []*message
 		for _, m := range s.all() {
-			if m.group != nil && (m.owed || s.now+max(s.usual(m), leastUsual) <= m.deadline) {
-				m.prio = s.rate(m)
+			if m.group != nil && (m.inherited || s.now+max(s.usualLatency(m), minUsualLatency) <= m.deadline) {
+				m.priority = s.priority(m)
 				want = append(want, m)
 			}
 		}
-		slices.SortFunc(want, sooner)
+		slices.SortFunc(want, comparePriority)
 		if len(got) != len(want) {
 			t.Fatalf("%d messages of %d", len(got), len(want))
 		}
 		for i, m := range got {
 			// Two whose rates differ by rounding alone may change places.
-			if x := want[i]; m != x && math.Abs(m.prio-x.prio) > 1e-9*math.Abs(x.prio) {
-				t.Fatalf("at %d: %s of rate %g, want %s of rate %g", i, m.id, m.prio, x.id, x.prio)
-			} else if m != x && m.prio == x.prio && x.prio > 1e-290 {
+			if x := want[i]; m != x && math.Abs(m.priority-x.priority) > 1e-9*math.Abs(x.priority) {
+				t.Fatalf("at %d: %s of rate %g, want %s of rate %g", i, m.id, m.priority, x.id, x.priority)
+			} else if m != x && m.priority == x.priority && x.priority > 1e-290 {
 				t.Fatalf("at %d: %s, want %s of the same rate", i, m.id, x.id)
 			}
 		}
@@ -253,14 +253,14 @@
 
 func TestSortedIsASortedList(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var l sorted
+		var l sortedList
 		var plain []item
 		seq := 0
 		span := rapid.SampledFrom([]int64{3, 1000, 1 << 40}).Draw(t, "span")
 		for range rapid.IntRange(1, 4).Draw(t, "rounds") {
 			for range rapid.IntRange(0, 1200).Draw(t, "in") {
 				seq++
-				x := item{Micros((int64(seq)*2654435761)%span) + Micros(rapid.SampledFrom([]int64{0, 1}).Draw(t, "more")), &msg{seq: seq}}
+				x := item{Micros((int64(seq)*2654435761)%span) + Micros(rapid.SampledFrom([]int64{0, 1}).Draw(t, "more")), &message{seq: seq}}
 				l.insert(x)
 				plain = append(plain, x)
 			}
@@ -272,10 +272,10 @@
 			}
 		}
 		slices.SortFunc(plain, func(a, b item) int {
-			return cmp.Or(cmp.Compare(a.at, b.at), cmp.Compare(a.m.seq, b.m.seq))
+			return cmp.Or(cmp.Compare(a.key, b.key), cmp.Compare(a.msg.seq, b.msg.seq))
 		})
 		i := 0
-		for p := (place{}); ; p = l.next(p) {
+		for p := (position{}); ; p = l.next(p) {
 			x, ok := l.get(p)
 			if !ok {
 				break
@@ -285,7 +285,7 @@
 			}
 			i++
 		}
-		if i != len(plain) || l.n != i {
+		if i != len(plain) || l.size != i {
 			t.Fatalf("%d of %d", i, len(plain))
 		}
 	})
@@ -293,9 +293,9 @@
 
 func TestAlarmsGoOffInOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var h alarms
-		all := make([]alarm, rapid.IntRange(1, 60).Draw(t, "alarms"))
-		set := map[*alarm]Micros{}
+		var h timerHeap
+		all := make([]timer, rapid.IntRange(1, 60).Draw(t, "alarms"))
+		set := map[*timer]Micros{}
 		for range rapid.IntRange(1, 300).Draw(t, "changes") {
 			a := &all[rapid.IntRange(0, len(all)-1).Draw(t, "which")]
 			at := Micros(rapid.Int64Range(0, 50).Draw(t, "at"))
@@ -308,14 +308,14 @@
 			}
 		}
 		last := Micros(0)
-		for a := h.due(100); a != nil; a = h.due(100) {
-			if set[a] != a.at || a.at < last || a.i != 0 {
+		for a := h.popDue(100); a != nil; a = h.popDue(100) {
+			if set[a] != a.at || a.at < last || a.heapIndex != 0 {
 				t.Fatalf("%d after %d, want %d", a.at, last, set[a])
 			}
 			last = a.at
 			delete(set, a)
 		}
-		if len(set) > 0 || h.next() != never {
+		if len(set) > 0 || h.nextAt() != never {
 			t.Fatalf("%d left", len(set))
 		}
 	})
--- a/logic/rate_limit.go
+++ b/logic/rate_limit.go
@@ -2,95 +2,104 @@
 
 import "math"
 
-// The pace of each lane: bounded by told limits, set by refusals, creeping back on success.
+// The adaptive rate of each limiter: bounded by the reported limit, decreased on rejections, increased on
+// successes.
 
-// paced says when the lane may take its next call. Asking changes nothing: what it has saved up counts by the
-// pace that held while messages waited, else by the present one, however often somebody has asked.
-func (s *Sender) paced(l *lane) Micros {
-	r := s.rateOf(l)
-	if r == 0 {
+// rateAvailableAt returns the time at which the limiter allows its next call. It does not change the limiter:
+// tokens accumulate at the rate that held while messages waited, otherwise at the present one, no matter how
+// often this is called.
+func (s *Sender) rateAvailableAt(l *limiter) Micros {
+	rate := s.effectiveRate(l)
+	if rate == 0 {
 		return 0
 	}
-	tokens := s.saved(l, r)
+	tokens := s.availableTokens(l, rate)
 	if tokens >= 1-1e-9 {
 		return 0
 	}
-	return s.now + Micros((1-tokens)/r*float64(Second)) + 1
+	return s.now + Micros((1-tokens)/rate*float64(Second)) + 1
 }
 
-// rateOf is a lane's pace; where a limit is told, it bounds the pace from the start. 0 is free.
-func (s *Sender) rateOf(l *lane) float64 {
-	lim := l.limit
-	if s.set.Weights == WeightsRough && !l.told {
-		lim *= 1.5
+// effectiveRate is the adaptive rate, bounded by the reported limit if there is one. 0 means unlimited.
+func (s *Sender) effectiveRate(l *limiter) float64 {
+	bound := l.limit
+	if s.settings.Weights == WeightsRough && !l.limitReported {
+		bound *= 1.5
 	}
-	if lim = min(lim, shareMost*lim/float64(s.set.Senders)); lim > 0 && (l.pace == 0 || l.pace > lim) {
-		return lim
+	if bound = min(bound, maxShareFactor*bound/float64(s.settings.Senders)); bound > 0 &&
+		(l.rate == 0 || l.rate > bound) {
+		return bound
 	}
-	return l.pace
+	return l.rate
 }
 
-func (s *Sender) saved(l *lane, r float64) float64 {
-	return min(l.tokens+r*seconds(s.now-l.filled), max(1, r*seconds(s.set.BurstTime)))
+// availableTokens is the number of tokens of a limiter at the given rate, up to its burst.
+func (s *Sender) availableTokens(l *limiter, rate float64) float64 {
+	return min(l.tokens+rate*seconds(s.now-l.refilledAt), max(1, rate*seconds(s.settings.BurstTime)))
 }
 
-// settle books what a lane has saved up.
-func (s *Sender) settle(l *lane) {
-	if r := s.rateOf(l); r > 0 {
-		l.tokens, l.filled = s.saved(l, r), s.now
+// refillTokens adds the tokens that have accumulated since the last refill.
+func (s *Sender) refillTokens(l *limiter) {
+	if rate := s.effectiveRate(l); rate > 0 {
+		l.tokens, l.refilledAt = s.availableTokens(l, rate), s.now
 	}
 }
 
-// refused slows a lane: its pace starts at the last second's rate and halves at most once a second. Where an
-// even share of the limit is under the floor (thin), refusals are rare and a pace starts at the share itself.
-func (s *Sender) refused(l *lane) {
-	if s.now < l.halved+paceSpan && l.pace > 0 {
+// decreaseRate decreases the rate of a limiter after a rejection. The rate starts at that of the last second
+// and is halved at most once a second. If an even share of the limit is under minRate, rejections are rare,
+// and the rate starts at the share itself.
+func (s *Sender) decreaseRate(l *limiter) {
+	if s.now < l.decreasedAt+rateWindow && l.rate > 0 {
 		return
 	}
-	switch share := s.share(l); {
-	case share < paceFloor && (l.pace == 0 || l.pace > shareFull*share):
-		// The thinner, the later this sender learns more, and the more have been refused beside it unseen.
-		l.pace = (shareDown + (shareFull-shareDown)*min(1, share/shareHalf)) * share
-	case share < paceFloor:
-		l.pace = max(shareDown*l.pace, shareLow*share)
-	case l.pace == 0:
-		l.pace = max(paceFloor, float64(since(l.sent, s.now-paceSpan)))
+	switch share := s.evenShare(l); {
+	case share < minRate && (l.rate == 0 || l.rate > smallShareFirstDecrease*share):
+		// The smaller the share, the later this sender gets its next outcome, and the more calls of other
+		// senders have been rejected in the meantime.
+		l.rate = (smallShareDecrease +
+			(smallShareFirstDecrease-smallShareDecrease)*min(1, share/smallShareScale)) * share
+	case share < minRate:
+		l.rate = max(smallShareDecrease*l.rate, smallShareMinimum*share)
+	case l.rate == 0:
+		l.rate = max(minRate, float64(countAfter(l.callTimes, s.now-rateWindow)))
 	default:
-		l.pace = max(paceFloor, l.pace/2)
+		l.rate = max(minRate, l.rate/2)
 	}
-	l.halved = s.now
-	s.settle(l)
-	// Others were refused too: the next call comes half a pace early or late, or up to one after a wait.
+	l.decreasedAt = s.now
+	s.refillTokens(l)
+	// Calls of other senders were rejected too, so the next call comes up to half an interval early or late,
+	// or up to one interval after a requested wait.
 	l.tokens = min(l.tokens, s.rng.Float64()-0.5)
-	if l.until > s.now {
-		l.filled, l.tokens = l.until, l.tokens+0.5
+	if l.waitUntil > s.now {
+		l.refilledAt, l.tokens = l.waitUntil, l.tokens+0.5
 	}
 }
 
-// share is an even part of a limit that is told. Without one, among many senders it is what our messages ask
-// for, as all ask for about what there is; among few there is no bound to it.
-func (s *Sender) share(l *lane) float64 {
+// evenShare is an even share of the reported limit. Without a limit, it is the demand of this sender if there
+// are many senders, as their demand is about the capacity; with few senders there is no bound.
+func (s *Sender) evenShare(l *limiter) float64 {
 	switch {
 	case l.limit > 0:
-		return l.limit / float64(s.set.Senders)
-	case s.many:
-		return s.asked(l)
+		return l.limit / float64(s.settings.Senders)
+	case s.manySenders:
+		return s.demand(l)
 	}
 	return math.Inf(1)
 }
 
-func (s *Sender) creep(l *lane) {
-	if l.pace == 0 {
+// increaseRate increases the rate of a limiter after a success, until the rate is unlimited again.
+func (s *Sender) increaseRate(l *limiter) {
+	if l.rate == 0 {
 		return
 	}
-	share := s.share(l)
-	if share >= paceFloor {
-		l.pace += paceCreep * max(l.pace, min(share, l.limit))
-	} else { // back to what is ours, the slower the nearer
-		l.pace += shareBack*max(0, share-l.pace) + shareOver*share
+	share := s.evenShare(l)
+	if share >= minRate {
+		l.rate += rateIncrease * max(l.rate, min(share, l.limit))
+	} else { // approach the share, more slowly the nearer it is
+		l.rate += smallShareRecovery*max(0, share-l.rate) + smallShareIncrease*share
 	}
-	if l.pace > shareMost*share ||
-		share >= paceFloor && l.pace > paceFree*float64(since(l.sent, s.now-paceSpan)+1) {
-		l.pace = 0
+	if l.rate > maxShareFactor*share ||
+		share >= minRate && l.rate > unlimitedRateFactor*float64(countAfter(l.callTimes, s.now-rateWindow)+1) {
+		l.rate = 0
 	}
 }
--- a/logic/retry.go
+++ b/logic/retry.go
@@ -7,179 +7,189 @@
 	"time"
 )
 
-// When an attempt is called off, whether a message is tried again, and when it ends.
+// When an attempt is cancelled, whether a message is tried again, and when it ends.
 
-// end is the one place where a message ends by our word: refused if no attempt may have run, else failed.
-func (s *Sender) end(m *msg) {
-	if m.over {
+// endMessage ends a message that was not delivered: it is returned if no attempt may have run, and fails
+// otherwise. No other function ends a message by a decision of the Sender.
+func (s *Sender) endMessage(m *message) {
+	if m.ended {
 		return
 	}
-	if m.mayRun || m.out != nil {
-		s.do(FailMessage{ID: m.id})
-		if m.out != nil {
-			s.cancel(m.out)
+	if m.mayHaveRun || m.inFlight != nil {
+		s.emit(FailMessage{ID: m.id})
+		if m.inFlight != nil {
+			s.cancelAttempt(m.inFlight)
 		}
 	} else {
-		s.do(ReturnMessage{ID: m.id, RetryIn: s.set.MaxRetryAfter}) // the longest: the cause lasts
+		// The advised delay is the longest that clients accept, as the cause of the return lasts.
+		s.emit(ReturnMessage{ID: m.id, RetryIn: s.settings.MaxRetryAfter})
 	}
-	s.close(m)
+	s.closeMessage(m)
 }
 
-// resume takes up a message where a restart cut it off: its attempts count, and one without an outcome may
-// have run. What may not be sent again ends at once.
-func (s *Sender) resume(m *msg, p History) {
-	if p.Attempts == 0 {
+// restoreHistory restores the attempts of a message from before a restart. An attempt without an outcome may
+// have run. A message that may not be sent again ends at once.
+func (s *Sender) restoreHistory(m *message, history History) {
+	if history.Attempts == 0 {
 		return
 	}
-	m.tries = p.Attempts
-	if m.mayRun = p.MayHaveRun; m.mayRun || p.InFlight != nil {
-		m.firstMay, m.mayZone = s.now-p.SinceFirst, p.Zone
+	m.attempts = history.Attempts
+	if m.mayHaveRun = history.MayHaveRun; m.mayHaveRun || history.InFlight != nil {
+		m.mayHaveRunAt, m.mayHaveRunZone = s.now-history.SinceFirst, history.Zone
 	}
-	if p.InFlight != nil && s.adopt(m, p) {
+	if history.InFlight != nil && s.adoptAttempt(m, history) {
 		return
 	}
-	if p.Ended {
-		s.close(m)
+	if history.Ended {
+		s.closeMessage(m)
 		return
 	}
-	m.mayRun = m.mayRun || p.InFlight != nil
-	s.endIfStuck(m)
+	m.mayHaveRun = m.mayHaveRun || history.InFlight != nil
+	s.endIfUndeliverable(m)
 }
 
-// endIfStuck ends a message that no further attempt can help.
-func (s *Sender) endIfStuck(m *msg) {
-	if m.out == nil && !m.over && s.permitted(m, nil).Final() {
-		s.end(m)
+// endIfUndeliverable ends a message for which no further attempt is permitted.
+func (s *Sender) endIfUndeliverable(m *message) {
+	if m.inFlight == nil && !m.ended && s.checkPermit(m, nil).Final() {
+		s.endMessage(m)
 	}
 }
 
-// leastLeft is the least time before its end at which a message may be sent: a process may be held up right
-// before it writes.
-const leastLeft = Micros(permit.MinRemaining / time.Microsecond)
+// minRemaining is the minimum time left of a message for an attempt to start, as a process may stall right
+// before it writes the request.
+const minRemaining = Micros(permit.MinRemaining / time.Microsecond)
 
-// needs is the time before its end at which a message is hopeless: a usual call's, if none is out.
-func (s *Sender) needs(m *msg) Micros {
-	last := 2 * max(s.set.Tick, 1000)
-	if m.out != nil {
+// minTimeToSend is the time before its deadline at which a message ends undelivered: the usual latency of a
+// call, or less if an attempt is in flight.
+func (s *Sender) minTimeToSend(m *message) Micros {
+	last := 2 * max(s.settings.Tick, 1000)
+	if m.inFlight != nil {
 		return last
 	}
-	return max(last, s.usual(m), leastLeft)
+	return max(last, s.usualLatency(m), minRemaining)
 }
 
-// endHopeless ends messages whose time is nearly up, in the order in which they came.
-func (s *Sender) endHopeless() {
-	groups, q := s.ring(), []*msg(nil)
-	for _, a := range s.flying {
-		if m := a.m; !m.over && !m.flows {
-			if left := m.deadline - s.now - s.needs(m); left > 0 {
-				s.at(s.now + left)
+// endExpiring ends the messages whose time is nearly up, in order of arrival.
+func (s *Sender) endExpiring() {
+	groups, expiring := s.fireTimers(), []*message(nil)
+	for _, a := range s.inFlight {
+		if m := a.msg; !m.ended && !m.streaming {
+			if left := m.deadline - s.now - s.minTimeToSend(m); left > 0 {
+				s.wakeBy(s.now + left)
 			} else {
-				q = append(q, m)
+				expiring = append(expiring, m)
 			}
 		}
 	}
 	for _, g := range groups {
-		s.refresh(g)
-		for p := (place{}); p.chunk < len(g.ends.chunks); p = g.ends.next(p) {
-			x, _ := g.ends.get(p)
-			if x.at-s.now > s.needs(x.m) {
+		s.updateExpiry(g)
+		for p := (position{}); p.chunk < len(g.byExpiry.chunks); p = g.byExpiry.next(p) {
+			x, _ := g.byExpiry.get(p)
+			if x.key-s.now > s.minTimeToSend(x.msg) {
 				break
 			}
-			q = append(q, x.m)
+			expiring = append(expiring, x.msg)
 		}
 	}
-	slices.SortFunc(q, func(a, b *msg) int { return cmp.Compare(a.seq, b.seq) })
-	for _, m := range q {
-		s.end(m)
+	slices.SortFunc(expiring, func(a, b *message) int { return cmp.Compare(a.seq, b.seq) })
+	for _, m := range expiring {
+		s.endMessage(m)
 	}
 }
 
-// stuckAfter is the time after which an unanswered call speaks for an outage.
-func (s *Sender) stuckAfter(d *dest, m *msg) Micros {
-	h := &d.hist
-	if h.total < minWeight {
-		h = m.seen
+// stuckAfter is the age at which an unanswered call indicates an outage.
+func (s *Sender) stuckAfter(d *destination, m *message) Micros {
+	h := &d.latencies
+	if h.total < minSamples {
+		h = m.classLatencies
 	}
-	if h.total < minWeight {
-		return stuckBlind
+	if h.total < minSamples {
+		return stuckAfterUnknown
 	}
-	return max(Micros(stuckTimes*float64(h.p95)), 3*h.median, stuckLeast)
+	return max(Micros(stuckP95Factor*float64(h.p95)), 3*h.median, minStuckAfter)
 }
 
-// cutLong calls off attempts at τ, and those that hang at an endpoint that answers nothing.
-func (s *Sender) cutLong() {
+// cancelSlowAttempts cancels attempts that last longer than τ, and stuck attempts at endpoints that do not
+// answer.
+func (s *Sender) cancelSlowAttempts() {
 	var oldest *attempt
-	for _, a := range s.flying {
-		if a.cancelled || a.m.flows {
+	for _, a := range s.inFlight {
+		if a.cancelled || a.msg.streaming {
 			continue
 		}
-		e, age := a.ep, s.now-a.at
-		stuck := s.stuckAfter(e.dest, a.m)
-		if !a.stuck && e.lastOK < a.at {
-			if a.stuck = age > stuck; a.stuck {
-				// No outcome yet, so nothing is known to have failed: hold back, but set no budget.
-				s.suspect(e, "silent")
+		e, age := a.endpoint, s.now-a.startedAt
+		stuckAfter := s.stuckAfter(e.dest, a.msg)
+		if !a.stuck && e.lastSuccess < a.startedAt {
+			if a.stuck = age > stuckAfter; a.stuck {
+				// There is no outcome yet, so the failure is not certain: hold messages back, but do not
+				// start an outage with its slow start.
+				s.markSuspect(e, "silent")
 			}
 		}
-		if !a.late && age > patience*stuck {
-			// Ours: a call still out past what is usual counts as lasting past τ until it answers. Else lost
-			// answers, with all others quick, never show in the histogram and hold slots to their deadline.
-			a.late = true
-			e.dest.hist.add(s.now, age, true)
-			a.m.seen.add(s.now, age, true)
-			s.learn(e.dest, a.m.seen)
+		if !a.censored && age > stuckCancelFactor*stuckAfter {
+			// A call that lasts longer than usual counts as longer than τ until it is answered. Otherwise
+			// lost answers, while all others are fast, would never appear in the histogram, and their calls
+			// would occupy slots until the deadline.
+			a.censored = true
+			e.dest.latencies.add(s.now, age, true)
+			a.msg.classLatencies.add(s.now, age, true)
+			s.latenciesChanged(e.dest, a.msg.classLatencies)
 		}
-		if age <= patience*stuck {
-			s.at(a.at + 1 + stuck*Micros(1+min(age/max(stuck, 1), patience-1)))
+		if age <= stuckCancelFactor*stuckAfter {
+			s.wakeBy(a.startedAt + 1 + stuckAfter*Micros(1+min(age/max(stuckAfter, 1), stuckCancelFactor-1)))
 		}
-		if a.m.over || !s.set.MayCancel {
+		if a.msg.ended || !s.settings.MayCancel {
 			continue
 		}
-		if a.m.class.Effect == Unsafe {
-			if age > patience*stuck && (oldest == nil || a.at < oldest.at) {
+		if a.msg.class.Effect == Unsafe {
+			if age > stuckCancelFactor*stuckAfter && (oldest == nil || a.startedAt < oldest.startedAt) {
 				oldest = a
 			}
 			continue
 		}
-		long := stuck << a.m.cuts
-		if a.stuck && e.suspect && (age > patience*long || age > long && s.elsewhere(e)) {
-			a.m.cuts = min(a.m.cuts+1, maxCuts)
-			s.cancel(a)
+		cancelAfter := stuckAfter << a.msg.restarts
+		if a.stuck && e.suspect &&
+			(age > stuckCancelFactor*cancelAfter || age > cancelAfter && s.hasHealthySibling(e)) {
+			a.msg.restarts = min(a.msg.restarts+1, maxRestarts)
+			s.cancelAttempt(a)
 			continue
 		}
-		h := &e.dest.hist
-		if h.total < tauWeight {
-			h = a.m.seen
+		h := &e.dest.latencies
+		if h.total < minRestartSamples {
+			h = a.msg.classLatencies
 		}
-		if h.tau > 0 && s.mayRestart(a) {
-			limit := max(h.tau<<a.m.cuts, long)
+		if h.restartTime > 0 && s.mayRestart(a) {
+			limit := max(h.restartTime<<a.msg.restarts, cancelAfter)
 			if age > limit {
-				a.cut = true
-				a.m.cuts++
-				s.cancel(a)
+				a.restart = true
+				a.msg.restarts++
+				s.cancelAttempt(a)
 			} else {
-				s.at(a.at + limit + 1)
+				s.wakeBy(a.startedAt + limit + 1)
 			}
 		}
 	}
-	// An unsafe call cannot be sent again, so it may wait; but not with the last slot, while others could go.
-	if oldest != nil && s.busy >= s.set.Slots && s.set.Slots > 0 && s.waiting > oldest.m.dest.waiting {
-		s.cancel(oldest)
+	// An unsafe call may not be repeated, so it is left to finish, unless it occupies the last slot while
+	// messages to other destinations wait.
+	if oldest != nil && s.usedSlots >= s.settings.Slots && s.settings.Slots > 0 &&
+		s.queued > oldest.msg.dest.queued {
+		s.cancelAttempt(oldest)
 	}
 }
 
-// mayRestart: a restart must have attempts and time left, and must not add to the load of a destination that
-// refuses or recovers, unless the call holds one of the last slots.
+// mayRestart reports whether an attempt may be cancelled in order to start another one. The message needs
+// attempts and time for it, and the restart must not add load to a destination that rejects calls or is in
+// slow start, unless all slots are in use.
 func (s *Sender) mayRestart(a *attempt) bool {
-	m, e := a.m, a.ep
-	if m.cuts >= maxCuts || m.most > 0 && m.tries >= m.most {
+	m, e := a.msg, a.endpoint
+	if m.restarts >= maxRestarts || m.maxAttempts > 0 && m.attempts >= m.maxAttempts {
 		return false
 	}
-	if s.busy < s.set.Slots && (e.lane.pace > 0 || s.isCold(e)) {
+	if s.usedSlots < s.settings.Slots && (e.limiter.rate > 0 || s.isCold(e)) {
 		return false
 	}
-	if m.class.Effect == Keyed && s.now > m.firstMay+m.class.Window-Second {
+	if m.class.Effect == Keyed && s.now > m.mayHaveRunAt+m.class.Window-Second {
 		return false
 	}
-	return m.deadline-s.now > 2*max(s.usual(m), e.dest.hist.tau)
+	return m.deadline-s.now > 2*max(s.usualLatency(m), e.dest.latencies.restartTime)
 }
--- a/logic/rig_test.go
+++ b/logic/rig_test.go
@@ -50,7 +50,7 @@
 
 func (r *rig) call(class int) NewMessage {
 	r.n++
-	return NewMessage{ID: fmt.Sprintf("m%d", r.n), Remaining: r.s.set.Classes[class].Deadline, Dest: 9, Tenant: -1, Class: class}
+	return NewMessage{ID: fmt.Sprintf("m%d", r.n), Remaining: r.s.settings.Classes[class].Deadline, Dest: 9, Tenant: -1, Class: class}
 }
 
 func answer(id string, ep EndpointID, attempt int, o Outcome) AttemptResult {
--- a/logic/scheduling.go
+++ b/logic/scheduling.go
@@ -5,111 +5,116 @@
 	"slices"
 )
 
-// Which message goes first, and to which endpoint.
+// The order in which messages are sent, and the choice of an endpoint.
 
-// rate orders the queue: the worth that waiting a little longer would lose, for each second of a slot.
-func (s *Sender) rate(m *msg) float64 {
-	if m.owed { // before all else, the first to run out of time first: so most are tried
-		return owedFirst - float64(m.deadline)
+// priority orders the queue: the worth that a message would lose by waiting a little longer, per second that
+// it occupies a slot.
+func (s *Sender) priority(m *message) float64 {
+	if m.inherited { // before all others, by deadline, so that as many as possible are tried
+		return inheritedPriority - float64(m.deadline)
 	}
-	u := max(s.usual(m), leastUsual)
-	soon := s.value(m, s.now+u)
-	loss := soon - s.value(m, s.now+u+lossAhead)
-	if s.value(m, s.now) < m.class.Worth {
-		loss *= lateLess
+	usual := max(s.usualLatency(m), minUsualLatency)
+	soon := s.worthAt(m, s.now+usual)
+	loss := soon - s.worthAt(m, s.now+usual+lossHorizon)
+	if s.worthAt(m, s.now) < m.class.Worth {
+		loss *= lateWeight
 	}
-	return m.share * (loss + 0.02*soon) / (float64(u) * m.dest.load)
+	return m.quotaFactor * (loss + 0.02*soon) / (float64(usual) * m.dest.load)
 }
 
-// usual is the median served latency of m's destination, else of its class; blind if neither is known.
-func (s *Sender) usual(m *msg) Micros {
-	if m.owed { // a restart found it untried: it is tried however little time is left
+// usualLatency is the median latency of m's destination, otherwise that of its class, or unknownLatency if
+// there are too few samples of either.
+func (s *Sender) usualLatency(m *message) Micros {
+	if m.inherited { // never sent before the restart: it is tried however little time is left
 		return unknownLatency
 	}
-	if m.dest.hist.total >= minWeight {
-		return m.dest.hist.median
+	if m.dest.latencies.total >= minSamples {
+		return m.dest.latencies.median
 	}
-	if h := m.seen; h.total >= minWeight {
+	if h := m.classLatencies; h.total >= minSamples {
 		return h.median
 	}
 	return unknownLatency
 }
 
-// send tries the endpoints of m's destination in rotation and reports whether one took it.
-func (s *Sender) send(m *msg) bool {
+// trySend sends m to the best endpoint that admits it, in rotation among equals, and reports whether there
+// was one.
+func (s *Sender) trySend(m *message) bool {
 	d := m.dest
-	best := math.Inf(1)
-	for _, e := range d.eps {
-		if e.slow > 0 && !e.suspect {
-			best = min(best, e.slow)
+	fastest := math.Inf(1)
+	for _, e := range d.endpoints {
+		if e.latency > 0 && !e.suspect {
+			fastest = min(fastest, e.latency)
 		}
 	}
-	var pick *endpoint
+	var chosen *endpoint
 	rank := 99
-	for i := range d.eps {
-		e := d.eps[(d.next+i)%len(d.eps)]
-		ok, at := s.gate(m, e)
+	for i := range d.endpoints {
+		e := d.endpoints[(d.nextEndpoint+i)%len(d.endpoints)]
+		ok, at := s.admit(m, e)
 		if !ok {
-			d.again = min(d.again, at)
+			d.revisitAt = min(d.revisitAt, at)
 			continue
 		}
-		r := 0
-		if !s.joins(m, e) {
-			r++ // a call that leaves anyway comes first
+		endpointRank := 0
+		if !s.joinsCall(m, e) {
+			endpointRank++ // joining an open call is preferred
 		}
-		if s.many && (s.now >= e.warm || e.inflight >= max(s.set.ConnCalls, 1)) {
-			r++ // among many senders connections rarely last until the rotation comes round again
+		if s.manySenders && (s.now >= e.idleConnUntil || e.inFlight >= max(s.settings.ConnCalls, 1)) {
+			endpointRank++ // with many senders, a connection rarely stays open until the rotation returns to it
 		}
-		if e == m.last {
-			r += 4 // a resend goes elsewhere where it can
+		if e == m.lastEndpoint {
+			endpointRank += 4 // a repeat goes to another endpoint if possible
 		}
-		if e.fulls > 1 {
-			r += 2 // refuses while others may not: draining, or a route at its limit
+		if e.overloads > 1 {
+			endpointRank += 2 // rejects calls while others may not: it drains, or is at its own limit
 		}
-		if e.slow > slowTimes*best && s.now < e.lastSent+slowProbe {
-			r += 2
+		if e.latency > slowEndpointFactor*fastest && s.now < e.lastSent+slowEndpointRetry {
+			endpointRank += 2
 		}
-		if r < rank || r == rank && e.lane != d.lane && e.due+e.lane.limit > pick.due+pick.lane.limit+1e-9 {
-			rank, pick = r, e
+		if endpointRank < rank || endpointRank == rank && e.limiter != d.limiter &&
+			e.deficit+e.limiter.limit > chosen.deficit+chosen.limiter.limit+1e-9 {
+			rank, chosen = endpointRank, e
 		}
 	}
-	if pick == nil {
+	if chosen == nil {
 		return false
 	}
-	if m.tries == 0 && rank > 0 {
-		d.next = (slices.Index(d.eps, pick) + 1) % len(d.eps)
+	if m.attempts == 0 && rank > 0 {
+		d.nextEndpoint = (slices.Index(d.endpoints, chosen) + 1) % len(d.endpoints)
 	}
-	if pick.lane != d.lane {
+	if chosen.limiter != d.limiter {
 		sum := 0.0
-		for _, e := range d.eps {
-			sum += e.lane.limit
-			e.due += e.lane.limit
+		for _, e := range d.endpoints {
+			sum += e.limiter.limit
+			e.deficit += e.limiter.limit
 		}
-		pick.due -= sum
+		chosen.deficit -= sum
 	}
-	s.launch(m, pick)
+	s.sendTo(m, chosen)
 	return true
 }
 
-func (s *Sender) launch(m *msg, e *endpoint) {
-	if !s.joins(m, e) {
-		e.open = &call{step: s.step, by: m.deadline}
-		s.busy++
-		s.settle(e.lane)
-		e.lane.tokens--
-		e.lane.inflight++
-		e.inflight++
-		s.mark(e)
-		e.lane.phase = s.rng.Float64()
+// sendTo starts an attempt of m at e, in the open call if m may join it.
+func (s *Sender) sendTo(m *message, e *endpoint) {
+	if !s.joinsCall(m, e) {
+		e.openCall = &call{step: s.step, deadline: m.deadline}
+		s.usedSlots++
+		s.refillTokens(e.limiter)
+		e.limiter.tokens--
+		e.limiter.inFlight++
+		e.inFlight++
+		s.recordCall(e)
+		e.limiter.phase = s.rng.Float64()
 		if e.suspect {
-			s.backOff(e)
+			s.backOffTrial(e)
 		}
 	}
-	e.open.by = min(e.open.by, m.deadline)
-	a, give := s.fly(m, e), m.deadline-s.now
-	if !s.set.MayCancel && m.class.Effect != Unsafe {
-		give = min(give, 2*s.stuckAfter(e.dest, m)) // nothing can be called off here: let it time out
+	e.openCall.deadline = min(e.openCall.deadline, m.deadline)
+	a, timeout := s.recordAttempt(m, e), m.deadline-s.now
+	if !s.settings.MayCancel && m.class.Effect != Unsafe {
+		timeout = min(timeout, 2*s.stuckAfter(e.dest, m)) // attempts cannot be cancelled, so they time out
 	}
-	s.do(StartAttempt{ID: a.m.id, Timeout: give, Endpoint: e.id})
-	s.at(s.now + s.stuckAfter(e.dest, m) + 1) // looked at in time even if nothing else happens until then
+	s.emit(StartAttempt{ID: a.msg.id, Timeout: timeout, Endpoint: e.id})
+	s.wakeBy(s.now + s.stuckAfter(e.dest, m) + 1) // detects a stuck call even if nothing else happens
 }
--- a/logic/second_site_test.go
+++ b/logic/second_site_test.go
@@ -13,15 +13,15 @@
 	r.step(0, ev)
 	room := func(now float64, back bool) (n int) {
 		r.s.now = sec(now)
-		for _, e := range r.s.dests[9].eps {
-			e.cold, e.suspect, e.lastBad, e.sent = true, true, sec(1), nil
+		for _, e := range r.s.destinations[9].endpoints {
+			e.cold, e.suspect, e.lastFailure, e.callTimes = true, true, sec(1), nil
 		}
-		e := r.s.eps[1]
+		e := r.s.endpoints[1]
 		if back {
-			e.suspect, e.backAt = false, sec(2)
+			e.suspect, e.recoveredAt = false, sec(2)
 		}
-		for r.s.budget(e) <= r.s.now {
-			e.sent = append(e.sent, r.s.now)
+		for r.s.budgetAvailableAt(e) <= r.s.now {
+			e.callTimes = append(e.callTimes, r.s.now)
 			n++
 		}
 		return n
@@ -53,12 +53,12 @@
 	} {
 		r := newRig(t, set)
 		r.step(0, list(1))
-		e := r.s.eps[1]
-		r.s.report(e, []float64{0.1, 5}) // an old one, which the next answer takes back
+		e := r.s.endpoints[1]
+		r.s.recordLoadReport(e, []float64{0.1, 5}) // an old one, which the next answer takes back
 		for i := range 5 {
 			r.s.now = sec(1 + 0.5*float64(i))
-			r.s.report(e, x.load)
-			r.s.full(e, sec(x.wait))
+			r.s.recordLoadReport(e, x.load)
+			r.s.recordOverload(e, sec(x.wait))
 		}
 		if e.suspect != x.shut {
 			t.Errorf("%s: taken for shut: %v", x.name, e.suspect)
@@ -76,22 +76,22 @@
 		r := newRig(t, set)
 		r.step(0, list(1))
 		for range 5 { // a usual call takes 0.2 s
-			for i := range r.s.byClass {
-				r.s.byClass[i].add(0, sec(0.2), false)
+			for i := range r.s.classLatencies {
+				r.s.classLatencies[i].add(0, sec(0.2), false)
 			}
 		}
 		old := r.call(0)
 		old.Remaining = sec(late)
 		out := only[StartAttempt](r.step(1, r.call(2), old, r.call(2)))
-		if (len(out) == 3) != (late > 1) || r.s.busy != 1 {
-			t.Errorf("%v s left: %d sends in %d calls, want one, without the short one beside others", late, len(out), r.s.busy)
+		if (len(out) == 3) != (late > 1) || r.s.usedSlots != 1 {
+			t.Errorf("%v s left: %d sends in %d calls, want one, without the short one beside others", late, len(out), r.s.usedSlots)
 		}
 		calls := 1
 		if late < 1 {
 			calls = 2
 		}
-		if next := only[StartAttempt](r.step(1.005)); len(out)+len(next) != 3 || r.s.busy != calls {
-			t.Errorf("%v s left: %d sends in the next step, %d calls out, want %d", late, len(next), r.s.busy, calls)
+		if next := only[StartAttempt](r.step(1.005)); len(out)+len(next) != 3 || r.s.usedSlots != calls {
+			t.Errorf("%v s left: %d sends in the next step, %d calls out, want %d", late, len(next), r.s.usedSlots, calls)
 		}
 	}
 }
--- a/logic/slow_start.go
+++ b/logic/slow_start.go
@@ -2,108 +2,114 @@
 
 import "slices"
 
-// How much an endpoint that returns from an outage gets until it is warm.
+// Slow start: the number of calls that an endpoint gets after an outage until it is warm.
 
-// budget keeps what goes to a destination after an outage under this sender's share of what topples it: it
-// tells when e may have its next call, 0 for now. The endpoints of a lane that are cold share one budget: the
-// lane falls over as a whole.
-func (s *Sender) budget(e *endpoint) Micros {
-	if e.cold && !e.suspect && s.now >= e.backAt+s.set.WarmAfter {
+// budgetAvailableAt returns the time at which e may have its next call during a slow start, 0 for now. It
+// limits the calls to a destination after an outage to this sender's share of the number that would overload
+// it. The cold endpoints of a limiter share one budget, as they are overloaded together.
+func (s *Sender) budgetAvailableAt(e *endpoint) Micros {
+	if e.cold && !e.suspect && s.now >= e.recoveredAt+s.settings.WarmAfter {
 		e.cold = false
 	}
 	if !e.cold && !s.siblingIsCold(e) {
 		return 0
 	}
-	if s.now < e.dest.restTo {
-		return e.dest.restTo
+	if s.now < e.dest.pausedUntil {
+		return e.dest.pausedUntil
 	}
-	lane := s.coldLane(e)
-	window := s.set.FallWindow
-	// Calls in a window for each call a second of capacity.
-	perCapacity := s.set.FallMultiple * lane.share * seconds(window)
-	most := perCapacity * lane.capacity / float64(s.set.Senders)
-	slices.Sort(lane.sent)
-	if most < 1 {
-		// Many senders: ours is our messages' share of all since the outage began: one call in a longer span.
-		most = max(most, perCapacity*min(sendAgain*s.asked(e.lane), lane.capacity/2))
-		window = Micros(float64(window) / min(most, 1))
-		if most < 1 {
-			return s.singleCallAt(e, lane.sent, window)
+	joint := s.coldEndpointsOf(e)
+	window := s.settings.FallWindow
+	// Calls per window for each call per second of capacity.
+	perCapacity := s.settings.FallMultiple * joint.capacityShare * seconds(window)
+	budget := perCapacity * joint.capacity / float64(s.settings.Senders)
+	slices.Sort(joint.callTimes)
+	if budget < 1 {
+		// With many senders, the share of this one is that of its messages in all messages since the outage
+		// began: one call in a longer window.
+		budget = max(budget, perCapacity*min(resentShare*s.demand(e.limiter), joint.capacity/2))
+		window = Micros(float64(window) / min(budget, 1))
+		if budget < 1 {
+			return s.singleCallAt(e, joint.callTimes, window)
 		}
 	}
-	if n := since(lane.sent, s.now-window); float64(n+1) > most {
-		return lane.sent[len(lane.sent)-n] + window + 1
+	if n := countAfter(joint.callTimes, s.now-window); float64(n+1) > budget {
+		return joint.callTimes[len(joint.callTimes)-n] + window + 1
 	}
 	return 0
 }
 
-// siblingIsCold says whether an endpoint of e's lane is cold that has failed since e last answered beside
-// it.
+// siblingIsCold reports whether an endpoint with the limiter of e is cold and has failed since e was last
+// known to be healthy independently of it.
 func (s *Sender) siblingIsCold(e *endpoint) bool {
-	return slices.ContainsFunc(e.dest.eps, func(x *endpoint) bool {
-		return s.isCold(x) && x.lane == e.lane && x.lastBad > e.well // e did not answer while x was out
+	return slices.ContainsFunc(e.dest.endpoints, func(x *endpoint) bool {
+		// e has not answered during the outage of x
+		return s.isCold(x) && x.limiter == e.limiter && x.lastFailure > e.independentSuccess
 	})
 }
 
-// coldLane is what the cold endpoints of a lane have in common.
-type coldLane struct {
-	share    float64  // of their capacity that they have by now
-	capacity float64  // in calls a second, once they are warm
-	sent     []Micros // calls to them
+// coldEndpoints is the joint state of the cold endpoints of a limiter.
+type coldEndpoints struct {
+	capacityShare float64  // fraction of their capacity that they have by now
+	capacity      float64  // in calls per second, when warm
+	callTimes     []Micros // of the calls to them
 }
 
-// coldLane looks at the cold endpoints of e's lane, e among them. Each counts by the time since its return;
-// one that is out still, as if it returned now; and those not tried meanwhile, e itself or such as drain, as
+// coldEndpointsOf returns the joint state of the cold endpoints with the limiter of e, including e. The
+// warmth of each depends on the time since its recovery. An endpoint still in outage counts as if it
+// recovered now. Those that have not been tried since the outage, such as e itself or draining ones, count as
 // the coldest.
-func (s *Sender) coldLane(e *endpoint) coldLane {
-	warmth, coldest, tried, cold := 0.0, 1.0, 0.0, 0 // warmth is the sum over those that were tried
-	lane := coldLane{}
-	for _, x := range e.dest.eps {
-		if (!s.isCold(x) && x != e) || x.lane != e.lane { // a mark on one that drains outlasts its cold
+func (s *Sender) coldEndpointsOf(e *endpoint) coldEndpoints {
+	warmth, coldest, tried, count := 0.0, 1.0, 0.0, 0 // warmth is the sum over the endpoints that were tried
+	joint := coldEndpoints{}
+	for _, x := range e.dest.endpoints {
+		// x.cold is not enough: for a draining endpoint it remains set after the slow start.
+		if (!s.isCold(x) && x != e) || x.limiter != e.limiter {
 			continue
 		}
-		cold++
-		lane.sent = append(lane.sent, x.sent...)
+		count++
+		joint.callTimes = append(joint.callTimes, x.callTimes...)
 		if !x.cold {
 			continue
 		}
 		warm := 0.0
 		if !x.suspect {
-			warm = min(1, seconds(s.now-x.backAt)/seconds(s.set.WarmAfter))
+			warm = min(1, seconds(s.now-x.recoveredAt)/seconds(s.settings.WarmAfter))
 		}
 		if coldest = min(coldest, warm); x.state == Ready {
 			warmth, tried = warmth+warm, tried+1
 		}
 	}
-	lane.capacity = s.capacity(e) * float64(cold)
-	lane.share = s.set.ColdFrom + (1-s.set.ColdFrom)*(warmth+coldest*(float64(cold)-tried))/float64(cold)
-	return lane
+	joint.capacity = s.estimatedCapacity(e) * float64(count)
+	joint.capacityShare = s.settings.ColdFrom +
+		(1-s.settings.ColdFrom)*(warmth+coldest*(float64(count)-tried))/float64(count)
+	return joint
 }
 
-// singleCallAt is when e may have a call where the budget allows less than one in a window: half a window
-// after the last, and at a time within it that senders have each for themselves.
-func (s *Sender) singleCallAt(e *endpoint, sent []Micros, window Micros) Micros {
-	at := max(e.lane.until, e.dest.downAt)
-	if n := len(sent); n > 0 {
-		at = max(at, sent[n-1]+window/2)
+// singleCallAt returns the time at which e may have a call if the budget allows less than one call per
+// window: half a window after the last call, plus a part of the window that each sender draws at random.
+func (s *Sender) singleCallAt(e *endpoint, callTimes []Micros, window Micros) Micros {
+	at := max(e.limiter.waitUntil, e.dest.outageAt)
+	if n := len(callTimes); n > 0 {
+		at = max(at, callTimes[n-1]+window/2)
 	}
-	return at + Micros(e.lane.phase*float64(window))
+	return at + Micros(e.limiter.phase*float64(window))
 }
 
-// capacity is a low guess of the calls a second that an endpoint takes.
-func (s *Sender) capacity(e *endpoint) float64 {
-	c := e.lane.limit
+// estimatedCapacity is a low estimate of the calls per second that an endpoint can take.
+func (s *Sender) estimatedCapacity(e *endpoint) float64 {
+	c := e.limiter.limit
 	if c == 0 {
-		c = max(e.lane.peak, paceFloor)
-	} else if s.set.Weights == WeightsRough && !e.lane.told {
+		c = max(e.limiter.peakRate, minRate)
+	} else if s.settings.Weights == WeightsRough && !e.limiter.limitReported {
 		c /= 1.5
 	}
-	if e.lane == e.dest.lane {
-		c /= float64(max(len(e.dest.eps), 1))
+	if e.limiter == e.dest.limiter {
+		c /= float64(max(len(e.dest.endpoints), 1))
 	}
 	return c
 }
 
+// isCold reports whether an endpoint is in outage or in slow start.
 func (s *Sender) isCold(e *endpoint) bool {
-	return e.cold && (e.suspect || s.now < e.backAt+s.set.WarmAfter)
+	return e.cold && (e.suspect || s.now < e.recoveredAt+s.settings.WarmAfter)
 }
--- a/logic/slow_start_test.go
+++ b/logic/slow_start_test.go
@@ -7,7 +7,7 @@
 func (w *world) checkCold(e *wep) {
 	if e.row.Dest == 1 && w.now < w.outage[0] {
 		w.wellSent = append(w.wellSent, w.now)
-		w.peak = max(w.peak, float64(since(w.wellSent, w.now-Second)))
+		w.peak = max(w.peak, float64(countAfter(w.wellSent, w.now-Second)))
 	}
 	if e.row.Dest != 1 || !w.knows || w.now < w.outage[1] || w.now > w.outage[1]+w.set.WarmAfter {
 		return
@@ -23,14 +23,14 @@
 	}
 	most := w.set.FallMultiple*up*limit*routes*seconds(w.set.FallWindow)/float64(w.set.Senders) + 6*routes
 	w.coldSent = append(w.coldSent, w.now)
-	n := since(w.coldSent, w.now-w.set.FallWindow)
+	n := countAfter(w.coldSent, w.now-w.set.FallWindow)
 	own, given := n, slowStartBudget(most-6*routes)
 	if routes > 1 { // the rule holds for each
 		if w.coldRoute == nil {
 			w.coldRoute = map[EndpointID][]Micros{}
 		}
 		w.coldRoute[e.row.Endpoint] = append(w.coldRoute[e.row.Endpoint], w.now)
-		own, given = since(w.coldRoute[e.row.Endpoint], w.now-w.set.FallWindow), slowStartBudget((most-6*routes)/routes)
+		own, given = countAfter(w.coldRoute[e.row.Endpoint], w.now-w.set.FallWindow), slowStartBudget((most-6*routes)/routes)
 	}
 	switch {
 	case float64(own) > given && (routes == 1 || w.knowsRoute[e.row.Endpoint]):
--- a/logic/sorted.go
+++ b/logic/sorted.go
@@ -5,59 +5,64 @@
 	"sort"
 )
 
-// item is a message in a sorted list: by a key, then in order of arrival.
+// item is an element of a sortedList: a message with a key. Items with equal keys are ordered by arrival.
 type item struct {
-	at Micros
-	m  *msg
+	key Micros
+	msg *message
 }
 
-func (a item) before(b item) bool { return a.at < b.at || a.at == b.at && a.m.seq < b.m.seq }
+// before reports whether a is ordered before b.
+func (a item) before(b item) bool { return a.key < b.key || a.key == b.key && a.msg.seq < b.msg.seq }
 
-// chunkMost bounds the items that move at an insertion.
-const chunkMost = 512
+// maxChunk bounds the number of items that an insertion moves.
+const maxChunk = 512
 
-// sorted is a list of items in order. Insertion and removal cost the logarithm of its length and at most
-// chunkMost moves; at both ends they cost little more than a plain list.
-type sorted struct {
+// sortedList is a list of items in order. Insertion and removal take time logarithmic in its length and at
+// most maxChunk moves. At both ends they cost little more than in a plain slice.
+type sortedList struct {
 	chunks [][]item // none is empty
-	n      int
+	size   int
 }
 
-// place is a position in a sorted list. It stands until the list changes.
-type place struct{ chunk, i int }
+// position is a position in a sortedList. It is valid until the list changes.
+type position struct{ chunk, index int }
 
-// find is the place of the first item of which past is true; past must hold for all that follow.
-func (l *sorted) find(past func(item) bool) place {
+// find returns the position of the first item for which past is true. If past is true for an item, it must be
+// true for all that follow.
+func (l *sortedList) find(past func(item) bool) position {
 	c := sort.Search(len(l.chunks), func(c int) bool { return past(l.chunks[c][len(l.chunks[c])-1]) })
 	if c == len(l.chunks) {
-		return place{c, 0}
+		return position{c, 0}
 	}
-	return place{c, sort.Search(len(l.chunks[c]), func(i int) bool { return past(l.chunks[c][i]) })}
+	return position{c, sort.Search(len(l.chunks[c]), func(i int) bool { return past(l.chunks[c][i]) })}
 }
 
-// seek is the place of the first item whose key is not under at.
-func (l *sorted) seek(at Micros) place { return l.find(func(x item) bool { return x.at >= at }) }
+// seek returns the position of the first item whose key is at least at.
+func (l *sortedList) seek(at Micros) position {
+	return l.find(func(x item) bool { return x.key >= at })
+}
 
-// get is the item at p; false at the end.
-func (l *sorted) get(p place) (item, bool) {
+// get returns the item at p, or false at the end of the list.
+func (l *sortedList) get(p position) (item, bool) {
 	if p.chunk >= len(l.chunks) {
 		return item{}, false
 	}
-	return l.chunks[p.chunk][p.i], true
+	return l.chunks[p.chunk][p.index], true
 }
 
-func (l *sorted) next(p place) place {
-	if p.i++; p.i == len(l.chunks[p.chunk]) {
-		return place{p.chunk + 1, 0}
+// next returns the position after p.
+func (l *sortedList) next(p position) position {
+	if p.index++; p.index == len(l.chunks[p.chunk]) {
+		return position{p.chunk + 1, 0}
 	}
 	return p
 }
 
-// before is the item in front of p; false at the start.
-func (l *sorted) before(p place) (item, bool) {
+// previous returns the item before p, or false at the start of the list.
+func (l *sortedList) previous(p position) (item, bool) {
 	switch {
-	case p.i > 0:
-		return l.chunks[p.chunk][p.i-1], true
+	case p.index > 0:
+		return l.chunks[p.chunk][p.index-1], true
 	case p.chunk > 0:
 		c := l.chunks[p.chunk-1]
 		return c[len(c)-1], true
@@ -65,31 +70,33 @@
 	return item{}, false
 }
 
-func (l *sorted) first() (item, bool) { return l.get(place{}) }
+// first returns the first item, or false if the list is empty.
+func (l *sortedList) first() (item, bool) { return l.get(position{}) }
 
-// index is the number of items in front of p.
-func (l *sorted) index(p place) int {
-	n := p.i
+// index returns the number of items before p.
+func (l *sortedList) index(p position) int {
+	n := p.index
 	for _, c := range l.chunks[:p.chunk] {
 		n += len(c)
 	}
 	return n
 }
 
-func (l *sorted) insert(x item) {
-	l.n++
+// insert adds x.
+func (l *sortedList) insert(x item) {
+	l.size++
 	p := l.find(func(y item) bool { return x.before(y) })
 	if p.chunk == len(l.chunks) {
-		if p.chunk == 0 || len(l.chunks[p.chunk-1]) >= chunkMost { // what comes at the end fills chunks whole
+		if p.chunk == 0 || len(l.chunks[p.chunk-1]) >= maxChunk { // appended items fill chunks completely
 			l.chunks = append(l.chunks, []item{x})
 			return
 		}
 		p.chunk--
-		p.i = len(l.chunks[p.chunk])
+		p.index = len(l.chunks[p.chunk])
 	}
-	c := slices.Insert(l.chunks[p.chunk], p.i, x)
+	c := slices.Insert(l.chunks[p.chunk], p.index, x)
 	l.chunks[p.chunk] = c
-	if len(c) > chunkMost {
+	if len(c) > maxChunk {
 		half := len(c) / 2
 		l.chunks = slices.Insert(l.chunks, p.chunk+1, slices.Clone(c[half:]))
 		clear(c[half:])
@@ -97,70 +104,71 @@
 	}
 }
 
-// remove takes x off the list, in which it must be.
-func (l *sorted) remove(x item) {
-	l.n--
+// remove removes x, which must be in the list.
+func (l *sortedList) remove(x item) {
+	l.size--
 	p := l.find(func(y item) bool { return !y.before(x) })
 	c := l.chunks[p.chunk]
-	if p.i == 0 && len(c) > 1 { // the usual one
+	if p.index == 0 && len(c) > 1 { // the common case
 		c[0] = item{}
 		l.chunks[p.chunk] = c[1:]
 		return
 	}
-	if c = slices.Delete(c, p.i, p.i+1); len(c) > 0 {
+	if c = slices.Delete(c, p.index, p.index+1); len(c) > 0 {
 		l.chunks[p.chunk] = c
 		return
 	}
 	l.chunks = slices.Delete(l.chunks, p.chunk, p.chunk+1)
 }
 
-// alarm is a time at which something of a message, a destination or a group is due.
-type alarm struct {
-	at Micros
-	i  int // place in the heap, from 1; 0 if it is not set
-	m  *msg
-	d  *dest
-	g  *group
+// timer is a time at which a message, a destination or a group must be looked at. Exactly one of msg, dest
+// and group is set.
+type timer struct {
+	at        Micros
+	heapIndex int // index in the heap plus 1; 0 if the timer is not set
+	msg       *message
+	dest      *destination
+	group     *group
 }
 
-// alarms is a heap of those that are set.
-type alarms []*alarm
+// timerHeap is a min-heap of the timers that are set.
+type timerHeap []*timer
 
-// set puts a to a time, or takes it off if that is never.
-func (h *alarms) set(a *alarm, at Micros) {
+// set sets a to a time, or stops it if that is never.
+func (h *timerHeap) set(a *timer, at Micros) {
 	switch {
-	case at == never && a.i == 0 || a.i > 0 && a.at == at:
+	case at == never && a.heapIndex == 0 || a.heapIndex > 0 && a.at == at:
 	case at == never:
-		i, last := a.i-1, len(*h)-1
+		i, last := a.heapIndex-1, len(*h)-1
 		h.swap(i, last)
 		(*h)[last] = nil
 		*h = (*h)[:last]
-		a.i = 0
+		a.heapIndex = 0
 		if i < last {
 			h.fix(i)
 		}
-	case a.i == 0:
+	case a.heapIndex == 0:
 		a.at = at
 		*h = append(*h, a)
-		a.i = len(*h)
-		h.fix(a.i - 1)
+		a.heapIndex = len(*h)
+		h.fix(a.heapIndex - 1)
 	default:
 		a.at = at
-		h.fix(a.i - 1)
+		h.fix(a.heapIndex - 1)
 	}
 }
 
-// next is when the first is due; never if none is set.
-func (h alarms) next() Micros {
+// nextAt is the time at which the first timer is due, or never if none is set.
+func (h timerHeap) nextAt() Micros {
 	if len(h) == 0 {
 		return never
 	}
 	return h[0].at
 }
 
-// due takes the first off, if it is due; nil if not.
-func (h *alarms) due(now Micros) *alarm {
-	if h.next() > now || len(*h) == 0 {
+// popDue removes and returns the first timer if it is due, otherwise nil.
+func (h *timerHeap) popDue(now Micros) *timer {
+	if h.nextAt() > now || len(*h) == 0 {
 		return nil
 	}
 	a := (*h)[0]
@@ -168,12 +176,12 @@
 	return a
 }
 
-func (h alarms) swap(i, j int) {
+func (h timerHeap) swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
-	h[i].i, h[j].i = i+1, j+1
+	h[i].heapIndex, h[j].heapIndex = i+1, j+1
 }
 
-func (h alarms) fix(i int) {
+func (h timerHeap) fix(i int) {
 	for i > 0 && h[i].at < h[(i-1)/2].at {
 		h.swap(i, (i-1)/2)
 		i = (i - 1) / 2
