--- a/logic/state.go
+++ b/logic/state.go
@@ -7,422 +7,427 @@
 	"slices"
 )
 
-// State of a Sender, and helpers that only keep it. What to do with it is decided in logic.go and beside.
-
-// dest is a destination. Its lane is the limit that its endpoints share; routes apart have one each.
-type dest struct {
-	id     int64
-	kind   int
-	eps    []*endpoint // listed, in list order
-	next   int         // rotation of first sends
-	lane   *lane
-	hist   hist
-	used   Micros
-	came   int     // messages since the last outage began, or in the last minutes
-	downAt Micros  // when that was
-	rank   float64 // messages ahead in the pass at hand
-	load   float64 // calls out at the start of the pass, and one
-	restTo Micros  // its cold endpoints rest until then after a restart
-
-	noted, urgent bool   // it has news for a later process; of its health
-	recalled      bool   // an earlier process's have been taken up
-	toldAt        Micros // when they were last told
-
-	groups              []*group // of what waits
-	msgs, held, waiting int      // in the books; of these, not over; of these, not out
-	active              bool     // the next step looks at it
-	again               Micros   // when to look again, as far as the pass at hand has found
-	shutIn, lookedIn    int      // the step in which nothing more could go; in which it was looked at
-	wake                alarm
+// The state of a Sender, and functions that maintain it. The decisions are in logic.go and the other files.
+
+// destination is a destination. Its endpoints share its limiter unless they are independent.
+type destination struct {
+	id           int64
+	kind         int
+	endpoints    []*endpoint // listed endpoints, in the order of the list
+	nextEndpoint int         // index of the endpoint at which the rotation of first attempts starts
+	limiter      *limiter
+	latencies    histogram
+	lastUsed     Micros
+	arrivals     int     // messages submitted since the last outage began, or in the last minutes
+	outageAt     Micros  // time at which that period began
+	rank         float64 // number of its messages that are ahead in the present pass
+	load         float64 // calls in flight at the start of the pass, plus one
+	pausedUntil  Micros  // after a restart, its cold endpoints get no calls until then
+
+	changed, healthChanged bool   // since the last snapshot for a later process
+	restored               bool   // the snapshot of a previous process has been restored
+	reportedAt             Micros // time of the last snapshot
+
+	groups                    []*group // of the queued messages
+	messages, pending, queued int      // known; of these, not ended; of these, not in flight
+	active                    bool     // the next step visits it
+	revisitAt                 Micros   // time of the next visit, as far as determined in the present pass
+	blockedStep, visitedStep  int      // last step in which nothing more could be sent; of the last visit
+	timer                     timer
 }
 
-type lane struct {
-	dest      *dest
-	limit     float64 // calls a second for all senders, as told; 0 if not
-	told      bool    // limit came in a report
-	pace      float64 // 0: free
-	halved    Micros
-	tokens    float64
-	filled    Micros
-	spent     bool   // the last report tells that little of the limit is left
-	until     Micros // told wait
-	inflight  int
-	fulls     int // in a row
-	firstFull Micros
-	sent      []Micros
-	peak      float64
-	phase     float64 // 0 to 1, drawn at each call: sets the next one apart from those of other senders
+// limiter is the state of a rate limiter.
+type limiter struct {
+	dest          *destination
+	limit         float64 // reported or nominal calls per second for all senders together; 0 if unknown
+	limitReported bool    // limit comes from a load report
+	rate          float64 // adaptive rate in calls per second; 0 if unlimited
+	decreasedAt   Micros
+	tokens        float64
+	refilledAt    Micros
+	nearLimit     bool   // the last load report said that little of the limit is left
+	waitUntil     Micros // end of the requested wait
+	inFlight      int
+	overloads     int // in a row
+	firstOverload Micros
+	callTimes     []Micros
+	peakRate      float64
+	phase         float64 // 0 to 1, drawn at random for each call to spread the calls of all senders
 }
 
+// endpoint is the state of an endpoint.
 type endpoint struct {
-	id                EndpointID
-	zone              int
-	state             Readiness
-	dest              *dest
-	lane              *lane
-	sent              []Micros
-	bad               float64
-	fails, fulls      int // in a row
-	spoilt, resets    int // in a row
-	goneAt            Micros
-	lastOK, lastBad   Micros
-	well              Micros // when it was last known to be well for itself, a sibling being out
-	good              Micros // when its last call was sent that was answered well
-	doubt             Micros // when others last said something of it
-	suspect           bool   // out, as far as we know
-	cold              bool   // was out; budgeted until backAt+WarmAfter
-	backAt            Micros
-	trialAt, trialGap Micros
-	turn              int // single trials are so many times rarer, as others try too; 0 for 1
-	inflight          int
-	slow              float64 // smoothed latency, microseconds
-	due               float64 // routes apart: behind its part of the calls, by limits
-	lastSent          Micros
-	warm              Micros // an idle connection lasts until then
-	open              *call
+	id                       EndpointID
+	zone                     int
+	state                    Readiness
+	dest                     *destination
+	limiter                  *limiter
+	callTimes                []Micros
+	failureRatio             float64
+	failures, overloads      int // in a row
+	invalidResponses, resets int // in a row
+	removedAt                Micros
+	lastSuccess, lastFailure Micros
+	independentSuccess       Micros // when it was last known to be healthy during the outage of a sibling
+	lastSuccessSent          Micros // when the last call was sent that succeeded
+	peerReportAt             Micros // when a peer last reported on its health
+	suspect                  bool   // in outage, as far as known
+	cold                     bool   // in outage, or in slow start until recoveredAt+WarmAfter
+	recoveredAt              Micros
+	trialAt, trialInterval   Micros
+	trialFactor              int // trials are this many times rarer, as other senders try too; 0 for 1
+	inFlight                 int
+	latency                  float64 // smoothed, in microseconds
+	deficit                  float64 // independent endpoints: deficit in the rotation weighted by limits
+	lastSent                 Micros
+	idleConnUntil            Micros // time at which its idle connection closes
+	openCall                 *call
 }
 
 type call struct {
-	step, n, left int
-	by            Micros // the first of its messages runs out of time
+	step, size, unresolved int
+	deadline               Micros // the earliest deadline of its messages
 }
 
 type attempt struct {
-	m         *msg
-	n         int
-	ep        *endpoint
-	at        Micros
+	msg       *message
+	number    int
+	endpoint  *endpoint
+	startedAt Micros
 	call      *call
 	cancelled bool
-	cut       bool // cancelled at τ
+	restart   bool // cancelled at τ in order to start another attempt
 	stuck     bool
-	late      bool // counted as lasting past τ while it is out
+	censored  bool // counted in the histogram as longer than τ while it is in flight
 }
 
-type msg struct {
-	id       string
-	class    *Class
-	seen     *hist   // latencies of its class
-	most     int     // attempts; 0 for no limit
-	share    float64 // part of its worth that it keeps by its tenant's quota
-	dest     *dest
-	seq      int
-	step     int    // in which it came
-	span     Micros // that it had then
-	first    Micros // when it was first handed in
-	deadline Micros
-	tries    int
-	owed     bool // a process before this one took it on, and no call of it has gone out yet
-	cuts     int
-	out      *attempt
-	mayRun   bool
-	firstMay Micros // send of the first attempt that may have run
-	mayZone  int
-	last     *endpoint
-	rest     Micros
-	line     *keyLine
-	over     bool
-	flows    bool
-	prio     float64
-
-	group    *group  // nil while it is out
-	until    Micros  // until when it can wait
-	stands   int     // where in its group
-	ahead    float64 // messages of its destination that go first
-	judgedIn int     // the step in which it was last listed among those that may have to make room
-	alarm    *alarm  // while it rests
+// message is a message that has not ended or has an attempt in flight.
+type message struct {
+	id             string
+	class          *Class
+	classLatencies *histogram // latencies of its class
+	maxAttempts    int        // 0 for no limit
+	quotaFactor    float64    // fraction of its worth that it keeps under its tenant's quota
+	dest           *destination
+	seq            int
+	arrivalStep    int    // the step in which it arrived
+	initialTime    Micros // time left to deliver it at its arrival
+	submittedAt    Micros // when it was first submitted
+	deadline       Micros
+	attempts       int
+	inherited      bool // accepted by a previous process, and not sent yet
+	restarts       int
+	inFlight       *attempt
+	mayHaveRun     bool
+	mayHaveRunAt   Micros // when the first attempt that may have run was sent
+	mayHaveRunZone int
+	lastEndpoint   *endpoint
+	backoffUntil   Micros
+	keyQueue       *keyQueue
+	ended          bool
+	streaming      bool
+	priority       float64
+
+	group         *group  // nil while it is in flight
+	expiresAt     Micros  // its deadline, or the end of its window if that is earlier
+	listing       int     // the list of its group that holds it
+	ahead         float64 // number of messages of its destination that go first
+	candidateStep int     // the step in which it was last a candidate for load shedding
+	timer         *timer  // set while it is backing off or its order key is paused
 }
 
-type keyLine struct {
-	key   string
-	q     []*msg
-	quiet Micros
-	by    *msg
+// keyQueue holds the messages of an order key, in order of arrival.
+type keyQueue struct {
+	key          string
+	messages     []*message
+	quietUntil   Micros
+	quietMessage *message
 }
 
-// since counts the marks after t.
-func since(marks []Micros, t Micros) int {
+// countAfter returns the number of times after t.
+func countAfter(times []Micros, t Micros) int {
 	n := 0
-	for i := len(marks) - 1; i >= 0 && marks[i] > t; i-- {
+	for i := len(times) - 1; i >= 0 && times[i] > t; i-- {
 		n++
 	}
 	return n
 }
 
-func trim(marks []Micros, keep Micros) []Micros {
+func trimBefore(times []Micros, from Micros) []Micros {
 	i := 0
-	for i < len(marks)-1 && marks[i] < keep {
+	for i < len(times)-1 && times[i] < from {
 		i++
 	}
-	return marks[i:]
+	return times[i:]
 }
 
-// Sender decides for one sender. Make it with New.
+// Sender schedules the deliveries of one sender. Create it with [New].
 type Sender struct {
-	set       Settings
-	rng       *rand.Rand
-	now       Micros
-	step      int
-	out       []Action
-	eps       map[EndpointID]*endpoint
-	dests     map[int64]*dest
-	order     []*dest     // dests, in the order in which they became known
-	gone      []*endpoint // off the list, not yet forgotten
-	forgetAt  Micros
-	msgs      map[string]*msg
-	held      int // messages not over
-	waiting   int // of these, those not out
-	groups    []*group
-	active    []*dest // to be looked at
-	alarms    alarms
-	came      []*msg   // in this step
-	shedAt    int      // the group that is judged next, if they are many
-	emptied   []string // keys that have had no message for a moment at least
-	flying    []*attempt
-	busy      int // slots in use
-	seq       int
-	byClass   map[string]*hist
-	usage     []usage // by tenant
-	keys      map[string]*keyLine
-	wake      Micros  // when something is next to be done
-	timer     Micros  // when the last timer set goes off; 0 if none is out
-	askAt     Micros  // when to ask for the list; never if asked
-	askJitter float64 // part of askAgain by which the next call for it may come earlier, by chance
-	askAgain  Micros  // longest from one call for the list that fails to the next
-	closeAt   Micros  // when this sender stops; 0 if it does not
-	logs      int
-	many      bool    // senders
-	news      []*dest // to be remembered
-	newsAt    Micros  // when the next of them is due
+	settings         Settings
+	rng              *rand.Rand
+	now              Micros
+	step             int
+	actions          []Action
+	endpoints        map[EndpointID]*endpoint
+	destinations     map[int64]*destination
+	destinationOrder []*destination // in the order in which they became known
+	removed          []*endpoint    // removed from the list, state still kept
+	cleanupAt        Micros
+	messages         map[string]*message
+	pending          int // messages not ended
+	queued           int // of these, not in flight
+	groups           []*group
+	active           []*destination // to be visited
+	timers           timerHeap
+	arrivals         []*message // messages that arrived in this step
+	shedIndex        int        // index of the next group to consider for load shedding, if there are many
+	idleKeys         []string   // keys whose queue became empty
+	inFlight         []*attempt
+	usedSlots        int // calls in flight
+	seq              int
+	classLatencies   map[string]*histogram
+	tenantUsage      []usage // by tenant
+	keyQueues        map[string]*keyQueue
+	wakeAt           Micros  // time at which work is next due
+	timerAt          Micros  // time at which the last timer fires; 0 if none is set
+	listRequestAt    Micros  // when to request the list; never if it has been requested
+	listRetryJitter  float64 // random fraction of maxListRetry by which the next request may come earlier
+	maxListRetry     Micros  // longest time from a failed request to the next
+	stopAt           Micros  // when this sender stops; 0 if it does not
+	logLines         int
+	manySenders      bool           // more than manySendersOver
+	changed          []*destination // destinations with changes to snapshot
+	changesDue       Micros         // when the next of these snapshots is due
 }
 
-// retune takes up settings. What is known of classes and tenants goes by name; messages have theirs already.
-func (s *Sender) retune(set Settings) {
+// applySettings replaces the settings. The state of classes and tenants is kept by name.
+func (s *Sender) applySettings(set Settings) {
 	if set.BurstTime == 0 {
-		set.BurstTime = paceSave
+		set.BurstTime = defaultBurstTime
 	}
 	if !set.AdviseRetry {
 		set.MaxRetryAfter = 0
 	}
-	if s.askAgain = askAgain; set.ListRetryWithin > 0 { // it may be four times that with the call
-		s.askAgain = min(askAgain, 3*set.ListRetryWithin)
+	if s.maxListRetry = maxListRetry; set.ListRetryWithin > 0 { // 4 times that, less the request itself
+		s.maxListRetry = min(maxListRetry, 3*set.ListRetryWithin)
 	}
-	byClass, usage := map[string]*hist{}, make([]usage, len(set.Tenants))
+	byClass, usage := map[string]*histogram{}, make([]usage, len(set.Tenants))
 	for _, c := range set.Classes {
-		if byClass[c.Name] = s.byClass[c.Name]; byClass[c.Name] == nil {
-			byClass[c.Name] = &hist{}
+		if byClass[c.Name] = s.classLatencies[c.Name]; byClass[c.Name] == nil {
+			byClass[c.Name] = &histogram{}
 		}
 	}
 	for i, t := range set.Tenants {
-		if j := slices.IndexFunc(s.set.Tenants, func(x Tenant) bool { return x.Name == t.Name }); j >= 0 {
-			usage[i] = s.usage[j]
+		if j := slices.IndexFunc(s.settings.Tenants, func(x Tenant) bool { return x.Name == t.Name }); j >= 0 {
+			usage[i] = s.tenantUsage[j]
 		}
 	}
-	s.set, s.byClass, s.usage, s.many = set, byClass, usage, set.Senders > manySenders
+	s.settings, s.classLatencies, s.tenantUsage, s.manySenders =
+		set, byClass, usage, set.Senders > manySendersOver
 }
 
-// hist is a discounted latency histogram.
-type hist struct {
-	w      [binCount + 1]float64 // the last bin holds what lasted past every edge
-	total  float64
-	cuts   float64
-	at     Micros
-	tau    Micros // 0: waiting is best
-	median Micros
-	p95    Micros
-	shown  Micros // what Sender.learn took for usual the last time
+// histogram is a discounted histogram of latencies.
+type histogram struct {
+	weights     [binCount + 1]float64 // the last bin holds latencies beyond the last edge
+	total       float64
+	censored    float64
+	updatedAt   Micros
+	restartTime Micros // τ; 0 if waiting is better than a restart
+	median      Micros
+	p95         Micros
+	lastUsual   Micros // latency that [Sender.latenciesChanged] last used for the class
 }
 
-func (s *Sender) do(a Action) { s.out = append(s.out, a) }
+func (s *Sender) emit(a Action) { s.actions = append(s.actions, a) }
 
-func (s *Sender) at(t Micros) { s.wake = min(s.wake, t) }
+func (s *Sender) wakeBy(t Micros) { s.wakeAt = min(s.wakeAt, t) }
 
-func (s *Sender) unlist(e *endpoint) {
+func (s *Sender) removeEndpoint(e *endpoint) {
 	if e.state != Gone {
-		s.gone = append(s.gone, e)
-		s.leave(e)
+		s.removed = append(s.removed, e)
+		s.propagateOutage(e)
 	}
-	e.state, e.goneAt = Gone, s.now
-	s.touch(e.dest)
-	e.dest.eps = slices.DeleteFunc(e.dest.eps, func(x *endpoint) bool { return x == e })
+	e.state, e.removedAt = Gone, s.now
+	s.activate(e.dest)
+	e.dest.endpoints = slices.DeleteFunc(e.dest.endpoints, func(x *endpoint) bool { return x == e })
 }
 
-// forget drops what nothing refers to any more: endpoints that have long been off the list, destinations that
-// have neither endpoints nor messages, keys at rest. Else they pile up over the life of a process.
-func (s *Sender) forget() {
-	if s.now < s.forgetAt {
+// cleanup drops state that would otherwise accumulate: endpoints removed long ago, destinations without
+// endpoints and messages, and order keys without messages.
+func (s *Sender) cleanup() {
+	if s.now < s.cleanupAt {
 		return
 	}
-	s.forgetAt = s.now + keepGone/8
-	s.gone = slices.DeleteFunc(s.gone, func(e *endpoint) bool {
+	s.cleanupAt = s.now + removedRetention/8
+	s.removed = slices.DeleteFunc(s.removed, func(e *endpoint) bool {
 		if e.state != Gone {
-			return true // it has come back
+			return true // it is listed again
 		}
-		if s.now < e.goneAt+keepGone || e.inflight > 0 {
+		if s.now < e.removedAt+removedRetention || e.inFlight > 0 {
 			return false
 		}
-		if s.eps[e.id] == e {
-			delete(s.eps, e.id)
+		if s.endpoints[e.id] == e {
+			delete(s.endpoints, e.id)
 		}
 		return true
 	})
-	used := map[*dest]bool{}
-	for _, e := range s.gone {
+	used := map[*destination]bool{}
+	for _, e := range s.removed {
 		used[e.dest] = true
 	}
-	s.order = slices.DeleteFunc(s.order, func(d *dest) bool {
-		if len(d.eps) > 0 || d.msgs > 0 || used[d] || s.now < d.used+idleAge {
+	s.destinationOrder = slices.DeleteFunc(s.destinationOrder, func(d *destination) bool {
+		if len(d.endpoints) > 0 || d.messages > 0 || used[d] || s.now < d.lastUsed+idleStateAge {
 			return false
 		}
-		delete(s.dests, d.id)
-		s.alarms.set(&d.wake, never)
+		delete(s.destinations, d.id)
+		s.timers.set(&d.timer, never)
 		return true
 	})
-	s.emptied = slices.DeleteFunc(s.emptied, func(key string) bool {
-		l := s.keys[key]
-		if l != nil && len(l.q) == 0 && s.now < l.quiet {
+	s.idleKeys = slices.DeleteFunc(s.idleKeys, func(key string) bool {
+		l := s.keyQueues[key]
+		if l != nil && len(l.messages) == 0 && s.now < l.quietUntil {
 			return false
 		}
-		if l != nil && len(l.q) == 0 {
-			delete(s.keys, key)
+		if l != nil && len(l.messages) == 0 {
+			delete(s.keyQueues, key)
 		}
 		return true
 	})
 }
 
-func (s *Sender) dest(id int64) *dest {
-	d := s.dests[id]
+func (s *Sender) destinationFor(id int64) *destination {
+	d := s.destinations[id]
 	if d == nil {
-		d = &dest{id: id, lane: &lane{}, used: s.now, toldAt: s.now, downAt: s.now}
-		d.lane.dest = d
-		s.dests[id] = d
-		d.wake.d = d
-		s.order = append(s.order, d)
+		d = &destination{id: id, limiter: &limiter{}, lastUsed: s.now, reportedAt: s.now, outageAt: s.now}
+		d.limiter.dest = d
+		s.destinations[id] = d
+		d.timer.dest = d
+		s.destinationOrder = append(s.destinationOrder, d)
 	}
 	return d
 }
 
-func (s *Sender) kind(d *dest) Kind {
-	if d.kind >= 0 && d.kind < len(s.set.Kinds) {
-		return s.set.Kinds[d.kind]
+func (s *Sender) kindOf(d *destination) Kind {
+	if d.kind >= 0 && d.kind < len(s.settings.Kinds) {
+		return s.settings.Kinds[d.kind]
 	}
 	return Kind{}
 }
 
-// value is the worth of m if it is delivered at t.
-func (s *Sender) value(m *msg, t Micros) float64 {
+// worthAt is the worth of m if it is delivered at t.
+func (s *Sender) worthAt(m *message, t Micros) float64 {
 	if t > m.deadline {
 		return 0
 	}
 	c := m.class
-	late := float64(t - m.first - c.Aim)
+	late := float64(t - m.submittedAt - c.Aim)
 	switch {
 	case late <= 0:
 		return c.Worth
-	case s.set.ExponentialDecay:
+	case s.settings.ExponentialDecay:
 		return c.Worth * max(c.LateWorth, math.Exp2(-late/float64(max(c.Aim, 1))))
 	}
 	return c.Worth * (1 - (1-c.LateWorth)*min(1, late/float64(max(c.Deadline-c.Aim, 1))))
 }
 
-// destPace is the pace of a destination over all its lanes; 0 if one of them is free.
-func (s *Sender) destPace(d *dest) float64 {
-	if !s.kind(d).Independent {
-		return d.lane.pace
+// destinationRate is the sum of the rates of a destination's limiters; 0 if one of them is unlimited.
+func (s *Sender) destinationRate(d *destination) float64 {
+	if !s.kindOf(d).Independent {
+		return d.limiter.rate
 	}
 	sum := 0.0
-	for _, e := range d.eps {
-		if e.lane.pace == 0 {
+	for _, e := range d.endpoints {
+		if e.limiter.rate == 0 {
 			return 0
 		}
-		sum += e.lane.pace
+		sum += e.limiter.rate
 	}
 	return sum
 }
 
-// asked is the messages a second that came for a lane since its last outage began, or in the last minutes.
-func (s *Sender) asked(l *lane) float64 {
-	own := float64(l.dest.came) / seconds(s.now-l.dest.downAt+outage)
-	if l != l.dest.lane {
-		own /= float64(max(len(l.dest.eps), 1))
+// demand is the rate of the messages submitted since the last outage began, or in the last minutes.
+func (s *Sender) demand(l *limiter) float64 {
+	own := float64(l.dest.arrivals) / seconds(s.now-l.dest.outageAt+assumedOutage)
+	if l != l.dest.limiter {
+		own /= float64(max(len(l.dest.endpoints), 1))
 	}
 	return own
 }
 
-func bin(t Micros) int {
-	i, _ := slices.BinarySearch(edges[:], t)
+func binIndex(t Micros) int {
+	i, _ := slices.BinarySearch(binEdges[:], t)
 	return i
 }
 
-// report takes what an answer tells of the limit.
-func (s *Sender) report(e *endpoint, load []float64) {
-	if e.dest.waiting > 0 { // before the answer changes the pace
-		s.settle(e.lane)
+// recordLoadReport records the load that an answer reports.
+func (s *Sender) recordLoadReport(e *endpoint, load []float64) {
+	if e.dest.queued > 0 { // before the answer changes the rate
+		s.refillTokens(e.limiter)
 	}
-	if e.lane.spent = false; load == nil {
+	if e.limiter.nearLimit = false; load == nil {
 		return
 	}
-	if i := s.set.RemainingIndex; i >= 0 && i < len(load) {
-		e.lane.spent = load[i] < spentUnder
+	if i := s.settings.RemainingIndex; i >= 0 && i < len(load) {
+		e.limiter.nearLimit = load[i] < nearLimitBelow
 	}
-	if i := s.set.LimitIndex; i >= 0 && i < len(load) && load[i] > 0 {
-		e.lane.limit, e.lane.told = load[i], true
+	if i := s.settings.LimitIndex; i >= 0 && i < len(load) && load[i] > 0 {
+		e.limiter.limit, e.limiter.limitReported = load[i], true
 	}
 }
 
-// onTrial is the number of slots that calls to endpoints that seem out hold.
-func (s *Sender) onTrial() (n int) {
-	for _, a := range s.flying {
-		if a.ep.suspect {
+// slotsOnTrial is the number of slots occupied by calls to suspected endpoints.
+func (s *Sender) slotsOnTrial() (n int) {
+	for _, a := range s.inFlight {
+		if a.endpoint.suspect {
 			n++
 		}
 	}
 	return n
 }
 
-// seconds is a span as a number.
+// seconds converts t to seconds.
 func seconds(t Micros) float64 { return float64(t) / float64(Second) }
 
-// keepOnly takes off the list what is not among the entries.
-func (s *Sender) keepOnly(rows []Entry) {
-	in := map[EndpointID]bool{}
-	for _, row := range rows {
-		in[row.Endpoint] = true
+// removeUnlisted removes the endpoints that are not among the entries.
+func (s *Sender) removeUnlisted(entries []Entry) {
+	listed := map[EndpointID]bool{}
+	for _, entry := range entries {
+		listed[entry.Endpoint] = true
 	}
-	for _, d := range s.order {
-		for _, e := range slices.Clone(d.eps) {
-			if !in[e.id] {
-				s.unlist(e)
+	for _, d := range s.destinationOrder {
+		for _, e := range slices.Clone(d.endpoints) {
+			if !listed[e.id] {
+				s.removeEndpoint(e)
 			}
 		}
 	}
 }
 
-// crowd is the share of the hold that is taken.
-func (s *Sender) crowd() float64 {
-	if s.set.MaxOpen == 0 {
+// pendingRatio is the number of pending messages as a fraction of the pending limit.
+func (s *Sender) pendingRatio() float64 {
+	if s.settings.MaxOpen == 0 {
 		return 0
 	}
-	return float64(s.held) / float64(s.set.MaxOpen)
+	return float64(s.pending) / float64(s.settings.MaxOpen)
 }
 
-// log writes a line for the people on call, within the cap.
+// log emits a log line, up to maxLogLines.
 func (s *Sender) log(format string, args ...any) {
-	if s.logs++; s.logs <= logMost {
-		s.do(Log{fmt.Sprintf(format, args...)})
+	if s.logLines++; s.logLines <= maxLogLines {
+		s.emit(Log{fmt.Sprintf(format, args...)})
 	}
 }
 
-// learnt tells others what this sender has found itself, if anybody asks for it.
-func (s *Sender) learnt(e *endpoint, out bool) {
-	if s.set.PublishHealth {
-		s.do(HealthChange{Endpoint: e.id, Outage: out})
+// publishHealth emits a HealthChange, if that is enabled.
+func (s *Sender) publishHealth(e *endpoint, outage bool) {
+	if s.settings.PublishHealth {
+		s.emit(HealthChange{Endpoint: e.id, Outage: outage})
 	}
 }
 
-// elsewhere says whether a sibling of e seems well.
-func (s *Sender) elsewhere(e *endpoint) bool {
-	for _, x := range e.dest.eps {
+// hasHealthySibling reports whether another endpoint of e's destination is ready and not suspected.
+func (s *Sender) hasHealthySibling(e *endpoint) bool {
+	for _, x := range e.dest.endpoints {
 		if x != e && !x.suspect && x.state == Ready {
 			return true
 		}
@@ -430,65 +435,65 @@
 	return false
 }
 
-// take hands an event to the section that it concerns.
-func (s *Sender) take(ev Event) {
+// handle processes an event.
+func (s *Sender) handle(ev Event) {
 	switch ev := ev.(type) {
 	case Endpoints:
-		s.list(ev)
+		s.handleList(ev)
 	case NewMessage:
-		s.accept(ev)
+		s.acceptMessage(ev)
 	case StreamStarted:
-		if m := s.msgs[ev.ID]; m != nil && m.out != nil && m.out.n == ev.Attempt {
-			m.flows = true
+		if m := s.messages[ev.ID]; m != nil && m.inFlight != nil && m.inFlight.number == ev.Attempt {
+			m.streaming = true
 		}
 	case AttemptResult:
-		s.reply(ev)
+		s.handleResult(ev)
 	case ClientGone:
-		if m := s.msgs[ev.ID]; m != nil && !m.over {
-			s.close(m)
-			if m.out != nil {
-				s.cancel(m.out)
+		if m := s.messages[ev.ID]; m != nil && !m.ended {
+			s.closeMessage(m)
+			if m.inFlight != nil {
+				s.cancelAttempt(m.inFlight)
 			}
 		}
 	case RequestedWait:
-		if e := s.eps[ev.Endpoint]; e != nil {
-			e.lane.until = max(e.lane.until, s.now+ev.Remaining)
-			s.touch(e.dest)
+		if e := s.endpoints[ev.Endpoint]; e != nil {
+			e.limiter.waitUntil = max(e.limiter.waitUntil, s.now+ev.Remaining)
+			s.activate(e.dest)
 		}
 	case PeerHealth:
-		if e := s.eps[ev.Endpoint]; e != nil {
-			if e.turn = max(ev.TrialFactor, 1); ev.Outage || ev.TryNow {
-				s.heard(e, ev)
+		if e := s.endpoints[ev.Endpoint]; e != nil {
+			if e.trialFactor = max(ev.TrialFactor, 1); ev.Outage || ev.TryNow {
+				s.handlePeerHealth(e, ev)
 			}
-			s.touch(e.dest)
+			s.activate(e.dest)
 		}
 	case UpdateSettings:
-		if CheckUpdate(s.set, ev.Settings) == nil {
-			s.retune(ev.Settings)
+		if CheckUpdate(s.settings, ev.Settings) == nil {
+			s.applySettings(ev.Settings)
 			for _, g := range s.groups {
-				s.refresh(g)
-				s.touch(g.dest)
+				s.updateExpiry(g)
+				s.activate(g.dest)
 			}
 		}
 	case QuietKey:
-		if s.keys[ev.Key] == nil {
-			s.keys[ev.Key] = &keyLine{key: ev.Key}
-			s.emptied = append(s.emptied, ev.Key)
+		if s.keyQueues[ev.Key] == nil {
+			s.keyQueues[ev.Key] = &keyQueue{key: ev.Key}
+			s.idleKeys = append(s.idleKeys, ev.Key)
 		}
-		s.keys[ev.Key].quiet = max(s.keys[ev.Key].quiet, s.now+ev.Remaining)
+		s.keyQueues[ev.Key].quietUntil = max(s.keyQueues[ev.Key].quietUntil, s.now+ev.Remaining)
 	case RestoreState:
-		s.recall(ev)
+		s.restoreState(ev)
 	case Stopping:
-		s.closeAt = s.now + ev.Remaining
+		s.stopAt = s.now + ev.Remaining
 	case TimerFired:
-		if s.now >= s.timer {
-			s.timer = 0
+		if s.now >= s.timerAt {
+			s.timerAt = 0
 		}
 	}
 }
 
 // usage is the discounted count of a tenant's messages.
 type usage struct {
-	n  float64
-	at Micros
+	count     float64
+	updatedAt Micros
 }
--- a/logic/tuning.go
+++ b/logic/tuning.go
@@ -2,76 +2,105 @@
 
 import "math"
 
-// Constants of the decisions. Spans are in microseconds unless they name a unit.
+// Constants of the scheduling decisions. Durations are of type Micros or untyped counts of microseconds.
 
 const (
-	halfLife   = 30 * Second // half-life of the latency histograms
-	binBase    = 2000        // upper edge of the first bin, microseconds
-	binRatio   = 1.25        // each edge over the one before; finer bins need more samples
-	binCount   = 48          // the last edge lies near 70 s
-	minWeight  = 4.0         // samples before a histogram is believed
-	tauWeight  = 12.0        // samples before τ is; an early τ cuts healthy calls
-	tauGain    = 0.85        // ⟨t⟩ at τ must be under this part of ⟨t⟩ of waiting
-	maxCuts    = 2           // restarts of one message; each doubles the next limit
-	stuckTimes = 3.0         // a call is stuck past this many times the 95th percentile ...
-	stuckLeast = Second / 2  // ... and this
-	patience   = 2           // a stuck call is called off past this many times the time that made it so
-	stuckBlind = 2 * Second  // where no latency is known yet
+	// Latency histograms, restarts and stuck calls.
 
-	paceFloor = 1.0        // calls a second
-	paceSpan  = Second     // the span of the first pace, and between two halvings
-	paceSave  = Second / 2 // what an idle pace saves up; more of it meets limits in bursts
-	paceCreep = 0.1        // growth of the pace with each success
-	paceFree  = 4.0        // a pace this many times what is sent sets nothing any more and is dropped
-	shareMost = 1.5        // of a told limit, a sender takes so many times its even share at most
-	shareFull = 0.8        // part of its share that the first refusal leaves a thin lane, less ...
-	shareHalf = 0.5        // ... the thinner it is under so many calls a second, ...
-	shareDown = 0.5        // ... down to this, the factor of each further one
-	shareBack = 0.4        // part of what is missing to the share that a success gives back
-	shareOver = 0.02       // part of the share that it adds past that
-	shareLow  = 0.1        // and the least part of its share that this leaves
+	latencyHalfLife = 30 * Second // half-life of the samples in the latency histograms
+	firstBinEdge    = 2000        // upper edge of the first bin, microseconds
+	binRatio        = 1.25        // ratio of successive bin edges; narrower bins need more samples
+	binCount        = 48          // the last edge is near 70 s
+	minSamples      = 4.0         // samples before a histogram is used
+	// minRestartSamples is the number of samples before τ is used. A τ from fewer samples cancels healthy calls.
+	minRestartSamples = 12.0
+	// Calls are restarted at τ if the mean time to an answer with restarts is under this part of that without.
+	maxRestartRatio = 0.85
+	maxRestarts     = 2 // restarts of one message; each doubles the next time limit
+	// A call is stuck after stuckP95Factor times the 95th percentile of latency, and at least minStuckAfter.
+	stuckP95Factor = 3.0
+	minStuckAfter  = Second / 2
+	// stuckCancelFactor times the time after which a call is stuck is the time after which it is cancelled.
+	stuckCancelFactor = 2
+	stuckAfterUnknown = 2 * Second // a call is stuck after this time while no latency is known
 
-	badAlpha    = 0.3          // weight of the newest outcome in an endpoint's share of failures
-	badShare    = 0.45         // failing more than this is an outage
-	shyMost     = 8 * Second   // longest mean rest of a lane after a refusal, among many senders
-	sendAgain   = 1.0          // part of the traffic of an outage that comes again at one time
-	outage      = 5 * Second   // how long an outage lasted, beside the time since we saw it
-	badUnsafe   = 0.2          // unsafe messages keep away above this
-	spentUnder  = 0.5          // with less of its limit left, a refusal is the limit's
-	fullsDown   = 4            // refusals in a row that look like a shut destination ...
-	fullsSpan   = 1500_000     // ... when they span this, more than a limit's window leaves empty
-	longWait    = 2 * Second   // a told wait past this is a shut destination, not a limit's window
-	trialGap    = 400_000      // first pause between single trials
-	trialMost   = 2 * Second   // and the longest
-	keepGone    = 60 * Second  // an endpoint off the list is remembered so long: it may come back
-	idleAge     = 4 * halfLife // state of a destination without traffic is dropped after this
-	slowTimes   = 3.0          // an endpoint this much slower than its best sibling is passed over
-	slowProbe   = 4 * Second   // but tried again after this
-	reuse       = Second       // an endpoint called less often than this shares its connections
-	dearConn    = 0.05         // price of a connection with each message above which none is given back
-	manySenders = 16           // more than this, one idle connection each, may fill an endpoint
-	resetsDown  = 3            // connections that break in a row, no answer between, look like an outage
-	lately      = Second       // one refused connection does not, if an answer came so shortly before
-	spoiltDown  = 4            // spoilt answers in a row that look like an outage
-	errorRest   = 100_000      // pause of a message after an error, doubled with each try
+	// Rate limits, in calls per second unless a comment says otherwise.
 
-	tellHealth = Second      // least time between two memories of one destination, after changes of health
-	tellRest   = 10 * Second // and after others
+	minRate    = 1.0    // lower bound of the adaptive rate, unless the even share is smaller
+	rateWindow = Second // span over which the initial rate is counted, and least time between two decreases
+	// defaultBurstTime is the burst of an idle limiter, as time at its rate. Larger bursts run into limits.
+	defaultBurstTime    = Second / 2
+	rateIncrease        = 0.1 // relative increase of the rate with each success
+	unlimitedRateFactor = 4.0 // a rate of this multiple of the calls sent has no effect any more and is dropped
+	maxShareFactor      = 1.5 // multiple of its even share of a reported limit that a sender may use
+	// The first rejection leaves smallShareFirstDecrease of an even share that is under minRate. If the share
+	// is under smallShareScale, it leaves less, in proportion to the share, down to smallShareDecrease. That is
+	// also the factor of each further rejection.
+	smallShareFirstDecrease = 0.8
+	smallShareScale         = 0.5
+	smallShareDecrease      = 0.5
+	smallShareRecovery      = 0.4  // fraction of the gap to the share that a success recovers
+	smallShareIncrease      = 0.02 // fraction of the share that a success adds to that
+	smallShareMinimum       = 0.1  // lower bound of the rate, as a fraction of the share
 
-	quotaHalf  = 5 * Second // half-life of a tenant's rate
-	lossAhead  = Second     // loss of worth within this sets who goes first
-	leastUsual = 10_000     // a call takes this at least
-	lookMost   = 256        // destinations that a step looks at; the others come first in the next
-	shedLook   = 64         // of more, so many of so many groups
-	shedAll    = 2048       // up to so many that wait, the hold is made room in by looking at all
-	owedFirst  = 1e15       // above any worth and any deadline
-	lateLess   = 0.4        // weight of what is late already, beside what can be in time still
-	holdHalf   = 0.7        // share of the hold above which messages that the pace cannot send in time end
-	lateEnd    = 0.3        // before this part of its time is left, what was taken on is not among them
-	holdFull   = 0.9        // share of the hold above which the least worthy are refused
-	askAgain   = 5_400_000  // longest from a call for the list that failed to the next
-	askJitter  = 0.4        // part of it that chance takes off the first time; later, an eighth of that
-	logMost    = 200        // log lines in a life
-	never      = Micros(math.MaxInt64)
-	longAgo    = Micros(math.MinInt64 / 2)
+	// Outages, trials and connections.
+
+	ewmaWeight         = 0.3        // weight of the newest value in the averages of failures and latency
+	outageFailureRatio = 0.45       // a higher ratio of failures is an outage
+	maxMeanPause       = 8 * Second // longest mean pause of a limiter after a rejection, with many senders
+	resentShare        = 1.0        // fraction of the messages of an outage that are sent again at the same time
+	// assumedOutage is added to the time since an outage was detected, as the outage began earlier.
+	assumedOutage         = 5 * Second
+	maxUnsafeFailureRatio = 0.2 // unsafe messages avoid an endpoint with a higher ratio of failures
+	nearLimitBelow        = 0.5 // if a smaller fraction of the limit is unused, a rejection is due to the limit
+	// outageOverloads rejections in a row indicate an outage if they span outageOverloadSpan, which is longer
+	// than a limit that is used up within its window rejects all calls.
+	outageOverloads    = 4
+	outageOverloadSpan = 1500_000
+	outageWait         = 2 * Second // a longer requested wait indicates an outage, not the window of a limit
+	firstTrialInterval = 400_000    // first interval between trials
+	maxTrialInterval   = 2 * Second // longest interval between trials
+	// removedRetention is how long the state of a removed endpoint is kept, as it may be listed again.
+	removedRetention   = 60 * Second
+	idleStateAge       = 4 * latencyHalfLife // the state of a destination without traffic is dropped after this
+	slowEndpointFactor = 3.0                 // an endpoint slower than its fastest sibling by this is avoided
+	slowEndpointRetry  = 4 * Second          // a slow endpoint is tried again after this
+	connReuseInterval  = Second              // idle connections to endpoints called less often are closed
+	expensiveConn      = 0.05                // no idle connection is closed if a new one costs this per message
+	manySendersOver    = 16                  // one idle connection each of more senders may exhaust an endpoint
+	// outageResets broken connections in a row, with no answer between them, indicate an outage.
+	outageResets = 3
+	// recentSuccess is how recent an answer must be for one refused connection not to indicate an outage.
+	recentSuccess          = Second
+	outageInvalidResponses = 4       // this many invalid responses in a row indicate an outage
+	errorBackoff           = 100_000 // pause of a message after an error, doubled with each attempt
+
+	// Snapshots, priorities, load shedding, the endpoint list and logs.
+
+	healthChangeInterval = Second      // least time between two snapshots of a destination if its health changed
+	stateChangeInterval  = 10 * Second // least time between two snapshots otherwise
+	quotaHalfLife        = 5 * Second  // half-life of the count of a tenant's messages
+	lossHorizon          = Second      // messages are ordered by the worth that they lose within this time
+	minUsualLatency      = 10_000      // lower bound of the expected latency
+	// maxVisits is the number of destinations that one step visits; the next step visits the others first. It
+	// also bounds the messages that a cursor passes over.
+	maxVisits = 256
+	// Load shedding considers all queued messages up to shedExactMax; of more, shedSample messages of each of
+	// shedSample groups.
+	shedSample        = 64
+	shedExactMax      = 2048
+	inheritedPriority = 1e15 // above the priority of any other message and above any deadline
+	lateWeight        = 0.4  // weight of messages that are past their Aim
+	// Above a pending ratio of shedLateAbove, messages end that cannot be sent in time at the present rate.
+	// Accepted messages are exempt while more than the fraction protectedRemaining of their time is left.
+	shedLateAbove      = 0.7
+	protectedRemaining = 0.3
+	shedLeastAbove     = 0.9       // above this pending ratio, the message of least priority ends
+	maxListRetry       = 5_400_000 // longest time from a failed request for the list to the next
+	// listRetryJitter is the largest random fraction of that by which the first retry comes earlier; later
+	// retries use an eighth.
+	listRetryJitter = 0.4
+	maxLogLines     = 200 // log lines of a Sender
+	never           = Micros(math.MaxInt64)
+	distantPast     = Micros(math.MinInt64 / 2)
 )
--- a/logic/types.go
+++ b/logic/types.go
@@ -307,12 +307,13 @@
 	InvalidResponse                  // response that cannot be parsed; the message may have run
 )
 
-var outcomes = [...]string{"completed", "errored", "full", "overdue", "refused connection", "severed",
+var outcomeNames = [...]string{"completed", "errored", "full", "overdue", "refused connection", "severed",
 	"recalled", "moot", "spoilt"}
 
+// String returns the name of the outcome, or "unknown".
 func (o Outcome) String() string {
-	if o >= 0 && int(o) < len(outcomes) {
-		return outcomes[o]
+	if o >= 0 && int(o) < len(outcomeNames) {
+		return outcomeNames[o]
 	}
 	return "unknown"
 }
--- a/logic/untried_test.go
+++ b/logic/untried_test.go
@@ -35,7 +35,7 @@
 	}
 	if u.usual > 0 {
 		m := DestinationState{Dest: 9, SinceUsed: Second, Arrivals: 8, SinceOutage: SinceNever, Endpoints: []EndpointState{{Endpoint: 1, SinceRecovery: SinceNever, SinceSuccess: Second, SinceFailure: SinceNever, SinceIndependentSuccess: SinceNever}},
-			Latencies: LatencyHistogram{Bins: []uint8{uint8(bin(sec(u.usual)))}, Weights: []uint16{128}, SinceSample: Second}}
+			Latencies: LatencyHistogram{Bins: []uint8{uint8(binIndex(sec(u.usual)))}, Weights: []uint16{128}, SinceSample: Second}}
 		evs = append(evs, RestoreState{State: m})
 	}
 	old := map[string]bool{}
@@ -52,7 +52,7 @@
 		if u.listed > 0 && now == sec(u.listed) {
 			evs = append(evs, row)
 		}
-		if came += u.fresh * seconds(set.Tick); came >= 1 && r.s.held < set.MaxOpen {
+		if came += u.fresh * seconds(set.Tick); came >= 1 && r.s.pending < set.MaxOpen {
 			came--
 			evs = append(evs, r.call(0))
 		}
