--- a/logic/churn_test.go
+++ b/logic/churn_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// A long life: endpoints, destinations and keys are ever new. What nothing refers to is forgotten, or the
-// process would grow for as long as it runs; what has a call out is not.
+// Endpoints, destinations and order keys that nothing refers to any more are dropped; otherwise the process
+// would grow as long as it runs. State with a call in flight is kept.
 func TestChurnIsForgotten(t *testing.T) {
 	set := Settings{Senders: 1, Slots: 4, MaxTries: 6, Tick: 5000, MayCancel: true,
 		Classes: []Class{{Name: "c", Aim: Second, Deadline: 10 * Second, Worth: 1, KeepOrder: true}}}
@@ -54,7 +54,7 @@
 	}
 }
 
-// Spoilt answers come from any endpoint alike: a few are no outage, a row of them is.
+// Healthy endpoints send invalid responses as well: a few are no outage, several in a row are.
 func TestSpoiltIsNoOutage(t *testing.T) {
 	set := Settings{Senders: 1, Slots: 4, MaxTries: 100, Tick: 5000, MayCancel: true,
 		Classes: []Class{{Name: "c", Aim: Second, Deadline: 10 * Second, Worth: 1}}}
@@ -75,8 +75,8 @@
 	}
 }
 
-// Connections break now and then without an outage: with answers between, an endpoint stays in use; a row of
-// breaks, or one and then no new connection, is an outage.
+// Connections sometimes break without an outage: with answers between them the endpoint stays in use. Several
+// in a row, or one followed by a refused connection, are an outage.
 func TestResetsAndOutage(t *testing.T) {
 	set := Settings{Senders: 1, Slots: 4, MaxTries: 100, Tick: 5000, MayCancel: true,
 		Classes: []Class{{Name: "c", Aim: Second, Deadline: 100 * Second, Worth: 1}}}
--- a/logic/cold_test.go
+++ b/logic/cold_test.go
@@ -12,31 +12,32 @@
 	"testing"
 )
 
-// A coldPlay is a fleet that shares nothing, at one partner that is out for some seconds and returns cold, in virtual
-// time. All that differs from one partner to another is drawn: its rate, how it is out, how its calls come, which
-// senders die meanwhile, which endpoint drains and when each sender hears of it. The calls of all senders are held
-// against what topples it: N + 2·√N + 2 in the fall window, N being what the settings allow it then.
+// A coldPlay simulates a fleet of senders that share no state, at one partner that fails for some seconds and
+// recovers cold, in virtual time. Everything that differs between partners is drawn at random: the rate, the
+// kind of outage, how messages arrive, which senders crash meanwhile, which endpoint drains and when each
+// sender receives the new list. The calls of all senders must stay under the number that overloads the
+// partner: N + 2·√N + 2 in the fall window, where N is what the settings allow at that time.
 type coldPlay struct {
 	n        int
 	set      Settings
 	rnd      *rand.Rand
-	rate     float64 // calls a second that the partner takes, warm
-	demand   float64 // messages a second
-	eps      int     // endpoints
-	out      int     // of which so many are out together
-	apart    bool    // they are routes apart
+	rate     float64 // calls per second that the partner takes when warm
+	demand   float64 // messages per second
+	eps      int     // number of endpoints
+	out      int     // number of these that are in outage together
+	apart    bool    // the endpoints are independent
 	down, up float64
-	how      Outcome // what calls meet meanwhile
-	untold   float64 // share of its refusals that tell no wait
-	nominal  float64 // as the list has it; 0 for none
+	how      Outcome // outcome of calls during the outage
+	untold   float64 // fraction of the rejections without a requested wait
+	nominal  float64 // rate in the list; 0 for none
 	restarts string
 	drains   bool
-	counts   bool    // refused calls use up the limit too
-	faults   float64 // share of calls that break or fail though the partner is well
+	counts   bool    // rejected calls use up the limit too
+	faults   float64 // fraction of calls that break or fail without an outage
 
 	senders []*coldSender
 	queue   coldQueue
-	weights []float64 // of the senders, summed up
+	weights []float64 // cumulative weights of the senders
 	level   map[int]float64
 	levelAt map[int]float64
 	calls   []coldCall
@@ -48,10 +49,10 @@
 type coldSender struct {
 	s        *Sender
 	life     int
-	told     map[int]float64 // when it first saw a call fail there in the outage, by route
+	told     map[int]float64 // when it first saw a call fail in the outage, by route
 	msgs     map[string]*coldMsg
 	memories map[int64]RestoreState
-	rows     []Entry // as last heard of
+	rows     []Entry // the list as last received
 }
 
 type coldMsg struct {
@@ -74,7 +75,7 @@
 	at   float64
 	seq  int
 	who  int
-	life int // of the process that it is for; -1 for any
+	life int // incarnation of the process that the event is for; -1 for any
 	ev   Event
 	do   func()
 	off  bool
@@ -94,7 +95,7 @@
 	return x
 }
 
-// drawCold draws a play for a number of senders.
+// drawCold draws a play for n senders.
 func drawCold(n int, seed uint64) *coldPlay {
 	p := &coldPlay{n: n, rnd: rand.New(rand.NewPCG(seed, uint64(n))), level: map[int]float64{}, levelAt: map[int]float64{}}
 	u := func(from, to float64) float64 { return from + (to-from)*p.rnd.Float64() }
@@ -148,7 +149,7 @@
 
 func (p *coldPlay) between(from, to float64) float64 { return from + (to-from)*p.rnd.Float64() }
 
-// share is the part of its rate that a partner that has returned takes.
+// share is the fraction of its rate that a recovered partner takes.
 func (p *coldPlay) share(at float64) float64 {
 	return p.set.ColdFrom + (1-p.set.ColdFrom)*min(1, (at-p.up)/seconds(p.set.WarmAfter))
 }
@@ -161,7 +162,7 @@
 	return e
 }
 
-// play runs it to the end of its cold time.
+// play runs the simulation to the end of the slow start.
 func (p *coldPlay) play() {
 	end := p.up + seconds(p.set.WarmAfter)
 	for i := range p.n {
@@ -178,7 +179,7 @@
 		p.push(&coldEvent{at: at, do: func() { p.arrive(at, who) }})
 	}
 	for at := 0.0; at < end; at += p.rnd.ExpFloat64() / p.demand {
-		if arrive(at); p.rnd.Float64() < 0.1/(2.7*p.rate) { // a tenth comes in clumps
+		if arrive(at); p.rnd.Float64() < 0.1/(2.7*p.rate) { // a tenth of the messages arrive in bursts
 			for range int(p.between(2, 3.4) * p.rate) {
 				arrive(at + p.between(0, 0.2))
 			}
@@ -213,7 +214,7 @@
 	}
 }
 
-// start begins a process from what the one before has left.
+// start begins a process with the snapshots of the previous one.
 func (p *coldPlay) start(at float64, who int) {
 	c := p.senders[who]
 	s, err := New(p.set, p.rnd.Uint64())
@@ -250,7 +251,7 @@
 	p.push(&coldEvent{at: back, do: func() { p.start(back, who) }})
 }
 
-// drain replaces an endpoint; each sender hears of it by itself.
+// drain replaces an endpoint; each sender receives the change at its own time.
 func (p *coldPlay) drain() {
 	which, at := p.rnd.IntN(p.eps), p.between(p.down, p.up+6)
 	old, next := p.entry(which), p.entry(p.eps)
@@ -340,7 +341,7 @@
 	}
 }
 
-// route is what falls over by itself: the partner, or one of its routes.
+// route returns what is overloaded separately: the partner, or one of its independent endpoints.
 func (p *coldPlay) route(e EndpointID) int {
 	if p.apart {
 		return int(e)
@@ -352,7 +353,7 @@
 	return at >= p.down && at < p.up && (int(e) <= p.out || int(e) > p.eps && p.out == p.eps)
 }
 
-// call is what the partner makes of a call.
+// call simulates the partner's answer to a call.
 func (p *coldPlay) call(at float64, who int, a StartAttempt) {
 	c := p.senders[who]
 	m := c.msgs[a.ID]
@@ -416,18 +417,18 @@
 	m.out = p.push(&coldEvent{at: at + took, who: who, life: c.life, ev: r})
 }
 
-// coldFall is what a play comes to.
+// coldFall is the result of a play.
 type coldFall struct {
-	most  float64 // of what topples it, the most that came in a window
-	at    float64 // of the first fall, after the return; 0 for none
+	most  float64 // most calls in a window, relative to the number that overloads the partner
+	at    float64 // time of the first overload after the recovery; 0 for none
 	calls int
 	n     float64
-	told  float64 // share of these calls that came from senders that knew
+	told  float64 // fraction of these calls from senders that had detected the outage
 }
 
 func (f coldFall) broken() bool { return f.at > 0 && f.told > 2.0/3 }
 
-// fall looks for the first window with more calls than topple what has returned.
+// fall finds the first window with more calls than overload the recovered partner.
 func (p *coldPlay) fall() (f coldFall) {
 	slices.SortFunc(p.calls, func(a, b coldCall) int { return cmp.Compare(a.at, b.at) })
 	groups, rate := 1, p.rate*float64(p.out)/float64(p.eps)
@@ -463,8 +464,8 @@
 	return f
 }
 
-// fleets plays some fleets of n senders and returns how many partners fell, and how many of these were pushed over by
-// those that knew.
+// fleets plays fleets of n senders. It returns how many partners were overloaded, and how many of these by
+// senders that had detected the outage.
 func fleets(t *testing.T, n int, from, plays uint64, change func(*coldPlay) bool) (falls, broken int) {
 	t.Helper()
 	worst, served, asked, played := 0.0, 0, 0, 0
@@ -513,9 +514,9 @@
 	}
 }
 
-// Found by these plays: where each of 300 senders calls but every few seconds, one call that fails or breaks is all that
-// it sees of an outage, and at the return it called on at its even share and a half; those that had called in the same
-// clump came again together.
+// With each of 300 senders calling only every few seconds, one failed or broken call is all that a sender
+// sees of an outage. It must not continue at one and a half times its even share after the recovery, nor
+// repeat together with the senders that called in the same burst.
 func TestColdFleetThatSawOneSign(t *testing.T) {
 	for _, x := range []struct {
 		how      Outcome
@@ -532,7 +533,8 @@
 	}
 }
 
-// It was forgotten over a restart too: news that are none of health are told every ten seconds only.
+// That one failed call must also survive a restart: changes other than of health are included in snapshots
+// only every ten seconds.
 func TestOneSignOutlivesTheProcess(t *testing.T) {
 	for _, how := range []Outcome{Errored, Overloaded, ConnectionRefused, ConnectionBroken} {
 		r := crowdOf(t, 100, 50, 1)
@@ -552,7 +554,8 @@
 	}
 }
 
-// Where a partner's rate is told nowhere, each of 300 senders kept a pace of one call a second at a partner that was shut.
+// Without a known rate, each of 300 senders must not keep sending one call per second to a partner that
+// rejects all.
 func TestColdFleetWithoutRates(t *testing.T) {
 	_, broken := fleets(t, 300, 60, 30, func(p *coldPlay) bool {
 		p.how, p.untold, p.restarts, p.faults, p.drains, p.apart = Overloaded, 1, "", 0, false, false
@@ -564,8 +567,8 @@
 	}
 }
 
-// What a sender asks for is a mean of the last minutes: after a quiet hour one failed call does not hold a busy partner
-// up for long.
+// The demand of a sender is a mean of the last minutes: after an hour without traffic, one failed call must
+// not slow down a busy partner for long.
 func TestOwnTrafficIsThatOfTheLastMinutes(t *testing.T) {
 	r := crowdOf(t, 100, 0, 1)
 	at := 1.0
--- a/logic/drain_test.go
+++ b/logic/drain_test.go
@@ -2,13 +2,13 @@
 
 import "testing"
 
-// Found by random plays: an endpoint that drains is not tried, so what is known of its return is old. It counted as
-// nearly warm in the second outage of its lane, and the lane's budget was twice what it takes.
+// A draining endpoint is not tried, so the time of its recovery is outdated. It must not count as nearly warm
+// in the second outage of its limiter, which would double the budget.
 func TestDrainingEndpointIsAsColdAsItsLane(t *testing.T) {
 	for _, x := range []struct {
 		state Readiness
-		back  Micros // since the return of the endpoint in that state
-		sends int    // in the fall window: 2 x share x 4 a second / 2 senders x 2 s
+		back  Micros // time since the recovery of the endpoint in that state
+		sends int    // in the fall window: 2 x share x 4 per second / 2 senders x 2 s
 	}{
 		{Ready, 10 * Second, 5},     // share 0.2 + 0.8 x (3/14 + 12/14)/2
 		{Draining, 10 * Second, 2},  // 0.2 + 0.8 x 3/14
@@ -33,8 +33,8 @@
 	}
 }
 
-// Found by random plays: all that was known of an outage went with the endpoint that had failed. Its sibling, not tried
-// meanwhile, got all that was held at once.
+// When a failed endpoint is removed from the list, its outage must be kept for a sibling that was not tried
+// meanwhile. Otherwise the sibling gets all queued messages at once.
 func TestOutageOutlivesItsEndpoint(t *testing.T) {
 	for _, x := range []struct {
 		name  string
@@ -45,7 +45,7 @@
 		set.Slots, set.MaxTries = 16, 1
 		r := newRig(t, set)
 		r.step(90, list(2))
-		for i := range 8 { // what the lane takes
+		for i := range 8 { // the capacity of the limiter
 			at := 91 + float64(i)/10
 			c := only[StartAttempt](r.step(at, r.call(0)))[0]
 			r.step(at+0.05, answer(c.ID, c.Endpoint, 0, Completed))
--- a/logic/example_test.go
+++ b/logic/example_test.go
@@ -6,7 +6,7 @@
 	"cometrack/logic"
 )
 
-// A message from arrival through a refusal with a wait to delivery.
+// A message from its submission through a rejection with a requested wait to its delivery.
 func Example() {
 	const second = logic.Second
 	sender, err := logic.New(logic.Settings{
--- a/logic/fleet_test.go
+++ b/logic/fleet_test.go
@@ -8,17 +8,17 @@
 	"testing"
 )
 
-// A fleet is many senders that share nothing but one partner, in virtual time. The partner keeps a meter that every
-// call, refused or not, uses a part of: with more calls than its limit it accepts next to nothing. What each sender
-// does is tested elsewhere; here it is what all of them do together.
+// A fleet simulates many senders that share no state but one partner, in virtual time. The partner has a
+// meter that every call counts on, rejected or not: with more calls than its limit it accepts almost none.
+// Other tests cover the single sender; these cover the joint effect of all.
 
 type fleet struct {
 	n       int
-	limit   float64 // calls a second that the partner tells
+	limit   float64 // calls per second that the partner reports
 	real    func(t float64) float64
-	demand  float64                 // messages a second
-	refuse  func(t float64) Outcome // what a call meets while the partner is away; Completed when it is not
-	wait    float64                 // share of refusals that tell a wait
+	demand  float64                 // messages per second
+	refuse  func(t float64) Outcome // outcome of a call during an outage; Completed otherwise
+	wait    float64                 // fraction of the rejections with a requested wait
 	rnd     *rand.Rand
 	senders []*Sender
 	tries   []map[string]int
@@ -67,7 +67,7 @@
 	f.queue = slices.Insert(f.queue, i, fleetEvent{at, who, ev})
 }
 
-// run plays the fleet for so many seconds.
+// run simulates the fleet for so many seconds.
 func (f *fleet) run(span float64) *fleet {
 	for at := 0.0; at < span; at += f.rnd.ExpFloat64() / f.demand {
 		f.add(at, f.rnd.IntN(f.n), NewMessage{ID: fmt.Sprint(at), Remaining: 10 * Second, Dest: 9, Tenant: -1, Class: 0})
@@ -89,7 +89,7 @@
 	return f
 }
 
-// call is what the partner makes of a call.
+// call simulates the partner's answer to a call.
 func (f *fleet) call(at float64, who int, a StartAttempt) {
 	n := f.tries[who][a.ID]
 	f.tries[who][a.ID]++
@@ -112,7 +112,7 @@
 	f.add(at+0.05, who, r)
 }
 
-// count returns the calls between two times, and those that the partner took.
+// count returns the calls between two times, and those that the partner accepted.
 func (f *fleet) count(from, to float64) (calls, taken float64) {
 	for _, c := range f.calls {
 		if c.at >= from && c.at < to {
@@ -127,7 +127,8 @@
 
 var fleetSizes = []int{1, 3, 20, 80, 200}
 
-// atLeast is looser for the few whose lanes are not thin: their paces leave more of such a limit unused.
+// atLeast is a looser bound for few senders, whose share is not small: their rates leave more of such a limit
+// unused.
 func atLeast(n int, few, many float64) float64 {
 	if n < 20 {
 		return few
@@ -135,7 +136,7 @@
 	return many
 }
 
-// More comes than a partner takes, for good: the sum of all paces has to stay about its limit.
+// With a permanent demand above the limit, the sum of all rates must stay near the limit.
 func TestFleetOverLimit(t *testing.T) {
 	const limit = 50.0
 	for _, n := range fleetSizes {
@@ -150,7 +151,7 @@
 	}
 }
 
-// A partner lowers its limit by half and raises it again; nobody is told.
+// A partner halves its limit and raises it again without reporting it.
 func TestFleetLoweredLimit(t *testing.T) {
 	const limit = 50.0
 	for _, n := range fleetSizes {
@@ -177,8 +178,9 @@
 	}
 }
 
-// A partner is down, or shut, for ten seconds and returns cold. What goes to it meanwhile is bounded whatever the number
-// of senders, and what meets it after is under the multiple that topples it.
+// A partner fails, or rejects all, for ten seconds and recovers cold. The calls during the outage are bounded
+// for any number of senders, and the calls after it stay under the multiple of the capacity that overloads
+// it.
 func TestFleetReturn(t *testing.T) {
 	const limit, down, up = 50.0, 10.0, 20.0
 	for _, how := range []Outcome{ConnectionRefused, Overloaded} {
@@ -217,8 +219,9 @@
 	}
 }
 
-// What a few senders take of a limit after the return hangs on chance: a draw of the sort that dispatch had gave 0.366
-// to 0.600 at three senders, so one draw tells little. The mean of eight, which was 0.43 and 0.45 there, is held to.
+// The part of a limit that a few senders use after a recovery depends on chance: with three senders, the
+// earlier dispatch by sorting gave 0.366 to 0.600 over several seeds. So the mean of eight runs is checked,
+// which was 0.43 and 0.45 there.
 func TestFewTakeTheLimitAgain(t *testing.T) {
 	const limit, down, up = 50.0, 10.0, 20.0
 	for _, how := range []Outcome{ConnectionRefused, Overloaded} {
@@ -245,7 +248,7 @@
 	}
 }
 
-// crowdOf makes a sender among many at one destination with a told rate.
+// crowdOf returns a sender among many, with one destination whose rate is known.
 func crowdOf(t *testing.T, senders int, rate float64, seed uint64) *rig {
 	t.Helper()
 	set := base()
@@ -261,8 +264,8 @@
 	return r
 }
 
-// At a limit that counts refusals, calls tried again at once keep it used up. A refused message is neither ended nor
-// sent at once: it waits for its lane's share, each sender's at a time of its own.
+// At a limit that counts rejected calls, immediate repeats keep the limit used up. A rejected message is
+// neither ended nor sent at once: it waits for its limiter's share, at a time that differs between senders.
 func TestRefusedMessagesRestAmongManySenders(t *testing.T) {
 	for class := range base().Classes {
 		soonest, latest := 60.0, 0.0
@@ -285,7 +288,8 @@
 	}
 }
 
-// Routes apart get first sends by their limits, and a refusal on one ends the free pace of the others.
+// Independent endpoints get first attempts in proportion to their limits, and a rejection by one ends the
+// unlimited rate of the others.
 func TestRoutesAreCalledByTheirLimits(t *testing.T) {
 	set := base()
 	set.Senders, set.Weights, set.Slots, set.Kinds[0].Independent = 1, WeightsNominal, 99, true
@@ -314,7 +318,7 @@
 	}
 }
 
-// Found on quiet days of many senders: endpoints were full of idle connections.
+// Idle connections of many senders must not exhaust the endpoints at times of little traffic.
 func TestRareConnectionsAreGivenBackAmongManySenders(t *testing.T) {
 	for _, senders := range []int{2, manySendersOver + 1} {
 		set := base()
@@ -329,7 +333,7 @@
 	}
 }
 
-// New connections cost time and points: among many senders the endpoint that still has one comes first.
+// New connections cost time: with many senders, the endpoint that still has an open connection comes first.
 func TestWarmConnectionComesFirstAmongManySenders(t *testing.T) {
 	for _, senders := range []int{2, manySendersOver + 1} {
 		set := base()
--- a/logic/heard_test.go
+++ b/logic/heard_test.go
@@ -2,9 +2,9 @@
 
 import "testing"
 
-// What another sender has found: one without an answer of its own tries singly and holds the rest back; one that had
-// an answer a moment ago goes on singly; an answer counts as the end only to a call begun after; an end brings the
-// next trial forward. Without Share nothing is told.
+// Reports of peers: a sender without a recent answer of its own sends single trials and holds back the rest;
+// one with a recent answer sends one call at a time; an answer ends the outage only if its call began after
+// the report; a reported recovery brings the next trial forward. Without PublishHealth nothing is published.
 func TestHeard(t *testing.T) {
 	set := base()
 	set.PublishHealth = true
@@ -26,7 +26,7 @@
 	if len(trial) != 1 {
 		t.Fatalf("idle: %d trials", len(trial))
 	}
-	r.step(0.55, out) // once more, while the trial is out: its answer tells nothing of that
+	r.step(0.55, out) // again while the trial is in flight, whose answer does not count for it
 	if l := only[HealthChange](r.step(0.6, answer(trial[0].ID, 1, 0, Completed))); len(l) != 0 {
 		t.Errorf("an answer to a call from before: %+v", l)
 	}
@@ -41,7 +41,7 @@
 		t.Errorf("an answer to a call from after: %+v", l)
 	}
 
-	r = newRig(t, set) // at work
+	r = newRig(t, set) // with traffic
 	r.step(0, list(1))
 	at = r.warm(0, 3)
 	first := calls(r, at, 1)
@@ -57,7 +57,7 @@
 		t.Errorf("at work, after an answer: %+v", acts)
 	}
 
-	r = newRig(t, set) // out by its own finding
+	r = newRig(t, set) // with an outage that it detected itself
 	r.step(0, list(1))
 	first = calls(r, 0, 1)
 	if l := only[HealthChange](r.step(0.1, answer(first[0].ID, 1, 0, ConnectionRefused))); len(l) != 1 || !l[0].Outage {
@@ -68,7 +68,7 @@
 		t.Errorf("the next trial is at %d, was at %d", r.s.endpoints[1].trialAt, next)
 	}
 
-	gaps := func(turn int) (all Micros) { // between trials at one that stays out
+	gaps := func(turn int) (all Micros) { // between trials at an endpoint that stays in outage
 		r := newRig(t, set)
 		r.step(0, list(1), PeerHealth{Endpoint: 1, TrialFactor: turn})
 		var last Micros
--- a/logic/limits_test.go
+++ b/logic/limits_test.go
@@ -8,7 +8,7 @@
 	"unicode/utf8"
 )
 
-// TestModuleLimits keeps each file of the module as short and narrow as its readers were promised.
+// TestModuleLimits keeps each production file of the package short and narrow enough to read.
 func TestModuleLimits(t *testing.T) {
 	const (
 		mostLines = 500
--- a/logic/list_test.go
+++ b/logic/list_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// untilAsked steps until the list is asked for, and returns when.
+// untilAsked steps until the list is requested, and returns the time.
 func untilAsked(s *Sender, now Micros, events ...Event) Micros {
 	for acts := s.Step(now, events); len(only[RequestEndpoints](acts)) == 0; acts = s.Step(now, nil) {
 		now += 10_000
@@ -10,9 +10,9 @@
 	return now
 }
 
-// However often the list could not be had, and however long the calls for it took, it is asked for again so soon
-// after the last call was made that an answer comes before what is new counts as told (6 s), and before the settings
-// hold this sender to what it missed: four times the time for asking, which another deployment may have short.
+// However often requests for the list fail and however long they take, the next one starts so soon after the
+// last one started that an answer comes before a change counts as known (6 s), and within the time limit of
+// the settings: four times the request interval, which may be short in another deployment.
 func TestListIsAskedForInTime(t *testing.T) {
 	for _, within := range []Micros{0, Second / 2, 2 * Second, 10 * Second} {
 		for _, took := range []Micros{0, Second, 3 * Second, 5 * Second} {
@@ -29,7 +29,7 @@
 				}
 				asked := untilAsked(s, 0)
 				for i := range 24 {
-					if i == 12 { // it is had once, and then the subscription breaks
+					if i == 12 { // one request succeeds, and then the subscription breaks
 						took = 0
 						s.Step(asked, []Event{Endpoints{Form: ListDelta}})
 					}
@@ -44,8 +44,9 @@
 	}
 }
 
-// A whole fleet makes no more calls at a discovery that is down than it did with pauses that grew to 8 s and half as
-// much again (823 and 1628 for 300 senders), not many at one time, and all have asked in time once it is back.
+// A fleet of 300 senders makes no more requests at a failed discovery than with pauses that grew to 8 s and
+// half as much again (823 and 1628 requests), not many at the same time, and all have requested in time once
+// it is back.
 func TestFleetAsksADiscoveryThatIsDown(t *testing.T) {
 	const senders = 300
 	for _, x := range []struct {
@@ -62,7 +63,7 @@
 			}
 			s.Step(0, nil)
 			s.Step(0, []Event{list(2)})
-			now := Second // all watches end
+			now := Second // all subscriptions end
 			for {
 				now = untilAsked(s, now, Endpoints{Form: ListFailed})
 				per[now/100_000]++
--- a/logic/mechanism_test.go
+++ b/logic/mechanism_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// feed fills a histogram with n samples each of the given latencies.
+// feed adds n samples of each of the given latencies to a histogram.
 func feed(h *histogram, n int, took ...float64) {
 	for range n {
 		for _, x := range took {
@@ -56,7 +56,7 @@
 	}
 }
 
-// warm serves n calls of class 0 at each of the rig's endpoints, so that latencies are known.
+// warm delivers n messages of class 0 at each of the rig's endpoints, so that latencies are known.
 func (r *rig) warm(at float64, n int) float64 {
 	for range n {
 		for _, c := range only[StartAttempt](r.step(at, r.call(0))) {
@@ -92,7 +92,7 @@
 		r.step(0, ev)
 		at := r.warm(1, 20)
 		d := r.s.destinations[9]
-		feed(&d.latencies, 2, 5) // a slow few: restarting pays
+		feed(&d.latencies, 2, 5) // a few slow calls: a restart pays off
 		d.latencies.add(r.s.now, sec(5), false)
 		if d.latencies.restartTime == 0 {
 			t.Fatal("no tau")
@@ -115,7 +115,7 @@
 		if len(next) != 1 || next[0].Endpoint == first.Endpoint {
 			t.Errorf("class %d: resent %v after a cut at endpoint %d", class, next, first.Endpoint)
 		}
-		// A long job is not cut again at the same limit.
+		// A slow message is not restarted again at the same limit.
 		if c := only[Cancel](r.step(at+2*limit+0.1, TimerFired{})); len(c) > 0 {
 			t.Errorf("class %d: the second attempt was cut at the first one's limit", class)
 		}
@@ -160,13 +160,13 @@
 	if l.rate != 1.1 {
 		t.Errorf("after a success the pace is %v, want 1.1", l.rate)
 	}
-	// A told limit: the floor is no more than an even share, and the pace creeps by a share of it.
+	// With a reported limit, the minimum is at most an even share, and the rate grows by a fraction of it.
 	l = &limiter{limit: 20, rate: 1}
 	r.s.increaseRate(l)
 	if l.rate != 2 {
 		t.Errorf("pace %v under a limit of 20 for two senders, want 2", l.rate)
 	}
-	// Thin: the even share is under a call a second. The first refusal leaves most of it, further ones less.
+	// A share under one call per second: the first rejection leaves most of it, further ones less.
 	l = &limiter{limit: 1}
 	for i, want := range []float64{0.4, 0.2, 0.1, 0.05, 0.05} {
 		r.s.now = sec(20 + float64(i))
@@ -275,7 +275,7 @@
 	}
 }
 
-// What fails for all at once is not asked for again by all at once.
+// Requests that fail for all senders at once must not be retried by all at once.
 func TestListIsAskedForAtTimesOfOnesOwn(t *testing.T) {
 	var first, last Micros = never, 0
 	for seed := range uint64(80) {
@@ -309,7 +309,7 @@
 	if len(only[RequestEndpoints](r.step(11.5, TimerFired{}))) != 0 || len(only[RequestEndpoints](r.step(11.82, TimerFired{}))) != 1 {
 		t.Error("did not ask again 5.1 to 5.4 s later")
 	}
-	// A whole list replaces the old one; a draining endpoint gets nothing new.
+	// A full list replaces the old one; a draining endpoint gets no new calls.
 	row := Entry{Endpoint: 3, Dest: 9, State: Draining}
 	r.step(12, Endpoints{Form: ListFull, Entries: append(list(1).Entries, row)})
 	for i := range 4 {
@@ -323,8 +323,8 @@
 	}
 }
 
-// Found on a drawn day: a call that was under way when a route shut counted as its return, and the warm-up had
-// run out before it opened.
+// The answer to a call that was in flight when an endpoint failed must not count as its recovery; otherwise
+// the slow start has ended before the real one.
 func TestOldAnswerIsNoReturn(t *testing.T) {
 	r := newRig(t, base())
 	r.step(0, list(1))
@@ -339,7 +339,7 @@
 	}
 }
 
-// Found on a standard day: machines that joined a destination still cold were sent to without a budget.
+// Endpoints that join a destination that is still cold must not get calls without a budget.
 func TestJoinedEndpointIsAsColdAsItsSiblings(t *testing.T) {
 	r := newRig(t, base())
 	r.step(0, list(1))
@@ -351,7 +351,7 @@
 	}
 }
 
-// Found on an incident: with limits that others use up, every refusal looked like a shut destination.
+// At limits that other senders use up, rejections between answers must not look like an outage.
 func TestRefusalsBesideAnswersAreNotShut(t *testing.T) {
 	r := newRig(t, base())
 	r.step(0, list(2))
@@ -375,7 +375,7 @@
 	}
 }
 
-// Found on an incident: messages were refused by a low pace although the hold was nearly empty.
+// A low rate must not cause messages to be returned while few are pending.
 func TestSlowPaceKeepsMessagesWhileThereIsRoom(t *testing.T) {
 	for _, c := range []struct{ hold, ends int }{{200, 0}, {30, 1}} {
 		set := base()
@@ -437,7 +437,7 @@
 		t.Errorf("a late outcome of a withdrawn message caused %v; %d slots busy", acts, r.s.usedSlots)
 	}
 	before := r.s.now
-	r.step(1, r.call(0)) // a clock that steps back does no harm
+	r.step(1, r.call(0)) // a clock that steps back is harmless
 	if r.s.now != before {
 		t.Error("time went back")
 	}
@@ -465,8 +465,8 @@
 	}
 }
 
-// Found on an incident: a share of all answers was lost while the rest came quickly. The lost calls never showed in
-// the histogram and held slots to their deadline.
+// If some answers are lost while the others are fast, the lost calls must appear in the histogram and not
+// occupy slots until their deadline.
 func TestLostAnswersShowInTheHistogram(t *testing.T) {
 	r := newRig(t, base())
 	r.step(0, list(2))
@@ -490,7 +490,7 @@
 	if cut != len(lost) {
 		t.Errorf("%d of %d lost calls were called off", cut, len(lost))
 	}
-	// One that answers after all is no longer counted.
+	// A call that is answered after all no longer counts.
 	before := r.s.destinations[9].latencies.censored
 	r.step(at, answer(lost[0].ID, lost[0].Endpoint, 0, Completed))
 	if got := r.s.destinations[9].latencies.censored; got > before-0.9 {
@@ -521,7 +521,7 @@
 	}
 }
 
-// Found by the property test: an endpoint that was not tried while its siblings were out had no budget.
+// An endpoint that was not tried while its siblings were in outage must have a budget too.
 func TestSiblingNotTriedSharesTheBudget(t *testing.T) {
 	set := base()
 	set.Weights = WeightsNominal
@@ -534,7 +534,7 @@
 	sent := 0
 	for i := range 20 {
 		for _, x := range only[StartAttempt](r.step(1.2+0.1*float64(i), r.call(0))) {
-			r.s.endpoints[x.Endpoint].inFlight = 0 // only the budget holds
+			r.s.endpoints[x.Endpoint].inFlight = 0 // only the budget limits it
 			sent++
 		}
 	}
@@ -543,8 +543,8 @@
 	}
 }
 
-// Found by the hunt: answers to calls that were under way at the siblings when a destination shut made them look
-// well, and they were sent to without a budget when it opened.
+// Answers to calls that were in flight at the siblings when a destination failed must not make the siblings
+// look healthy; otherwise they get calls without a budget after the recovery.
 func TestOldAnswerOfASiblingIsNoProof(t *testing.T) {
 	r := newRig(t, base())
 	r.step(0, list(2))
@@ -572,12 +572,13 @@
 	}
 }
 
-// What can be in time still goes before what is late already, though that loses a little more by waiting.
+// A message that can still be delivered within its Aim goes before one that is past it, although that one
+// loses a little more by waiting.
 func TestLateGoesAfterWhatCanBeInTime(t *testing.T) {
 	r := newRig(t, base())
 	r.step(0, list(1))
 	late, near := r.call(0), r.call(0)
-	late.Remaining, near.Remaining = sec(8.8), sec(9.1) // of 10; wanted within 1
+	late.Remaining, near.Remaining = sec(8.8), sec(9.1) // of 10; their Aim is 1
 	r.s.Step(sec(5), []Event{Endpoints{Form: ListFull}, late, near})
 	if a, b := r.s.priority(r.s.messages[late.ID]), r.s.priority(r.s.messages[near.ID]); a >= b {
 		t.Errorf("late ranks %g, in time %g", a, b)
--- a/logic/memory_test.go
+++ b/logic/memory_test.go
@@ -5,8 +5,7 @@
 	"testing"
 )
 
-// What a Sender knows is what the next one knows, whatever came before: a memory that is taken up and told again
-// is the same.
+// A Sender with a restored snapshot takes the same snapshot again, whatever happened before it.
 func TestMemoryComesBackWhole(t *testing.T) {
 	for _, name := range []string{"plain", "apart", "reports", "weights"} {
 		set := variants()[name]
@@ -34,7 +33,7 @@
 				if m.Unhealthy {
 					sick++
 				}
-				again.Step(w.now, []Event{RestoreState{State: m}, RestoreState{State: DestinationState{Dest: d.id, Arrivals: 99}}}) // the first counts
+				again.Step(w.now, []Event{RestoreState{State: m}, RestoreState{State: DestinationState{Dest: d.id, Arrivals: 99}}}) // only the first counts
 				got := again.destinationState(again.destinations[d.id])
 				got.Endpoints, m.Endpoints = byEndpoint(got), byEndpoint(m)
 				if !reflect.DeepEqual(got, m) {
@@ -49,7 +48,7 @@
 	}
 }
 
-// byEndpoint are the endpoints that a memory and the list of the test have alike.
+// byEndpoint returns the endpoints that both the snapshot and the list of the test contain.
 func byEndpoint(m DestinationState) []EndpointState {
 	var out []EndpointState
 	for id := EndpointID(100); id < 108; id++ {
@@ -63,22 +62,22 @@
 	return out
 }
 
-// sickOf is a memory of destination 9, whose endpoint 1 returned a second ago from an outage, or is out.
+// sickOf is a snapshot of destination 9, whose endpoint 1 is in outage or recovered from one a second ago.
 func sickOf(out bool) DestinationState {
 	return DestinationState{Dest: 9, Unhealthy: true, Arrivals: 3, SinceOutage: 20 * Second, Limiter: LimiterState{PeakRate: 4}, Endpoints: []EndpointState{
 		{Endpoint: 1, Outage: out, Cold: true, SinceRecovery: Second, SinceSuccess: Second, SinceFailure: 2 * Second, SinceIndependentSuccess: 3 * Second, TrialInterval: Second}}}
 }
 
-// A restart begins the window of a cold destination anew: the process before may have used it up. Then its budget
-// goes on from the return that was seen, and one that was out gets single trials.
+// A restart begins the window of a cold destination anew, as the previous process may have used it up. Then
+// the budget continues from the known recovery, and an endpoint in outage gets single trials.
 func TestRecallOfTheSick(t *testing.T) {
 	for _, x := range []struct {
 		name        string
 		memory      DestinationState
-		age         float64 // of the memory, seconds
+		age         float64 // of the snapshot, seconds
 		early, late int     // sends within the fall window, and right after it
 	}{
-		{"cold", sickOf(false), 0, 0, 3}, // 2 x (0.2 + 0.8 x 3.1 s / 14 s) x 4 a second / 2 senders x 2 s: 3.0
+		{"cold", sickOf(false), 0, 0, 3}, // 2 x (0.2 + 0.8 x 3.1 s / 14 s) x 4 per second / 2 senders x 2 s: 3.0
 		{"out", sickOf(true), 0, 0, 1},
 		{"warm since", sickOf(false), 20, 4, 4},
 		{"out long ago", sickOf(true), 1e6, 0, 1},
@@ -100,7 +99,7 @@
 	}
 }
 
-// What this process has learnt itself stands, and what makes no sense does no harm.
+// State that this process has gathered itself takes precedence, and impossible values are harmless.
 func TestRecallComesLate(t *testing.T) {
 	r := newRig(t, base())
 	c := r.call(0)
@@ -118,8 +117,8 @@
 	}
 }
 
-// Of two destinations the one whose health has changed goes first, though the other's news are older; no more are
-// told than were asked for.
+// Of two destinations the one whose health has changed comes first, although the other changed earlier. No
+// more states are returned than requested.
 func TestRememberTheSickFirst(t *testing.T) {
 	set := base()
 	set.TrackChanges = true
@@ -143,7 +142,8 @@
 	}
 }
 
-// Changes of health are told first and soon, others every ten seconds, each once, and nothing unless asked for.
+// Changes of health are returned first and soon, others every ten seconds, each once, and none unless they
+// are tracked.
 func TestRememberIsBounded(t *testing.T) {
 	for _, on := range []bool{true, false} {
 		set := base()
--- a/logic/queue_test.go
+++ b/logic/queue_test.go
@@ -18,10 +18,11 @@
 	"pgregory.net/rapid"
 )
 
-// ---- The sort as oracle --------------------------------------------------------------
+// ---- The sort as reference -----------------------------------------------------------
 
-// stepBySort is Step without the index: it rates and sorts all that is held, and asks of each whether its time is
-// up. Where the index is to differ, it says so. Equals go older first.
+// stepBySort is Step without the index: it computes the priority of all pending messages, sorts them, and
+// checks each for expiry. Comments mark the intended differences from the index. Among equals the oldest
+// comes first.
 func (s *Sender) stepBySort(now Micros, events []Event) []Action {
 	s.now = max(s.now, now)
 	s.step++
@@ -76,12 +77,13 @@
 	}
 	slices.SortFunc(q, comparePriority)
 	for _, m := range q {
-		// One with less left than a call takes at least is not begun. Before the index, the sort had it go last.
+		// A message with less time left than the minimum latency is not started. Before the index, the sort
+		// put it last.
 		if (m.inherited || s.now+max(s.usualLatency(m), minUsualLatency) <= m.deadline) && s.trySend(m) {
 			s.dequeue(m)
 		}
 	}
-	// Room is made after all have had their turn. Before the index, it was made between one message and the next.
+	// Load is shed after all messages have been considered. Before the index, it was shed between messages.
 	for i, m := range q {
 		if m.inFlight != nil {
 			continue
@@ -99,7 +101,8 @@
 	}
 }
 
-// same compares what two Senders do: calls in their order, ends as a set (the index makes room after it has sent).
+// same compares the actions of two Senders: attempts in their order, ends as a set (the index sheds load
+// after it has sent).
 func (w *world) same(a, b []Action) {
 	w.t.Helper()
 	pick := func(acts []Action) (calls, others []string) {
@@ -107,7 +110,7 @@
 			switch x.(type) {
 			case StartAttempt:
 				calls = append(calls, fmt.Sprintf("%#v", x))
-			case SetTimer: // the index looks again earlier, or later where nothing could go
+			case SetTimer: // the index may visit earlier, or later where nothing could be sent
 			default:
 				others = append(others, fmt.Sprintf("%#v", x))
 			}
@@ -122,7 +125,7 @@
 	}
 }
 
-// twins plays one day with a Sender that decides by the index and one by the sort.
+// twins simulates a day with a Sender that uses the index and one that uses the sort.
 func twins(t *testing.T, set Settings, seed uint64) {
 	set.TrackChanges = seed%3 == 1
 	w := newWorld(t, set, 100+seed)
@@ -133,8 +136,8 @@
 	w.play()
 }
 
-// What the index decides, the sort decides, whatever comes: in each step of random plays, over restarts and
-// upgrades, with a hold that is nearly empty and one that overflows. PLAYS says how many more.
+// The index and the sort make the same decisions in each step of random plays, over restarts and upgrades,
+// with few pending messages and with more than the pending limit. PLAYS sets the number of further plays.
 func TestIndexDecidesAsTheSort(t *testing.T) {
 	more, _ := strconv.Atoi(os.Getenv("PLAYS"))
 	i := uint64(0)
@@ -152,7 +155,7 @@
 
 // ---- The order -----------------------------------------------------------------------
 
-// drawn makes a Sender with destinations, classes and messages of all ages.
+// drawn creates a Sender with random destinations, classes and messages of all ages.
 func drawn(t *rapid.T) *Sender {
 	set := base()
 	set.ExponentialDecay, set.MaxOpen = rapid.Bool().Draw(t, "halves"), 0
@@ -222,7 +225,7 @@
 	return out
 }
 
-// The cursors give what waits in the order of rate, and all of it.
+// The cursors return all queued messages in order of priority.
 func TestCursorsGiveTheOrderOfRate(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := drawn(t)
@@ -239,7 +242,7 @@
 			t.Fatalf("%d messages of %d", len(got), len(want))
 		}
 		for i, m := range got {
-			// Two whose rates differ by rounding alone may change places.
+			// Two messages whose priorities differ only by rounding may change places.
 			if x := want[i]; m != x && math.Abs(m.priority-x.priority) > 1e-9*math.Abs(x.priority) {
 				t.Fatalf("at %d: %s of rate %g, want %s of rate %g", i, m.id, m.priority, x.id, x.priority)
 			} else if m != x && m.priority == x.priority && x.priority > 1e-290 {
@@ -323,7 +326,7 @@
 
 // ---- Cost ----------------------------------------------------------------------------
 
-// threadTime is the processor time of this thread: what else the machine does is not in it.
+// threadTime is the processor time of this thread, which excludes other load on the machine.
 func threadTime(t *testing.T) time.Duration {
 	t.Helper()
 	var ts unix.Timespec
@@ -333,8 +336,8 @@
 	return time.Duration(ts.Nano())
 }
 
-// What a restart hands in at once is judged once each, also where it fills the hold: the time for four times as much
-// is not sixteen times as long.
+// Messages that a restart submits at once are considered for load shedding once each, also where they reach
+// the pending limit: four times as many must not take sixteen times as long.
 func TestRestartIntoAFullHold(t *testing.T) {
 	took := func(n int) time.Duration {
 		best := time.Hour
--- a/logic/restart_test.go
+++ b/logic/restart_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// resumed hands a message of a class in as after a restart and returns what is done in that step.
+// resumed submits a message of a class as after a restart and returns the actions of that step.
 func resumed(t *testing.T, class int, past History) []Action {
 	t.Helper()
 	r := newRig(t, base())
@@ -11,7 +11,7 @@
 	return r.step(100, list(2), c)
 }
 
-// A try that may have run before a restart binds the class as one after it would.
+// An attempt that may have run before a restart restricts the class in the same way as one after it.
 func TestPastBinds(t *testing.T) {
 	may := History{Attempts: 1, MayHaveRun: true, SinceFirst: Second}
 	old := History{Attempts: 1, MayHaveRun: true, SinceFirst: 8 * Second} // as old as the keyed window
@@ -36,13 +36,13 @@
 			t.Errorf("%s: %d failures", x.name, n)
 		}
 	}
-	// Without a try that may have run the end is a refusal: the client may come again.
+	// Without an attempt that may have run the message is returned: the client may submit it again.
 	if acts := resumed(t, 2, History{Attempts: 6}); len(only[ReturnMessage](acts)) != 1 || len(only[FailMessage](acts)) != 0 {
 		t.Errorf("no attempt left, never ran: %v", acts)
 	}
 }
 
-// Keyed repeats are dropped only by endpoints of the zone where the first try went.
+// Repeats of keyed messages are recognized only by endpoints of the zone of the first attempt.
 func TestPastKeepsZone(t *testing.T) {
 	set := base()
 	set.Zones, set.Classes[1].ByZone = 2, true
@@ -57,7 +57,7 @@
 	}
 }
 
-// Attempts go on counting where the last process left off: replies name them.
+// The numbers of attempts continue those of the previous process, as results refer to them.
 func TestPastAttemptNumber(t *testing.T) {
 	r := newRig(t, base())
 	c := r.call(0)
@@ -69,11 +69,11 @@
 	}
 }
 
-// A stop must not cut off calls that were begun in view of it: an unsafe one would be lost.
+// A stop must not cut off calls that began after it was announced: an unsafe message would be lost.
 func TestClosing(t *testing.T) {
 	r := newRig(t, base())
 	r.step(0, list(1))
-	for i := range 8 { // the usual call takes 0.1 s
+	for i := range 8 { // the usual latency is 0.1 s
 		c := r.call(2)
 		r.step(float64(i), c)
 		r.step(float64(i)+0.1, answer(c.ID, 1, 0, Completed))
@@ -90,7 +90,7 @@
 	}
 }
 
-// With nothing else going on, a call that hangs is looked at all the same.
+// A stuck call is detected even if nothing else happens.
 func TestLoneCallIsWatched(t *testing.T) {
 	r := newRig(t, base())
 	r.step(0, list(2))
@@ -110,7 +110,7 @@
 	}
 }
 
-// A call whose message has ended holds its slot over a handover, until its outcome comes.
+// A call whose message has ended occupies its slot over a handover, until its outcome comes.
 func TestHandOverCountsWhatHasEnded(t *testing.T) {
 	set := base()
 	set.Slots, set.MayCancel = 1, false
@@ -122,7 +122,7 @@
 	r := newRig(t, set)
 	gone.History = History{Attempts: 1, Ended: true, InFlight: &InFlightAttempt{Endpoint: out.Endpoint, Age: sec(0.2)}}
 	next := r.call(0)
-	next.ID, next.Dest = "next", 10 // elsewhere: only the slot keeps it
+	next.ID, next.Dest = "next", 10 // another destination: only the slot delays it
 	two := list(2)
 	two.Entries[1].Dest = 10
 	if acts := r.step(1.2, two, RestoreState{State: all[0]}, gone, next); len(only[StartAttempt](acts)) != 0 {
--- a/logic/retune_test.go
+++ b/logic/retune_test.go
@@ -19,8 +19,9 @@
 	return set
 }
 
-// Settings change at any time among messages and outcomes: each message ends once, is never sent more often than
-// it was allowed when it came, and one that was unsafe then never after it may have run.
+// Settings change at any time among messages and outcomes: each message ends once, is never sent more often
+// than its terms allowed when it was accepted, and one that was unsafe then is never sent after it may have
+// run.
 func TestRetunePlays(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		set := drawSettings(t)
@@ -91,7 +92,7 @@
 	})
 }
 
-// Held to the stricter of both: never laxer than either, whatever changes.
+// The merged settings are never laxer than either of the two, whatever changes.
 func TestStricter(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		was, next := drawSettings(t), drawSettings(t)
--- a/logic/rig_test.go
+++ b/logic/rig_test.go
@@ -8,7 +8,8 @@
 	"testing"
 )
 
-// base is a plain deployment: two senders, one safe, one keyed and one unsafe class, one kind of destination.
+// base is a simple deployment: two senders, one safe, one keyed and one unsafe class, one kind of
+// destination.
 func base() Settings {
 	return Settings{Senders: 2, Zones: 1, Slots: 8, MaxOpen: 60, MaxTries: 6, Tick: 5000, MayCancel: true, AdviseRetry: true,
 		Classes: []Class{
@@ -19,7 +20,7 @@
 		FallWindow: 2 * Second, ColdFrom: 0.2, WarmAfter: 14 * Second, RemainingIndex: -1, LimitIndex: -1}
 }
 
-// rig drives one Sender by hand.
+// rig drives one Sender step by step.
 type rig struct {
 	t *testing.T
 	s *Sender
@@ -39,7 +40,7 @@
 
 func (r *rig) step(at float64, evs ...Event) []Action { r.t.Helper(); return r.s.Step(sec(at), evs) }
 
-// list makes a whole list of n endpoints, from 1 on, of destination 9.
+// list returns a full list of n endpoints, numbered from 1, of destination 9.
 func list(n int) Endpoints {
 	ev := Endpoints{Form: ListFull}
 	for i := 1; i <= n; i++ {
@@ -66,7 +67,7 @@
 	return out
 }
 
-// world plays random legal outcomes against a Sender and asserts the six rules. It models no server.
+// world generates random legal outcomes for a Sender and asserts the six rules. It does not model a server.
 type world struct {
 	t          *testing.T
 	set        Settings
@@ -85,20 +86,20 @@
 	quiet      map[string]Micros
 	quietBy    map[string]*wmsg
 	slots      int
-	outage     [2]Micros // all of destination 1 refuses connections
+	outage     [2]Micros // all endpoints of destination 1 refuse connections
 	knows      bool
 	coldSent   []Micros
-	coldRoute  map[EndpointID][]Micros // where routes are apart
-	knowsRoute map[EndpointID]bool     // that it was seen to be out
+	coldRoute  map[EndpointID][]Micros // for independent endpoints
+	knowsRoute map[EndpointID]bool     // its outage was detected
 	wellSent   []Micros
 	peak       float64
 	trace      []string
-	restarts   bool // processes die, and others take up what they have left
-	upgrades   bool // or hand over all that they know, with their calls out
+	restarts   bool // processes crash, and others restore their state
+	upgrades   bool // processes hand over their whole state, with calls in flight
 	memories   map[int64]RestoreState
-	twin       *Sender // if there is one, it judges all that is held in each step, and has to decide the same
-	steady     bool    // a step in each tick
-	often      int     // mean gap of arrivals, in milliseconds; 0 for 75
+	twin       *Sender // if set, it decides without the index in each step, and must decide the same
+	steady     bool    // one step per tick
+	often      int     // mean time between arrivals, in milliseconds; 0 for 75
 }
 
 type wmsg struct {
@@ -116,7 +117,7 @@
 
 type wep struct {
 	row    Entry
-	told   Micros // when it was told to drain or go
+	told   Micros // when the list said that it drains or is removed
 	closed bool
 }
 
@@ -152,7 +153,7 @@
 		outage: [2]Micros{12 * Second, 20 * Second}, memories: map[int64]RestoreState{}}
 }
 
-// play runs 40 seconds of random traffic.
+// play simulates 40 seconds of random traffic.
 func (w *world) play() {
 	var first Endpoints
 	first.Form = ListCached
@@ -172,7 +173,7 @@
 		if w.now < 40*Second && w.now >= next {
 			next = w.now + Micros(w.rnd.IntN(2000*cmp.Or(w.often, 75)))
 			evs = append(evs, w.arrival())
-			if w.rnd.IntN(40) == 0 { // a clump
+			if w.rnd.IntN(40) == 0 { // a burst
 				for range 15 {
 					evs = append(evs, w.arrival())
 				}
@@ -187,14 +188,14 @@
 			evs = append(evs, ClientGone{m.id}, ClientGone{"nobody"}, TimerFired{3})
 		}
 		if w.steady && w.now == 36*Second {
-			evs = append(evs, Stopping{Remaining: 8 * Second}) // and a new process, if one comes, does not know of it
+			evs = append(evs, Stopping{Remaining: 8 * Second}) // a new process, if one follows, does not get this event
 		}
 		if len(evs) > 0 || w.steady {
 			w.run(evs...)
 		}
 		if w.restarts {
 			for _, m := range w.s.ChangedStates(w.now, 2) {
-				w.memories[m.Dest] = RestoreState{Age: w.now, State: m} // when it was made
+				w.memories[m.Dest] = RestoreState{Age: w.now, State: m} // time of the snapshot
 			}
 			if w.rnd.IntN(1500) == 0 {
 				w.restart()
@@ -212,7 +213,7 @@
 	}
 }
 
-// renew puts a new Sender in the place of the one at hand.
+// renew replaces the Sender with a new one.
 func (w *world) renew() {
 	w.t.Helper()
 	seed, err := w.rnd.Uint64(), error(nil)
@@ -224,12 +225,12 @@
 	}
 }
 
-// restart has the process die and another one take up what the first has left. What was out may have run; what
-// was told of waits is kept, as is what was last told of destinations.
+// restart lets the process crash and another one restore its state. Attempts in flight may have run;
+// requested waits and the last snapshots of the destinations are kept.
 func (w *world) restart() {
 	w.renew()
 	w.queue, w.slots = nil, 0
-	clear(w.quiet) // the rest of a key is not kept
+	clear(w.quiet) // the pause of an order key is not kept
 	cached := Endpoints{Form: ListCached}
 	for _, id := range w.order {
 		row := w.eps[id].row
@@ -261,7 +262,7 @@
 	w.run(evs...)
 }
 
-// upgrade has the process hand over to another one, with its calls out.
+// upgrade lets the process hand over to another one, with its calls in flight.
 func (w *world) upgrade() {
 	all, keys := w.s.HandOver(w.now)
 	w.renew()
@@ -362,7 +363,7 @@
 	return evs
 }
 
-// land applies the outcome of an attempt to what the rules know.
+// land applies the outcome of an attempt to the state that the rules are checked with.
 func (w *world) land(r AttemptResult, m *wmsg, c *wcall) AttemptResult {
 	if c.open--; c.open == 0 {
 		w.slots--
@@ -413,7 +414,7 @@
 		}
 		return Overloaded, 20_000, wait
 	}
-	return TimedOut, never, 0 // silent: ends when given up or called off
+	return TimedOut, never, 0 // no answer: it ends when it times out or is cancelled
 }
 
 // run makes one step and checks all its actions.
--- a/logic/rules_test.go
+++ b/logic/rules_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// variants are deployments unlike each other; each must keep the six rules under random outcomes.
+// variants returns different deployments. Each must keep the six rules under random outcomes.
 func variants() map[string]Settings {
 	make := func(f func(*Settings)) Settings { s := base(); f(&s); return s }
 	return map[string]Settings{
@@ -35,7 +35,7 @@
 	}
 }
 
-// plays is how many seeds of each variant are played; PLAYS asks for others.
+// plays returns the number of seeds of each variant; the variable PLAYS overrides it.
 func plays(usual uint64) uint64 {
 	if n, err := strconv.ParseUint(os.Getenv("PLAYS"), 10, 32); err == nil {
 		return n
@@ -53,8 +53,8 @@
 	}
 }
 
-// The rules hold over restarts too, that of a returning destination above all: a process that dies is followed by
-// one that knows what it knew.
+// The rules hold over restarts too, most of all that of a recovering destination: a process that crashes is
+// followed by one with its snapshots.
 func TestRulesOverRestarts(t *testing.T) {
 	for name, set := range variants() {
 		t.Run(name, func(t *testing.T) {
@@ -68,7 +68,8 @@
 	}
 }
 
-// And over upgrades, where calls are out at the process that hands over: to the rules both are one sender.
+// The rules hold over upgrades, where calls are in flight in the process that hands over: for the rules both
+// are one sender.
 func TestRulesOverUpgrades(t *testing.T) {
 	for name, set := range variants() {
 		t.Run(name, func(t *testing.T) {
@@ -127,7 +128,8 @@
 	}
 }
 
-// Without told limits, and with many slots, one of 400 plays goes over the budget of slow start (KNOWN-RED.txt).
+// Without reported limits, and with many slots, one of 400 plays exceeds the budget of slow start
+// (KNOWN-RED.txt).
 func TestSlowStartWithoutLimits(t *testing.T) {
 	newWorld(t, variants()["no limits"], 344).play()
 }
--- a/logic/second_site_test.go
+++ b/logic/second_site_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// Found on the second site: each endpoint that was still out held its siblings, back for seconds, to what a
-// destination takes at its return, until a trial of its own came round.
+// An endpoint that is still in outage must not limit its siblings, which recovered seconds ago, to the
+// capacity right after a recovery until it is tried itself.
 func TestBudgetGrowsWithEachReturn(t *testing.T) {
 	set := base()
 	set.Weights, set.Senders = WeightsNominal, 1
@@ -35,8 +35,8 @@
 	}
 }
 
-// Found on the second site: four refusals in a row of a destination at its limit were taken for a shut one, which
-// cost it all but single trials, and then a budget of a cold one.
+// Four rejections in a row by a destination at its limit must not count as an outage, which would reduce it
+// to single trials and then to a slow start.
 func TestSpentLimitIsNotShut(t *testing.T) {
 	set := base()
 	set.RemainingIndex, set.LimitIndex = 0, 1
@@ -54,7 +54,7 @@
 		r := newRig(t, set)
 		r.step(0, list(1))
 		e := r.s.endpoints[1]
-		r.s.recordLoadReport(e, []float64{0.1, 5}) // an old one, which the next answer takes back
+		r.s.recordLoadReport(e, []float64{0.1, 5}) // an old report, which the next answer replaces
 		for i := range 5 {
 			r.s.now = sec(1 + 0.5*float64(i))
 			r.s.recordLoadReport(e, x.load)
@@ -66,16 +66,17 @@
 	}
 }
 
-// Found on the second site: a call with several has one time, that of the message with least. One that is nearly out
-// of time must not take the others' time with it, which for unsafe ones is the end. All that one step sends to an endpoint
-// travels together, so that one goes in the next step; else more calls are out than the module counts, too.
+// A call with several messages has one timeout, that of the message with the least time left. A message that
+// is about to expire must not shorten the time of the others, which would end unsafe ones. Everything that
+// one step sends to an endpoint travels together, so that message goes in the next step; otherwise more calls
+// would be in flight than the package counts.
 func TestNoneJoinsThatCutsTheOthersShort(t *testing.T) {
 	set := base()
 	set.Kinds[0].MaxBatch = 10
 	for _, late := range []float64{0.3, 9} {
 		r := newRig(t, set)
 		r.step(0, list(1))
-		for range 5 { // a usual call takes 0.2 s
+		for range 5 { // the usual latency is 0.2 s
 			for i := range r.s.classLatencies {
 				r.s.classLatencies[i].add(0, sec(0.2), false)
 			}
@@ -96,7 +97,8 @@
 	}
 }
 
-// A wait binds whatever else the answer says: one to several messages may tell it beside those it has delivered.
+// A requested wait applies whatever else the answer says: the answer to a batch may request one although it
+// delivered some messages.
 func TestWaitBesideADelivery(t *testing.T) {
 	r := newRig(t, base())
 	r.step(0, list(2))
--- a/logic/slow_start_test.go
+++ b/logic/slow_start_test.go
@@ -2,8 +2,9 @@
 
 import "math"
 
-// checkCold holds what goes to destination 1 after its outage against the figures of the rule, for one sender
-// that takes no more than its share, plus six calls for chance and for an endpoint not tried during the outage.
+// checkCold compares the calls to destination 1 after its outage with the bound of the rule, for one sender
+// that takes no more than its share, plus six calls for chance and for an endpoint not tried during the
+// outage.
 func (w *world) checkCold(e *wep) {
 	if e.row.Dest == 1 && w.now < w.outage[0] {
 		w.wellSent = append(w.wellSent, w.now)
@@ -17,7 +18,7 @@
 	if w.set.Kinds[e.row.Kind].Independent {
 		routes = 2
 	}
-	limit := 8.0 // the most that a report tells; where none is told, the sender's best second stands for it
+	limit := 8.0 // the highest limit that a report gives; without reports, the sender's best second
 	if w.set.Weights == WeightsOff && w.set.LimitIndex < 0 {
 		limit = max(limit, w.peak)
 	}
@@ -40,8 +41,8 @@
 	}
 }
 
-// slowStartBudget is the most calls that a cold destination may get in a fall window where its settings allow it n, by the
-// operators' standing test.
+// slowStartBudget is the maximum number of calls that a cold destination may get in a fall window where its
+// settings allow n, according to the operators' acceptance test.
 func slowStartBudget(n float64) float64 {
 	if n < 30 {
 		return n + 3*math.Sqrt(n) + 3
--- a/logic/untried_test.go
+++ b/logic/untried_test.go
@@ -6,21 +6,21 @@
 	"pgregory.net/rapid"
 )
 
-// untried is a restart that finds messages taken on and never tried, half of them with little time left, against a
-// partner in virtual time.
+// untried simulates a restart that finds messages accepted and never tried, half of them with little time
+// left, at a partner in virtual time.
 type untried struct {
 	held    int
-	took    float64 // seconds of a call; 0 for a partner that refuses connections
-	listed  float64 // when the list names it
-	limit   float64 // calls a second, as told; 0 for none
+	took    float64 // latency in seconds; 0 for a partner that refuses connections
+	listed  float64 // when the list contains it
+	limit   float64 // reported calls per second; 0 for none
 	senders int
-	full    bool    // the hold is as large as what is held
+	full    bool    // the pending limit equals the number of messages
 	short   float64 // seconds that half of them have left
-	usual   float64 // seconds of a call before the restart, as remembered; 0 for not known
-	fresh   float64 // new messages a second meanwhile
+	usual   float64 // latency in seconds before the restart, from a snapshot; 0 if unknown
+	fresh   float64 // new messages per second meanwhile
 }
 
-// play returns how many of them were tried, ended with no call, and delivered.
+// play returns how many of them were tried, ended without a call, and delivered.
 func (u untried) play(t *testing.T) (tried, given, delivered int) {
 	set := base()
 	set.Senders, set.Slots, set.MaxOpen, set.TrackChanges, set.Weights = max(u.senders, 1), 60, 2*u.held+200, true, WeightsNominal
@@ -89,13 +89,14 @@
 	return tried, given, delivered
 }
 
-// What a restart finds taken on and untried is tried wherever the partner takes that many in time: whatever is remembered of
-// latencies, however full the hold is, whatever comes beside it. The rows stand in docs/measurements/acceptance.md.
+// Messages that a restart finds accepted and untried are tried wherever the partner takes that many in time,
+// for any restored latency, any pending limit and any new messages. The rows are those of
+// docs/measurements/acceptance.md.
 func TestUntried(t *testing.T) {
 	for _, x := range []struct {
 		name string
 		untried
-		most float64 // part that may be given up
+		most float64 // fraction that may end without a call
 	}{
 		{"1, alive", untried{held: 1, took: 0.02, short: 0.3, usual: 1}, 0},
 		{"100, alive", untried{held: 100, took: 0.02, short: 0.3}, 0},
@@ -123,7 +124,7 @@
 			full: rapid.Bool().Draw(rt, "full"), usual: rapid.SampledFrom([]float64{0, 0.1, 2}).Draw(rt, "usual"),
 			listed: rapid.SampledFrom([]float64{0, 1}).Draw(rt, "listed"), fresh: rapid.Float64Range(0, 30).Draw(rt, "fresh")}
 		pace := u.limit / float64(u.senders)
-		u.short = u.listed + 0.5 + u.took + float64(u.held)/pace // at its even part of the limit it takes them all
+		u.short = u.listed + 0.5 + u.took + float64(u.held)/pace // at its even share of the limit it takes them all
 		if u.short > 9 {
 			rt.Skip()
 		}
@@ -133,15 +134,16 @@
 	})
 }
 
-// Where a pace can't send in time what is held, and the hold is more than half full, what has just come is turned away; what
-// was taken on keeps its place until seven tenths of its time are over.
+// Where a rate cannot send the pending messages in time, and their number is above half of the limit,
+// messages that have just arrived are returned. Accepted ones are kept until seven tenths of their time have
+// passed.
 func TestTakenOnKeepsItsPlace(t *testing.T) {
 	set := base()
 	set.MaxOpen, set.Weights = 20, WeightsNominal
 	r := newRig(t, set)
 	r.step(0, Endpoints{Form: ListFull, Entries: []Entry{{Endpoint: 1, Dest: 9, NominalRate: 4}}})
 	var evs []Event
-	for range 16 { // at 2 a second these take 8 s of the 10 that they have
+	for range 16 { // at 2 per second these take 8 s of the 10 s that they have
 		evs = append(evs, r.call(0))
 	}
 	first := r.step(1, evs...)
@@ -152,7 +154,7 @@
 	if len(out) == 0 {
 		out = only[StartAttempt](r.step(1.5))
 	}
-	r.step(2, answer(out[0].ID, 1, 0, Overloaded)) // the pace falls to one a second
+	r.step(2, answer(out[0].ID, 1, 0, Overloaded)) // the rate falls to one per second
 	turned := only[ReturnMessage](r.step(2.1, r.call(0)))
 	if len(turned) != 1 || turned[0].ID != "m17" {
 		t.Errorf("turned away %v, want the one that has just come", turned)
@@ -173,8 +175,8 @@
 	}
 }
 
-// What would arrive when its time is over is not sent, whatever a restart owes it: found on a day on which a message was called
-// with 5 ms left, came to a partner for which it was over, and voided the day.
+// A message that would arrive after its deadline is not sent, even if a restart found it untried: a call with
+// 5 ms left would reach the partner too late.
 func TestUntriedIsNotSentTooLate(t *testing.T) {
 	for left, sent := range map[float64]int{0.03: 0, 0.2: 1} {
 		r := newRig(t, base())
