--- a/logic/churn_test.go
+++ b/logic/churn_test.go
@@ -7,7 +7,7 @@
 
 // Endpoints, destinations and order keys that nothing refers to any more are dropped; otherwise the process
 // would grow as long as it runs. State with a call in flight is kept.
-func TestChurnIsForgotten(t *testing.T) {
+func TestUnusedStateIsDropped(t *testing.T) {
 	set := Settings{Senders: 1, Slots: 4, MaxTries: 6, Tick: 5000, MayCancel: true,
 		Classes: []Class{{Name: "c", Aim: Second, Deadline: 10 * Second, Worth: 1, KeepOrder: true}}}
 	s, err := New(set, 1)
@@ -33,11 +33,13 @@
 			t.Fatalf("message %d is not sent", i)
 		}
 		now += Second
-		s.Step(now, []Event{AttemptResult{ID: name, MessageEnded: true, Endpoint: id, Outcome: Completed, Latency: Second / 10}})
+		s.Step(now, []Event{AttemptResult{ID: name, MessageEnded: true, Endpoint: id, Outcome: Completed,
+			Latency: Second / 10}})
 		now += Second
-		if len(s.endpoints) > 60 || len(s.removed) > 60 || len(s.destinations) > 20 || len(s.destinationOrder) != len(s.destinations) ||
+		if len(s.endpoints) > 60 || len(s.removed) > 60 || len(s.destinations) > 20 ||
+			len(s.destinationOrder) != len(s.destinations) ||
 			len(s.keyQueues) > 10 || len(s.messages) > 0 {
-			t.Fatalf("after %d: %d endpoints, %d gone, %d destinations, %d keys, %d messages", i, len(s.endpoints),
+			t.Fatalf("after %d: %d endpoints, %d removed, %d destinations, %d keys, %d messages", i, len(s.endpoints),
 				len(s.removed), len(s.destinations), len(s.keyQueues), len(s.messages))
 		}
 	}
@@ -45,17 +47,18 @@
 	s.Step(now, []Event{Endpoints{Entries: []Entry{{Endpoint: 2000, Dest: 200, State: Gone}}}})
 	s.Step(now+2*removedRetention, nil)
 	if s.endpoints[2000] == nil {
-		t.Error("an endpoint with a call out is forgotten")
+		t.Error("an endpoint with a call in flight was dropped")
 	}
-	s.Step(now+2*removedRetention, []Event{AttemptResult{ID: "out", MessageEnded: true, Endpoint: 2000, Outcome: Completed}})
+	s.Step(now+2*removedRetention, []Event{AttemptResult{ID: "out", MessageEnded: true, Endpoint: 2000,
+		Outcome: Completed}})
 	s.Step(now+3*removedRetention, nil)
 	if s.endpoints[2000] != nil {
-		t.Error("an endpoint off the list without a call is kept")
+		t.Error("a removed endpoint without a call was kept")
 	}
 }
 
 // Healthy endpoints send invalid responses as well: a few are no outage, several in a row are.
-func TestSpoiltIsNoOutage(t *testing.T) {
+func TestInvalidResponsesAndOutage(t *testing.T) {
 	set := Settings{Senders: 1, Slots: 4, MaxTries: 100, Tick: 5000, MayCancel: true,
 		Classes: []Class{{Name: "c", Aim: Second, Deadline: 10 * Second, Worth: 1}}}
 	s, err := New(set, 1)
@@ -66,12 +69,12 @@
 		NewMessage{ID: "a", Remaining: 10 * Second, Dest: 1, Tenant: -1}})
 	for i := range outageInvalidResponses {
 		if s.endpoints[1].suspect {
-			t.Fatalf("out after %d spoilt answers", i)
+			t.Fatalf("in outage after %d invalid responses", i)
 		}
 		s.Step(Micros(i+1)*100_000, []Event{AttemptResult{ID: "a", Attempt: i, Endpoint: 1, Outcome: InvalidResponse}})
 	}
 	if !s.endpoints[1].suspect {
-		t.Errorf("not out after %d spoilt answers in a row", outageInvalidResponses)
+		t.Errorf("not in outage after %d invalid responses in a row", outageInvalidResponses)
 	}
 }
 
@@ -83,13 +86,14 @@
 	for _, x := range []struct {
 		name     string
 		outcomes []Outcome
-		out      bool
+		outage   bool
 	}{
-		{"now and then", []Outcome{ConnectionBroken, ConnectionBroken, Overloaded, ConnectionBroken, ConnectionBroken, Overloaded, ConnectionBroken}, false},
+		{"with answers between", []Outcome{ConnectionBroken, ConnectionBroken, Overloaded, ConnectionBroken,
+			ConnectionBroken, Overloaded, ConnectionBroken}, false},
 		{"three in a row", []Outcome{ConnectionBroken, ConnectionBroken, ConnectionBroken}, true},
-		{"break and no connection", []Outcome{ConnectionBroken, ConnectionRefused}, true},
-		{"no connection from the start", []Outcome{ConnectionRefused}, true},
-		{"no connection once, just after an answer", []Outcome{Completed, ConnectionRefused}, false},
+		{"broken, then refused", []Outcome{ConnectionBroken, ConnectionRefused}, true},
+		{"refused at first", []Outcome{ConnectionRefused}, true},
+		{"refused once, just after an answer", []Outcome{Completed, ConnectionRefused}, false},
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			s, err := New(set, 1)
@@ -108,8 +112,8 @@
 					now -= 3 * Second
 				}
 			}
-			if e.suspect != x.out {
-				t.Errorf("out: %v, want %v", e.suspect, x.out)
+			if e.suspect != x.outage {
+				t.Errorf("outage: %v, want %v", e.suspect, x.outage)
 			}
 		})
 	}
--- a/logic/example_test.go
+++ b/logic/example_test.go
@@ -28,7 +28,8 @@
 	}
 	show(0, logic.Endpoints{Form: logic.ListFull, Entries: []logic.Entry{{Endpoint: 7, Dest: 3}}})
 	show(1*second, logic.NewMessage{ID: "n1", Remaining: 20 * second, Dest: 3, Tenant: -1})
-	show(1100000, logic.AttemptResult{ID: "n1", Endpoint: 7, Attempt: 0, Outcome: logic.Overloaded, RetryAfter: second / 2})
+	show(1100000, logic.AttemptResult{ID: "n1", Endpoint: 7, Attempt: 0, Outcome: logic.Overloaded,
+		RetryAfter: second / 2})
 	show(1500000, logic.TimerFired{}) // the wait is not over: nothing is sent
 	show(2200000, logic.TimerFired{})
 	show(2400000, logic.AttemptResult{ID: "n1", Endpoint: 7, Attempt: 1, Outcome: logic.Completed, MessageEnded: true})
--- a/logic/fleet_test.go
+++ b/logic/fleet_test.go
@@ -13,19 +13,19 @@
 // Other tests cover the single sender; these cover the joint effect of all.
 
 type fleet struct {
-	n       int
-	limit   float64 // calls per second that the partner reports
-	real    func(t float64) float64
-	demand  float64                 // messages per second
-	refuse  func(t float64) Outcome // outcome of a call during an outage; Completed otherwise
-	wait    float64                 // fraction of the rejections with a requested wait
-	rnd     *rand.Rand
-	senders []*Sender
-	tries   []map[string]int
-	queue   []fleetEvent // by time
-	level   float64      // of the meter
-	levelAt float64
-	calls   []fleetCall
+	n           int
+	limit       float64 // calls per second that the partner reports
+	actualLimit func(t float64) float64
+	demand      float64                 // messages per second
+	outcome     func(t float64) Outcome // outcome of a call during an outage; Completed otherwise
+	waitRatio   float64                 // fraction of the rejections with a requested wait
+	rnd         *rand.Rand
+	senders     []*Sender
+	attempts    []map[string]int
+	queue       []fleetEvent // by time
+	level       float64      // of the meter
+	levelAt     float64
+	calls       []fleetCall
 }
 
 type fleetCall struct {
@@ -34,14 +34,14 @@
 }
 
 type fleetEvent struct {
-	at  float64
-	who int
-	ev  Event
+	at     float64
+	sender int
+	ev     Event
 }
 
 func newFleet(n int, limit, demand float64) *fleet {
 	f := &fleet{n: n, limit: limit, demand: demand, rnd: rand.New(rand.NewPCG(uint64(n), 1)),
-		real: func(float64) float64 { return limit }, refuse: func(float64) Outcome { return Completed }}
+		actualLimit: func(float64) float64 { return limit }, outcome: func(float64) Outcome { return Completed }}
 	for i := range n {
 		set := base()
 		set.Senders, set.Weights, set.MaxTries, set.MaxOpen, set.FallWindow = n, WeightsNominal, 0, 1+4000/n, 3*Second
@@ -49,7 +49,7 @@
 		if err != nil {
 			panic(err)
 		}
-		f.senders, f.tries = append(f.senders, s), append(f.tries, map[string]int{})
+		f.senders, f.attempts = append(f.senders, s), append(f.attempts, map[string]int{})
 		ev := list(1)
 		ev.Entries[0].NominalRate = limit
 		f.add(0, i, ev)
@@ -57,32 +57,33 @@
 	return f
 }
 
-func (f *fleet) add(at float64, who int, ev Event) {
+func (f *fleet) add(at float64, sender int, ev Event) {
 	i, _ := slices.BinarySearchFunc(f.queue, at, func(e fleetEvent, at float64) int {
 		if e.at <= at {
 			return -1
 		}
 		return 1
 	})
-	f.queue = slices.Insert(f.queue, i, fleetEvent{at, who, ev})
+	f.queue = slices.Insert(f.queue, i, fleetEvent{at, sender, ev})
 }
 
 // run simulates the fleet for so many seconds.
 func (f *fleet) run(span float64) *fleet {
 	for at := 0.0; at < span; at += f.rnd.ExpFloat64() / f.demand {
-		f.add(at, f.rnd.IntN(f.n), NewMessage{ID: fmt.Sprint(at), Remaining: 10 * Second, Dest: 9, Tenant: -1, Class: 0})
+		f.add(at, f.rnd.IntN(f.n), NewMessage{ID: fmt.Sprint(at), Remaining: 10 * Second, Dest: 9, Tenant: -1,
+			Class: 0})
 	}
 	for len(f.queue) > 0 {
 		e := f.queue[0]
 		if f.queue = f.queue[1:]; e.at > span {
 			break
 		}
-		for _, a := range f.senders[e.who].Step(sec(e.at), []Event{e.ev}) {
+		for _, a := range f.senders[e.sender].Step(sec(e.at), []Event{e.ev}) {
 			switch a := a.(type) {
 			case StartAttempt:
-				f.call(e.at, e.who, a)
+				f.call(e.at, e.sender, a)
 			case SetTimer:
-				f.add(e.at+seconds(a.Wait), e.who, TimerFired{a.Token})
+				f.add(e.at+seconds(a.Wait), e.sender, TimerFired{a.Token})
 			}
 		}
 	}
@@ -90,39 +91,39 @@
 }
 
 // call simulates the partner's answer to a call.
-func (f *fleet) call(at float64, who int, a StartAttempt) {
-	n := f.tries[who][a.ID]
-	f.tries[who][a.ID]++
+func (f *fleet) call(at float64, sender int, a StartAttempt) {
+	n := f.attempts[sender][a.ID]
+	f.attempts[sender][a.ID]++
 	r := AttemptResult{ID: a.ID, Endpoint: a.Endpoint, Attempt: n, Latency: sec(0.05)}
-	rate := f.real(at)
+	rate := f.actualLimit(at)
 	f.level = max(0, f.level-(at-f.levelAt)*rate)
 	f.levelAt = at
-	r.Outcome = f.refuse(at)
+	r.Outcome = f.outcome(at)
 	if r.Outcome == Completed {
 		if f.level > 0.3*rate {
 			r.Outcome = Overloaded
 		}
 		f.level++
 	}
-	if r.Outcome == Overloaded && f.rnd.Float64() < f.wait {
+	if r.Outcome == Overloaded && f.rnd.Float64() < f.waitRatio {
 		r.RetryAfter = sec(0.5)
 	}
 	r.MessageEnded = r.Outcome == Completed
 	f.calls = append(f.calls, fleetCall{at, r.MessageEnded})
-	f.add(at+0.05, who, r)
+	f.add(at+0.05, sender, r)
 }
 
 // count returns the calls between two times, and those that the partner accepted.
-func (f *fleet) count(from, to float64) (calls, taken float64) {
+func (f *fleet) count(from, to float64) (calls, accepted float64) {
 	for _, c := range f.calls {
 		if c.at >= from && c.at < to {
 			calls++
 			if c.ok {
-				taken++
+				accepted++
 			}
 		}
 	}
-	return calls, taken
+	return calls, accepted
 }
 
 var fleetSizes = []int{1, 3, 20, 80, 200}
@@ -141,12 +142,13 @@
 	const limit = 50.0
 	for _, n := range fleetSizes {
 		f := newFleet(n, limit, 1.3*limit)
-		f.wait = 0.3
+		f.waitRatio = 0.3
 		f.run(40)
-		calls, taken := f.count(10, 40)
-		t.Logf("%3d senders: %.2f of the limit called, %.2f taken", n, calls/30/limit, taken/30/limit)
-		if taken/30 < atLeast(n, 0.6, 0.7)*limit || calls/30 > 1.05*limit {
-			t.Errorf("%d senders: %.1f of %.1f calls a second taken under a limit of %.0f", n, taken/30, calls/30, limit)
+		calls, accepted := f.count(10, 40)
+		t.Logf("%3d senders: calls at %.2f of the limit, %.2f accepted", n, calls/30/limit, accepted/30/limit)
+		if accepted/30 < atLeast(n, 0.6, 0.7)*limit || calls/30 > 1.05*limit {
+			t.Errorf("%d senders: %.1f of %.1f calls per second accepted under a limit of %.0f", n, accepted/30,
+				calls/30, limit)
 		}
 	}
 }
@@ -156,8 +158,8 @@
 	const limit = 50.0
 	for _, n := range fleetSizes {
 		f := newFleet(n, limit, 0.8*limit)
-		f.wait = 0.3
-		f.real = func(at float64) float64 {
+		f.waitRatio = 0.3
+		f.actualLimit = func(at float64) float64 {
 			if at >= 10 && at < 25 {
 				return limit / 2
 			}
@@ -165,15 +167,15 @@
 		}
 		f.run(50)
 		early, _ := f.count(10, 13)
-		low, taken := f.count(18, 25)
+		low, accepted := f.count(18, 25)
 		_, after := f.count(37, 47)
-		t.Logf("%3d senders: of the low limit %.2f called in 3 s, %.2f after 8 s, %.2f taken; %.2f of the limit 12 s after", n,
-			early/3/limit*2, low/7/limit*2, taken/7/limit*2, after/10/limit)
+		t.Logf("%3d senders: of the low limit %.2f called in 3 s, %.2f after 8 s, %.2f accepted; %.2f of the limit 12 s after", n,
+			early/3/limit*2, low/7/limit*2, accepted/7/limit*2, after/10/limit)
 		if low/7 > 1.1*limit/2 {
-			t.Errorf("%d senders: %.1f calls a second 8 s after the limit fell to %.0f", n, low/7, limit/2)
+			t.Errorf("%d senders: %.1f calls per second 8 s after the limit fell to %.0f", n, low/7, limit/2)
 		}
 		if after/10 < 0.6*limit {
-			t.Errorf("%d senders: %.1f taken a second 12 s after the limit rose to %.0f", n, after/10, limit)
+			t.Errorf("%d senders: %.1f accepted per second 12 s after the limit rose to %.0f", n, after/10, limit)
 		}
 	}
 }
@@ -181,14 +183,14 @@
 // A partner fails, or rejects all, for ten seconds and recovers cold. The calls during the outage are bounded
 // for any number of senders, and the calls after it stay under the multiple of the capacity that overloads
 // it.
-func TestFleetReturn(t *testing.T) {
+func TestFleetRecovery(t *testing.T) {
 	const limit, down, up = 50.0, 10.0, 20.0
-	for _, how := range []Outcome{ConnectionRefused, Overloaded} {
+	for _, outcome := range []Outcome{ConnectionRefused, Overloaded} {
 		for _, n := range append(slices.Clone(fleetSizes), 300) {
 			f := newFleet(n, limit, 0.8*limit)
-			f.refuse = func(at float64) Outcome {
+			f.outcome = func(at float64) Outcome {
 				if at >= down && at < up {
-					return how
+					return outcome
 				}
 				return Completed
 			}
@@ -203,17 +205,17 @@
 					worst, at = x, from-up
 				}
 			}
-			_, full := f.count(35, 45)
-			t.Logf("%v, %3d senders: %.2f trials a second while out, at most %.2f times capacity (%.1f s after), %.2f of the limit taken at last",
-				how, n, trials/5, worst, at, full/10/limit)
+			_, accepted := f.count(35, 45)
+			t.Logf("%v, %3d senders: %.2f trials per second in the outage, at most %.2f times the capacity (%.1f s after), %.2f of the limit accepted at the end",
+				outcome, n, trials/5, worst, at, accepted/10/limit)
 			if worst > atLeast(n, 1.1, 0.9)*set.FallMultiple { // the rule leaves some room for chance
-				t.Errorf("%v, %d senders: %.2f times the capacity of what returns", how, n, worst)
+				t.Errorf("%v, %d senders: %.2f times the capacity after the recovery", outcome, n, worst)
 			}
 			if trials/5 > 0.75*limit {
-				t.Errorf("%v, %d senders: %.1f calls a second to a partner that is out", how, n, trials/5)
+				t.Errorf("%v, %d senders: %.1f calls per second to a partner in outage", outcome, n, trials/5)
 			}
-			if n >= 20 && full/10 < 0.6*limit {
-				t.Errorf("%v, %d senders: %.1f taken a second 15 s after the return", how, n, full/10)
+			if n >= 20 && accepted/10 < 0.6*limit {
+				t.Errorf("%v, %d senders: %.1f accepted per second 15 s after the recovery", outcome, n, accepted/10)
 			}
 		}
 	}
@@ -222,34 +224,35 @@
 // The part of a limit that a few senders use after a recovery depends on chance: with three senders, the
 // earlier dispatch by sorting gave 0.366 to 0.600 over several seeds. So the mean of eight runs is checked,
 // which was 0.43 and 0.45 there.
-func TestFewTakeTheLimitAgain(t *testing.T) {
+func TestFewSendersUseLimitAfterRecovery(t *testing.T) {
 	const limit, down, up = 50.0, 10.0, 20.0
-	for _, how := range []Outcome{ConnectionRefused, Overloaded} {
+	for _, outcome := range []Outcome{ConnectionRefused, Overloaded} {
 		for _, n := range []int{1, 3} {
-			sum, least := 0.0, 1.0
+			sum, lowest := 0.0, 1.0
 			for draw := range uint64(8) {
 				f := newFleet(n, limit, 0.8*limit)
 				f.rnd = rand.New(rand.NewPCG(uint64(n), 100+draw))
-				f.refuse = func(at float64) Outcome {
+				f.outcome = func(at float64) Outcome {
 					if at >= down && at < up {
-						return how
+						return outcome
 					}
 					return Completed
 				}
 				f.run(45)
-				_, full := f.count(35, 45)
-				sum, least = sum+full/10/limit, min(least, full/10/limit)
+				_, accepted := f.count(35, 45)
+				sum, lowest = sum+accepted/10/limit, min(lowest, accepted/10/limit)
 			}
-			t.Logf("%v, %d senders: %.3f of the limit in the mean, %.3f at least", how, n, sum/8, least)
-			if sum/8 < 0.42 || least < 0.36 {
-				t.Errorf("%v, %d senders: %.3f of the limit taken in the mean, %.3f at least", how, n, sum/8, least)
+			t.Logf("%v, %d senders: %.3f of the limit in the mean, %.3f at least", outcome, n, sum/8, lowest)
+			if sum/8 < 0.42 || lowest < 0.36 {
+				t.Errorf("%v, %d senders: %.3f of the limit accepted in the mean, %.3f at least", outcome, n, sum/8,
+					lowest)
 			}
 		}
 	}
 }
 
-// crowdOf returns a sender among many, with one destination whose rate is known.
-func crowdOf(t *testing.T, senders int, rate float64, seed uint64) *rig {
+// newRigAmongMany returns a sender among many, with one destination whose rate is known.
+func newRigAmongMany(t *testing.T, senders int, rate float64, seed uint64) *rig {
 	t.Helper()
 	set := base()
 	set.Senders, set.Weights = senders, WeightsNominal
@@ -266,14 +269,14 @@
 
 // At a limit that counts rejected calls, immediate repeats keep the limit used up. A rejected message is
 // neither ended nor sent at once: it waits for its limiter's share, at a time that differs between senders.
-func TestRefusedMessagesRestAmongManySenders(t *testing.T) {
+func TestRejectedMessagesWaitAmongManySenders(t *testing.T) {
 	for class := range base().Classes {
 		soonest, latest := 60.0, 0.0
 		for i := range 40 {
-			r := crowdOf(t, 100, 50, uint64(i))
-			c := only[StartAttempt](r.step(1, r.call(class)))[0]
+			r := newRigAmongMany(t, 100, 50, uint64(i))
+			c := only[StartAttempt](r.step(1, r.message(class)))[0]
 			if acts := r.step(1.1, answer(c.ID, 1, 0, Overloaded)); len(only[FailMessage](acts))+len(only[ReturnMessage](acts)) > 0 {
-				t.Fatalf("class %d: ended by one refusal", class)
+				t.Fatalf("class %d: ended by one rejection", class)
 			}
 			for at := 1.2; at < 13; at += 0.05 {
 				if len(only[StartAttempt](r.step(at, TimerFired{}))) > 0 {
@@ -283,14 +286,15 @@
 			}
 		}
 		if soonest < 3.5 || latest > 5 || latest-soonest < 0.9 {
-			t.Errorf("class %d: tried again between %.2f and %.2f s; want once to one and a half times 2.5 s later", class, soonest, latest)
+			t.Errorf("class %d: tried again between %.2f and %.2f s; want once to one and a half times 2.5 s later",
+				class, soonest, latest)
 		}
 	}
 }
 
 // Independent endpoints get first attempts in proportion to their limits, and a rejection by one ends the
 // unlimited rate of the others.
-func TestRoutesAreCalledByTheirLimits(t *testing.T) {
+func TestIndependentEndpointsAreCalledByLimit(t *testing.T) {
 	set := base()
 	set.Senders, set.Weights, set.Slots, set.Kinds[0].Independent = 1, WeightsNominal, 99, true
 	r := newRig(t, set)
@@ -301,40 +305,40 @@
 	r.step(0, ev)
 	got := map[EndpointID]int{}
 	for i := range 150 {
-		c := only[StartAttempt](r.step(1+float64(i)/20, r.call(0)))[0]
+		c := only[StartAttempt](r.step(1+float64(i)/20, r.message(0)))[0]
 		got[c.Endpoint]++
 		r.step(1.01+float64(i)/20, answer(c.ID, c.Endpoint, 0, Completed))
 	}
 	if got[1] != 100 || got[2] != 30 || got[3] != 20 {
-		t.Errorf("calls by route %v, want 100, 30 and 20", got)
+		t.Errorf("calls by endpoint %v, want 100, 30 and 20", got)
 	}
 	r.s.settings.Senders = 1000
-	c := only[StartAttempt](r.step(20, r.call(0)))[0]
+	c := only[StartAttempt](r.step(20, r.message(0)))[0]
 	r.step(20.1, answer(c.ID, c.Endpoint, 0, Overloaded))
 	for _, e := range r.s.endpoints {
 		if e.limiter.rate == 0 {
-			t.Errorf("route %d is free after a refusal on %d", e.id, c.Endpoint)
+			t.Errorf("endpoint %d has an unlimited rate after a rejection by %d", e.id, c.Endpoint)
 		}
 	}
 }
 
 // Idle connections of many senders must not exhaust the endpoints at times of little traffic.
-func TestRareConnectionsAreGivenBackAmongManySenders(t *testing.T) {
+func TestIdleConnectionsCloseAmongManySenders(t *testing.T) {
 	for _, senders := range []int{2, manySendersOver + 1} {
 		set := base()
 		set.Senders = senders
 		r := newRig(t, set)
 		r.step(0, list(2))
-		c := only[StartAttempt](r.step(0.1, r.call(0)))[0]
+		c := only[StartAttempt](r.step(0.1, r.message(0)))[0]
 		got := only[CloseIdle](r.step(0.2, answer(c.ID, c.Endpoint, 0, Completed)))
 		if (len(got) > 0) != (senders > manySendersOver) {
-			t.Errorf("%d senders: released %v", senders, got)
+			t.Errorf("%d senders: closed %v", senders, got)
 		}
 	}
 }
 
 // New connections cost time: with many senders, the endpoint that still has an open connection comes first.
-func TestWarmConnectionComesFirstAmongManySenders(t *testing.T) {
+func TestOpenConnectionIsPreferredAmongManySenders(t *testing.T) {
 	for _, senders := range []int{2, manySendersOver + 1} {
 		set := base()
 		set.Senders, set.ConnIdle, set.ConnCalls, set.ConnCost = senders, 10*Second, 1, 2*expensiveConn
@@ -342,10 +346,10 @@
 		r.step(0, list(3))
 		used := map[EndpointID]bool{}
 		for i := range 6 {
-			c := only[StartAttempt](r.step(float64(i)+1, r.call(0)))[0]
+			c := only[StartAttempt](r.step(float64(i)+1, r.message(0)))[0]
 			acts := r.step(float64(i)+1.1, answer(c.ID, c.Endpoint, 0, Completed))
 			if len(only[CloseIdle](acts)) > 0 {
-				t.Error("a connection was given back though new ones are dear")
+				t.Error("a connection was closed although new ones are expensive")
 			}
 			used[c.Endpoint] = true
 		}
--- a/logic/list_test.go
+++ b/logic/list_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// untilAsked steps until the list is requested, and returns the time.
-func untilAsked(s *Sender, now Micros, events ...Event) Micros {
+// untilRequested steps until the list is requested, and returns the time.
+func untilRequested(s *Sender, now Micros, events ...Event) Micros {
 	for acts := s.Step(now, events); len(only[RequestEndpoints](acts)) == 0; acts = s.Step(now, nil) {
 		now += 10_000
 	}
@@ -13,7 +13,7 @@
 // However often requests for the list fail and however long they take, the next one starts so soon after the
 // last one started that an answer comes before a change counts as known (6 s), and within the time limit of
 // the settings: four times the request interval, which may be short in another deployment.
-func TestListIsAskedForInTime(t *testing.T) {
+func TestListIsRequestedInTime(t *testing.T) {
 	for _, within := range []Micros{0, Second / 2, 2 * Second, 10 * Second} {
 		for _, took := range []Micros{0, Second, 3 * Second, 5 * Second} {
 			for seed := range uint64(20) {
@@ -23,21 +23,22 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				most, took := sec(5.41), took
+				bound, took := sec(5.41), took
 				if within > 0 {
-					most = max(min(most, 3*within+10_000), took)
+					bound = max(min(bound, 3*within+10_000), took)
 				}
-				asked := untilAsked(s, 0)
+				requestedAt := untilRequested(s, 0)
 				for i := range 24 {
 					if i == 12 { // one request succeeds, and then the subscription breaks
 						took = 0
-						s.Step(asked, []Event{Endpoints{Form: ListDelta}})
+						s.Step(requestedAt, []Event{Endpoints{Form: ListDelta}})
 					}
-					again := untilAsked(s, asked+took, Endpoints{Form: ListFailed, Elapsed: took})
-					if again-asked > most {
-						t.Fatalf("asked again %.2f s after a call of %.0f s, to be asked within %.1f s", seconds(again-asked), seconds(took), seconds(within))
+					next := untilRequested(s, requestedAt+took, Endpoints{Form: ListFailed, Elapsed: took})
+					if next-requestedAt > bound {
+						t.Fatalf("requested again %.2f s after a request of %.0f s, want within %.1f s",
+							seconds(next-requestedAt), seconds(took), seconds(within))
 					}
-					asked = again
+					requestedAt = next
 				}
 			}
 		}
@@ -47,13 +48,13 @@
 // A fleet of 300 senders makes no more requests at a failed discovery than with pauses that grew to 8 s and
 // half as much again (823 and 1628 requests), not many at the same time, and all have requested in time once
 // it is back.
-func TestFleetAsksADiscoveryThatIsDown(t *testing.T) {
+func TestFleetRequestsFromFailedDiscovery(t *testing.T) {
 	const senders = 300
 	for _, x := range []struct {
 		down Micros
 		most int
 	}{{8 * Second, 823}, {30 * Second, 1628}} {
-		calls, last, per := 0, Micros(0), map[Micros]int{}
+		requests, last, perInterval := 0, Micros(0), map[Micros]int{}
 		for seed := range uint64(senders) {
 			set := base()
 			set.ListOnRequest, set.Senders, set.ListRetryWithin = true, senders, 10*Second
@@ -65,22 +66,23 @@
 			s.Step(0, []Event{list(2)})
 			now := Second // all subscriptions end
 			for {
-				now = untilAsked(s, now, Endpoints{Form: ListFailed})
-				per[now/100_000]++
+				now = untilRequested(s, now, Endpoints{Form: ListFailed})
+				perInterval[now/100_000]++
 				if now >= Second+x.down {
 					break
 				}
-				calls++
+				requests++
 			}
 			last = max(last, now-Second-x.down)
 		}
 		most := 0
-		for _, n := range per {
+		for _, n := range perInterval {
 			most = max(most, n)
 		}
-		t.Logf("down for %.0f s: %d calls, at most %d in 0.1 s; the last sender asks %.2f s after", seconds(x.down), calls, most, seconds(last))
-		if calls > x.most || most > senders/10 || last > sec(5.41) {
-			t.Errorf("want at most %d calls, %d in 0.1 s, and all to have asked after 5.4 s", x.most, senders/10)
+		t.Logf("down for %.0f s: %d requests, at most %d in 0.1 s; the last sender requests %.2f s after",
+			seconds(x.down), requests, most, seconds(last))
+		if requests > x.most || most > senders/10 || last > sec(5.41) {
+			t.Errorf("want at most %d requests, %d in 0.1 s, and all to have requested after 5.4 s", x.most, senders/10)
 		}
 	}
 }
--- a/logic/mechanism_test.go
+++ b/logic/mechanism_test.go
@@ -6,24 +6,24 @@
 )
 
 // feed adds n samples of each of the given latencies to a histogram.
-func feed(h *histogram, n int, took ...float64) {
+func feed(h *histogram, n int, latencies ...float64) {
 	for range n {
-		for _, x := range took {
+		for _, x := range latencies {
 			h.add(0, sec(x), false)
 		}
 	}
 }
 
-func TestTau(t *testing.T) {
+func TestRestartTime(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		fill    func(*histogram)
 		restart bool
 	}{
-		{"one speed: waiting is best", func(h *histogram) { feed(h, 20, 0.1) }, false},
-		{"a few very slow: restart early", func(h *histogram) { feed(h, 20, 0.1); feed(h, 4, 8) }, true},
+		{"equal latencies: no restart", func(h *histogram) { feed(h, 20, 0.1) }, false},
+		{"a few very slow ones: restart early", func(h *histogram) { feed(h, 20, 0.1); feed(h, 4, 8) }, true},
 		{"too few samples", func(h *histogram) { feed(h, 4, 0.1); feed(h, 1, 8) }, false},
-		{"cut attempts lower M0", func(h *histogram) {
+		{"censored samples", func(h *histogram) {
 			feed(h, 20, 0.1)
 			for range 5 {
 				h.add(0, sec(0.4), true)
@@ -36,12 +36,12 @@
 			t.Errorf("%s: tau %d", c.name, h.restartTime)
 		}
 		if h.restartTime > 0 && (h.restartTime < sec(0.1) || h.restartTime > sec(0.2)) {
-			t.Errorf("%s: tau %d is not at the edge past the quick ones", c.name, h.restartTime)
+			t.Errorf("%s: tau %d is not at the edge after the fast ones", c.name, h.restartTime)
 		}
 	}
 }
 
-func TestHistogramForgets(t *testing.T) {
+func TestHistogramDiscount(t *testing.T) {
 	var h histogram
 	feed(&h, 16, 0.1)
 	h.add(latencyHalfLife, sec(1), false)
@@ -59,7 +59,7 @@
 // warm delivers n messages of class 0 at each of the rig's endpoints, so that latencies are known.
 func (r *rig) warm(at float64, n int) float64 {
 	for range n {
-		for _, c := range only[StartAttempt](r.step(at, r.call(0))) {
+		for _, c := range only[StartAttempt](r.step(at, r.message(0))) {
 			r.step(at+0.1, answer(c.ID, c.Endpoint, 0, Completed))
 		}
 		at += 0.4
@@ -67,12 +67,12 @@
 	return at
 }
 
-func TestFirstSendsRotate(t *testing.T) {
+func TestFirstAttemptsRotate(t *testing.T) {
 	r := newRig(t, base())
 	r.step(0, list(3))
 	seen := map[EndpointID]int{}
 	for i := range 9 {
-		for _, c := range only[StartAttempt](r.step(float64(i), r.call(0))) {
+		for _, c := range only[StartAttempt](r.step(float64(i), r.message(0))) {
 			seen[c.Endpoint]++
 			r.step(float64(i)+0.1, answer(c.ID, c.Endpoint, 0, Completed))
 		}
@@ -82,7 +82,7 @@
 	}
 }
 
-func TestCutAtTauAndResentElsewhere(t *testing.T) {
+func TestRestartAtOtherEndpoint(t *testing.T) {
 	for class, again := range []bool{true, true, false} {
 		set := base()
 		set.Weights = WeightsNominal
@@ -98,35 +98,35 @@
 			t.Fatal("no tau")
 		}
 		d.latencies.p95 = d.latencies.restartTime
-		m := r.call(class)
+		m := r.message(class)
 		first := only[StartAttempt](r.step(at, m))[0]
 		limit := seconds(max(d.latencies.restartTime, r.s.stuckAfter(d, r.s.messages[m.ID])))
 		if c := only[Cancel](r.step(at+limit-0.05, TimerFired{})); len(c) > 0 {
-			t.Errorf("class %d: cut before the limit", class)
+			t.Errorf("class %d: cancelled before the limit", class)
 		}
-		cut := only[Cancel](r.step(at+limit+0.01, TimerFired{}))
-		if got := len(cut) == 1; got != again {
-			t.Fatalf("class %d: cut %v at tau", class, got)
+		cancelled := only[Cancel](r.step(at+limit+0.01, TimerFired{}))
+		if got := len(cancelled) == 1; got != again {
+			t.Fatalf("class %d: cancelled at tau: %v", class, got)
 		}
 		if !again {
 			continue
 		}
 		next := only[StartAttempt](r.step(at+limit+0.05, answer(m.ID, first.Endpoint, 0, Cancelled)))
 		if len(next) != 1 || next[0].Endpoint == first.Endpoint {
-			t.Errorf("class %d: resent %v after a cut at endpoint %d", class, next, first.Endpoint)
+			t.Errorf("class %d: repeated by %v after a cancellation at endpoint %d", class, next, first.Endpoint)
 		}
 		// A slow message is not restarted again at the same limit.
 		if c := only[Cancel](r.step(at+2*limit+0.1, TimerFired{})); len(c) > 0 {
-			t.Errorf("class %d: the second attempt was cut at the first one's limit", class)
+			t.Errorf("class %d: the second attempt was cancelled at the limit of the first", class)
 		}
 	}
 }
 
-func TestMedianGate(t *testing.T) {
+func TestNoCallWithLessThanUsualLatency(t *testing.T) {
 	r := newRig(t, base())
 	r.step(0, list(1))
 	at := r.warm(1, 10)
-	c := r.call(0)
+	c := r.message(0)
 	c.Remaining = sec(0.05) // less than the median of 0.1 s
 	acts := r.step(at, c)
 	if len(only[ReturnMessage](acts)) != 1 || len(only[StartAttempt](acts)) != 0 {
@@ -134,7 +134,7 @@
 	}
 }
 
-func TestPaceHalvesOnceASecondToItsFloor(t *testing.T) {
+func TestRateHalvesOncePerSecond(t *testing.T) {
 	r := newRig(t, base())
 	l := &limiter{}
 	r.s.now = sec(1)
@@ -143,46 +143,46 @@
 	}
 	r.s.decreaseRate(l)
 	if l.rate != 6 {
-		t.Fatalf("first refusal set the pace to %v, want the last second's 6", l.rate)
+		t.Fatalf("the first rejection set the rate to %v, want the 6 of the last second", l.rate)
 	}
 	r.s.decreaseRate(l)
 	if l.rate != 6 {
-		t.Errorf("pace %v, want no second cut within a second", l.rate)
+		t.Errorf("rate %v, want no second decrease within a second", l.rate)
 	}
 	for i, want := range []float64{3, 1.5, 1, 1} {
 		r.s.now = sec(2 + float64(i))
 		r.s.decreaseRate(l)
 		if l.rate != want {
-			t.Errorf("refusal %d: pace %v, want %v", i+2, l.rate, want)
+			t.Errorf("rejection %d: rate %v, want %v", i+2, l.rate, want)
 		}
 	}
 	r.s.increaseRate(l)
 	if l.rate != 1.1 {
-		t.Errorf("after a success the pace is %v, want 1.1", l.rate)
+		t.Errorf("after a success the rate is %v, want 1.1", l.rate)
 	}
 	// With a reported limit, the minimum is at most an even share, and the rate grows by a fraction of it.
 	l = &limiter{limit: 20, rate: 1}
 	r.s.increaseRate(l)
 	if l.rate != 2 {
-		t.Errorf("pace %v under a limit of 20 for two senders, want 2", l.rate)
+		t.Errorf("rate %v under a limit of 20 for two senders, want 2", l.rate)
 	}
 	// A share under one call per second: the first rejection leaves most of it, further ones less.
 	l = &limiter{limit: 1}
 	for i, want := range []float64{0.4, 0.2, 0.1, 0.05, 0.05} {
 		r.s.now = sec(20 + float64(i))
 		if r.s.decreaseRate(l); math.Abs(l.rate-want) > 1e-9 {
-			t.Errorf("thin lane, refusal %d: pace %v, want %v", i+1, l.rate, want)
+			t.Errorf("small share, rejection %d: rate %v, want %v", i+1, l.rate, want)
 		}
 	}
 	for range 40 {
 		r.s.increaseRate(l)
 	}
 	if l.rate != 0 {
-		t.Errorf("thin lane: pace %v after 40 successes, want it dropped", l.rate)
+		t.Errorf("small share: rate %v after 40 successes, want it unlimited", l.rate)
 	}
 }
 
-func TestClumpLargerThanThePace(t *testing.T) {
+func TestBurstIsLimited(t *testing.T) {
 	set := base()
 	set.Weights, set.Slots = WeightsNominal, 40
 	r := newRig(t, set)
@@ -191,45 +191,46 @@
 	r.step(0, ev)
 	var calls []Event
 	for range 12 {
-		calls = append(calls, r.call(0))
+		calls = append(calls, r.message(0))
 	}
 	r.s.destinations[9].limiter.refilledAt = 0
 	r.step(5)
 	if n := len(only[StartAttempt](r.step(5, calls...))); n != 1 {
-		t.Errorf("%d sends of a clump at once under a limit of 4 a second, want half a second of its share", n)
+		t.Errorf("%d sends of a burst at once under a limit of 4 per second, want half a second of its share", n)
 	}
 }
 
-func TestToldWait(t *testing.T) {
-	for _, apart := range []bool{false, true} {
+func TestRequestedWait(t *testing.T) {
+	for _, independent := range []bool{false, true} {
 		set := base()
-		set.Kinds[0].Independent = apart
+		set.Kinds[0].Independent = independent
 		r := newRig(t, set)
 		r.step(0, list(2))
-		c := only[StartAttempt](r.step(1, r.call(0)))[0]
-		full := answer(c.ID, c.Endpoint, 0, Overloaded)
-		full.RetryAfter = sec(1.5)
-		acts := r.step(1.1, full, r.call(0), r.call(1), r.call(2))
+		c := only[StartAttempt](r.step(1, r.message(0)))[0]
+		rejection := answer(c.ID, c.Endpoint, 0, Overloaded)
+		rejection.RetryAfter = sec(1.5)
+		acts := r.step(1.1, rejection, r.message(0), r.message(1), r.message(2))
 		for _, x := range only[StartAttempt](acts) {
-			if !apart || x.Endpoint == c.Endpoint {
-				t.Errorf("apart %v: sent to %d during a wait told by %d", apart, x.Endpoint, c.Endpoint)
+			if !independent || x.Endpoint == c.Endpoint {
+				t.Errorf("independent %v: sent to %d during a wait requested by %d", independent, x.Endpoint,
+					c.Endpoint)
 			}
 		}
-		if apart && len(only[StartAttempt](acts)) == 0 {
-			t.Error("a wait of one route held the other")
+		if independent && len(only[StartAttempt](acts)) == 0 {
+			t.Error("a wait of one independent endpoint delayed the other")
 		}
 		later := r.step(3.7, TimerFired{})
-		if !apart && len(only[StartAttempt](later)) == 0 {
+		if !independent && len(only[StartAttempt](later)) == 0 {
 			t.Error("nothing sent after the wait")
 		}
 	}
 }
 
-func TestUnknownEffectFailsNeverRefuses(t *testing.T) {
+func TestUnsafeMessageFailsOnlyIfItMayHaveRun(t *testing.T) {
 	for _, o := range []Outcome{Errored, ConnectionBroken, TimedOut, Cancelled} {
 		r := newRig(t, base())
 		r.step(0, list(2))
-		c := only[StartAttempt](r.step(1, r.call(2)))[0]
+		c := only[StartAttempt](r.step(1, r.message(2)))[0]
 		acts := r.step(1.1, answer(c.ID, c.Endpoint, 0, o))
 		if len(only[FailMessage](acts)) != 1 || len(only[StartAttempt](acts))+len(only[ReturnMessage](acts)) > 0 {
 			t.Errorf("outcome %d of an unsafe message: %v", o, acts)
@@ -238,21 +239,22 @@
 	for _, o := range []Outcome{ConnectionRefused, NotSent} {
 		r := newRig(t, base())
 		r.step(0, list(2))
-		c := only[StartAttempt](r.step(1, r.call(2)))[0]
+		c := only[StartAttempt](r.step(1, r.message(2)))[0]
 		acts := r.step(1.1, answer(c.ID, c.Endpoint, 0, o))
 		acts = append(acts, r.step(4, TimerFired{})...)
 		acts = append(acts, r.step(9.5, TimerFired{})...)
 		if len(only[FailMessage](acts)) != 0 || len(only[StartAttempt](acts)) == 0 {
-			t.Errorf("outcome %d never ran, yet: %v", o, acts)
+			t.Errorf("outcome %d, which never ran: %v", o, acts)
 		}
 	}
 }
 
-func TestSilentDestinationsEndInTime(t *testing.T) {
-	for name, ev := range map[string]Endpoints{"no list": {}, "silent": list(2), "unknown destination": {Entries: []Entry{{Endpoint: 5, Dest: 4}}}} {
+func TestMessagesEndInTimeWithoutAnswers(t *testing.T) {
+	for name, ev := range map[string]Endpoints{"no list": {}, "no answers": list(2),
+		"unknown destination": {Entries: []Entry{{Endpoint: 5, Dest: 4}}}} {
 		r := newRig(t, base())
 		r.step(0, ev)
-		r.step(1, r.call(0), r.call(1), r.call(2))
+		r.step(1, r.message(0), r.message(1), r.message(2))
 		ended := map[string]bool{}
 		for at := 1.0; at < 16; at += 0.005 {
 			for _, a := range r.step(at, TimerFired{}) {
@@ -276,7 +278,7 @@
 }
 
 // Requests that fail for all senders at once must not be retried by all at once.
-func TestListIsAskedForAtTimesOfOnesOwn(t *testing.T) {
+func TestListRetriesSpread(t *testing.T) {
 	var first, last Micros = never, 0
 	for seed := range uint64(80) {
 		set := base()
@@ -290,31 +292,33 @@
 		first, last = min(first, s.listRequestAt), max(last, s.listRequestAt)
 	}
 	if last-first < 2*Second {
-		t.Errorf("80 senders ask again within %d µs", last-first)
+		t.Errorf("80 senders retry within %d µs", last-first)
 	}
 }
 
-func TestListNews(t *testing.T) {
+func TestListUpdates(t *testing.T) {
 	set := base()
 	set.ListOnRequest = true
 	r := newRig(t, set)
 	if n := len(only[RequestEndpoints](r.step(0, Endpoints{Form: ListCached, Entries: list(2).Entries}))); n != 1 {
-		t.Fatal("did not subscribe at once")
+		t.Fatal("did not request the list at once")
 	}
 	r.step(1, Endpoints{Form: ListFailed})
-	if len(only[RequestEndpoints](r.step(4.2, TimerFired{}))) != 0 || len(only[RequestEndpoints](r.step(6.41, TimerFired{}))) != 1 {
-		t.Error("did not ask again 3.2 to 5.4 s later")
+	if len(only[RequestEndpoints](r.step(4.2, TimerFired{}))) != 0 ||
+		len(only[RequestEndpoints](r.step(6.41, TimerFired{}))) != 1 {
+		t.Error("did not retry 3.2 to 5.4 s later")
 	}
 	r.step(6.41, Endpoints{Form: ListFailed})
-	if len(only[RequestEndpoints](r.step(11.5, TimerFired{}))) != 0 || len(only[RequestEndpoints](r.step(11.82, TimerFired{}))) != 1 {
-		t.Error("did not ask again 5.1 to 5.4 s later")
+	if len(only[RequestEndpoints](r.step(11.5, TimerFired{}))) != 0 ||
+		len(only[RequestEndpoints](r.step(11.82, TimerFired{}))) != 1 {
+		t.Error("did not retry 5.1 to 5.4 s later")
 	}
 	// A full list replaces the old one; a draining endpoint gets no new calls.
 	row := Entry{Endpoint: 3, Dest: 9, State: Draining}
 	r.step(12, Endpoints{Form: ListFull, Entries: append(list(1).Entries, row)})
 	for i := range 4 {
 		at := 13 + float64(i)
-		for _, c := range only[StartAttempt](r.step(at, r.call(0))) {
+		for _, c := range only[StartAttempt](r.step(at, r.message(0))) {
 			if c.Endpoint != 1 {
 				t.Errorf("sent to endpoint %d", c.Endpoint)
 			}
@@ -325,25 +329,25 @@
 
 // The answer to a call that was in flight when an endpoint failed must not count as its recovery; otherwise
 // the slow start has ended before the real one.
-func TestOldAnswerIsNoReturn(t *testing.T) {
+func TestOldAnswerIsNoRecovery(t *testing.T) {
 	r := newRig(t, base())
 	r.step(0, list(1))
-	a := only[StartAttempt](r.step(1, r.call(0)))[0]
-	b := only[StartAttempt](r.step(1.1, r.call(0)))[0]
-	shut := answer(b.ID, b.Endpoint, 0, Overloaded)
-	shut.RetryAfter = sec(8)
-	r.step(1.2, shut)
+	a := only[StartAttempt](r.step(1, r.message(0)))[0]
+	b := only[StartAttempt](r.step(1.1, r.message(0)))[0]
+	rejection := answer(b.ID, b.Endpoint, 0, Overloaded)
+	rejection.RetryAfter = sec(8)
+	r.step(1.2, rejection)
 	r.step(1.3, answer(a.ID, a.Endpoint, 0, Completed))
 	if e := r.s.endpoints[1]; !e.suspect || !e.cold {
-		t.Error("an answer to an older call ended the watch on a shut endpoint")
+		t.Error("an answer to an older call ended the outage of an endpoint")
 	}
 }
 
 // Endpoints that join a destination that is still cold must not get calls without a budget.
-func TestJoinedEndpointIsAsColdAsItsSiblings(t *testing.T) {
+func TestJoinedEndpointSharesSlowStart(t *testing.T) {
 	r := newRig(t, base())
 	r.step(0, list(1))
-	c := only[StartAttempt](r.step(1, r.call(0)))[0]
+	c := only[StartAttempt](r.step(1, r.message(0)))[0]
 	r.step(1.1, answer(c.ID, c.Endpoint, 0, ConnectionRefused))
 	r.step(2, Endpoints{Form: ListDelta, Entries: []Entry{{Endpoint: 2, Dest: 9}}})
 	if e := r.s.endpoints[2]; !e.cold || !e.suspect {
@@ -352,7 +356,7 @@
 }
 
 // At limits that other senders use up, rejections between answers must not look like an outage.
-func TestRefusalsBesideAnswersAreNotShut(t *testing.T) {
+func TestRejectionsBetweenAnswersAreNoOutage(t *testing.T) {
 	r := newRig(t, base())
 	r.step(0, list(2))
 	e := r.s.endpoints[1]
@@ -364,19 +368,19 @@
 		}
 	}
 	if e.suspect {
-		t.Error("refusals between answers took the endpoint out")
+		t.Error("rejections between answers were an outage")
 	}
 	for i := range 5 {
 		r.s.now = sec(10 + 0.5*float64(i))
 		r.s.recordOverload(e, 0)
 	}
 	if !e.suspect {
-		t.Error("a destination that refuses everything without a wait was not noticed")
+		t.Error("a destination that rejects all calls without a wait was no outage")
 	}
 }
 
 // A low rate must not cause messages to be returned while few are pending.
-func TestSlowPaceKeepsMessagesWhileThereIsRoom(t *testing.T) {
+func TestLowRateKeepsMessagesWhileFewArePending(t *testing.T) {
 	for _, c := range []struct{ hold, ends int }{{200, 0}, {30, 1}} {
 		set := base()
 		set.MaxOpen = c.hold
@@ -386,10 +390,10 @@
 		r.s.destinations[9].limiter.waitUntil = sec(2)
 		var calls []Event
 		for range 25 {
-			calls = append(calls, r.call(0))
+			calls = append(calls, r.message(0))
 		}
 		if n := len(only[ReturnMessage](r.step(1, calls...))); min(n, 1) != c.ends {
-			t.Errorf("hold of %d: %d refused", c.hold, n)
+			t.Errorf("pending limit %d: %d returned", c.hold, n)
 		}
 	}
 }
@@ -399,45 +403,46 @@
 	r.step(0, list(2), Endpoints{Entries: []Entry{{Endpoint: 7, Dest: 8}}})
 	var calls []Event
 	for range 20 {
-		calls = append(calls, r.call(2))
+		calls = append(calls, r.message(2))
 	}
 	if n := len(only[StartAttempt](r.step(1, calls...))); n != 4 {
 		t.Errorf("one destination took %d of 8 slots", n)
 	}
-	other := r.call(0)
+	other := r.message(0)
 	other.Dest = 8
 	if n := len(only[StartAttempt](r.step(2, other))); n != 1 {
 		t.Error("no slot was left for another destination")
 	}
 }
 
-func TestIdleStateAgesOut(t *testing.T) {
+func TestIdleStateIsReset(t *testing.T) {
 	r := newRig(t, base())
 	r.step(0, list(1))
 	at := r.warm(1, 10)
 	r.s.destinations[9].limiter.rate = 1
-	r.step(at+seconds(idleStateAge)+1, r.call(0))
+	r.step(at+seconds(idleStateAge)+1, r.message(0))
 	if d := r.s.destinations[9]; d.latencies.total != 0 || d.limiter.rate != 0 {
-		t.Error("an idle destination kept its histogram or pace")
+		t.Error("an idle destination kept its histogram or rate")
 	}
 }
 
-func TestOddButLegalEvents(t *testing.T) {
+func TestUnknownIDsAreHarmless(t *testing.T) {
 	r := newRig(t, base())
 	r.step(5, list(1))
-	acts := r.step(5, AttemptResult{ID: "nobody", Endpoint: 99}, ClientGone{"nobody"}, TimerFired{99}, ProbeResult{Endpoint: 99},
+	acts := r.step(5, AttemptResult{ID: "nobody", Endpoint: 99}, ClientGone{"nobody"}, TimerFired{99},
+		ProbeResult{Endpoint: 99},
 		StreamStarted{ID: "nobody"}, Endpoints{Form: ListDelta, Entries: []Entry{{Endpoint: 77, State: Gone}}})
 	if len(acts) != 0 {
 		t.Errorf("unknown ids caused %v", acts)
 	}
-	c := only[StartAttempt](r.step(6, r.call(0)))[0]
+	c := only[StartAttempt](r.step(6, r.message(0)))[0]
 	r.step(6.1, ClientGone{c.ID})
 	acts = r.step(6.2, answer(c.ID, c.Endpoint, 0, Errored), answer(c.ID, c.Endpoint, 0, Errored))
 	if len(acts) != 0 || r.s.usedSlots != 0 {
-		t.Errorf("a late outcome of a withdrawn message caused %v; %d slots busy", acts, r.s.usedSlots)
+		t.Errorf("a late outcome of a withdrawn message caused %v; %d slots in use", acts, r.s.usedSlots)
 	}
 	before := r.s.now
-	r.step(1, r.call(0)) // a clock that steps back is harmless
+	r.step(1, r.message(0)) // a clock that steps back is harmless
 	if r.s.now != before {
 		t.Error("time went back")
 	}
@@ -451,7 +456,7 @@
 	r.step(0, list(1))
 	var calls []Event
 	for range 15 {
-		calls = append(calls, r.call(0))
+		calls = append(calls, r.message(0))
 	}
 	out := only[StartAttempt](r.step(1, calls...))
 	if len(out) != 10 || r.s.usedSlots != 1 {
@@ -461,34 +466,34 @@
 		r.step(1.2, answer(c.ID, c.Endpoint, 0, Completed))
 	}
 	if len(r.s.inFlight) != 5 {
-		t.Errorf("%d calls out after the first batch, want the other five", len(r.s.inFlight))
+		t.Errorf("%d attempts in flight after the first batch, want the other five", len(r.s.inFlight))
 	}
 }
 
 // If some answers are lost while the others are fast, the lost calls must appear in the histogram and not
 // occupy slots until their deadline.
-func TestLostAnswersShowInTheHistogram(t *testing.T) {
+func TestLostAnswersCountInHistogram(t *testing.T) {
 	r := newRig(t, base())
 	r.step(0, list(2))
 	at := r.warm(1, 20)
 	lost := []StartAttempt{}
 	for range 3 {
-		lost = append(lost, only[StartAttempt](r.step(at, r.call(0)))...)
+		lost = append(lost, only[StartAttempt](r.step(at, r.message(0)))...)
 		at = r.warm(at+0.1, 4)
 	}
 	at = r.warm(at, 8)
 	r.step(at, TimerFired{})
 	if h := &r.s.destinations[9].latencies; h.censored < 0.8 || h.restartTime == 0 {
-		t.Errorf("lost answers: %v counted while out, tau %d", h.censored, h.restartTime)
+		t.Errorf("lost answers: %v counted while in flight, tau %d", h.censored, h.restartTime)
 	}
-	cut := 0
+	cancelled := 0
 	for _, a := range r.s.inFlight {
 		if a.cancelled {
-			cut++
+			cancelled++
 		}
 	}
-	if cut != len(lost) {
-		t.Errorf("%d of %d lost calls were called off", cut, len(lost))
+	if cancelled != len(lost) {
+		t.Errorf("%d of %d lost calls were cancelled", cancelled, len(lost))
 	}
 	// A call that is answered after all no longer counts.
 	before := r.s.destinations[9].latencies.censored
@@ -498,26 +503,26 @@
 	}
 }
 
-func TestUnsafeCallsGiveUpTheLastSlot(t *testing.T) {
+func TestUnsafeCallYieldsLastSlot(t *testing.T) {
 	set := base()
 	set.Slots = 2
 	r := newRig(t, set)
 	r.step(0, list(1), Endpoints{Entries: []Entry{{Endpoint: 7, Dest: 8}}, Form: ListDelta})
-	out := only[StartAttempt](r.step(1, r.call(2)))
-	other := r.call(2)
+	out := only[StartAttempt](r.step(1, r.message(2)))
+	other := r.message(2)
 	other.Dest = 8
 	out = append(out, only[StartAttempt](r.step(1.1, other))...)
 	if len(out) != 2 {
-		t.Fatalf("%d calls out, want both slots taken", len(out))
+		t.Fatalf("%d calls in flight, want both slots in use", len(out))
 	}
 	if c := only[Cancel](r.step(12, TimerFired{})); len(c) != 0 {
-		t.Error("an unsafe call was given up although nobody waited")
+		t.Error("an unsafe call was cancelled although no message waited")
 	}
-	third := r.call(0)
+	third := r.message(0)
 	third.Dest = 8
 	acts := append(r.step(12.1, third), r.step(12.2, TimerFired{})...)
 	if len(only[Cancel](acts)) == 0 {
-		t.Error("a silent unsafe call kept the last slot from others")
+		t.Error("an unanswered unsafe call kept the last slot")
 	}
 }
 
@@ -529,37 +534,37 @@
 	ev := list(2)
 	ev.Entries[0].NominalRate, ev.Entries[1].NominalRate = 4, 4
 	r.step(0, ev)
-	c := only[StartAttempt](r.step(1, r.call(0)))[0]
+	c := only[StartAttempt](r.step(1, r.message(0)))[0]
 	r.step(1.1, answer(c.ID, c.Endpoint, 0, ConnectionRefused))
 	sent := 0
 	for i := range 20 {
-		for _, x := range only[StartAttempt](r.step(1.2+0.1*float64(i), r.call(0))) {
+		for _, x := range only[StartAttempt](r.step(1.2+0.1*float64(i), r.message(0))) {
 			r.s.endpoints[x.Endpoint].inFlight = 0 // only the budget limits it
 			sent++
 		}
 	}
 	if sent > 2 {
-		t.Errorf("%d calls in two seconds to the untried sibling of an endpoint that is out", sent)
+		t.Errorf("%d calls in two seconds to the untried sibling of an endpoint in outage", sent)
 	}
 }
 
 // Answers to calls that were in flight at the siblings when a destination failed must not make the siblings
 // look healthy; otherwise they get calls without a budget after the recovery.
-func TestOldAnswerOfASiblingIsNoProof(t *testing.T) {
+func TestOldAnswerOfSiblingShowsNoHealth(t *testing.T) {
 	r := newRig(t, base())
 	r.step(0, list(2))
-	a := only[StartAttempt](r.step(1, r.call(0)))[0]
-	b := only[StartAttempt](r.step(1.1, r.call(0)))[0]
-	shut := answer(b.ID, b.Endpoint, 0, Overloaded)
-	shut.RetryAfter = sec(8)
-	r.step(1.2, shut)
+	a := only[StartAttempt](r.step(1, r.message(0)))[0]
+	b := only[StartAttempt](r.step(1.1, r.message(0)))[0]
+	rejection := answer(b.ID, b.Endpoint, 0, Overloaded)
+	rejection.RetryAfter = sec(8)
+	r.step(1.2, rejection)
 	r.step(1.3, answer(a.ID, a.Endpoint, 0, Completed))
 	if x, e := r.s.endpoints[b.Endpoint], r.s.endpoints[a.Endpoint]; e.independentSuccess >= x.lastFailure {
-		t.Error("an answer to an older call shows a sibling to be well")
+		t.Error("an answer to an older call made a sibling look healthy")
 	}
 }
 
-func TestTenantPastItsQuotaWeighsLess(t *testing.T) {
+func TestTenantOverQuotaHasLowerPriority(t *testing.T) {
 	set := base()
 	set.Tenants, set.OverQuotaWorth = []Tenant{{"x", 2}, {"y", 2}}, 0.2
 	r := newRig(t, set)
@@ -568,19 +573,19 @@
 		r.s.quotaFactor(0)
 	}
 	if a, b := r.s.quotaFactor(0), r.s.quotaFactor(1); a != 0.2 || b != 1 {
-		t.Errorf("ten a second of a quota of two keeps %v, a quiet tenant %v", a, b)
+		t.Errorf("ten per second with a quota of two keep %v, a tenant without messages %v", a, b)
 	}
 }
 
 // A message that can still be delivered within its Aim goes before one that is past it, although that one
 // loses a little more by waiting.
-func TestLateGoesAfterWhatCanBeInTime(t *testing.T) {
+func TestLateMessageGoesAfterTimelyOne(t *testing.T) {
 	r := newRig(t, base())
 	r.step(0, list(1))
-	late, near := r.call(0), r.call(0)
+	late, near := r.message(0), r.message(0)
 	late.Remaining, near.Remaining = sec(8.8), sec(9.1) // of 10; their Aim is 1
 	r.s.Step(sec(5), []Event{Endpoints{Form: ListFull}, late, near})
 	if a, b := r.s.priority(r.s.messages[late.ID]), r.s.priority(r.s.messages[near.ID]); a >= b {
-		t.Errorf("late ranks %g, in time %g", a, b)
+		t.Errorf("late message: priority %g, timely one: %g", a, b)
 	}
 }
--- a/logic/queue_test.go
+++ b/logic/queue_test.go
@@ -32,7 +32,7 @@
 	}
 	s.requestList()
 	s.cleanup()
-	for _, m := range s.all() {
+	for _, m := range s.allMessages() {
 		if m.ended || m.streaming {
 			continue
 		}
@@ -57,7 +57,7 @@
 	return s.actions
 }
 
-func (s *Sender) all() (q []*message) {
+func (s *Sender) allMessages() (q []*message) {
 	for _, m := range s.messages {
 		q = append(q, m)
 	}
@@ -67,7 +67,7 @@
 
 func (s *Sender) dispatchBySort() {
 	var q []*message
-	for _, m := range s.all() {
+	for _, m := range s.allMessages() {
 		if m.inFlight == nil && !m.ended {
 			m.dest.load = float64(1 + m.dest.limiter.inFlight)
 			m.priority = s.priority(m)
@@ -89,9 +89,11 @@
 			continue
 		}
 		m.dest.rank++
-		p := s.destinationRate(m.dest)
-		late := m.arrivalStep == s.step || !m.inherited && m.deadline-s.now < Micros(protectedRemaining*float64(m.initialTime))
-		if late && p > 0 && m.dest.rank/p > seconds(m.deadline-s.now-s.usualLatency(m)) && s.pendingRatio() > shedLateAbove {
+		rate := s.destinationRate(m.dest)
+		unprotected := m.arrivalStep == s.step || !m.inherited &&
+			m.deadline-s.now < Micros(protectedRemaining*float64(m.initialTime))
+		if unprotected && rate > 0 && m.dest.rank/rate > seconds(m.deadline-s.now-s.usualLatency(m)) &&
+			s.pendingRatio() > shedLateAbove {
 			s.endMessage(m)
 			continue
 		}
@@ -101,9 +103,9 @@
 	}
 }
 
-// same compares the actions of two Senders: attempts in their order, ends as a set (the index sheds load
+// compareActions compares the actions of two Senders: attempts in their order, ends as a set (the index sheds load
 // after it has sent).
-func (w *world) same(a, b []Action) {
+func (w *world) compareActions(a, b []Action) {
 	w.t.Helper()
 	pick := func(acts []Action) (calls, others []string) {
 		for _, x := range acts {
@@ -121,33 +123,33 @@
 	callsA, othersA := pick(a)
 	callsB, othersB := pick(b)
 	if !slices.Equal(callsA, callsB) || !slices.Equal(othersA, othersB) {
-		w.bad("the index does\n%v %v\nthe sort\n%v %v", callsA, othersA, callsB, othersB)
+		w.fail("the index does\n%v %v\nthe sort\n%v %v", callsA, othersA, callsB, othersB)
 	}
 }
 
-// twins simulates a day with a Sender that uses the index and one that uses the sort.
-func twins(t *testing.T, set Settings, seed uint64) {
+// compareIndexWithSort simulates a day with a Sender that uses the index and one that uses the sort.
+func compareIndexWithSort(t *testing.T, set Settings, seed uint64) {
 	set.TrackChanges = seed%3 == 1
 	w := newWorld(t, set, 100+seed)
-	w.restarts, w.upgrades, w.steady = seed%3 == 1, seed%3 == 2, true
-	w.often = []int{0, 30, 12}[seed/3%3]
+	w.restarts, w.upgrades, w.everyTick = seed%3 == 1, seed%3 == 2, true
+	w.meanGap = []int{0, 30, 12}[seed/3%3]
 	w.twin = &Sender{}
-	w.renew()
+	w.replaceSender()
 	w.play()
 }
 
 // The index and the sort make the same decisions in each step of random plays, over restarts and upgrades,
 // with few pending messages and with more than the pending limit. PLAYS sets the number of further plays.
-func TestIndexDecidesAsTheSort(t *testing.T) {
+func TestIndexMatchesSort(t *testing.T) {
 	more, _ := strconv.Atoi(os.Getenv("PLAYS"))
 	i := uint64(0)
 	for _, name := range slices.Sorted(maps.Keys(variants())) {
 		i++
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			twins(t, variants()[name], i%6)
+			compareIndexWithSort(t, variants()[name], i%6)
 			for seed := range uint64(more) {
-				twins(t, variants()[name], 6+seed)
+				compareIndexWithSort(t, variants()[name], 6+seed)
 			}
 		})
 	}
@@ -155,11 +157,11 @@
 
 // ---- The order -----------------------------------------------------------------------
 
-// drawn creates a Sender with random destinations, classes and messages of all ages.
-func drawn(t *rapid.T) *Sender {
+// drawSender creates a Sender with random destinations, classes and messages of all ages.
+func drawSender(t *rapid.T) *Sender {
 	set := base()
 	set.ExponentialDecay, set.MaxOpen = rapid.Bool().Draw(t, "halves"), 0
-	span := func(name string, most Micros) Micros { return Micros(rapid.Int64Range(0, int64(most)).Draw(t, name)) }
+	span := func(name string, limit Micros) Micros { return Micros(rapid.Int64Range(0, int64(limit)).Draw(t, name)) }
 	for i := range set.Classes {
 		c := &set.Classes[i]
 		c.Aim = span("aim", 5*Second)
@@ -179,12 +181,13 @@
 		for range rapid.IntRange(0, 30).Draw(t, "messages") {
 			n++
 			class := rapid.IntRange(0, 2).Draw(t, "class")
-			evs = append(evs, NewMessage{ID: fmt.Sprint(n), Dest: int64(rapid.IntRange(1, 2).Draw(t, "dest")), Tenant: -1, Class: class,
+			evs = append(evs, NewMessage{ID: fmt.Sprint(n), Dest: int64(rapid.IntRange(1, 2).Draw(t, "dest")),
+				Tenant: -1, Class: class,
 				Remaining: Second/2 + span("left", 3*set.Classes[class].Deadline),
 				History:   History{Inherited: rapid.IntRange(0, 5).Draw(t, "held") == 0}})
 		}
 		s.Step(s.now+span("pause", 4*Second), evs)
-		for _, m := range s.all() { // some may have run
+		for _, m := range s.allMessages() { // some may have run
 			if m.class.Effect == Keyed && m.group != nil && rapid.IntRange(0, 5).Draw(t, "may run") == 0 {
 				s.dequeue(m)
 				m.mayHaveRun, m.mayHaveRunAt, m.inherited = true, s.now, false
@@ -204,34 +207,34 @@
 	return s
 }
 
-// order is the order in which all cursors together give what waits.
-func (s *Sender) sorted() (out []*message) {
-	var next cursorHeap
+// cursorOrder returns the queued messages in the order of all cursors together.
+func (s *Sender) cursorOrder() (out []*message) {
+	var cursors cursorHeap
 	for _, d := range s.destinationOrder {
 		d.load, d.visitedStep = float64(1+d.limiter.inFlight), s.step
 		for _, g := range d.groups {
-			next = s.appendCursors(next, g)
+			cursors = s.appendCursors(cursors, g)
 		}
 	}
-	heap.Init(&next)
-	for len(next) > 0 {
-		out = append(out, next[0].msg)
-		if s.advance(next[0]); next[0].msg == nil {
-			heap.Pop(&next)
+	heap.Init(&cursors)
+	for len(cursors) > 0 {
+		out = append(out, cursors[0].msg)
+		if s.advance(cursors[0]); cursors[0].msg == nil {
+			heap.Pop(&cursors)
 		} else {
-			heap.Fix(&next, 0)
+			heap.Fix(&cursors, 0)
 		}
 	}
 	return out
 }
 
 // The cursors return all queued messages in order of priority.
-func TestCursorsGiveTheOrderOfRate(t *testing.T) {
+func TestCursorsFollowPriority(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := drawn(t)
-		got := s.sorted()
+		s := drawSender(t)
+		got := s.cursorOrder()
 		var want []*message
-		for _, m := range s.all() {
+		for _, m := range s.allMessages() {
 			if m.group != nil && (m.inherited || s.now+max(s.usualLatency(m), minUsualLatency) <= m.deadline) {
 				m.priority = s.priority(m)
 				want = append(want, m)
@@ -244,9 +247,9 @@
 		for i, m := range got {
 			// Two messages whose priorities differ only by rounding may change places.
 			if x := want[i]; m != x && math.Abs(m.priority-x.priority) > 1e-9*math.Abs(x.priority) {
-				t.Fatalf("at %d: %s of rate %g, want %s of rate %g", i, m.id, m.priority, x.id, x.priority)
+				t.Fatalf("at %d: %s of priority %g, want %s of priority %g", i, m.id, m.priority, x.id, x.priority)
 			} else if m != x && m.priority == x.priority && x.priority > 1e-290 {
-				t.Fatalf("at %d: %s, want %s of the same rate", i, m.id, x.id)
+				t.Fatalf("at %d: %s, want %s of the same priority", i, m.id, x.id)
 			}
 		}
 	})
@@ -254,7 +257,7 @@
 
 // ---- The structures ------------------------------------------------------------------
 
-func TestSortedIsASortedList(t *testing.T) {
+func TestSortedList(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var l sortedList
 		var plain []item
@@ -263,7 +266,8 @@
 		for range rapid.IntRange(1, 4).Draw(t, "rounds") {
 			for range rapid.IntRange(0, 1200).Draw(t, "in") {
 				seq++
-				x := item{Micros((int64(seq)*2654435761)%span) + Micros(rapid.SampledFrom([]int64{0, 1}).Draw(t, "more")), &message{seq: seq}}
+				x := item{Micros((int64(seq)*2654435761)%span) +
+					Micros(rapid.SampledFrom([]int64{0, 1}).Draw(t, "more")), &message{seq: seq}}
 				l.insert(x)
 				plain = append(plain, x)
 			}
@@ -294,32 +298,32 @@
 	})
 }
 
-func TestAlarmsGoOffInOrder(t *testing.T) {
+func TestTimersFireInOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var h timerHeap
 		all := make([]timer, rapid.IntRange(1, 60).Draw(t, "alarms"))
-		set := map[*timer]Micros{}
+		expected := map[*timer]Micros{}
 		for range rapid.IntRange(1, 300).Draw(t, "changes") {
 			a := &all[rapid.IntRange(0, len(all)-1).Draw(t, "which")]
 			at := Micros(rapid.Int64Range(0, 50).Draw(t, "at"))
 			if at == 0 {
 				h.set(a, never)
-				delete(set, a)
+				delete(expected, a)
 			} else {
 				h.set(a, at)
-				set[a] = at
+				expected[a] = at
 			}
 		}
 		last := Micros(0)
 		for a := h.popDue(100); a != nil; a = h.popDue(100) {
-			if set[a] != a.at || a.at < last || a.heapIndex != 0 {
-				t.Fatalf("%d after %d, want %d", a.at, last, set[a])
+			if expected[a] != a.at || a.at < last || a.heapIndex != 0 {
+				t.Fatalf("%d after %d, want %d", a.at, last, expected[a])
 			}
 			last = a.at
-			delete(set, a)
+			delete(expected, a)
 		}
-		if len(set) > 0 || h.nextAt() != never {
-			t.Fatalf("%d left", len(set))
+		if len(expected) > 0 || h.nextAt() != never {
+			t.Fatalf("%d left", len(expected))
 		}
 	})
 }
@@ -338,7 +342,7 @@
 
 // Messages that a restart submits at once are considered for load shedding once each, also where they reach
 // the pending limit: four times as many must not take sixteen times as long.
-func TestRestartIntoAFullHold(t *testing.T) {
+func TestRestartAtPendingLimit(t *testing.T) {
 	took := func(n int) time.Duration {
 		best := time.Hour
 		for range 3 {
@@ -350,7 +354,8 @@
 			}
 			evs := []Event{list(1), RequestedWait{Endpoint: 1, Remaining: 5 * Second}}
 			for i := range n {
-				evs = append(evs, NewMessage{ID: fmt.Sprint(i), Remaining: 9*Second + Micros(i), Dest: 9, Tenant: -1, History: History{Inherited: true}})
+				evs = append(evs, NewMessage{ID: fmt.Sprint(i), Remaining: 9*Second + Micros(i), Dest: 9, Tenant: -1,
+					History: History{Inherited: true}})
 			}
 			start := threadTime(t)
 			s.Step(0, evs)
--- a/logic/retune_test.go
+++ b/logic/retune_test.go
@@ -7,13 +7,16 @@
 )
 
 func drawSettings(t *rapid.T) Settings {
-	set := Settings{Senders: 1, Zones: 1, Slots: 4, MaxOpen: 10, MaxTries: rapid.IntRange(1, 4).Draw(t, "tries"), Tick: 1000,
-		RemainingIndex: -1, LimitIndex: -1, MayCancel: true, FallMultiple: 2, FallWindow: 3 * Second, WarmAfter: 14 * Second, ColdFrom: 0.2,
+	set := Settings{Senders: 1, Zones: 1, Slots: 4, MaxOpen: 10, MaxTries: rapid.IntRange(1, 4).Draw(t, "tries"),
+		Tick:           1000,
+		RemainingIndex: -1, LimitIndex: -1, MayCancel: true, FallMultiple: 2, FallWindow: 3 * Second,
+		WarmAfter: 14 * Second, ColdFrom: 0.2,
 		Kinds: []Kind{{Name: "std", MaxBatch: 1}}}
 	for _, name := range []string{"a", "b", "c"} {
 		if len(set.Classes) == 0 || rapid.Bool().Draw(t, "has "+name) {
-			set.Classes = append(set.Classes, Class{Name: name, Aim: 2 * Second, Deadline: 16 * Second, Worth: 1, LateWorth: 0.4,
-				Effect: Effect(rapid.IntRange(0, 2).Draw(t, "effect")), Window: 5 * Second})
+			set.Classes = append(set.Classes, Class{Name: name, Aim: 2 * Second, Deadline: 16 * Second, Worth: 1,
+				LateWorth: 0.4,
+				Effect:    Effect(rapid.IntRange(0, 2).Draw(t, "effect")), Window: 5 * Second})
 		}
 	}
 	return set
@@ -22,20 +25,20 @@
 // Settings change at any time among messages and outcomes: each message ends once, is never sent more often
 // than its terms allowed when it was accepted, and one that was unsafe then is never sent after it may have
 // run.
-func TestRetunePlays(t *testing.T) {
+func TestUpdateSettingsPlays(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		set := drawSettings(t)
 		s, err := New(set, 1)
 		if err != nil {
 			t.Fatal(err)
 		}
-		type held struct {
+		type state struct {
 			effect     Effect
 			most, sent int
 			mayRun     bool
 			ended      bool
 		}
-		msgs, out, n, now := map[string]*held{}, []StartAttempt{}, 0, Micros(0)
+		msgs, out, n, now := map[string]*state{}, []StartAttempt{}, 0, Micros(0)
 		step := func(events ...Event) {
 			now += Micros(rapid.IntRange(1000, 200_000).Draw(t, "us"))
 			for _, a := range s.Step(now, events) {
@@ -48,7 +51,7 @@
 					out = append(out, a)
 				case ReturnMessage:
 					if msgs[a.ID].ended || msgs[a.ID].mayRun {
-						t.Fatalf("%s is refused: %+v", a.ID, msgs[a.ID])
+						t.Fatalf("%s is returned: %+v", a.ID, msgs[a.ID])
 					}
 					msgs[a.ID].ended = true
 				case FailMessage:
@@ -71,7 +74,7 @@
 			case 1:
 				n++
 				id, class := string(rune('A'+n)), rapid.IntRange(0, len(set.Classes)-1).Draw(t, "class")
-				msgs[id] = &held{effect: set.Classes[class].Effect, most: set.MaxTries}
+				msgs[id] = &state{effect: set.Classes[class].Effect, most: set.MaxTries}
 				step(NewMessage{ID: id, Remaining: 16 * Second, Dest: 1, Tenant: -1, Class: class})
 			case 2:
 				if len(out) == 0 {
@@ -84,7 +87,8 @@
 				o := Outcome(rapid.IntRange(int(Completed), int(InvalidResponse)).Draw(t, "outcome"))
 				m.mayRun = m.mayRun || o != Overloaded && o != ConnectionRefused && o != NotSent
 				m.ended = m.ended || o == Completed
-				step(AttemptResult{ID: a.ID, MessageEnded: m.ended, Endpoint: a.Endpoint, Attempt: m.sent - 1, Outcome: o, Latency: 1000})
+				step(AttemptResult{ID: a.ID, MessageEnded: m.ended, Endpoint: a.Endpoint, Attempt: m.sent - 1,
+					Outcome: o, Latency: 1000})
 			default:
 				step()
 			}
@@ -93,7 +97,7 @@
 }
 
 // The merged settings are never laxer than either of the two, whatever changes.
-func TestStricter(t *testing.T) {
+func TestStrictest(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		was, next := drawSettings(t), drawSettings(t)
 		got := Strictest(was, next)
@@ -106,7 +110,7 @@
 			}
 			for _, x := range was.Classes {
 				if x.Name == c.Name && c.Effect < x.Effect {
-					t.Fatalf("class %s was %v and is held to %v", c.Name, x.Effect, c.Effect)
+					t.Fatalf("class %s was %v and is now %v", c.Name, x.Effect, c.Effect)
 				}
 			}
 		}
--- a/logic/rules_test.go
+++ b/logic/rules_test.go
@@ -14,10 +14,18 @@
 	return map[string]Settings{
 		"plain":     base(),
 		"one class": make(func(s *Settings) { s.Classes = s.Classes[2:] }),
-		"tenants":   make(func(s *Settings) { s.Tenants = []Tenant{{"x", 2}, {"y", 1}, {"z", 0}}; s.OverQuotaWorth = 0.2 }),
-		"zones":     make(func(s *Settings) { s.Zones, s.Zone = 2, 1; s.Classes[1].ByZone = true }),
-		"ordered":   make(func(s *Settings) { s.KeyQuiet = Second; s.Classes[0].KeepOrder, s.Classes[2].KeepOrder = true, true }),
-		"batches":   make(func(s *Settings) { s.Kinds[0].MaxBatch = 10 }),
+		"tenants": make(func(s *Settings) {
+			s.Tenants = []Tenant{{"x", 2}, {"y", 1},
+				{"z", 0}}
+			s.OverQuotaWorth = 0.2
+		}),
+		"zones": make(func(s *Settings) { s.Zones, s.Zone = 2, 1; s.Classes[1].ByZone = true }),
+		"ordered": make(func(s *Settings) {
+			s.KeyQuiet = Second
+			s.Classes[0].KeepOrder,
+				s.Classes[2].KeepOrder = true, true
+		}),
+		"batches": make(func(s *Settings) { s.Kinds[0].MaxBatch = 10 }),
 		"apart": make(func(s *Settings) {
 			s.Kinds = []Kind{{Name: "k", Independent: true, MaxBatch: 1}, {Name: "l", MaxBatch: 3}}
 		}),
@@ -96,7 +104,7 @@
 	}
 }
 
-func TestNamesDecideNothing(t *testing.T) {
+func TestNamesHaveNoEffect(t *testing.T) {
 	set := variants()["tenants"]
 	a := newWorld(t, set, 5)
 	a.play()
@@ -112,7 +120,7 @@
 	}
 }
 
-func TestNewNamesTheBadSetting(t *testing.T) {
+func TestNewNamesInvalidSetting(t *testing.T) {
 	for want, f := range map[string]func(*Settings){
 		"Classes": func(s *Settings) { s.Classes = nil }, "Senders": func(s *Settings) { s.Senders = 0 },
 		"Zone": func(s *Settings) { s.Zone = 4 }, "Slots": func(s *Settings) { s.Slots = -1 },
