--- a/cmd/cometrack/cluster.go
+++ b/cmd/cometrack/cluster.go
@@ -84,31 +84,31 @@
 
 // shape is what of a view is worth a new print.
 func shape(s cluster.Status) string {
-	text := fmt.Sprintf("%s %d %.3f", s.State, s.Incarnation, s.Part)
-	for _, x := range s.Others {
+	text := fmt.Sprintf("%s %d %.3f", s.State, s.Incarnation, s.Share)
+	for _, x := range s.Peers {
 		text += fmt.Sprintf(" %s %s %d", x.Name, x.State, x.Incarnation)
 	}
 	return text
 }
 
 func printStatus(w io.Writer, s cluster.Status) {
-	fmt.Fprintf(w, "%s at %s, incarnation %d: %s; it may use %.1f%% of each rate", s.Name, s.Addr, s.Incarnation, s.State, 100*s.Part)
+	fmt.Fprintf(w, "%s at %s, incarnation %d: %s; it may use %.1f%% of each rate", s.Name, s.Addr, s.Incarnation, s.State, 100*s.Share)
 	switch {
-	case s.Among > 0:
-		fmt.Fprintf(w, ", shared by %d, for %.1f s more\n", s.Among, s.For)
+	case s.CountedSenders > 0:
+		fmt.Fprintf(w, ", shared by %d, for %.1f s more\n", s.CountedSenders, s.ShareValidSeconds)
 	default:
 		fmt.Fprint(w, ", the least\n")
 	}
 	var b bytes.Buffer
 	t := tabwriter.NewWriter(&b, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "SENDER\tSTATE\tFOR\tHEARD\tINCARNATION\tADDRESS\tZONE\tVERSION\tGRANTS\tNOT HEARD BY")
-	for _, x := range s.Others {
+	for _, x := range s.Peers {
 		heard := "never"
-		if x.Heard >= 0 {
-			heard = fmt.Sprintf("%.1f s ago", x.Heard)
+		if x.SecondsSinceHeard >= 0 {
+			heard = fmt.Sprintf("%.1f s ago", x.SecondsSinceHeard)
 		}
-		fmt.Fprintf(t, "%s\t%s\t%.0f s\t%s\t%d\t%s\t%s\t%s\t%v\t%s\n", x.Name, x.State, x.Since, heard, x.Incarnation, x.Addr, x.Zone, x.Version, x.Grants,
-			strings.Join(x.NotBy, ","))
+		fmt.Fprintf(t, "%s\t%s\t%.0f s\t%s\t%d\t%s\t%s\t%s\t%v\t%s\n", x.Name, x.State, x.SecondsInState, heard, x.Incarnation, x.Addr, x.Zone, x.Version, x.GrantInForce,
+			strings.Join(x.NotHeardBy, ","))
 	}
 	t.Flush()
 	w.Write(b.Bytes())
@@ -118,11 +118,11 @@
 		return
 	}
 	now := "caught up"
-	if k.Behind {
-		now = fmt.Sprintf("behind for %.1f s", k.For)
+	if k.CatchingUp {
+		now = fmt.Sprintf("behind for %.1f s", k.CatchingUpSeconds)
 	}
 	fmt.Fprintf(w, "facts: %d, %s; %d of its own not confirmed by all; %d bytes sent; %d messages that made no sense, %d repairs, %d lost for want of room\n",
-		k.Facts, now, k.Unsure, k.Bytes, k.Forged, k.Repairs, k.Lost+k.Dropped)
+		k.Facts, now, k.Unconfirmed, k.BytesSent, k.InvalidMessages, k.Repairs, k.Lost+k.Dropped)
 }
 
 func clusterFacts() *cobra.Command {
@@ -178,10 +178,10 @@
 	fmt.Fprintf(w, "differences from %s, as it last told: %d\n", diff, len(told.Lacks))
 	for _, g := range told.Lacks {
 		lacks := diff
-		if g.Here < g.There {
+		if g.Local < g.Remote {
 			lacks = "this sender"
 		}
-		fmt.Fprintf(w, "  of %s: known here up to %d, there up to %d; the higher number holds, %s is to have it\n", g.Origin, g.Here, g.There, lacks)
+		fmt.Fprintf(w, "  of %s: known here up to %d, there up to %d; the higher number holds, %s is to have it\n", g.Origin, g.Local, g.Remote, lacks)
 	}
 }
 
--- a/internal/replicate/machine.go
+++ b/internal/replicate/machine.go
@@ -9,419 +9,434 @@
 	"cometrack/internal/facts"
 )
 
-// Time is that of package facts.
+// Time is a point in time or a duration; see [facts.Time].
 type Time = facts.Time
 
 const (
-	firstAgain = 40 * time.Millisecond // before what is not confirmed is sent again; then twice that, up to a tick
-	triesAlone = 2                     // then others are asked to pass it on
-	unknown    = time.Hour             // how long a message may have been on its way that echoes nothing
-	behindFor  = time.Second           // that a peer counts as catching up after it has said so
-	packetsAsk = 32                    // packets in answer to one question
-	askAgain   = 150 * time.Millisecond
-	hotRate    = 200 // facts a second that are sent to all at once; others go as the budget allows
+	initialResendDelay   = 40 * time.Millisecond  // before the first resend of a fact; doubles up to the digest interval
+	maxDirectTries       = 2                      // unconfirmed sends to a peer before others relay to it
+	maxTransit           = time.Hour              // assumed time in transit of a message without a usable Echo
+	catchingUpValidity   = time.Second            // a peer counts as catching up for this long after it reported so
+	maxPullPackets       = 32                     // packets in response to one pull
+	pullTimeout          = 150 * time.Millisecond // then another peer is pulled from
+	urgentFactsPerSecond = 200                    // facts sent to all peers at once; others wait for the byte budget
 )
 
-// Missed is for how many ticks a sender may not run before it counts as having missed
-// what was told meanwhile.
-const Missed = 3
+// MaxMissedTicks is the number of digest intervals without a step after which a sender may
+// have missed facts and catches up again.
+const MaxMissedTicks = 3
 
-// Config is what a sender is told at its start.
+// Config holds the settings of a Machine.
 type Config struct {
-	Own      facts.Origin
-	Zone     string
-	Drift    float64 // clocks of senders run at 1-Drift to 1+Drift of the true pace
-	Every    Time    // between two digests
-	Patience Time    // after which one that is behind, and whom nobody answers, goes on alone
-	Rate     float64 // bytes a second for all but what binds
-	Seed     uint64
+	Self           facts.Origin
+	Zone           string
+	Drift          float64 // clocks of senders run at 1-Drift to 1+Drift of the true rate
+	DigestInterval Time    // mean time between two digests
+	CatchUpTimeout Time    // ends a catch-up that no peer answers
+	Rate           float64 // byte budget per second for everything but urgent facts, confirmations and digests
+	Seed           uint64
 }
 
-// Peer is another sender, as the view has it.
+// Peer is the name and address of another sender in the view.
 type Peer struct {
 	Name, Addr string
 }
 
-// peer is what is known of another sender's copy.
+// peer is what this sender knows about the replica of a peer.
 type peer struct {
 	Peer
-	life    uint64
-	heard   Time
-	stamp   Time // its last
-	behind  bool
-	acked   uint64 // of this sender's own facts
-	again   Time   // when what is not confirmed is sent once more
-	gap     Time
-	tries   int
-	rows    map[facts.Origin]uint64
-	askedAt Time // it was asked last
-	asked   uint64
-	goal    map[facts.Origin]uint64 // what it had when it first answered, while this one is behind
-	done    bool                    // this copy has all of that
+	incarnation uint64
+	receivedAt  Time
+	sentAt      Time // SentAt of its last message
+	catchingUp  bool
+	acked       uint64 // sequence number up to which it has confirmed this sender's facts
+	resendAt    Time   // time of the next resend of unconfirmed facts
+	resendDelay Time
+	tries       int                     // sends since the last confirmation
+	watermarks  map[facts.Origin]uint64 // by origin, from its digests and confirmations
+	pulledAt    Time                    // time of the last pull from it
+	pullRequest uint64                  // number of the open pull; 0 for none
+	target      map[facts.Origin]uint64 // watermarks in its first answer to a pull while this replica catches up
+	caughtUp    bool                    // this replica has reached target
 }
 
-// Ready is what is to be done after a step.
+// Ready is the result of a step: what the caller has to do.
 type Ready struct {
-	Send    []Envelope
-	Lessons []facts.Observation
-	Event   string // for the log; empty for none
+	Send         []Envelope
+	Observations []facts.Observation
+	Event        string // log text; empty for none
 }
 
-// Machine is one sender's part in it. It is not safe for concurrent use.
+// Machine is the replication state machine of one sender. It is not safe for concurrent use.
 type Machine struct {
-	cfg    Config
-	rng    *rand.Rand
-	copy   *facts.Copy
-	peers  map[string]*peer
-	order  []string // of peers
-	last   Time
-	tickAt Time
+	cfg      Config
+	rng      *rand.Rand
+	replica  *facts.Replica
+	peers    map[string]*peer
+	order    []string // names of the peers, sorted
+	lastStep Time
+	tickAt   Time // time of the next digest
 
-	behind  bool
-	since   Time // that it is behind
-	firstAt Time // when the first peer was caught up with; 0 for none
+	catchingUp      bool
+	catchUpStart    Time
+	firstCaughtUpAt Time // time at which this replica caught up with the first peer; 0 for none
 
-	budget   float64 // bytes
-	hot      float64 // facts
-	filledAt Time
-	nonce    uint64
-	out      Ready
+	budget          float64 // bytes left
+	urgentFacts     float64 // urgent facts left
+	filledAt        Time    // last refill of budget and urgentFacts
+	lastPullRequest uint64
+	ready           Ready
 
-	Forged  int   // messages that made no sense
-	Short   int   // times that the budget held something back
-	Alone   int   // times that it went on without having caught up
-	Bytes   int64 // sent, about
-	Reasked int   // times that another peer was asked for want of an answer
+	InvalidMessages int   // invalid messages and deltas received
+	Throttled       int   // messages that the byte budget delayed
+	CatchUpTimeouts int   // times that catching up ended because no peer answered
+	BytesSent       int64 // estimated
+	PullRetries     int   // pulls that timed out
 }
 
-// New makes a machine at a time. It is behind.
+// New returns a machine that starts at a time. It is catching up.
 func New(cfg Config, now Time) *Machine {
-	m := &Machine{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, cfg.Own.Life)), copy: facts.New(cfg.Own, cfg.Zone, cfg.Drift),
-		peers: map[string]*peer{}, last: now, tickAt: now, filledAt: now, hot: hotRate, budget: cfg.Rate}
-	m.fallBehind(now)
+	m := &Machine{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, cfg.Self.Incarnation)),
+		replica: facts.New(cfg.Self, cfg.Zone, cfg.Drift), peers: map[string]*peer{},
+		lastStep: now, tickAt: now, filledAt: now, urgentFacts: urgentFactsPerSecond, budget: cfg.Rate}
+	m.startCatchUp(now)
 	return m
 }
 
-// Copy is the copy of this sender, for those who only look.
-func (m *Machine) Copy() *facts.Copy { return m.copy }
+// Replica returns this sender's replica, which the caller must not change.
+func (m *Machine) Replica() *facts.Replica { return m.replica }
 
-// Behind says whether this copy may lack what others knew when this process
-// returned, and since when.
-func (m *Machine) Behind() (bool, Time) { return m.behind, m.since }
+// CatchingUp reports whether this replica may lack facts that others had when this process
+// started or resumed, and since when.
+func (m *Machine) CatchingUp() (bool, Time) { return m.catchingUp, m.catchUpStart }
 
-// Next is when Tick is to be called at the latest.
-func (m *Machine) Next() Time {
+// NextTick returns the time by which Tick must be called.
+func (m *Machine) NextTick() Time {
 	next := m.tickAt
-	_, seq := m.copy.Own()
+	_, seq := m.replica.LocalVersion()
 	for _, p := range m.peers {
-		if p.acked < seq || m.behind && p.asked != 0 {
-			next = min(next, max(p.again, m.last+firstAgain/4))
+		if p.acked < seq || m.catchingUp && p.pullRequest != 0 {
+			next = min(next, max(p.resendAt, m.lastStep+initialResendDelay/4))
 		}
 	}
 	return next
 }
 
-// begin lets time pass. One that did not run for some ticks has missed what was told
-// meanwhile.
+// begin starts a step: it refills the budgets, and it starts to catch up if this process did
+// not run for some ticks and so may have missed facts.
 func (m *Machine) begin(now Time) {
-	m.out = Ready{}
-	if now-m.last > Missed*m.cfg.Every {
-		m.fallBehind(now)
+	m.ready = Ready{}
+	if now-m.lastStep > MaxMissedTicks*m.cfg.DigestInterval {
+		m.startCatchUp(now)
 	}
-	m.last = max(m.last, now)
-	d := (now - m.filledAt).Seconds()
-	m.budget, m.hot, m.filledAt = min(m.budget+d*m.cfg.Rate, m.cfg.Rate), min(m.hot+d*hotRate, hotRate), now
+	m.lastStep = max(m.lastStep, now)
+	elapsed := (now - m.filledAt).Seconds()
+	m.budget, m.urgentFacts, m.filledAt = min(m.budget+elapsed*m.cfg.Rate, m.cfg.Rate),
+		min(m.urgentFacts+elapsed*urgentFactsPerSecond, urgentFactsPerSecond), now
 }
 
-// Peers says which senders there are to talk to.
-func (m *Machine) Peers(list []Peer) {
-	now := map[string]bool{}
+// SetPeers replaces the list of peers.
+func (m *Machine) SetPeers(list []Peer) {
+	listed := map[string]bool{}
 	for _, x := range list {
-		now[x.Name] = true
+		listed[x.Name] = true
 		if p := m.peers[x.Name]; p != nil {
 			p.Peer = x
 			continue
 		}
-		m.peers[x.Name] = &peer{Peer: x, heard: facts.Never, askedAt: facts.Never, rows: map[facts.Origin]uint64{}}
-		if m.behind { // it may be asked at once
-			m.tickAt = m.last
+		m.peers[x.Name] = &peer{Peer: x, receivedAt: facts.Never, pulledAt: facts.Never,
+			watermarks: map[facts.Origin]uint64{}}
+		if m.catchingUp { // pull from the new peer without delay
+			m.tickAt = m.lastStep
 		}
 	}
-	maps.DeleteFunc(m.peers, func(name string, _ *peer) bool { return !now[name] })
+	maps.DeleteFunc(m.peers, func(name string, _ *peer) bool { return !listed[name] })
 	m.order = slices.Sorted(maps.Keys(m.peers))
 }
 
-// Tell takes what this sender has learnt itself. What binds others goes out at once.
-func (m *Machine) Tell(now Time, s facts.Subject, v facts.Value, age, span Time) (Ready, error) {
+// Publish publishes a fact of this sender about an event that happened age ago; see
+// [facts.Replica.Publish]. Facts that restrict other senders are sent to all peers at once.
+func (m *Machine) Publish(now Time, s facts.Subject, v facts.Value, age, ttl Time) (Ready, error) {
 	m.begin(now)
-	if err := m.copy.Tell(now, s, v, age, span); err != nil {
-		return m.out, err
+	if err := m.replica.Publish(now, s, v, age, ttl); err != nil {
+		return m.ready, err
 	}
-	m.out.Lessons = m.copy.Learn(now, []facts.Subject{s}) // whose turn it is may have changed
-	own, seq := m.copy.Own()
-	if m.hot >= 1 && (s.Kind == facts.Wait || s.Kind == facts.Health) {
-		m.hot--
+	m.ready.Observations = m.replica.Observe(now, []facts.Subject{s}) // the trial owner may have changed
+	own, seq := m.replica.LocalVersion()
+	if m.urgentFacts >= 1 && (s.Kind == facts.RequestedWait || s.Kind == facts.Health) {
+		m.urgentFacts--
 		for _, name := range m.order {
-			if p := m.peers[name]; p.acked < seq-1 { // it lacks others too; they follow
-				out := m.common(p)
-				out.Deltas = []facts.Delta{m.copy.Since(now, own, seq-1, packet)}
-				m.send(p, out)
+			if p := m.peers[name]; p.acked < seq-1 { // resendOwn sends the other facts that it lacks
+				msg := m.newMessage(p)
+				msg.Deltas = []facts.Delta{m.replica.DeltaSince(now, own, seq-1, packetBytes)}
+				m.send(p, msg)
 			}
 		}
 	}
-	m.push(now)
-	return m.out, nil
+	m.resendOwn(now)
+	return m.ready, nil
 }
 
-// push sends own facts to those who have not confirmed them.
-func (m *Machine) push(now Time) {
-	own, seq := m.copy.Own()
+// resendOwn sends own facts to the peers that have not confirmed them.
+func (m *Machine) resendOwn(now Time) {
+	own, seq := m.replica.LocalVersion()
 	for _, name := range m.order {
 		p := m.peers[name]
-		if p.acked >= seq || now < p.again || p.behind && now-p.heard < behindFor { // one that is behind asks by itself
+		// A peer that is catching up pulls what it lacks.
+		if p.acked >= seq || now < p.resendAt || p.catchingUp && now-p.receivedAt < catchingUpValidity {
 			continue
 		}
-		out := m.common(p)
-		out.Deltas = []facts.Delta{m.copy.Since(now, own, p.acked, packet)}
-		if !m.spend(out) {
+		msg := m.newMessage(p)
+		msg.Deltas = []facts.Delta{m.replica.DeltaSince(now, own, p.acked, packetBytes)}
+		if !m.spend(msg) {
 			continue
 		}
-		p.gap = min(max(2*p.gap, firstAgain), max(m.cfg.Every, firstAgain))
-		p.again = now + p.gap
-		m.send(p, out)
-		if p.tries++; p.tries > triesAlone {
-			m.passOn(p)
+		p.resendDelay = min(max(2*p.resendDelay, initialResendDelay), max(m.cfg.DigestInterval, initialResendDelay))
+		p.resendAt = now + p.resendDelay
+		m.send(p, msg)
+		if p.tries++; p.tries > maxDirectTries {
+			m.relay(p)
 		}
 	}
 }
 
-// passOn asks another sender to tell a peer who does not confirm: it may be cut off
-// from this one only.
-func (m *Machine) passOn(to *peer) {
+// relay asks another peer to forward own facts to a peer that does not confirm them, in case
+// only the link from this sender is broken.
+func (m *Machine) relay(to *peer) {
 	for _, i := range m.rng.Perm(len(m.order)) {
-		if p := m.peers[m.order[i]]; p != to && p.tries <= triesAlone {
-			out := m.common(p)
-			own, _ := m.copy.Own()
-			out.On, out.Deltas = []string{to.Name}, []facts.Delta{m.copy.Since(m.last, own, to.acked, packet)}
-			if m.spend(out) {
-				m.send(p, out)
+		if p := m.peers[m.order[i]]; p != to && p.tries <= maxDirectTries {
+			msg := m.newMessage(p)
+			own, _ := m.replica.LocalVersion()
+			msg.RelayTo, msg.Deltas = []string{to.Name},
+				[]facts.Delta{m.replica.DeltaSince(m.lastStep, own, to.acked, packetBytes)}
+			if m.spend(msg) {
+				m.send(p, msg)
 			}
 			return
 		}
 	}
 }
 
-// Tick does what is due.
+// Tick does the work that is due: it expires facts, sends a digest to a random peer, resends
+// and catches up.
 func (m *Machine) Tick(now Time) Ready {
 	m.begin(now)
 	if now >= m.tickAt {
-		m.tickAt = now + m.cfg.Every*Time(80+m.rng.IntN(41))/100
-		m.out.Lessons = m.copy.Learn(now, m.copy.Expire(now))
+		m.tickAt = now + m.cfg.DigestInterval*Time(80+m.rng.IntN(41))/100
+		m.ready.Observations = m.replica.Observe(now, m.replica.Expire(now))
 		if len(m.order) > 0 {
 			p := m.peers[m.order[m.rng.IntN(len(m.order))]]
-			out := m.common(p)
-			m.whole(out)
-			m.send(p, out)
+			msg := m.newMessage(p)
+			m.addDigest(msg)
+			m.send(p, msg)
 		}
 	}
-	m.push(now)
+	m.resendOwn(now)
 	m.catchUp(now)
-	return m.out
+	return m.ready
 }
 
-// Take takes a message of another sender. One that makes no sense changes nothing.
-func (m *Machine) Take(now Time, msg *Message) Ready {
+// Receive processes a message from a peer. An invalid message is counted and ignored.
+func (m *Machine) Receive(now Time, msg *Message) Ready {
 	m.begin(now)
-	if msg.Wire != Wire || msg.From.Name == "" || msg.From.Life == 0 || len(msg.Rows) > MostRows || len(msg.Deltas) > MostDeltas ||
-		len(msg.On) > MostOn || msg.Stamp < 0 {
-		m.Forged++
-		return m.out
+	if msg.Version != Version || msg.From.Name == "" || msg.From.Incarnation == 0 ||
+		len(msg.DigestRows) > MaxDigestRows || len(msg.Deltas) > MaxDeltas ||
+		len(msg.RelayTo) > MaxRelayTargets || msg.SentAt < 0 {
+		m.InvalidMessages++
+		return m.ready
 	}
 	p := m.peers[msg.From.Name]
-	if p == nil { // the view does not have it yet
-		return m.out
+	if p == nil { // not yet in the view of the members
+		return m.ready
 	}
-	if p.life != msg.From.Life {
-		addr := p.Peer
-		*p = peer{Peer: addr, life: msg.From.Life, askedAt: facts.Never, rows: map[facts.Origin]uint64{}}
+	if p.incarnation != msg.From.Incarnation {
+		id := p.Peer
+		*p = peer{Peer: id, incarnation: msg.From.Incarnation, pulledAt: facts.Never,
+			watermarks: map[facts.Origin]uint64{}}
 	}
-	p.heard, p.stamp, p.behind = now, max(p.stamp, msg.Stamp), msg.Behind
-	most := Time(unknown)
-	if msg.Echo > 0 && msg.Echo <= now { // else it echoes an earlier life, on another machine's clock
-		most = now - msg.Echo
+	p.receivedAt, p.sentAt, p.catchingUp = now, max(p.sentAt, msg.SentAt), msg.CatchingUp
+	transit := Time(maxTransit)
+	// A later Echo comes from an earlier incarnation of this sender, on another machine's clock.
+	if msg.Echo > 0 && msg.Echo <= now {
+		transit = now - msg.Echo
 	}
 	var changed []facts.Subject
 	confirm := false
 	for i := range msg.Deltas {
-		list, err := m.copy.Merge(now, &msg.Deltas[i], most)
+		list, err := m.replica.Merge(now, &msg.Deltas[i], transit)
 		if err != nil {
-			m.Forged++
+			m.InvalidMessages++
 			continue
 		}
 		changed = append(changed, list...)
 		confirm = confirm || msg.Deltas[i].Origin == msg.From
 	}
-	m.out.Lessons = m.copy.Learn(now, changed)
-	m.compare(now, p, msg)
+	m.ready.Observations = m.replica.Observe(now, changed)
+	m.receiveDigest(now, p, msg)
 	if confirm {
-		out := m.common(p)
-		out.Rows = []facts.Row{{Origin: msg.From, Known: m.copy.Known(msg.From)}}
-		m.send(p, out)
+		ack := m.newMessage(p)
+		ack.DigestRows = []facts.DigestRow{{Origin: msg.From, Watermark: m.replica.Watermark(msg.From)}}
+		m.send(p, ack)
 	}
-	for _, name := range msg.On {
+	for _, name := range msg.RelayTo {
 		if to := m.peers[name]; to != nil && to != p {
-			m.give(now, to, facts.Row{Origin: msg.From, Known: to.rows[msg.From]})
+			m.sendMissing(now, to, facts.DigestRow{Origin: msg.From, Watermark: to.watermarks[msg.From]})
 		}
 	}
-	if msg.Ask != 0 {
-		m.answer(now, p, msg)
+	if msg.PullRequest != 0 {
+		m.answerPull(now, p, msg)
 	}
-	m.push(now)
+	m.resendOwn(now)
 	m.catchUp(now)
-	return m.out
+	return m.ready
 }
 
-// compare takes the rows of a message.
-func (m *Machine) compare(now Time, p *peer, msg *Message) {
-	own, seq := m.copy.Own()
+// receiveDigest processes the digest rows of a message: it records what the peer has, sends
+// what the peer lacks, and pulls if this replica lacks facts.
+func (m *Machine) receiveDigest(now Time, p *peer, msg *Message) {
+	own, seq := m.replica.LocalVersion()
 	lacks := false
-	if len(p.rows) > facts.MostOrigins { // lives that are long over, most of them
-		clear(p.rows)
+	if len(p.watermarks) > facts.MaxOrigins { // most are of incarnations that ended long ago
+		clear(p.watermarks)
 	}
-	answered := msg.Answer != 0 && msg.Answer == p.asked && msg.Whole
-	if answered && m.behind && p.goal == nil {
-		p.aim(msg.Rows)
+	answered := msg.PullComplete != 0 && msg.PullComplete == p.pullRequest && msg.DigestComplete
+	if answered && m.catchingUp && p.target == nil {
+		p.setTarget(msg.DigestRows)
 	}
-	for _, r := range msg.Rows {
-		p.rows[r.Origin] = max(p.rows[r.Origin], r.Known)
-		if r.Origin == own {
-			if known := min(r.Known, seq); known > p.acked {
-				p.acked, p.gap, p.tries, p.again = known, 0, 0, now
+	for _, row := range msg.DigestRows {
+		p.watermarks[row.Origin] = max(p.watermarks[row.Origin], row.Watermark)
+		if row.Origin == own {
+			if acked := min(row.Watermark, seq); acked > p.acked {
+				p.acked, p.resendDelay, p.tries, p.resendAt = acked, 0, 0, now
 			}
 		}
-		if !msg.Whole {
+		if !msg.DigestComplete {
 			continue
 		}
-		l, ahead := m.copy.Compare(r)
-		lacks = lacks || l
-		if ahead && msg.Ask == 0 && r.Origin != own {
-			m.give(now, p, r)
+		behind, ahead := m.replica.Compare(row)
+		lacks = lacks || behind
+		if ahead && msg.PullRequest == 0 && row.Origin != own {
+			m.sendMissing(now, p, row)
 		}
 	}
-	if msg.Whole && msg.Ask == 0 {
-		has := map[facts.Origin]bool{}
-		for _, r := range msg.Rows {
-			has[r.Origin] = true
+	if msg.DigestComplete && msg.PullRequest == 0 {
+		listed := map[facts.Origin]bool{}
+		for _, row := range msg.DigestRows {
+			listed[row.Origin] = true
 		}
-		for _, r := range m.copy.Digest() {
-			if !has[r.Origin] && r.Origin != own && (r.Known > r.Floor || r.Top > 0) {
-				m.give(now, p, facts.Row{Origin: r.Origin})
+		for _, row := range m.replica.Digest() {
+			if !listed[row.Origin] && row.Origin != own && (row.Watermark > row.Floor || row.Highest > 0) {
+				m.sendMissing(now, p, facts.DigestRow{Origin: row.Origin})
 			}
 		}
 	}
 	if answered {
-		p.asked = 0
-		if m.behind {
-			m.reached(now, p)
+		p.pullRequest = 0
+		if m.catchingUp {
+			m.checkTarget(now, p)
 		}
 	}
 	switch {
 	case !lacks:
-	case m.behind: // one after another: what the first gives the next need not
-		if answered && !p.done {
-			m.ask(now, p)
+	case m.catchingUp: // one peer after another, so that the next need not send the same facts
+		if answered && !p.caughtUp {
+			m.pull(now, p)
 		}
-	case p.asked == 0 || now >= p.askedAt+askAgain:
-		m.ask(now, p)
+	case p.pullRequest == 0 || now >= p.pulledAt+pullTimeout:
+		m.pull(now, p)
 	}
 }
 
-// give sends what a peer lacks of one origin by its row, as far as a packet holds.
-func (m *Machine) give(now Time, p *peer, theirs facts.Row) {
-	out := m.common(p)
-	if theirs.Known < m.copy.Known(theirs.Origin) {
-		out.Deltas = []facts.Delta{m.copy.Since(now, theirs.Origin, theirs.Known, packet)}
-	} else { // its author may be gone, with what lies between
-		out.Deltas = m.copy.Ahead(now, theirs.Origin, max(theirs.Known, theirs.Top), packet)
+// sendMissing sends the facts of one origin that a peer lacks according to its digest row,
+// at most one packet.
+func (m *Machine) sendMissing(now Time, p *peer, remote facts.DigestRow) {
+	msg := m.newMessage(p)
+	if remote.Watermark < m.replica.Watermark(remote.Origin) {
+		msg.Deltas = []facts.Delta{m.replica.DeltaSince(now, remote.Origin, remote.Watermark, packetBytes)}
+	} else { // the origin may be gone, and with it the facts in the gap
+		msg.Deltas = m.replica.OutOfOrderDeltas(now, remote.Origin, max(remote.Watermark, remote.Highest), packetBytes)
 	}
-	if len(out.Deltas) > 0 && m.spend(out) {
-		m.send(p, out)
+	if len(msg.Deltas) > 0 && m.spend(msg) {
+		m.send(p, msg)
 	}
 }
 
-// answer sends what an asker lacks by its rows, and closes with what this one has.
-// Without room for any of it nothing is said: the asker goes to another then.
-func (m *Machine) answer(now Time, p *peer, msg *Message) {
-	has := map[facts.Origin]facts.Row{}
-	for _, r := range msg.Rows {
-		has[r.Origin] = r
+// answerPull sends the facts that a peer lacks according to its rows, and ends with the own
+// digest. If the budget allows no packet, it sends nothing, and the peer pulls from another.
+func (m *Machine) answerPull(now Time, p *peer, msg *Message) {
+	remoteRows := map[facts.Origin]facts.DigestRow{}
+	for _, row := range msg.DigestRows {
+		remoteRows[row.Origin] = row
 	}
 	packets := 0
-	out := m.common(p)
-	room := packet
+	reply := m.newMessage(p)
+	bytesLeft := packetBytes
 	flush := func() bool {
-		if len(out.Deltas) == 0 {
+		if len(reply.Deltas) == 0 {
 			return true
 		}
-		if packets == packetsAsk || !m.spend(out) {
+		if packets == maxPullPackets || !m.spend(reply) {
 			return false
 		}
 		packets++
-		m.send(p, out)
-		out, room = m.common(p), packet
+		m.send(p, reply)
+		reply, bytesLeft = m.newMessage(p), packetBytes
 		return true
 	}
 	func() {
-		for _, r := range m.copy.Digest() {
-			theirs := has[r.Origin]
-			if top := max(theirs.Known, theirs.Top); r.Top > top {
-				out.Deltas = append(out.Deltas, m.copy.Ahead(now, r.Origin, top, room)...)
+		for _, row := range m.replica.Digest() {
+			remote := remoteRows[row.Origin]
+			if highest := max(remote.Watermark, remote.Highest); row.Highest > highest {
+				reply.Deltas = append(reply.Deltas, m.replica.OutOfOrderDeltas(now, row.Origin, highest, bytesLeft)...)
 			}
-			for since := theirs.Known; since < r.Known; {
-				d := m.copy.Since(now, r.Origin, since, room)
-				out.Deltas = append(out.Deltas, d)
-				room -= d.Size()
-				since = d.UpTo
-				if (room < packet/4 || len(out.Deltas) == MostDeltas) && !flush() {
+			for since := remote.Watermark; since < row.Watermark; {
+				delta := m.replica.DeltaSince(now, row.Origin, since, bytesLeft)
+				reply.Deltas = append(reply.Deltas, delta)
+				bytesLeft -= delta.Size()
+				since = delta.UpTo
+				if (bytesLeft < packetBytes/4 || len(reply.Deltas) == MaxDeltas) && !flush() {
 					return
 				}
 			}
 		}
 		flush()
 	}()
-	if packets == 0 && len(out.Deltas) > 0 {
+	if packets == 0 && len(reply.Deltas) > 0 {
 		return
 	}
-	last := m.common(p)
-	last.Answer = msg.Ask
-	m.whole(last)
+	last := m.newMessage(p)
+	last.PullComplete = msg.PullRequest
+	m.addDigest(last)
 	m.send(p, last)
 }
 
-// whole puts a digest of the whole copy into a message.
-func (m *Machine) whole(out *Message) {
-	out.Rows = m.copy.Digest()
-	if out.Whole = len(out.Rows) <= MostRows; !out.Whole { // some of them, others the next time
-		at := m.rng.IntN(len(out.Rows) - MostRows + 1)
-		out.Rows = out.Rows[at : at+MostRows]
+// addDigest adds the digest of the replica to a message.
+func (m *Machine) addDigest(msg *Message) {
+	msg.DigestRows = m.replica.Digest()
+	if msg.DigestComplete = len(msg.DigestRows) <= MaxDigestRows; !msg.DigestComplete {
+		// A random part; others follow in later digests.
+		first := m.rng.IntN(len(msg.DigestRows) - MaxDigestRows + 1)
+		msg.DigestRows = msg.DigestRows[first : first+MaxDigestRows]
 	}
 }
 
-func (m *Machine) common(p *peer) *Message {
-	return &Message{Wire: Wire, From: m.cfg.Own, Stamp: m.last, Echo: p.stamp, Behind: m.behind}
+// newMessage returns a message to a peer with the common fields set.
+func (m *Machine) newMessage(p *peer) *Message {
+	return &Message{Version: Version, From: m.cfg.Self, SentAt: m.lastStep, Echo: p.sentAt, CatchingUp: m.catchingUp}
 }
 
-// spend takes a message out of the budget, if there is room for it.
-func (m *Machine) spend(out *Message) bool {
+// spend deducts a message from the byte budget and reports whether the budget allowed it.
+func (m *Machine) spend(msg *Message) bool {
 	if m.budget <= 0 {
-		m.Short++
+		m.Throttled++
 		return false
 	}
-	m.budget -= float64(sizeOf(out))
+	m.budget -= float64(sizeOf(msg))
 	return true
 }
 
-func (m *Machine) send(p *peer, out *Message) {
-	m.Bytes += int64(sizeOf(out))
-	m.out.Send = append(m.out.Send, Envelope{p.Addr, out})
+// send adds a message to a peer to the result of the step.
+func (m *Machine) send(p *peer, msg *Message) {
+	m.BytesSent += int64(sizeOf(msg))
+	m.ready.Send = append(m.ready.Send, Envelope{p.Addr, msg})
 }
--- a/internal/replicate/play/draw.go
+++ b/internal/replicate/play/draw.go
@@ -5,45 +5,47 @@
 	"time"
 )
 
-// Outcome is what came of a play.
+// Outcome is the result of a random simulation.
 type Outcome struct {
-	Early, Long, Blind int
-	Equal              time.Duration // after the faults until all copies are equal
-	Never              bool          // they did not become so
-	Caught             time.Duration // the longest until one that returned after the faults had caught up
-	Repairs, Forged    int
+	EarlyWaits, LongWaits, MissingWaits int           // see the fields of World
+	ConvergenceTime                     time.Duration // from the end of the faults until all replicas are equal
+	NotConverged                        bool          // the replicas did not become equal
+	CatchUpTime                         time.Duration // longest time to catch up after the final restart or pause
+	Repairs, InvalidMessages            int
 }
 
-// Bad says what of an outcome must not be; empty if nothing.
-func (o Outcome) Bad() string {
+// Violation describes the first invariant that was violated; it is empty if none was.
+func (o Outcome) Violation() string {
 	switch {
-	case o.Early > 0:
-		return fmt.Sprintf("%d waits ended early in a copy", o.Early)
-	case o.Long > 0:
-		return fmt.Sprintf("%d waits lasted too long in a copy", o.Long)
-	case o.Never:
-		return "the copies did not become equal"
-	case o.Blind > 0:
-		return fmt.Sprintf("%d waits unknown to one that says it has caught up", o.Blind)
+	case o.EarlyWaits > 0:
+		return fmt.Sprintf("%d waits ended early in a replica", o.EarlyWaits)
+	case o.LongWaits > 0:
+		return fmt.Sprintf("%d waits lasted too long in a replica", o.LongWaits)
+	case o.NotConverged:
+		return "the replicas did not converge"
+	case o.MissingWaits > 0:
+		return fmt.Sprintf("%d waits missing in a replica that had caught up", o.MissingWaits)
 	case o.Repairs > 0:
-		return fmt.Sprintf("%d copies with equal numbers differed", o.Repairs)
-	case o.Forged > 0:
-		return fmt.Sprintf("%d messages that made no sense", o.Forged)
+		return fmt.Sprintf("%d replicas with equal watermarks differed", o.Repairs)
+	case o.InvalidMessages > 0:
+		return fmt.Sprintf("%d invalid messages", o.InvalidMessages)
 	}
 	return ""
 }
 
-// Draw plays random faults for a span while partners tell waits, then heals all, and
-// has one process start anew and one be paused. The same options give the same play.
-func Draw(opts Options, d time.Duration) Outcome {
+// RunRandom runs a simulation with random faults for d while senders publish waits. It then
+// heals all links, restarts one process and pauses another. The same options give the same
+// run.
+func RunRandom(opts Options, d time.Duration) Outcome {
 	w := New(opts)
 	n := opts.Senders
 	for end := w.Now + d; w.Now < end; {
-		w.Run(time.Duration(w.rng.Int64N(int64(2 * opts.Every))))
+		w.Run(time.Duration(w.rng.Int64N(int64(2 * opts.DigestInterval))))
 		i, k := w.rng.IntN(n), w.rng.IntN(n)
 		switch w.rng.IntN(12) {
 		case 0, 1, 2, 3:
-			w.Wait(i, fmt.Sprint("e", w.rng.IntN(5)), opts.Every+time.Duration(w.rng.Int64N(int64(80*opts.Every))))
+			w.PublishWait(i, fmt.Sprint("e", w.rng.IntN(5)),
+				opts.DigestInterval+time.Duration(w.rng.Int64N(int64(80*opts.DigestInterval))))
 		case 4:
 			if w.rng.IntN(2) == 0 {
 				w.Kill(i)
@@ -53,12 +55,12 @@
 				w.Start(i)
 			}
 		case 6:
-			w.Pause(i, time.Duration(w.rng.Int64N(int64(20*opts.Every))))
+			w.Pause(i, time.Duration(w.rng.Int64N(int64(20*opts.DigestInterval))))
 		case 7:
 			w.Cut(i, k, true)
 		case 8:
-			w.Lose(i, k, w.rng.Float64())
-		case 9: // two pieces
+			w.SetLoss(i, k, w.rng.Float64())
+		case 9: // partition into two parts
 			at := w.rng.IntN(n)
 			for a := range n {
 				for b := range n {
@@ -69,10 +71,10 @@
 			}
 		case 10:
 			w.Heal()
-		case 11: // all lose some
+		case 11: // loss on all links
 			for a := range n {
 				for b := range n {
-					w.Lose(a, b, 0.3)
+					w.SetLoss(a, b, 0.3)
 				}
 			}
 		}
@@ -84,35 +86,35 @@
 			w.Start(i)
 		}
 	}
-	w.Run(20 * opts.Every) // those that are paused go on
+	w.Run(20 * opts.DigestInterval) // pauses end
 	var o Outcome
-	took, ok := w.Until(60*opts.Every, w.Equal)
-	o.Equal, o.Never = took, !ok
+	took, ok := w.Until(60*opts.DigestInterval, w.Converged)
+	o.ConvergenceTime, o.NotConverged = took, !ok
 	for i := range 3 {
-		w.Wait(i%n, fmt.Sprint("last", i), 200*opts.Every)
+		w.PublishWait(i%n, fmt.Sprint("last", i), 200*opts.DigestInterval)
 	}
-	w.Run(10 * opts.Every)
-	told := w.Now
-	back := []int{w.rng.IntN(n)}
-	w.Start(back[0])
-	if n > 2 { // of two, the one who starts would have nobody to ask
-		back = append(back, (back[0]+1)%n)
-		w.Pause(back[1], 10*opts.Every)
+	w.Run(10 * opts.DigestInterval)
+	published := w.Now
+	restarted := []int{w.rng.IntN(n)}
+	w.Start(restarted[0])
+	if n > 2 { // of two senders, the restarted one would have no peer to pull from
+		restarted = append(restarted, (restarted[0]+1)%n)
+		w.Pause(restarted[1], 10*opts.DigestInterval)
 	}
-	for range 30 * int(opts.Every/(2*time.Millisecond)) {
+	for range 30 * int(opts.DigestInterval/(2*time.Millisecond)) {
 		w.Run(2 * time.Millisecond)
-		o.Blind += w.Lack(told)
+		o.MissingWaits += w.CountMissing(published)
 	}
 	w.Check()
-	for _, i := range back {
-		if p := w.Procs[i]; p.Caught > 0 {
-			o.Caught = max(o.Caught, p.Caught-told)
+	for _, i := range restarted {
+		if p := w.Procs[i]; p.CaughtUpAt > 0 {
+			o.CatchUpTime = max(o.CatchUpTime, p.CaughtUpAt-published)
 		}
 	}
-	o.Early, o.Long = w.Early, w.Long
+	o.EarlyWaits, o.LongWaits = w.EarlyWaits, w.LongWaits
 	for _, p := range w.Procs {
-		o.Repairs += p.Machine.Copy().Repairs
-		o.Forged += p.Machine.Forged
+		o.Repairs += p.Machine.Replica().Repairs
+		o.InvalidMessages += p.Machine.InvalidMessages
 	}
 	return o
 }
--- a/internal/replicate/status.go
+++ b/internal/replicate/status.go
@@ -6,79 +6,81 @@
 	"cometrack/internal/facts"
 )
 
-// Status is what operators see of a copy.
+// Status describes the replication of facts at one sender, for operators.
 type Status struct {
-	Behind  bool    `json:"behind"`   // it may lack what others knew when this process returned
-	For     float64 `json:"behind_s"` // how long it has been; 0 if it is not
-	Facts   int     `json:"facts"`
-	Forged  int     `json:"forged"`      // messages and deltas that made no sense
-	Repairs int     `json:"repairs"`     // copies with equal numbers that differed
-	Short   int     `json:"held_back"`   // times that the bytes a second held something back
-	Alone   int     `json:"went_alone"`  // times that nobody answered
-	Bytes   int64   `json:"bytes"`       // sent, about
-	Unsure  int     `json:"unconfirmed"` // facts of this sender that some other has not confirmed
-	Dropped int     `json:"dropped"`     // facts of this sender that made room for others
-	Peers   []Lag   `json:"peers"`
+	CatchingUp        bool    `json:"behind"`   // this replica may lack facts that others have
+	CatchingUpSeconds float64 `json:"behind_s"` // duration of the current catch-up; 0 if there is none
+	Facts             int     `json:"facts"`
+	InvalidMessages   int     `json:"forged"`      // invalid messages and deltas received
+	Repairs           int     `json:"repairs"`     // origins that differed from a replica with the same watermark
+	Throttled         int     `json:"held_back"`   // messages that the byte budget delayed
+	CatchUpTimeouts   int     `json:"went_alone"`  // times that catching up ended because no peer answered
+	BytesSent         int64   `json:"bytes"`       // estimated
+	Unconfirmed       int     `json:"unconfirmed"` // largest Lag of a peer
+	Dropped           int     `json:"dropped"`     // own facts removed to make room for others
+	Peers             []Lag   `json:"peers"`
 }
 
-// Lag is how far another sender is behind this one's own facts.
+// Lag describes how far a peer lags behind this sender's own facts.
 type Lag struct {
-	Name   string  `json:"name"`
-	Lag    uint64  `json:"lag"`     // numbers that it has not confirmed
-	Heard  float64 `json:"heard_s"` // seconds since it last sent facts; -1 for never
-	Behind bool    `json:"behind"`
+	Name                string  `json:"name"`
+	Lag                 uint64  `json:"lag"`     // sequence numbers of this sender that the peer has not confirmed
+	SecondsSinceReceipt float64 `json:"heard_s"` // since the last message from the peer; -1 for never
+	CatchingUp          bool    `json:"behind"`
 }
 
-// Status tells of the copy at a time.
+// Status returns the status at a time.
 func (m *Machine) Status(now Time) Status {
-	s := Status{Behind: m.behind, Facts: m.copy.Len(), Forged: m.Forged, Repairs: m.copy.Repairs, Short: m.Short, Alone: m.Alone, Bytes: m.Bytes,
-		Dropped: m.copy.Dropped, Peers: []Lag{}}
-	if m.behind {
-		s.For = (now - m.since).Seconds()
+	s := Status{CatchingUp: m.catchingUp, Facts: m.replica.Len(), InvalidMessages: m.InvalidMessages,
+		Repairs: m.replica.Repairs, Throttled: m.Throttled, CatchUpTimeouts: m.CatchUpTimeouts, BytesSent: m.BytesSent,
+		Dropped: m.replica.Dropped, Peers: []Lag{}}
+	if m.catchingUp {
+		s.CatchingUpSeconds = (now - m.catchUpStart).Seconds()
 	}
-	_, seq := m.copy.Own()
+	_, seq := m.replica.LocalVersion()
 	for _, name := range m.order {
 		p := m.peers[name]
-		l := Lag{Name: name, Lag: seq - p.acked, Heard: -1, Behind: p.behind}
-		if p.heard != facts.Never {
-			l.Heard = (now - p.heard).Seconds()
+		lag := Lag{Name: name, Lag: seq - p.acked, SecondsSinceReceipt: -1, CatchingUp: p.catchingUp}
+		if p.receivedAt != facts.Never {
+			lag.SecondsSinceReceipt = (now - p.receivedAt).Seconds()
 		}
-		s.Unsure = max(s.Unsure, int(l.Lag))
-		s.Peers = append(s.Peers, l)
+		s.Unconfirmed = max(s.Unconfirmed, int(lag.Lag))
+		s.Peers = append(s.Peers, lag)
 	}
 	return s
 }
 
-// Gap is what two senders have of one origin, as far as this one has been told.
-type Gap struct {
-	Origin string `json:"by"`
-	Life   uint64 `json:"life"`
-	Here   uint64 `json:"here"`  // known here up to this number
-	There  uint64 `json:"there"` // and there
+// Difference is a difference between this replica and a peer's in the facts of one origin,
+// according to the peer's last digest.
+type Difference struct {
+	Origin      string `json:"by"`
+	Incarnation uint64 `json:"life"`
+	Local       uint64 `json:"here"`  // watermark of this replica
+	Remote      uint64 `json:"there"` // watermark of the peer's replica
 }
 
-// Gaps lists by origin where another sender's copy differs from this one, by what it
-// last told. The one with the higher number has what the other lacks; both come to
-// have it.
-func (m *Machine) Gaps(name string) (out []Gap, err error) {
+// Differences lists the origins in which a peer's replica differs from this one, according
+// to the peer's last digest. The one with the higher watermark has facts that the other
+// lacks; anti-entropy removes the difference. The error reports an unknown peer.
+func (m *Machine) Differences(name string) (out []Difference, err error) {
 	p := m.peers[name]
 	if p == nil {
 		return nil, fmt.Errorf("no sender %q is known", name)
 	}
-	out = []Gap{}
-	own, seq := m.copy.Own()
-	there := map[facts.Origin]uint64{}
-	for id, known := range p.rows {
-		there[id] = known
+	out = []Difference{}
+	own, seq := m.replica.LocalVersion()
+	remote := map[facts.Origin]uint64{}
+	for id, watermark := range p.watermarks {
+		remote[id] = watermark
 	}
-	there[own] = p.acked
-	for _, r := range m.copy.Digest() {
-		if r.Origin != own && r.Known != there[r.Origin] {
-			out = append(out, Gap{r.Origin.Name, r.Origin.Life, r.Known, there[r.Origin]})
+	remote[own] = p.acked
+	for _, row := range m.replica.Digest() {
+		if row.Origin != own && row.Watermark != remote[row.Origin] {
+			out = append(out, Difference{row.Origin.Name, row.Origin.Incarnation, row.Watermark, remote[row.Origin]})
 		}
 	}
 	if p.acked != seq {
-		out = append(out, Gap{own.Name, own.Life, seq, p.acked})
+		out = append(out, Difference{own.Name, own.Incarnation, seq, p.acked})
 	}
 	return out, nil
 }
