--- a/logic/state.go
+++ b/logic/state.go
@@ -12,12 +12,12 @@
 // destination is a destination. Its endpoints share its limiter unless they are independent.
 type destination struct {
 	id           int64
-	kind         int
+	kind         int         // index in Settings.Kinds
 	endpoints    []*endpoint // listed endpoints, in the order of the list
 	nextEndpoint int         // index of the endpoint at which the rotation of first attempts starts
 	limiter      *limiter
 	latencies    histogram
-	lastUsed     Micros
+	lastUsed     Micros  // when the last message for it was submitted
 	arrivals     int     // messages submitted since the last outage began, or in the last minutes
 	outageAt     Micros  // time at which that period began
 	rank         float64 // number of its messages that are ahead in the present pass
@@ -42,17 +42,17 @@
 	limit         float64 // reported or nominal calls per second for all senders together; 0 if unknown
 	limitReported bool    // limit comes from a load report
 	rate          float64 // adaptive rate in calls per second; 0 if unlimited
-	decreasedAt   Micros
-	tokens        float64
+	decreasedAt   Micros  // time of the last decrease
+	tokens        float64 // as of refilledAt
 	refilledAt    Micros
-	nearLimit     bool   // the last load report said that little of the limit is left
-	waitUntil     Micros // end of the requested wait
-	inFlight      int
-	overloads     int // in a row
-	firstOverload Micros
-	callTimes     []Micros
-	peakRate      float64
-	phase         float64 // 0 to 1, drawn at random for each call to spread the calls of all senders
+	nearLimit     bool     // the last load report said that little of the limit is left
+	waitUntil     Micros   // end of the requested wait
+	inFlight      int      // calls in flight
+	overloads     int      // in a row
+	firstOverload Micros   // time of the first of these
+	callTimes     []Micros // recent calls
+	peakRate      float64  // most calls within a second, while warm
+	phase         float64  // 0 to 1, drawn at random for each call to spread the calls of all senders
 }
 
 // endpoint is the state of an endpoint.
@@ -61,11 +61,11 @@
 	zone                     int
 	state                    Readiness
 	dest                     *destination
-	limiter                  *limiter
-	callTimes                []Micros
-	failureRatio             float64
-	failures, overloads      int // in a row
-	invalidResponses, resets int // in a row
+	limiter                  *limiter // that of its destination, or its own
+	callTimes                []Micros // recent calls
+	failureRatio             float64  // moving average
+	failures, overloads      int      // in a row
+	invalidResponses, resets int      // in a row
 	removedAt                Micros
 	lastSuccess, lastFailure Micros
 	independentSuccess       Micros // when it was last known to be healthy during the outage of a sibling
@@ -73,31 +73,33 @@
 	peerReportAt             Micros // when a peer last reported on its health
 	suspect                  bool   // in outage, as far as known
 	cold                     bool   // in outage, or in slow start until recoveredAt+WarmAfter
-	recoveredAt              Micros
+	recoveredAt              Micros // end of its last outage
 	trialAt, trialInterval   Micros
-	trialFactor              int // trials are this many times rarer, as other senders try too; 0 for 1
-	inFlight                 int
+	trialFactor              int     // trials are this many times rarer, as other senders try too; 0 for 1
+	inFlight                 int     // calls in flight
 	latency                  float64 // smoothed, in microseconds
 	deficit                  float64 // independent endpoints: deficit in the rotation weighted by limits
 	lastSent                 Micros
 	idleConnUntil            Micros // time at which its idle connection closes
-	openCall                 *call
+	openCall                 *call  // the last call that was started
 }
 
+// call is a call to an endpoint, with the attempts of one or more messages.
 type call struct {
 	step, size, unresolved int
 	deadline               Micros // the earliest deadline of its messages
 }
 
+// attempt is an attempt in flight.
 type attempt struct {
 	msg       *message
-	number    int
+	number    int // 0 for the first attempt of its message
 	endpoint  *endpoint
 	startedAt Micros
 	call      *call
 	cancelled bool
 	restart   bool // cancelled at τ in order to start another attempt
-	stuck     bool
+	stuck     bool // unanswered for longer than stuckAfter
 	censored  bool // counted in the histogram as longer than τ while it is in flight
 }
 
@@ -109,23 +111,23 @@
 	maxAttempts    int        // 0 for no limit
 	quotaFactor    float64    // fraction of its worth that it keeps under its tenant's quota
 	dest           *destination
-	seq            int
+	seq            int    // order of arrival
 	arrivalStep    int    // the step in which it arrived
 	initialTime    Micros // time left to deliver it at its arrival
 	submittedAt    Micros // when it was first submitted
 	deadline       Micros
-	attempts       int
-	inherited      bool // accepted by a previous process, and not sent yet
-	restarts       int
-	inFlight       *attempt
+	attempts       int      // number of attempts made
+	inherited      bool     // accepted by a previous process, and not sent yet
+	restarts       int      // attempts cancelled as slow or stuck
+	inFlight       *attempt // nil if none
 	mayHaveRun     bool
-	mayHaveRunAt   Micros // when the first attempt that may have run was sent
-	mayHaveRunZone int
-	lastEndpoint   *endpoint
+	mayHaveRunAt   Micros    // when the first attempt that may have run was sent
+	mayHaveRunZone int       // zone of its endpoint
+	lastEndpoint   *endpoint // of its last attempt
 	backoffUntil   Micros
-	keyQueue       *keyQueue
+	keyQueue       *keyQueue // nil without an order key
 	ended          bool
-	streaming      bool
+	streaming      bool // its response has begun to stream
 	priority       float64
 
 	group         *group  // nil while it is in flight
@@ -140,8 +142,8 @@
 type keyQueue struct {
 	key          string
 	messages     []*message
-	quietUntil   Micros
-	quietMessage *message
+	quietUntil   Micros   // end of the pause
+	quietMessage *message // whose attempt caused the pause; the pause does not apply to it
 }
 
 // countAfter returns the number of times after t.
@@ -153,6 +155,7 @@
 	return n
 }
 
+// trimBefore drops the times before from, except for the last one.
 func trimBefore(times []Micros, from Micros) []Micros {
 	i := 0
 	for i < len(times)-1 && times[i] < from {
@@ -166,34 +169,34 @@
 	settings         Settings
 	rng              *rand.Rand
 	now              Micros
-	step             int
-	actions          []Action
+	step             int      // number of the present step
+	actions          []Action // of the present step
 	endpoints        map[EndpointID]*endpoint
 	destinations     map[int64]*destination
 	destinationOrder []*destination // in the order in which they became known
 	removed          []*endpoint    // removed from the list, state still kept
-	cleanupAt        Micros
+	cleanupAt        Micros         // time of the next cleanup
 	messages         map[string]*message
 	pending          int // messages not ended
 	queued           int // of these, not in flight
 	groups           []*group
 	active           []*destination // to be visited
 	timers           timerHeap
-	arrivals         []*message // messages that arrived in this step
-	shedIndex        int        // index of the next group to consider for load shedding, if there are many
-	idleKeys         []string   // keys whose queue became empty
-	inFlight         []*attempt
-	usedSlots        int // calls in flight
-	seq              int
-	classLatencies   map[string]*histogram
-	tenantUsage      []usage // by tenant
-	keyQueues        map[string]*keyQueue
-	wakeAt           Micros  // time at which work is next due
-	timerAt          Micros  // time at which the last timer fires; 0 if none is set
-	listRequestAt    Micros  // when to request the list; never if it has been requested
-	listRetryJitter  float64 // random fraction of maxListRetry by which the next request may come earlier
-	maxListRetry     Micros  // longest time from a failed request to the next
-	stopAt           Micros  // when this sender stops; 0 if it does not
+	arrivals         []*message            // messages that arrived in this step
+	shedIndex        int                   // index of the group last considered for load shedding
+	idleKeys         []string              // keys whose queue became empty
+	inFlight         []*attempt            // in the order in which they started
+	usedSlots        int                   // calls in flight
+	seq              int                   // number of messages accepted
+	classLatencies   map[string]*histogram // by name of the class
+	tenantUsage      []usage               // by tenant
+	keyQueues        map[string]*keyQueue  // by order key
+	wakeAt           Micros                // time at which work is next due
+	timerAt          Micros                // time at which the last timer fires; 0 if none is set
+	listRequestAt    Micros                // when to request the list; never if it has been requested
+	listRetryJitter  float64               // part of maxListRetry by which a retry may come earlier
+	maxListRetry     Micros                // longest time from a failed request to the next
+	stopAt           Micros                // when this sender stops; 0 if it does not
 	logLines         int
 	manySenders      bool           // more than manySendersOver
 	changed          []*destination // destinations with changes to snapshot
@@ -229,10 +232,10 @@
 // histogram is a discounted histogram of latencies.
 type histogram struct {
 	weights     [binCount + 1]float64 // the last bin holds latencies beyond the last edge
-	total       float64
-	censored    float64
-	updatedAt   Micros
-	restartTime Micros // τ; 0 if waiting is better than a restart
+	total       float64               // weight of all bins
+	censored    float64               // weight of the calls of which only a lower bound is known
+	updatedAt   Micros                // time of the last sample
+	restartTime Micros                // τ; 0 if waiting is better than a restart
 	median      Micros
 	p95         Micros
 	lastUsual   Micros // latency that [Sender.latenciesChanged] last used for the class
@@ -252,8 +255,7 @@
 	e.dest.endpoints = slices.DeleteFunc(e.dest.endpoints, func(x *endpoint) bool { return x == e })
 }
 
-// cleanup drops state that would otherwise accumulate: endpoints removed long ago, destinations without
-// endpoints and messages, and order keys without messages.
+// cleanup drops unused endpoints, destinations and order keys, which would otherwise accumulate.
 func (s *Sender) cleanup() {
 	if s.now < s.cleanupAt {
 		return
@@ -385,7 +387,6 @@
 	return n
 }
 
-// seconds converts t to seconds.
 func seconds(t Micros) float64 { return float64(t) / float64(Second) }
 
 // removeUnlisted removes the endpoints that are not among the entries.
@@ -494,6 +495,6 @@
 
 // usage is the discounted count of a tenant's messages.
 type usage struct {
-	count     float64
+	count     float64 // as of updatedAt
 	updatedAt Micros
 }
--- a/logic/tuning.go
+++ b/logic/tuning.go
@@ -100,7 +100,7 @@
 	// listRetryJitter is the largest random fraction of that by which the first retry comes earlier; later
 	// retries use an eighth.
 	listRetryJitter = 0.4
-	maxLogLines     = 200 // log lines of a Sender
-	never           = Micros(math.MaxInt64)
-	distantPast     = Micros(math.MinInt64 / 2)
+	maxLogLines     = 200                       // log lines of a Sender
+	never           = Micros(math.MaxInt64)     // later than any time
+	distantPast     = Micros(math.MinInt64 / 2) // the time of an event that has not happened
 )
