--- a/logic/queue_test.go
+++ b/logic/queue_test.go
@@ -18,96 +18,101 @@
 	"pgregory.net/rapid"
 )
 
-// ---- The sort as oracle --------------------------------------------------------------
+// ---- The sort as reference -----------------------------------------------------------
 
-// stepBySort is Step without the index: it rates and sorts all that is held, and asks of each whether its time is
-// up. Where the index is to differ, it says so. Equals go older first.
+// stepBySort is Step without the index: it computes the priority of all pending messages, sorts them, and
+// checks each for expiry. Comments mark the intended differences from the index. Among equals the oldest
+// comes first.
 func (s *Sender) stepBySort(now Micros, events []Event) []Action {
 	s.now = max(s.now, now)
 	s.step++
-	s.out, s.wake = nil, never
+	s.actions, s.wakeAt = nil, never
 	for _, ev := range events {
-		s.take(ev)
+		s.handle(ev)
 	}
-	s.subscribe()
-	s.forget()
-	for _, m := range s.all() {
-		if m.over || m.flows {
+	s.requestList()
+	s.cleanup()
+	for _, m := range s.allMessages() {
+		if m.ended || m.streaming {
 			continue
 		}
-		left, need := m.deadline-s.now, 2*max(s.set.Tick, 1000)
-		if m.out == nil {
-			need = max(need, s.usual(m), leastLeft)
-			if m.mayRun && m.class.Effect == Keyed {
-				left = min(left, m.firstMay+m.class.Window-s.now)
+		left, need := m.deadline-s.now, 2*max(s.settings.Tick, 1000)
+		if m.inFlight == nil {
+			need = max(need, s.usualLatency(m), minRemaining)
+			if m.mayHaveRun && m.class.Effect == Keyed {
+				left = min(left, m.mayHaveRunAt+m.class.Window-s.now)
 			}
 		}
 		if left <= need {
-			s.end(m)
+			s.endMessage(m)
 		}
 	}
-	for _, g := range s.ring() {
-		s.refresh(g)
+	for _, g := range s.fireTimers() {
+		s.updateExpiry(g)
 	}
-	s.cutLong()
+	s.cancelSlowAttempts()
 	s.dispatchBySort()
-	s.active, s.came = s.active[:0], s.came[:0]
-	s.arm()
-	return s.out
+	s.active, s.arrivals = s.active[:0], s.arrivals[:0]
+	s.armTimer()
+	return s.actions
 }
 
-func (s *Sender) all() (q []*msg) {
-	for _, m := range s.msgs {
+func (s *Sender) allMessages() (q []*message) {
+	for _, m := range s.messages {
 		q = append(q, m)
 	}
-	slices.SortFunc(q, func(a, b *msg) int { return cmp.Compare(a.seq, b.seq) })
+	slices.SortFunc(q, func(a, b *message) int { return cmp.Compare(a.seq, b.seq) })
 	return q
 }
 
 func (s *Sender) dispatchBySort() {
-	var q []*msg
-	for _, m := range s.all() {
-		if m.out == nil && !m.over {
-			m.dest.load = float64(1 + m.dest.lane.inflight)
-			m.prio = s.rate(m)
+	var q []*message
+	for _, m := range s.allMessages() {
+		if m.inFlight == nil && !m.ended {
+			m.dest.load = float64(1 + m.dest.limiter.inFlight)
+			m.priority = s.priority(m)
 			m.dest.rank = 0
 			q = append(q, m)
 		}
 	}
-	slices.SortFunc(q, sooner)
+	slices.SortFunc(q, comparePriority)
 	for _, m := range q {
-		// One with less left than a call takes at least is not begun. Before the index, the sort had it go last.
-		if (m.owed || s.now+max(s.usual(m), leastUsual) <= m.deadline) && s.send(m) {
+		// A message with less time left than the minimum latency is not started. Before the index, the sort
+		// put it last.
+		if (m.inherited || s.now+max(s.usualLatency(m), minUsualLatency) <= m.deadline) && s.trySend(m) {
 			s.dequeue(m)
 		}
 	}
-	// Room is made after all have had their turn. Before the index, it was made between one message and the next.
+	// Load is shed after all messages have been considered. Before the index, it was shed between messages.
 	for i, m := range q {
-		if m.out != nil {
+		if m.inFlight != nil {
 			continue
 		}
 		m.dest.rank++
-		p := s.destPace(m.dest)
-		late := m.step == s.step || !m.owed && m.deadline-s.now < Micros(lateEnd*float64(m.span))
-		if late && p > 0 && m.dest.rank/p > seconds(m.deadline-s.now-s.usual(m)) && s.crowd() > holdHalf {
-			s.end(m)
+		rate := s.destinationRate(m.dest)
+		unprotected := m.arrivalStep == s.step || !m.inherited &&
+			m.deadline-s.now < Micros(protectedRemaining*float64(m.initialTime))
+		if unprotected && rate > 0 && m.dest.rank/rate > seconds(m.deadline-s.now-s.usualLatency(m)) &&
+			s.pendingRatio() > shedLateAbove {
+			s.endMessage(m)
 			continue
 		}
-		if s.crowd() > holdFull && i >= len(q)-1 && !m.mayRun && !m.owed {
-			s.end(m)
+		if s.pendingRatio() > shedLeastAbove && i >= len(q)-1 && !m.mayHaveRun && !m.inherited {
+			s.endMessage(m)
 		}
 	}
 }
 
-// same compares what two Senders do: calls in their order, ends as a set (the index makes room after it has sent).
-func (w *world) same(a, b []Action) {
+// compareActions compares the actions of two Senders: attempts in their order, ends as a set (the index sheds load
+// after it has sent).
+func (w *world) compareActions(a, b []Action) {
 	w.t.Helper()
 	pick := func(acts []Action) (calls, others []string) {
 		for _, x := range acts {
 			switch x.(type) {
 			case StartAttempt:
 				calls = append(calls, fmt.Sprintf("%#v", x))
-			case SetTimer: // the index looks again earlier, or later where nothing could go
+			case SetTimer: // the index may visit earlier, or later where nothing could be sent
 			default:
 				others = append(others, fmt.Sprintf("%#v", x))
 			}
@@ -118,33 +123,33 @@
 	callsA, othersA := pick(a)
 	callsB, othersB := pick(b)
 	if !slices.Equal(callsA, callsB) || !slices.Equal(othersA, othersB) {
-		w.bad("the index does\n%v %v\nthe sort\n%v %v", callsA, othersA, callsB, othersB)
+		w.fail("the index does\n%v %v\nthe sort\n%v %v", callsA, othersA, callsB, othersB)
 	}
 }
 
-// twins plays one day with a Sender that decides by the index and one by the sort.
-func twins(t *testing.T, set Settings, seed uint64) {
+// compareIndexWithSort simulates a day with a Sender that uses the index and one that uses the sort.
+func compareIndexWithSort(t *testing.T, set Settings, seed uint64) {
 	set.TrackChanges = seed%3 == 1
 	w := newWorld(t, set, 100+seed)
-	w.restarts, w.upgrades, w.steady = seed%3 == 1, seed%3 == 2, true
-	w.often = []int{0, 30, 12}[seed/3%3]
+	w.restarts, w.upgrades, w.everyTick = seed%3 == 1, seed%3 == 2, true
+	w.meanGap = []int{0, 30, 12}[seed/3%3]
 	w.twin = &Sender{}
-	w.renew()
+	w.replaceSender()
 	w.play()
 }
 
-// What the index decides, the sort decides, whatever comes: in each step of random plays, over restarts and
-// upgrades, with a hold that is nearly empty and one that overflows. PLAYS says how many more.
-func TestIndexDecidesAsTheSort(t *testing.T) {
+// The index and the sort make the same decisions in each step of random plays, over restarts and upgrades,
+// with few pending messages and with more than the pending limit. PLAYS sets the number of further plays.
+func TestIndexMatchesSort(t *testing.T) {
 	more, _ := strconv.Atoi(os.Getenv("PLAYS"))
 	i := uint64(0)
 	for _, name := range slices.Sorted(maps.Keys(variants())) {
 		i++
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			twins(t, variants()[name], i%6)
+			compareIndexWithSort(t, variants()[name], i%6)
 			for seed := range uint64(more) {
-				twins(t, variants()[name], 6+seed)
+				compareIndexWithSort(t, variants()[name], 6+seed)
 			}
 		})
 	}
@@ -152,11 +157,11 @@
 
 // ---- The order -----------------------------------------------------------------------
 
-// drawn makes a Sender with destinations, classes and messages of all ages.
-func drawn(t *rapid.T) *Sender {
+// drawSender creates a Sender with random destinations, classes and messages of all ages.
+func drawSender(t *rapid.T) *Sender {
 	set := base()
 	set.ExponentialDecay, set.MaxOpen = rapid.Bool().Draw(t, "halves"), 0
-	span := func(name string, most Micros) Micros { return Micros(rapid.Int64Range(0, int64(most)).Draw(t, name)) }
+	span := func(name string, limit Micros) Micros { return Micros(rapid.Int64Range(0, int64(limit)).Draw(t, name)) }
 	for i := range set.Classes {
 		c := &set.Classes[i]
 		c.Aim = span("aim", 5*Second)
@@ -176,24 +181,25 @@
 		for range rapid.IntRange(0, 30).Draw(t, "messages") {
 			n++
 			class := rapid.IntRange(0, 2).Draw(t, "class")
-			evs = append(evs, NewMessage{ID: fmt.Sprint(n), Dest: int64(rapid.IntRange(1, 2).Draw(t, "dest")), Tenant: -1, Class: class,
+			evs = append(evs, NewMessage{ID: fmt.Sprint(n), Dest: int64(rapid.IntRange(1, 2).Draw(t, "dest")),
+				Tenant: -1, Class: class,
 				Remaining: Second/2 + span("left", 3*set.Classes[class].Deadline),
 				History:   History{Inherited: rapid.IntRange(0, 5).Draw(t, "held") == 0}})
 		}
 		s.Step(s.now+span("pause", 4*Second), evs)
-		for _, m := range s.all() { // some may have run
+		for _, m := range s.allMessages() { // some may have run
 			if m.class.Effect == Keyed && m.group != nil && rapid.IntRange(0, 5).Draw(t, "may run") == 0 {
 				s.dequeue(m)
-				m.mayRun, m.firstMay, m.owed = true, s.now, false
+				m.mayHaveRun, m.mayHaveRunAt, m.inherited = true, s.now, false
 				s.enqueue(m)
 			}
 		}
-		for _, d := range s.order {
+		for _, d := range s.destinationOrder {
 			if rapid.Bool().Draw(t, "learnt") {
 				for range 6 {
-					d.hist.add(s.now, 1000+span("took", 3*Second), false)
+					d.latencies.add(s.now, 1000+span("took", 3*Second), false)
 				}
-				s.refreshAll(d)
+				s.updateExpiries(d)
 			}
 		}
 	}
@@ -201,49 +207,49 @@
 	return s
 }
 
-// order is the order in which all cursors together give what waits.
-func (s *Sender) sorted() (out []*msg) {
-	var next merge
-	for _, d := range s.order {
-		d.load, d.lookedIn = float64(1+d.lane.inflight), s.step
+// cursorOrder returns the queued messages in the order of all cursors together.
+func (s *Sender) cursorOrder() (out []*message) {
+	var cursors cursorHeap
+	for _, d := range s.destinationOrder {
+		d.load, d.visitedStep = float64(1+d.limiter.inFlight), s.step
 		for _, g := range d.groups {
-			next = s.cursors(next, g)
+			cursors = s.appendCursors(cursors, g)
 		}
 	}
-	heap.Init(&next)
-	for len(next) > 0 {
-		out = append(out, next[0].m)
-		if s.advance(next[0]); next[0].m == nil {
-			heap.Pop(&next)
+	heap.Init(&cursors)
+	for len(cursors) > 0 {
+		out = append(out, cursors[0].msg)
+		if s.advance(cursors[0]); cursors[0].msg == nil {
+			heap.Pop(&cursors)
 		} else {
-			heap.Fix(&next, 0)
+			heap.Fix(&cursors, 0)
 		}
 	}
 	return out
 }
 
-// The cursors give what waits in the order of rate, and all of it.
-func TestCursorsGiveTheOrderOfRate(t *testing.T) {
+// The cursors return all queued messages in order of priority.
+func TestCursorsFollowPriority(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := drawn(t)
-		got := s.sorted()
-		var want []*msg
-		for _, m := range s.all() {
-			if m.group != nil && (m.owed || s.now+max(s.usual(m), leastUsual) <= m.deadline) {
-				m.prio = s.rate(m)
+		s := drawSender(t)
+		got := s.cursorOrder()
+		var want []*message
+		for _, m := range s.allMessages() {
+			if m.group != nil && (m.inherited || s.now+max(s.usualLatency(m), minUsualLatency) <= m.deadline) {
+				m.priority = s.priority(m)
 				want = append(want, m)
 			}
 		}
-		slices.SortFunc(want, sooner)
+		slices.SortFunc(want, comparePriority)
 		if len(got) != len(want) {
 			t.Fatalf("%d messages of %d", len(got), len(want))
 		}
 		for i, m := range got {
-			// Two whose rates differ by rounding alone may change places.
-			if x := want[i]; m != x && math.Abs(m.prio-x.prio) > 1e-9*math.Abs(x.prio) {
-				t.Fatalf("at %d: %s of rate %g, want %s of rate %g", i, m.id, m.prio, x.id, x.prio)
-			} else if m != x && m.prio == x.prio && x.prio > 1e-290 {
-				t.Fatalf("at %d: %s, want %s of the same rate", i, m.id, x.id)
+			// Two messages whose priorities differ only by rounding may change places.
+			if x := want[i]; m != x && math.Abs(m.priority-x.priority) > 1e-9*math.Abs(x.priority) {
+				t.Fatalf("at %d: %s of priority %g, want %s of priority %g", i, m.id, m.priority, x.id, x.priority)
+			} else if m != x && m.priority == x.priority && x.priority > 1e-290 {
+				t.Fatalf("at %d: %s, want %s of the same priority", i, m.id, x.id)
 			}
 		}
 	})
@@ -251,16 +257,17 @@
 
 // ---- The structures ------------------------------------------------------------------
 
-func TestSortedIsASortedList(t *testing.T) {
+func TestSortedList(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var l sorted
+		var l sortedList
 		var plain []item
 		seq := 0
 		span := rapid.SampledFrom([]int64{3, 1000, 1 << 40}).Draw(t, "span")
 		for range rapid.IntRange(1, 4).Draw(t, "rounds") {
 			for range rapid.IntRange(0, 1200).Draw(t, "in") {
 				seq++
-				x := item{Micros((int64(seq)*2654435761)%span) + Micros(rapid.SampledFrom([]int64{0, 1}).Draw(t, "more")), &msg{seq: seq}}
+				x := item{Micros((int64(seq)*2654435761)%span) +
+					Micros(rapid.SampledFrom([]int64{0, 1}).Draw(t, "more")), &message{seq: seq}}
 				l.insert(x)
 				plain = append(plain, x)
 			}
@@ -272,10 +279,10 @@
 			}
 		}
 		slices.SortFunc(plain, func(a, b item) int {
-			return cmp.Or(cmp.Compare(a.at, b.at), cmp.Compare(a.m.seq, b.m.seq))
+			return cmp.Or(cmp.Compare(a.key, b.key), cmp.Compare(a.msg.seq, b.msg.seq))
 		})
 		i := 0
-		for p := (place{}); ; p = l.next(p) {
+		for p := (position{}); ; p = l.next(p) {
 			x, ok := l.get(p)
 			if !ok {
 				break
@@ -285,45 +292,45 @@
 			}
 			i++
 		}
-		if i != len(plain) || l.n != i {
+		if i != len(plain) || l.size != i {
 			t.Fatalf("%d of %d", i, len(plain))
 		}
 	})
 }
 
-func TestAlarmsGoOffInOrder(t *testing.T) {
+func TestTimersFireInOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var h alarms
-		all := make([]alarm, rapid.IntRange(1, 60).Draw(t, "alarms"))
-		set := map[*alarm]Micros{}
+		var h timerHeap
+		all := make([]timer, rapid.IntRange(1, 60).Draw(t, "alarms"))
+		expected := map[*timer]Micros{}
 		for range rapid.IntRange(1, 300).Draw(t, "changes") {
 			a := &all[rapid.IntRange(0, len(all)-1).Draw(t, "which")]
 			at := Micros(rapid.Int64Range(0, 50).Draw(t, "at"))
 			if at == 0 {
 				h.set(a, never)
-				delete(set, a)
+				delete(expected, a)
 			} else {
 				h.set(a, at)
-				set[a] = at
+				expected[a] = at
 			}
 		}
 		last := Micros(0)
-		for a := h.due(100); a != nil; a = h.due(100) {
-			if set[a] != a.at || a.at < last || a.i != 0 {
-				t.Fatalf("%d after %d, want %d", a.at, last, set[a])
+		for a := h.popDue(100); a != nil; a = h.popDue(100) {
+			if expected[a] != a.at || a.at < last || a.heapIndex != 0 {
+				t.Fatalf("%d after %d, want %d", a.at, last, expected[a])
 			}
 			last = a.at
-			delete(set, a)
+			delete(expected, a)
 		}
-		if len(set) > 0 || h.next() != never {
-			t.Fatalf("%d left", len(set))
+		if len(expected) > 0 || h.nextAt() != never {
+			t.Fatalf("%d left", len(expected))
 		}
 	})
 }
 
 // ---- Cost ----------------------------------------------------------------------------
 
-// threadTime is the processor time of this thread: what else the machine does is not in it.
+// threadTime is the processor time of this thread, which excludes other load on the machine.
 func threadTime(t *testing.T) time.Duration {
 	t.Helper()
 	var ts unix.Timespec
@@ -333,9 +340,9 @@
 	return time.Duration(ts.Nano())
 }
 
-// What a restart hands in at once is judged once each, also where it fills the hold: the time for four times as much
-// is not sixteen times as long.
-func TestRestartIntoAFullHold(t *testing.T) {
+// Messages that a restart submits at once are considered for load shedding once each, also where they reach
+// the pending limit: four times as many must not take sixteen times as long.
+func TestRestartAtPendingLimit(t *testing.T) {
 	took := func(n int) time.Duration {
 		best := time.Hour
 		for range 3 {
@@ -347,7 +354,8 @@
 			}
 			evs := []Event{list(1), RequestedWait{Endpoint: 1, Remaining: 5 * Second}}
 			for i := range n {
-				evs = append(evs, NewMessage{ID: fmt.Sprint(i), Remaining: 9*Second + Micros(i), Dest: 9, Tenant: -1, History: History{Inherited: true}})
+				evs = append(evs, NewMessage{ID: fmt.Sprint(i), Remaining: 9*Second + Micros(i), Dest: 9, Tenant: -1,
+					History: History{Inherited: true}})
 			}
 			start := threadTime(t)
 			s.Step(0, evs)
--- a/logic/rules_test.go
+++ b/logic/rules_test.go
@@ -8,16 +8,24 @@
 	"testing"
 )
 
-// variants are deployments unlike each other; each must keep the six rules under random outcomes.
+// variants returns different deployments. Each must keep the six rules under random outcomes.
 func variants() map[string]Settings {
 	make := func(f func(*Settings)) Settings { s := base(); f(&s); return s }
 	return map[string]Settings{
 		"plain":     base(),
 		"one class": make(func(s *Settings) { s.Classes = s.Classes[2:] }),
-		"tenants":   make(func(s *Settings) { s.Tenants = []Tenant{{"x", 2}, {"y", 1}, {"z", 0}}; s.OverQuotaWorth = 0.2 }),
-		"zones":     make(func(s *Settings) { s.Zones, s.Zone = 2, 1; s.Classes[1].ByZone = true }),
-		"ordered":   make(func(s *Settings) { s.KeyQuiet = Second; s.Classes[0].KeepOrder, s.Classes[2].KeepOrder = true, true }),
-		"batches":   make(func(s *Settings) { s.Kinds[0].MaxBatch = 10 }),
+		"tenants": make(func(s *Settings) {
+			s.Tenants = []Tenant{{"x", 2}, {"y", 1},
+				{"z", 0}}
+			s.OverQuotaWorth = 0.2
+		}),
+		"zones": make(func(s *Settings) { s.Zones, s.Zone = 2, 1; s.Classes[1].ByZone = true }),
+		"ordered": make(func(s *Settings) {
+			s.KeyQuiet = Second
+			s.Classes[0].KeepOrder,
+				s.Classes[2].KeepOrder = true, true
+		}),
+		"batches": make(func(s *Settings) { s.Kinds[0].MaxBatch = 10 }),
 		"apart": make(func(s *Settings) {
 			s.Kinds = []Kind{{Name: "k", Independent: true, MaxBatch: 1}, {Name: "l", MaxBatch: 3}}
 		}),
@@ -35,7 +43,7 @@
 	}
 }
 
-// plays is how many seeds of each variant are played; PLAYS asks for others.
+// plays returns the number of seeds of each variant; the variable PLAYS overrides it.
 func plays(usual uint64) uint64 {
 	if n, err := strconv.ParseUint(os.Getenv("PLAYS"), 10, 32); err == nil {
 		return n
@@ -53,8 +61,8 @@
 	}
 }
 
-// The rules hold over restarts too, that of a returning destination above all: a process that dies is followed by
-// one that knows what it knew.
+// The rules hold over restarts too, most of all that of a recovering destination: a process that crashes is
+// followed by one with its snapshots.
 func TestRulesOverRestarts(t *testing.T) {
 	for name, set := range variants() {
 		t.Run(name, func(t *testing.T) {
@@ -68,7 +76,8 @@
 	}
 }
 
-// And over upgrades, where calls are out at the process that hands over: to the rules both are one sender.
+// The rules hold over upgrades, where calls are in flight in the process that hands over: for the rules both
+// are one sender.
 func TestRulesOverUpgrades(t *testing.T) {
 	for name, set := range variants() {
 		t.Run(name, func(t *testing.T) {
@@ -95,7 +104,7 @@
 	}
 }
 
-func TestNamesDecideNothing(t *testing.T) {
+func TestNamesHaveNoEffect(t *testing.T) {
 	set := variants()["tenants"]
 	a := newWorld(t, set, 5)
 	a.play()
@@ -111,7 +120,7 @@
 	}
 }
 
-func TestNewNamesTheBadSetting(t *testing.T) {
+func TestNewNamesInvalidSetting(t *testing.T) {
 	for want, f := range map[string]func(*Settings){
 		"Classes": func(s *Settings) { s.Classes = nil }, "Senders": func(s *Settings) { s.Senders = 0 },
 		"Zone": func(s *Settings) { s.Zone = 4 }, "Slots": func(s *Settings) { s.Slots = -1 },
@@ -127,7 +136,8 @@
 	}
 }
 
-// Without told limits, and with many slots, one of 400 plays goes over the budget of slow start (KNOWN-RED.txt).
+// Without reported limits, and with many slots, one of 400 plays exceeds the budget of slow start
+// (KNOWN-RED.txt).
 func TestSlowStartWithoutLimits(t *testing.T) {
 	newWorld(t, variants()["no limits"], 344).play()
 }
--- a/logic/second_site_test.go
+++ b/logic/second_site_test.go
@@ -2,49 +2,49 @@
 
 import "testing"
 
-// Found on the second site: each endpoint that was still out held its siblings, back for seconds, to what a
-// destination takes at its return, until a trial of its own came round.
-func TestBudgetGrowsWithEachReturn(t *testing.T) {
+// An endpoint that is still in outage must not limit its siblings, which recovered seconds ago, to the
+// capacity right after a recovery until it is tried itself.
+func TestBudgetGrowsWithEachRecovery(t *testing.T) {
 	set := base()
 	set.Weights, set.Senders = WeightsNominal, 1
 	r := newRig(t, set)
 	ev := list(2)
 	ev.Entries[0].NominalRate, ev.Entries[1].NominalRate = 20, 20
 	r.step(0, ev)
-	room := func(now float64, back bool) (n int) {
+	budget := func(now float64, back bool) (n int) {
 		r.s.now = sec(now)
-		for _, e := range r.s.dests[9].eps {
-			e.cold, e.suspect, e.lastBad, e.sent = true, true, sec(1), nil
+		for _, e := range r.s.destinations[9].endpoints {
+			e.cold, e.suspect, e.lastFailure, e.callTimes = true, true, sec(1), nil
 		}
-		e := r.s.eps[1]
+		e := r.s.endpoints[1]
 		if back {
-			e.suspect, e.backAt = false, sec(2)
+			e.suspect, e.recoveredAt = false, sec(2)
 		}
-		for r.s.budget(e) <= r.s.now {
-			e.sent = append(e.sent, r.s.now)
+		for r.s.budgetAvailableAt(e) <= r.s.now {
+			e.callTimes = append(e.callTimes, r.s.now)
 			n++
 		}
 		return n
 	}
-	out, back, later := room(9, false), room(2, true), room(9, true)
-	if out != 16 { // 2 x 0.2 x 20 a second for 2 s
-		t.Errorf("%d calls while all are out, want 16", out)
+	inOutage, back, later := budget(9, false), budget(2, true), budget(9, true)
+	if inOutage != 16 { // 2 x 0.2 x 20 a second for 2 s
+		t.Errorf("%d calls while all are in outage, want 16", inOutage)
 	}
 	if back != 16 || later != 32 { // 1 of 2 is half warm: 2 x (0.6 + 0.2)/2 x 20 x 2
-		t.Errorf("%d calls at the return, %d once one of two is half warm, want 16 and 32", back, later)
+		t.Errorf("%d calls at the recovery, %d once one of two is half warm, want 16 and 32", back, later)
 	}
 }
 
-// Found on the second site: four refusals in a row of a destination at its limit were taken for a shut one, which
-// cost it all but single trials, and then a budget of a cold one.
-func TestSpentLimitIsNotShut(t *testing.T) {
+// Four rejections in a row by a destination at its limit must not count as an outage, which would reduce it
+// to single trials and then to a slow start.
+func TestUsedUpLimitIsNoOutage(t *testing.T) {
 	set := base()
 	set.RemainingIndex, set.LimitIndex = 0, 1
 	for _, x := range []struct {
-		name string
-		load []float64
-		wait float64
-		shut bool
+		name   string
+		load   []float64
+		wait   float64
+		outage bool
 	}{
 		{"nothing left", []float64{0.1, 5}, 0, false},
 		{"nothing left, long wait", []float64{0.1, 5}, 3, true},
@@ -53,58 +53,62 @@
 	} {
 		r := newRig(t, set)
 		r.step(0, list(1))
-		e := r.s.eps[1]
-		r.s.report(e, []float64{0.1, 5}) // an old one, which the next answer takes back
+		e := r.s.endpoints[1]
+		r.s.recordLoadReport(e, []float64{0.1, 5}) // an old report, which the next answer replaces
 		for i := range 5 {
 			r.s.now = sec(1 + 0.5*float64(i))
-			r.s.report(e, x.load)
-			r.s.full(e, sec(x.wait))
+			r.s.recordLoadReport(e, x.load)
+			r.s.recordOverload(e, sec(x.wait))
 		}
-		if e.suspect != x.shut {
-			t.Errorf("%s: taken for shut: %v", x.name, e.suspect)
+		if e.suspect != x.outage {
+			t.Errorf("%s: outage: %v", x.name, e.suspect)
 		}
 	}
 }
 
-// Found on the second site: a call with several has one time, that of the message with least. One that is nearly out
-// of time must not take the others' time with it, which for unsafe ones is the end. All that one step sends to an endpoint
-// travels together, so that one goes in the next step; else more calls are out than the module counts, too.
-func TestNoneJoinsThatCutsTheOthersShort(t *testing.T) {
+// A call with several messages has one timeout, that of the message with the least time left. A message that
+// is about to expire must not shorten the time of the others, which would end unsafe ones. Everything that
+// one step sends to an endpoint travels together, so that message goes in the next step; otherwise more calls
+// would be in flight than the package counts.
+func TestExpiringMessageDoesNotJoinBatch(t *testing.T) {
 	set := base()
 	set.Kinds[0].MaxBatch = 10
 	for _, late := range []float64{0.3, 9} {
 		r := newRig(t, set)
 		r.step(0, list(1))
-		for range 5 { // a usual call takes 0.2 s
-			for i := range r.s.byClass {
-				r.s.byClass[i].add(0, sec(0.2), false)
+		for range 5 { // the usual latency is 0.2 s
+			for i := range r.s.classLatencies {
+				r.s.classLatencies[i].add(0, sec(0.2), false)
 			}
 		}
-		old := r.call(0)
+		old := r.message(0)
 		old.Remaining = sec(late)
-		out := only[StartAttempt](r.step(1, r.call(2), old, r.call(2)))
-		if (len(out) == 3) != (late > 1) || r.s.busy != 1 {
-			t.Errorf("%v s left: %d sends in %d calls, want one, without the short one beside others", late, len(out), r.s.busy)
+		out := only[StartAttempt](r.step(1, r.message(2), old, r.message(2)))
+		if (len(out) == 3) != (late > 1) || r.s.usedSlots != 1 {
+			t.Errorf("%v s left: %d sends in %d calls, want one, without the short one beside others", late, len(out),
+				r.s.usedSlots)
 		}
 		calls := 1
 		if late < 1 {
 			calls = 2
 		}
-		if next := only[StartAttempt](r.step(1.005)); len(out)+len(next) != 3 || r.s.busy != calls {
-			t.Errorf("%v s left: %d sends in the next step, %d calls out, want %d", late, len(next), r.s.busy, calls)
+		if next := only[StartAttempt](r.step(1.005)); len(out)+len(next) != 3 || r.s.usedSlots != calls {
+			t.Errorf("%v s left: %d sends in the next step, %d calls in flight, want %d", late, len(next),
+				r.s.usedSlots, calls)
 		}
 	}
 }
 
-// A wait binds whatever else the answer says: one to several messages may tell it beside those it has delivered.
-func TestWaitBesideADelivery(t *testing.T) {
+// A requested wait applies whatever else the answer says: the answer to a batch may request one although it
+// delivered some messages.
+func TestRequestedWaitWithDelivery(t *testing.T) {
 	r := newRig(t, base())
 	r.step(0, list(2))
-	c := only[StartAttempt](r.step(1, r.call(0)))[0]
+	c := only[StartAttempt](r.step(1, r.message(0)))[0]
 	done := answer(c.ID, c.Endpoint, 0, Completed)
 	done.RetryAfter = sec(2)
 	r.step(1.1, done)
-	if out := only[StartAttempt](r.step(2, r.call(0))); len(out) != 0 {
+	if out := only[StartAttempt](r.step(2, r.message(0))); len(out) != 0 {
 		t.Error("sent inside a wait")
 	}
 	if out := only[StartAttempt](r.step(3.2)); len(out) != 1 {
