--- a/cmd/cometrack/store.go
+++ b/cmd/cometrack/store.go
@@ -35,7 +35,7 @@
 		if err != nil {
 			return err
 		}
-		fmt.Fprintf(cmd.OutOrStdout(), "%d records read, %d bytes cut, %d stretches damaged\n", found.Records, found.Cut, len(found.Damaged))
+		fmt.Fprintf(cmd.OutOrStdout(), "%d records read, %d bytes cut, %d stretches damaged\n", found.Records, found.TruncatedBytes, len(found.Damaged))
 		return nil
 	})
 	mend.Flags().StringVar(&to, "to", "", "the folder for the sound store")
@@ -72,8 +72,8 @@
 }
 
 func stat(cmd *cobra.Command, dir vfs.Dir) error {
-	var live store.Live
-	reports, err := store.Inspect(dir, func(it store.Item) error {
+	var live store.LiveRecords
+	reports, err := store.Inspect(dir, func(it store.Record) error {
 		it.Value = nil
 		live.Add(it)
 		return nil
@@ -82,7 +82,7 @@
 		return err
 	}
 	counts, bytes := map[string]int{}, map[string]int64{}
-	live.Items(func(it store.Item) { counts[it.Segment]++; bytes[it.Segment] += int64(it.Size) })
+	live.Visit(func(it store.Record) { counts[it.Segment]++; bytes[it.Segment] += int64(it.Size) })
 	out := cmd.OutOrStdout()
 	fmt.Fprintln(out, "segment        bytes      records    that count  their bytes  note")
 	for _, r := range reports {
@@ -90,7 +90,7 @@
 		switch {
 		case len(r.Damaged) > 0:
 			note = fmt.Sprintf("%d damaged stretches", len(r.Damaged))
-		case r.Closed:
+		case r.ClosedCleanly:
 			note = "closed in good order"
 		}
 		fmt.Fprintf(out, "%-14s %-10d %-10d %-11d %-12d %s\n", r.Segment, r.Size, r.Records, counts[r.Segment], bytes[r.Segment], note)
@@ -99,13 +99,13 @@
 }
 
 func dump(cmd *cobra.Command, dir vfs.Dir) error {
-	var live store.Live
-	if _, err := store.Inspect(dir, func(it store.Item) error { live.Add(it); return nil }); err != nil {
+	var live store.LiveRecords
+	if _, err := store.Inspect(dir, func(it store.Record) error { live.Add(it); return nil }); err != nil {
 		return err
 	}
 	lines := json.NewEncoder(cmd.OutOrStdout())
 	var err error
-	live.Items(func(it store.Item) {
+	live.Visit(func(it store.Record) {
 		d, bad := journal.Describe(it.Key, it.Value)
 		if bad != nil {
 			err = errors.Join(err, bad)
@@ -124,7 +124,7 @@
 	return tellDamage(cmd.OutOrStdout(), reports)
 }
 
-func tellDamage(out io.Writer, reports []store.Report) error {
+func tellDamage(out io.Writer, reports []store.SegmentReport) error {
 	records, bad := 0, 0
 	for i, r := range reports {
 		records += r.Records
@@ -136,8 +136,8 @@
 			bad++
 			fmt.Fprintf(out, "%s: damaged from byte %d to %d\n", d.Segment, d.From, d.To)
 		}
-		if r.Tail > 0 && i == len(reports)-1 {
-			fmt.Fprintf(out, "%s: the last %d bytes are a write that was cut short; the next start cuts them off\n", r.Segment, r.Tail)
+		if r.TailBytes > 0 && i == len(reports)-1 {
+			fmt.Fprintf(out, "%s: the last %d bytes are a write that was cut short; the next start cuts them off\n", r.Segment, r.TailBytes)
 		}
 	}
 	fmt.Fprintf(out, "%d segments, %d records, %d faults\n", len(reports), records, bad)
--- a/internal/backlog/disk/crash_test.go
+++ b/internal/backlog/disk/crash_test.go
@@ -223,7 +223,7 @@
 // A crash at any call, under each kind of loss, loses nothing that was acknowledged and brings nothing back whose
 // segment was removed; nor does one at any call of the start after it.
 func TestCrashAtEveryCall(t *testing.T) {
-	for _, sync := range []store.Sync{store.SyncAlways, store.SyncNever} {
+	for _, sync := range []store.SyncPolicy{store.SyncAlways, store.SyncNever} {
 		opts := small
 		opts.Sync = sync
 		const batches = 50
--- a/internal/backlog/disk/log.go
+++ b/internal/backlog/disk/log.go
@@ -20,7 +20,7 @@
 type Options struct {
 	MaxBytes      int64 // bytes of all files; 0 for no limit
 	SegmentBytes  int64 // bytes of a segment at most, but for its last batch; 0 for a default
-	Sync          store.Sync
+	Sync          store.SyncPolicy
 	FlushInterval time.Duration // store.SyncInterval: how often [Log.Flush] is called; for the books only
 	Log           *slog.Logger  // nil for none
 }
--- a/internal/backlog/spill/crash_test.go
+++ b/internal/backlog/spill/crash_test.go
@@ -12,7 +12,7 @@
 // A process that dies at any call, of the journal's or of the files behind the windows, loses no message, has none in
 // two places and ends none twice; the next one takes all to their ends, in order.
 func TestCrashAtEveryCall(t *testing.T) {
-	for _, sync := range []store.Sync{store.SyncAlways, store.SyncNever} {
+	for _, sync := range []store.SyncPolicy{store.SyncAlways, store.SyncNever} {
 		whole := vfs.NewMem()
 		d, err := start(whole, sync, begin, map[string]*life{})
 		if err != nil {
--- a/internal/backlog/spill/harness_test.go
+++ b/internal/backlog/spill/harness_test.go
@@ -69,7 +69,7 @@
 
 // start opens what an earlier process has left. known is what a test knows of the
 // messages.
-func start(fs vfs.FS, sync store.Sync, now int64, known map[string]*life) (*daemon, error) {
+func start(fs vfs.FS, sync store.SyncPolicy, now int64, known map[string]*life) (*daemon, error) {
 	opts := far
 	opts.Sync, opts.Log = sync, slog.New(slog.DiscardHandler)
 	j, err := journal.OpenOn(room{fs, "j-"}, opts)
--- a/internal/backlog/spill/spill.go
+++ b/internal/backlog/spill/spill.go
@@ -17,7 +17,7 @@
 	MaxBytes int64 // bytes of all files
 	// SegmentBytes is the bytes of a file at most; 0 for a default.
 	SegmentBytes  int64
-	Sync          store.Sync
+	Sync          store.SyncPolicy
 	FlushInterval time.Duration // store.SyncInterval: how often
 	Log           *slog.Logger
 }
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -83,7 +83,7 @@
 }
 
 // Mode is when the journal syncs.
-func (s Store) Mode() store.Sync {
+func (s Store) Mode() store.SyncPolicy {
 	switch s.Sync {
 	case "interval":
 		return store.SyncInterval
--- a/internal/daemon/platform.go
+++ b/internal/daemon/platform.go
@@ -56,7 +56,7 @@
 	if err != nil {
 		return nil, err
 	}
-	share := shareOut(descriptors(cfg.Limits.Sockets, log), set.Slots, store.MostFiles(int64(cfg.Limits.DiskMB*1e6)-config.KeptRoom), consoleFiles(cfg.Console))
+	share := shareOut(descriptors(cfg.Limits.Sockets, log), set.Slots, store.MaxOpenFiles(int64(cfg.Limits.DiskMB*1e6)-config.KeptRoom), consoleFiles(cfg.Console))
 	if from != nil {
 		cfg.Known.Generation = from.Snapshot.Version
 	}
--- a/internal/daemon/standalone.go
+++ b/internal/daemon/standalone.go
@@ -83,7 +83,7 @@
 	s := &Standalone{file: f, cluster: others, life: parts.Lifecycle, monitor: parts.Monitor, log: parts.Log}
 	list, log := f.List(s.part()), parts.Log
 	s.source = static.New(list)
-	files := store.MostFiles(int64(f.Limits.DiskMB)*1e6) + backlogFiles(f)
+	files := store.MaxOpenFiles(int64(f.Limits.DiskMB)*1e6) + backlogFiles(f)
 	share := shareOut(descriptors(f.Limits.Descriptors, log), f.Limits.Slots, files, consoleFiles(f.Console.Listen))
 	transport := httptransport.New(time.Duration(f.Transport.HTTP.ConnectTimeout), time.Duration(f.Transport.HTTP.Idle),
 		httptransport.Limits{Open: share.calls, Idle: share.idle, PerEndpoint: f.Limits.Slots})
--- a/internal/journal/journal.go
+++ b/internal/journal/journal.go
@@ -25,7 +25,7 @@
 	MostEnded int
 	Bodies    int  // a larger body is left on the disk until it is asked for; 0 to have all in memory
 	Partners  bool // what is known of partners is kept too, in a twentieth of the room
-	Sync      store.Sync
+	Sync      store.SyncPolicy
 	Every     time.Duration // store.SyncInterval: how often
 	Log       *slog.Logger  // nil for none
 }
@@ -169,7 +169,7 @@
 				j.partners.dirty[id] = true
 				return nil
 			}
-			j.partners.by[id] = &known{at: r.At, sick: r.Sick, value: r, size: store.FrameSize(len(key), len(value))}
+			j.partners.by[id] = &known{at: r.At, sick: r.Sick, value: r, size: store.MaxFrameSize(len(key), len(value))}
 			j.partners.bytes += j.partners.by[id].size
 		}
 		return nil
@@ -208,7 +208,7 @@
 			r.merge(e)
 		}
 	}
-	if j.store.Found().Doubt() || unread > 0 {
+	if j.store.Recovery().RecordsLost() || unread > 0 {
 		// What became of a message may be lost: it may have run.
 		for _, e := range j.entries {
 			if e.End == nil && !e.MayRun && !e.Open {
@@ -358,8 +358,8 @@
 // Room says whether the journal can take on a message with such a body, beside all
 // that it holds and what is owed for it. A yes counts until the next Append.
 func (j *Journal) Room(body int) bool {
-	need := store.FrameSize(message.MaxName+1, body+messageOverhead) + reserve
-	if !j.store.Room(j.promised + need + int64(len(j.entries))*reserve + j.partners.free()) {
+	need := store.MaxFrameSize(message.MaxName+1, body+messageOverhead) + reserve
+	if !j.store.HasRoom(j.promised + need + int64(len(j.entries))*reserve + j.partners.free()) {
 		return false
 	}
 	j.promised += need
--- a/internal/journal/journal_test.go
+++ b/internal/journal/journal_test.go
@@ -93,8 +93,8 @@
 			t.Fatalf("%d are remembered, %d in the queue", n, len(j.ended.all()))
 		}
 	}
-	if s := j.Stats(); float64(s.Live) > 0.25*float64(s.Capacity) || s.Used > opts.Disk {
-		t.Errorf("they take %d of %d bytes, files %d", s.Live, s.Capacity, s.Used)
+	if s := j.Stats(); float64(s.LiveBytes) > 0.25*float64(s.Capacity) || s.UsedBytes > opts.Disk {
+		t.Errorf("they take %d of %d bytes, files %d", s.LiveBytes, s.Capacity, s.UsedBytes)
 	}
 	if j.Ended("m9999") == nil || j.Ended("m2000") == nil || j.Ended("m1999") != nil || !j.Room(1000) {
 		t.Error("not the newest are remembered, or they leave no room")
@@ -104,7 +104,7 @@
 	}
 	saved := j.ended.bytes
 	j = reopen(t, j, fs)
-	// What was forgotten may come back from a segment that is still there, as Batch.Forget says; it takes no room in the store.
+	// What was forgotten may come back from a segment that is still there, as Batch.DeleteWeak says; it takes no room in the store.
 	back := j.Ended("m2000")
 	if n := len(j.ended.byID); n < 100 || n > 8000 || j.ended.bytes != saved || j.Ended("m9999") == nil || !j.Ended("m9999").saved || back != nil && back.saved {
 		t.Errorf("%d outlive the process, in %d bytes, %d before; m2000 %+v", n, j.ended.bytes, saved, back)
@@ -169,7 +169,7 @@
 		mustAppend(t, j, accept(fmt.Sprint("f", n), 1000))
 		check()
 	}
-	if live := j.Stats().Live; live < disk*0.5 {
+	if live := j.Stats().LiveBytes; live < disk*0.5 {
 		t.Fatalf("room for %d messages only, %d bytes", n, live)
 	}
 	for i := range 20_000 { // what becomes of them finds its room
--- a/internal/journal/partners.go
+++ b/internal/journal/partners.go
@@ -172,7 +172,7 @@
 func (j *Journal) putPartner(b *store.Batch, name string) {
 	k := j.partners.by[name]
 	if k == nil {
-		b.Forget(keyPartner + name)
+		b.DeleteWeak(keyPartner + name)
 		return
 	}
 	if k.value != nil {
@@ -186,11 +186,11 @@
 		return
 	}
 	from := j.buf.Len()
-	size := store.FrameSize(len(name)+1, len(encode(&j.buf, x)))
+	size := store.MaxFrameSize(len(name)+1, len(encode(&j.buf, x)))
 	j.buf.Truncate(from)
 	if size > mostPartner {
 		x.trim()
-		size = store.FrameSize(len(name)+1, len(encode(&j.buf, x)))
+		size = store.MaxFrameSize(len(name)+1, len(encode(&j.buf, x)))
 		j.buf.Truncate(from)
 	}
 	j.partners.add(name, x, size)
--- a/internal/journal/partners_test.go
+++ b/internal/journal/partners_test.go
@@ -74,7 +74,7 @@
 		mustAppend(t, j, accept(fmt.Sprint("m", held), 2000))
 	}
 	room := j.partners.room
-	if live := j.Stats().Live + int64(held)*reserve; held < 500 || live+room > j.Stats().Capacity {
+	if live := j.Stats().LiveBytes + int64(held)*reserve; held < 500 || live+room > j.Stats().Capacity {
 		t.Fatalf("%d held, %d of %d bytes live, %d kept for partners", held, live, j.Stats().Capacity, room)
 	}
 	const sick = 100
--- a/internal/journal/revive.go
+++ b/internal/journal/revive.go
@@ -9,7 +9,7 @@
 )
 
 func openStore(fs vfs.FS, opts Options) (*store.Store, error) {
-	return store.Open(fs, store.Options{Limit: opts.Disk, Sync: opts.Sync, Every: opts.Every, Log: opts.Log})
+	return store.Open(fs, store.Options{MaxBytes: opts.Disk, Sync: opts.Sync, FlushInterval: opts.Every, Log: opts.Log})
 }
 
 // revive opens the store again if a sync has failed: what was written before it may
@@ -22,7 +22,7 @@
 	j.reviving = true
 	j.storeMu.Lock()
 	defer j.storeMu.Unlock()
-	if err := j.store.Close(); err != nil && !errors.Is(err, store.ErrClosed) && !errors.Is(err, store.ErrFailed) {
+	if err := j.store.Close(); err != nil && !errors.Is(err, store.ErrClosed) && !errors.Is(err, store.ErrSyncFailed) {
 		j.log.Warn("journal: the store that failed", "err", err)
 	}
 	st, err := openStore(j.fs, j.opts)
--- a/internal/journal/revive_test.go
+++ b/internal/journal/revive_test.go
@@ -54,7 +54,7 @@
 	}
 	mustAppend(t, j, accept("small", 10), accept("large", 500), accept("done", 10), Record{Op: OpDone, ID: "done", At: j.Clock().Now()})
 	fail.Store(true)
-	if err := j.Append([]Record{accept("refused", 10)}); !errors.Is(err, store.ErrFailed) {
+	if err := j.Append([]Record{accept("refused", 10)}); !errors.Is(err, store.ErrSyncFailed) {
 		t.Fatalf("append with a sync that fails: %v", err)
 	}
 	if j.Entry("refused") != nil {
--- a/internal/journal/write.go
+++ b/internal/journal/write.go
@@ -46,7 +46,7 @@
 	j.unsaid = j.unsaid[:0]
 	b.Reset()
 	j.buf.Reset()
-	b.Owed = true // Room has seen to the room
+	b.UseReserve = true // Room has seen to the room
 	commit := func(more int) error {
 		if b.Size()+int64(more) <= j.store.MaxBatch() {
 			return nil
@@ -68,7 +68,7 @@
 		if t := j.terms[n]; t != nil {
 			b.Put(termsKey(n), encode(&j.buf, t))
 		} else {
-			b.Forget(termsKey(n))
+			b.DeleteWeak(termsKey(n))
 		}
 	}
 	for _, id := range j.changed {
@@ -89,7 +89,7 @@
 		if until, ok := j.waits[name]; ok {
 			b.Put(keyWait+name, encode(&j.buf, &waitRecord{until}))
 		} else {
-			b.Forget(keyWait + name)
+			b.DeleteWeak(keyWait + name)
 		}
 	}
 	for name := range j.partners.dirty {
@@ -153,7 +153,7 @@
 		case x != nil && x.saved:
 			b.Put(keyState+id, overOf(&j.buf, x))
 		default:
-			b.Forget(keyState + id)
+			b.DeleteWeak(keyState + id)
 		}
 	}
 	if m&markMessage != 0 {
--- a/internal/store/checkpoint.go
+++ b/internal/store/checkpoint.go
@@ -32,7 +32,7 @@
 // checkpointDue says whether a checkpoint is to be written. The caller holds writer
 // or mu.
 func (s *Store) checkpointDue() bool {
-	return s.index.Len() >= s.opts.Checkpoint && s.bounds.Checkpoint(s.since, s.checkpointed) && !s.bounds.Short(s.used)
+	return s.index.Len() >= s.opts.MinCheckpointKeys && s.bounds.CheckpointDue(s.since, s.checkpointed) && !s.bounds.LowSpace(s.used)
 }
 
 // saver writes a checkpoint.
@@ -70,12 +70,12 @@
 	if err == nil {
 		s.books(func() {
 			s.used -= s.checkpointed
-			s.checkpointed = plan.Blocks(w.size)
+			s.checkpointed = plan.RoundToBlocks(w.size)
 		})
 		return nil
 	}
 	if gone := s.remove(checkpointNew); gone == nil {
-		s.books(func() { s.used -= plan.Blocks(w.size) })
+		s.books(func() { s.used -= plan.RoundToBlocks(w.size) })
 	}
 	return err
 }
@@ -106,7 +106,7 @@
 	}
 	for at := 0; at >= 0; {
 		s.mu.RLock()
-		at = s.index.VisitSome(at, checkpointStretch, func(key []byte, at loc) bool {
+		at = s.index.VisitRange(at, checkpointStretch, func(key []byte, at loc) bool {
 			w.keys++
 			w.buf = binary.AppendUvarint(w.buf, uint64(len(key)))
 			w.buf = append(w.buf, key...)
@@ -158,7 +158,7 @@
 	head := binary.LittleEndian.AppendUint32(nil, uint32(len(w.buf)))
 	b := binary.LittleEndian.AppendUint32(nil, blockSum(w.block, head, w.buf))
 	b = append(append(b, head...), w.buf...)
-	s, more := w.s, plan.Blocks(w.size+int64(len(b)))-plan.Blocks(w.size)
+	s, more := w.s, plan.RoundToBlocks(w.size+int64(len(b)))-plan.RoundToBlocks(w.size)
 	var err error
 	s.books(func() {
 		if !s.bounds.Fits(s.used, more, false) {
@@ -270,7 +270,7 @@
 			return nil
 		}
 		for r.b = payload; len(r.b) > 0; found++ {
-			n := r.uint(MaxKey)
+			n := r.uint(MaxKeyBytes)
 			if r.bad || n > uint64(len(r.b)) {
 				return errCheckpoint
 			}
@@ -342,7 +342,7 @@
 	if err := s.recoverSegments(numbers, d); err != nil {
 		return false, err
 	}
-	if s.found.Doubt() || len(s.segs) == 0 || d.beyond {
+	if s.found.RecordsLost() || len(s.segs) == 0 || d.beyond {
 		return false, nil // the log has lost what the checkpoint had seen
 	}
 	for _, g := range s.segs {
@@ -371,7 +371,7 @@
 	}
 	g.file = file
 	d.sizes[h.before] = h.sizeThen
-	s.used += plan.Blocks(size)
+	s.used += plan.RoundToBlocks(size)
 	s.segs = append(s.segs, g)
 	return true, nil
 }
--- a/internal/store/checkpoint_test.go
+++ b/internal/store/checkpoint_test.go
@@ -20,7 +20,7 @@
 func TestDamagedCheckpoint(t *testing.T) {
 	m, end, _ := history(t, 40, true)
 	opts := small
-	opts.Checkpoint = 1
+	opts.MinCheckpointKeys = 1
 	s := mustOpen(t, m, opts)
 	if _, err := s.play(end, script(5, 9)); err != nil {
 		t.Fatal(err)
@@ -39,7 +39,7 @@
 		if fast(s) != want {
 			t.Fatalf("%s: from the checkpoint: %v", what, fast(s))
 		}
-		if have := content(t, s); !maps.Equal(have, end) || s.found.Doubt() {
+		if have := content(t, s); !maps.Equal(have, end) || s.found.RecordsLost() {
 			t.Fatalf("%s:\n%v\nwant\n%v\n%+v", what, have, end, s.found)
 		}
 		s.Close()
@@ -69,7 +69,7 @@
 func TestDamageBehindACheckpoint(t *testing.T) {
 	m, end, _ := history(t, 24, true)
 	opts := small
-	opts.Checkpoint = 1
+	opts.MinCheckpointKeys = 1
 	s := mustOpen(t, m, opts)
 	if err := s.checkpoint(); err != nil {
 		t.Fatal(err)
@@ -174,7 +174,7 @@
 func TestCheckpointsBesideTraffic(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := vfs.NewMem()
-		opts := Options{Segment: 8 << 10, Checkpoint: 64, Sync: SyncAlways}
+		opts := Options{SegmentBytes: 8 << 10, MinCheckpointKeys: 64, Sync: SyncAlways}
 		for round := range 4 {
 			s := mustOpen(t, m, opts)
 			if round > 0 && !fast(s) {
@@ -231,7 +231,7 @@
 // A checkpoint needs room that nothing else wants, and gives it back when records do.
 func TestCheckpointGivesWay(t *testing.T) {
 	opts := small
-	opts.Checkpoint = 1
+	opts.MinCheckpointKeys = 1
 	m := vfs.NewMem()
 	s := mustOpen(t, m, opts)
 	var full error
--- a/internal/store/commit.go
+++ b/internal/store/commit.go
@@ -10,11 +10,11 @@
 // Batch is a list of changes that are written together: a process that dies
 // leaves a first part of them, in order.
 type Batch struct {
-	// Owed says that the changes belong to something that was taken on before: they
+	// UseReserve says that the changes belong to something that was taken on before: they
 	// may use the room that is kept for it.
-	Owed bool
-	ops  []op
-	size int64
+	UseReserve bool
+	ops        []op
+	size       int64
 }
 
 type op struct {
@@ -28,23 +28,23 @@
 // Put gives a key a value. The bytes must stay as they are until Commit returns.
 func (b *Batch) Put(key string, value []byte) {
 	b.ops = append(b.ops, op{kindPut, key, value})
-	b.size += FrameSize(len(key), len(value))
+	b.size += MaxFrameSize(len(key), len(value))
 }
 
 // Delete takes a key away for good. Its record is written twice: were one alone
 // damaged, the key would have its old value again.
 func (b *Batch) Delete(key string) {
 	b.ops = append(b.ops, op{kind: kindDel, key: key})
-	b.size += 2 * FrameSize(len(key), 10)
+	b.size += 2 * MaxFrameSize(len(key), 10)
 }
 
-// Forget takes a key away, if it can without a record of it: after a restart, a key
+// DeleteWeak takes a key away, if it can without a record of it: after a restart, a key
 // without a value may have the one again that it had when it was forgotten, never
 // one that was replaced or deleted. It is for keys whose values tell that they are
 // out of date.
-func (b *Batch) Forget(key string) {
+func (b *Batch) DeleteWeak(key string) {
 	b.ops = append(b.ops, op{kind: opForget, key: key})
-	b.size += 2 * FrameSize(len(key), 10) // at most
+	b.size += 2 * MaxFrameSize(len(key), 10) // at most
 }
 
 // Len is the number of changes.
@@ -59,11 +59,11 @@
 	b.ops, b.size = b.ops[:0], 0
 }
 
-// FrameSize is how many bytes a record takes at most.
-func FrameSize(key, value int) int64 { return int64(frameHead + 10 + 2 + key + value) }
+// MaxFrameSize is how many bytes a record takes at most.
+func MaxFrameSize(key, value int) int64 { return int64(frameHead + 10 + 2 + key + value) }
 
 // MaxBatch is how many bytes of changes fit into one batch.
-func (s *Store) MaxBatch() int64 { return s.opts.Segment * 6 / 10 }
+func (s *Store) MaxBatch() int64 { return s.opts.SegmentBytes * 6 / 10 }
 
 type waiter struct {
 	batch *Batch
@@ -142,7 +142,7 @@
 	s.mu.Lock()
 	s.counts.Commits += int64(len(group))
 	s.mu.Unlock()
-	if s.bounds.Worth(s.used, s.live) || s.checkpointDue() {
+	if s.bounds.ShouldCompact(s.used, s.live) || s.checkpointDue() {
 		select {
 		case s.kick <- struct{}{}:
 		default:
@@ -188,18 +188,18 @@
 		return fmt.Errorf("a batch of %d bytes: %w", need, ErrTooLarge)
 	}
 	for _, o := range w.batch.ops {
-		if len(o.key) == 0 || len(o.key) > MaxKey {
+		if len(o.key) == 0 || len(o.key) > MaxKeyBytes {
 			return fmt.Errorf("a key of %d bytes: %w", len(o.key), ErrTooLarge)
 		}
 	}
-	rest := headerLen + 2*plan.Block + int64(len(s.tombstones)+len(w.batch.ops))*tombstoneSize
-	if more := need + int64(len(p.buf)) + rest; !s.bounds.Fits(s.used, more, w.batch.Owed) {
+	rest := headerLen + 2*plan.BlockSize + int64(len(s.tombstones)+len(w.batch.ops))*tombstoneSize
+	if more := need + int64(len(p.buf)) + rest; !s.bounds.Fits(s.used, more, w.batch.UseReserve) {
 		p.flush()
-		if err := s.makeRoom(need+rest, w.batch.Owed); err != nil {
+		if err := s.makeRoom(need+rest, w.batch.UseReserve); err != nil {
 			return err
 		}
 	}
-	if g := s.active(); g == nil || g.size+int64(len(p.buf))+need > s.opts.Segment {
+	if g := s.active(); g == nil || g.size+int64(len(p.buf))+need > s.opts.SegmentBytes {
 		p.flush()
 		if err := s.rotate(); err != nil {
 			return err
@@ -362,10 +362,10 @@
 		s.torn = true // must not stand before later records: it would pass for damage
 		return errors.Join(err, s.mend())
 	}
-	s.used += plan.Blocks(g.size+int64(len(b))) - plan.Blocks(g.size)
+	s.used += plan.RoundToBlocks(g.size+int64(len(b))) - plan.RoundToBlocks(g.size)
 	g.size += int64(len(b))
 	s.counts.Writes++
-	s.counts.Written += int64(len(b))
+	s.counts.BytesWritten += int64(len(b))
 	s.since += int64(len(b))
 	return nil
 }
@@ -383,7 +383,7 @@
 	defer s.mu.Unlock()
 	s.counts.Syncs++
 	if err != nil {
-		s.failure = fmt.Errorf("%w: %w", ErrFailed, err)
+		s.failure = fmt.Errorf("%w: %w", ErrSyncFailed, err)
 		s.opts.Log.Error("store: a sync failed; nothing is taken on until the next start", "segment", segName(g.number), "err", err)
 		return s.failure
 	}
@@ -443,8 +443,8 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.segs = append(s.segs, g)
-	s.used += plan.Blocks(g.size)
-	s.counts.Written += g.size
+	s.used += plan.RoundToBlocks(g.size)
+	s.counts.BytesWritten += g.size
 	s.synced = g.size
 	s.tombstones = s.tombstones[:0]
 	return nil
--- a/internal/store/compact.go
+++ b/internal/store/compact.go
@@ -17,10 +17,10 @@
 	at   int
 }
 
-// Step does a bounded part of what compaction has to do, and says whether there
+// CompactStep does a bounded part of what compaction has to do, and says whether there
 // is more. Commits wait for the copying, not for syncs nor for the file system to
 // take a segment away, which may take it long.
-func (s *Store) Step() (more bool, err error) {
+func (s *Store) CompactStep() (more bool, err error) {
 	more, doomed, err := s.stepLocked()
 	if err == nil && len(doomed) > 0 {
 		err = s.reap(doomed)
@@ -37,8 +37,8 @@
 	if err := s.usable(); err != nil {
 		return false, nil, err
 	}
-	if s.victim != nil || s.bounds.Worth(s.used, s.live) {
-		if more, err = s.step(stepBytes, s.bounds.Short(s.used)); err != nil {
+	if s.victim != nil || s.bounds.ShouldCompact(s.used, s.live) {
+		if more, err = s.step(stepBytes, s.bounds.LowSpace(s.used)); err != nil {
 			return false, nil, err
 		}
 	}
@@ -108,8 +108,8 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.segs = slices.DeleteFunc(s.segs, func(x *segment) bool { return x == g })
-	s.used -= plan.Blocks(g.size)
-	s.counts.Compacted++
+	s.used -= plan.RoundToBlocks(g.size)
+	s.counts.SegmentsCompacted++
 	return g.file
 }
 
@@ -146,7 +146,7 @@
 	}
 	least, vain := s.used, 0
 	for !s.bounds.Fits(s.used, more, owed) {
-		went, err := s.step(int(s.opts.Segment), true)
+		went, err := s.step(int(s.opts.SegmentBytes), true)
 		if err != nil {
 			return err
 		}
@@ -158,7 +158,7 @@
 		}
 		// All that is left to gain may be less than the copies take by whole blocks: then it would go on for ever.
 		if (!went || vain > 2*len(s.segs)) && !s.bounds.Fits(s.used, more, owed) {
-			return fmt.Errorf("%d of %d bytes are used: %w", s.used, s.opts.Limit, ErrFull)
+			return fmt.Errorf("%d of %d bytes are used: %w", s.used, s.opts.MaxBytes, ErrFull)
 		}
 	}
 	return nil
@@ -172,7 +172,7 @@
 			return false, nil
 		}
 		v := &victim{seg: g, at: headerLen}
-		if view := s.view(g); view.Live > 0 || view.Tombs > 0 {
+		if view := s.view(g); view.LiveBytes > 0 || view.TombstoneBytes > 0 {
 			b, err := readInto(s.scratch, g.file)
 			if err != nil {
 				return false, err
@@ -201,7 +201,7 @@
 			views = append(views, s.view(g))
 		}
 	}
-	number, ok := plan.Victim(views, haste)
+	number, ok := plan.PickVictim(views, haste)
 	if !ok {
 		return nil
 	}
@@ -232,7 +232,7 @@
 		if !current && !needed {
 			return true
 		}
-		if g := s.active(); g.size+int64(len(p.buf))+int64(f.size)+16 > s.opts.Segment {
+		if g := s.active(); g.size+int64(len(p.buf))+int64(f.size)+16 > s.opts.SegmentBytes {
 			if err = p.flush(); err == nil {
 				err = s.rotate()
 			}
@@ -248,7 +248,7 @@
 			p.undo = append(p.undo, undo{string(f.key), at, true})
 			s.link(f.key, at, true, loc{seq: f.seq, seg: s.active().number, off: uint32(to.off), size: uint32(to.size), first: at.first})
 		}
-		s.counts.Copied += int64(to.size)
+		s.counts.BytesCopied += int64(to.size)
 		return true
 	})
 	if err == nil {
@@ -277,7 +277,7 @@
 func (s *Store) background() {
 	every := time.Duration(1<<63 - 1)
 	if s.opts.Sync == SyncInterval {
-		every = s.opts.Every
+		every = s.opts.FlushInterval
 	}
 	tick := time.NewTicker(every)
 	defer tick.Stop()
@@ -286,7 +286,7 @@
 		case <-s.stop:
 			return
 		case <-tick.C:
-			if err := s.syncBeside(); err != nil && !errors.Is(err, ErrClosed) && !errors.Is(err, ErrFailed) {
+			if err := s.syncBeside(); err != nil && !errors.Is(err, ErrClosed) && !errors.Is(err, ErrSyncFailed) {
 				s.opts.Log.Error("store", "err", err)
 			}
 			continue
@@ -294,12 +294,12 @@
 		}
 		for more := true; more; {
 			var err error
-			if more, err = s.Step(); err != nil && !errors.Is(err, ErrClosed) {
+			if more, err = s.CompactStep(); err != nil && !errors.Is(err, ErrClosed) {
 				s.opts.Log.Error("store", "err", err)
 			}
 			s.mu.RLock()
 			pause := stepPause
-			if s.bounds.Short(s.used) {
+			if s.bounds.LowSpace(s.used) {
 				pause = 0
 			}
 			s.mu.RUnlock()
--- a/internal/store/crash_test.go
+++ b/internal/store/crash_test.go
@@ -15,12 +15,12 @@
 // there is none, and the store works on. For some of the crashes recovery itself
 // is crashed at every call, and again at every call.
 func TestCrashAtEveryCall(t *testing.T) {
-	for _, sync := range []Sync{SyncAlways, SyncNever} {
+	for _, sync := range []SyncPolicy{SyncAlways, SyncNever} {
 		opts := small
 		opts.Sync = sync
 		t.Run(fmt.Sprint("sync=", sync), func(t *testing.T) { t.Parallel(); crashAtEveryCall(t, opts, 110) })
 		saving := opts
-		saving.Checkpoint = 1
+		saving.MinCheckpointKeys = 1
 		t.Run(fmt.Sprint("checkpoints, sync=", sync), func(t *testing.T) { t.Parallel(); crashAtEveryCall(t, saving, 45) })
 	}
 }
@@ -33,8 +33,8 @@
 	if _, err := s.play(state{}, list); err != nil {
 		t.Fatal(err)
 	}
-	if s.counts.Compacted < int64(batches)/22 {
-		t.Fatalf("only %d segments were compacted", s.counts.Compacted)
+	if s.counts.SegmentsCompacted < int64(batches)/22 {
+		t.Fatalf("only %d segments were compacted", s.counts.SegmentsCompacted)
 	}
 	if err := s.Close(); err != nil {
 		t.Fatal(err)
@@ -78,7 +78,7 @@
 	if !among(have, acked, under) {
 		t.Fatalf("%s: recovered\n%v\nacknowledged\n%v\nunder way %v", what, have, acked, under)
 	}
-	if s.found.Doubt() {
+	if s.found.RecordsLost() {
 		t.Fatalf("%s: damage is seen where there is none: %+v", what, s.found)
 	}
 	if _, err := s.play(have, list[:20]); err != nil {
@@ -88,7 +88,7 @@
 		t.Fatalf("%s: close: %v", what, err)
 	}
 	s = mustOpen(t, m, opts)
-	if now := content(t, s); !maps.Equal(now, have) || s.found.Cut > 0 {
+	if now := content(t, s); !maps.Equal(now, have) || s.found.TruncatedBytes > 0 {
 		t.Fatalf("%s: after more work\n%v\nwant\n%v\n%+v", what, now, have, s.found)
 	}
 	s.Close()
@@ -130,7 +130,7 @@
 // A call that fails, whichever it is, loses nothing that was acknowledged, and
 // what was refused is not there. After a failed sync nothing is taken on.
 func TestFailAtEveryCall(t *testing.T) {
-	for _, opts := range []Options{small, {Limit: small.Limit, Segment: small.Segment, Manual: true, Checkpoint: 1}} {
+	for _, opts := range []Options{small, {MaxBytes: small.MaxBytes, SegmentBytes: small.SegmentBytes, Manual: true, MinCheckpointKeys: 1}} {
 		failAtEveryCall(t, opts)
 	}
 }
@@ -152,7 +152,7 @@
 		for rest := list; len(rest) > 0; rest = rest[1:] {
 			if err := s.commit(rest[0]); err != nil {
 				failed++
-				if !errors.Is(err, errInjected) && !errors.Is(err, ErrFailed) {
+				if !errors.Is(err, errInjected) && !errors.Is(err, ErrSyncFailed) {
 					t.Fatalf("call %d: %v", n, err)
 				}
 			} else {
@@ -160,8 +160,8 @@
 					have.apply(c)
 				}
 			}
-			s.Step()
-			if opts.Checkpoint == 1 && len(rest)%7 == 0 {
+			s.CompactStep()
+			if opts.MinCheckpointKeys == 1 && len(rest)%7 == 0 {
 				s.checkpoint()
 			}
 		}
@@ -175,7 +175,7 @@
 		}
 		s.Close()
 		s = mustOpen(t, m, opts)
-		if now := content(t, s); !maps.Equal(now, have) || s.found.Doubt() {
+		if now := content(t, s); !maps.Equal(now, have) || s.found.RecordsLost() {
 			t.Fatalf("call %d: after the restart\n%v\nwant\n%v\n%+v", n, now, have, s.found)
 		}
 		s.Close()
@@ -187,7 +187,7 @@
 func TestDiskFillsAtEveryByte(t *testing.T) {
 	list := script(5, 25)
 	opts := small
-	opts.Limit = 0
+	opts.MaxBytes = 0
 	step := int64(512) // what a disk hands out
 	for room := step; ; room += step {
 		m := vfs.NewMem()
@@ -209,14 +209,14 @@
 			} else if refused++; i >= 20 {
 				t.Fatalf("room for %d bytes: refused with room again: %v", room, err)
 			}
-			s.Step()
+			s.CompactStep()
 		}
 		if now := content(t, s); !maps.Equal(now, have) {
 			t.Fatalf("room for %d bytes:\n%v\nwant\n%v", room, now, have)
 		}
 		s.Close()
 		s = mustOpen(t, m, opts)
-		if now := content(t, s); !maps.Equal(now, have) || s.found.Doubt() {
+		if now := content(t, s); !maps.Equal(now, have) || s.found.RecordsLost() {
 			t.Fatalf("room for %d bytes, after the restart:\n%v\nwant\n%v", room, now, have)
 		}
 		if refused == 0 {
--- a/internal/store/damage_test.go
+++ b/internal/store/damage_test.go
@@ -45,7 +45,7 @@
 	}
 	m.Set(name, data)
 	s, err := Open(m, small)
-	if errors.Is(err, ErrNewer) {
+	if errors.Is(err, ErrNewerFormat) {
 		return // told plainly; the bit of the version is the one flipped, in a sound header
 	}
 	if err != nil {
@@ -77,11 +77,11 @@
 	if wrong > lost {
 		t.Fatalf("%s: %d keys are not as they were", what, wrong)
 	}
-	if wrong > 0 && !s.found.Doubt() && (closed || s.found.Cut == 0) { // a last write may have been cut short by a crash
+	if wrong > 0 && !s.found.RecordsLost() && (closed || s.found.TruncatedBytes == 0) { // a last write may have been cut short by a crash
 		t.Fatalf("%s: the damage is not told: %+v", what, s.found)
 	}
 	for _, d := range s.found.Damaged {
-		if d.Aside == "" && d.From < int64(len(data)) || strings.HasPrefix(d.Aside, damagedPrefix+d.Segment+"-") && string(m.Data(d.Aside)) != string(data[d.From:d.To]) {
+		if d.SavedAs == "" && d.From < int64(len(data)) || strings.HasPrefix(d.SavedAs, damagedPrefix+d.Segment+"-") && string(m.Data(d.SavedAs)) != string(data[d.From:d.To]) {
 			t.Fatalf("%s: what was set aside is not what was damaged: %+v", what, d)
 		}
 	}
@@ -170,7 +170,7 @@
 		for at < len(states) && !maps.Equal(have, states[at]) {
 			at++
 		}
-		if at == len(states) || s.found.Doubt() {
+		if at == len(states) || s.found.RecordsLost() {
 			t.Fatalf("cut at %d: %v is no later prefix; %+v", n, have, s.found)
 		}
 		s.Close()
@@ -196,9 +196,9 @@
 	b[headerLen+20] ^= 4
 	m.Set(bad, b)
 	before := filesOf(t, m)
-	var live Live
-	reports, err := Inspect(m, func(it Item) error { live.Add(it); return nil })
-	if err != nil || len(reports) != len(segs) || len(reports[1].Damaged) != 1 || reports[1].Damaged[0].From != headerLen || !reports[len(reports)-1].Closed {
+	var live LiveRecords
+	reports, err := Inspect(m, func(it Record) error { live.Add(it); return nil })
+	if err != nil || len(reports) != len(segs) || len(reports[1].Damaged) != 1 || reports[1].Damaged[0].From != headerLen || !reports[len(reports)-1].ClosedCleanly {
 		t.Fatalf("%v %+v", err, reports)
 	}
 	to := vfs.NewMem()
@@ -220,10 +220,10 @@
 			missing++
 		}
 	}
-	if s.found.Doubt() || missing > 1 || len(have) > len(end) {
+	if s.found.RecordsLost() || missing > 1 || len(have) > len(end) {
 		t.Errorf("%d keys are not as they were, %+v", missing, s.found)
 	}
-	live.Items(func(it Item) {
+	live.Visit(func(it Record) {
 		if have[it.Key] != string(it.Value) && end[it.Key] != "" {
 			t.Errorf("%s: looked into %q, repaired %q", it.Key, it.Value, have[it.Key])
 		}
--- a/internal/store/frame.go
+++ b/internal/store/frame.go
@@ -30,8 +30,8 @@
 	flagStart byte = 0x80
 )
 
-// MaxKey is the most bytes of a key.
-const MaxKey = 1 << 10
+// MaxKeyBytes is the most bytes of a key.
+const MaxKeyBytes = 1 << 10
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
--- a/internal/store/harness_test.go
+++ b/internal/store/harness_test.go
@@ -11,7 +11,7 @@
 )
 
 // small makes segments change and compaction run every few commits.
-var small = Options{Limit: 24 << 10, Segment: 2 << 10, Manual: true}
+var small = Options{MaxBytes: 24 << 10, SegmentBytes: 2 << 10, Manual: true}
 
 // change is one Put, or a Delete if the value is empty.
 type change struct{ key, value string }
@@ -51,7 +51,7 @@
 
 func (s *Store) commit(list []change) error {
 	var b Batch
-	b.Owed = true
+	b.UseReserve = true
 	for _, c := range list {
 		if c.value == "" {
 			b.Delete(c.key)
@@ -72,12 +72,12 @@
 		for _, c := range b {
 			m.apply(c)
 		}
-		if s.opts.Checkpoint == 1 && i%7 == 6 {
+		if s.opts.MinCheckpointKeys == 1 && i%7 == 6 {
 			if err := s.checkpoint(); err != nil && !errors.Is(err, ErrFull) {
 				return nil, err
 			}
 		}
-		if _, err := s.Step(); err != nil {
+		if _, err := s.CompactStep(); err != nil {
 			return nil, err
 		}
 	}
--- a/internal/store/index/arena.go
+++ b/internal/store/index/arena.go
@@ -3,13 +3,13 @@
 import "encoding/binary"
 
 const (
-	// MaxKey is the most bytes of a key.
-	MaxKey = 1 << 10
+	// MaxKeyBytes is the most bytes of a key.
+	MaxKeyBytes = 1 << 10
 
 	unit       = 8 // bytes; addresses count in them, so that four bytes reach 32 GB
 	chunkBytes = 64 << 10
 	chunkUnits = chunkBytes / unit
-	classes    = (MaxKey+2+unit-1)/unit + 1
+	classes    = (MaxKeyBytes+2+unit-1)/unit + 1
 )
 
 // arena holds keys, each behind its length, in whole units. What is freed is used
--- a/internal/store/index/index.go
+++ b/internal/store/index/index.go
@@ -83,7 +83,7 @@
 	return value, false
 }
 
-// Set gives a key a value. The key's bytes are copied; it has at most [MaxKey].
+// Set gives a key a value. The key's bytes are copied; it has at most [MaxKeyBytes].
 func (x *Index[V]) Set(key []byte, value V) {
 	hash := x.hash(key)
 	e, slot := x.find(key, hash)
@@ -154,7 +154,7 @@
 // meanwhile.
 func (x *Index[V]) Visit(visit func(key []byte, value V) bool) {
 	for at := 0; at >= 0; {
-		at = x.VisitSome(at, chunkEntries, func(key []byte, value V) bool {
+		at = x.VisitRange(at, chunkEntries, func(key []byte, value V) bool {
 			if !visit(key, value) {
 				at = -1
 				return false
@@ -164,11 +164,11 @@
 	}
 }
 
-// VisitSome is [Index.Visit] for a stretch: it looks at so many entries from a place
+// VisitRange is [Index.Visit] for a stretch: it looks at so many entries from a place
 // on, which is 0 at first, and returns the next place; negative at the end. Between
 // two stretches the index may change: a key that is there all the time is visited
 // once, one that comes or goes may be.
-func (x *Index[V]) VisitSome(at, most int, visit func(key []byte, value V) bool) (next int) {
+func (x *Index[V]) VisitRange(at, most int, visit func(key []byte, value V) bool) (next int) {
 	end := min(at+most, int(x.used))
 	for ; at < end; at++ {
 		if e := x.entry(uint32(at)); e.key != 0 && !visit(x.keys.get(e.key), e.value) {
--- a/internal/store/index/index_test.go
+++ b/internal/store/index/index_test.go
@@ -16,7 +16,7 @@
 		x, want := New[int](), map[string]int{}
 		key := rapid.Custom(func(t *rapid.T) string { // few keys of many lengths, some at the bounds
 			n := rapid.IntRange(0, 400).Draw(t, "key")
-			return fmt.Sprint(n) + string(bytes.Repeat([]byte("x"), min(n*n%2100, MaxKey-3)))
+			return fmt.Sprint(n) + string(bytes.Repeat([]byte("x"), min(n*n%2100, MaxKeyBytes-3)))
 		})
 		if rapid.Bool().Draw(t, "reserved") {
 			x.Reserve(300)
@@ -42,7 +42,7 @@
 			t.Fatalf("%d keys, want %d", len(got), len(want))
 		}
 		for at, n := 0, 0; at >= 0; n++ {
-			at = x.VisitSome(at, 7, func(k []byte, _ int) bool { seen[string(k)]++; return true })
+			at = x.VisitRange(at, 7, func(k []byte, _ int) bool { seen[string(k)]++; return true })
 			k := fmt.Sprint("new ", n%5)
 			x.Set([]byte(k), n)
 			x.Delete([]byte(fmt.Sprint("new ", (n+2)%5)))
--- a/internal/store/inspect.go
+++ b/internal/store/inspect.go
@@ -8,8 +8,8 @@
 	"cometrack/internal/vfs"
 )
 
-// Item is one record of a segment.
-type Item struct {
+// Record is one record of a segment.
+type Record struct {
 	Segment string
 	Offset  int64
 	Size    int
@@ -19,15 +19,15 @@
 	Value   []byte // put
 }
 
-// Report tells what a segment holds.
-type Report struct {
-	Segment string
-	Size    int64
-	Records int
-	Tail    int64 // bytes at its end that hold no record
-	Closed  bool  // it ends with the mark of a store that was closed in good order
-	Damaged []Damage
-	Error   string // why nothing of it can be read
+// SegmentReport tells what a segment holds.
+type SegmentReport struct {
+	Segment       string
+	Size          int64
+	Records       int
+	TailBytes     int64 // bytes at its end that hold no record
+	ClosedCleanly bool  // it ends with the mark of a store that was closed in good order
+	Damaged       []Damage
+	Error         string // why nothing of it can be read
 }
 
 // Lock keeps others out of a store that is not open here: see [vfs.FS.Lock].
@@ -36,12 +36,12 @@
 // Inspect reads the segments of a folder in order, without changing any and
 // without the lock: of a store in use it sees what is there at the moment. Visit
 // may be nil; the bytes are its to keep.
-func Inspect(dir vfs.FS, visit func(Item) error) ([]Report, error) {
+func Inspect(dir vfs.FS, visit func(Record) error) ([]SegmentReport, error) {
 	names, err := dir.List()
 	if err != nil {
 		return nil, fmt.Errorf("store: %w", err)
 	}
-	var out []Report
+	var out []SegmentReport
 	sizes := map[string]int64{}
 	for _, name := range names {
 		number, ok := segNumber(name)
@@ -56,8 +56,8 @@
 	}
 	for i := range out {
 		r := &out[i]
-		if r.Tail > 0 && i < len(out)-1 {
-			r.Damaged = append(r.Damaged, Damage{Segment: r.Segment, From: r.Size - r.Tail, To: r.Size})
+		if r.TailBytes > 0 && i < len(out)-1 {
+			r.Damaged = append(r.Damaged, Damage{Segment: r.Segment, From: r.Size - r.TailBytes, To: r.Size})
 		}
 		if want := sizes[r.Segment]; r.Size < want {
 			r.Damaged = append(r.Damaged, Damage{Segment: r.Segment, From: r.Size, To: want})
@@ -66,8 +66,8 @@
 	return out, nil
 }
 
-func inspect(dir vfs.FS, name string, number uint32, sizes map[string]int64, visit func(Item) error) (Report, error) {
-	r := Report{Segment: name}
+func inspect(dir vfs.FS, name string, number uint32, sizes map[string]int64, visit func(Record) error) (SegmentReport, error) {
+	r := SegmentReport{Segment: name}
 	f, err := dir.Open(name, false)
 	if err != nil {
 		return r, fmt.Errorf("store: %w", err)
@@ -91,9 +91,9 @@
 	var stopped error
 	damage, end := walk(b, h.salt, headerLen, func(f *frame) bool {
 		r.Records++
-		r.Closed = f.kind == kindClose
+		r.ClosedCleanly = f.kind == kindClose
 		if visit != nil {
-			it := Item{Segment: name, Offset: int64(f.off), Size: f.size, Kind: kindNames[f.kind], Seq: f.seq, Key: string(f.key)}
+			it := Record{Segment: name, Offset: int64(f.off), Size: f.size, Kind: kindNames[f.kind], Seq: f.seq, Key: string(f.key)}
 			if f.kind == kindPut {
 				it.Value = append([]byte{}, f.value...)
 			}
@@ -101,7 +101,7 @@
 		}
 		return stopped == nil
 	})
-	r.Tail = int64(len(b) - end)
+	r.TailBytes = int64(len(b) - end)
 	for _, d := range damage {
 		r.Damaged = append(r.Damaged, Damage{Segment: name, From: int64(d.from), To: int64(d.to)})
 	}
@@ -110,24 +110,24 @@
 
 var kindNames = map[byte]string{kindPut: "put", kindDel: "delete", kindSum: "sum", kindClose: "close"}
 
-// Live finds the records that count among those that Inspect has visited.
-type Live struct{ latest map[string]Item }
+// LiveRecords finds the records that count among those that Inspect has visited.
+type LiveRecords struct{ latest map[string]Record }
 
 // Add takes a record.
-func (l *Live) Add(it Item) {
+func (l *LiveRecords) Add(it Record) {
 	if it.Key == "" {
 		return
 	}
 	if l.latest == nil {
-		l.latest = map[string]Item{}
+		l.latest = map[string]Record{}
 	}
 	if had, ok := l.latest[it.Key]; !ok || it.Seq >= had.Seq {
 		l.latest[it.Key] = it
 	}
 }
 
-// Items calls visit for each record that counts.
-func (l *Live) Items(visit func(Item)) {
+// Visit calls visit for each record that counts.
+func (l *LiveRecords) Visit(visit func(Record)) {
 	for _, it := range l.latest {
 		if it.Kind == "put" {
 			visit(it)
@@ -169,7 +169,7 @@
 			return Recovery{}, err
 		}
 	}
-	opts.Manual, opts.Limit = true, 0
+	opts.Manual, opts.MaxBytes = true, 0
 	s, err := Open(to, opts)
 	if err != nil {
 		return Recovery{}, err
@@ -195,7 +195,7 @@
 		}
 		s.victim = &victim{seg: g, data: b, at: headerLen}
 		for done := false; !done; {
-			if done, err = s.copy(int(s.opts.Segment)); err != nil {
+			if done, err = s.copy(int(s.opts.SegmentBytes)); err != nil {
 				return err
 			}
 		}
--- a/internal/store/model_test.go
+++ b/internal/store/model_test.go
@@ -33,7 +33,7 @@
 // restart, one that it had when it was forgotten, and no other.
 func TestIsAMap(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		opts := Options{Segment: 400, Manual: true}
+		opts := Options{SegmentBytes: 400, Manual: true}
 		fs := vfs.NewMem()
 		must := func(err error) {
 			t.Helper()
@@ -63,7 +63,7 @@
 			"forget": func() {
 				k := key(t)
 				var b Batch
-				b.Forget(k)
+				b.DeleteWeak(k)
 				must(s.Commit(&b))
 				ghosts[change{k, want[k]}] = true
 				delete(want, k)
@@ -93,7 +93,7 @@
 						want[k] = v
 					}
 				}
-				if unread > 0 || s.found.Doubt() || !maps.Equal(have, want) {
+				if unread > 0 || s.found.RecordsLost() || !maps.Equal(have, want) {
 					t.Fatalf("%v, want %v; %d can't be read, found %+v", have, want, unread, s.found)
 				}
 			},
--- a/internal/store/open_test.go
+++ b/internal/store/open_test.go
@@ -158,7 +158,7 @@
 		t.Fatal(err)
 	}
 	opts := small
-	opts.Manual, opts.Limit = false, 64<<10
+	opts.Manual, opts.MaxBytes = false, 64<<10
 	s := mustOpen(t, d, opts)
 	var wg sync.WaitGroup
 	const writers, each = 16, 60
@@ -166,7 +166,7 @@
 		wg.Go(func() {
 			for i := range each {
 				var b Batch
-				b.Owed = true
+				b.UseReserve = true
 				b.Put(fmt.Sprint("k", w), fmt.Appendf(nil, "%d:%0200d", i, 0))
 				if w%4 == 3 && i%2 == 1 {
 					b.Delete(fmt.Sprint("k", w))
@@ -179,13 +179,13 @@
 		})
 	}
 	var big Batch
-	big.Put("big", make([]byte, small.Segment))
+	big.Put("big", make([]byte, small.SegmentBytes))
 	if err := s.Commit(&big); !errors.Is(err, ErrTooLarge) {
 		t.Errorf("a batch larger than a segment: %v", err)
 	}
 	wg.Wait()
 	st := s.Stats()
-	if st.Compacted == 0 {
+	if st.SegmentsCompacted == 0 {
 		t.Errorf("no compaction: %+v", st)
 	}
 	if err := s.Close(); err != nil {
@@ -207,12 +207,12 @@
 	synctest.Test(t, func(t *testing.T) {
 		m := vfs.NewMem()
 		opts := small
-		opts.Manual, opts.Sync, opts.Every = false, SyncInterval, time.Second
+		opts.Manual, opts.Sync, opts.FlushInterval = false, SyncInterval, time.Second
 		s := mustOpen(t, m, opts)
 		if err := s.commit([]change{{"key", "value"}}); err != nil {
 			t.Fatal(err)
 		}
-		<-time.After(opts.Every)
+		<-time.After(opts.FlushInterval)
 		synctest.Wait()
 		left := m.Restart(vfs.LoseAll, nil)
 		s.Close() // finds the machine gone; its goroutine ends
--- a/internal/store/plan/plan.go
+++ b/internal/store/plan/plan.go
@@ -1,28 +1,28 @@
 package plan
 
-// Block is what a disk hands out in one piece: each file counts in whole blocks.
-const Block = 512
+// BlockSize is what a disk hands out in one piece: each file counts in whole blocks.
+const BlockSize = 512
 
-// Blocks rounds a size up to whole blocks.
-func Blocks(size int64) int64 { return (size + Block - 1) / Block * Block }
+// RoundToBlocks rounds a size up to whole blocks.
+func RoundToBlocks(size int64) int64 { return (size + BlockSize - 1) / BlockSize * BlockSize }
 
 // Segment is what a store knows of one that takes no more records. All figures
 // but Number are bytes.
 type Segment struct {
-	Number uint32
-	Size   int64 // of the file
-	Live   int64 // records that count
-	Tombs  int64 // deletions that are still needed, since older records of their keys may be about
-	Pinned bool  // it can't be emptied: a record that counts can't be read any more
+	Number         uint32
+	Size           int64 // of the file
+	LiveBytes      int64 // records that count
+	TombstoneBytes int64 // deletions that are still needed, since older records of their keys may be about
+	Pinned         bool  // it can't be emptied: a record that counts can't be read any more
 }
 
-// Gain is what compacting the segment frees.
-func (s Segment) Gain() int64 { return s.Size - s.Live - s.Tombs }
+// Reclaimable is what compacting the segment frees.
+func (s Segment) Reclaimable() int64 { return s.Size - s.LiveBytes - s.TombstoneBytes }
 
 // Bounds are the figures that a store keeps to. All are bytes.
 type Bounds struct {
-	Limit   int64 // all files together; 0 for no limit
-	Segment int64 // the largest size of one
+	MaxBytes     int64 // all files together; 0 for no limit
+	SegmentBytes int64 // the largest size of one
 }
 
 const (
@@ -43,35 +43,35 @@
 
 // Capacity is how many bytes of live records are taken on at most; 0 for no limit.
 func (b Bounds) Capacity() int64 {
-	if b.Limit == 0 {
+	if b.MaxBytes == 0 {
 		return 0
 	}
-	return max(int64(livePart*float64(b.Limit-spare*b.Segment)), 1)
+	return max(int64(livePart*float64(b.MaxBytes-spare*b.SegmentBytes)), 1)
 }
 
 // Fits says whether files of so many bytes may grow by more. New records leave
 // room for two segments; owed ones may take one of the two, and the last is for
 // the copies of compaction.
 func (b Bounds) Fits(used, more int64, owed bool) bool {
-	if b.Limit == 0 {
+	if b.MaxBytes == 0 {
 		return true
 	}
-	kept := 2 * b.Segment
+	kept := 2 * b.SegmentBytes
 	if owed {
-		kept = b.Segment
+		kept = b.SegmentBytes
 	}
-	return used+more <= b.Limit-kept
+	return used+more <= b.MaxBytes-kept
 }
 
-// Short says whether room is so short that compaction must not rest.
-func (b Bounds) Short(used int64) bool {
-	return b.Limit > 0 && used > b.Limit-4*b.Segment
+// LowSpace says whether room is so short that compaction must not rest.
+func (b Bounds) LowSpace(used int64) bool {
+	return b.MaxBytes > 0 && used > b.MaxBytes-4*b.SegmentBytes
 }
 
-// Victim picks the segment to compact next: the one that frees most for each byte
+// PickVictim picks the segment to compact next: the one that frees most for each byte
 // that must be copied. Without haste it waits until that is worth it. None is
 // picked when nothing is to be gained.
-func Victim(segments []Segment, haste bool) (number uint32, ok bool) {
+func PickVictim(segments []Segment, haste bool) (number uint32, ok bool) {
 	least := idleGain
 	if haste {
 		least = leastGain
@@ -81,7 +81,7 @@
 		if s.Pinned || s.Size == 0 {
 			continue
 		}
-		if part := float64(s.Gain()) / float64(s.Size); part >= least && part > best {
+		if part := float64(s.Reclaimable()) / float64(s.Size); part >= least && part > best {
 			best, number, ok = part, s.Number, true
 		}
 	}
@@ -92,14 +92,14 @@
 // another one is: its share of what is written, and what a start reads at most.
 const checkpointTimes = 4
 
-// Checkpoint says whether one is due after so many bytes, if the last one had so
+// CheckpointDue says whether one is due after so many bytes, if the last one had so
 // many; four segments are read faster than anybody notices.
-func (b Bounds) Checkpoint(since, last int64) bool {
-	return since > max(checkpointTimes*last, 4*b.Segment)
+func (b Bounds) CheckpointDue(since, last int64) bool {
+	return since > max(checkpointTimes*last, 4*b.SegmentBytes)
 }
 
-// Worth says whether compaction has a reason to run: room is short, or more than
+// ShouldCompact says whether compaction has a reason to run: room is short, or more than
 // half of what the files hold is dead.
-func (b Bounds) Worth(used, live int64) bool {
-	return b.Short(used) || used > 4*b.Segment && float64(used-live) > wasteful*float64(used)
+func (b Bounds) ShouldCompact(used, live int64) bool {
+	return b.LowSpace(used) || used > 4*b.SegmentBytes && float64(used-live) > wasteful*float64(used)
 }
--- a/internal/store/recover.go
+++ b/internal/store/recover.go
@@ -18,10 +18,10 @@
 
 // Recovery tells what was found when a store was opened.
 type Recovery struct {
-	Segments int
-	Records  int
-	Cut      int64 // bytes of a last write that was not whole, or not synced
-	Damaged  []Damage
+	Segments       int
+	Records        int
+	TruncatedBytes int64 // bytes of a last write that was not whole, or not synced
+	Damaged        []Damage
 }
 
 // Damage is a stretch of a segment that can't be read though it was written whole
@@ -29,12 +29,12 @@
 type Damage struct {
 	Segment  string
 	From, To int64  // bytes of the segment
-	Aside    string // file that holds the bytes; empty if there was no room for them
+	SavedAs  string // file that holds the bytes; empty if there was no room for them
 }
 
-// Doubt says that records are lost, so that the latest word on any key may be
+// RecordsLost says that records are lost, so that the latest word on any key may be
 // missing.
-func (r Recovery) Doubt() bool { return len(r.Damaged) > 0 }
+func (r Recovery) RecordsLost() bool { return len(r.Damaged) > 0 }
 
 // recover builds the index: from the checkpoint and the segments written since, if
 // that can be, else from all segments, in order.
@@ -92,12 +92,12 @@
 		if err != nil {
 			return nil, err
 		}
-		s.used += plan.Blocks(size)
+		s.used += plan.RoundToBlocks(size)
 		switch {
 		case name == checkpointName:
-			s.checkpointed = plan.Blocks(size)
+			s.checkpointed = plan.RoundToBlocks(size)
 		case strings.HasPrefix(name, damagedPrefix):
-			d.kept += plan.Blocks(size)
+			d.kept += plan.RoundToBlocks(size)
 		}
 	}
 	return d, nil
@@ -115,7 +115,7 @@
 			s.found.Damaged = append(s.found.Damaged, Damage{Segment: segName(g.number), From: g.size, To: want})
 		}
 	}
-	if d.fast && s.found.Doubt() {
+	if d.fast && s.found.RecordsLost() {
 		return nil // all are to be read
 	}
 	if g := s.active(); g != nil && s.synced == 0 { // the file of the last one was only being made
@@ -124,17 +124,17 @@
 		}
 	}
 	s.account(d)
-	if s.found.Doubt() {
+	if s.found.RecordsLost() {
 		if err := s.rewriteTombstones(d); err != nil {
 			return err
 		}
 	}
 	s.found.Segments = len(s.segs)
-	if s.found.Cut > 0 {
-		s.opts.Log.Info("store: the last write was not whole and has been cut off", "bytes", s.found.Cut)
+	if s.found.TruncatedBytes > 0 {
+		s.opts.Log.Info("store: the last write was not whole and has been cut off", "bytes", s.found.TruncatedBytes)
 	}
 	for _, d := range s.found.Damaged {
-		s.opts.Log.Error("store: damaged bytes", "segment", d.Segment, "from", d.From, "to", d.To, "aside", d.Aside)
+		s.opts.Log.Error("store: damaged bytes", "segment", d.Segment, "from", d.From, "to", d.To, "aside", d.SavedAs)
 	}
 	return nil
 }
@@ -208,14 +208,14 @@
 		damage = append(damage, span{end, size})
 	}
 	g.size = int64(size)
-	s.used += plan.Blocks(g.size)
+	s.used += plan.RoundToBlocks(g.size)
 	for _, x := range damage {
 		if err := s.setAside(name, b, x, d); err != nil {
 			return err
 		}
 	}
 	if size < len(b) {
-		s.found.Cut += int64(len(b) - size)
+		s.found.TruncatedBytes += int64(len(b) - size)
 		if err := file.Truncate(g.size); err != nil {
 			return err
 		}
@@ -307,15 +307,15 @@
 // noHeader takes a segment away whose header can't be read.
 func (s *Store) noHeader(name string, b []byte, last bool, d *scan) error {
 	if last && (len(b) <= headerLen || len(bytes.Trim(b, "\x00")) == 0) {
-		s.found.Cut += int64(len(b)) // it was being made
+		s.found.TruncatedBytes += int64(len(b)) // it was being made
 		return s.remove(name)
 	}
 	if d.fast { // all segments are going to be read
 		s.found.Damaged = append(s.found.Damaged, Damage{Segment: name})
 		return nil
 	}
-	s.used += plan.Blocks(int64(len(b)))
-	d.kept += plan.Blocks(int64(len(b)))
+	s.used += plan.RoundToBlocks(int64(len(b)))
+	d.kept += plan.RoundToBlocks(int64(len(b)))
 	aside := damagedPrefix + name
 	if err := s.fs.Rename(name, aside); err != nil {
 		return err
@@ -334,14 +334,14 @@
 	size := int64(x.to - x.from)
 	if d.fast { // all segments are going to be read
 	} else if had, err := s.sizeOf(aside); err == nil && had == size {
-		report.Aside = aside // by an earlier start
-	} else if s.bounds.Limit == 0 || d.kept+plan.Blocks(size) <= int64(keptDamage*float64(s.opts.Segment)) {
+		report.SavedAs = aside // by an earlier start
+	} else if s.bounds.MaxBytes == 0 || d.kept+plan.RoundToBlocks(size) <= int64(keptDamage*float64(s.opts.SegmentBytes)) {
 		if err := s.save(aside, b[x.from:x.to]); err != nil {
 			return err
 		}
-		report.Aside = aside
-		d.kept += plan.Blocks(size)
-		s.used += plan.Blocks(size)
+		report.SavedAs = aside
+		d.kept += plan.RoundToBlocks(size)
+		s.used += plan.RoundToBlocks(size)
 	}
 	s.found.Damaged = append(s.found.Damaged, report)
 	return nil
--- a/internal/store/segment.go
+++ b/internal/store/segment.go
@@ -23,8 +23,8 @@
 	segSuffix = ".seg"
 )
 
-// ErrNewer says that a store was written by a later version of this program.
-var ErrNewer = errors.New("the store is of a later format")
+// ErrNewerFormat says that a store was written by a later version of this program.
+var ErrNewerFormat = errors.New("the store is of a later format")
 
 // segment is one file of the log.
 type segment struct {
@@ -84,7 +84,7 @@
 			continue
 		}
 		if v := binary.LittleEndian.Uint32(h[8:]); v > version {
-			return out, false, fmt.Errorf("%s: %w (%d; this program reads %d)", segName(number), ErrNewer, v, version)
+			return out, false, fmt.Errorf("%s: %w (%d; this program reads %d)", segName(number), ErrNewerFormat, v, version)
 		}
 		if binary.LittleEndian.Uint32(h[12:]) != number {
 			continue // under another's name: its records are not to be trusted
@@ -126,9 +126,9 @@
 
 // view is what [plan] needs to know of the segment.
 func (s *Store) view(g *segment) plan.Segment {
-	v := plan.Segment{Number: g.number, Size: plan.Blocks(g.size), Live: g.live, Pinned: g.pinned}
+	v := plan.Segment{Number: g.number, Size: plan.RoundToBlocks(g.size), LiveBytes: g.live, Pinned: g.pinned}
 	if g.lo <= g.hi && s.holds(g.lo, g.hi, g.number) {
-		v.Tombs = g.tombs
+		v.TombstoneBytes = g.tombs
 	}
 	return v
 }
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -15,29 +15,29 @@
 	"cometrack/internal/vfs"
 )
 
-// Sync says when what is committed is made to outlive the machine.
-type Sync int
+// SyncPolicy says when what is committed is made to outlive the machine.
+type SyncPolicy int
 
 // The ways to sync. Whatever the way, commits outlive the process.
 const (
-	SyncAlways   Sync = iota // before a commit returns
-	SyncInterval             // every so often
-	SyncNever                // when the system pleases
+	SyncAlways   SyncPolicy = iota // before a commit returns
+	SyncInterval                   // every so often
+	SyncNever                      // when the system pleases
 )
 
 // Options are a store's bounds and ways.
 type Options struct {
-	Limit   int64         // bytes of all files in whole blocks of 512; 0 for no limit
-	Segment int64         // largest size of a segment in bytes; 0 for a default
-	Sync    Sync          // when to sync
-	Every   time.Duration // SyncInterval: how often; 0 for a second
+	MaxBytes      int64         // bytes of all files in whole blocks of 512; 0 for no limit
+	SegmentBytes  int64         // largest size of a segment in bytes; 0 for a default
+	Sync          SyncPolicy    // when to sync
+	FlushInterval time.Duration // SyncInterval: how often; 0 for a second
 	// Manual leaves compaction, and the syncs of SyncInterval, to the caller, who
-	// calls [Store.Step] and [Store.Flush].
+	// calls [Store.CompactStep] and [Store.Flush].
 	Manual bool
-	// Checkpoint is from how many keys on the index is saved from time to time, so
+	// MinCheckpointKeys is from how many keys on the index is saved from time to time, so
 	// that the next start need not read all segments; 0 for a default.
-	Checkpoint int
-	Log        *slog.Logger // nil for none
+	MinCheckpointKeys int
+	Log               *slog.Logger // nil for none
 }
 
 const (
@@ -53,9 +53,9 @@
 	ErrFull     = errors.New("the store is full")
 	ErrTooLarge = errors.New("larger than a segment")
 	ErrClosed   = errors.New("the store is closed")
-	// ErrFailed says that a sync has failed: what was written may be gone whatever
+	// ErrSyncFailed says that a sync has failed: what was written may be gone whatever
 	// the system says from then on. The store takes nothing until it is opened again.
-	ErrFailed = errors.New("the store takes nothing since a sync failed")
+	ErrSyncFailed = errors.New("the store takes nothing since a sync failed")
 	// ErrDamaged says that a record can't be read back.
 	ErrDamaged = errors.New("damaged record")
 )
@@ -115,36 +115,36 @@
 
 // Counts are figures since the store was opened.
 type Counts struct {
-	Commits   int64 // batches
-	Writes    int64 // calls that wrote them
-	Syncs     int64
-	Written   int64 // bytes, copies of compaction included
-	Copied    int64 // bytes copied by compaction
-	Compacted int64 // segments
+	Commits           int64 // batches
+	Writes            int64 // calls that wrote them
+	Syncs             int64
+	BytesWritten      int64 // bytes, copies of compaction included
+	BytesCopied       int64 // bytes copied by compaction
+	SegmentsCompacted int64 // segments
 }
 
 // Stats tells how a store stands.
 type Stats struct {
-	Keys     int
-	Segments int
-	Used     int64 // bytes of all files, in whole blocks
-	Live     int64 // bytes of records that count
-	Capacity int64 // bytes of records that may count; 0 for no limit
-	Failed   bool  // see [ErrFailed]
+	Keys      int
+	Segments  int
+	UsedBytes int64 // bytes of all files, in whole blocks
+	LiveBytes int64 // bytes of records that count
+	Capacity  int64 // bytes of records that may count; 0 for no limit
+	Failed    bool  // see [ErrSyncFailed]
 	Counts
 }
 
 // Open opens the store in a folder that it has for itself, and recovers what was
-// committed. What was found on the way is told by [Store.Found].
+// committed. What was found on the way is told by [Store.Recovery].
 func Open(dir vfs.FS, opts Options) (*Store, error) {
-	if opts.Segment == 0 {
-		opts.Segment = segmentSize(opts.Limit)
+	if opts.SegmentBytes == 0 {
+		opts.SegmentBytes = segmentSize(opts.MaxBytes)
 	}
-	if opts.Checkpoint <= 0 {
-		opts.Checkpoint = leastCheckpoint
+	if opts.MinCheckpointKeys <= 0 {
+		opts.MinCheckpointKeys = leastCheckpoint
 	}
-	if opts.Every <= 0 {
-		opts.Every = time.Second
+	if opts.FlushInterval <= 0 {
+		opts.FlushInterval = time.Second
 	}
 	if opts.Log == nil {
 		opts.Log = slog.New(slog.DiscardHandler)
@@ -153,7 +153,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("store: %w", err)
 	}
-	s := &Store{fs: dir, opts: opts, lock: lock, bounds: plan.Bounds{Limit: opts.Limit, Segment: opts.Segment},
+	s := &Store{fs: dir, opts: opts, lock: lock, bounds: plan.Bounds{MaxBytes: opts.MaxBytes, SegmentBytes: opts.SegmentBytes},
 		seed: rand.Uint64(), stop: make(chan struct{}), kick: make(chan struct{}, 1), index: index.New[loc]()}
 	if err := s.recover(); err != nil {
 		s.closeFiles()
@@ -172,11 +172,11 @@
 	return min(max(limit/16, minSegment), maxSegment)
 }
 
-// MostFiles is about how many files a store of that limit has open at once.
-func MostFiles(limit int64) int { return int(limit/segmentSize(limit)) + 2 }
+// MaxOpenFiles is about how many files a store of that limit has open at once.
+func MaxOpenFiles(limit int64) int { return int(limit/segmentSize(limit)) + 2 }
 
-// Found tells what recovery found.
-func (s *Store) Found() Recovery { return s.found }
+// Recovery tells what recovery found.
+func (s *Store) Recovery() Recovery { return s.found }
 
 func newSalt() uint64 { return rand.Uint64() }
 
@@ -258,11 +258,11 @@
 func (s *Store) Stats() Stats {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
-	return Stats{Keys: s.index.Len(), Segments: len(s.segs), Used: s.used, Live: s.live, Capacity: s.bounds.Capacity(),
+	return Stats{Keys: s.index.Len(), Segments: len(s.segs), UsedBytes: s.used, LiveBytes: s.live, Capacity: s.bounds.Capacity(),
 		Failed: s.failure != nil, Counts: s.counts}
 }
 
-// Failed says whether the store takes nothing since a sync failed, see [ErrFailed].
+// Failed says whether the store takes nothing since a sync failed, see [ErrSyncFailed].
 func (s *Store) Failed() bool {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
@@ -286,10 +286,10 @@
 	return nil
 }
 
-// Room says whether records of so many bytes more may be taken on: whether they
+// HasRoom says whether records of so many bytes more may be taken on: whether they
 // and all that count already keep within the capacity, and compaction has not
 // fallen behind.
-func (s *Store) Room(more int64) bool {
+func (s *Store) HasRoom(more int64) bool {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	if s.failure != nil {
@@ -306,7 +306,7 @@
 		s.writer.Unlock()
 		return ErrClosed
 	}
-	if s.failure == nil && s.index.Len() >= s.opts.Checkpoint && s.since > s.checkpointed/4 {
+	if s.failure == nil && s.index.Len() >= s.opts.MinCheckpointKeys && s.since > s.checkpointed/4 {
 		s.writer.Unlock()
 		if err := s.checkpoint(); err != nil { // the next start takes longer
 			s.opts.Log.Warn("store: checkpoint", "err", err)
