--- a/internal/store/index/arena.go
+++ b/internal/store/index/arena.go
@@ -3,58 +3,62 @@
 import "encoding/binary"
 
 const (
-	// MaxKeyBytes is the most bytes of a key.
+	// MaxKeyBytes is the largest key length in bytes.
 	MaxKeyBytes = 1 << 10
 
-	unit       = 8 // bytes; addresses count in them, so that four bytes reach 32 GB
-	chunkBytes = 64 << 10
-	chunkUnits = chunkBytes / unit
-	classes    = (MaxKeyBytes+2+unit-1)/unit + 1
+	unitSize    = 8 // addresses count in units of 8 bytes, so that 4 bytes address 32 GB
+	chunkBytes  = 64 << 10
+	chunkUnits  = chunkBytes / unitSize
+	sizeClasses = (MaxKeyBytes+2+unitSize-1)/unitSize + 1
 )
 
-// arena holds keys, each behind its length, in whole units. What is freed is used
-// again for keys of as many units: with keys of a few lengths, as here, nothing is
-// lost by that. No address is 0.
+// arena stores keys, each prefixed by its length, in whole units. Freed space is reused for keys of as many units; the
+// keys of a store have few lengths, so this leaves no lasting fragmentation. No address is 0.
 type arena struct {
-	chunks [][]byte
-	at     int // next free unit of the last chunk
-	freed  [classes]uint32
+	chunks    [][]byte
+	next      int                 // next free unit of the last chunk
+	freeLists [sizeClasses]uint32 // by size in units: address + 1 of the first free slot; 0 for none
 }
 
-func units(key int) int { return (key + 2 + unit - 1) / unit }
+// unitsFor returns how many units a key of that length takes with its length prefix.
+func unitsFor(key int) int { return (key + 2 + unitSize - 1) / unitSize }
 
-func (a *arena) bytes(addr uint32) []byte { return a.chunks[addr/chunkUnits][addr%chunkUnits*unit:] }
+// data returns the memory from an address to the end of its chunk.
+func (a *arena) data(addr uint32) []byte { return a.chunks[addr/chunkUnits][addr%chunkUnits*unitSize:] }
 
+// get returns the key at an address, which must not be changed.
 func (a *arena) get(addr uint32) []byte {
-	b := a.bytes(addr)
+	b := a.data(addr)
 	n := int(binary.LittleEndian.Uint16(b))
 	return b[2 : 2+n : 2+n]
 }
 
+// add stores a copy of a key and returns its address.
 func (a *arena) add(key []byte) uint32 {
-	size := units(len(key))
-	addr := a.freed[size] - 1
-	if a.freed[size] != 0 {
-		a.freed[size] = binary.LittleEndian.Uint32(a.bytes(addr))
+	size := unitsFor(len(key))
+	addr := a.freeLists[size] - 1
+	if a.freeLists[size] != 0 {
+		a.freeLists[size] = binary.LittleEndian.Uint32(a.data(addr))
 	} else {
-		if len(a.chunks) == 0 || a.at+size > chunkUnits {
+		if len(a.chunks) == 0 || a.next+size > chunkUnits {
 			a.chunks = append(a.chunks, make([]byte, chunkBytes))
-			a.at = 0
+			a.next = 0
 			if len(a.chunks) == 1 {
-				a.at = 1
+				a.next = 1
 			}
 		}
-		addr = uint32((len(a.chunks)-1)*chunkUnits + a.at)
-		a.at += size
+		addr = uint32((len(a.chunks)-1)*chunkUnits + a.next)
+		a.next += size
 	}
-	b := a.bytes(addr)
+	b := a.data(addr)
 	binary.LittleEndian.PutUint16(b, uint16(len(key)))
 	copy(b[2:], key)
 	return addr
 }
 
-func (a *arena) free(addr uint32) {
-	size := units(len(a.get(addr)))
-	binary.LittleEndian.PutUint32(a.bytes(addr), a.freed[size])
-	a.freed[size] = addr + 1
+// release puts the space of a key on the free list of its size.
+func (a *arena) release(addr uint32) {
+	size := unitsFor(len(a.get(addr)))
+	binary.LittleEndian.PutUint32(a.data(addr), a.freeLists[size])
+	a.freeLists[size] = addr + 1
 }
--- a/internal/store/index/doc.go
+++ b/internal/store/index/doc.go
@@ -1,4 +1,3 @@
-// Package index maps keys to values of one type in memory that the garbage
-// collector need not look into, at about a key's own length and a third more than
-// the value for each.
+// Package index maps keys to values of one type in memory that the garbage collector does not scan. Each entry takes
+// about the key's length plus four thirds of the value's size.
 package index
--- a/internal/store/index/index.go
+++ b/internal/store/index/index.go
@@ -6,45 +6,44 @@
 )
 
 const (
-	// chunkEntries entries are allocated at a time: what is there never moves.
+	// chunkEntries entries are allocated at a time, so that entries never move.
 	chunkEntries = 1024
-	// fullest is the part of the slots, in eighths, that is taken at most.
-	fullest   = 6
-	leastSize = 64
+	// maxLoadEighths is the largest load factor of the slots, in eighths.
+	maxLoadEighths = 6
+	minSlots       = 64
 )
 
-// entry is a key and its value. A free one has no key and links to the next in hash.
+// entry is a key and its value. A free entry has no key, and hash holds the next free entry's number + 1.
 type entry[V any] struct {
-	value V
-	hash  uint32
-	key   uint32 // its address; 0 for none
+	value   V
+	hash    uint32
+	keyAddr uint32 // address in the arena; 0 for none
 }
 
-// Index is a hash table with open addressing. Slots hold numbers of entries, so
-// that growing moves four bytes for each key. Its zero value is not usable; it is
-// not safe for concurrent use, but reads may run beside each other.
+// Index is a hash table with open addressing. Slots hold entry numbers, so that growing moves four bytes for each key.
+// The zero value is not usable. An Index is not safe for concurrent use, except for concurrent reads.
 type Index[V any] struct {
-	seed   maphash.Seed
-	slots  []uint32 // number of an entry + 1; 0: free. A power of two of them.
-	chunks [][]entry[V]
-	used   uint32 // entries that have ever been used
-	free   uint32 // number + 1 of a free one among them
-	n      int
-	keys   arena
+	seed        maphash.Seed
+	slots       []uint32 // entry number + 1; 0: empty. The length is a power of two.
+	chunks      [][]entry[V]
+	usedEntries uint32 // entries that have ever been used
+	freeList    uint32 // number + 1 of the first free entry; 0 for none
+	count       int
+	keys        arena
 }
 
-// New makes an index.
+// New returns an empty index.
 func New[V any]() *Index[V] {
-	return &Index[V]{seed: maphash.MakeSeed(), slots: make([]uint32, leastSize)}
+	return &Index[V]{seed: maphash.MakeSeed(), slots: make([]uint32, minSlots)}
 }
 
-// Len is the number of keys.
-func (x *Index[V]) Len() int { return x.n }
+// Len returns the number of keys.
+func (x *Index[V]) Len() int { return x.count }
 
-// Reserve makes room for so many keys in all, which are then added without growing.
+// Reserve grows the table for n keys in total, which are then added without growing.
 func (x *Index[V]) Reserve(n int) {
 	size := len(x.slots)
-	for size*fullest/8 < n {
+	for size*maxLoadEighths/8 < n {
 		size *= 2
 	}
 	if size > len(x.slots) {
@@ -61,7 +60,7 @@
 	return &x.chunks[number/chunkEntries][number%chunkEntries]
 }
 
-// find returns the key's entry and its slot; nil, and the slot where it would go.
+// find returns the key's entry and its slot, or nil and the slot where the key would go.
 func (x *Index[V]) find(key []byte, hash uint32) (*entry[V], uint32) {
 	mask := uint32(len(x.slots) - 1)
 	for i := hash & mask; ; i = (i + 1) & mask {
@@ -69,13 +68,13 @@
 		if number == 0 {
 			return nil, i
 		}
-		if e := x.entry(number - 1); e.hash == hash && bytes.Equal(x.keys.get(e.key), key) {
+		if e := x.entry(number - 1); e.hash == hash && bytes.Equal(x.keys.get(e.keyAddr), key) {
 			return e, i
 		}
 	}
 }
 
-// Get returns a key's value.
+// Get returns the value of a key.
 func (x *Index[V]) Get(key []byte) (value V, ok bool) {
 	if e, _ := x.find(key, x.hash(key)); e != nil {
 		return e.value, true
@@ -83,7 +82,7 @@
 	return value, false
 }
 
-// Set gives a key a value. The key's bytes are copied; it has at most [MaxKeyBytes].
+// Set sets the value of a key. The key's bytes are copied; their number is at most [MaxKeyBytes].
 func (x *Index[V]) Set(key []byte, value V) {
 	hash := x.hash(key)
 	e, slot := x.find(key, hash)
@@ -91,37 +90,37 @@
 		e.value = value
 		return
 	}
-	if (x.n+1)*8 > len(x.slots)*fullest {
+	if (x.count+1)*8 > len(x.slots)*maxLoadEighths {
 		x.resize(2 * len(x.slots))
 		_, slot = x.find(key, hash)
 	}
-	number := x.free
+	number := x.freeList
 	if number != 0 {
-		x.free = x.entry(number - 1).hash
+		x.freeList = x.entry(number - 1).hash
 	} else {
-		if x.used%chunkEntries == 0 {
+		if x.usedEntries%chunkEntries == 0 {
 			x.chunks = append(x.chunks, make([]entry[V], chunkEntries))
 		}
-		x.used++
-		number = x.used
+		x.usedEntries++
+		number = x.usedEntries
 	}
 	*x.entry(number - 1) = entry[V]{value, hash, x.keys.add(key)}
 	x.slots[slot] = number
-	x.n++
+	x.count++
 }
 
-// Delete takes a key away.
+// Delete removes a key.
 func (x *Index[V]) Delete(key []byte) {
 	e, slot := x.find(key, x.hash(key))
 	if e == nil {
 		return
 	}
 	number := x.slots[slot]
-	x.keys.free(e.key)
-	*e = entry[V]{hash: x.free}
-	x.free = number
-	x.n--
-	// Those behind it that could stand nearer to their own slots move up, so that no search ends too early.
+	x.keys.release(e.keyAddr)
+	*e = entry[V]{hash: x.freeList}
+	x.freeList = number
+	x.count--
+	// Entries behind the hole that may stand nearer to their home slot move up, so that no search ends too early.
 	mask := uint32(len(x.slots) - 1)
 	hole := slot
 	for i := (slot + 1) & mask; x.slots[i] != 0; i = (i + 1) & mask {
@@ -133,6 +132,7 @@
 	x.slots[hole] = 0
 }
 
+// resize rebuilds the slots with a new size, a power of two.
 func (x *Index[V]) resize(size int) {
 	old := x.slots
 	x.slots = make([]uint32, size)
@@ -149,14 +149,13 @@
 	}
 }
 
-// Visit calls visit for each key and its value, in no order, until it returns
-// false. The key's bytes are visit's only for the call. Nothing is to change
-// meanwhile.
+// Visit calls visit for each key and its value, in no order, until visit returns false. The key's bytes are valid only
+// during the call. The index must not change meanwhile.
 func (x *Index[V]) Visit(visit func(key []byte, value V) bool) {
-	for at := 0; at >= 0; {
-		at = x.VisitRange(at, chunkEntries, func(key []byte, value V) bool {
+	for position := 0; position >= 0; {
+		position = x.VisitRange(position, chunkEntries, func(key []byte, value V) bool {
 			if !visit(key, value) {
-				at = -1
+				position = -1
 				return false
 			}
 			return true
@@ -164,19 +163,18 @@
 	}
 }
 
-// VisitRange is [Index.Visit] for a stretch: it looks at so many entries from a place
-// on, which is 0 at first, and returns the next place; negative at the end. Between
-// two stretches the index may change: a key that is there all the time is visited
-// once, one that comes or goes may be.
-func (x *Index[V]) VisitRange(at, most int, visit func(key []byte, value V) bool) (next int) {
-	end := min(at+most, int(x.used))
-	for ; at < end; at++ {
-		if e := x.entry(uint32(at)); e.key != 0 && !visit(x.keys.get(e.key), e.value) {
+// VisitRange calls visit for the keys among the next count entries from a position on, which is 0 at first. It
+// returns the next position, negative at the end or once visit returns false. The index may change between two calls: a
+// key that is present all the time is visited once, one that is added or removed meanwhile may be.
+func (x *Index[V]) VisitRange(position, count int, visit func(key []byte, value V) bool) (next int) {
+	end := min(position+count, int(x.usedEntries))
+	for ; position < end; position++ {
+		if e := x.entry(uint32(position)); e.keyAddr != 0 && !visit(x.keys.get(e.keyAddr), e.value) {
 			return -1
 		}
 	}
-	if at >= int(x.used) {
+	if position >= int(x.usedEntries) {
 		return -1
 	}
-	return at
+	return position
 }
--- a/internal/store/index/index_test.go
+++ b/internal/store/index/index_test.go
@@ -9,9 +9,9 @@
 	"pgregory.net/rapid"
 )
 
-// Whatever is set and deleted, the index holds what a map holds; a visit in
-// stretches sees each key that stays once.
-func TestLikeAMap(t *testing.T) {
+// Checks that the index holds what a map holds after any sequence of changes, and that iteration in ranges visits each
+// key that stays exactly once.
+func TestMatchesMap(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		x, want := New[int](), map[string]int{}
 		key := rapid.Custom(func(t *rapid.T) string { // few keys of many lengths, some at the bounds
@@ -41,8 +41,8 @@
 		if !maps.Equal(got, want) || x.Len() != len(want) {
 			t.Fatalf("%d keys, want %d", len(got), len(want))
 		}
-		for at, n := 0, 0; at >= 0; n++ {
-			at = x.VisitRange(at, 7, func(k []byte, _ int) bool { seen[string(k)]++; return true })
+		for position, n := 0, 0; position >= 0; n++ {
+			position = x.VisitRange(position, 7, func(k []byte, _ int) bool { seen[string(k)]++; return true })
 			k := fmt.Sprint("new ", n%5)
 			x.Set([]byte(k), n)
 			x.Delete([]byte(fmt.Sprint("new ", (n+2)%5)))
@@ -66,7 +66,7 @@
 	}
 }
 
-// Beside Go's own map: what a store does for each record, and what it needs in memory.
+// Compares time and memory with Go's map for what a store does for each record.
 func BenchmarkSetDelete(b *testing.B) {
 	keys := make([][]byte, 1<<16)
 	for i := range keys {
--- a/internal/store/plan/doc.go
+++ b/internal/store/plan/doc.go
@@ -1,3 +1,3 @@
-// Package plan decides for a store which segment to compact, when, and whether
-// there is room: it does no I/O and keeps nothing.
+// Package plan decides for a store which segment to compact, when to compact, and whether a write fits. It does no I/O
+// and holds no state.
 package plan
--- a/internal/store/plan/plan.go
+++ b/internal/store/plan/plan.go
@@ -1,105 +1,103 @@
 package plan
 
-// BlockSize is what a disk hands out in one piece: each file counts in whole blocks.
+// BlockSize is the allocation unit of the disk in bytes: each file counts in whole blocks.
 const BlockSize = 512
 
-// RoundToBlocks rounds a size up to whole blocks.
+// RoundToBlocks rounds a size in bytes up to whole blocks.
 func RoundToBlocks(size int64) int64 { return (size + BlockSize - 1) / BlockSize * BlockSize }
 
-// Segment is what a store knows of one that takes no more records. All figures
-// but Number are bytes.
+// Segment describes a segment that takes no more records. All figures but Number are bytes.
 type Segment struct {
 	Number         uint32
 	Size           int64 // of the file
-	LiveBytes      int64 // records that count
-	TombstoneBytes int64 // deletions that are still needed, since older records of their keys may be about
-	Pinned         bool  // it can't be emptied: a record that counts can't be read any more
+	LiveBytes      int64 // current records
+	TombstoneBytes int64 // deletions still needed, since older records of their keys may be on disk
+	Pinned         bool  // can't be emptied: a current record in it can't be read any more
 }
 
-// Reclaimable is what compacting the segment frees.
+// Reclaimable returns how many bytes compacting the segment frees.
 func (s Segment) Reclaimable() int64 { return s.Size - s.LiveBytes - s.TombstoneBytes }
 
-// Bounds are the figures that a store keeps to. All are bytes.
+// Bounds are the space limits of a store, in bytes.
 type Bounds struct {
 	MaxBytes     int64 // all files together; 0 for no limit
-	SegmentBytes int64 // the largest size of one
+	SegmentBytes int64 // largest size of a segment
 }
 
 const (
-	// spare segments are kept free beside live records: one that is written, one
-	// for the copies of the one that is compacted, one for what is owed.
-	spare = 3
-	// livePart of the rest may be live. The closer to 1, the more copies are made
-	// for each byte that is freed: at 0.85 about three in the worst case.
-	livePart = 0.85
-	// idleGain is the part of a segment that must be gained for it to be compacted
-	// while there is room.
-	idleGain = 0.5
-	// leastGain is the part that must be gained when room is short.
-	leastGain = 0.02
-	// wasteful is the part of all files that may be dead while there is no limit.
-	wasteful = 0.5
+	// spareSegments are kept free beside live records: one for the active segment, one for the copies
+	// made by compaction, one for writes from the reserve.
+	spareSegments = 3
+	// maxLiveFraction of the space left may be live. The closer to 1, the more bytes are copied for each
+	// byte freed: at 0.85 about three in the worst case.
+	maxLiveFraction = 0.85
+	// minGainIdle is the fraction of a segment that must be reclaimable for it to be compacted while space
+	// is not low.
+	minGainIdle = 0.5
+	// minGainUrgent is the fraction that must be reclaimable when space is low.
+	minGainUrgent = 0.02
+	// maxDeadFraction of all files may be dead before compaction runs although space is not low.
+	maxDeadFraction = 0.5
 )
 
-// Capacity is how many bytes of live records are taken on at most; 0 for no limit.
+// Capacity returns how many bytes of live records the store accepts; 0 for no limit.
 func (b Bounds) Capacity() int64 {
 	if b.MaxBytes == 0 {
 		return 0
 	}
-	return max(int64(livePart*float64(b.MaxBytes-spare*b.SegmentBytes)), 1)
+	return max(int64(maxLiveFraction*float64(b.MaxBytes-spareSegments*b.SegmentBytes)), 1)
 }
 
-// Fits says whether files of so many bytes may grow by more. New records leave
-// room for two segments; owed ones may take one of the two, and the last is for
-// the copies of compaction.
-func (b Bounds) Fits(used, more int64, owed bool) bool {
+// Fits reports whether files of used bytes may grow by more bytes. Ordinary writes leave two segments free. Writes from
+// the reserve may use one of the two; the last is for the copies made by compaction.
+func (b Bounds) Fits(used, more int64, useReserve bool) bool {
 	if b.MaxBytes == 0 {
 		return true
 	}
-	kept := 2 * b.SegmentBytes
-	if owed {
-		kept = b.SegmentBytes
+	reserved := 2 * b.SegmentBytes
+	if useReserve {
+		reserved = b.SegmentBytes
 	}
-	return used+more <= b.MaxBytes-kept
+	return used+more <= b.MaxBytes-reserved
 }
 
-// LowSpace says whether room is so short that compaction must not rest.
+// LowSpace reports whether free space is so low that compaction must run without pauses.
 func (b Bounds) LowSpace(used int64) bool {
 	return b.MaxBytes > 0 && used > b.MaxBytes-4*b.SegmentBytes
 }
 
-// PickVictim picks the segment to compact next: the one that frees most for each byte
-// that must be copied. Without haste it waits until that is worth it. None is
-// picked when nothing is to be gained.
-func PickVictim(segments []Segment, haste bool) (number uint32, ok bool) {
-	least := idleGain
-	if haste {
-		least = leastGain
+// PickVictim returns the segment to compact next: the one with the largest reclaimable fraction, which frees most bytes
+// for each byte copied. Unless urgent, that fraction must be at least minGainIdle. It returns false if no segment
+// qualifies.
+func PickVictim(segments []Segment, urgent bool) (number uint32, ok bool) {
+	minGain := minGainIdle
+	if urgent {
+		minGain = minGainUrgent
 	}
 	best := 0.0
 	for _, s := range segments {
 		if s.Pinned || s.Size == 0 {
 			continue
 		}
-		if part := float64(s.Reclaimable()) / float64(s.Size); part >= least && part > best {
-			best, number, ok = part, s.Number, true
+		if gain := float64(s.Reclaimable()) / float64(s.Size); gain >= minGain && gain > best {
+			best, number, ok = gain, s.Number, true
 		}
 	}
 	return number, ok
 }
 
-// checkpointTimes is how much is written, in times of a checkpoint's size, until
-// another one is: its share of what is written, and what a start reads at most.
-const checkpointTimes = 4
+// checkpointInterval is how many times the size of the last checkpoint is written before the next one. It bounds the
+// share of checkpoints in what is written, and what a start must read.
+const checkpointInterval = 4
 
-// CheckpointDue says whether one is due after so many bytes, if the last one had so
-// many; four segments are read faster than anybody notices.
-func (b Bounds) CheckpointDue(since, last int64) bool {
-	return since > max(checkpointTimes*last, 4*b.SegmentBytes)
+// CheckpointDue reports whether a checkpoint is due when so many bytes have been written since the last one of lastSize
+// bytes. Four segments are read so quickly at a start that a checkpoint is not worth while before.
+func (b Bounds) CheckpointDue(written, lastSize int64) bool {
+	return written > max(checkpointInterval*lastSize, 4*b.SegmentBytes)
 }
 
-// ShouldCompact says whether compaction has a reason to run: room is short, or more than
-// half of what the files hold is dead.
+// ShouldCompact reports whether compaction should run: space is low, or more than half of the bytes in the files are
+// dead.
 func (b Bounds) ShouldCompact(used, live int64) bool {
-	return b.LowSpace(used) || used > 4*b.SegmentBytes && float64(used-live) > wasteful*float64(used)
+	return b.LowSpace(used) || used > 4*b.SegmentBytes && float64(used-live) > maxDeadFraction*float64(used)
 }
