--- a/cmd/measure/disk.go
+++ b/cmd/measure/disk.go
@@ -42,7 +42,7 @@
 		return err
 	}
 	defer os.RemoveAll(dir)
-	folder, err := vfs.Limit(vfs.Dir(dir), 1<<40)
+	folder, err := vfs.NewLimited(vfs.Dir(dir), 1<<40)
 	if err != nil {
 		return err
 	}
@@ -72,7 +72,7 @@
 	if r.j, err = journal.OpenOn(r.folder, r.opts); err != nil {
 		return 0, err
 	}
-	r.folder.SetRoom(r.folder.Used() + int64(r.rng.IntN(200_000)))
+	r.folder.SetLimit(r.folder.UsedBytes() + int64(r.rng.IntN(200_000)))
 	for refused := 0; refused < 5; {
 		if ok := r.step(); !ok {
 			refused++
@@ -84,7 +84,7 @@
 	if err := r.check("with the disk full"); err != nil {
 		return acked, err
 	}
-	r.folder.SetRoom(1 << 40)
+	r.folder.SetLimit(1 << 40)
 	for range 50 {
 		if !r.step() {
 			return acked, fmt.Errorf("refused with room again")
--- a/internal/backlog/disk/crash_test.go
+++ b/internal/backlog/disk/crash_test.go
@@ -301,7 +301,7 @@
 			t.Fatalf("call %d: then %v", n, err)
 		}
 		l.Close()
-		check(t, fmt.Sprint("call ", n, ", the machine dies"), m.Restart(vfs.LoseAll, nil), opts, h)
+		check(t, fmt.Sprint("call ", n, ", the machine dies"), m.Restart(vfs.LoseUnsynced, nil), opts, h)
 	}
 }
 
@@ -311,7 +311,7 @@
 	opts.Sync = store.SyncAlways
 	for room := int64(512); room < 12_000; room += 512 {
 		m, h := vfs.NewMem(), newHeld()
-		m.Limit(room)
+		m.SetLimit(room)
 		l, err := Open(m, 0, opts)
 		if err != nil {
 			t.Fatal(err)
@@ -320,7 +320,7 @@
 		if room < 8192 && err == nil {
 			t.Fatalf("room for %d: all is taken", room)
 		}
-		m.Limit(0)
+		m.SetLimit(0)
 		if err := play(l, h, 500, 1+int(room/512)%2*5); err != nil {
 			t.Fatalf("room for %d: with room again: %v", room, err)
 		}
@@ -346,9 +346,9 @@
 		if _, err := l.Append(list[:1]); err != nil {
 			t.Fatal(err)
 		}
-		m.Limit(room)
+		m.SetLimit(room)
 		_, err := l.Append(list[1:4])
-		m.Limit(0)
+		m.SetLimit(0)
 		if _, again := l.Append(list[4:]); again != nil {
 			t.Fatal(again)
 		}
@@ -407,7 +407,7 @@
 			m2 := m.Restart(vfs.LoseNone, nil)
 			b := m2.Data(data)
 			b[at] ^= 1 << (at % 8)
-			m2.Set(data, b)
+			m2.SetFile(data, b)
 			opts, errs := logged(opts)
 			l, err := Open(m2, 0, opts)
 			if err != nil {
@@ -457,7 +457,7 @@
 	}
 	l.Close()
 	torn := name(h.firsts[len(h.firsts)-1], dataSuffix)
-	m.Set(torn, append(m.Data(torn), make([]byte, 99)...))
+	m.SetFile(torn, append(m.Data(torn), make([]byte, 99)...))
 	l, _ = Open(m, 0, opts)
 	if err := l.Restore(newLanes().id, func(RestoredSegment) {}); err != nil {
 		t.Fatal(err)
@@ -471,7 +471,7 @@
 		m2 := m.Restart(vfs.LoseNone, nil)
 		b := m2.Data(index)
 		b[at] ^= 1 << (at % 8)
-		m2.Set(index, b)
+		m2.SetFile(index, b)
 		quiet, errs := logged(opts)
 		if err := restore(m2, quiet); err != nil && !errors.Is(err, ErrNewer) {
 			t.Fatalf("at %d: %v", at, err)
--- a/internal/core/backlog_test.go
+++ b/internal/core/backlog_test.go
@@ -192,7 +192,7 @@
 	cfg := testConfig()
 	cfg.CachedEndpoints.Endpoints = append(cfg.CachedEndpoints.Endpoints, Endpoint{Name: "e2", Addr: "h:2", Zone: "a", Kind: "std", Partner: "other", Weight: 1000})
 	r := newRig(t, t.TempDir(), cfg, behindOf(fs)).run()
-	fs.Limit(512)
+	fs.SetLimit(512)
 	r.accepted(newMessage("a", "unsafe"))
 	a := r.next("a")
 	big := newMessage("b", "unsafe")
@@ -204,7 +204,7 @@
 	other.Partner = "other"
 	r.accepted(other)
 	r.next("o").result <- Result{Outcome: logic.Completed}
-	fs.Limit(0)
+	fs.SetLimit(0)
 	r.accepted(big)
 	a.result <- Result{Outcome: logic.Completed}
 	r.next("b").result <- Result{Outcome: logic.Completed}
--- a/internal/journal/crash_test.go
+++ b/internal/journal/crash_test.go
@@ -140,7 +140,7 @@
 	opts.Sync = store.SyncNever
 	j := openJournal(t, fs, opts)
 	mustAppend(t, j, accept("a", 10), accept("b", 10))
-	fs.Limit(512)
+	fs.SetLimit(512)
 	err := j.Append([]Record{{Op: OpDone, ID: "a"}, accept("c", 2000), {Op: OpSend, ID: "b", At: 1}})
 	if err == nil {
 		t.Fatal("no error")
@@ -148,7 +148,7 @@
 	if j.Entry("c") != nil || j.Entry("b").Tries != 0 || j.Entry("a") != nil {
 		t.Errorf("after the error: a %v, b %+v, c %v", j.Entry("a"), j.Entry("b"), j.Entry("c"))
 	}
-	fs.Limit(0)
+	fs.SetLimit(0)
 	mustAppend(t, j, accept("d", 10))
 	j = reopen(t, j, fs)
 	if j.Entry("a") != nil || j.Entry("b") == nil || j.Entry("b").Tries != 0 || j.Entry("c") != nil || j.Entry("d") == nil {
@@ -168,7 +168,7 @@
 	j.Close()
 	b := fs.Data("00000001.seg")
 	b[at] ^= 1
-	fs.Set("00000001.seg", b)
+	fs.SetFile("00000001.seg", b)
 	j = openJournal(t, fs, plain)
 	for _, id := range []string{"a", "b"} {
 		if e := j.Entry(id); e == nil || !e.MayRun || e.FirstMay != e.Accepted {
--- a/internal/journal/journal_test.go
+++ b/internal/journal/journal_test.go
@@ -151,7 +151,7 @@
 	j := openJournal(t, fs, opts)
 	check := func() {
 		t.Helper()
-		if use := fs.Used(); use > disk {
+		if use := fs.UsedBytes(); use > disk {
 			t.Fatalf("%d bytes", use)
 		}
 	}
--- a/internal/journal/old_test.go
+++ b/internal/journal/old_test.go
@@ -40,8 +40,8 @@
 	}
 	fresh := func() *vfs.Mem {
 		m := vfs.NewMem()
-		m.Set(oldName, append(old, "a torn tail"...))
-		m.Set(oldNew, old[:9])
+		m.SetFile(oldName, append(old, "a torn tail"...))
+		m.SetFile(oldNew, old[:9])
 		return m
 	}
 	for n := 1; ; n++ {
--- a/internal/store/checkpoint_test.go
+++ b/internal/store/checkpoint_test.go
@@ -12,13 +12,13 @@
 	"cometrack/internal/vfs"
 )
 
-// fast says whether a store was opened from its checkpoint.
-func fast(s *Store) bool { return s.checkpointed > 0 }
+// fromCheckpoint reports whether a store was opened from its checkpoint.
+func fromCheckpoint(s *Store) bool { return s.checkpointBytes > 0 }
 
-// A checkpoint that is not whole, or of other segments, is of no use and does no
-// harm: whatever bit of it is flipped and wherever it is cut, all is there.
+// Checks that a checkpoint that is incomplete, or belongs to another store, is ignored: with any flipped bit and any
+// truncation all keys are recovered from the segments.
 func TestDamagedCheckpoint(t *testing.T) {
-	m, end, _ := history(t, 40, true)
+	m, end, _ := playHistory(t, 40, true)
 	opts := small
 	opts.MinCheckpointKeys = 1
 	s := mustOpen(t, m, opts)
@@ -32,15 +32,15 @@
 		t.Helper()
 		m := vfs.NewMem()
 		for name, b := range files {
-			m.Set(name, b)
+			m.SetFile(name, b)
 		}
-		m.Set(checkpointName, data)
+		m.SetFile(checkpointName, data)
 		s := mustOpen(t, m, small)
-		if fast(s) != want {
-			t.Fatalf("%s: from the checkpoint: %v", what, fast(s))
+		if fromCheckpoint(s) != want {
+			t.Fatalf("%s: from the checkpoint: %v", what, fromCheckpoint(s))
 		}
-		if have := content(t, s); !maps.Equal(have, end) || s.found.RecordsLost() {
-			t.Fatalf("%s:\n%v\nwant\n%v\n%+v", what, have, end, s.found)
+		if have := content(t, s); !maps.Equal(have, end) || s.recovery.RecordsLost() {
+			t.Fatalf("%s:\n%v\nwant\n%v\n%+v", what, have, end, s.recovery)
 		}
 		s.Close()
 	}
@@ -54,7 +54,7 @@
 		check(fmt.Sprint("cut at ", n), whole[:n], false)
 	}
 	check("twice", append(append([]byte(nil), whole...), whole...), false)
-	other, _, _ := history(t, 70, true)
+	other, _, _ := playHistory(t, 70, true)
 	s = mustOpen(t, other, opts)
 	if err := s.checkpoint(); err != nil {
 		t.Fatal(err)
@@ -64,10 +64,10 @@
 	check("whole", whole, true)
 }
 
-// With a checkpoint old segments are not read at the start. Damage there is found
-// where it is read: told, and never a wrong value.
-func TestDamageBehindACheckpoint(t *testing.T) {
-	m, end, _ := history(t, 24, true)
+// With a checkpoint old segments are not read at the start. Checks that damage there is reported when the record is
+// read, and that no read returns a wrong value.
+func TestDamageBeforeCheckpoint(t *testing.T) {
+	m, end, _ := playHistory(t, 24, true)
 	opts := small
 	opts.MinCheckpointKeys = 1
 	s := mustOpen(t, m, opts)
@@ -76,9 +76,9 @@
 	}
 	s.Close()
 	files := filesOf(t, m)
-	first, told := "", 0
+	first, reported := "", 0
 	for name := range files {
-		if _, ok := segNumber(name); ok && (first == "" || name < first) {
+		if _, ok := parseSegmentName(name); ok && (first == "" || name < first) {
 			first = name
 		}
 	}
@@ -86,7 +86,7 @@
 		files[first][bit/8] ^= 1 << (bit % 8)
 		m := vfs.NewMem()
 		for name, b := range files {
-			m.Set(name, b)
+			m.SetFile(name, b)
 		}
 		s := mustOpen(t, m, small)
 		lost, have := 0, state{}
@@ -98,58 +98,60 @@
 			}
 		}
 		unread, err := s.Range(func(key string, v []byte) error { have[key] = string(v); return nil })
-		if !fast(s) || err != nil || unread != lost || lost > 1 || len(have) != len(end)-lost {
-			t.Fatalf("bit %d: %d lost, %d can't be read, %d of %d are there, %v", bit, lost, unread, len(have), len(end), err)
+		if !fromCheckpoint(s) || err != nil || unread != lost || lost > 1 || len(have) != len(end)-lost {
+			t.Fatalf("bit %d: %d lost, %d can't be read, %d of %d are there, %v", bit, lost, unread, len(have),
+				len(end), err)
 		}
-		told += lost
+		reported += lost
 		s.Close()
 		files[first][bit/8] ^= 1 << (bit % 8)
 	}
-	if told == 0 {
-		t.Error("no damage was of any account")
+	if reported == 0 {
+		t.Error("no damage had an effect")
 	}
 }
 
-// What a checkpoint says is taken for true only of the segments that it was made of.
+// Checks that a checkpoint is used only with the segments it was made from.
 func TestCheckpointOfOtherSegments(t *testing.T) {
-	for name, spoil := range map[string]func(s *Store, m *vfs.Mem){
+	for name, damage := range map[string]func(s *Store, m *vfs.Mem){
 		"an entry behind the end": func(s *Store, m *vfs.Mem) {
 			at, _ := s.index.Get([]byte("cold-3"))
-			at.off += 4000
+			at.offset += 4000
 			s.index.Set([]byte("cold-3"), at)
 		},
 		"another salt": func(s *Store, m *vfs.Mem) {
-			g := s.segs[0]
-			m.Set(segName(g.number), append(header(g.number, head{salt: g.salt + 1}), m.Data(segName(g.number))[headerLen:]...))
+			g := s.segments[0]
+			m.SetFile(segmentName(g.number), append(encodeHeader(g.number, segmentHeader{salt: g.salt + 1}),
+				m.Data(segmentName(g.number))[headerLen:]...))
 		},
 		"a segment that was cut": func(s *Store, m *vfs.Mem) {
-			name := segName(s.segs[1].number)
-			m.Set(name, m.Data(name)[:600])
+			name := segmentName(s.segments[1].number)
+			m.SetFile(name, m.Data(name)[:600])
 		},
 		"a segment that is not known": func(s *Store, m *vfs.Mem) {
-			m.Set(segName(s.segs[0].number-1), m.Data(segName(s.segs[0].number)))
+			m.SetFile(segmentName(s.segments[0].number-1), m.Data(segmentName(s.segments[0].number)))
 		},
 	} {
-		m, _, _ := history(t, 70, true)
+		m, _, _ := playHistory(t, 70, true)
 		s := mustOpen(t, m, small)
 		if name == "an entry behind the end" {
-			spoil(s, m)
+			damage(s, m)
 		}
 		if err := s.checkpoint(); err != nil {
 			t.Fatal(err)
 		}
 		s.Close()
-		spoil(s, m)
+		damage(s, m)
 		s = mustOpen(t, m, small)
-		if fast(s) || m.Data(checkpointName) != nil {
-			t.Errorf("%s: the checkpoint was believed, or is there still", name)
+		if fromCheckpoint(s) || m.Data(checkpointName) != nil {
+			t.Errorf("%s: the checkpoint was used, or was not removed", name)
 		}
 		s.Close()
 	}
 }
 
-// A checkpoint never knows more than what is on the disk, where syncs come later
-// than commits too.
+// Checks that a checkpoint never refers to records that are not on the disk yet, although syncs come later than
+// commits.
 func TestCheckpointSyncsTheLog(t *testing.T) {
 	m := vfs.NewMem()
 	s := mustOpen(t, m, Options{Manual: true, Sync: SyncInterval})
@@ -161,23 +163,23 @@
 	if err := s.checkpoint(); err != nil {
 		t.Fatal(err)
 	}
-	left := m.Restart(vfs.LoseAll, nil)
+	left := m.Restart(vfs.LoseUnsynced, nil)
 	s = mustOpen(t, left, small)
-	if have := content(t, s); len(have) != 50 || !fast(s) {
-		t.Errorf("%d of 50 keys, from the checkpoint: %v", len(have), fast(s))
+	if have := content(t, s); len(have) != 50 || !fromCheckpoint(s) {
+		t.Errorf("%d of 50 keys, from the checkpoint: %v", len(have), fromCheckpoint(s))
 	}
 	s.Close()
 }
 
-// Checkpoints are written beside the traffic, from time to time, and each start from
-// one finds what a start from all segments finds.
-func TestCheckpointsBesideTraffic(t *testing.T) {
+// Checks that checkpoints are written concurrently with commits, and that a start from one finds what a start from all
+// segments finds.
+func TestCheckpointsDuringTraffic(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := vfs.NewMem()
 		opts := Options{SegmentBytes: 8 << 10, MinCheckpointKeys: 64, Sync: SyncAlways}
 		for round := range 4 {
 			s := mustOpen(t, m, opts)
-			if round > 0 && !fast(s) {
+			if round > 0 && !fromCheckpoint(s) {
 				t.Errorf("round %d: all segments were read", round)
 			}
 			want := content(t, s)
@@ -186,7 +188,8 @@
 			for w := range 4 {
 				writers.Go(func() {
 					for i := range 400 {
-						list := []change{{fmt.Sprint(w, "-", i%97), fmt.Sprintf("%d %0*d", round, i%50, i)}, {key: fmt.Sprint(w, "-", (i*7)%97)}}
+						list := []change{{fmt.Sprint(w, "-", i%97), fmt.Sprintf("%d %0*d", round, i%50, i)},
+							{key: fmt.Sprint(w, "-", (i*7)%97)}}
 						if err := s.commit(list); err != nil {
 							t.Error(err)
 						}
@@ -199,16 +202,16 @@
 				})
 			}
 			writers.Wait()
-			time.Sleep(time.Minute) // until the background rests
-			s.books(func() {
-				if s.checkpointed == 0 {
+			time.Sleep(time.Minute) // until the background goroutine is idle
+			s.withLocks(func() {
+				if s.checkpointBytes == 0 {
 					t.Fatal("no checkpoint")
 				}
 			})
-			if round%2 == 1 { // else its process dies
+			if round%2 == 1 { // else the process dies
 				s.Close()
 			} else {
-				m = m.Restart(vfs.LoseAll, nil)
+				m = m.Restart(vfs.LoseUnsynced, nil)
 				s.Close()
 			}
 			slow := opts
@@ -216,7 +219,7 @@
 			copied := vfs.NewMem()
 			for name, b := range filesOf(t, m) {
 				if name != checkpointName {
-					copied.Set(name, b)
+					copied.SetFile(name, b)
 				}
 			}
 			all := mustOpen(t, copied, slow)
@@ -228,8 +231,8 @@
 	})
 }
 
-// A checkpoint needs room that nothing else wants, and gives it back when records do.
-func TestCheckpointGivesWay(t *testing.T) {
+// Checks that a checkpoint uses only spare space, and is removed when records need the space.
+func TestCheckpointYieldsSpace(t *testing.T) {
 	opts := small
 	opts.MinCheckpointKeys = 1
 	m := vfs.NewMem()
@@ -238,18 +241,18 @@
 	for i := 0; full == nil; i++ {
 		full = s.commit([]change{{fmt.Sprint("key-", i), fmt.Sprintf("%0100d", i)}})
 		if i == 20 {
-			if err := s.checkpoint(); err != nil || s.checkpointed == 0 {
-				t.Fatalf("%v, %d bytes", err, s.checkpointed)
+			if err := s.checkpoint(); err != nil || s.checkpointBytes == 0 {
+				t.Fatalf("%v, %d bytes", err, s.checkpointBytes)
 			}
 		}
-		sums(t, s)
+		checkAccounting(t, s)
 	}
-	if !errors.Is(full, ErrFull) || s.checkpointed != 0 {
-		t.Errorf("%v with a checkpoint of %d bytes", full, s.checkpointed)
+	if !errors.Is(full, ErrFull) || s.checkpointBytes != 0 {
+		t.Errorf("%v with a checkpoint of %d bytes", full, s.checkpointBytes)
 	}
 	if err := s.checkpoint(); !errors.Is(err, ErrFull) {
 		t.Errorf("a checkpoint of a full store: %v", err)
 	}
-	sums(t, s)
+	checkAccounting(t, s)
 	s.Close()
 }
--- a/internal/store/compact.go
+++ b/internal/store/compact.go
@@ -12,18 +12,17 @@
 
 // victim is the segment that is being compacted.
 type victim struct {
-	seg  *segment
-	data []byte
-	at   int
+	segment *segment
+	data    []byte
+	offset  int
 }
 
-// CompactStep does a bounded part of what compaction has to do, and says whether there
-// is more. Commits wait for the copying, not for syncs nor for the file system to
-// take a segment away, which may take it long.
+// CompactStep does a bounded part of the pending compaction work, and reports whether there is more. Commits wait while
+// records are copied, but not for syncs nor for the removal of a segment's file, which may take the file system long.
 func (s *Store) CompactStep() (more bool, err error) {
-	more, doomed, err := s.stepLocked()
-	if err == nil && len(doomed) > 0 {
-		err = s.reap(doomed)
+	more, obsolete, err := s.stepLocked()
+	if err == nil && len(obsolete) > 0 {
+		err = s.unlinkSegments(obsolete)
 	}
 	if err != nil {
 		return false, fmt.Errorf("store: compaction: %w", err)
@@ -31,36 +30,37 @@
 	return more, nil
 }
 
-func (s *Store) stepLocked() (more bool, doomed []*segment, err error) {
-	s.writer.Lock()
-	defer s.writer.Unlock()
-	if err := s.usable(); err != nil {
+// stepLocked does the part of a step that holds writeMu, and returns the segments to be unlinked.
+func (s *Store) stepLocked() (more bool, obsolete []*segment, err error) {
+	s.writeMu.Lock()
+	defer s.writeMu.Unlock()
+	if err := s.checkWritable(); err != nil {
 		return false, nil, err
 	}
-	if s.victim != nil || s.bounds.ShouldCompact(s.used, s.live) {
-		if more, err = s.step(stepBytes, s.bounds.LowSpace(s.used)); err != nil {
+	if s.victim != nil || s.bounds.ShouldCompact(s.usedBytes, s.liveBytes) {
+		if more, err = s.compactVictim(compactStepBytes, s.bounds.LowSpace(s.usedBytes)); err != nil {
 			return false, nil, err
 		}
 	}
-	doomed, s.doomed = s.doomed, nil
-	return more, doomed, nil
+	obsolete, s.obsolete = s.obsolete, nil
+	return more, obsolete, nil
 }
 
-// reap takes segments away without holding commits up.
-func (s *Store) reap(doomed []*segment) error {
-	err := s.syncBeside()
-	for _, g := range doomed {
+// unlinkSegments syncs the copies and removes obsolete segments without blocking commits.
+func (s *Store) unlinkSegments(obsolete []*segment) error {
+	err := s.syncWithoutBlocking()
+	for _, g := range obsolete {
 		if err == nil {
-			err = s.unname(g)
+			err = s.unlinkFile(g)
 		}
-		s.writer.Lock()
+		s.writeMu.Lock()
 		var file vfs.File
 		if err == nil {
-			file = s.forget(g)
+			file = s.removeSegment(g)
 		} else {
-			s.doomed = append(s.doomed, g) // to be tried again
+			s.obsolete = append(s.obsolete, g) // to be retried
 		}
-		s.writer.Unlock()
+		s.writeMu.Unlock()
 		if file != nil {
 			err = errors.Join(err, file.Close())
 		}
@@ -68,167 +68,172 @@
 	return err
 }
 
-// reapNow is reap for one who holds writer and needs the room.
-func (s *Store) reapNow() error {
-	if s.opts.Sync != SyncNever && s.synced != s.active().size {
+// unlinkObsolete removes all obsolete segments. It is for a caller that holds writeMu and needs the space at once.
+func (s *Store) unlinkObsolete() error {
+	if s.opts.Sync != SyncNever && s.syncedSize != s.active().size {
 		if err := s.sync(); err != nil {
 			return err
 		}
 	}
-	for _, g := range slices.Clone(s.segs) {
-		if !g.doomed {
+	for _, g := range slices.Clone(s.segments) {
+		if !g.obsolete {
 			continue
 		}
-		if err := s.unname(g); err != nil {
+		if err := s.unlinkFile(g); err != nil {
 			return err
 		}
-		if err := s.forget(g).Close(); err != nil {
+		if err := s.removeSegment(g).Close(); err != nil {
 			return err
 		}
 	}
-	s.doomed = nil
+	s.obsolete = nil
 	return nil
 }
 
-// unname removes a segment's file. Its bytes stay until it is closed.
-func (s *Store) unname(g *segment) error {
-	if err := s.remove(segName(g.number)); err != nil || s.opts.Sync == SyncNever {
+// unlinkFile removes the name of a segment's file. Its space is freed once the file is closed.
+func (s *Store) unlinkFile(g *segment) error {
+	if err := s.remove(segmentName(g.number)); err != nil || s.opts.Sync == SyncNever {
 		return err
 	}
-	// Were it to come back after a deletion that it needs was dropped, its records would be alive again.
+	// The removal must be durable: if the file came back after a tombstone for it was dropped, its records would be
+	// current again.
 	return s.fs.SyncDir()
 }
 
-// forget takes a segment off the list and returns its file to be closed; nil if
-// somebody has done so.
-func (s *Store) forget(g *segment) vfs.File {
-	if !slices.Contains(s.segs, g) {
+// removeSegment takes a segment off the list and returns its file, which the caller closes; nil if it is already off
+// the list.
+func (s *Store) removeSegment(g *segment) vfs.File {
+	if !slices.Contains(s.segments, g) {
 		return nil
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.segs = slices.DeleteFunc(s.segs, func(x *segment) bool { return x == g })
-	s.used -= plan.RoundToBlocks(g.size)
+	s.segments = slices.DeleteFunc(s.segments, func(x *segment) bool { return x == g })
+	s.usedBytes -= plan.RoundToBlocks(g.size)
 	s.counts.SegmentsCompacted++
 	return g.file
 }
 
-// syncBeside syncs what has been written so far while commits go on.
-func (s *Store) syncBeside() error {
+// syncWithoutBlocking syncs what has been written so far, without blocking commits meanwhile.
+func (s *Store) syncWithoutBlocking() error {
 	if s.opts.Sync == SyncNever {
 		return nil
 	}
-	s.writer.Lock()
+	s.writeMu.Lock()
 	g := s.active()
-	err := s.usable()
-	if err != nil || g == nil || s.synced == g.size {
-		s.writer.Unlock()
+	err := s.checkWritable()
+	if err != nil || g == nil || s.syncedSize == g.size {
+		s.writeMu.Unlock()
 		return err
 	}
 	size := g.size
-	s.writer.Unlock()
+	s.writeMu.Unlock()
 	err = g.file.Sync()
-	s.writer.Lock()
-	defer s.writer.Unlock()
-	if s.active() != g { // it was synced whole when the next one was begun
-		return s.failure
+	s.writeMu.Lock()
+	defer s.writeMu.Unlock()
+	if s.active() != g { // rotate synced g whole before it began the next segment
+		return s.syncFailure
 	}
-	return s.settled(g, size, err)
+	return s.syncDone(g, size, err)
 }
 
-// makeRoom compacts until so many bytes more may be written. It goes on for as
-// long as there is a gain: what is owed must find its room.
-func (s *Store) makeRoom(more int64, owed bool) error {
-	if s.checkpointed > 0 && !s.bounds.Fits(s.used, more, owed) { // the next start takes longer
-		if err := s.dropCheckpoint(); err != nil {
+// makeRoom compacts until so many bytes more may be written. It goes on as long as space is gained, since writes from
+// the reserve must find their space.
+func (s *Store) makeRoom(more int64, useReserve bool) error {
+	// without a checkpoint only the next start is slower
+	if s.checkpointBytes > 0 && !s.bounds.Fits(s.usedBytes, more, useReserve) {
+		if err := s.removeCheckpoint(); err != nil {
 			return err
 		}
 	}
-	least, vain := s.used, 0
-	for !s.bounds.Fits(s.used, more, owed) {
-		went, err := s.step(int(s.opts.SegmentBytes), true)
+	minUsed, stepsWithoutGain := s.usedBytes, 0
+	for !s.bounds.Fits(s.usedBytes, more, useReserve) {
+		progressed, err := s.compactVictim(int(s.opts.SegmentBytes), true)
 		if err != nil {
 			return err
 		}
-		if err := s.reapNow(); err != nil {
+		if err := s.unlinkObsolete(); err != nil {
 			return err
 		}
-		if vain++; s.used < least {
-			least, vain = s.used, 0
+		if stepsWithoutGain++; s.usedBytes < minUsed {
+			minUsed, stepsWithoutGain = s.usedBytes, 0
 		}
-		// All that is left to gain may be less than the copies take by whole blocks: then it would go on for ever.
-		if (!went || vain > 2*len(s.segs)) && !s.bounds.Fits(s.used, more, owed) {
-			return fmt.Errorf("%d of %d bytes are used: %w", s.used, s.opts.MaxBytes, ErrFull)
+		// The space still to be gained may be less than what the copies lose by whole blocks: without this bound the
+		// loop would not end.
+		if (!progressed || stepsWithoutGain > 2*len(s.segments)) && !s.bounds.Fits(s.usedBytes, more, useReserve) {
+			return fmt.Errorf("%d of %d bytes are used: %w", s.usedBytes, s.opts.MaxBytes, ErrFull)
 		}
 	}
 	return nil
 }
 
-// step goes on with a victim, or picks one; false if there is none.
-func (s *Store) step(budget int, haste bool) (bool, error) {
+// compactVictim continues with the current victim, or picks one; it returns false if there is none.
+func (s *Store) compactVictim(budget int, urgent bool) (bool, error) {
 	if s.victim == nil {
-		g := s.pick(haste)
+		g := s.pickVictim(urgent)
 		if g == nil {
 			return false, nil
 		}
-		v := &victim{seg: g, at: headerLen}
-		if view := s.view(g); view.LiveBytes > 0 || view.TombstoneBytes > 0 {
-			b, err := readInto(s.scratch, g.file)
+		v := &victim{segment: g, offset: headerLen}
+		if view := s.planView(g); view.LiveBytes > 0 || view.TombstoneBytes > 0 {
+			b, err := readInto(s.victimBuf, g.file)
 			if err != nil {
 				return false, err
 			}
-			s.scratch, v.data = b, b
+			s.victimBuf, v.data = b, b
 		}
 		s.victim = v
 	}
-	done, err := s.copy(budget)
+	done, err := s.copyLive(budget)
 	if err != nil || !done {
 		return err == nil, err
 	}
-	g := s.victim.seg
+	g := s.victim.segment
 	s.victim = nil
-	s.drop(g)
+	s.retireSegment(g)
 	return true, nil
 }
 
-func (s *Store) pick(haste bool) *segment {
-	if len(s.segs) < 2 {
+// pickVictim returns the segment to compact next; nil for none.
+func (s *Store) pickVictim(urgent bool) *segment {
+	if len(s.segments) < 2 {
 		return nil
 	}
 	var views []plan.Segment
-	for _, g := range s.segs[:len(s.segs)-1] {
-		if !g.doomed {
-			views = append(views, s.view(g))
+	for _, g := range s.segments[:len(s.segments)-1] {
+		if !g.obsolete {
+			views = append(views, s.planView(g))
 		}
 	}
-	number, ok := plan.PickVictim(views, haste)
+	number, ok := plan.PickVictim(views, urgent)
 	if !ok {
 		return nil
 	}
 	return s.segment(number)
 }
 
-// copy copies what counts in the victim to the end of the log, about budget bytes
-// of it; done says that it was all.
-func (s *Store) copy(budget int) (done bool, err error) {
+// copyLive copies the current records and needed tombstones of the victim to the end of the log, about budget bytes of
+// them; done reports that the victim is finished.
+func (s *Store) copyLive(budget int) (done bool, err error) {
 	v := s.victim
-	if err := s.mend(); err != nil {
+	if err := s.truncateTornTail(); err != nil {
 		return false, err
 	}
-	p := s.pending()
+	p := s.nextWrite()
 	done = true
 	scanned := 0
-	from := v.at
-	walk(v.data, v.seg.salt, v.at, func(f *frame) bool {
+	retryFrom := v.offset
+	scanFrames(v.data, v.segment.salt, v.offset, func(f *frame) bool {
 		scanned += f.size
 		if len(p.buf) >= budget || scanned > 8*budget {
 			done = false
 			return false
 		}
-		v.at = f.off + f.size
-		at, ok := s.index.Get(f.key)
-		current := f.kind == kindPut && ok && at.seg == v.seg.number && int(at.off) == f.off
-		needed := (f.kind == kindDel || f.kind == kindSum) && s.holds(f.first, f.last, v.seg.number)
+		v.offset = f.offset + f.size
+		loc, ok := s.index.Get(f.key)
+		current := f.kind == kindPut && ok && loc.segment == v.segment.number && int(loc.offset) == f.offset
+		needed := (f.kind == kindDelete || f.kind == kindSum) &&
+			s.hasSegmentInRange(f.firstSegment, f.lastSegment, v.segment.number)
 		if !current && !needed {
 			return true
 		}
@@ -239,58 +244,62 @@
 			if err != nil {
 				return false
 			}
-			from = f.off
+			retryFrom = f.offset
 		}
 		p.begin()
-		to := frame{kind: f.kind, seq: f.seq, key: f.key, value: f.value, first: f.first, last: f.last}
-		p.frame(&to)
+		copied := frame{kind: f.kind, seq: f.seq, key: f.key, value: f.value, firstSegment: f.firstSegment,
+			lastSegment: f.lastSegment}
+		p.appendRecord(&copied)
 		if current {
-			p.undo = append(p.undo, undo{string(f.key), at, true})
-			s.link(f.key, at, true, loc{seq: f.seq, seg: s.active().number, off: uint32(to.off), size: uint32(to.size), first: at.first})
+			p.undo = append(p.undo, undoEntry{string(f.key), loc, true})
+			s.setLocation(f.key, loc, true, location{seq: f.seq, segment: s.active().number,
+				offset: uint32(copied.offset), size: uint32(copied.size), firstSegment: loc.firstSegment})
 		}
-		s.counts.BytesCopied += int64(to.size)
+		s.counts.BytesCopied += int64(copied.size)
 		return true
 	})
 	if err == nil {
 		err = p.flush()
 	}
 	if err != nil {
-		v.at = from // what is there already does not count as current any more
+		v.offset = retryFrom // the next pass skips records already copied, since the index refers to the copies
 	}
 	return done, err
 }
 
-// drop gives up a segment that has been emptied.
-func (s *Store) drop(g *segment) {
-	if g.live != 0 {
-		// Its bytes can't be read any more; what counts in them stays as long as the store does.
+// retireSegment marks a compacted segment as obsolete, or as pinned if current records remain.
+func (s *Store) retireSegment(g *segment) {
+	if g.liveBytes != 0 {
+		// These records can't be read any more. They stay as long as the store does.
 		g.pinned = true
-		s.opts.Log.Error("store: records can't be read back; their segment is kept", "segment", segName(g.number), "bytes", g.live)
+		s.opts.Log.Error("store: records can't be read back; their segment is kept", "segment", segmentName(g.number),
+			"bytes", g.liveBytes)
 		return
 	}
-	g.doomed = true
-	s.doomed = append(s.doomed, g)
+	g.obsolete = true
+	s.obsolete = append(s.obsolete, g)
 }
 
-// background compacts and, where asked, syncs beside the traffic. Commits that
-// wait go first unless room is short.
+// background runs compaction and, with SyncInterval, syncs concurrently with commits. It pauses between steps so that
+// waiting commits go first, unless space is low.
 func (s *Store) background() {
-	every := time.Duration(1<<63 - 1)
+	interval := time.Duration(1<<63 - 1)
 	if s.opts.Sync == SyncInterval {
-		every = s.opts.FlushInterval
+		interval = s.opts.FlushInterval
 	}
-	tick := time.NewTicker(every)
+	tick := time.NewTicker(interval)
 	defer tick.Stop()
 	for {
 		select {
 		case <-s.stop:
 			return
 		case <-tick.C:
-			if err := s.syncBeside(); err != nil && !errors.Is(err, ErrClosed) && !errors.Is(err, ErrSyncFailed) {
+			if err := s.syncWithoutBlocking(); err != nil && !errors.Is(err, ErrClosed) &&
+				!errors.Is(err, ErrSyncFailed) {
 				s.opts.Log.Error("store", "err", err)
 			}
 			continue
-		case <-s.kick:
+		case <-s.wakeBackground:
 		}
 		for more := true; more; {
 			var err error
@@ -299,7 +308,7 @@
 			}
 			s.mu.RLock()
 			pause := stepPause
-			if s.bounds.LowSpace(s.used) {
+			if s.bounds.LowSpace(s.usedBytes) {
 				pause = 0
 			}
 			s.mu.RUnlock()
@@ -320,5 +329,5 @@
 	}
 }
 
-// stepPause leaves the disk to commits between two steps.
+// stepPause leaves the disk to commits between two steps of compaction.
 const stepPause = time.Millisecond
--- a/internal/store/crash_test.go
+++ b/internal/store/crash_test.go
@@ -10,10 +10,9 @@
 	"cometrack/internal/vfs"
 )
 
-// A workload is crashed at every call, under each kind of loss. What was
-// acknowledged is there, what was deleted is not, recovery finds no damage where
-// there is none, and the store works on. For some of the crashes recovery itself
-// is crashed at every call, and again at every call.
+// Crashes a workload at every call, with each kind of loss. What was acknowledged must be there, what was deleted must
+// not, recovery must report no damage, and the store must accept further writes. For some of the crashes recovery
+// itself is crashed at every call, and so is the recovery from that.
 func TestCrashAtEveryCall(t *testing.T) {
 	for _, sync := range []SyncPolicy{SyncAlways, SyncNever} {
 		opts := small
@@ -21,10 +20,14 @@
 		t.Run(fmt.Sprint("sync=", sync), func(t *testing.T) { t.Parallel(); crashAtEveryCall(t, opts, 110) })
 		saving := opts
 		saving.MinCheckpointKeys = 1
-		t.Run(fmt.Sprint("checkpoints, sync=", sync), func(t *testing.T) { t.Parallel(); crashAtEveryCall(t, saving, 45) })
+		t.Run(fmt.Sprint("checkpoints, sync=", sync), func(t *testing.T) {
+			t.Parallel()
+			crashAtEveryCall(t, saving, 45)
+		})
 	}
 }
 
+// crashAtEveryCall runs the workload of that many batches once for each call and kind of loss.
 func crashAtEveryCall(t *testing.T, opts Options, batches int) {
 	sync := opts.Sync
 	list := script(7, batches)
@@ -41,25 +44,25 @@
 	}
 	losses := vfs.Losses()
 	if sync == SyncNever {
-		losses = []vfs.Loss{vfs.LoseNone} // it promises to outlive the process only
+		losses = []vfs.Loss{vfs.LoseNone} // SyncNever covers only the end of the process
 	}
 	for n := 1; n <= whole.Calls(); n++ {
 		for _, loss := range losses {
 			m := vfs.NewMem()
 			m.CrashAt(n)
 			acked := state{}
-			var under []change
+			var inProgress []change
 			if s, err := Open(m, opts); err == nil {
-				if under, err = s.play(acked, list); err == nil {
+				if inProgress, err = s.play(acked, list); err == nil {
 					s.Close()
 				}
 			}
 			what := fmt.Sprintf("crash at call %d, loss %d", n, loss)
 			left := m.Restart(loss, rand.New(rand.NewPCG(uint64(n), uint64(loss))))
 			if (n+int(loss))%23 == 0 {
-				recoverCrashing(t, what, left, opts, acked, under, 2)
+				recoverCrashing(t, what, left, opts, acked, inProgress, 2)
 			}
-			recovered(t, what, left, opts, acked, under, list)
+			checkRecovered(t, what, left, opts, acked, inProgress, list)
 			if t.Failed() {
 				return
 			}
@@ -67,19 +70,20 @@
 	}
 }
 
-// recovered opens what a crash left, checks it and works on.
-func recovered(t *testing.T, what string, m *vfs.Mem, opts Options, acked state, under []change, list [][]change) {
+// checkRecovered opens what a crash left, checks it and commits more batches.
+func checkRecovered(t *testing.T, what string, m *vfs.Mem, opts Options, acked state, inProgress []change,
+	list [][]change) {
 	t.Helper()
 	s, err := Open(m, opts)
 	if err != nil {
 		t.Fatalf("%s: %v", what, err)
 	}
 	have := content(t, s)
-	if !among(have, acked, under) {
-		t.Fatalf("%s: recovered\n%v\nacknowledged\n%v\nunder way %v", what, have, acked, under)
+	if !isPrefixApplied(have, acked, inProgress) {
+		t.Fatalf("%s: recovered\n%v\nacknowledged\n%v\nin progress %v", what, have, acked, inProgress)
 	}
-	if s.found.RecordsLost() {
-		t.Fatalf("%s: damage is seen where there is none: %+v", what, s.found)
+	if s.recovery.RecordsLost() {
+		t.Fatalf("%s: damage is reported where there is none: %+v", what, s.recovery)
 	}
 	if _, err := s.play(have, list[:20]); err != nil {
 		t.Fatalf("%s: afterwards: %v", what, err)
@@ -88,21 +92,21 @@
 		t.Fatalf("%s: close: %v", what, err)
 	}
 	s = mustOpen(t, m, opts)
-	if now := content(t, s); !maps.Equal(now, have) || s.found.TruncatedBytes > 0 {
-		t.Fatalf("%s: after more work\n%v\nwant\n%v\n%+v", what, now, have, s.found)
+	if now := content(t, s); !maps.Equal(now, have) || s.recovery.TruncatedBytes > 0 {
+		t.Fatalf("%s: after more work\n%v\nwant\n%v\n%+v", what, now, have, s.recovery)
 	}
 	s.Close()
 }
 
-// recoverCrashing crashes recovery at every call, so many times over.
-func recoverCrashing(t *testing.T, what string, m *vfs.Mem, opts Options, acked state, under []change, deep int) {
+// recoverCrashing crashes recovery at every call, recursively to a depth.
+func recoverCrashing(t *testing.T, what string, m *vfs.Mem, opts Options, acked state, inProgress []change, deep int) {
 	t.Helper()
 	files := filesOf(t, m)
 	for n := 1; ; n++ {
 		rng := rand.New(rand.NewPCG(uint64(n), uint64(deep)))
 		m2 := vfs.NewMem()
 		for name, b := range files {
-			m2.Set(name, b)
+			m2.SetFile(name, b)
 		}
 		m2.CrashAt(n)
 		s, err := Open(m2, opts)
@@ -111,7 +115,7 @@
 			if err != nil {
 				t.Fatalf("%s: %v", what, err)
 			}
-			if have := content(t, s); !among(have, acked, under) {
+			if have := content(t, s); !isPrefixApplied(have, acked, inProgress) {
 				t.Fatalf("%s, recovery: %v\nwant %v", what, have, acked)
 			}
 			s.Close()
@@ -122,19 +126,23 @@
 			loss = vfs.LoseNone
 		}
 		if deep > 1 {
-			recoverCrashing(t, fmt.Sprintf("%s, recovery at %d", what, n), m2.Restart(loss, rng), opts, acked, under, deep-1)
+			recoverCrashing(t, fmt.Sprintf("%s, recovery at %d", what, n), m2.Restart(loss, rng), opts, acked,
+				inProgress,
+				deep-1)
 		}
 	}
 }
 
-// A call that fails, whichever it is, loses nothing that was acknowledged, and
-// what was refused is not there. After a failed sync nothing is taken on.
+// Checks that an error of any call loses nothing that was acknowledged, that rejected batches leave nothing behind, and
+// that nothing is accepted after a failed sync.
 func TestFailAtEveryCall(t *testing.T) {
-	for _, opts := range []Options{small, {MaxBytes: small.MaxBytes, SegmentBytes: small.SegmentBytes, Manual: true, MinCheckpointKeys: 1}} {
+	for _, opts := range []Options{small, {MaxBytes: small.MaxBytes, SegmentBytes: small.SegmentBytes, Manual: true,
+		MinCheckpointKeys: 1}} {
 		failAtEveryCall(t, opts)
 	}
 }
 
+// failAtEveryCall runs a workload once for each call, with an error at that call.
 func failAtEveryCall(t *testing.T, opts Options) {
 	list := script(3, 60)
 	whole := vfs.NewMem()
@@ -165,49 +173,49 @@
 				s.checkpoint()
 			}
 		}
-		if failed > 1 && s.failure == nil {
+		if failed > 1 && s.syncFailure == nil {
 			t.Fatalf("call %d: %d commits failed", n, failed)
 		}
-		if s.failure == nil {
+		if s.syncFailure == nil {
 			if now := content(t, s); !maps.Equal(now, have) {
 				t.Fatalf("call %d: before the restart\n%v\nwant\n%v", n, now, have)
 			}
 		}
 		s.Close()
 		s = mustOpen(t, m, opts)
-		if now := content(t, s); !maps.Equal(now, have) || s.found.RecordsLost() {
-			t.Fatalf("call %d: after the restart\n%v\nwant\n%v\n%+v", n, now, have, s.found)
+		if now := content(t, s); !maps.Equal(now, have) || s.recovery.RecordsLost() {
+			t.Fatalf("call %d: after the restart\n%v\nwant\n%v\n%+v", n, now, have, s.recovery)
 		}
 		s.Close()
 	}
 }
 
-// The disk ends at every byte: a commit that finds no room is refused and leaves
-// nothing, and with room again the store goes on by itself.
+// Lets the disk fill up after any number of blocks: a commit without space must be rejected and leave nothing behind,
+// and the store must accept commits again once there is space.
 func TestDiskFillsAtEveryByte(t *testing.T) {
 	list := script(5, 25)
 	opts := small
 	opts.MaxBytes = 0
-	step := int64(512) // what a disk hands out
+	step := int64(512) // allocation unit of a disk
 	for room := step; ; room += step {
 		m := vfs.NewMem()
-		m.Limit(room)
+		m.SetLimit(room)
 		s, err := Open(m, opts)
 		if err != nil {
 			continue
 		}
 		have := state{}
-		refused := 0
+		rejected := 0
 		for i, b := range list {
 			if i == 20 {
-				m.Limit(0)
+				m.SetLimit(0)
 			}
 			if err := s.commit(b); err == nil {
 				for _, c := range b {
 					have.apply(c)
 				}
-			} else if refused++; i >= 20 {
-				t.Fatalf("room for %d bytes: refused with room again: %v", room, err)
+			} else if rejected++; i >= 20 {
+				t.Fatalf("room for %d bytes: rejected although there is space again: %v", room, err)
 			}
 			s.CompactStep()
 		}
@@ -216,10 +224,10 @@
 		}
 		s.Close()
 		s = mustOpen(t, m, opts)
-		if now := content(t, s); !maps.Equal(now, have) || s.found.RecordsLost() {
+		if now := content(t, s); !maps.Equal(now, have) || s.recovery.RecordsLost() {
 			t.Fatalf("room for %d bytes, after the restart:\n%v\nwant\n%v", room, now, have)
 		}
-		if refused == 0 {
+		if rejected == 0 {
 			return
 		}
 	}
--- a/internal/store/damage_test.go
+++ b/internal/store/damage_test.go
@@ -9,9 +9,9 @@
 	"cometrack/internal/vfs"
 )
 
-// history plays a script on a fresh store, and tells the values that each key ever
+// playHistory commits a script to a new store, and returns its files, its contents and the values that each key ever
 // had.
-func history(t *testing.T, batches int, closed bool) (m *vfs.Mem, end state, ever map[string][]string) {
+func playHistory(t *testing.T, batches int, closed bool) (m *vfs.Mem, end state, ever map[string][]string) {
 	t.Helper()
 	m = vfs.NewMem()
 	s := mustOpen(t, m, small)
@@ -33,20 +33,20 @@
 	return m, end, ever
 }
 
-// damaged opens a store of which one file was changed, and checks it: nothing that
-// was deleted is alive, each value was once the key's own, all is there but at
-// most one key, and if that is missing something the damage is told and its bytes
-// are set aside.
-func damaged(t *testing.T, what string, files map[string][]byte, name string, data []byte, end state, ever map[string][]string, closed bool, lost int) {
+// checkDamaged opens a store of which one file was changed, and checks it: no deleted key may have a value, each value
+// was once the key's own, at most lost keys may differ, and if one does the damage must be reported and its bytes
+// saved.
+func checkDamaged(t *testing.T, what string, files map[string][]byte, name string, data []byte, end state,
+	ever map[string][]string, closed bool, lost int) {
 	t.Helper()
 	m := vfs.NewMem()
 	for n, b := range files {
-		m.Set(n, b)
+		m.SetFile(n, b)
 	}
-	m.Set(name, data)
+	m.SetFile(name, data)
 	s, err := Open(m, small)
 	if errors.Is(err, ErrNewerFormat) {
-		return // told plainly; the bit of the version is the one flipped, in a sound header
+		return // the flipped bit is in the version of a valid header
 	}
 	if err != nil {
 		t.Fatalf("%s: %v", what, err)
@@ -56,7 +56,7 @@
 	wrong := 0
 	for key, v := range have {
 		if end[key] == "" {
-			t.Fatalf("%s: %s was deleted and is alive", what, key)
+			t.Fatalf("%s: deleted key %s has a value", what, key)
 		}
 		if v != end[key] {
 			wrong++
@@ -77,12 +77,15 @@
 	if wrong > lost {
 		t.Fatalf("%s: %d keys are not as they were", what, wrong)
 	}
-	if wrong > 0 && !s.found.RecordsLost() && (closed || s.found.TruncatedBytes == 0) { // a last write may have been cut short by a crash
-		t.Fatalf("%s: the damage is not told: %+v", what, s.found)
+	// A crash may have cut the last write short.
+	if wrong > 0 && !s.recovery.RecordsLost() && (closed || s.recovery.TruncatedBytes == 0) {
+		t.Fatalf("%s: the damage is not reported: %+v", what, s.recovery)
 	}
-	for _, d := range s.found.Damaged {
-		if d.SavedAs == "" && d.From < int64(len(data)) || strings.HasPrefix(d.SavedAs, damagedPrefix+d.Segment+"-") && string(m.Data(d.SavedAs)) != string(data[d.From:d.To]) {
-			t.Fatalf("%s: what was set aside is not what was damaged: %+v", what, d)
+	for _, d := range s.recovery.Damaged {
+		if d.SavedAs == "" && d.From < int64(len(data)) ||
+			strings.HasPrefix(d.SavedAs, damagedPrefix+d.Segment+"-") &&
+				string(m.Data(d.SavedAs)) != string(data[d.From:d.To]) {
+			t.Fatalf("%s: the saved bytes are not the damaged ones: %+v", what, d)
 		}
 	}
 }
@@ -100,11 +103,10 @@
 	return out
 }
 
-// Every bit of a store is flipped in turn, of one that was closed and of one whose
-// process died.
+// Flips every bit of a store in turn, once of a store that was closed and once of one whose process died.
 func TestEveryBitFlipped(t *testing.T) {
 	for _, closed := range []bool{true, false} {
-		m, end, ever := history(t, 24, closed)
+		m, end, ever := playHistory(t, 24, closed)
 		files := filesOf(t, m)
 		if len(files) < 4 {
 			t.Fatalf("only %d files", len(files))
@@ -114,35 +116,34 @@
 				b[bit/8] ^= 1 << (bit % 8)
 				lost := 1
 				if !closed {
-					lost = 3 // a write, which may have been cut short
+					lost = 3 // one write, which may have been cut short
 				}
-				damaged(t, name+" bit", files, name, b, end, ever, closed, lost)
+				checkDamaged(t, name+" bit", files, name, b, end, ever, closed, lost)
 				b[bit/8] ^= 1 << (bit % 8)
 			}
 		}
 	}
 }
 
-// Every file is cut at every byte. The last one may have been being written: a cut
-// there leaves what was before. Elsewhere it is damage, and what was deleted in the
-// part that is gone stays deleted.
+// Truncates every file at every byte. The last file may have been being written: truncating it must leave a prefix of
+// the changes. Elsewhere it is damage, and keys deleted in the missing part must stay deleted.
 func TestEveryCut(t *testing.T) {
-	m, end, ever := history(t, 70, true)
+	m, end, ever := playHistory(t, 70, true)
 	files := filesOf(t, m)
 	last := ""
 	for name := range files {
-		if strings.HasSuffix(name, segSuffix) {
+		if strings.HasSuffix(name, segmentSuffix) {
 			last = max(last, name)
 		}
 	}
 	for name, b := range files {
 		for n := range b {
 			if name != last {
-				damaged(t, name+" cut", files, name, b[:n], end, ever, true, len(end))
+				checkDamaged(t, name+" cut", files, name, b[:n], end, ever, true, len(end))
 			}
 		}
 	}
-	// The prefix at each cut of the last one, from the start of a script.
+	// Truncates the only segment of a short script at each byte.
 	short := script(13, 6)
 	m = vfs.NewMem()
 	s := mustOpen(t, m, small)
@@ -159,19 +160,19 @@
 			}
 		}
 	}
-	name := segName(1)
+	name := segmentName(1)
 	b := m.Data(name)
 	at := 0
 	for n := range len(b) + 1 {
 		m := vfs.NewMem()
-		m.Set(name, b[:n])
+		m.SetFile(name, b[:n])
 		s := mustOpen(t, m, small)
 		have := content(t, s)
 		for at < len(states) && !maps.Equal(have, states[at]) {
 			at++
 		}
-		if at == len(states) || s.found.RecordsLost() {
-			t.Fatalf("cut at %d: %v is no later prefix; %+v", n, have, s.found)
+		if at == len(states) || s.recovery.RecordsLost() {
+			t.Fatalf("cut at %d: %v is no later prefix; %+v", n, have, s.recovery)
 		}
 		s.Close()
 	}
@@ -180,25 +181,26 @@
 	}
 }
 
-// A store is looked into and repaired without a change to it: what counts is in the new one, damage is told, and
-// the new one is sound.
+// Checks that a store is inspected and repaired without changing it, that its current records are in the new store,
+// that damage is reported, and that the new store is undamaged.
 func TestInspectAndRepair(t *testing.T) {
-	m, end, _ := history(t, 40, true)
+	m, end, _ := playHistory(t, 40, true)
 	names, _ := m.List()
 	var segs []string
 	for _, n := range names {
-		if strings.HasSuffix(n, segSuffix) {
+		if strings.HasSuffix(n, segmentSuffix) {
 			segs = append(segs, n)
 		}
 	}
 	bad := segs[1]
 	b := m.Data(bad)
 	b[headerLen+20] ^= 4
-	m.Set(bad, b)
+	m.SetFile(bad, b)
 	before := filesOf(t, m)
 	var live LiveRecords
 	reports, err := Inspect(m, func(it Record) error { live.Add(it); return nil })
-	if err != nil || len(reports) != len(segs) || len(reports[1].Damaged) != 1 || reports[1].Damaged[0].From != headerLen || !reports[len(reports)-1].ClosedCleanly {
+	if err != nil || len(reports) != len(segs) || len(reports[1].Damaged) != 1 ||
+		reports[1].Damaged[0].From != headerLen || !reports[len(reports)-1].ClosedCleanly {
 		t.Fatalf("%v %+v", err, reports)
 	}
 	to := vfs.NewMem()
@@ -206,7 +208,8 @@
 	if err != nil || len(found.Damaged) != 1 {
 		t.Fatalf("%v %+v", err, found)
 	}
-	if after := filesOf(t, m); !maps.EqualFunc(before, after, func(a, b []byte) bool { return string(a) == string(b) }) {
+	if after := filesOf(t, m); !maps.EqualFunc(before, after,
+		func(a, b []byte) bool { return string(a) == string(b) }) {
 		t.Error("the damaged store was changed")
 	}
 	if reports, err := Inspect(to, nil); err != nil || len(reports[0].Damaged) > 0 || reports[0].Error != "" {
@@ -220,12 +223,12 @@
 			missing++
 		}
 	}
-	if s.found.RecordsLost() || missing > 1 || len(have) > len(end) {
-		t.Errorf("%d keys are not as they were, %+v", missing, s.found)
+	if s.recovery.RecordsLost() || missing > 1 || len(have) > len(end) {
+		t.Errorf("%d keys are not as they were, %+v", missing, s.recovery)
 	}
 	live.Visit(func(it Record) {
 		if have[it.Key] != string(it.Value) && end[it.Key] != "" {
-			t.Errorf("%s: looked into %q, repaired %q", it.Key, it.Value, have[it.Key])
+			t.Errorf("%s: inspected %q, repaired %q", it.Key, it.Value, have[it.Key])
 		}
 	})
 	s.Close()
--- a/internal/store/doc.go
+++ b/internal/store/doc.go
@@ -1,3 +1,3 @@
-// Package store keeps keys with values in a log of segments, with an index in
-// memory: what was committed outlives the process, and with syncs the machine.
+// Package store is a log-structured key-value store: records in a log of segment files, with an index in memory.
+// Committed batches survive the end of the process, and with syncs a crash of the machine.
 package store
--- a/internal/store/harness_test.go
+++ b/internal/store/harness_test.go
@@ -10,27 +10,26 @@
 	"cometrack/internal/vfs"
 )
 
-// small makes segments change and compaction run every few commits.
+// small has limits so low that segments rotate and compaction runs every few commits.
 var small = Options{MaxBytes: 24 << 10, SegmentBytes: 2 << 10, Manual: true}
 
 // change is one Put, or a Delete if the value is empty.
 type change struct{ key, value string }
 
-// script is a list of batches; the same seed gives the same script. A few keys
-// change all the time and many seldom, so that old segments stay beside new ones,
-// deletions outlive the segments that they stood in, and keys come back.
+// script returns a list of batches, the same for the same seed. A few keys change all the time and many seldom, so that
+// old segments stay beside new ones, deletions outlive the segments they were written to, and keys are set again.
 func script(seed uint64, batches int) (out [][]change) {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	for range batches {
 		var b []change
 		for range 1 + rng.IntN(3) {
 			c := change{key: fmt.Sprint("hot-", rng.IntN(4))}
-			most := 400
+			maxSize := 400
 			if rng.IntN(4) == 0 {
-				c.key, most = fmt.Sprint("cold-", rng.IntN(24)), 150
+				c.key, maxSize = fmt.Sprint("cold-", rng.IntN(24)), 150
 			}
 			if rng.IntN(3) > 0 {
-				c.value = fmt.Sprintf("%d:%0*d", rng.Uint32(), 1+rng.IntN(most), 7)
+				c.value = fmt.Sprintf("%d:%0*d", rng.Uint32(), 1+rng.IntN(maxSize), 7)
 			}
 			b = append(b, c)
 		}
@@ -39,6 +38,7 @@
 	return out
 }
 
+// state is the expected contents of a store.
 type state map[string]string
 
 func (m state) apply(c change) {
@@ -49,6 +49,7 @@
 	}
 }
 
+// commit commits a list of changes, using the reserve.
 func (s *Store) commit(list []change) error {
 	var b Batch
 	b.UseReserve = true
@@ -62,9 +63,9 @@
 	return s.Commit(&b)
 }
 
-// play commits a script and compacts beside it. It returns what was acknowledged,
-// and the batch that was under way when it failed.
-func (s *Store) play(m state, list [][]change) (under []change, err error) {
+// play commits a script, and compacts and writes checkpoints in between. It applies what was acknowledged to m, and
+// returns the batch that was in progress when an error occurred.
+func (s *Store) play(m state, list [][]change) (inProgress []change, err error) {
 	for i, b := range list {
 		if err := s.commit(b); err != nil {
 			return b, err
@@ -84,7 +85,7 @@
 	return nil, nil
 }
 
-// content reads all that is there, by both ways that there are.
+// content reads all keys and values, by Range and by Get.
 func content(t testing.TB, s *Store) state {
 	t.Helper()
 	m := state{}
@@ -97,29 +98,30 @@
 			t.Fatalf("get %s: %q, %v; range has %q", key, v, err, want)
 		}
 	}
-	sums(t, s)
+	checkAccounting(t, s)
 	return m
 }
 
-// sums checks the books: what the segments say of themselves adds up.
-func sums(t testing.TB, s *Store) {
+// checkAccounting checks that the live and used bytes that the store counts match the index and the files.
+func checkAccounting(t testing.TB, s *Store) {
 	t.Helper()
 	live, bySeg := int64(0), map[uint32]int64{}
-	s.index.Visit(func(_ []byte, at loc) bool {
-		live += int64(at.size)
-		bySeg[at.seg] += int64(at.size)
+	s.index.Visit(func(_ []byte, loc location) bool {
+		live += int64(loc.size)
+		bySeg[loc.segment] += int64(loc.size)
 		return true
 	})
-	for _, g := range s.segs {
-		if g.live != bySeg[g.number] {
-			t.Fatalf("segment %d says that %d bytes live, the index %d", g.number, g.live, bySeg[g.number])
+	for _, g := range s.segments {
+		if g.liveBytes != bySeg[g.number] {
+			t.Fatalf("segment %d counts %d live bytes, the index %d", g.number, g.liveBytes, bySeg[g.number])
 		}
 	}
-	if m, ok := s.fs.(*vfs.Mem); ok && m.Used() != s.used || s.live != live {
-		t.Fatalf("%d bytes used, files have %d; %d live, index has %d", s.used, m.Used(), s.live, live)
+	if m, ok := s.fs.(*vfs.Mem); ok && m.UsedBytes() != s.usedBytes || s.liveBytes != live {
+		t.Fatalf("%d bytes used, files have %d; %d live, index has %d", s.usedBytes, m.UsedBytes(), s.liveBytes, live)
 	}
 }
 
+// mustOpen opens a store and fails the test on an error.
 func mustOpen(t testing.TB, fs vfs.FS, opts Options) *Store {
 	t.Helper()
 	s, err := Open(fs, opts)
@@ -129,17 +131,17 @@
 	return s
 }
 
-// among says whether have is want with some first part of under applied.
-func among(have, want state, under []change) bool {
+// isPrefixApplied reports whether have is want with some prefix of the changes applied.
+func isPrefixApplied(have, want state, inProgress []change) bool {
 	m := maps.Clone(want)
 	for i := 0; ; i++ {
 		if maps.Equal(have, m) {
 			return true
 		}
-		if i == len(under) {
+		if i == len(inProgress) {
 			return false
 		}
-		m.apply(under[i])
+		m.apply(inProgress[i])
 	}
 }
 
--- a/internal/store/inspect.go
+++ b/internal/store/inspect.go
@@ -16,68 +16,69 @@
 	Kind    string // put, delete, sum or close
 	Seq     uint64
 	Key     string
-	Value   []byte // put
+	Value   []byte // put only
 }
 
-// SegmentReport tells what a segment holds.
+// SegmentReport describes the contents of a segment.
 type SegmentReport struct {
 	Segment       string
 	Size          int64
 	Records       int
 	TailBytes     int64 // bytes at its end that hold no record
-	ClosedCleanly bool  // it ends with the mark of a store that was closed in good order
+	ClosedCleanly bool  // its last record marks a clean close of the store
 	Damaged       []Damage
-	Error         string // why nothing of it can be read
+	Error         string // why it could not be read at all
 }
 
-// Lock keeps others out of a store that is not open here: see [vfs.FS.Lock].
+// Lock takes the lock of a store that this process has not opened, and keeps other processes out: see [vfs.FS.Lock].
 func Lock(dir vfs.FS) (io.Closer, error) { return dir.Lock(lockName) }
 
-// Inspect reads the segments of a folder in order, without changing any and
-// without the lock: of a store in use it sees what is there at the moment. Visit
-// may be nil; the bytes are its to keep.
+// Inspect reads the segments of a folder in order, without changing them and without the lock: if the store is in use,
+// it sees the current contents. visit may be nil; it may keep the bytes.
 func Inspect(dir vfs.FS, visit func(Record) error) ([]SegmentReport, error) {
 	names, err := dir.List()
 	if err != nil {
 		return nil, fmt.Errorf("store: %w", err)
 	}
-	var out []SegmentReport
+	var reports []SegmentReport
 	sizes := map[string]int64{}
 	for _, name := range names {
-		number, ok := segNumber(name)
+		number, ok := parseSegmentName(name)
 		if !ok {
 			continue
 		}
 		r, err := inspect(dir, name, number, sizes, visit)
 		if err != nil {
-			return out, err
+			return reports, err
 		}
-		out = append(out, r)
+		reports = append(reports, r)
 	}
-	for i := range out {
-		r := &out[i]
-		if r.TailBytes > 0 && i < len(out)-1 {
+	for i := range reports {
+		r := &reports[i]
+		if r.TailBytes > 0 && i < len(reports)-1 {
 			r.Damaged = append(r.Damaged, Damage{Segment: r.Segment, From: r.Size - r.TailBytes, To: r.Size})
 		}
 		if want := sizes[r.Segment]; r.Size < want {
 			r.Damaged = append(r.Damaged, Damage{Segment: r.Segment, From: r.Size, To: want})
 		}
 	}
-	return out, nil
+	return reports, nil
 }
 
-func inspect(dir vfs.FS, name string, number uint32, sizes map[string]int64, visit func(Record) error) (SegmentReport, error) {
+// inspect reads one segment, and adds the size of the previous one from its header to sizes.
+func inspect(dir vfs.FS, name string, number uint32, sizes map[string]int64,
+	visit func(Record) error) (SegmentReport, error) {
 	r := SegmentReport{Segment: name}
 	f, err := dir.Open(name, false)
 	if err != nil {
 		return r, fmt.Errorf("store: %w", err)
 	}
-	b, err := read(f)
+	b, err := readAll(f)
 	if err = errors.Join(err, f.Close()); err != nil {
 		return r, fmt.Errorf("store: %s: %w", name, err)
 	}
 	r.Size = int64(len(b))
-	h, ok, err := readHeader(b, number)
+	h, ok, err := parseHeader(b, number)
 	switch {
 	case err != nil:
 		r.Error = err.Error()
@@ -87,56 +88,57 @@
 	if r.Error != "" {
 		return r, nil
 	}
-	sizes[segName(h.before)] = h.sizeThen
-	var stopped error
-	damage, end := walk(b, h.salt, headerLen, func(f *frame) bool {
+	sizes[segmentName(h.prevNumber)] = h.prevSize
+	var visitErr error
+	damage, end := scanFrames(b, h.salt, headerLen, func(f *frame) bool {
 		r.Records++
 		r.ClosedCleanly = f.kind == kindClose
 		if visit != nil {
-			it := Record{Segment: name, Offset: int64(f.off), Size: f.size, Kind: kindNames[f.kind], Seq: f.seq, Key: string(f.key)}
+			record := Record{Segment: name, Offset: int64(f.offset), Size: f.size, Kind: kindNames[f.kind],
+				Seq: f.seq, Key: string(f.key)}
 			if f.kind == kindPut {
-				it.Value = append([]byte{}, f.value...)
+				record.Value = append([]byte{}, f.value...)
 			}
-			stopped = visit(it)
+			visitErr = visit(record)
 		}
-		return stopped == nil
+		return visitErr == nil
 	})
 	r.TailBytes = int64(len(b) - end)
 	for _, d := range damage {
 		r.Damaged = append(r.Damaged, Damage{Segment: name, From: int64(d.from), To: int64(d.to)})
 	}
-	return r, stopped
+	return r, visitErr
 }
 
-var kindNames = map[byte]string{kindPut: "put", kindDel: "delete", kindSum: "sum", kindClose: "close"}
+var kindNames = map[byte]string{kindPut: "put", kindDelete: "delete", kindSum: "sum", kindClose: "close"}
 
-// LiveRecords finds the records that count among those that Inspect has visited.
+// LiveRecords selects the current records from those that Inspect has visited.
 type LiveRecords struct{ latest map[string]Record }
 
-// Add takes a record.
-func (l *LiveRecords) Add(it Record) {
-	if it.Key == "" {
+// Add adds a record.
+func (l *LiveRecords) Add(record Record) {
+	if record.Key == "" {
 		return
 	}
 	if l.latest == nil {
 		l.latest = map[string]Record{}
 	}
-	if had, ok := l.latest[it.Key]; !ok || it.Seq >= had.Seq {
-		l.latest[it.Key] = it
+	if old, ok := l.latest[record.Key]; !ok || record.Seq >= old.Seq {
+		l.latest[record.Key] = record
 	}
 }
 
-// Visit calls visit for each record that counts.
+// Visit calls visit for each current record, in no order.
 func (l *LiveRecords) Visit(visit func(Record)) {
-	for _, it := range l.latest {
-		if it.Kind == "put" {
-			visit(it)
+	for _, record := range l.latest {
+		if record.Kind == "put" {
+			visit(record)
 		}
 	}
 }
 
-// Repair makes a sound store in the empty folder to out of what can be read of
-// from, which it does not change, and tells what was found.
+// Repair creates an undamaged store in the empty folder to from what can be read in the folder from, which it does not
+// change. It returns what recovery found.
 func Repair(from, to vfs.FS, opts Options) (Recovery, error) {
 	found, err := repair(from, to, opts)
 	if err != nil {
@@ -154,18 +156,18 @@
 		return Recovery{}, err
 	}
 	for _, name := range names {
-		if _, ok := segNumber(name); !ok {
+		if _, ok := parseSegmentName(name); !ok {
 			continue
 		}
 		f, err := from.Open(name, false)
 		if err != nil {
 			return Recovery{}, err
 		}
-		b, err := read(f)
+		b, err := readAll(f)
 		if err = errors.Join(err, f.Close()); err != nil {
 			return Recovery{}, err
 		}
-		if err := (&Store{fs: to, opts: opts}).save(name, b); err != nil {
+		if err := (&Store{fs: to, opts: opts}).writeFile(name, b); err != nil {
 			return Recovery{}, err
 		}
 	}
@@ -174,33 +176,33 @@
 	if err != nil {
 		return Recovery{}, err
 	}
-	return s.found, errors.Join(s.rewrite(), s.Close())
+	return s.recovery, errors.Join(s.rewriteLive(), s.Close())
 }
 
-// rewrite copies what counts in all segments to new ones.
-func (s *Store) rewrite() error {
-	s.writer.Lock()
-	defer s.writer.Unlock()
+// rewriteLive copies the current records of all segments to new ones.
+func (s *Store) rewriteLive() error {
+	s.writeMu.Lock()
+	defer s.writeMu.Unlock()
 	if s.active() == nil {
 		return nil
 	}
-	old := append([]*segment{}, s.segs...)
+	old := append([]*segment{}, s.segments...)
 	if err := s.rotate(); err != nil {
 		return err
 	}
 	for _, g := range old {
-		b, err := read(g.file)
+		b, err := readAll(g.file)
 		if err != nil {
 			return err
 		}
-		s.victim = &victim{seg: g, data: b, at: headerLen}
+		s.victim = &victim{segment: g, data: b, offset: headerLen}
 		for done := false; !done; {
-			if done, err = s.copy(int(s.opts.SegmentBytes)); err != nil {
+			if done, err = s.copyLive(int(s.opts.SegmentBytes)); err != nil {
 				return err
 			}
 		}
 		s.victim = nil
-		s.drop(g)
+		s.retireSegment(g)
 	}
-	return s.reapNow()
+	return s.unlinkObsolete()
 }
--- a/internal/store/model_test.go
+++ b/internal/store/model_test.go
@@ -11,26 +11,26 @@
 	"cometrack/internal/vfs"
 )
 
-// empty compacts one segment, whichever it is.
-func (s *Store) empty(g *segment) error {
-	b, err := read(g.file)
+// compactSegment compacts any one segment.
+func (s *Store) compactSegment(g *segment) error {
+	b, err := readAll(g.file)
 	if err != nil {
 		return err
 	}
-	s.victim = &victim{seg: g, data: b, at: headerLen}
+	s.victim = &victim{segment: g, data: b, offset: headerLen}
 	for done := false; !done; {
-		if done, err = s.copy(100); err != nil {
+		if done, err = s.copyLive(100); err != nil {
 			return err
 		}
 	}
 	s.victim = nil
-	s.drop(g)
-	return s.reapNow()
+	s.retireSegment(g)
+	return s.unlinkObsolete()
 }
 
-// Whatever segments are compacted in whatever order, between restarts and crashes
-// of all kinds: the store is what a map is. A key without a value may have, after a
-// restart, one that it had when it was forgotten, and no other.
+// Checks that the store is equivalent to a map, whatever segments are compacted in whatever order, between restarts and
+// crashes of all kinds. After a restart a key without a value may have one that it had when it was removed by
+// DeleteWeak, and no other.
 func TestIsAMap(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		opts := Options{SegmentBytes: 400, Manual: true}
@@ -43,7 +43,7 @@
 		}
 		s, err := Open(fs, opts)
 		must(err)
-		want, ghosts := state{}, map[change]bool{} // ghosts: what was forgotten
+		want, weaklyDeleted := state{}, map[change]bool{} // weaklyDeleted: entries removed by DeleteWeak
 		again := func() {
 			s, err = Open(fs, opts)
 			must(err)
@@ -51,7 +51,8 @@
 		key := func(t *rapid.T) string { return fmt.Sprint("key-", rapid.IntRange(0, 5).Draw(t, "key")) }
 		actions := map[string]func(){
 			"put": func() {
-				c := change{key(t), fmt.Sprintf("%0*d", rapid.IntRange(1, 90).Draw(t, "size"), rapid.Uint16().Draw(t, "v"))}
+				c := change{key(t), fmt.Sprintf("%0*d", rapid.IntRange(1, 90).Draw(t, "size"),
+					rapid.Uint16().Draw(t, "v"))}
 				must(s.commit([]change{c}))
 				want.apply(c)
 			},
@@ -65,16 +66,16 @@
 				var b Batch
 				b.DeleteWeak(k)
 				must(s.Commit(&b))
-				ghosts[change{k, want[k]}] = true
+				weaklyDeleted[change{k, want[k]}] = true
 				delete(want, k)
 			},
 			"compact": func() {
-				if n := len(s.segs) - 1; n > 0 {
-					must(s.empty(s.segs[rapid.IntRange(0, n-1).Draw(t, "victim")]))
+				if n := len(s.segments) - 1; n > 0 {
+					must(s.compactSegment(s.segments[rapid.IntRange(0, n-1).Draw(t, "victim")]))
 				}
 			},
 			"checkpoint": func() {
-				if err := s.checkpoint(); len(s.segs) > 0 {
+				if err := s.checkpoint(); len(s.segments) > 0 {
 					must(err)
 				}
 			},
@@ -89,16 +90,17 @@
 				unread, err := s.Range(func(key string, v []byte) error { have[key] = string(v); return nil })
 				must(err)
 				for k, v := range have {
-					if want[k] == "" && ghosts[change{k, v}] {
+					if want[k] == "" && weaklyDeleted[change{k, v}] {
 						want[k] = v
 					}
 				}
-				if unread > 0 || s.found.RecordsLost() || !maps.Equal(have, want) {
-					t.Fatalf("%v, want %v; %d can't be read, found %+v", have, want, unread, s.found)
+				if unread > 0 || s.recovery.RecordsLost() || !maps.Equal(have, want) {
+					t.Fatalf("%v, want %v; %d can't be read, found %+v", have, want, unread, s.recovery)
 				}
 			},
 		}
-		which := rapid.SampledFrom([]string{"put", "put", "put", "put", "put", "delete", "delete", "forget", "compact", "compact", "compact", "checkpoint", "restart", "crash"})
+		which := rapid.SampledFrom([]string{"put", "put", "put", "put", "put", "delete", "delete", "forget",
+			"compact", "compact", "compact", "checkpoint", "restart", "crash"})
 		for range 150 {
 			actions[which.Draw(t, "action")]()
 			actions["check"]()
--- a/internal/store/open_test.go
+++ b/internal/store/open_test.go
@@ -16,7 +16,7 @@
 	"cometrack/internal/vfs"
 )
 
-// What can't be opened is refused with an error that names the cause.
+// Checks that a folder that can't be opened is rejected with an error that names the cause.
 func TestRefusedFolders(t *testing.T) {
 	realDir := func(t *testing.T) vfs.FS {
 		d, err := vfs.OpenDir(t.TempDir())
@@ -34,10 +34,10 @@
 		},
 		"a newer version": func(t *testing.T) (vfs.FS, string) {
 			m := vfs.NewMem()
-			h := header(1, head{salt: 5})[:headOne]
-			binary.LittleEndian.PutUint32(h[8:], version+1)
-			binary.LittleEndian.PutUint32(h[headOne-4:], crc32.Checksum(h[:headOne-4], castagnoli))
-			m.Set(segName(1), append(h, h...))
+			h := encodeHeader(1, segmentHeader{salt: 5})[:headerCopyLen]
+			binary.LittleEndian.PutUint32(h[8:], formatVersion+1)
+			binary.LittleEndian.PutUint32(h[headerCopyLen-4:], crc32.Checksum(h[:headerCopyLen-4], castagnoli))
+			m.SetFile(segmentName(1), append(h, h...))
 			return m, "later format"
 		},
 		"a folder in the place of the lock": func(t *testing.T) (vfs.FS, string) {
@@ -48,7 +48,7 @@
 			return vfs.Dir(dir), "directory"
 		},
 		"a folder that is read-only": func(t *testing.T) (vfs.FS, string) {
-			return vfs.Dir("/sys"), "permission denied" // root too
+			return vfs.Dir("/sys"), "permission denied" // also for root
 		},
 		"no folder": func(t *testing.T) (vfs.FS, string) {
 			return vfs.Dir(filepath.Join(t.TempDir(), "none")), "no such file"
@@ -65,7 +65,7 @@
 	}
 }
 
-// A valid record at another place, or of another file, is none.
+// Checks that a valid record at another offset, or of another file, is not read.
 func TestStaleRecords(t *testing.T) {
 	m := vfs.NewMem()
 	s := mustOpen(t, m, small)
@@ -77,17 +77,17 @@
 	if err := s.Close(); err != nil {
 		t.Fatal(err)
 	}
-	b := m.Data(segName(1))
+	b := m.Data(segmentName(1))
 	var frames []frame
-	walk(b, s.segs[0].salt, headerLen, func(f *frame) bool { frames = append(frames, *f); return true })
+	scanFrames(b, s.segments[0].salt, headerLen, func(f *frame) bool { frames = append(frames, *f); return true })
 	one, two := frames[0], frames[1]
 	swapped := append([]byte(nil), b...)
-	copy(swapped[one.off:], b[two.off:two.off+two.size])
-	copy(swapped[two.off:], b[one.off:one.off+one.size])
-	other := append(header(1, head{salt: 77}), b[headerLen:]...)
+	copy(swapped[one.offset:], b[two.offset:two.offset+two.size])
+	copy(swapped[two.offset:], b[one.offset:one.offset+one.size])
+	other := append(encodeHeader(1, segmentHeader{salt: 77}), b[headerLen:]...)
 	for what, data := range map[string][]byte{"at another place": swapped, "under another salt": other} {
 		m := vfs.NewMem()
-		m.Set(segName(1), data)
+		m.SetFile(segmentName(1), data)
 		s := mustOpen(t, m, small)
 		if have := content(t, s); len(have) != 0 {
 			t.Errorf("%s: %v", what, have)
@@ -96,39 +96,40 @@
 	}
 }
 
-// gate is a file system whose syncs of files ask first.
-type gate struct {
+// hookedFS is a file system that calls a function before each sync of a file.
+type hookedFS struct {
 	vfs.FS
-	ask func()
+	beforeSync func()
 }
 
-type gateFile struct {
+// hookedFile is a file of a hookedFS.
+type hookedFile struct {
 	vfs.File
-	ask func()
+	beforeSync func()
 }
 
-func (g gate) Open(name string, create bool) (vfs.File, error) {
+func (g hookedFS) Open(name string, create bool) (vfs.File, error) {
 	f, err := g.FS.Open(name, create)
-	return gateFile{f, g.ask}, err
+	return hookedFile{f, g.beforeSync}, err
 }
 
-func (f gateFile) Sync() error { f.ask(); return f.File.Sync() }
+func (f hookedFile) Sync() error { f.beforeSync(); return f.File.Sync() }
 
-// Those that commit while a sync is under way share the next one.
+// Checks that batches committed while a sync is in progress share the next one.
 func TestSharedSync(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const more = 20
-		fs := gate{vfs.NewMem(), func() {}}
+		fs := hookedFS{vfs.NewMem(), func() {}}
 		s := mustOpen(t, fs.FS, Options{Manual: true})
 		put := func(i int) {
 			if err := s.commit([]change{{fmt.Sprint("k", i), "x"}}); err != nil {
 				t.Error(err)
 			}
 		}
-		put(0) // begins the segment
+		put(0) // creates the segment
 		s.Close()
 		opened, release := false, make(chan bool)
-		fs.ask = func() {
+		fs.beforeSync = func() {
 			if opened {
 				<-release
 			}
@@ -136,7 +137,7 @@
 		s = mustOpen(t, fs, Options{Manual: true})
 		opened = true
 		go put(1)
-		synctest.Wait() // its sync is under way
+		synctest.Wait() // its sync is in progress
 		for i := range more {
 			go put(2 + i)
 		}
@@ -150,8 +151,7 @@
 	})
 }
 
-// Many that commit at once each have their own answer, and compaction runs beside
-// them.
+// Checks that each of many concurrent commits gets its own result, while compaction runs in the background.
 func TestGroupCommit(t *testing.T) {
 	d, err := vfs.OpenDir(t.TempDir())
 	if err != nil {
@@ -202,7 +202,7 @@
 	s.Close()
 }
 
-// With SyncInterval what was committed is on the disk soon, without another call.
+// Checks that with SyncInterval a committed batch is on the disk after the interval, without another call.
 func TestSyncInterval(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := vfs.NewMem()
@@ -214,8 +214,8 @@
 		}
 		<-time.After(opts.FlushInterval)
 		synctest.Wait()
-		left := m.Restart(vfs.LoseAll, nil)
-		s.Close() // finds the machine gone; its goroutine ends
+		left := m.Restart(vfs.LoseUnsynced, nil)
+		s.Close() // fails, since the machine has crashed; ends the background goroutine
 		s = mustOpen(t, left, small)
 		if have := content(t, s); have["key"] != "value" {
 			t.Errorf("%v", have)
--- a/internal/store/recover.go
+++ b/internal/store/recover.go
@@ -12,49 +12,48 @@
 
 const (
 	damagedPrefix = "damaged-"
-	// keptDamage of a segment's size is how much of what can't be read is set aside.
-	keptDamage = 0.5
+	// maxSavedDamage is the fraction of a segment's size up to which damaged bytes are saved.
+	maxSavedDamage = 0.5
 )
 
-// Recovery tells what was found when a store was opened.
+// Recovery describes what was found when a store was opened.
 type Recovery struct {
 	Segments       int
 	Records        int
-	TruncatedBytes int64 // bytes of a last write that was not whole, or not synced
+	TruncatedBytes int64 // end of the last write, which was incomplete or not synced
 	Damaged        []Damage
 }
 
-// Damage is a stretch of a segment that can't be read though it was written whole
-// once.
+// Damage is a range of a segment that can't be read although it was once written completely.
 type Damage struct {
 	Segment  string
-	From, To int64  // bytes of the segment
-	SavedAs  string // file that holds the bytes; empty if there was no room for them
+	From, To int64  // byte offsets in the segment
+	SavedAs  string // file with a copy of the bytes; empty if there was no space for one
 }
 
-// RecordsLost says that records are lost, so that the latest word on any key may be
-// missing.
+// RecordsLost reports whether records are lost, so that the latest value or deletion of any key may be missing.
 func (r Recovery) RecordsLost() bool { return len(r.Damaged) > 0 }
 
-// recover builds the index: from the checkpoint and the segments written since, if
-// that can be, else from all segments, in order.
+// recover builds the index from the checkpoint and the segments written since, if possible, and else from all segments,
+// in order.
 func (s *Store) recover() error {
-	d, err := s.survey()
+	rec, err := s.listFiles()
 	if err != nil {
 		return err
 	}
-	if s.checkpointed > 0 {
-		if ok, err := s.recoverFast(d); ok || err != nil {
+	if s.checkpointBytes > 0 {
+		if ok, err := s.recoverFromCheckpoint(rec); ok || err != nil {
 			return err
 		}
-		s.opts.Log.Warn("store: the checkpoint is no good; all segments are read")
-		for _, g := range s.segs {
+		s.opts.Log.Warn("store: the checkpoint is invalid; reading all segments")
+		for _, g := range s.segments {
 			if err := g.file.Close(); err != nil {
 				return err
 			}
 		}
-		s.segs, s.index, s.seq, s.synced, s.used, s.live, s.found = nil, index.New[loc](), 0, 0, 0, 0, Recovery{}
-		if err := s.remove(checkpointName); err != nil { // what is written from now on must not make it fit
+		s.segments, s.index, s.seq, s.syncedSize, s.usedBytes, s.liveBytes, s.recovery = nil, index.New[location](),
+			0, 0, 0, 0, Recovery{}
+		if err := s.remove(checkpointName); err != nil { // later writes must not make it match the log
 			return err
 		}
 		if s.opts.Sync != SyncNever {
@@ -62,107 +61,110 @@
 				return err
 			}
 		}
-		s.checkpointed, s.since = 0, 1<<62 // a new one is due
-		if d, err = s.survey(); err != nil {
+		s.checkpointBytes, s.bytesSinceCheckpoint = 0, 1<<62 // makes a new one due
+		if rec, err = s.listFiles(); err != nil {
 			return err
 		}
 	}
-	return s.recoverSegments(d.numbers, d)
+	return s.recoverSegments(rec.numbers, rec)
 }
 
-// survey looks at what files there are.
-func (s *Store) survey() (*scan, error) {
+// listFiles lists the files of the store and accounts for those that are not segments.
+func (s *Store) listFiles() (*recoveryState, error) {
 	names, err := s.fs.List()
 	if err != nil {
 		return nil, err
 	}
-	d := &scan{sizes: map[uint32]int64{}}
+	rec := &recoveryState{expectedSizes: map[uint32]int64{}}
 	for _, name := range names {
-		if n, ok := segNumber(name); ok {
-			d.numbers = append(d.numbers, n)
+		if n, ok := parseSegmentName(name); ok {
+			rec.numbers = append(rec.numbers, n)
 			continue
 		}
-		if name == checkpointNew { // was being written
+		if name == checkpointNew { // it was incomplete when the process ended
 			if err := s.remove(name); err != nil {
 				return nil, err
 			}
 			continue
 		}
-		size, err := s.sizeOf(name)
+		size, err := s.fileSize(name)
 		if err != nil {
 			return nil, err
 		}
-		s.used += plan.RoundToBlocks(size)
+		s.usedBytes += plan.RoundToBlocks(size)
 		switch {
 		case name == checkpointName:
-			s.checkpointed = plan.RoundToBlocks(size)
+			s.checkpointBytes = plan.RoundToBlocks(size)
 		case strings.HasPrefix(name, damagedPrefix):
-			d.kept += plan.RoundToBlocks(size)
+			rec.savedBytes += plan.RoundToBlocks(size)
 		}
 	}
-	return d, nil
+	return rec, nil
 }
 
-// recoverSegments reads segments and brings the index up to date with them.
-func (s *Store) recoverSegments(numbers []uint32, d *scan) error {
+// recoverSegments reads segments and updates the index with them.
+func (s *Store) recoverSegments(numbers []uint32, rec *recoveryState) error {
 	for i, n := range numbers {
-		if err := s.recoverSegment(n, i == len(numbers)-1, d); err != nil {
+		if err := s.recoverSegment(n, i == len(numbers)-1, rec); err != nil {
 			return err
 		}
 	}
-	for _, g := range s.segs {
-		if want := d.sizes[g.number]; g.size < want { // its end is gone
-			s.found.Damaged = append(s.found.Damaged, Damage{Segment: segName(g.number), From: g.size, To: want})
+	for _, g := range s.segments {
+		if want := rec.expectedSizes[g.number]; g.size < want { // its end is missing
+			s.recovery.Damaged = append(s.recovery.Damaged,
+				Damage{Segment: segmentName(g.number), From: g.size, To: want})
 		}
 	}
-	if d.fast && s.found.RecordsLost() {
-		return nil // all are to be read
+	if rec.fromCheckpoint && s.recovery.RecordsLost() {
+		return nil // all segments will be read
 	}
-	if g := s.active(); g != nil && s.synced == 0 { // the file of the last one was only being made
-		if err := s.settle(g); err != nil {
+	if g := s.active(); g != nil && s.syncedSize == 0 { // the last file was only being created
+		if err := s.syncRecovered(g); err != nil {
 			return err
 		}
 	}
-	s.account(d)
-	if s.found.RecordsLost() {
-		if err := s.rewriteTombstones(d); err != nil {
+	s.countLive(rec)
+	if s.recovery.RecordsLost() {
+		if err := s.applyTombstoneSums(rec); err != nil {
 			return err
 		}
 	}
-	s.found.Segments = len(s.segs)
-	if s.found.TruncatedBytes > 0 {
-		s.opts.Log.Info("store: the last write was not whole and has been cut off", "bytes", s.found.TruncatedBytes)
+	s.recovery.Segments = len(s.segments)
+	if s.recovery.TruncatedBytes > 0 {
+		s.opts.Log.Info("store: truncated an incomplete last write", "bytes", s.recovery.TruncatedBytes)
 	}
-	for _, d := range s.found.Damaged {
-		s.opts.Log.Error("store: damaged bytes", "segment", d.Segment, "from", d.From, "to", d.To, "aside", d.SavedAs)
+	for _, damage := range s.recovery.Damaged {
+		s.opts.Log.Error("store: damaged bytes", "segment", damage.Segment, "from", damage.From, "to", damage.To,
+			"aside", damage.SavedAs)
 	}
 	return nil
 }
 
-// account counts what lives in each segment. What stood in one that is gone is
-// dead: a segment goes once all that counts has been copied behind the checkpoint.
-func (s *Store) account(d *scan) {
-	by, dead := map[uint32]*segment{}, [][]byte(nil)
-	for _, g := range s.segs {
-		by[g.number] = g
-	}
-	s.index.Visit(func(key []byte, at loc) bool {
-		g := by[at.seg]
+// countLive computes the live bytes of each segment. Keys whose segment is gone are removed from the index: a segment
+// is removed only after all its current records have been copied behind the checkpoint's position.
+func (s *Store) countLive(rec *recoveryState) {
+	byNumber, deadKeys := map[uint32]*segment{}, [][]byte(nil)
+	for _, g := range s.segments {
+		byNumber[g.number] = g
+	}
+	s.index.Visit(func(key []byte, loc location) bool {
+		g := byNumber[loc.segment]
 		if g == nil {
-			dead = append(dead, append([]byte(nil), key...))
+			deadKeys = append(deadKeys, append([]byte(nil), key...))
 			return true
 		}
-		d.beyond = d.beyond || int64(at.off)+int64(at.size) > g.size
-		g.live += int64(at.size)
-		s.live += int64(at.size)
+		rec.pastEnd = rec.pastEnd || int64(loc.offset)+int64(loc.size) > g.size
+		g.liveBytes += int64(loc.size)
+		s.liveBytes += int64(loc.size)
 		return true
 	})
-	for _, key := range dead {
+	for _, key := range deadKeys {
 		s.index.Delete(key)
 	}
 }
 
-func (s *Store) sizeOf(name string) (int64, error) {
+// fileSize returns the size of a file in bytes.
+func (s *Store) fileSize(name string) (int64, error) {
 	f, err := s.fs.Open(name, false)
 	if err != nil {
 		return 0, err
@@ -172,50 +174,50 @@
 }
 
 // recoverSegment reads one segment.
-func (s *Store) recoverSegment(number uint32, last bool, d *scan) error {
-	name := segName(number)
+func (s *Store) recoverSegment(number uint32, last bool, rec *recoveryState) error {
+	name := segmentName(number)
 	file, err := s.fs.Open(name, false)
 	if err != nil {
 		return err
 	}
-	g := &segment{number: number, file: file, lo: 1}
-	b, err := read(file)
-	var h head
+	g := &segment{number: number, file: file, minCovered: 1}
+	b, err := readAll(file)
+	var h segmentHeader
 	var ok bool
 	if err == nil {
-		h, ok, err = readHeader(b, number)
+		h, ok, err = parseHeader(b, number)
 	}
 	if err != nil {
 		return errors.Join(err, file.Close())
 	}
 	if !ok || len(b) < headerLen {
-		return errors.Join(s.noHeader(name, b, last, d), file.Close())
+		return errors.Join(s.handleBadHeader(name, b, last, rec), file.Close())
 	}
 	g.salt = h.salt
-	d.sizes[h.before] = h.sizeThen
+	rec.expectedSizes[h.prevNumber] = h.prevSize
 	size := len(b)
 	if last {
-		size = lastWhole(b, g.salt)
+		size = lastWriteEnd(b, g.salt)
 	}
-	s.segs = append(s.segs, g)
+	s.segments = append(s.segments, g)
 	s.tombstones = s.tombstones[:0]
-	damage, end := walk(b[:size], g.salt, headerLen, func(f *frame) bool {
-		s.found.Records++
-		s.replay(g, f, d)
+	damage, end := scanFrames(b[:size], g.salt, headerLen, func(f *frame) bool {
+		s.recovery.Records++
+		s.replay(g, f, rec)
 		return true
 	})
-	if end < size { // nothing but the last segment may end within a record
+	if end < size { // only the last segment may end within a record
 		damage = append(damage, span{end, size})
 	}
 	g.size = int64(size)
-	s.used += plan.RoundToBlocks(g.size)
-	for _, x := range damage {
-		if err := s.setAside(name, b, x, d); err != nil {
+	s.usedBytes += plan.RoundToBlocks(g.size)
+	for _, unreadable := range damage {
+		if err := s.saveDamaged(name, b, unreadable, rec); err != nil {
 			return err
 		}
 	}
 	if size < len(b) {
-		s.found.TruncatedBytes += int64(len(b) - size)
+		s.recovery.TruncatedBytes += int64(len(b) - size)
 		if err := file.Truncate(g.size); err != nil {
 			return err
 		}
@@ -223,11 +225,11 @@
 	if !last {
 		return nil
 	}
-	return s.settle(g) // the cut too: what was cut off must not come back beneath new records
+	return s.syncRecovered(g) // the truncation too: the truncated bytes must not come back under new records
 }
 
-// settle makes what the last process wrote last: it counts from now on.
-func (s *Store) settle(g *segment) error {
+// syncRecovered syncs what the last process wrote, since it is part of the store from now on.
+func (s *Store) syncRecovered(g *segment) error {
 	if s.opts.Sync != SyncNever {
 		if err := g.file.Sync(); err != nil {
 			return err
@@ -236,118 +238,121 @@
 			return err
 		}
 	}
-	s.synced = g.size
+	s.syncedSize = g.size
 	return nil
 }
 
-// lastWhole is where the last segment's last write ends that can be told to be
-// whole: damage behind which no later write was begun is that of a write which a
-// crash has cut short. If the sequence numbers have no gap there, what can't be
-// read is one of two records of a deletion, and nothing is lost.
-func lastWhole(b []byte, salt uint64) int {
-	begun, seq := 0, uint64(0)
+// lastWriteEnd returns the end of the last write of the last segment that is known to be complete: damage behind which
+// no later write was begun belongs to a write that a crash has cut short. If the sequence numbers around the damage
+// have no gap, the unreadable range is one of the two records of a deletion, and nothing is lost.
+func lastWriteEnd(b []byte, salt uint64) int {
+	lastStart, maxSeq := 0, uint64(0)
 	gapless := map[int]bool{} // by the offset of the frame behind the damage
-	off := headerLen
-	damage, end := walk(b, salt, headerLen, func(f *frame) bool {
-		if f.start {
-			begun = f.off
+	prevEnd := headerLen
+	damage, end := scanFrames(b, salt, headerLen, func(f *frame) bool {
+		if f.startsWrite {
+			lastStart = f.offset
 		}
-		if f.off > off {
-			gapless[f.off] = f.seq == seq+1
+		if f.offset > prevEnd {
+			gapless[f.offset] = f.seq == maxSeq+1
 		}
-		off, seq = f.off+f.size, max(seq, f.seq)
+		prevEnd, maxSeq = f.offset+f.size, max(maxSeq, f.seq)
 		return true
 	})
 	for _, d := range damage {
-		if d.to > begun && !gapless[d.to] {
+		if d.to > lastStart && !gapless[d.to] {
 			return d.from
 		}
 	}
 	return end
 }
 
-// scan is what recovery learns on its way.
-type scan struct {
-	numbers []uint32         // of the segments that there are
-	kept    int64            // bytes set aside
-	beyond  bool             // an entry is for what lies behind the end of its segment
-	fast    bool             // the index came from a checkpoint; if anything is wrong, all is read
-	sizes   map[uint32]int64 // of segments, as the next ones tell
-	sums    []sumAt
+// recoveryState is the state of a recovery in progress.
+type recoveryState struct {
+	numbers        []uint32         // of the existing segments
+	savedBytes     int64            // size of saved damage, in whole blocks
+	pastEnd        bool             // an index entry points past the end of its segment
+	fromCheckpoint bool             // the index came from a checkpoint; after any fault all segments are read
+	expectedSizes  map[uint32]int64 // of segments, from the headers of the next ones
+	sums           []sumRecord
 }
 
-type sumAt struct {
-	g  *segment
-	at loc
+// sumRecord is the location of a tombstone sum.
+type sumRecord struct {
+	segment  *segment
+	location location
 }
 
-// replay brings the index up to date with a record. Of two values the later one in
-// the log counts; a deletion may have been copied behind a later value.
-func (s *Store) replay(g *segment, f *frame, d *scan) {
+// replay updates the index with a record. Of two values the later one in the log is current; a deletion may have been
+// copied behind a later value.
+func (s *Store) replay(g *segment, f *frame, rec *recoveryState) {
 	s.seq = max(s.seq, f.seq)
 	switch f.kind {
-	case kindDel:
+	case kindDelete:
 		g.addTombstone(f)
 		s.addTombstone(f)
-		if at, had := s.index.Get(f.key); had && at.seq < f.seq {
+		if old, existed := s.index.Get(f.key); existed && old.seq < f.seq {
 			s.index.Delete(f.key)
 		}
 	case kindSum:
 		g.addTombstone(f)
-		d.sums = append(d.sums, sumAt{g, loc{off: uint32(f.off), size: uint32(f.size)}})
+		rec.sums = append(rec.sums, sumRecord{g, location{offset: uint32(f.offset), size: uint32(f.size)}})
 	case kindPut:
-		now := loc{seq: f.seq, seg: g.number, off: uint32(f.off), size: uint32(f.size), first: g.number}
-		if at, had := s.index.Get(f.key); had {
-			now.first = at.first
+		loc := location{seq: f.seq, segment: g.number, offset: uint32(f.offset), size: uint32(f.size),
+			firstSegment: g.number}
+		if old, existed := s.index.Get(f.key); existed {
+			loc.firstSegment = old.firstSegment
 		}
-		s.index.Set(f.key, now)
+		s.index.Set(f.key, loc)
 	}
 }
 
-// noHeader takes a segment away whose header can't be read.
-func (s *Store) noHeader(name string, b []byte, last bool, d *scan) error {
+// handleBadHeader removes or renames a segment whose header can't be read.
+func (s *Store) handleBadHeader(name string, b []byte, last bool, rec *recoveryState) error {
 	if last && (len(b) <= headerLen || len(bytes.Trim(b, "\x00")) == 0) {
-		s.found.TruncatedBytes += int64(len(b)) // it was being made
+		s.recovery.TruncatedBytes += int64(len(b)) // it was being created
 		return s.remove(name)
 	}
-	if d.fast { // all segments are going to be read
-		s.found.Damaged = append(s.found.Damaged, Damage{Segment: name})
+	if rec.fromCheckpoint { // all segments will be read
+		s.recovery.Damaged = append(s.recovery.Damaged, Damage{Segment: name})
 		return nil
 	}
-	s.used += plan.RoundToBlocks(int64(len(b)))
-	d.kept += plan.RoundToBlocks(int64(len(b)))
-	aside := damagedPrefix + name
-	if err := s.fs.Rename(name, aside); err != nil {
+	s.usedBytes += plan.RoundToBlocks(int64(len(b)))
+	rec.savedBytes += plan.RoundToBlocks(int64(len(b)))
+	savedAs := damagedPrefix + name
+	if err := s.fs.Rename(name, savedAs); err != nil {
 		return err
 	}
-	s.found.Damaged = append(s.found.Damaged, Damage{name, 0, int64(len(b)), aside})
+	s.recovery.Damaged = append(s.recovery.Damaged, Damage{name, 0, int64(len(b)), savedAs})
 	if s.opts.Sync == SyncNever {
 		return nil
 	}
 	return s.fs.SyncDir()
 }
 
-// setAside copies a damaged stretch to a file of its own.
-func (s *Store) setAside(name string, b []byte, x span, d *scan) error {
-	aside := fmt.Sprintf("%s%s-%d", damagedPrefix, name, x.from)
-	report := Damage{Segment: name, From: int64(x.from), To: int64(x.to)}
-	size := int64(x.to - x.from)
-	if d.fast { // all segments are going to be read
-	} else if had, err := s.sizeOf(aside); err == nil && had == size {
-		report.SavedAs = aside // by an earlier start
-	} else if s.bounds.MaxBytes == 0 || d.kept+plan.RoundToBlocks(size) <= int64(keptDamage*float64(s.opts.SegmentBytes)) {
-		if err := s.save(aside, b[x.from:x.to]); err != nil {
+// saveDamaged copies a damaged range to a file of its own.
+func (s *Store) saveDamaged(name string, b []byte, unreadable span, rec *recoveryState) error {
+	savedAs := fmt.Sprintf("%s%s-%d", damagedPrefix, name, unreadable.from)
+	report := Damage{Segment: name, From: int64(unreadable.from), To: int64(unreadable.to)}
+	size := int64(unreadable.to - unreadable.from)
+	if rec.fromCheckpoint { // all segments will be read
+	} else if savedSize, err := s.fileSize(savedAs); err == nil && savedSize == size {
+		report.SavedAs = savedAs // by an earlier start
+	} else if s.bounds.MaxBytes == 0 ||
+		rec.savedBytes+plan.RoundToBlocks(size) <= int64(maxSavedDamage*float64(s.opts.SegmentBytes)) {
+		if err := s.writeFile(savedAs, b[unreadable.from:unreadable.to]); err != nil {
 			return err
 		}
-		report.SavedAs = aside
-		d.kept += plan.RoundToBlocks(size)
-		s.used += plan.RoundToBlocks(size)
+		report.SavedAs = savedAs
+		rec.savedBytes += plan.RoundToBlocks(size)
+		s.usedBytes += plan.RoundToBlocks(size)
 	}
-	s.found.Damaged = append(s.found.Damaged, report)
+	s.recovery.Damaged = append(s.recovery.Damaged, report)
 	return nil
 }
 
-func (s *Store) save(name string, b []byte) error {
+// writeFile writes a whole file and, unless the policy is SyncNever, syncs it.
+func (s *Store) writeFile(name string, b []byte) error {
 	f, err := s.fs.Open(name, true)
 	if err != nil {
 		return err
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -15,133 +15,133 @@
 	"cometrack/internal/vfs"
 )
 
-// SyncPolicy says when what is committed is made to outlive the machine.
+// SyncPolicy selects when committed batches are synced, so that they survive a crash of the machine.
 type SyncPolicy int
 
-// The ways to sync. Whatever the way, commits outlive the process.
+// The sync policies. With each of them commits survive the end of the process.
 const (
 	SyncAlways   SyncPolicy = iota // before a commit returns
-	SyncInterval                   // every so often
-	SyncNever                      // when the system pleases
+	SyncInterval                   // every Options.FlushInterval
+	SyncNever                      // when the operating system writes them back
 )
 
-// Options are a store's bounds and ways.
+// Options are the limits and settings of a store.
 type Options struct {
-	MaxBytes      int64         // bytes of all files in whole blocks of 512; 0 for no limit
-	SegmentBytes  int64         // largest size of a segment in bytes; 0 for a default
+	MaxBytes      int64         // limit of all files, in whole blocks of 512 bytes; 0 for no limit
+	SegmentBytes  int64         // largest size of a segment; 0 for a default
 	Sync          SyncPolicy    // when to sync
-	FlushInterval time.Duration // SyncInterval: how often; 0 for a second
-	// Manual leaves compaction, and the syncs of SyncInterval, to the caller, who
-	// calls [Store.CompactStep] and [Store.Flush].
+	FlushInterval time.Duration // SyncInterval: time between syncs; 0 for one second
+	// Manual disables the background goroutine: compaction, and the syncs of SyncInterval, are left to the
+	// caller, who calls [Store.CompactStep] and [Store.Flush].
 	Manual bool
-	// MinCheckpointKeys is from how many keys on the index is saved from time to time, so
-	// that the next start need not read all segments; 0 for a default.
+	// MinCheckpointKeys is the number of keys from which on checkpoints of the index are written, so that the
+	// next start need not read all segments; 0 for a default.
 	MinCheckpointKeys int
 	Log               *slog.Logger // nil for none
 }
 
 const (
+	// minSegment and maxSegment bound the default size of a segment, in bytes.
 	minSegment = 128 << 10
 	maxSegment = 4 << 20
 	lockName   = "lock"
-	// stepBytes is about how much one step of compaction copies.
-	stepBytes = 32 << 10
+	// compactStepBytes is about how many bytes one step of compaction copies.
+	compactStepBytes = 32 << 10
 )
 
-// Errors of a store. They come wrapped.
+// Errors of a store. They are returned wrapped.
 var (
 	ErrFull     = errors.New("the store is full")
 	ErrTooLarge = errors.New("larger than a segment")
 	ErrClosed   = errors.New("the store is closed")
-	// ErrSyncFailed says that a sync has failed: what was written may be gone whatever
-	// the system says from then on. The store takes nothing until it is opened again.
-	ErrSyncFailed = errors.New("the store takes nothing since a sync failed")
-	// ErrDamaged says that a record can't be read back.
+	// ErrSyncFailed reports that a sync has failed: data written before it may be lost, whatever the operating
+	// system reports afterwards. The store rejects writes until it is opened again.
+	ErrSyncFailed = errors.New("the store rejects writes since a sync failed")
+	// ErrDamaged reports that a record can't be read back.
 	ErrDamaged = errors.New("damaged record")
 )
 
-// loc is where the record of a key stands: 24 bytes beside the key.
-type loc struct {
-	seq   uint64
-	seg   uint32
-	off   uint32
-	size  uint32
-	first uint32 // no segment before this one has a record of the key that no deletion covers
+// location is the position of a key's current record: 24 bytes for each key.
+type location struct {
+	seq          uint64
+	segment      uint32
+	offset       uint32
+	size         uint32
+	firstSegment uint32 // no older segment has a record of the key that no deletion covers
 }
 
-// Store is an open store. Its methods may be called by several goroutines at
-// once.
+// Store is an open store. Its methods are safe for concurrent use.
 type Store struct {
-	fs     vfs.FS
-	opts   Options
-	bounds plan.Bounds
-	lock   io.Closer
-	found  Recovery
-	stop   chan struct{} // closed by Close
-	kick   chan struct{} // wakes the background
-	idle   sync.WaitGroup
-
-	queueMu sync.Mutex
-	queue   []*waiter
-	spare   []*waiter // room of an earlier queue
-	leading bool      // one of those that commit leads a group, or is about to
-
-	// writer is held by the one that writes; what follows is its own.
-	writer     sync.Mutex
-	write1     pending
-	victim     *victim
-	scratch    []byte // of the victim's bytes
-	doomed     []*segment
-	synced     int64       // of the active segment; all others are synced
-	tombstones []tombstone // deletions in the active segment
-	seed       uint64      // of their hashes
-	torn       bool        // bytes behind the active segment's size are to be cut first
-	closed     bool
-	failure    error
-
-	// mu guards what readers need. Only the writer changes it.
-	mu     sync.RWMutex
-	index  *index.Index[loc]
-	segs   []*segment // by number; the last one is written
-	seq    uint64
-	used   int64 // bytes of all files, in whole blocks
-	live   int64 // bytes of records that count
-	counts Counts
-
-	saving       sync.Mutex // held while a checkpoint is written
-	since        int64      // bytes written since the last checkpoint was begun
-	checkpointed int64      // bytes of its file, in whole blocks; 0 if there is none
+	fs             vfs.FS
+	opts           Options
+	bounds         plan.Bounds
+	lock           io.Closer
+	recovery       Recovery
+	stop           chan struct{} // closed by Close
+	wakeBackground chan struct{} // wakes the background goroutine
+	goroutines     sync.WaitGroup
+
+	queueMu    sync.Mutex
+	queue      []*waiter
+	spareQueue []*waiter // buffer of an earlier queue, for reuse
+	hasLeader  bool      // a committing goroutine leads a group, or is about to
+
+	// writeMu is held for writing. It guards the fields up to syncFailure.
+	writeMu       sync.Mutex
+	pending       pendingWrite
+	victim        *victim
+	victimBuf     []byte      // buffer for the victim's data, for reuse
+	obsolete      []*segment  // segments to be unlinked
+	syncedSize    int64       // synced bytes of the active segment; all others are synced
+	tombstones    []tombstone // deletions in the active segment
+	tombstoneSeed uint64      // seed of their hashes
+	tornTail      bool        // a failed write left bytes beyond the active segment's size
+	closed        bool
+	syncFailure   error
+
+	// mu guards what readers need. It is locked for writing only by a holder of writeMu.
+	mu        sync.RWMutex
+	index     *index.Index[location]
+	segments  []*segment // by number; the last one is active
+	seq       uint64
+	usedBytes int64 // all files, in whole blocks
+	liveBytes int64 // current records
+	counts    Counts
+
+	checkpointMu         sync.Mutex // held while a checkpoint is written
+	bytesSinceCheckpoint int64      // written since the last checkpoint was begun
+	checkpointBytes      int64      // size of the checkpoint file, in whole blocks; 0 if there is none
 }
 
-// Counts are figures since the store was opened.
+// Counts are counters since the store was opened.
 type Counts struct {
 	Commits           int64 // batches
-	Writes            int64 // calls that wrote them
+	Writes            int64 // write calls for batches
 	Syncs             int64
-	BytesWritten      int64 // bytes, copies of compaction included
-	BytesCopied       int64 // bytes copied by compaction
-	SegmentsCompacted int64 // segments
+	BytesWritten      int64 // including copies made by compaction
+	BytesCopied       int64 // copied by compaction
+	SegmentsCompacted int64 // removed after compaction
 }
 
-// Stats tells how a store stands.
+// Stats is a snapshot of a store's size and counters.
 type Stats struct {
 	Keys      int
 	Segments  int
-	UsedBytes int64 // bytes of all files, in whole blocks
-	LiveBytes int64 // bytes of records that count
-	Capacity  int64 // bytes of records that may count; 0 for no limit
+	UsedBytes int64 // all files, in whole blocks
+	LiveBytes int64 // current records
+	Capacity  int64 // largest number of bytes of current records; 0 for no limit
 	Failed    bool  // see [ErrSyncFailed]
 	Counts
 }
 
-// Open opens the store in a folder that it has for itself, and recovers what was
-// committed. What was found on the way is told by [Store.Recovery].
+// Open opens the store in a folder of its own, locks the folder, and recovers the committed batches. [Store.Recovery]
+// returns what recovery found. Errors include [vfs.ErrLocked] and [ErrNewerFormat].
 func Open(dir vfs.FS, opts Options) (*Store, error) {
 	if opts.SegmentBytes == 0 {
 		opts.SegmentBytes = segmentSize(opts.MaxBytes)
 	}
 	if opts.MinCheckpointKeys <= 0 {
-		opts.MinCheckpointKeys = leastCheckpoint
+		opts.MinCheckpointKeys = defaultCheckpointKeys
 	}
 	if opts.FlushInterval <= 0 {
 		opts.FlushInterval = time.Second
@@ -153,18 +153,21 @@
 	if err != nil {
 		return nil, fmt.Errorf("store: %w", err)
 	}
-	s := &Store{fs: dir, opts: opts, lock: lock, bounds: plan.Bounds{MaxBytes: opts.MaxBytes, SegmentBytes: opts.SegmentBytes},
-		seed: rand.Uint64(), stop: make(chan struct{}), kick: make(chan struct{}, 1), index: index.New[loc]()}
+	s := &Store{fs: dir, opts: opts, lock: lock, bounds: plan.Bounds{MaxBytes: opts.MaxBytes,
+		SegmentBytes: opts.SegmentBytes},
+		tombstoneSeed: rand.Uint64(), stop: make(chan struct{}), wakeBackground: make(chan struct{}, 1),
+		index: index.New[location]()}
 	if err := s.recover(); err != nil {
 		s.closeFiles()
 		return nil, fmt.Errorf("store: %w", err)
 	}
 	if !opts.Manual {
-		s.idle.Go(s.background)
+		s.goroutines.Go(s.background)
 	}
 	return s, nil
 }
 
+// segmentSize returns the default segment size in bytes for a limit of the whole store.
 func segmentSize(limit int64) int64 {
 	if limit <= 0 {
 		return maxSegment
@@ -172,77 +175,78 @@
 	return min(max(limit/16, minSegment), maxSegment)
 }
 
-// MaxOpenFiles is about how many files a store of that limit has open at once.
+// MaxOpenFiles returns about how many files a store with a limit of so many bytes has open at once.
 func MaxOpenFiles(limit int64) int { return int(limit/segmentSize(limit)) + 2 }
 
-// Recovery tells what recovery found.
-func (s *Store) Recovery() Recovery { return s.found }
+// Recovery returns what recovery found when the store was opened.
+func (s *Store) Recovery() Recovery { return s.recovery }
 
+// newSalt returns a random salt for the checksums of a segment.
 func newSalt() uint64 { return rand.Uint64() }
 
-// active is the segment that is written; nil if there is none.
+// active returns the segment that takes new records; nil if there is none.
 func (s *Store) active() *segment {
-	if len(s.segs) == 0 {
+	if len(s.segments) == 0 {
 		return nil
 	}
-	return s.segs[len(s.segs)-1]
+	return s.segments[len(s.segments)-1]
 }
 
+// segment returns the segment with a number; nil if there is none.
 func (s *Store) segment(number uint32) *segment {
-	for i := len(s.segs) - 1; i >= 0; i-- {
-		if s.segs[i].number == number {
-			return s.segs[i]
+	for i := len(s.segments) - 1; i >= 0; i-- {
+		if s.segments[i].number == number {
+			return s.segments[i]
 		}
 	}
 	return nil
 }
 
-// Get reads a value back from its segment; nil and no error if there is none. A
-// record that can't be read is [ErrDamaged].
+// Get reads the value of a key from its segment; nil and no error if the key has none. The error is [ErrDamaged] if the
+// record can't be read back.
 func (s *Store) Get(key string) ([]byte, error) {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
-	at, ok := s.index.Get([]byte(key))
+	loc, ok := s.index.Get([]byte(key))
 	if !ok {
 		return nil, nil
 	}
-	g := s.segment(at.seg)
-	f, err := g.frameAt(at)
+	g := s.segment(loc.segment)
+	f, err := g.readFrame(loc)
 	if err != nil {
 		return nil, fmt.Errorf("store: %w", err)
 	}
 	return f.value, nil
 }
 
-// frameAt reads one record.
-func (g *segment) frameAt(at loc) (frame, error) {
-	b := make([]byte, at.size)
-	if n, err := g.file.ReadAt(b, int64(at.off)); err != nil && (err != io.EOF || n < len(b)) {
-		return frame{}, fmt.Errorf("%s at %d: %w", segName(g.number), at.off, err)
+// readFrame reads the record at a location.
+func (g *segment) readFrame(loc location) (frame, error) {
+	b := make([]byte, loc.size)
+	if n, err := g.file.ReadAt(b, int64(loc.offset)); err != nil && (err != io.EOF || n < len(b)) {
+		return frame{}, fmt.Errorf("%s at %d: %w", segmentName(g.number), loc.offset, err)
 	}
-	f, ok := parseAt(b, g.salt, int(at.off))
+	f, ok := parseFrameAt(b, g.salt, int(loc.offset))
 	if !ok {
-		return frame{}, fmt.Errorf("%s at %d: %w", segName(g.number), at.off, ErrDamaged)
+		return frame{}, fmt.Errorf("%s at %d: %w", segmentName(g.number), loc.offset, ErrDamaged)
 	}
 	return f, nil
 }
 
-// Range calls visit for each key and its value, in the order in which they lie in
-// the log, until it returns an error. The bytes are visit's to keep. Nothing is to
-// be committed meanwhile. A record that can't be read any more is left out and
-// counted.
+// Range calls visit for each key and its value, in log order, until visit returns an error. visit may keep the bytes.
+// It must not commit to the store. A record that can't be read any more is skipped and counted in unread.
 func (s *Store) Range(visit func(key string, value []byte) error) (unread int, err error) {
-	s.writer.Lock()
-	defer s.writer.Unlock()
-	seen := 0
-	for _, g := range s.segs {
-		b, err := read(g.file)
+	s.writeMu.Lock()
+	defer s.writeMu.Unlock()
+	visited := 0
+	for _, g := range s.segments {
+		b, err := readAll(g.file)
 		if err != nil {
-			return 0, fmt.Errorf("store: %s: %w", segName(g.number), err)
+			return 0, fmt.Errorf("store: %s: %w", segmentName(g.number), err)
 		}
-		walk(b, g.salt, headerLen, func(f *frame) bool {
-			if at, ok := s.index.Get(f.key); ok && f.kind == kindPut && at.seg == g.number && int(at.off) == f.off {
-				seen++
+		scanFrames(b, g.salt, headerLen, func(f *frame) bool {
+			if loc, ok := s.index.Get(f.key); ok && f.kind == kindPut && loc.segment == g.number &&
+				int(loc.offset) == f.offset {
+				visited++
 				err = visit(string(f.key), append([]byte(nil), f.value...))
 			}
 			return err == nil
@@ -251,30 +255,30 @@
 			return 0, err
 		}
 	}
-	return s.index.Len() - seen, nil
+	return s.index.Len() - visited, nil
 }
 
-// Stats tells how the store stands.
+// Stats returns the store's sizes and counters.
 func (s *Store) Stats() Stats {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
-	return Stats{Keys: s.index.Len(), Segments: len(s.segs), UsedBytes: s.used, LiveBytes: s.live, Capacity: s.bounds.Capacity(),
-		Failed: s.failure != nil, Counts: s.counts}
+	return Stats{Keys: s.index.Len(), Segments: len(s.segments), UsedBytes: s.usedBytes, LiveBytes: s.liveBytes,
+		Capacity: s.bounds.Capacity(),
+		Failed:   s.syncFailure != nil, Counts: s.counts}
 }
 
-// Failed says whether the store takes nothing since a sync failed, see [ErrSyncFailed].
+// Failed reports whether the store rejects writes since a sync failed, see [ErrSyncFailed].
 func (s *Store) Failed() bool {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
-	return s.failure != nil
+	return s.syncFailure != nil
 }
 
-// Rotate begins a new segment, so that what is written from now on does not lie behind
-// bytes that may not last.
+// Rotate starts a new segment, so that records written from now on do not follow bytes that may not be durable.
 func (s *Store) Rotate() error {
-	s.writer.Lock()
-	defer s.writer.Unlock()
-	if err := s.usable(); err != nil {
+	s.writeMu.Lock()
+	defer s.writeMu.Unlock()
+	if err := s.checkWritable(); err != nil {
 		return fmt.Errorf("store: %w", err)
 	}
 	if g := s.active(); g == nil || g.size <= headerLen {
@@ -286,43 +290,44 @@
 	return nil
 }
 
-// HasRoom says whether records of so many bytes more may be taken on: whether they
-// and all that count already keep within the capacity, and compaction has not
-// fallen behind.
+// HasRoom reports whether records of so many bytes more may be accepted: whether they and all current records are
+// within the capacity and no sync has failed.
 func (s *Store) HasRoom(more int64) bool {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
-	if s.failure != nil {
+	if s.syncFailure != nil {
 		return false
 	}
-	c := s.bounds.Capacity()
-	return c == 0 || s.live+more <= c
+	capacity := s.bounds.Capacity()
+	return capacity == 0 || s.liveBytes+more <= capacity
 }
 
-// Close marks the store as closed in good order and gives the folder back.
+// Close writes a checkpoint if one is worth while, marks the store as cleanly closed, and releases the folder.
 func (s *Store) Close() error {
-	s.writer.Lock()
+	s.writeMu.Lock()
 	if s.closed {
-		s.writer.Unlock()
+		s.writeMu.Unlock()
 		return ErrClosed
 	}
-	if s.failure == nil && s.index.Len() >= s.opts.MinCheckpointKeys && s.since > s.checkpointed/4 {
-		s.writer.Unlock()
-		if err := s.checkpoint(); err != nil { // the next start takes longer
+	if s.syncFailure == nil && s.index.Len() >= s.opts.MinCheckpointKeys &&
+		s.bytesSinceCheckpoint > s.checkpointBytes/4 {
+		s.writeMu.Unlock()
+		if err := s.checkpoint(); err != nil { // a missing checkpoint only makes the next start slower
 			s.opts.Log.Warn("store: checkpoint", "err", err)
 		}
-		s.writer.Lock()
+		s.writeMu.Lock()
 		if s.closed {
-			s.writer.Unlock()
+			s.writeMu.Unlock()
 			return ErrClosed
 		}
 	}
 	s.closed = true
 	close(s.stop)
-	err := s.failure
+	err := s.syncFailure
 	if g := s.active(); err == nil && g != nil && g.size > headerLen {
-		b := s.appendSums(nil, g, int(g.size), g.number)
-		b = appendFrame(b, g.salt, int(g.size), &frame{kind: kindClose, seq: s.seq, start: len(b) == 0 && s.clean()})
+		b := s.appendTombstoneSums(nil, g, int(g.size), g.number)
+		b = appendFrame(b, g.salt, int(g.size), &frame{kind: kindClose, seq: s.seq, startsWrite: len(b) == 0 &&
+			s.allSynced()})
 		s.mu.Lock()
 		err = s.write(b)
 		s.mu.Unlock()
@@ -330,19 +335,20 @@
 			err = s.sync()
 		}
 	}
-	s.writer.Unlock()
-	s.idle.Wait()
+	s.writeMu.Unlock()
+	s.goroutines.Wait()
 	return errors.Join(err, s.closeFiles())
 }
 
+// closeFiles closes all segments and releases the lock.
 func (s *Store) closeFiles() (err error) {
-	for _, g := range s.segs {
+	for _, g := range s.segments {
 		err = errors.Join(err, g.file.Close())
 	}
 	return errors.Join(err, s.lock.Close())
 }
 
-// remove removes a file that may be gone already.
+// remove removes a file; it is no error if the file does not exist.
 func (s *Store) remove(name string) error {
 	if err := s.fs.Remove(name); err != nil && !errors.Is(err, fs.ErrNotExist) {
 		return err
--- a/internal/store/sums.go
+++ b/internal/store/sums.go
@@ -7,63 +7,63 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// The deletions in a segment are told once more at the beginning of the next one,
-// as hashes of the keys: were only one place for them, damage there would make
-// the keys come alive. A sum frame is read when damage was found, else never.
-
 // tombstone is one deletion.
 type tombstone struct{ hash, seq uint64 }
 
+// A tombstone sum repeats the deletions of a segment at the beginning of the next one, as hashes of the keys: if they
+// were recorded in one place only, damage there would bring the deleted keys back. Sums are read only if damage was
+// found.
 const (
 	tombstoneSize = 16
-	// sumMost deletions stand in one sum frame: copies of it stay small.
-	sumMost = 1024
+	// maxSumTombstones is the number of deletions in one sum frame; it keeps the copies made by compaction small.
+	maxSumTombstones = 1024
 )
 
-func hashOf(seed uint64, key []byte) uint64 {
+// hashKey returns the seeded hash of a key for a tombstone sum.
+func hashKey(seed uint64, key []byte) uint64 {
 	h := xxhash.NewWithSeed(seed)
 	h.Write(key)
 	return h.Sum64()
 }
 
-// addTombstone notes a deletion in the active segment.
+// addTombstone records a deletion in the active segment.
 func (s *Store) addTombstone(f *frame) {
-	if n := len(s.tombstones); n > 0 && s.tombstones[n-1].seq == f.seq { // written twice
+	if n := len(s.tombstones); n > 0 && s.tombstones[n-1].seq == f.seq { // each deletion is written twice
 		return
 	}
-	s.tombstones = append(s.tombstones, tombstone{hashOf(s.seed, f.key), f.seq})
+	s.tombstones = append(s.tombstones, tombstone{hashKey(s.tombstoneSeed, f.key), f.seq})
 }
 
-// appendSums frames the deletions of segment number, to stand in g.
-func (s *Store) appendSums(b []byte, g *segment, base int, number uint32) []byte {
-	for list := s.tombstones; len(list) > 0; {
-		n := min(len(list), sumMost)
-		value := binary.LittleEndian.AppendUint64(nil, s.seed)
-		for _, x := range list[:n] {
-			value = binary.LittleEndian.AppendUint64(value, x.hash)
-			value = binary.LittleEndian.AppendUint64(value, x.seq)
+// appendTombstoneSums appends the sum frames for the deletions of the segment with that number, to be written to g.
+func (s *Store) appendTombstoneSums(b []byte, g *segment, base int, number uint32) []byte {
+	for remaining := s.tombstones; len(remaining) > 0; {
+		n := min(len(remaining), maxSumTombstones)
+		value := binary.LittleEndian.AppendUint64(nil, s.tombstoneSeed)
+		for _, t := range remaining[:n] {
+			value = binary.LittleEndian.AppendUint64(value, t.hash)
+			value = binary.LittleEndian.AppendUint64(value, t.seq)
 		}
-		f := frame{kind: kindSum, seq: list[n-1].seq, value: value, first: number, last: number, start: len(b) == 0 && s.clean()}
+		f := frame{kind: kindSum, seq: remaining[n-1].seq, value: value, firstSegment: number, lastSegment: number,
+			startsWrite: len(b) == 0 && s.allSynced()}
 		b = appendFrame(b, g.salt, base, &f)
 		if number != g.number {
 			g.addTombstone(&f)
 		}
-		list = list[n:]
+		remaining = remaining[n:]
 	}
 	return b
 }
 
-// rewriteTombstones takes keys out of the index whose deletion is lost and stands in a sum
-// only.
-func (s *Store) rewriteTombstones(d *scan) error {
+// applyTombstoneSums removes keys from the index whose deletion record is lost and remains only in a sum.
+func (s *Store) applyTombstoneSums(rec *recoveryState) error {
 	bySeed := map[uint64]map[uint64]uint64{}
-	for _, x := range d.sums {
-		f, err := x.g.frameAt(x.at)
+	for _, sum := range rec.sums {
+		f, err := sum.segment.readFrame(sum.location)
 		if err != nil {
 			return err
 		}
 		if len(f.value) < 8 || len(f.value)%8 != 0 {
-			return fmt.Errorf("%s at %d: %w", segName(x.g.number), x.at.off, ErrDamaged)
+			return fmt.Errorf("%s at %d: %w", segmentName(sum.segment.number), sum.location.offset, ErrDamaged)
 		}
 		seed := binary.LittleEndian.Uint64(f.value)
 		if bySeed[seed] == nil {
@@ -74,18 +74,18 @@
 			bySeed[seed][h] = max(bySeed[seed][h], binary.LittleEndian.Uint64(v[8:]))
 		}
 	}
-	lost := map[string]loc{}
-	s.index.Visit(func(key []byte, at loc) bool {
-		for seed, dead := range bySeed {
-			if dead[hashOf(seed, key)] > at.seq {
-				lost[string(key)] = at
+	deletedKeys := map[string]location{}
+	s.index.Visit(func(key []byte, loc location) bool {
+		for seed, deleted := range bySeed {
+			if deleted[hashKey(seed, key)] > loc.seq {
+				deletedKeys[string(key)] = loc
 				break
 			}
 		}
 		return true
 	})
-	for key, at := range lost {
-		s.unlink([]byte(key), at)
+	for key, loc := range deletedKeys {
+		s.removeKey([]byte(key), loc)
 	}
 	return nil
 }
--- a/internal/vfs/doc.go
+++ b/internal/vfs/doc.go
@@ -1,3 +1,3 @@
-// Package vfs is the little of a file system that a store needs, with the real
-// one and one in memory that crashes, tears, fails and fills up as a test says.
+// Package vfs is the part of a file system that the stores need, with the real file system and one in memory that
+// simulates crashes, torn writes, I/O errors and full disks for tests.
 package vfs
--- a/internal/vfs/limited.go
+++ b/internal/vfs/limited.go
@@ -5,19 +5,19 @@
 	"syscall"
 )
 
-// Limited is a folder whose files take so many bytes at most, in whole blocks: a
-// real folder then fills up as a small disk does. A write without room for all of
-// it writes what fits, as the system's does, and fails with ENOSPC.
+// Limited is a folder whose files take a limited number of bytes, counted in whole blocks, so that a real folder fills
+// up as a small disk does. As with the operating system, a write that exceeds the limit writes what fits and fails with
+// ENOSPC.
 type Limited struct {
 	FS
 	mu    sync.Mutex
-	room  int64
+	limit int64
 	sizes map[string]int64
 }
 
-// Limit bounds a folder. Files that are there count.
-func Limit(under FS, room int64) (*Limited, error) {
-	l := &Limited{FS: under, room: room, sizes: map[string]int64{}}
+// NewLimited limits a folder to so many bytes. Existing files count.
+func NewLimited(under FS, limit int64) (*Limited, error) {
+	l := &Limited{FS: under, limit: limit, sizes: map[string]int64{}}
 	names, err := under.List()
 	if err != nil {
 		return nil, err
@@ -37,33 +37,34 @@
 	return l, nil
 }
 
-// SetRoom changes the bound.
-func (l *Limited) SetRoom(room int64) {
+// SetLimit changes the limit in bytes.
+func (l *Limited) SetLimit(limit int64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.room = room
+	l.limit = limit
 }
 
-// Used is what the files take.
-func (l *Limited) Used() int64 {
+// UsedBytes returns the size of all files, in whole blocks.
+func (l *Limited) UsedBytes() int64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.used("")
+	return l.usedExcept("")
 }
 
+// diskBlock is the allocation unit of the disk in bytes.
 const diskBlock = 512
 
-// used is what files other than one take.
-func (l *Limited) used(but string) (sum int64) {
+// usedExcept returns the size of all files but one, in whole blocks.
+func (l *Limited) usedExcept(except string) (sum int64) {
 	for name, size := range l.sizes {
-		if name != but {
+		if name != except {
 			sum += (size + diskBlock - 1) / diskBlock * diskBlock
 		}
 	}
 	return sum
 }
 
-// Open opens a file.
+// Open opens a file whose writes are limited.
 func (l *Limited) Open(name string, create bool) (File, error) {
 	f, err := l.FS.Open(name, create)
 	if err != nil {
@@ -72,7 +73,7 @@
 	return &limitedFile{f, l, name}, nil
 }
 
-// Remove removes a file; its room is free at once.
+// Remove removes a file; its space is free at once.
 func (l *Limited) Remove(name string) error {
 	err := l.FS.Remove(name)
 	if err == nil {
@@ -104,10 +105,10 @@
 func (f *limitedFile) WriteAt(b []byte, off int64) (int, error) {
 	f.l.mu.Lock()
 	defer f.l.mu.Unlock()
-	most := (f.l.room - f.l.used(f.name)) / diskBlock * diskBlock // that this file may grow to
+	maxSize := (f.l.limit - f.l.usedExcept(f.name)) / diskBlock * diskBlock // largest size that this file may grow to
 	fits := int64(len(b))
-	if off+fits > max(most, f.l.sizes[f.name]) {
-		fits = max(most-off, 0)
+	if off+fits > max(maxSize, f.l.sizes[f.name]) {
+		fits = max(maxSize-off, 0)
 	}
 	n, err := f.File.WriteAt(b[:fits], off)
 	if n > 0 {
--- a/internal/vfs/limited_test.go
+++ b/internal/vfs/limited_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// A folder with a limit fills up as a disk does: what fits is written, the rest is
-// told, what is removed gives its room back, and what is there may be overwritten.
+// Checks that a folder with a limit fills up as a disk does: what fits is written, the rest fails, removing a file
+// frees its space, and existing blocks may be overwritten.
 func TestLimitedFolder(t *testing.T) {
 	dir := Dir(t.TempDir())
 	before, err := dir.Open("before", true)
@@ -16,9 +16,9 @@
 	}
 	before.WriteAt(make([]byte, 100), 0)
 	before.Close()
-	l, err := Limit(dir, 2048)
-	if err != nil || l.Used() != 512 {
-		t.Fatalf("%d bytes used, %v", l.Used(), err)
+	l, err := NewLimited(dir, 2048)
+	if err != nil || l.UsedBytes() != 512 {
+		t.Fatalf("%d bytes used, %v", l.UsedBytes(), err)
 	}
 	f, err := l.Open("a", true)
 	if err != nil {
@@ -36,8 +36,8 @@
 	write(1000, 1000, 536, true)
 	write(10, 1600, 0, true)
 	write(1536, 0, 1536, false)
-	if size, _ := f.Size(); size != 1536 || l.Used() != 2048 {
-		t.Errorf("%d bytes in the file, %d used", size, l.Used())
+	if size, _ := f.Size(); size != 1536 || l.UsedBytes() != 2048 {
+		t.Errorf("%d bytes in the file, %d used", size, l.UsedBytes())
 	}
 	l.Rename("before", "b")
 	if err := l.Remove("b"); err != nil {
@@ -45,6 +45,6 @@
 	}
 	write(600, 1536, 512, true)
 	f.Truncate(0)
-	l.SetRoom(512)
+	l.SetLimit(512)
 	write(600, 0, 512, true)
 }
--- a/internal/vfs/mem.go
+++ b/internal/vfs/mem.go
@@ -12,25 +12,25 @@
 	"syscall"
 )
 
-// ErrCrashed is what every call returns once the machine has crashed.
+// ErrCrashed is returned by every call after a simulated crash of the machine.
 var ErrCrashed = errors.New("crashed")
 
-// block is what a disk writes in one piece.
+// block is the unit in bytes that a disk writes atomically.
 const block = 512
 
-// Loss is what a crash does to data that was not synced.
+// Loss selects which unsynced data a crash loses.
 type Loss int
 
 // The kinds of loss.
 const (
-	LoseNone    Loss = iota // the process died, the machine did not
-	LoseAll                 // nothing that was not synced is left
-	LoseTail                // what was written last, from some byte on, is lost
-	LoseSome                // any of the blocks that were written are lost, in any order
-	countLosses             // must be last
+	LoseNone     Loss = iota // the process died, the machine did not
+	LoseUnsynced             // all data that was not synced
+	LoseTail                 // the latest writes, from some byte on
+	LoseBlocks               // any of the written blocks, in any order
+	countLosses              // must be last
 )
 
-// Losses lists the kinds of loss.
+// Losses returns the kinds of loss.
 func Losses() []Loss {
 	out := make([]Loss, countLosses)
 	for i := range out {
@@ -39,82 +39,82 @@
 	return out
 }
 
-// Mem is a file system in memory that remembers what has been synced. Its calls
-// are counted, so that a test can crash or fail each in turn.
+// Mem is a file system in memory that tracks what has been synced. It counts its calls, so that a test can make each of
+// them crash or fail in turn.
 type Mem struct {
-	mu      sync.Mutex
-	names   map[string]*inode // as the process sees them
-	synced  map[string]*inode // as a crash leaves them
-	dirOps  []dirOp           // names that changed since the last SyncDir
-	locked  map[string]bool
-	limit   int64 // bytes over all files, in whole blocks; 0 for no limit
-	calls   int
-	crashAt int // number of the call that crashes; 0 for none
-	failAt  int // number of the call that fails; 0 for none
-	failure error
-	crashed bool
-}
-
-// inode is one file's data.
+	mu          sync.Mutex
+	names       map[string]*inode // as the process sees them
+	syncedNames map[string]*inode // as they are after a crash
+	dirOps      []dirOp           // changes of names since the last SyncDir
+	locked      map[string]bool
+	limit       int64 // size of all files in whole blocks; 0 for no limit
+	calls       int
+	crashAt     int // number of the call that crashes; 0 for none
+	failAt      int // number of the call that fails; 0 for none
+	failure     error
+	crashed     bool
+}
+
+// inode is the data of one file.
 type inode struct {
-	data   []byte
-	disk   []byte  // what is sure to be on the disk
-	writes []write // since the last sync, in order
-	lost   bool    // a sync has failed: what was written before it never gets to the disk by itself
+	data       []byte
+	durable    []byte  // contents that are certainly on the disk
+	writes     []write // since the last sync, in order
+	syncFailed bool    // data written before a failed sync never gets to the disk by itself
 }
 
 // write is one change of a file that was not synced.
 type write struct {
-	at    int64
-	data  []byte
-	trunc bool // to the size at
+	offset   int64
+	data     []byte
+	truncate bool // to the size offset
 }
 
 // dirOp is one change of names that was not synced.
 type dirOp struct {
-	from, to string // from empty: made; to empty: removed
+	from, to string // from is empty for a created file, to for a removed one
 	node     *inode
 }
 
-// NewMem makes an empty one.
+// NewMem returns an empty file system.
 func NewMem() *Mem {
-	return &Mem{names: map[string]*inode{}, synced: map[string]*inode{}, locked: map[string]bool{}}
+	return &Mem{names: map[string]*inode{}, syncedNames: map[string]*inode{}, locked: map[string]bool{}}
 }
 
-// Limit bounds the bytes that all files may take, counted in blocks of 512.
-func (m *Mem) Limit(bytes int64) { m.mu.Lock(); defer m.mu.Unlock(); m.limit = bytes }
+// SetLimit limits the bytes of all files, counted in blocks of 512; 0 removes the limit.
+func (m *Mem) SetLimit(bytes int64) { m.mu.Lock(); defer m.mu.Unlock(); m.limit = bytes }
 
-// CrashAt has the n-th call from now on crash, the first being 1. A write that
-// crashes has been made in part.
+// CrashAt makes the n-th call from now on crash, counted from 1. A write that crashes is made in part.
 func (m *Mem) CrashAt(n int) { m.mu.Lock(); defer m.mu.Unlock(); m.crashAt = m.calls + n }
 
-// FailAt has the n-th call from now on fail with err.
+// FailAt makes the n-th call from now on fail with err.
 func (m *Mem) FailAt(n int, err error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.failAt, m.failure = m.calls+n, err
 }
 
-// Calls counts the calls so far.
+// Calls returns the number of calls so far.
 func (m *Mem) Calls() int { m.mu.Lock(); defer m.mu.Unlock(); return m.calls }
 
-// Crashed says whether the machine has crashed.
+// Crashed reports whether the machine has crashed.
 func (m *Mem) Crashed() bool { m.mu.Lock(); defer m.mu.Unlock(); return m.crashed }
 
-// Used is the number of bytes that all files take, in whole blocks.
-func (m *Mem) Used() int64 { m.mu.Lock(); defer m.mu.Unlock(); return m.used() }
+// UsedBytes returns the size of all files in bytes, in whole blocks.
+func (m *Mem) UsedBytes() int64 { m.mu.Lock(); defer m.mu.Unlock(); return m.usedBytes() }
 
-func (m *Mem) used() (sum int64) {
+// usedBytes is UsedBytes for callers that hold mu.
+func (m *Mem) usedBytes() (sum int64) {
 	for _, n := range m.names {
-		sum += blocks(int64(len(n.data)))
+		sum += roundToBlocks(int64(len(n.data)))
 	}
 	return sum
 }
 
-func blocks(size int64) int64 { return (size + block - 1) / block * block }
+// roundToBlocks rounds a size in bytes up to whole blocks.
+func roundToBlocks(size int64) int64 { return (size + block - 1) / block * block }
 
-// Data returns a copy of a file, and Set puts one in its place, synced: for tests
-// that cut and flip.
+// Data returns a copy of a file's contents; nil if it does not exist.
 func (m *Mem) Data(name string) []byte {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -124,26 +124,26 @@
 	return nil
 }
 
-// Set puts a file in place, synced.
-func (m *Mem) Set(name string, data []byte) {
+// SetFile replaces the contents of a file and syncs them, for tests that cut files and flip bits.
+func (m *Mem) SetFile(name string, data []byte) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	n := &inode{data: slices.Clone(data), disk: slices.Clone(data)}
-	m.names[name], m.synced[name] = n, n
+	n := &inode{data: slices.Clone(data), durable: slices.Clone(data)}
+	m.names[name], m.syncedNames[name] = n, n
 }
 
-// Restart returns what a crash leaves, as a machine that has come up again. The
-// old one is of no more use to anybody.
+// Restart crashes the machine and returns the file system as it is after the crash. The old one fails all further
+// calls.
 func (m *Mem) Restart(loss Loss, rng *rand.Rand) *Mem {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.crashed = true
-	names := maps.Clone(m.synced)
+	names := maps.Clone(m.syncedNames)
 	keep := len(m.dirOps)
 	switch loss {
-	case LoseAll:
+	case LoseUnsynced:
 		keep = 0
-	case LoseTail, LoseSome: // names are journalled by file systems: what is lost is a tail
+	case LoseTail, LoseBlocks: // file systems journal names: what is lost is a tail
 		keep = rng.IntN(len(m.dirOps) + 1)
 	}
 	for _, op := range m.dirOps[:keep] {
@@ -154,17 +154,18 @@
 	}
 	out := NewMem()
 	out.limit = m.limit
-	left := map[*inode]*inode{} // one file under two names stays one
+	copies := map[*inode]*inode{} // a file with two names stays one file
 	for name, n := range names {
-		if left[n] == nil {
-			data := n.after(loss, rng)
-			left[n] = &inode{data: data, disk: slices.Clone(data)}
+		if copies[n] == nil {
+			data := n.afterCrash(loss, rng)
+			copies[n] = &inode{data: data, durable: slices.Clone(data)}
 		}
-		out.names[name], out.synced[name] = left[n], left[n]
+		out.names[name], out.syncedNames[name] = copies[n], copies[n]
 	}
 	return out
 }
 
+// apply makes the change in a set of names.
 func (op dirOp) apply(names map[string]*inode) {
 	if op.from != "" {
 		delete(names, op.from)
@@ -174,13 +175,13 @@
 	}
 }
 
-// after is what a crash leaves of a file.
-func (n *inode) after(loss Loss, rng *rand.Rand) []byte {
+// afterCrash returns the contents that a crash leaves of a file.
+func (n *inode) afterCrash(loss Loss, rng *rand.Rand) []byte {
 	if loss == LoseNone {
 		return slices.Clone(n.data)
 	}
-	data := slices.Clone(n.disk)
-	if loss == LoseAll || n.lost && rng.IntN(2) == 0 {
+	data := slices.Clone(n.durable)
+	if loss == LoseUnsynced || n.syncFailed && rng.IntN(2) == 0 {
 		return data
 	}
 	last := len(n.writes)
@@ -191,27 +192,28 @@
 		switch {
 		case loss == LoseTail && i > last:
 			return data
-		case w.trunc:
-			if loss != LoseSome || rng.IntN(2) == 0 {
-				data = resize(data, w.at)
+		case w.truncate:
+			if loss != LoseBlocks || rng.IntN(2) == 0 {
+				data = resize(data, w.offset)
 			}
 		case loss == LoseTail && i == last:
-			data = put(data, w.at, w.data[:rng.IntN(len(w.data)+1)])
-		case loss == LoseSome:
+			data = writeBytes(data, w.offset, w.data[:rng.IntN(len(w.data)+1)])
+		case loss == LoseBlocks:
 			for from := 0; from < len(w.data); {
-				to := min(len(w.data), int((w.at+int64(from))/block*block+block-w.at))
+				to := min(len(w.data), int((w.offset+int64(from))/block*block+block-w.offset))
 				if rng.IntN(2) == 0 {
-					data = put(data, w.at+int64(from), w.data[from:to])
+					data = writeBytes(data, w.offset+int64(from), w.data[from:to])
 				}
 				from = to
 			}
 		default:
-			data = put(data, w.at, w.data)
+			data = writeBytes(data, w.offset, w.data)
 		}
 	}
 	return data
 }
 
+// resize returns data cut or extended with zeros to a size.
 func resize(data []byte, size int64) []byte {
 	if size <= int64(len(data)) {
 		return data[:size:size]
@@ -219,7 +221,8 @@
 	return append(data, make([]byte, size-int64(len(data)))...)
 }
 
-func put(data []byte, at int64, b []byte) []byte {
+// writeBytes returns data with b written at an offset.
+func writeBytes(data []byte, at int64, b []byte) []byte {
 	if end := at + int64(len(b)); end > int64(len(data)) && len(b) > 0 {
 		data = resize(data, end)
 	}
@@ -227,8 +230,7 @@
 	return data
 }
 
-// call counts a call; crashing says that it is the one that crashes. It is called
-// under the lock.
+// call counts a call; crashing reports that this is the one that crashes. The caller holds mu.
 func (m *Mem) call() (crashing bool, err error) {
 	if m.crashed {
 		return false, ErrCrashed
@@ -257,12 +259,13 @@
 			return nil, &fs.PathError{Op: "open", Path: name, Err: fs.ErrNotExist}
 		}
 		n = &inode{}
-		m.change(dirOp{to: name, node: n})
+		m.changeNames(dirOp{to: name, node: n})
 	}
-	return &memFile{m: m, n: n, name: name}, nil
+	return &memFile{m: m, inode: n, name: name}, nil
 }
 
-func (m *Mem) change(op dirOp) {
+// changeNames makes a change of names and records it as not synced.
+func (m *Mem) changeNames(op dirOp) {
 	op.apply(m.names)
 	m.dirOps = append(m.dirOps, op)
 }
@@ -277,7 +280,7 @@
 	if m.names[name] == nil {
 		return &fs.PathError{Op: "remove", Path: name, Err: fs.ErrNotExist}
 	}
-	m.change(dirOp{from: name})
+	m.changeNames(dirOp{from: name})
 	return nil
 }
 
@@ -292,11 +295,11 @@
 	if n == nil {
 		return &fs.PathError{Op: "rename", Path: from, Err: fs.ErrNotExist}
 	}
-	m.change(dirOp{from: from, to: to, node: n})
+	m.changeNames(dirOp{from: from, to: to, node: n})
 	return nil
 }
 
-// List names the files.
+// List returns the names of the files, sorted.
 func (m *Mem) List() ([]string, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -306,18 +309,18 @@
 	return slices.Sorted(maps.Keys(m.names)), nil
 }
 
-// SyncDir makes the names last.
+// SyncDir makes the names durable.
 func (m *Mem) SyncDir() error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if _, err := m.call(); err != nil {
 		return err
 	}
-	m.synced, m.dirOps = maps.Clone(m.names), nil
+	m.syncedNames, m.dirOps = maps.Clone(m.names), nil
 	return nil
 }
 
-// Lock takes a lock; a crash gives it back.
+// Lock takes a lock. A crash releases it.
 func (m *Mem) Lock(name string) (io.Closer, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -331,6 +334,7 @@
 	return memLock{m, name}, nil
 }
 
+// memLock is a lock of a Mem.
 type memLock struct {
 	m    *Mem
 	name string
@@ -346,12 +350,12 @@
 // memFile is an open file of a Mem.
 type memFile struct {
 	m      *Mem
-	n      *inode
+	inode  *inode
 	name   string
 	closed bool
 }
 
-// begin counts a call on an open file. It is called under the lock.
+// begin counts a call on an open file. The caller holds the lock of the Mem.
 func (f *memFile) begin() (crashing bool, err error) {
 	if f.closed {
 		return false, fs.ErrClosed
@@ -365,10 +369,10 @@
 	if _, err := f.begin(); err != nil {
 		return 0, err
 	}
-	if at >= int64(len(f.n.data)) {
+	if at >= int64(len(f.inode.data)) {
 		return 0, io.EOF
 	}
-	n := copy(b, f.n.data[at:])
+	n := copy(b, f.inode.data[at:])
 	if n < len(b) {
 		return n, io.EOF
 	}
@@ -385,14 +389,14 @@
 	case err != nil:
 		return 0, err
 	case f.m.limit > 0:
-		others := f.m.used() - blocks(int64(len(f.n.data)))
-		if room := max((f.m.limit-others)/block*block, int64(len(f.n.data))); at+int64(len(b)) > room {
-			b, err = b[:max(room-at, 0)], &fs.PathError{Op: "write", Path: f.name, Err: syscall.ENOSPC}
+		others := f.m.usedBytes() - roundToBlocks(int64(len(f.inode.data)))
+		if maxSize := max((f.m.limit-others)/block*block, int64(len(f.inode.data))); at+int64(len(b)) > maxSize {
+			b, err = b[:max(maxSize-at, 0)], &fs.PathError{Op: "write", Path: f.name, Err: syscall.ENOSPC}
 		}
 	}
 	if len(b) > 0 {
-		f.n.data = put(f.n.data, at, b)
-		f.n.writes = append(f.n.writes, write{at: at, data: slices.Clone(b)})
+		f.inode.data = writeBytes(f.inode.data, at, b)
+		f.inode.writes = append(f.inode.writes, write{offset: at, data: slices.Clone(b)})
 	}
 	return len(b), err
 }
@@ -403,22 +407,22 @@
 	if _, err := f.begin(); err != nil {
 		return err
 	}
-	f.n.data = resize(f.n.data, size)
-	f.n.writes = append(f.n.writes, write{at: size, trunc: true})
+	f.inode.data = resize(f.inode.data, size)
+	f.inode.writes = append(f.inode.writes, write{offset: size, truncate: true})
 	return nil
 }
 
-// Sync makes the data last. One that fails marks what was written as clean all the
-// same, as Linux does: a later Sync succeeds and says nothing of it.
+// Sync makes the data durable. A failed Sync marks the written data as clean, as Linux does: a later Sync succeeds and
+// does not report the loss.
 func (f *memFile) Sync() error {
 	f.m.mu.Lock()
 	defer f.m.mu.Unlock()
 	if _, err := f.begin(); err != nil {
-		f.n.lost = f.n.lost || len(f.n.writes) > 0
+		f.inode.syncFailed = f.inode.syncFailed || len(f.inode.writes) > 0
 		return err
 	}
-	if !f.n.lost {
-		f.n.disk, f.n.writes = slices.Clone(f.n.data), nil
+	if !f.inode.syncFailed {
+		f.inode.durable, f.inode.writes = slices.Clone(f.inode.data), nil
 	}
 	return nil
 }
@@ -429,7 +433,7 @@
 	if _, err := f.begin(); err != nil {
 		return 0, err
 	}
-	return int64(len(f.n.data)), nil
+	return int64(len(f.inode.data)), nil
 }
 
 func (f *memFile) Close() error {
--- a/internal/vfs/vfs.go
+++ b/internal/vfs/vfs.go
@@ -10,19 +10,19 @@
 	"syscall"
 )
 
-// FS is one folder with files and no folders in it. Names hold no separator.
+// FS is one folder with files and no subfolders. Names contain no separator.
 type FS interface {
-	// Open opens a file, and with create makes one that is not there.
+	// Open opens a file, and with create makes one that does not exist.
 	Open(name string, create bool) (File, error)
+	// Remove removes a file.
 	Remove(name string) error
-	// Rename puts a file in the place of another, or under a new name, in one step.
+	// Rename renames a file atomically; a file with the new name is replaced.
 	Rename(from, to string) error
-	// List names the files, in order.
+	// List returns the names of the files, sorted.
 	List() ([]string, error)
-	// SyncDir makes names that were made, renamed or removed last.
+	// SyncDir makes creations, removals and renames of files durable.
 	SyncDir() error
-	// Lock keeps other processes out until the lock is closed. An error that is
-	// [ErrLocked] says that another one has it.
+	// Lock takes an exclusive lock until the lock is closed. The error is [ErrLocked] if another process has it.
 	Lock(name string) (io.Closer, error)
 }
 
@@ -31,20 +31,22 @@
 	io.ReaderAt
 	io.WriterAt
 	io.Closer
+	// Size returns the size in bytes.
 	Size() (int64, error)
+	// Truncate sets the size in bytes.
 	Truncate(size int64) error
-	// Sync makes what was written last. After an error nothing is known of what was
-	// written since the last good one, and a later Sync says nothing of it either.
+	// Sync makes the written data durable. After an error all data written since the last successful Sync may be
+	// lost, and a later Sync does not report it again.
 	Sync() error
 }
 
-// ErrLocked says that another process has the lock.
+// ErrLocked reports that another process has the lock.
 var ErrLocked = errors.New("locked by another process")
 
-// Dir is a folder of the real file system.
+// Dir is the path of a folder of the real file system.
 type Dir string
 
-// OpenDir makes the folder if need be.
+// OpenDir returns the folder at a path, and creates it and its parents if necessary.
 func OpenDir(path string) (Dir, error) {
 	if err := os.MkdirAll(path, 0o700); err != nil {
 		return "", err
@@ -54,7 +56,7 @@
 
 func (d Dir) path(name string) string { return filepath.Join(string(d), name) }
 
-// Open opens a file for reading and writing.
+// Open opens a file for reading and writing. It is an error if name is not a regular file.
 func (d Dir) Open(name string, create bool) (File, error) {
 	flag := os.O_RDWR
 	if create {
@@ -78,10 +80,10 @@
 // Remove removes a file.
 func (d Dir) Remove(name string) error { return os.Remove(d.path(name)) }
 
-// Rename renames a file.
+// Rename renames a file atomically.
 func (d Dir) Rename(from, to string) error { return os.Rename(d.path(from), d.path(to)) }
 
-// List names the files.
+// List returns the names of the files, sorted.
 func (d Dir) List() ([]string, error) {
 	list, err := os.ReadDir(string(d))
 	if err != nil {
@@ -106,7 +108,7 @@
 	return errors.Join(f.Sync(), f.Close())
 }
 
-// Lock takes an exclusive lock on a file, which goes with the process.
+// Lock takes an exclusive lock on a file. The lock ends with the process.
 func (d Dir) Lock(name string) (io.Closer, error) {
 	f, err := os.OpenFile(d.path(name), os.O_RDWR|os.O_CREATE, 0o600)
 	if err != nil {
@@ -122,6 +124,7 @@
 	return f, nil
 }
 
+// osFile is a file of the operating system.
 type osFile struct{ *os.File }
 
 func (f osFile) Size() (int64, error) {
--- a/internal/vfs/vfs_test.go
+++ b/internal/vfs/vfs_test.go
@@ -40,8 +40,8 @@
 	return string(b)
 }
 
-// Both implementations do the same.
-func TestSame(t *testing.T) {
+// Checks that the real and the simulated file system behave alike.
+func TestSameBehavior(t *testing.T) {
 	dir, err := OpenDir(filepath.Join(t.TempDir(), "a", "b"))
 	must(t, err)
 	for name, sys := range map[string]FS{"dir": dir, "mem": NewMem()} {
@@ -100,7 +100,7 @@
 	}
 }
 
-// A file that is a folder is a clear error, not a surprise later on.
+// Checks that opening a folder as a file fails at once, not at a later call.
 func TestFolderAsFile(t *testing.T) {
 	path := t.TempDir()
 	must(t, os.Mkdir(filepath.Join(path, "x"), 0o700))
@@ -109,8 +109,8 @@
 	}
 }
 
-// Names and data last once they are synced, each on its own.
-func TestSyncs(t *testing.T) {
+// Checks that names and data are durable only once each of them is synced.
+func TestSyncedNamesAndData(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	m := NewMem()
 	f, _ := m.Open("kept", true)
@@ -121,12 +121,12 @@
 	g, _ := m.Open("unnamed", true)
 	writeAll(t, g, "x", 0)
 	must(t, g.Sync())
-	after := m.Restart(LoseAll, rng)
+	after := m.Restart(LoseUnsynced, rng)
 	if got := string(after.Data("kept")); got != "old" || after.Data("unnamed") != nil {
 		t.Errorf("left: %q, %q", got, after.Data("unnamed"))
 	}
 	if _, err := m.List(); !errors.Is(err, ErrCrashed) {
-		t.Errorf("the old one goes on: %v", err)
+		t.Errorf("the old file system still works: %v", err)
 	}
 	if got := string(m.Restart(LoseNone, rng).Data("kept")); got != "new" {
 		t.Errorf("only the process died: %q", got)
@@ -135,7 +135,7 @@
 	seen := map[string]bool{}
 	for range 50 {
 		m := NewMem()
-		m.Set("x", []byte("old"))
+		m.SetFile("x", []byte("old"))
 		f, _ := m.Open("x.new", true)
 		writeAll(t, f, "new", 0)
 		must(t, f.Sync())
@@ -147,7 +147,7 @@
 	}
 }
 
-// A sync that fails has lost what was written, whatever the next one says.
+// Checks that a failed sync loses the written data, although the next sync succeeds.
 func TestFailedSync(t *testing.T) {
 	m := NewMem()
 	f, _ := m.Open("x", true)
@@ -158,34 +158,34 @@
 		t.Fatal(err)
 	}
 	must(t, f.Sync())
-	if got := m.Restart(LoseAll, rand.New(rand.NewPCG(1, 1))).Data("x"); len(got) != 0 {
+	if got := m.Restart(LoseUnsynced, rand.New(rand.NewPCG(1, 1))).Data("x"); len(got) != 0 {
 		t.Errorf("left: %q", got)
 	}
 }
 
-// Space runs out at a byte, in whole blocks; what fits is written.
-func TestSpace(t *testing.T) {
+// Checks that a full disk takes what fits, in whole blocks.
+func TestFullDisk(t *testing.T) {
 	m := NewMem()
-	m.Limit(3 * block)
+	m.SetLimit(3 * block)
 	f, _ := m.Open("x", true)
 	g, _ := m.Open("y", true)
 	writeAll(t, f, "x", 0)
 	if n, err := g.WriteAt(make([]byte, 5000), 0); n != 2*block || !errors.Is(err, syscall.ENOSPC) {
 		t.Errorf("%d, %v", n, err)
 	}
-	if n, err := f.WriteAt(make([]byte, block), 0); n != block || err != nil { // its own block is its own
+	if n, err := f.WriteAt(make([]byte, block), 0); n != block || err != nil { // within the file's own block
 		t.Errorf("%d, %v", n, err)
 	}
-	if m.Used() != 3*block {
-		t.Errorf("%d used", m.Used())
+	if m.UsedBytes() != 3*block {
+		t.Errorf("%d used", m.UsedBytes())
 	}
 	must(t, m.Remove("y"))
 	writeAll(t, f, string(make([]byte, 2*block)), block)
 }
 
-// Whatever is written, synced and lost: before the crash reads see each write; after it a file holds what was synced
-// last, changed by none but later writes, and with LoseTail by a prefix of them.
-func TestCrashes(t *testing.T) {
+// Checks for any writes, syncs and losses: reads before the crash see each write; after it a file holds what was synced
+// last, changed only by later writes, and with LoseTail by a prefix of them.
+func TestCrashContents(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		m := NewMem()
 		f, _ := m.Open("x", true)
@@ -215,8 +215,8 @@
 			}
 		}
 		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(rt, "seed"), 0))
-		if got := m.Restart(LoseAll, rng).Data("x"); !bytes.Equal(got, synced) {
-			rt.Fatalf("LoseAll leaves %q, want %q", got, synced)
+		if got := m.Restart(LoseUnsynced, rng).Data("x"); !bytes.Equal(got, synced) {
+			rt.Fatalf("LoseUnsynced leaves %q, want %q", got, synced)
 		}
 		if got := m.Restart(LoseNone, rng).Data("x"); !bytes.Equal(got, now) {
 			rt.Fatalf("LoseNone leaves %q, want %q", got, now)
@@ -236,7 +236,7 @@
 	})
 }
 
-// between says whether each byte of got is that of a or of b.
+// between reports whether each byte of got is that of a or of b.
 func between(got, a, b []byte) bool {
 	if len(got) < min(len(a), len(b)) || len(got) > max(len(a), len(b)) {
 		return false
@@ -255,7 +255,7 @@
 	return true
 }
 
-// Each call can be made to crash: the write that does is made in part, and nothing goes on after it.
+// Checks that each call can be made to crash: a crashing write is made in part, and all later calls fail.
 func TestCrashAt(t *testing.T) {
 	run := func(m *Mem) error {
 		f, err := m.Open("x", true)
