--- a/internal/store/checkpoint.go
+++ b/internal/store/checkpoint.go
@@ -17,10 +17,10 @@
 // first block holds the position in the log and the segments up to it, the last one only the number of keys. A
 // checkpoint that is incomplete or does not match the segments is ignored.
 const (
-	checkpointName  = "checkpoint"
-	checkpointNew   = "checkpoint.new"
+	checkpointName  = "checkpoint"     // the complete checkpoint
+	checkpointNew   = "checkpoint.new" // a checkpoint being written
 	checkpointMagic = "cmtrkidx"
-	checkpointBlock = 32 << 10
+	checkpointBlock = 32 << 10 // payload bytes from which on a block is written
 	// checkpointEntriesPerLock entries are copied while commits are blocked.
 	checkpointEntriesPerLock = 256
 	// defaultCheckpointKeys keys are read from segments in a few milliseconds.
--- a/internal/store/checkpoint_test.go
+++ b/internal/store/checkpoint_test.go
@@ -28,7 +28,7 @@
 	s.Close()
 	files := filesOf(t, m)
 	whole := files[checkpointName]
-	check := func(what string, data []byte, want bool) {
+	check := func(label string, data []byte, want bool) {
 		t.Helper()
 		m := vfs.NewMem()
 		for name, b := range files {
@@ -37,10 +37,10 @@
 		m.SetFile(checkpointName, data)
 		s := mustOpen(t, m, small)
 		if fromCheckpoint(s) != want {
-			t.Fatalf("%s: from the checkpoint: %v", what, fromCheckpoint(s))
+			t.Fatalf("%s: from the checkpoint: %v", label, fromCheckpoint(s))
 		}
 		if have := content(t, s); !maps.Equal(have, end) || s.recovery.RecordsLost() {
-			t.Fatalf("%s:\n%v\nwant\n%v\n%+v", what, have, end, s.recovery)
+			t.Fatalf("%s:\n%v\nwant\n%v\n%+v", label, have, end, s.recovery)
 		}
 		s.Close()
 	}
@@ -114,10 +114,10 @@
 // Checks that a checkpoint is used only with the segments it was made from.
 func TestCheckpointOfOtherSegments(t *testing.T) {
 	for name, damage := range map[string]func(s *Store, m *vfs.Mem){
-		"an entry behind the end": func(s *Store, m *vfs.Mem) {
-			at, _ := s.index.Get([]byte("cold-3"))
-			at.offset += 4000
-			s.index.Set([]byte("cold-3"), at)
+		"an entry past the end": func(s *Store, m *vfs.Mem) {
+			loc, _ := s.index.Get([]byte("cold-3"))
+			loc.offset += 4000
+			s.index.Set([]byte("cold-3"), loc)
 		},
 		"another salt": func(s *Store, m *vfs.Mem) {
 			g := s.segments[0]
@@ -128,13 +128,13 @@
 			name := segmentName(s.segments[1].number)
 			m.SetFile(name, m.Data(name)[:600])
 		},
-		"a segment that is not known": func(s *Store, m *vfs.Mem) {
+		"an unknown segment": func(s *Store, m *vfs.Mem) {
 			m.SetFile(segmentName(s.segments[0].number-1), m.Data(segmentName(s.segments[0].number)))
 		},
 	} {
 		m, _, _ := playHistory(t, 70, true)
 		s := mustOpen(t, m, small)
-		if name == "an entry behind the end" {
+		if name == "an entry past the end" {
 			damage(s, m)
 		}
 		if err := s.checkpoint(); err != nil {
--- a/internal/store/compact.go
+++ b/internal/store/compact.go
@@ -131,7 +131,7 @@
 	err = g.file.Sync()
 	s.writeMu.Lock()
 	defer s.writeMu.Unlock()
-	if s.active() != g { // rotate synced g whole before it began the next segment
+	if s.active() != g { // rotate synced all of g before it began the next segment
 		return s.syncFailure
 	}
 	return s.syncDone(g, size, err)
@@ -199,13 +199,13 @@
 	if len(s.segments) < 2 {
 		return nil
 	}
-	var views []plan.Segment
+	var candidates []plan.Segment
 	for _, g := range s.segments[:len(s.segments)-1] {
 		if !g.obsolete {
-			views = append(views, s.planView(g))
+			candidates = append(candidates, s.planView(g))
 		}
 	}
-	number, ok := plan.PickVictim(views, urgent)
+	number, ok := plan.PickVictim(candidates, urgent)
 	if !ok {
 		return nil
 	}
--- a/internal/store/crash_test.go
+++ b/internal/store/crash_test.go
@@ -57,12 +57,12 @@
 					s.Close()
 				}
 			}
-			what := fmt.Sprintf("crash at call %d, loss %d", n, loss)
+			label := fmt.Sprintf("crash at call %d, loss %d", n, loss)
 			left := m.Restart(loss, rand.New(rand.NewPCG(uint64(n), uint64(loss))))
 			if (n+int(loss))%23 == 0 {
-				recoverCrashing(t, what, left, opts, acked, inProgress, 2)
+				recoverCrashing(t, label, left, opts, acked, inProgress, 2)
 			}
-			checkRecovered(t, what, left, opts, acked, inProgress, list)
+			checkRecovered(t, label, left, opts, acked, inProgress, list)
 			if t.Failed() {
 				return
 			}
@@ -71,35 +71,35 @@
 }
 
 // checkRecovered opens what a crash left, checks it and commits more batches.
-func checkRecovered(t *testing.T, what string, m *vfs.Mem, opts Options, acked state, inProgress []change,
+func checkRecovered(t *testing.T, label string, m *vfs.Mem, opts Options, acked state, inProgress []change,
 	list [][]change) {
 	t.Helper()
 	s, err := Open(m, opts)
 	if err != nil {
-		t.Fatalf("%s: %v", what, err)
+		t.Fatalf("%s: %v", label, err)
 	}
 	have := content(t, s)
 	if !isPrefixApplied(have, acked, inProgress) {
-		t.Fatalf("%s: recovered\n%v\nacknowledged\n%v\nin progress %v", what, have, acked, inProgress)
+		t.Fatalf("%s: recovered\n%v\nacknowledged\n%v\nin progress %v", label, have, acked, inProgress)
 	}
 	if s.recovery.RecordsLost() {
-		t.Fatalf("%s: damage is reported where there is none: %+v", what, s.recovery)
+		t.Fatalf("%s: damage is reported where there is none: %+v", label, s.recovery)
 	}
 	if _, err := s.play(have, list[:20]); err != nil {
-		t.Fatalf("%s: afterwards: %v", what, err)
+		t.Fatalf("%s: afterwards: %v", label, err)
 	}
 	if err := s.Close(); err != nil {
-		t.Fatalf("%s: close: %v", what, err)
+		t.Fatalf("%s: close: %v", label, err)
 	}
 	s = mustOpen(t, m, opts)
 	if now := content(t, s); !maps.Equal(now, have) || s.recovery.TruncatedBytes > 0 {
-		t.Fatalf("%s: after more work\n%v\nwant\n%v\n%+v", what, now, have, s.recovery)
+		t.Fatalf("%s: after more work\n%v\nwant\n%v\n%+v", label, now, have, s.recovery)
 	}
 	s.Close()
 }
 
 // recoverCrashing crashes recovery at every call, recursively to a depth.
-func recoverCrashing(t *testing.T, what string, m *vfs.Mem, opts Options, acked state, inProgress []change, deep int) {
+func recoverCrashing(t *testing.T, label string, m *vfs.Mem, opts Options, acked state, inProgress []change, deep int) {
 	t.Helper()
 	files := filesOf(t, m)
 	for n := 1; ; n++ {
@@ -113,10 +113,10 @@
 		if !m2.Crashed() {
 			m2.CrashAt(1 << 30)
 			if err != nil {
-				t.Fatalf("%s: %v", what, err)
+				t.Fatalf("%s: %v", label, err)
 			}
 			if have := content(t, s); !isPrefixApplied(have, acked, inProgress) {
-				t.Fatalf("%s, recovery: %v\nwant %v", what, have, acked)
+				t.Fatalf("%s, recovery: %v\nwant %v", label, have, acked)
 			}
 			s.Close()
 			return
@@ -126,7 +126,7 @@
 			loss = vfs.LoseNone
 		}
 		if deep > 1 {
-			recoverCrashing(t, fmt.Sprintf("%s, recovery at %d", what, n), m2.Restart(loss, rng), opts, acked,
+			recoverCrashing(t, fmt.Sprintf("%s, recovery at %d", label, n), m2.Restart(loss, rng), opts, acked,
 				inProgress,
 				deep-1)
 		}
@@ -215,17 +215,17 @@
 					have.apply(c)
 				}
 			} else if rejected++; i >= 20 {
-				t.Fatalf("room for %d bytes: rejected although there is space again: %v", room, err)
+				t.Fatalf("space for %d bytes: rejected although there is space again: %v", room, err)
 			}
 			s.CompactStep()
 		}
 		if now := content(t, s); !maps.Equal(now, have) {
-			t.Fatalf("room for %d bytes:\n%v\nwant\n%v", room, now, have)
+			t.Fatalf("space for %d bytes:\n%v\nwant\n%v", room, now, have)
 		}
 		s.Close()
 		s = mustOpen(t, m, opts)
 		if now := content(t, s); !maps.Equal(now, have) || s.recovery.RecordsLost() {
-			t.Fatalf("room for %d bytes, after the restart:\n%v\nwant\n%v", room, now, have)
+			t.Fatalf("space for %d bytes, after the restart:\n%v\nwant\n%v", room, now, have)
 		}
 		if rejected == 0 {
 			return
--- a/internal/store/damage_test.go
+++ b/internal/store/damage_test.go
@@ -11,15 +11,15 @@
 
 // playHistory commits a script to a new store, and returns its files, its contents and the values that each key ever
 // had.
-func playHistory(t *testing.T, batches int, closed bool) (m *vfs.Mem, end state, ever map[string][]string) {
+func playHistory(t *testing.T, batches int, closed bool) (m *vfs.Mem, end state, pastValues map[string][]string) {
 	t.Helper()
 	m = vfs.NewMem()
 	s := mustOpen(t, m, small)
-	end, ever = state{}, map[string][]string{}
+	end, pastValues = state{}, map[string][]string{}
 	list := append(script(11, batches), []change{{"cold-1", "x"}}, []change{{"cold-1", ""}})
 	for _, b := range list {
 		for _, c := range b {
-			ever[c.key] = append(ever[c.key], c.value)
+			pastValues[c.key] = append(pastValues[c.key], c.value)
 		}
 	}
 	if _, err := s.play(end, list); err != nil {
@@ -30,14 +30,14 @@
 			t.Fatal(err)
 		}
 	}
-	return m, end, ever
+	return m, end, pastValues
 }
 
 // checkDamaged opens a store of which one file was changed, and checks it: no deleted key may have a value, each value
 // was once the key's own, at most lost keys may differ, and if one does the damage must be reported and its bytes
 // saved.
-func checkDamaged(t *testing.T, what string, files map[string][]byte, name string, data []byte, end state,
-	ever map[string][]string, closed bool, lost int) {
+func checkDamaged(t *testing.T, label string, files map[string][]byte, name string, data []byte, end state,
+	pastValues map[string][]string, closed bool, lost int) {
 	t.Helper()
 	m := vfs.NewMem()
 	for n, b := range files {
@@ -49,23 +49,23 @@
 		return // the flipped bit is in the version of a valid header
 	}
 	if err != nil {
-		t.Fatalf("%s: %v", what, err)
+		t.Fatalf("%s: %v", label, err)
 	}
 	defer s.Close()
 	have := content(t, s)
 	wrong := 0
 	for key, v := range have {
 		if end[key] == "" {
-			t.Fatalf("%s: deleted key %s has a value", what, key)
+			t.Fatalf("%s: deleted key %s has a value", label, key)
 		}
 		if v != end[key] {
 			wrong++
 			known := false
-			for _, x := range ever[key] {
+			for _, x := range pastValues[key] {
 				known = known || x == v
 			}
 			if !known {
-				t.Fatalf("%s: %s has a value that it never had", what, key)
+				t.Fatalf("%s: %s has a value that it never had", label, key)
 			}
 		}
 	}
@@ -75,21 +75,22 @@
 		}
 	}
 	if wrong > lost {
-		t.Fatalf("%s: %d keys are not as they were", what, wrong)
+		t.Fatalf("%s: %d keys are not as they were", label, wrong)
 	}
 	// A crash may have cut the last write short.
 	if wrong > 0 && !s.recovery.RecordsLost() && (closed || s.recovery.TruncatedBytes == 0) {
-		t.Fatalf("%s: the damage is not reported: %+v", what, s.recovery)
+		t.Fatalf("%s: the damage is not reported: %+v", label, s.recovery)
 	}
 	for _, d := range s.recovery.Damaged {
 		if d.SavedAs == "" && d.From < int64(len(data)) ||
 			strings.HasPrefix(d.SavedAs, damagedPrefix+d.Segment+"-") &&
 				string(m.Data(d.SavedAs)) != string(data[d.From:d.To]) {
-			t.Fatalf("%s: the saved bytes are not the damaged ones: %+v", what, d)
+			t.Fatalf("%s: the saved bytes are not the damaged ones: %+v", label, d)
 		}
 	}
 }
 
+// filesOf returns the contents of all files.
 func filesOf(t *testing.T, m *vfs.Mem) map[string][]byte {
 	t.Helper()
 	out := map[string][]byte{}
@@ -106,7 +107,7 @@
 // Flips every bit of a store in turn, once of a store that was closed and once of one whose process died.
 func TestEveryBitFlipped(t *testing.T) {
 	for _, closed := range []bool{true, false} {
-		m, end, ever := playHistory(t, 24, closed)
+		m, end, pastValues := playHistory(t, 24, closed)
 		files := filesOf(t, m)
 		if len(files) < 4 {
 			t.Fatalf("only %d files", len(files))
@@ -118,7 +119,7 @@
 				if !closed {
 					lost = 3 // one write, which may have been cut short
 				}
-				checkDamaged(t, name+" bit", files, name, b, end, ever, closed, lost)
+				checkDamaged(t, name+" bit", files, name, b, end, pastValues, closed, lost)
 				b[bit/8] ^= 1 << (bit % 8)
 			}
 		}
@@ -128,7 +129,7 @@
 // Truncates every file at every byte. The last file may have been being written: truncating it must leave a prefix of
 // the changes. Elsewhere it is damage, and keys deleted in the missing part must stay deleted.
 func TestEveryCut(t *testing.T) {
-	m, end, ever := playHistory(t, 70, true)
+	m, end, pastValues := playHistory(t, 70, true)
 	files := filesOf(t, m)
 	last := ""
 	for name := range files {
@@ -139,7 +140,7 @@
 	for name, b := range files {
 		for n := range b {
 			if name != last {
-				checkDamaged(t, name+" cut", files, name, b[:n], end, ever, true, len(end))
+				checkDamaged(t, name+" cut", files, name, b[:n], end, pastValues, true, len(end))
 			}
 		}
 	}
--- a/internal/store/frame.go
+++ b/internal/store/frame.go
@@ -33,6 +33,7 @@
 // MaxKeyBytes is the largest length of a key in bytes.
 const MaxKeyBytes = 1 << 10
 
+// castagnoli is the CRC-32C table.
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
 // frame is a decoded record. Key and value point into the buffer it was read from.
@@ -54,7 +55,7 @@
 
 // appendFrame appends an encoded record to b, whose first byte is at offset base of the segment.
 func appendFrame(b []byte, salt uint64, base int, f *frame) []byte {
-	at := len(b)
+	start := len(b)
 	kind := f.kind
 	if f.startsWrite {
 		kind |= flagStartsWrite
@@ -68,9 +69,9 @@
 		b = binary.AppendUvarint(b, uint64(f.lastSegment))
 	}
 	b = append(b, f.value...)
-	binary.LittleEndian.PutUint32(b[at+4:], uint32(len(b)-at-frameHeaderLen))
-	binary.LittleEndian.PutUint32(b[at:], frameChecksum(salt, base+at, b[at+4:]))
-	f.offset, f.size = base+at, len(b)-at
+	binary.LittleEndian.PutUint32(b[start+4:], uint32(len(b)-start-frameHeaderLen))
+	binary.LittleEndian.PutUint32(b[start:], frameChecksum(salt, base+start, b[start+4:]))
+	f.offset, f.size = base+start, len(b)-start
 	return b
 }
 
@@ -84,39 +85,39 @@
 	if len(b) < frameHeaderLen {
 		return f, false
 	}
-	n := int64(binary.LittleEndian.Uint32(b[4:]))
-	if n < 2 || n > int64(len(b)-frameHeaderLen) {
+	payloadLen := int64(binary.LittleEndian.Uint32(b[4:]))
+	if payloadLen < 2 || payloadLen > int64(len(b)-frameHeaderLen) {
 		return f, false
 	}
-	end := frameHeaderLen + int(n)
+	end := frameHeaderLen + int(payloadLen)
 	if frameChecksum(salt, off, b[4:end]) != binary.LittleEndian.Uint32(b) {
 		return f, false
 	}
 	f = frame{kind: b[8] & kindMask, startsWrite: b[8]&flagStartsWrite != 0, offset: off, size: end}
 	rest := b[frameHeaderLen:end]
-	var w int
-	if f.seq, w = binary.Uvarint(rest); w <= 0 {
+	var width int
+	if f.seq, width = binary.Uvarint(rest); width <= 0 {
 		return f, false
 	}
-	rest = rest[w:]
-	klen, w := binary.Uvarint(rest)
-	if w <= 0 || klen > uint64(len(rest)-w) {
+	rest = rest[width:]
+	keyLen, width := binary.Uvarint(rest)
+	if width <= 0 || keyLen > uint64(len(rest)-width) {
 		return f, false
 	}
-	f.key, rest = rest[w:w+int(klen)], rest[w+int(klen):]
+	f.key, rest = rest[width:width+int(keyLen)], rest[width+int(keyLen):]
 	switch f.kind {
 	case kindPut:
 		f.value = rest
 	case kindDelete, kindSum:
-		first, w := binary.Uvarint(rest)
-		if w <= 0 {
+		first, width := binary.Uvarint(rest)
+		if width <= 0 {
 			return f, false
 		}
-		last, v := binary.Uvarint(rest[w:])
-		if v <= 0 {
+		last, lastWidth := binary.Uvarint(rest[width:])
+		if lastWidth <= 0 {
 			return f, false
 		}
-		f.firstSegment, f.lastSegment, f.value = uint32(first), uint32(last), rest[w+v:]
+		f.firstSegment, f.lastSegment, f.value = uint32(first), uint32(last), rest[width+lastWidth:]
 	case kindClose:
 	default:
 		return f, false
@@ -128,7 +129,7 @@
 type span struct{ from, to int }
 
 // scanFrames calls visit for each frame of a segment's bytes from an offset on, in order, until visit returns false. It
-// returns the unreadable ranges that have frames behind them. The last range, with none behind it, is the tail: it
+// returns the unreadable ranges that have frames after them. The last range, with none after it, is the tail: it
 // begins at end.
 func scanFrames(b []byte, salt uint64, from int, visit func(f *frame) bool) (damage []span, end int) {
 	off := from
--- a/internal/store/harness_test.go
+++ b/internal/store/harness_test.go
@@ -17,7 +17,7 @@
 type change struct{ key, value string }
 
 // script returns a list of batches, the same for the same seed. A few keys change all the time and many seldom, so that
-// old segments stay beside new ones, deletions outlive the segments they were written to, and keys are set again.
+// old segments coexist with new ones, deletions outlive the segments they were written to, and keys are set again.
 func script(seed uint64, batches int) (out [][]change) {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	for range batches {
--- a/internal/store/index/index.go
+++ b/internal/store/index/index.go
@@ -120,7 +120,7 @@
 	*e = entry[V]{hash: x.freeList}
 	x.freeList = number
 	x.count--
-	// Entries behind the hole that may stand nearer to their home slot move up, so that no search ends too early.
+	// Entries after the hole that may stand nearer to their home slot move up, so that no search ends too early.
 	mask := uint32(len(x.slots) - 1)
 	hole := slot
 	for i := (slot + 1) & mask; x.slots[i] != 0; i = (i + 1) & mask {
--- a/internal/store/inspect.go
+++ b/internal/store/inspect.go
@@ -110,6 +110,7 @@
 	return r, visitErr
 }
 
+// kindNames are the kinds of records as [Record].Kind names them.
 var kindNames = map[byte]string{kindPut: "put", kindDelete: "delete", kindSum: "sum", kindClose: "close"}
 
 // LiveRecords selects the current records from those that Inspect has visited.
@@ -147,6 +148,7 @@
 	return found, nil
 }
 
+// repair copies the segments to the new folder, recovers them there, and moves the current records to new segments.
 func repair(from, to vfs.FS, opts Options) (Recovery, error) {
 	if names, err := to.List(); err != nil || len(names) > 0 {
 		return Recovery{}, errors.Join(err, fmt.Errorf("the folder is not empty"))
--- a/internal/store/model_test.go
+++ b/internal/store/model_test.go
@@ -44,7 +44,7 @@
 		s, err := Open(fs, opts)
 		must(err)
 		want, weaklyDeleted := state{}, map[change]bool{} // weaklyDeleted: entries removed by DeleteWeak
-		again := func() {
+		reopen := func() {
 			s, err = Open(fs, opts)
 			must(err)
 		}
@@ -61,7 +61,7 @@
 				must(s.commit([]change{c}))
 				want.apply(c)
 			},
-			"forget": func() {
+			"deleteWeak": func() {
 				k := key(t)
 				var b Batch
 				b.DeleteWeak(k)
@@ -79,11 +79,11 @@
 					must(err)
 				}
 			},
-			"restart": func() { must(s.Close()); again() },
+			"restart": func() { must(s.Close()); reopen() },
 			"crash": func() {
 				loss := vfs.Loss(rapid.IntRange(0, len(vfs.Losses())-1).Draw(t, "loss"))
 				fs = fs.Restart(loss, rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1)))
-				again()
+				reopen()
 			},
 			"check": func() {
 				have := state{}
@@ -99,7 +99,7 @@
 				}
 			},
 		}
-		which := rapid.SampledFrom([]string{"put", "put", "put", "put", "put", "delete", "delete", "forget",
+		which := rapid.SampledFrom([]string{"put", "put", "put", "put", "put", "delete", "delete", "deleteWeak",
 			"compact", "compact", "compact", "checkpoint", "restart", "crash"})
 		for range 150 {
 			actions[which.Draw(t, "action")]()
--- a/internal/store/open_test.go
+++ b/internal/store/open_test.go
@@ -25,7 +25,7 @@
 		}
 		return d
 	}
-	for name, make := range map[string]func(t *testing.T) (vfs.FS, string){
+	for name, newFolder := range map[string]func(t *testing.T) (vfs.FS, string){
 		"two processes": func(t *testing.T) (vfs.FS, string) {
 			d := realDir(t)
 			s := mustOpen(t, d, small)
@@ -55,11 +55,11 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			fs, want := make(t)
+			fs, want := newFolder(t)
 			if s, err := Open(fs, small); err == nil || !strings.Contains(err.Error(), want) {
 				t.Errorf("%v, want %q in it", err, want)
 			} else if s != nil {
-				t.Error("a store beside an error")
+				t.Error("Open returned a store together with an error")
 			}
 		})
 	}
@@ -128,14 +128,14 @@
 		}
 		put(0) // creates the segment
 		s.Close()
-		opened, release := false, make(chan bool)
+		blockSyncs, release := false, make(chan bool)
 		fs.beforeSync = func() {
-			if opened {
+			if blockSyncs {
 				<-release
 			}
 		}
 		s = mustOpen(t, fs, Options{Manual: true})
-		opened = true
+		blockSyncs = true
 		go put(1)
 		synctest.Wait() // its sync is in progress
 		for i := range more {
--- a/internal/store/plan/plan.go
+++ b/internal/store/plan/plan.go
@@ -25,7 +25,7 @@
 }
 
 const (
-	// spareSegments are kept free beside live records: one for the active segment, one for the copies
+	// spareSegments are kept free in addition to live records: one for the active segment, one for the copies
 	// made by compaction, one for writes from the reserve.
 	spareSegments = 3
 	// maxLiveFraction of the space left may be live. The closer to 1, the more bytes are copied for each
--- a/internal/store/plan/plan_test.go
+++ b/internal/store/plan/plan_test.go
@@ -13,13 +13,17 @@
 		number uint32
 		ok     bool
 	}{
-		"none":                       {},
-		"little to gain":             {segs: []Segment{{Number: 1, Size: 1000, LiveBytes: 700}}},
-		"little to gain, urgent":     {segs: []Segment{{Number: 1, Size: 1000, LiveBytes: 700}}, urgent: true, number: 1, ok: true},
-		"nothing to gain":            {segs: []Segment{{Number: 1, Size: 1000, LiveBytes: 990}}, urgent: true},
-		"the most for each byte":     {segs: []Segment{{Number: 1, Size: 1000, LiveBytes: 300}, {Number: 2, Size: 500, LiveBytes: 50}}, number: 2, ok: true},
-		"deletions still needed":     {segs: []Segment{{Number: 1, Size: 1000, TombstoneBytes: 900}, {Number: 2, Size: 1000, LiveBytes: 400}}, number: 2, ok: true},
-		"what can't be read is kept": {segs: []Segment{{Number: 1, Size: 1000, LiveBytes: 10, Pinned: true}}, urgent: true},
+		"none":           {},
+		"little to gain": {segs: []Segment{{Number: 1, Size: 1000, LiveBytes: 700}}},
+		"little to gain, urgent": {segs: []Segment{{Number: 1, Size: 1000, LiveBytes: 700}}, urgent: true,
+			number: 1, ok: true},
+		"nothing to gain": {segs: []Segment{{Number: 1, Size: 1000, LiveBytes: 990}}, urgent: true},
+		"the most for each byte": {segs: []Segment{{Number: 1, Size: 1000, LiveBytes: 300},
+			{Number: 2, Size: 500, LiveBytes: 50}}, number: 2, ok: true},
+		"deletions still needed": {segs: []Segment{{Number: 1, Size: 1000, TombstoneBytes: 900},
+			{Number: 2, Size: 1000, LiveBytes: 400}}, number: 2, ok: true},
+		"what can't be read is kept": {segs: []Segment{{Number: 1, Size: 1000, LiveBytes: 10, Pinned: true}},
+			urgent: true},
 	} {
 		if n, ok := PickVictim(c.segs, c.urgent); n != c.number || ok != c.ok {
 			t.Errorf("%s: %d, %v", name, n, ok)
--- a/internal/store/recover.go
+++ b/internal/store/recover.go
@@ -11,6 +11,7 @@
 )
 
 const (
+	// damagedPrefix begins the names of files with saved damage.
 	damagedPrefix = "damaged-"
 	// maxSavedDamage is the fraction of a segment's size up to which damaged bytes are saved.
 	maxSavedDamage = 0.5
@@ -141,7 +142,7 @@
 }
 
 // countLive computes the live bytes of each segment. Keys whose segment is gone are removed from the index: a segment
-// is removed only after all its current records have been copied behind the checkpoint's position.
+// is removed only after all its current records have been copied to the log after the checkpoint's position.
 func (s *Store) countLive(rec *recoveryState) {
 	byNumber, deadKeys := map[uint32]*segment{}, [][]byte(nil)
 	for _, g := range s.segments {
@@ -242,12 +243,12 @@
 	return nil
 }
 
-// lastWriteEnd returns the end of the last write of the last segment that is known to be complete: damage behind which
+// lastWriteEnd returns the end of the last write of the last segment that is known to be complete: damage after which
 // no later write was begun belongs to a write that a crash has cut short. If the sequence numbers around the damage
 // have no gap, the unreadable range is one of the two records of a deletion, and nothing is lost.
 func lastWriteEnd(b []byte, salt uint64) int {
 	lastStart, maxSeq := 0, uint64(0)
-	gapless := map[int]bool{} // by the offset of the frame behind the damage
+	gapless := map[int]bool{} // by the offset of the frame after the damage
 	prevEnd := headerLen
 	damage, end := scanFrames(b, salt, headerLen, func(f *frame) bool {
 		if f.startsWrite {
@@ -284,7 +285,7 @@
 }
 
 // replay updates the index with a record. Of two values the later one in the log is current; a deletion may have been
-// copied behind a later value.
+// copied to the log after a later value.
 func (s *Store) replay(g *segment, f *frame, rec *recoveryState) {
 	s.seq = max(s.seq, f.seq)
 	switch f.kind {
--- a/internal/store/segment.go
+++ b/internal/store/segment.go
@@ -78,24 +78,24 @@
 }
 
 // parseHeader reads a header; ok is false if neither copy is valid.
-func parseHeader(b []byte, number uint32) (out segmentHeader, ok bool, err error) {
-	for at := 0; at+headerCopyLen <= min(len(b), headerLen); at += headerCopyLen {
-		h := b[at : at+headerCopyLen]
-		if string(h[:8]) != segmentMagic ||
-			crc32.Checksum(h[:headerCopyLen-4], castagnoli) != binary.LittleEndian.Uint32(h[headerCopyLen-4:]) {
+func parseHeader(b []byte, number uint32) (header segmentHeader, ok bool, err error) {
+	for offset := 0; offset+headerCopyLen <= min(len(b), headerLen); offset += headerCopyLen {
+		raw := b[offset : offset+headerCopyLen]
+		if string(raw[:8]) != segmentMagic ||
+			crc32.Checksum(raw[:headerCopyLen-4], castagnoli) != binary.LittleEndian.Uint32(raw[headerCopyLen-4:]) {
 			continue
 		}
-		if v := binary.LittleEndian.Uint32(h[8:]); v > formatVersion {
-			return out, false, fmt.Errorf("%s: %w (%d; this program reads %d)", segmentName(number), ErrNewerFormat,
+		if v := binary.LittleEndian.Uint32(raw[8:]); v > formatVersion {
+			return header, false, fmt.Errorf("%s: %w (%d; this program reads %d)", segmentName(number), ErrNewerFormat,
 				v, formatVersion)
 		}
-		if binary.LittleEndian.Uint32(h[12:]) != number {
+		if binary.LittleEndian.Uint32(raw[12:]) != number {
 			continue // the file of another segment under this name: its records are not valid here
 		}
-		return segmentHeader{binary.LittleEndian.Uint64(h[16:]), binary.LittleEndian.Uint32(h[24:]),
-			int64(binary.LittleEndian.Uint64(h[28:]))}, true, nil
+		return segmentHeader{binary.LittleEndian.Uint64(raw[16:]), binary.LittleEndian.Uint32(raw[24:]),
+			int64(binary.LittleEndian.Uint64(raw[28:]))}, true, nil
 	}
-	return out, false, nil
+	return header, false, nil
 }
 
 // readAll returns the contents of a segment's file.
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -41,10 +41,11 @@
 }
 
 const (
-	// minSegment and maxSegment bound the default size of a segment, in bytes.
-	minSegment = 128 << 10
-	maxSegment = 4 << 20
-	lockName   = "lock"
+	// minSegmentBytes and maxSegmentBytes bound the default size of a segment, in bytes.
+	minSegmentBytes = 128 << 10
+	maxSegmentBytes = 4 << 20
+	// lockName is the file whose lock keeps other processes out.
+	lockName = "lock"
 	// compactStepBytes is about how many bytes one step of compaction copies.
 	compactStepBytes = 32 << 10
 )
@@ -170,9 +171,9 @@
 // segmentSize returns the default segment size in bytes for a limit of the whole store.
 func segmentSize(limit int64) int64 {
 	if limit <= 0 {
-		return maxSegment
+		return maxSegmentBytes
 	}
-	return min(max(limit/16, minSegment), maxSegment)
+	return min(max(limit/16, minSegmentBytes), maxSegmentBytes)
 }
 
 // MaxOpenFiles returns about how many files a store with a limit of so many bytes has open at once.
--- a/internal/store/sums.go
+++ b/internal/store/sums.go
@@ -70,8 +70,8 @@
 			bySeed[seed] = map[uint64]uint64{}
 		}
 		for v := f.value[8:]; len(v) >= tombstoneSize; v = v[tombstoneSize:] {
-			h := binary.LittleEndian.Uint64(v)
-			bySeed[seed][h] = max(bySeed[seed][h], binary.LittleEndian.Uint64(v[8:]))
+			hash := binary.LittleEndian.Uint64(v)
+			bySeed[seed][hash] = max(bySeed[seed][hash], binary.LittleEndian.Uint64(v[8:]))
 		}
 	}
 	deletedKeys := map[string]location{}
--- a/internal/vfs/limited.go
+++ b/internal/vfs/limited.go
@@ -96,6 +96,7 @@
 	return err
 }
 
+// limitedFile is a file whose writes are limited.
 type limitedFile struct {
 	File
 	l    *Limited
--- a/internal/vfs/mem.go
+++ b/internal/vfs/mem.go
@@ -222,11 +222,11 @@
 }
 
 // writeBytes returns data with b written at an offset.
-func writeBytes(data []byte, at int64, b []byte) []byte {
-	if end := at + int64(len(b)); end > int64(len(data)) && len(b) > 0 {
+func writeBytes(data []byte, off int64, b []byte) []byte {
+	if end := off + int64(len(b)); end > int64(len(data)) && len(b) > 0 {
 		data = resize(data, end)
 	}
-	copy(data[min(at, int64(len(data))):], b)
+	copy(data[min(off, int64(len(data))):], b)
 	return data
 }
 
@@ -363,23 +363,23 @@
 	return f.m.call()
 }
 
-func (f *memFile) ReadAt(b []byte, at int64) (int, error) {
+func (f *memFile) ReadAt(b []byte, off int64) (int, error) {
 	f.m.mu.Lock()
 	defer f.m.mu.Unlock()
 	if _, err := f.begin(); err != nil {
 		return 0, err
 	}
-	if at >= int64(len(f.inode.data)) {
+	if off >= int64(len(f.inode.data)) {
 		return 0, io.EOF
 	}
-	n := copy(b, f.inode.data[at:])
+	n := copy(b, f.inode.data[off:])
 	if n < len(b) {
 		return n, io.EOF
 	}
 	return n, nil
 }
 
-func (f *memFile) WriteAt(b []byte, at int64) (int, error) {
+func (f *memFile) WriteAt(b []byte, off int64) (int, error) {
 	f.m.mu.Lock()
 	defer f.m.mu.Unlock()
 	crashing, err := f.begin()
@@ -390,13 +390,13 @@
 		return 0, err
 	case f.m.limit > 0:
 		others := f.m.usedBytes() - roundToBlocks(int64(len(f.inode.data)))
-		if maxSize := max((f.m.limit-others)/block*block, int64(len(f.inode.data))); at+int64(len(b)) > maxSize {
-			b, err = b[:max(maxSize-at, 0)], &fs.PathError{Op: "write", Path: f.name, Err: syscall.ENOSPC}
+		if maxSize := max((f.m.limit-others)/block*block, int64(len(f.inode.data))); off+int64(len(b)) > maxSize {
+			b, err = b[:max(maxSize-off, 0)], &fs.PathError{Op: "write", Path: f.name, Err: syscall.ENOSPC}
 		}
 	}
 	if len(b) > 0 {
-		f.inode.data = writeBytes(f.inode.data, at, b)
-		f.inode.writes = append(f.inode.writes, write{offset: at, data: slices.Clone(b)})
+		f.inode.data = writeBytes(f.inode.data, off, b)
+		f.inode.writes = append(f.inode.writes, write{offset: off, data: slices.Clone(b)})
 	}
 	return len(b), err
 }
--- a/internal/vfs/vfs_test.go
+++ b/internal/vfs/vfs_test.go
@@ -15,6 +15,7 @@
 	"pgregory.net/rapid"
 )
 
+// must fails the test on an error.
 func must(t testing.TB, err error) {
 	t.Helper()
 	if err != nil {
@@ -22,6 +23,7 @@
 	}
 }
 
+// writeAll writes all of a text at an offset.
 func writeAll(t testing.TB, f File, text string, at int64) {
 	t.Helper()
 	if n, err := f.WriteAt([]byte(text), at); err != nil || n != len(text) {
@@ -29,6 +31,7 @@
 	}
 }
 
+// read returns the contents of a file.
 func read(t testing.TB, f File) string {
 	t.Helper()
 	size, err := f.Size()
