--- a/internal/backlog/disk/crash_test.go
+++ b/internal/backlog/disk/crash_test.go
@@ -229,7 +229,7 @@
 // A crash at any file system call, with each kind of data loss, loses no acknowledged message and restores none whose
 // segment was removed. The same holds for a second crash at any call of the following start.
 func TestCrashAtEveryCall(t *testing.T) {
-	for _, sync := range []store.Sync{store.SyncAlways, store.SyncNever} {
+	for _, sync := range []store.SyncPolicy{store.SyncAlways, store.SyncNever} {
 		opts := smallOptions
 		opts.Sync = sync
 		const batches = 50
@@ -308,7 +308,7 @@
 			t.Fatalf("call %d: then %v", n, err)
 		}
 		l.Close()
-		checkRestored(t, fmt.Sprint("call ", n, ", the machine crashes"), m.Restart(vfs.LoseAll, nil), opts, expected)
+		checkRestored(t, fmt.Sprint("call ", n, ", the machine crashes"), m.Restart(vfs.LoseUnsynced, nil), opts, expected)
 	}
 }
 
@@ -318,7 +318,7 @@
 	opts.Sync = store.SyncAlways
 	for room := int64(512); room < 12_000; room += 512 {
 		m, expected := vfs.NewMem(), newExpectation()
-		m.Limit(room)
+		m.SetLimit(room)
 		l, err := Open(m, 0, opts)
 		if err != nil {
 			t.Fatal(err)
@@ -327,7 +327,7 @@
 		if room < 8192 && err == nil {
 			t.Fatalf("room for %d: all messages are taken", room)
 		}
-		m.Limit(0)
+		m.SetLimit(0)
 		if err := runWorkload(l, expected, 500, 1+int(room/512)%2*5); err != nil {
 			t.Fatalf("room for %d: with more room: %v", room, err)
 		}
@@ -354,9 +354,9 @@
 		if _, err := l.Append(list[:1]); err != nil {
 			t.Fatal(err)
 		}
-		m.Limit(room)
+		m.SetLimit(room)
 		_, err := l.Append(list[1:4])
-		m.Limit(0)
+		m.SetLimit(0)
 		if _, again := l.Append(list[4:]); again != nil {
 			t.Fatal(again)
 		}
@@ -415,7 +415,7 @@
 			m2 := m.Restart(vfs.LoseNone, nil)
 			b := m2.Data(data)
 			b[at] ^= 1 << (at % 8)
-			m2.Set(data, b)
+			m2.SetFile(data, b)
 			opts, errs := withErrorLog(opts)
 			l, err := Open(m2, 0, opts)
 			if err != nil {
@@ -466,7 +466,7 @@
 	}
 	l.Close()
 	torn := fileName(expected.firsts[len(expected.firsts)-1], dataSuffix)
-	m.Set(torn, append(m.Data(torn), make([]byte, 99)...))
+	m.SetFile(torn, append(m.Data(torn), make([]byte, 99)...))
 	l, _ = Open(m, 0, opts)
 	if err := l.Restore(newQueueIDs().id, func(RestoredSegment) {}); err != nil {
 		t.Fatal(err)
@@ -480,7 +480,7 @@
 		m2 := m.Restart(vfs.LoseNone, nil)
 		b := m2.Data(index)
 		b[at] ^= 1 << (at % 8)
-		m2.Set(index, b)
+		m2.SetFile(index, b)
 		quiet, errs := withErrorLog(opts)
 		if err := restore(m2, quiet); err != nil && !errors.Is(err, ErrNewer) {
 			t.Fatalf("at %d: %v", at, err)
--- a/internal/backlog/disk/log.go
+++ b/internal/backlog/disk/log.go
@@ -20,7 +20,7 @@
 type Options struct {
 	MaxBytes      int64 // max bytes of all files; 0 for no limit
 	SegmentBytes  int64 // max bytes of a segment, which its last batch may exceed; 0 for a default
-	Sync          store.Sync
+	Sync          store.SyncPolicy
 	FlushInterval time.Duration // with store.SyncInterval: how often the caller calls [Log.Flush]; not used by the log
 	Log           *slog.Logger  // nil for none
 }
--- a/internal/backlog/spill/crash_test.go
+++ b/internal/backlog/spill/crash_test.go
@@ -13,7 +13,7 @@
 // places and ends none twice, although a message moves between the two logs in separate writes. The next process
 // brings all messages to their ends, in order.
 func TestCrashAtEveryCall(t *testing.T) {
-	for _, sync := range []store.Sync{store.SyncAlways, store.SyncNever} {
+	for _, sync := range []store.SyncPolicy{store.SyncAlways, store.SyncNever} {
 		whole := vfs.NewMem()
 		p, err := start(whole, sync, startTime, map[string]*expectation{})
 		if err != nil {
--- a/internal/backlog/spill/harness_test.go
+++ b/internal/backlog/spill/harness_test.go
@@ -70,7 +70,7 @@
 
 // start opens what an earlier process has left. known has the expected state of the
 // messages.
-func start(fs vfs.FS, sync store.Sync, now int64, known map[string]*expectation) (*testProcess, error) {
+func start(fs vfs.FS, sync store.SyncPolicy, now int64, known map[string]*expectation) (*testProcess, error) {
 	opts := journalOptions
 	opts.Sync, opts.Log = sync, slog.New(slog.DiscardHandler)
 	j, err := journal.OpenOn(prefixFS{fs, "j-"}, opts)
--- a/internal/backlog/spill/spill.go
+++ b/internal/backlog/spill/spill.go
@@ -17,7 +17,7 @@
 	MaxBytes int64 // max bytes of all files
 	// SegmentBytes is the max number of bytes of a segment; 0 for a default.
 	SegmentBytes  int64
-	Sync          store.Sync
+	Sync          store.SyncPolicy
 	FlushInterval time.Duration // with store.SyncInterval
 	Log           *slog.Logger  // must not be nil
 }
--- a/internal/core/backlog_test.go
+++ b/internal/core/backlog_test.go
@@ -201,7 +201,7 @@
 	cfg.CachedEndpoints.Endpoints = append(cfg.CachedEndpoints.Endpoints, Endpoint{Name: "e2", Addr: "h:2", Zone: "a",
 		Kind: "std", Partner: "other", Weight: 1000})
 	r := newRig(t, t.TempDir(), cfg, withBacklog(fs)).run()
-	fs.Limit(512)
+	fs.SetLimit(512)
 	r.submitAccepted(newMessage("a", "unsafe"))
 	a := r.nextAttempt("a")
 	big := newMessage("b", "unsafe")
@@ -213,7 +213,7 @@
 	other.Partner = "other"
 	r.submitAccepted(other)
 	r.nextAttempt("o").result <- Result{Outcome: logic.Completed}
-	fs.Limit(0)
+	fs.SetLimit(0)
 	r.submitAccepted(big)
 	a.result <- Result{Outcome: logic.Completed}
 	r.nextAttempt("b").result <- Result{Outcome: logic.Completed}
