--- a/cmd/measure/disk.go
+++ b/cmd/measure/disk.go
@@ -47,7 +47,7 @@
 		return err
 	}
 	r := &diskRun{folder: folder, rng: rand.New(rand.NewPCG(*seed, 1)), held: map[string]int{},
-		opts: journal.Options{Disk: 8e6, MostEnded: 1000, Sync: store.SyncNever, Log: slog.New(slog.DiscardHandler)}}
+		opts: journal.Options{MaxBytes: 8e6, MaxEnded: 1000, Sync: store.SyncNever, Log: slog.New(slog.DiscardHandler)}}
 	if *sync {
 		r.opts.Sync = store.SyncAlways
 	}
@@ -138,7 +138,7 @@
 		return fmt.Errorf("%s: %d are held, want %d", when, n, len(r.held))
 	}
 	for id, tries := range r.held {
-		if e := r.j.Entry(id); e == nil || e.Tries != tries {
+		if e := r.j.Entry(id); e == nil || e.Attempts != tries {
 			return fmt.Errorf("%s: %s is %+v, want %d tries", when, id, e, tries)
 		}
 	}
--- a/cmd/measure/journal.go
+++ b/cmd/measure/journal.go
@@ -32,7 +32,7 @@
 		return err
 	}
 	defer os.RemoveAll(dir)
-	opts := journal.Options{Disk: *disk, MostEnded: 16384, Sync: store.SyncNever}
+	opts := journal.Options{MaxBytes: *disk, MaxEnded: 16384, Sync: store.SyncNever}
 	if *sync == "always" {
 		opts.Sync = store.SyncAlways
 	}
@@ -70,7 +70,7 @@
 		now := time.Now()
 		for due := int(now.Sub(start).Seconds() * float64(*rate)); made < due; made++ {
 			id := fmt.Sprint("m-", made)
-			if !j.Room(*body) {
+			if !j.Reserve(*body) {
 				refused++
 				continue
 			}
@@ -82,7 +82,7 @@
 			}
 		}
 		if made%200 == 0 {
-			j.Forget(j.Clock().At(now))
+			j.DropExpired(j.Clock().At(now))
 			largest = max(largest, folderSize(dir))
 		}
 		time.Sleep(time.Millisecond)
--- a/internal/backlog/spill/harness_test.go
+++ b/internal/backlog/spill/harness_test.go
@@ -65,7 +65,7 @@
 const begin = int64(1_000_000_000_000)
 
 // far is a time in which the journal forgets no end.
-var far = journal.Options{Disk: 1 << 20, MostEnded: 10_000, KeepEnded: 1 << 62}
+var far = journal.Options{MaxBytes: 1 << 20, MaxEnded: 10_000, EndRetention: 1 << 62}
 
 // start opens what an earlier process has left. known is what a test knows of the
 // messages.
@@ -88,7 +88,7 @@
 	if err != nil {
 		return nil, errors.Join(err, j.Close())
 	}
-	j.HoldTerms(d.s.Terms)
+	j.SetTermsInUse(d.s.Terms)
 	for _, e := range j.Entries() {
 		if e.End == nil {
 			d.window = append(d.window, e.ID)
@@ -118,7 +118,7 @@
 		switch d.s.Place(m, false) {
 		case backlog.InWindow:
 			d.s.EnterWindow(m.Partner)
-			recs = append(recs, journal.Record{Op: journal.OpAccept, Entry: &journal.Entry{Message: *m, Accepted: d.now}})
+			recs = append(recs, journal.Record{Op: journal.OpAccept, Entry: &journal.Entry{Message: *m, AcceptedAt: d.now}})
 			d.window = append(d.window, m.ID)
 		case backlog.InBacklog:
 			d.s.Stage(&disk.Record{Message: *m, Accepted: d.now, Digest: m.Digest()})
@@ -193,7 +193,7 @@
 		return nil, fmt.Errorf("%T is none of its events", ev)
 	}
 	if count > 0 {
-		recs = append(recs, journal.Record{Op: journal.OpCleared, Behind: first, Count: count})
+		recs = append(recs, journal.Record{Op: journal.OpBacklogReclaimed, BacklogSeq: first, Count: count})
 	}
 	for _, x := range in {
 		if x.Err != nil {
@@ -202,7 +202,7 @@
 		if x.Body == nil || x.Digest != x.Record.Message.Digest() {
 			return nil, fmt.Errorf("%s came with another body", x.ID)
 		}
-		recs = append(recs, journal.Record{Op: journal.OpAccept, Entry: &journal.Entry{Message: x.Message, Accepted: x.Accepted, Behind: x.Seq}})
+		recs = append(recs, journal.Record{Op: journal.OpAccept, Entry: &journal.Entry{Message: x.Message, AcceptedAt: x.Accepted, BacklogSeq: x.Seq}})
 		d.window = append(d.window, x.ID)
 	}
 	return recs, nil
@@ -221,9 +221,9 @@
 			return fmt.Errorf("%s ends: %+v, %d before its time", r.ID, l, r.Deadline-d.now)
 		}
 		d.lives[r.ID].begun = true
-		recs = append(recs, journal.Record{Op: journal.OpAccept, Entry: &journal.Entry{Message: r.Message, Behind: seq, Left: 1, EndDigest: r.Digest}},
+		recs = append(recs, journal.Record{Op: journal.OpAccept, Entry: &journal.Entry{Message: r.Message, BacklogSeq: seq, StoredBodySize: 1, StoredDigest: r.Digest}},
 			journal.Record{Op: journal.OpEnd, ID: r.ID, End: &message.End{ID: r.ID, State: message.Returned, At: d.now}},
-			journal.Record{Op: journal.OpNoticed, ID: r.ID, At: d.now})
+			journal.Record{Op: journal.OpNotified, ID: r.ID, At: d.now})
 		ids = append(ids, r.ID)
 	}
 	if err := d.j.Append(recs); err != nil {
--- a/internal/backlog/spill/spill.go
+++ b/internal/backlog/spill/spill.go
@@ -24,12 +24,12 @@
 
 // Journal is what the journal knows of messages that were behind a window.
 type Journal interface {
-	// Gone says whether the message of that number is no longer behind it.
-	Gone(seq uint64) bool
-	// MostBehind is the largest number that it knows of.
-	MostBehind() uint64
-	// KeepPassed drops what it knows of numbers that nothing is left of.
-	KeepPassed(lives func(first, last uint64) bool)
+	// HasLeftBacklog says whether the message of that number is no longer behind it.
+	HasLeftBacklog(seq uint64) bool
+	// MaxBacklogSeq is the largest number that it knows of.
+	MaxBacklogSeq() uint64
+	// PruneLeftBacklog drops what it knows of numbers that nothing is left of.
+	PruneLeftBacklog(lives func(first, last uint64) bool)
 }
 
 const (
@@ -91,19 +91,19 @@
 // beside the caller to tell, which may be called at any time until Close returns, and
 // has to return once quit is closed.
 func Open(fs vfs.FS, gone Journal, opts Options, tell func(event any, quit <-chan struct{})) (*Spill, error) {
-	l, err := disk.Open(fs, gone.MostBehind(), disk.Options{MaxBytes: opts.MaxBytes, SegmentBytes: opts.SegmentBytes, Sync: opts.Sync, FlushInterval: opts.FlushInterval, Log: opts.Log})
+	l, err := disk.Open(fs, gone.MaxBacklogSeq(), disk.Options{MaxBytes: opts.MaxBytes, SegmentBytes: opts.SegmentBytes, Sync: opts.Sync, FlushInterval: opts.FlushInterval, Log: opts.Log})
 	if err != nil {
 		return nil, err
 	}
 	s := &Spill{b: backlog.New(backlog.Options{Window: opts.Window}), l: l, log: opts.Log, places: map[string]int{}, keys: map[uint64]backlog.Queue{}, reads: true}
 	err = l.Restore(s.b.Queue, func(x disk.RestoredSegment) {
-		s.b.Restore(x.First, x.Entries, func(seq uint64) bool { return gone.Gone(seq) || x.Entries[seq-x.First].HeadSize == 0 }, x.ByDeadline, x.Runs)
+		s.b.Restore(x.First, x.Entries, func(seq uint64) bool { return gone.HasLeftBacklog(seq) || x.Entries[seq-x.First].HeadSize == 0 }, x.ByDeadline, x.Runs)
 	})
 	if err != nil {
 		l.Close()
 		return nil, err
 	}
-	gone.KeepPassed(s.b.Overlaps)
+	gone.PruneLeftBacklog(s.b.Overlaps)
 	s.since, _ = l.StartsSegment()
 	s.work = newWorker(l, opts, tell)
 	return s, nil
--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -158,7 +158,7 @@
 		c.bad(path, "must be given")
 	case len(name) > message.MaxName:
 		c.bad(path, "over %d bytes", message.MaxName)
-	case !message.Plain(name) || strings.ContainsAny(name, ",="):
+	case !message.IsVisibleASCII(name) || strings.ContainsAny(name, ",="):
 		c.bad(path, "%q holds what is not visible ASCII, or a comma or an equals sign", name)
 	case twice:
 		c.bad(path, "%q is the name of %s too", name, before)
@@ -254,7 +254,7 @@
 		for k, tok := range x.Tokens {
 			path := fmt.Sprintf("%stokens[%d]", at, k)
 			switch before, twice := tokens[tok]; {
-			case len(tok) < 16 || len(tok) > 256 || !message.Plain(tok):
+			case len(tok) < 16 || len(tok) > 256 || !message.IsVisibleASCII(tok):
 				c.bad(path, "a token is 16 to 256 visible ASCII characters")
 			case twice:
 				c.bad(path, "the same token as %s", before)
--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -76,8 +76,8 @@
 	class := cmp.Or(h.class, &logic.Class{Effect: logic.Unsafe})
 	out.Unrepeatable = class.Effect == logic.Unsafe
 	out.Expires = c.clock.Moment(h.msg.Deadline)
-	if e := c.store.Entry(a.ID); e != nil && e.MayRun {
-		out.Repeat = permit.Repeat{MayHaveRun: true, Effect: class.Effect, Window: span(class.Window), Age: out.at.Sub(c.clock.Moment(e.FirstMay))}
+	if e := c.store.Entry(a.ID); e != nil && e.MayHaveRun {
+		out.Repeat = permit.Repeat{MayHaveRun: true, Effect: class.Effect, Window: span(class.Window), Age: out.at.Sub(c.clock.Moment(e.MayHaveRunSince))}
 	}
 	h.attempt, out.left = out, h.left
 	c.metrics.Attempts.Add(1)
@@ -196,7 +196,7 @@
 	case done:
 		c.deliver(id, h, r)
 	default:
-		c.records = append(c.records, journal.Record{Op: journal.OpOutcome, ID: id, MayRun: mayHaveRun(r.Outcome)})
+		c.records = append(c.records, journal.Record{Op: journal.OpOutcome, ID: id, MayHaveRun: mayHaveRun(r.Outcome)})
 	}
 	if h.over {
 		delete(c.held, id)
@@ -208,7 +208,7 @@
 // deliver ends a message that an attempt has ended.
 func (c *Core) deliver(id string, h *held, r Result) {
 	now := c.clock.Now()
-	end := message.End{ID: id, State: message.Delivered, At: now, Tries: h.tries}
+	end := message.End{ID: id, State: message.Delivered, At: now, Attempts: h.tries}
 	heard := c.cfg.NotifyDelivered && r.Outcome == logic.Completed // by the sink
 	if heard {
 		c.records = append(c.records, journal.Record{Op: journal.OpEnd, ID: id, End: &end})
--- a/internal/core/backlog.go
+++ b/internal/core/backlog.go
@@ -82,7 +82,7 @@
 	}
 	due := time.NewTimer(time.Hour)
 	c.behind = behind{Backlog: b, due: due, fresh: map[string]bool{}, ending: map[string]uint64{}, placed: map[string]bool{}, closing: c.behind.closing}
-	c.store.HoldTerms(b.Terms)
+	c.store.SetTermsInUse(b.Terms)
 	for _, h := range c.held {
 		if !h.over {
 			b.EnterWindow(h.msg.Partner)
@@ -216,10 +216,10 @@
 	}
 	list, first, count, ok := c.behind.HandleEvent(ev)
 	if count > 0 {
-		c.records = append(c.records, journal.Record{Op: journal.OpCleared, Behind: first, Count: count})
+		c.records = append(c.records, journal.Record{Op: journal.OpBacklogReclaimed, BacklogSeq: first, Count: count})
 	}
 	for i := range list {
-		if r := list[i].Record; r != nil && list[i].Err == nil && !c.store.Room(len(r.Body)) {
+		if r := list[i].Record; r != nil && list[i].Err == nil && !c.store.Reserve(len(r.Body)) {
 			c.behind.PutBack(list[i:]) // read again later
 			break
 		}
@@ -233,7 +233,7 @@
 	r := x.Record
 	if r == nil {
 		c.log.Error("a message behind its window can't be read: nothing is known of it but its number", "number", x.Seq, "err", x.Err)
-		c.records = append(c.records, journal.Record{Op: journal.OpPassed, Behind: x.Seq})
+		c.records = append(c.records, journal.Record{Op: journal.OpLeftBacklog, BacklogSeq: x.Seq})
 		c.behind.LeaveWindow(x.Partner)
 		return
 	}
@@ -263,7 +263,7 @@
 	c.open++
 	c.behind.came, c.behind.fresh[m.ID] = append(c.behind.came, x), true
 	c.records = append(c.records, journal.Record{Op: journal.OpAccept,
-		Entry: &journal.Entry{Message: *m, Accepted: r.Accepted, Terms: r.Terms, Behind: x.Seq}})
+		Entry: &journal.Entry{Message: *m, AcceptedAt: r.Accepted, Terms: r.Terms, BacklogSeq: x.Seq}})
 	c.next = append(c.next, in)
 }
 
@@ -271,7 +271,7 @@
 func (c *Core) overBehind(r *disk.Record, seq uint64) {
 	m := r.Message
 	m.Body = nil
-	c.behind.over = append(c.behind.over, ending{entry: journal.Entry{Message: m, Accepted: r.Accepted, Terms: r.Terms, Behind: seq, EndDigest: r.Digest, Left: 1},
+	c.behind.over = append(c.behind.over, ending{entry: journal.Entry{Message: m, AcceptedAt: r.Accepted, Terms: r.Terms, BacklogSeq: seq, StoredDigest: r.Digest, StoredBodySize: 1},
 		end: message.End{ID: r.ID, State: message.Returned, At: c.clock.Now()}})
 	c.behind.ending[r.ID] = r.Digest
 }
@@ -289,7 +289,7 @@
 		}
 		if r == nil {
 			c.log.Error("a message behind its window is over and can't be read: nothing is known of it but its number", "number", seq)
-			c.records = append(c.records, journal.Record{Op: journal.OpPassed, Behind: seq})
+			c.records = append(c.records, journal.Record{Op: journal.OpLeftBacklog, BacklogSeq: seq})
 			continue
 		}
 		c.overBehind(r, seq)
--- a/internal/core/check.go
+++ b/internal/core/check.go
@@ -49,7 +49,7 @@
 			return bad(f.field, "must be given")
 		case len(f.text) > message.MaxName:
 			return bad(f.field, "over %d bytes", message.MaxName)
-		case !message.Plain(f.text):
+		case !message.IsVisibleASCII(f.text):
 			return bad(f.field, "holds what is not visible ASCII")
 		}
 	}
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -40,7 +40,7 @@
 	if s := byhand.Await(t, over, "state of a message that is over"); s.Name != message.Delivered || s.Attempts != 2 || s.EndedAt.IsZero() || s.Partner != "acme" {
 		t.Errorf("over: %+v", s)
 	}
-	if x := byhand.Await(t, r.ends.told, "end"); x.ID != "a" || x.State != message.Delivered || x.Tries != 2 {
+	if x := byhand.Await(t, r.ends.told, "end"); x.ID != "a" || x.State != message.Delivered || x.Attempts != 2 {
 		t.Errorf("told %+v", x)
 	}
 	r.put(newMessage("b", "unsafe"))
@@ -196,7 +196,7 @@
 		t.Errorf("above max_open: %+v", a)
 	}
 	r.open = 0
-	for i := 0; r.store.Room(9); i++ {
+	for i := 0; r.store.Reserve(9); i++ {
 		if err := r.store.Append([]journal.Record{{Op: journal.OpAccept, Entry: &journal.Entry{
 			Message: message.Message{ID: fmt.Sprint("f", i), Body: make([]byte, 60000)}}}}); err != nil {
 			t.Fatal(err)
--- a/internal/core/disk_test.go
+++ b/internal/core/disk_test.go
@@ -44,7 +44,7 @@
 	fail = &atomic.Bool{}
 	r = newRig(t, t.TempDir(), testConfig(), func(p *Dependencies) {
 		p.Store.Close()
-		j, err := journal.OpenOn(flaky{vfs.Dir(dir), fail}, journal.Options{Disk: 3e6, KeepEnded: time.Hour, MostEnded: 100, Bodies: 100})
+		j, err := journal.OpenOn(flaky{vfs.Dir(dir), fail}, journal.Options{MaxBytes: 3e6, EndRetention: time.Hour, MaxEnded: 100, MaxBodyInMemory: 100})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/core/handover.go
+++ b/internal/core/handover.go
@@ -80,7 +80,7 @@
 		taken, err = ev.successor.Transfer(snapshot, listeners)
 	}
 	if taken {
-		c.log.Info("handed over", "held", c.open, "calls_out", len(snapshot.Calls), "took", time.Since(at))
+		c.log.Info("handed over", "held", c.open, "calls_out", len(snapshot.Attempts), "took", time.Since(at))
 		c.life.HandleEvent(lifecycle.HandoverCompleted)
 		ev.done <- nil
 		return true, nil
@@ -101,7 +101,7 @@
 		store, err := c.reopen()
 		if err == nil {
 			if snapshot != nil {
-				store.AddUnsaved(snapshot.Ended)
+				store.AddUnsavedEnds(snapshot.Ended)
 			}
 			c.storeMu.Lock()
 			c.store = store
@@ -126,7 +126,7 @@
 // it. Attempts that have not begun are kept from it.
 func (c *Core) snapshot(fronts []Front) (*handover.Snapshot, error) {
 	now := time.Now()
-	out := &handover.Snapshot{Format: handover.Format, At: c.clock.At(now), Heard: c.heard, Version: c.source.Version(),
+	out := &handover.Snapshot{Format: handover.Format, At: c.clock.At(now), ListReceived: c.heard, ListVersion: c.source.Version(),
 		Partners: map[string]*journal.Partner{}, Listeners: len(fronts)}
 	busy := map[logic.EndpointID]bool{} // endpoints with calls
 	for _, h := range c.held {
@@ -136,8 +136,8 @@
 	}
 	for id, to := range c.dir.eps {
 		if to.gone.IsZero() || busy[id] {
-			out.Endpoints = append(out.Endpoints, handover.Endpoint{Gone: !to.gone.IsZero(), Name: to.name, Addr: to.addr, Zone: c.dir.zone(to.zone),
-				Kind: c.dir.kindName(to.kind), Partner: to.partner, Drains: to.state != logic.Ready, Weight: to.weight})
+			out.Endpoints = append(out.Endpoints, handover.Endpoint{Removed: !to.gone.IsZero(), Name: to.name, Addr: to.addr, Zone: c.dir.zone(to.zone),
+				Kind: c.dir.kindName(to.kind), Partner: to.partner, Draining: to.state != logic.Ready, Weight: to.weight})
 		}
 		c.transport.CloseIdle(id)
 	}
@@ -148,7 +148,7 @@
 		}
 	}
 	for _, k := range keys {
-		out.Keys = append(out.Keys, handover.Key{Key: k.Key, Left: int64(k.Remaining)})
+		out.QuietKeys = append(out.QuietKeys, handover.QuietKey{Key: k.Key, Remaining: int64(k.Remaining)})
 	}
 	for id, h := range c.held {
 		if h.attempt == nil {
@@ -161,16 +161,16 @@
 			}
 			continue
 		}
-		call := handover.Call{ID: id, Over: h.over, Number: h.attempt.Number, Endpoint: c.dir.eps[h.attempt.Endpoint].name,
+		call := handover.Attempt{ID: id, MessageEnded: h.over, Number: h.attempt.Number, Endpoint: c.dir.eps[h.attempt.Endpoint].name,
 			Age: now.Sub(h.attempt.at).Microseconds()}
 		if h.attempt.first != id {
-			call.With = h.attempt.first
+			call.BatchedWith = h.attempt.first
 		}
-		out.Calls = append(out.Calls, call)
+		out.Attempts = append(out.Attempts, call)
 	}
 	err := c.store.Append(c.records)
 	clear(c.records)
 	c.records = c.records[:0]
-	out.Ended = c.store.Unsaved()
+	out.Ended = c.store.UnsavedEnds()
 	return out, err
 }
--- a/internal/core/harness_test.go
+++ b/internal/core/harness_test.go
@@ -99,7 +99,7 @@
 	recs, f.past = append(f.past, recs...), nil
 	for _, r := range recs {
 		if r.Op == journal.OpPartner {
-			f.sick[r.ID] = r.Partner.Sick
+			f.sick[r.ID] = r.Partner.Unhealthy
 		}
 	}
 	return f.Store.Append(recs)
@@ -120,11 +120,11 @@
 	return f.Store.Close()
 }
 
-func (f *failing) Forget(now int64) {
+func (f *failing) DropExpired(now int64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if !f.fail {
-		f.Store.Forget(now)
+		f.Store.DropExpired(now)
 	}
 }
 
@@ -175,7 +175,7 @@
 
 func newRig(t *testing.T, dir string, cfg Config, with ...func(*Dependencies)) *rig {
 	t.Helper()
-	j, err := journal.Open(dir, journal.Options{Disk: 3e6, KeepEnded: time.Hour, MostEnded: 100, Partners: cfg.Settings.TrackChanges, Bodies: 100})
+	j, err := journal.Open(dir, journal.Options{MaxBytes: 3e6, EndRetention: time.Hour, MaxEnded: 100, KeepPartners: cfg.Settings.TrackChanges, MaxBodyInMemory: 100})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/core/inherit.go
+++ b/internal/core/inherit.go
@@ -65,7 +65,7 @@
 	out := EndpointList{Complete: true}
 	for _, x := range in.Snapshot.Endpoints {
 		e := Endpoint{Name: x.Name, Addr: x.Addr, Zone: x.Zone, Kind: x.Kind, Partner: x.Partner, Weight: x.Weight}
-		if x.Drains || x.Gone {
+		if x.Draining || x.Removed {
 			e.State = logic.Draining
 		}
 		out.Endpoints = append(out.Endpoints, e)
@@ -75,40 +75,40 @@
 
 // restoreSnapshot hands the module what was handed over, and returns the calls that are
 // out. It comes before the messages.
-func (c *Core) restoreSnapshot() map[string]handover.Call {
+func (c *Core) restoreSnapshot() map[string]handover.Attempt {
 	if c.from == nil {
 		return nil
 	}
 	l := c.from.Snapshot
-	c.heard = l.Heard
+	c.heard = l.ListReceived
 	list := c.from.list()
 	c.next = append(c.next, logic.Endpoints{Form: logic.ListFull, Entries: c.dir.take(list)})
 	for i, x := range l.Endpoints { // it was on the list, for its calls that are out
-		if x.Gone {
+		if x.Removed {
 			list.Endpoints[i].State = logic.Gone
 			c.next = append(c.next, logic.Endpoints{Form: logic.ListDelta, Entries: c.dir.take(EndpointList{Endpoints: list.Endpoints[i : i+1]})})
 		}
 	}
 	c.cfg.CachedEndpoints = nil
-	c.store.AddUnsaved(l.Ended)
+	c.store.AddUnsavedEnds(l.Ended)
 	age := logic.Micros(c.clock.Now() - l.At)
 	for name, known := range l.Partners {
 		if c.dir.serves(name) {
 			c.next = append(c.next, logic.RestoreState{Age: age, State: c.toModule(name, known)})
 		}
 	}
-	for _, k := range l.Keys {
-		c.next = append(c.next, logic.QuietKey{Key: k.Key, Remaining: logic.Micros(k.Left) - age})
+	for _, k := range l.QuietKeys {
+		c.next = append(c.next, logic.QuietKey{Key: k.Key, Remaining: logic.Micros(k.Remaining) - age})
 	}
-	out := map[string]handover.Call{}
-	for _, call := range l.Calls {
+	out := map[string]handover.Attempt{}
+	for _, call := range l.Attempts {
 		out[call.ID] = call
 	}
 	return out
 }
 
 // adopt books an attempt that the other process has out.
-func (c *Core) adopt(h *held, call handover.Call, in *logic.NewMessage, e *journal.Entry, now int64) {
+func (c *Core) adopt(h *held, call handover.Attempt, in *logic.NewMessage, e *journal.Entry, now int64) {
 	age := now - c.from.Snapshot.At + call.Age
 	ep, ok := c.dir.ids[call.Endpoint]
 	if !ok { // its list is ours, so it has gone meanwhile: the attempt counts, and its outcome too
@@ -121,19 +121,19 @@
 	h.tries = call.Number + 1
 	c.remote[call.ID] = h
 	if e != nil {
-		in.History.MayHaveRun = e.MayRun
-		in.History.SinceFirst = logic.Micros(max(now-e.FirstMay, 0))
+		in.History.MayHaveRun = e.MayHaveRun
+		in.History.SinceFirst = logic.Micros(max(now-e.MayHaveRunSince, 0))
 	}
-	in.History.InFlight = &logic.InFlightAttempt{Endpoint: ep, Age: logic.Micros(age), BatchedWith: call.With}
+	in.History.InFlight = &logic.InFlightAttempt{Endpoint: ep, Age: logic.Micros(age), BatchedWith: call.BatchedWith}
 }
 
 // leftovers books the attempts that are out of messages that have ended: they hold
 // slots.
-func (c *Core) leftovers(out map[string]handover.Call) (events []logic.Event) {
+func (c *Core) leftovers(out map[string]handover.Attempt) (events []logic.Event) {
 	now := c.clock.Now()
 	for id, call := range out {
 		ep, ok := c.dir.ids[call.Endpoint]
-		if !call.Over || !ok || c.held[id] != nil {
+		if !call.MessageEnded || !ok || c.held[id] != nil {
 			continue
 		}
 		h := &held{msg: &message.Message{ID: id, Partner: c.dir.eps[ep].partner}, over: true}
@@ -157,7 +157,7 @@
 		return nil
 	}
 	c.log.Info("taken over", "held", len(c.held), "calls_out", len(c.remote), "endpoints", len(c.dir.eps))
-	if err := c.from.Predecessor.Send(&handover.Taken{}); err != nil {
+	if err := c.from.Predecessor.Send(&handover.Confirmation{}); err != nil {
 		c.from.Predecessor.Close()
 		c.from.close()
 		return fmt.Errorf("%w: %w", ErrPredecessorUnreachable, err)
@@ -177,13 +177,13 @@
 		switch m := m.(type) {
 		case *handover.Outcomes:
 			c.post(remoteOutcomesEvent{m.List})
-		case *handover.Put:
+		case *handover.Submission:
 			go c.forwarded(link, m)
-		case *handover.AskState:
+		case *handover.StateRequest:
 			go func() {
 				s, _ := c.State(context.Background(), m.ID, false)
-				link.Send(&handover.State{Seq: m.Seq, Name: s.Name, Tenant: s.Tenant, Partner: s.Partner, Class: s.Class, Tries: s.Attempts,
-					After: s.RetryAfter, Accepted: micro(s.AcceptedAt), Deadline: micro(s.Deadline), Over: micro(s.EndedAt)})
+				link.Send(&handover.StateReply{Seq: m.Seq, Name: s.Name, Tenant: s.Tenant, Partner: s.Partner, Class: s.Class, Attempts: s.Attempts,
+					RetryAfter: s.RetryAfter, AcceptedAt: micro(s.AcceptedAt), Deadline: micro(s.Deadline), EndedAt: micro(s.EndedAt)})
 			}()
 		}
 	}, func(error) {
@@ -194,12 +194,12 @@
 }
 
 // forwarded takes a message that a client has handed in at the other process.
-func (c *Core) forwarded(link Link, m *handover.Put) {
+func (c *Core) forwarded(link Link, m *handover.Submission) {
 	answer := make(chan SubmitResponse, 1)
 	msg := m.Message
 	c.Submit(&msg, answer)
 	a := <-answer
-	link.Send(&handover.Answer{Seq: m.Seq, Verdict: int(a.Status), After: a.RetryAfter, Again: a.Duplicate})
+	link.Send(&handover.SubmissionReply{Seq: m.Seq, Status: int(a.Status), RetryAfter: a.RetryAfter, Duplicate: a.Duplicate})
 }
 
 func micro(t time.Time) int64 {
@@ -218,8 +218,8 @@
 		}
 		delete(c.remote, o.ID)
 		h.stop = func() {}
-		c.reply(reply{attempt: h.attempt, took: o.Took,
-			result: Result{Outcome: logic.Outcome(o.Outcome), RequestedWait: o.Wait, MessageEnded: o.Over, Load: o.Load}})
+		c.reply(reply{attempt: h.attempt, took: o.Latency,
+			result: Result{Outcome: logic.Outcome(o.Outcome), RequestedWait: o.RequestedWait, MessageEnded: o.MessageEnded, Load: o.Load}})
 	}
 }
 
--- a/internal/core/loop.go
+++ b/internal/core/loop.go
@@ -125,7 +125,7 @@
 	}
 	clear(c.records)
 	c.records = c.records[:0]
-	c.store.Forget(c.clock.At(now))
+	c.store.DropExpired(c.clock.At(now))
 	if c.dir.spare(now) {
 		c.forgetSpare(now)
 	} else {
@@ -184,7 +184,7 @@
 			continue
 		}
 		in := c.callOf(&e.Message, now)
-		h := &held{msg: &e.Message, accepted: e.Accepted, tries: e.Tries, left: e.Left > 0, terms: e.Terms, class: c.terms.class(e.Class)}
+		h := &held{msg: &e.Message, accepted: e.AcceptedAt, tries: e.Attempts, left: e.StoredBodySize > 0, terms: e.Terms, class: c.terms.class(e.Class)}
 		if e.Terms != c.terms.n {
 			if in.Terms = termsOf(c.store.Terms(e.Terms), e.Class); in.Terms != nil {
 				h.class = &in.Terms.Class
@@ -192,16 +192,16 @@
 		}
 		c.held[e.ID] = h
 		c.open++
-		in.History = logic.History{Attempts: e.Tries, MayHaveRun: e.MayRun || e.Open, Inherited: c.from == nil}
+		in.History = logic.History{Attempts: e.Attempts, MayHaveRun: e.MayHaveRun || e.InFlight, Inherited: c.from == nil}
 		if in.History.MayHaveRun {
-			in.History.SinceFirst = logic.Micros(max(now-e.FirstMay, 0))
-			in.History.Zone = slices.Index(c.cfg.Zones, e.FirstZone)
+			in.History.SinceFirst = logic.Micros(max(now-e.MayHaveRunSince, 0))
+			in.History.Zone = slices.Index(c.cfg.Zones, e.MayHaveRunZone)
 		}
-		if call, ok := out[e.ID]; ok && e.Open {
+		if call, ok := out[e.ID]; ok && e.InFlight {
 			c.adopt(h, call, &in, e, now)
 			delete(out, e.ID)
-		} else if e.Open { // whoever reads the journal next must not take its outcome for a later one's
-			c.records = append(c.records, journal.Record{Op: journal.OpOutcome, ID: e.ID, MayRun: true})
+		} else if e.InFlight { // whoever reads the journal next must not take its outcome for a later one's
+			c.records = append(c.records, journal.Record{Op: journal.OpOutcome, ID: e.ID, MayHaveRun: true})
 		}
 		if c.cfg.CachedEndpoints != nil && !c.dir.serves(e.Partner) {
 			orphans[e.Partner]++
@@ -256,7 +256,7 @@
 	case confirmedEvent:
 		now := c.clock.Now()
 		for _, id := range ev.ids {
-			c.records = append(c.records, journal.Record{Op: journal.OpNoticed, ID: id, At: now})
+			c.records = append(c.records, journal.Record{Op: journal.OpNotified, ID: id, At: now})
 		}
 	case remoteOutcomesEvent:
 		c.remoteOutcomes(ev.list)
--- a/internal/core/memory.go
+++ b/internal/core/memory.go
@@ -44,50 +44,50 @@
 
 // toJournal puts names in the place of numbers; no name if the partner has none.
 func (c *Core) toJournal(m logic.DestinationState) (name string, out *journal.Partner) {
-	out = &journal.Partner{Exact: m.Exact, At: c.clock.Now(), Sick: m.Unhealthy, Used: int64(m.SinceUsed), Came: m.Arrivals, Down: int64(m.SinceOutage),
-		Limit: limitOf(m.Limiter), Bins: m.Latencies.Bins, Weights: m.Latencies.Weights, Cuts: m.Latencies.Censored,
-		Sampled: int64(m.Latencies.SinceSample)}
+	out = &journal.Partner{Exact: m.Exact, At: c.clock.Now(), Unhealthy: m.Unhealthy, SinceUsed: int64(m.SinceUsed), Arrivals: m.Arrivals, SinceOutage: int64(m.SinceOutage),
+		Limiter: limitOf(m.Limiter), Bins: m.Latencies.Bins, Weights: m.Latencies.Weights, Censored: m.Latencies.Censored,
+		SinceSample: int64(m.Latencies.SinceSample)}
 	for _, x := range m.Endpoints {
 		to, ok := c.dir.eps[x.Endpoint]
 		if !ok {
 			continue
 		}
 		name = to.partner
-		out.Endpoints = append(out.Endpoints, journal.PartnerEndpoint{Name: to.name, Limit: limitOf(x.Limiter), Out: x.Outage, Cold: x.Cold,
-			Back: int64(x.SinceRecovery), Good: int64(x.SinceSuccess), Bad: int64(x.SinceFailure), Well: int64(x.SinceIndependentSuccess), Gap: int64(x.TrialInterval), Failing: x.FailureRatio,
-			Slow: int64(x.Latency), Fails: x.Failures, Fulls: x.Overloads, Resets: x.Resets,
-			Sent: numbers(x.Sent), LastSent: int64(x.SinceLastSent), Trial: int64(x.UntilTrial), Told: int64(x.RequestedWait)})
+		out.Endpoints = append(out.Endpoints, journal.PartnerEndpoint{Name: to.name, Limiter: limitOf(x.Limiter), Outage: x.Outage, Cold: x.Cold,
+			SinceRecovery: int64(x.SinceRecovery), SinceSuccess: int64(x.SinceSuccess), SinceFailure: int64(x.SinceFailure), SinceIndependentSuccess: int64(x.SinceIndependentSuccess), TrialInterval: int64(x.TrialInterval), FailureRatio: x.FailureRatio,
+			Latency: int64(x.Latency), Failures: x.Failures, Overloads: x.Overloads, Resets: x.Resets,
+			Sent: numbers(x.Sent), SinceLastSent: int64(x.SinceLastSent), UntilTrial: int64(x.UntilTrial), RequestedWait: int64(x.RequestedWait)})
 	}
 	return name, out
 }
 
-func limitOf(l logic.LimiterState) journal.PartnerLimit {
-	return journal.PartnerLimit{Told: l.Limit, Pace: l.Rate, Halved: int64(l.SinceDecrease), Peak: l.PeakRate, Sent: numbers(l.Sent),
-		Tokens: l.Tokens, Wait: int64(l.RequestedWait), Fulls: l.Overloads, First: int64(l.SinceFirstOverload), Spent: l.NearLimit}
+func limitOf(l logic.LimiterState) journal.PartnerLimiter {
+	return journal.PartnerLimiter{Limit: l.Limit, Rate: l.Rate, SinceDecrease: int64(l.SinceDecrease), PeakRate: l.PeakRate, Sent: numbers(l.Sent),
+		Tokens: l.Tokens, RequestedWait: int64(l.RequestedWait), Overloads: l.Overloads, SinceFirstOverload: int64(l.SinceFirstOverload), NearLimit: l.NearLimit}
 }
 
 func (c *Core) toModule(name string, p *journal.Partner) logic.DestinationState {
-	m := logic.DestinationState{Exact: p.Exact, Dest: c.dir.partner(name).dest, Unhealthy: p.Sick, SinceUsed: logic.Micros(p.Used), Arrivals: p.Came,
-		SinceOutage: logic.Micros(p.Down), Limiter: laneOf(p.Limit),
-		Latencies: logic.LatencyHistogram{Bins: p.Bins, Weights: p.Weights, Censored: p.Cuts, SinceSample: logic.Micros(p.Sampled)}}
+	m := logic.DestinationState{Exact: p.Exact, Dest: c.dir.partner(name).dest, Unhealthy: p.Unhealthy, SinceUsed: logic.Micros(p.SinceUsed), Arrivals: p.Arrivals,
+		SinceOutage: logic.Micros(p.SinceOutage), Limiter: laneOf(p.Limiter),
+		Latencies: logic.LatencyHistogram{Bins: p.Bins, Weights: p.Weights, Censored: p.Censored, SinceSample: logic.Micros(p.SinceSample)}}
 	for _, x := range p.Endpoints {
 		id, ok := c.dir.ids[x.Name]
 		if !ok || c.dir.eps[id].partner != name {
 			continue
 		}
-		m.Endpoints = append(m.Endpoints, logic.EndpointState{Endpoint: id, Limiter: laneOf(x.Limit), Outage: x.Out, Cold: x.Cold,
-			SinceRecovery: logic.Micros(x.Back), SinceSuccess: logic.Micros(x.Good), SinceFailure: logic.Micros(x.Bad), SinceIndependentSuccess: logic.Micros(x.Well),
-			TrialInterval: logic.Micros(x.Gap), FailureRatio: x.Failing, Latency: logic.Micros(x.Slow), Failures: x.Fails, Overloads: x.Fulls, Resets: x.Resets,
-			EndpointHandover: logic.EndpointHandover{Sent: spans(x.Sent), SinceLastSent: logic.Micros(x.LastSent), UntilTrial: logic.Micros(x.Trial),
-				RequestedWait: logic.Micros(x.Told)}})
+		m.Endpoints = append(m.Endpoints, logic.EndpointState{Endpoint: id, Limiter: laneOf(x.Limiter), Outage: x.Outage, Cold: x.Cold,
+			SinceRecovery: logic.Micros(x.SinceRecovery), SinceSuccess: logic.Micros(x.SinceSuccess), SinceFailure: logic.Micros(x.SinceFailure), SinceIndependentSuccess: logic.Micros(x.SinceIndependentSuccess),
+			TrialInterval: logic.Micros(x.TrialInterval), FailureRatio: x.FailureRatio, Latency: logic.Micros(x.Latency), Failures: x.Failures, Overloads: x.Overloads, Resets: x.Resets,
+			EndpointHandover: logic.EndpointHandover{Sent: spans(x.Sent), SinceLastSent: logic.Micros(x.SinceLastSent), UntilTrial: logic.Micros(x.UntilTrial),
+				RequestedWait: logic.Micros(x.RequestedWait)}})
 	}
 	return m
 }
 
-func laneOf(l journal.PartnerLimit) logic.LimiterState {
-	return logic.LimiterState{Limit: l.Told, Rate: l.Pace, SinceDecrease: logic.Micros(l.Halved), PeakRate: l.Peak,
-		LimiterHandover: logic.LimiterHandover{Sent: spans(l.Sent), Tokens: l.Tokens, RequestedWait: logic.Micros(l.Wait), Overloads: l.Fulls,
-			SinceFirstOverload: logic.Micros(l.First), NearLimit: l.Spent}}
+func laneOf(l journal.PartnerLimiter) logic.LimiterState {
+	return logic.LimiterState{Limit: l.Limit, Rate: l.Rate, SinceDecrease: logic.Micros(l.SinceDecrease), PeakRate: l.PeakRate,
+		LimiterHandover: logic.LimiterHandover{Sent: spans(l.Sent), Tokens: l.Tokens, RequestedWait: logic.Micros(l.RequestedWait), Overloads: l.Overloads,
+			SinceFirstOverload: logic.Micros(l.SinceFirstOverload), NearLimit: l.NearLimit}}
 }
 
 func numbers(list []logic.Micros) (out []int64) {
--- a/internal/core/relay.go
+++ b/internal/core/relay.go
@@ -144,7 +144,7 @@
 	}
 	r.seq++
 	r.puts[r.seq] = ev
-	r.successor.Send(&handover.Put{Seq: r.seq, Message: *ev.msg})
+	r.successor.Send(&handover.Submission{Seq: r.seq, Message: *ev.msg})
 }
 
 // ask forwards a question for the state of a message.
@@ -155,7 +155,7 @@
 	}
 	r.seq++
 	r.asks[r.seq] = ev
-	r.successor.Send(&handover.AskState{Seq: r.seq, ID: ev.id})
+	r.successor.Send(&handover.StateRequest{Seq: r.seq, ID: ev.id})
 }
 
 // reply tells the successor the outcomes of attempts.
@@ -168,7 +168,7 @@
 		}
 		delete(r.out, id)
 		list.List = append(list.List, handover.Outcome{ID: id, Number: x.attempt.Number, Outcome: int(x.result.Outcome),
-			Took: x.took, Wait: x.result.RequestedWait, Over: x.result.MessageEnded, Load: x.result.Load})
+			Latency: x.took, RequestedWait: x.result.RequestedWait, MessageEnded: x.result.MessageEnded, Load: x.result.Load})
 	}
 	if len(list.List) > 0 {
 		r.successor.Send(&list)
@@ -178,16 +178,16 @@
 // hear deals with what the successor tells.
 func (r *relay) hear(message any) {
 	switch m := message.(type) {
-	case *handover.Answer:
+	case *handover.SubmissionReply:
 		if ev, ok := r.puts[m.Seq]; ok {
 			delete(r.puts, m.Seq)
-			ev.tell(SubmitResponse{Status: SubmitStatus(m.Verdict), RetryAfter: m.After, Duplicate: m.Again})
+			ev.tell(SubmitResponse{Status: SubmitStatus(m.Status), RetryAfter: m.RetryAfter, Duplicate: m.Duplicate})
 		}
-	case *handover.State:
+	case *handover.StateReply:
 		if ask, ok := r.asks[m.Seq]; ok {
 			delete(r.asks, m.Seq)
-			ask.answer <- State{ID: ask.id, Name: m.Name, Tenant: m.Tenant, Partner: m.Partner, Class: m.Class, Attempts: m.Tries,
-				RetryAfter: m.After, AcceptedAt: moment(m.Accepted), Deadline: moment(m.Deadline), EndedAt: moment(m.Over)}
+			ask.answer <- State{ID: ask.id, Name: m.Name, Tenant: m.Tenant, Partner: m.Partner, Class: m.Class, Attempts: m.Attempts,
+				RetryAfter: m.RetryAfter, AcceptedAt: moment(m.AcceptedAt), Deadline: moment(m.Deadline), EndedAt: moment(m.EndedAt)}
 		}
 	case *handover.Cancel:
 		if h := r.out[m.ID]; h != nil && h.attempt.Number == m.Number {
--- a/internal/core/relay_test.go
+++ b/internal/core/relay_test.go
@@ -89,7 +89,7 @@
 		return answer
 	}
 	first := put("first")
-	forwarded := byhand.Await(t, s.sent, "request at the successor").(*handover.Put)
+	forwarded := byhand.Await(t, s.sent, "request at the successor").(*handover.Submission)
 	close(stopped)
 	select {
 	case a := <-first:
@@ -99,7 +99,7 @@
 	if a := byhand.Await(t, put("second"), "answer to the second"); a.Status != Busy {
 		t.Errorf("one that comes as the process ends gets %+v", a)
 	}
-	s.tell <- &handover.Answer{Seq: forwarded.Seq, Verdict: int(Accepted)}
+	s.tell <- &handover.SubmissionReply{Seq: forwarded.Seq, Status: int(Accepted)}
 	if a := byhand.Await(t, first, "answer to the first"); a.Status != Accepted {
 		t.Errorf("the first gets %+v", a)
 	}
--- a/internal/core/restart_test.go
+++ b/internal/core/restart_test.go
@@ -36,7 +36,7 @@
 	if d := time.Since(told); d < wait {
 		t.Errorf("sent again %v after a wait of %v was told", d, wait)
 	}
-	if x := byhand.Await(t, r.ends.told, "end"); x.State != message.Delivered || x.Tries != 2 {
+	if x := byhand.Await(t, r.ends.told, "end"); x.State != message.Delivered || x.Attempts != 2 {
 		t.Errorf("told %+v", x)
 	}
 	r.ends.confirm <- "a"
@@ -186,8 +186,8 @@
 	r.put(big("x"))
 	attempt(logic.ConnectionRefused)
 	attempt(logic.ConnectionRefused)
-	if e := r.store.Entry("a"); e.Left != 3000 || e.Body != nil {
-		t.Errorf("%d bytes left on the disk, %d in memory", e.Left, len(e.Body))
+	if e := r.store.Entry("a"); e.StoredBodySize != 3000 || e.Body != nil {
+		t.Errorf("%d bytes left on the disk, %d in memory", e.StoredBodySize, len(e.Body))
 	}
 	if a, b := r.put(big("x")), r.put(big("y")); a.Status != Accepted || !a.Duplicate || b.Status != Conflict {
 		t.Errorf("again: %+v, with another body: %+v", a, b)
--- a/internal/core/seams.go
+++ b/internal/core/seams.go
@@ -141,29 +141,29 @@
 // Store keeps what must outlive the process. [journal.Journal] is one.
 type Store interface {
 	Append(recs []journal.Record) error
-	Room(body int) bool
+	Reserve(body int) bool
 	Entry(id string) *journal.Entry
 	Entries() []*journal.Entry
 	Ended(id string) *journal.Ended
 	// Body reads back a body that an entry tells to be left in the store. It may be
 	// called beside all else.
 	Body(id string) ([]byte, error)
-	Unsaved() []*journal.Ended
-	AddUnsaved(list []*journal.Ended)
+	UnsavedEnds() []*journal.Ended
+	AddUnsavedEnds(list []*journal.Ended)
 	Waits() map[string]int64
 	AddTerms(t journal.Terms) (n int64, rec *journal.Record, err error)
 	Terms(n int64) *journal.Terms
-	// HoldTerms has terms kept that messages elsewhere are held to.
-	HoldTerms(list func() []int64)
-	// Gone says whether the message of a number is no longer behind its window;
-	// MostBehind is the largest number that is known of.
-	Gone(seq uint64) bool
-	MostBehind() uint64
-	// KeepPassed drops what is known of numbers that nothing is left of.
-	KeepPassed(lives func(first, last uint64) bool)
+	// SetTermsInUse has terms kept that messages elsewhere are held to.
+	SetTermsInUse(list func() []int64)
+	// HasLeftBacklog says whether the message of a number is no longer behind its window;
+	// MaxBacklogSeq is the largest number that is known of.
+	HasLeftBacklog(seq uint64) bool
+	MaxBacklogSeq() uint64
+	// PruneLeftBacklog drops what is known of numbers that nothing is left of.
+	PruneLeftBacklog(lives func(first, last uint64) bool)
 	Partners() map[string]*journal.Partner
-	// Forget drops what is remembered no longer; now is a time of Clock.
-	Forget(now int64)
+	// DropExpired drops what is remembered no longer; now is a time of Clock.
+	DropExpired(now int64)
 	// Clock is the clock that all times in the store are of.
 	Clock() *clock.Clock
 	Len() int
--- a/internal/core/step.go
+++ b/internal/core/step.go
@@ -54,7 +54,7 @@
 		id := p.msg.ID
 		if _, told := answers[id]; !told && c.fresh[id] == p.msg && !c.behind.placed[id] {
 			c.records = append(c.records, journal.Record{Op: journal.OpAccept,
-				Entry: &journal.Entry{Message: *p.msg, Accepted: c.held[id].accepted, Terms: c.held[id].terms}})
+				Entry: &journal.Entry{Message: *p.msg, AcceptedAt: c.held[id].accepted, Terms: c.held[id].terms}})
 		}
 	}
 	for _, a := range actions {
@@ -115,7 +115,7 @@
 }
 
 func (c *Core) leaveBody(id string) {
-	if e, h := c.store.Entry(id), c.held[id]; e != nil && h != nil && e.Left > 0 {
+	if e, h := c.store.Entry(id), c.held[id]; e != nil && h != nil && e.StoredBodySize > 0 {
 		without := *h.msg
 		without.Body = nil
 		h.msg, h.left = &without, true
@@ -133,12 +133,12 @@
 	end := message.End{At: now}
 	switch a := a.(type) {
 	case logic.ReturnMessage:
-		end.ID, end.State, end.AfterMS = a.ID, message.Returned, int64((a.RetryIn+999)/1000)
+		end.ID, end.State, end.RetryAfterMS = a.ID, message.Returned, int64((a.RetryIn+999)/1000)
 	case logic.FailMessage:
 		end.ID, end.State = a.ID, message.Failed
 	}
 	if h := c.held[end.ID]; h != nil {
-		end.Tries = h.tries
+		end.Attempts = h.tries
 	}
 	return end
 }
--- a/internal/core/submit.go
+++ b/internal/core/submit.go
@@ -44,7 +44,7 @@
 		return h.msg.Digest(), true
 	}
 	if e := c.store.Entry(id); e != nil {
-		return e.Told(), true
+		return e.SubmittedDigest(), true
 	}
 	if e := c.store.Ended(id); e != nil {
 		return e.Digest, true
@@ -95,7 +95,7 @@
 	if c.place(ev, class) {
 		return
 	}
-	if !c.store.Room(len(m.Body)) {
+	if !c.store.Reserve(len(m.Body)) {
 		ev.tell(SubmitResponse{Status: Busy})
 		return
 	}
@@ -201,16 +201,16 @@
 		return s
 	}
 	if x := c.untoldEnd(id); x != nil { // to others it is not over yet
-		return State{ID: id, Name: StateAccepted, Tenant: x.msg.Tenant, Partner: x.msg.Partner, Class: x.msg.Class, Attempts: x.end.Tries,
+		return State{ID: id, Name: StateAccepted, Tenant: x.msg.Tenant, Partner: x.msg.Partner, Class: x.msg.Class, Attempts: x.end.Attempts,
 			Deadline: c.wall(x.msg.Deadline)}
 	}
 	if e := c.store.Entry(id); e != nil && e.End != nil {
-		return State{ID: id, Name: e.End.State, Tenant: e.Tenant, Partner: e.Partner, Class: e.Class, Attempts: e.Tries,
-			RetryAfter: time.Duration(e.End.AfterMS) * time.Millisecond, AcceptedAt: c.wall(e.Accepted), EndedAt: c.wall(e.End.At)}
+		return State{ID: id, Name: e.End.State, Tenant: e.Tenant, Partner: e.Partner, Class: e.Class, Attempts: e.Attempts,
+			RetryAfter: time.Duration(e.End.RetryAfterMS) * time.Millisecond, AcceptedAt: c.wall(e.AcceptedAt), EndedAt: c.wall(e.End.At)}
 	}
 	if e := c.store.Ended(id); e != nil {
-		return State{ID: id, Name: e.State, Tenant: e.Tenant, Partner: e.Partner, Class: e.Class, Attempts: e.Tries,
-			RetryAfter: time.Duration(e.AfterMS) * time.Millisecond, AcceptedAt: c.wall(e.Accepted), EndedAt: c.wall(e.Over)}
+		return State{ID: id, Name: e.State, Tenant: e.Tenant, Partner: e.Partner, Class: e.Class, Attempts: e.Attempts,
+			RetryAfter: time.Duration(e.RetryAfterMS) * time.Millisecond, AcceptedAt: c.wall(e.AcceptedAt), EndedAt: c.wall(e.EndedAt)}
 	}
 	return State{ID: id}
 }
--- a/internal/core/terms.go
+++ b/internal/core/terms.go
@@ -41,7 +41,7 @@
 
 // journalled are the terms as the journal keeps them.
 func (t *terms) journalled() journal.Terms {
-	out := journal.Terms{Attempts: t.set.MaxTries}
+	out := journal.Terms{MaxAttempts: t.set.MaxTries}
 	for _, c := range t.set.Classes {
 		out.Classes = append(out.Classes, journal.ClassTerms{Name: c.Name, Aim: int64(c.Aim), Deadline: int64(c.Deadline), Worth: c.Worth,
 			LateWorth: c.LateWorth, Effect: uint8(c.Effect), ByZone: c.ByZone, Window: int64(c.Window), KeepOrder: c.KeepOrder})
@@ -57,7 +57,7 @@
 	}
 	for _, c := range t.Classes {
 		if c.Name == class {
-			return &logic.Terms{MaxTries: t.Attempts, Class: logic.Class{Name: c.Name, Aim: logic.Micros(c.Aim), Deadline: logic.Micros(c.Deadline),
+			return &logic.Terms{MaxTries: t.MaxAttempts, Class: logic.Class{Name: c.Name, Aim: logic.Micros(c.Aim), Deadline: logic.Micros(c.Deadline),
 				Worth: c.Worth, LateWorth: c.LateWorth, Effect: logic.Effect(c.Effect), ByZone: c.ByZone, Window: logic.Micros(c.Window),
 				KeepOrder: c.KeepOrder}}
 		}
--- a/internal/core/terms_test.go
+++ b/internal/core/terms_test.go
@@ -100,7 +100,7 @@
 				r.ends.confirm <- x.ID
 			}
 			for _, id := range []string{"x1", "y1"} {
-				if x := ends[id]; x.State != message.Failed || x.Tries != 2 {
+				if x := ends[id]; x.State != message.Failed || x.Attempts != 2 {
 					t.Errorf("%s ended as %+v", id, x)
 				}
 			}
--- a/internal/daemon/handover.go
+++ b/internal/daemon/handover.go
@@ -94,7 +94,7 @@
 }
 
 func askOn(c *handover.Conn) (*core.Takeover, error) {
-	if err := c.Send(&handover.Ask{Format: handover.Format}); err != nil {
+	if err := c.Send(&handover.SnapshotRequest{Format: handover.Format}); err != nil {
 		return nil, err
 	}
 	c.Within(time.Now().Add(askTime))
@@ -123,7 +123,7 @@
 		}
 		c.Within(time.Time{})
 		return in, nil
-	case *handover.Refuse:
+	case *handover.Refusal:
 		return nil, errors.New(m.Reason)
 	default:
 		return nil, fmt.Errorf("%T in the place of a snapshot", m)
@@ -175,7 +175,7 @@
 		files = append(files, fd)
 	}
 	if err = h.SendWith(snapshot, files); err != nil {
-		s.Gone = true
+		s.ConnectionLost = true
 	}
 	by := time.Now().Add(takenTime)
 	peer := h.Peer()
@@ -192,26 +192,26 @@
 			h.Within(by)
 			m, _, rerr := h.Receive()
 			switch m := m.(type) {
-			case *handover.Taken:
-				s.Taken = true
-			case *handover.Refuse:
-				s.Gone, err = true, errors.New(m.Reason)
+			case *handover.Confirmation:
+				s.Confirmed = true
+			case *handover.Refusal:
+				s.ConnectionLost, err = true, errors.New(m.Reason)
 			default:
-				s.Late = errors.Is(rerr, os.ErrDeadlineExceeded)
-				s.Gone = !s.Late
+				s.TimedOut = errors.Is(rerr, os.ErrDeadlineExceeded)
+				s.ConnectionLost = !s.TimedOut
 				if err = rerr; errors.Is(rerr, io.EOF) {
 					err = errors.New("the process that asked has gone")
 				}
 			}
 		case handover.TryLock:
 			s.Lock = h.tryLock()
-			if s.Lock != handover.Another {
+			if s.Lock != handover.LockHeldByOther {
 				continue
 			}
 			if brokenAt.IsZero() {
 				brokenAt = time.Now()
 			}
-			if s.Kept = s.Gone && time.Since(brokenAt) > dyingTime && !isEnding(peer); s.Kept {
+			if s.LockHeldLong = s.ConnectionLost && time.Since(brokenAt) > dyingTime && !isEnding(peer); s.LockHeldLong {
 				h.log.Error("the process that asked has the journal, and its socket has broken; it decides", "err", err)
 				h.Close()
 				continue
@@ -223,7 +223,7 @@
 			if pid > 1 && pid != os.Getpid() {
 				syscall.Kill(pid, syscall.SIGKILL)
 			}
-			s.Gone, s.Late = true, false
+			s.ConnectionLost, s.TimedOut = true, false
 		}
 		if time.Since(by) > fenceTime {
 			return false, fmt.Errorf("another process has the journal: %w", err)
@@ -243,17 +243,17 @@
 
 // tryLock looks whether the journal's lock is free. A third process that takes it
 // right after is found by whoever opens the journal then.
-func (h *successor) tryLock() handover.Lock {
+func (h *successor) tryLock() handover.LockState {
 	fs, err := vfs.OpenDir(h.dir)
 	if err != nil {
-		return handover.Another
+		return handover.LockHeldByOther
 	}
 	lock, err := store.Lock(fs)
 	if err != nil {
-		return handover.Another
+		return handover.LockHeldByOther
 	}
 	lock.Close()
-	return handover.Mine
+	return handover.LockAcquired
 }
 
 // descriptor is the number of a listener's descriptor. It is good as long as the
@@ -303,7 +303,7 @@
 func serveSuccessor(conn *handover.Conn, dir string, c *core.Core, log *slog.Logger) bool {
 	conn.Within(time.Now().Add(takenTime))
 	m, _, err := conn.Receive()
-	asked, ok := m.(*handover.Ask)
+	asked, ok := m.(*handover.SnapshotRequest)
 	switch {
 	case err != nil || !ok:
 		conn.Close()
@@ -322,7 +322,7 @@
 		}
 	}
 	log.Info("not handed over", "reason", err)
-	conn.Send(&handover.Refuse{Reason: err.Error()})
+	conn.Send(&handover.Refusal{Reason: err.Error()})
 	conn.Close()
 	return false
 }
--- a/internal/daemon/platform.go
+++ b/internal/daemon/platform.go
@@ -49,7 +49,7 @@
 		log.Debug("known", "ep", x.ID, "partner", x.Dest, "kind", x.Kind, "zone", x.Zone, "weight", x.Weight)
 	}
 	open := func() (*journal.Journal, error) {
-		return journal.Open(cfg.StateDir, journal.Options{Disk: int64(cfg.Limits.DiskMB*1e6) - config.KeptRoom, MostEnded: mostEnded,
+		return journal.Open(cfg.StateDir, journal.Options{MaxBytes: int64(cfg.Limits.DiskMB*1e6) - config.KeptRoom, MaxEnded: mostEnded,
 			Sync: store.SyncNever, Log: log}) // what is written outlasts the process there, and the machine is not to be outlasted
 	}
 	kept, from, err := acquire(ctx, cfg.StateDir, open, log)
@@ -58,7 +58,7 @@
 	}
 	share := shareOut(descriptors(cfg.Limits.Sockets, log), set.Slots, store.MostFiles(int64(cfg.Limits.DiskMB*1e6)-config.KeptRoom), consoleFiles(cfg.Console))
 	if from != nil {
-		cfg.Known.Generation = from.Snapshot.Version
+		cfg.Known.Generation = from.Snapshot.ListVersion
 	}
 	monitor := permit.NewMonitor(log)
 	p := &Platform{cfg: cfg, monitor: monitor, log: log, life: life, sink: notices.New(cfg.Discovery, log)}
--- a/internal/daemon/platform_test.go
+++ b/internal/daemon/platform_test.go
@@ -40,7 +40,7 @@
 			t.Fatal(err)
 		}
 	}
-	j, err := journal.Open(to, journal.Options{Disk: 3e6})
+	j, err := journal.Open(to, journal.Options{MaxBytes: 3e6})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -50,7 +50,7 @@
 // owed lists what a stopped sender has left in its journal.
 func owed(t *testing.T, dir string) (ids []string) {
 	t.Helper()
-	j, err := journal.Open(dir, journal.Options{Disk: 3e6})
+	j, err := journal.Open(dir, journal.Options{MaxBytes: 3e6})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/daemon/process_test.go
+++ b/internal/daemon/process_test.go
@@ -200,7 +200,7 @@
 		j := copied(t, dir)
 		defer j.Close()
 		failed, refused := j.Entry("failed"), j.Entry("refused")
-		return failed != nil && failed.End != nil && refused != nil && refused.Tries == 1 && !refused.Open
+		return failed != nil && failed.End != nil && refused != nil && refused.Attempts == 1 && !refused.InFlight
 	})
 	c.put("unsent", "unsafe", "+OK") // waits: the sender has been told to
 	x.kill()
--- a/internal/daemon/standalone.go
+++ b/internal/daemon/standalone.go
@@ -48,9 +48,9 @@
 		return nil, fmt.Errorf("state folder: %w", err)
 	}
 	open := func() (*journal.Journal, error) {
-		return journal.Open(f.State, journal.Options{Disk: int64(f.Limits.DiskMB) * 1e6,
-			KeepEnded: time.Duration(f.Limits.Remember), MostEnded: f.Limits.Remembered, Partners: true, Bodies: f.Store.Bodies,
-			Sync: f.Store.Mode(), Every: time.Duration(f.Store.Interval), Log: log})
+		return journal.Open(f.State, journal.Options{MaxBytes: int64(f.Limits.DiskMB) * 1e6,
+			EndRetention: time.Duration(f.Limits.Remember), MaxEnded: f.Limits.Remembered, KeepPartners: true, MaxBodyInMemory: f.Store.Bodies,
+			Sync: f.Store.Mode(), SyncInterval: time.Duration(f.Store.Interval), Log: log})
 	}
 	kept, from, err := acquire(ctx, f.State, open, log)
 	if err != nil {
--- a/internal/daemon/upgrade_test.go
+++ b/internal/daemon/upgrade_test.go
@@ -27,7 +27,7 @@
 func stall(dir string) {
 	c, err := handover.Dial(dir, time.Second)
 	if err == nil {
-		err = c.Send(&handover.Ask{Format: handover.Format})
+		err = c.Send(&handover.SnapshotRequest{Format: handover.Format})
 	}
 	if err == nil {
 		_, _, err = c.Receive()
@@ -293,7 +293,7 @@
 			t.Fatal(err)
 		}
 		t.Cleanup(func() { c.Close() })
-		if err := c.Send(&handover.Ask{Format: format}); err != nil {
+		if err := c.Send(&handover.SnapshotRequest{Format: format}); err != nil {
 			t.Fatal(err)
 		}
 		c.Within(time.Now().Add(byhand.Patience))
@@ -322,7 +322,7 @@
 			ask(t, x, handover.Format, &handover.Snapshot{})
 			x.old.says("not handed over")
 		},
-		"another format": func(t *testing.T, x *pair) { ask(t, x, 99, &handover.Refuse{}) },
+		"another format": func(t *testing.T, x *pair) { ask(t, x, 99, &handover.Refusal{}) },
 		"hangs with the lock": func(t *testing.T, x *pair) {
 			hung := runSelf(t, stallIn+"="+x.dir)
 			x.old.says("it is ended")
--- a/internal/front/http/front_test.go
+++ b/internal/front/http/front_test.go
@@ -39,7 +39,7 @@
 	if hold < 0 {
 		return &core.FieldError{Field: "deadline", Reason: "past"}
 	}
-	if !message.Plain(m.ID + m.Partner) {
+	if !message.IsVisibleASCII(m.ID + m.Partner) {
 		return &core.FieldError{Field: "id", Reason: "bad"}
 	}
 	return s.check
@@ -395,7 +395,7 @@
 	f, base := newFront(t, &scripted{}, func(o *Options) { o.Streams = 16 })
 	add := func(from, to int) {
 		for i := from; i < to; i++ {
-			f.opts.Stream.Add(&message.Message{Partner: "p", Class: "c"}, message.End{ID: fmt.Sprint("m", i), State: message.Delivered, Tries: 1})
+			f.opts.Stream.Add(&message.Message{Partner: "p", Class: "c"}, message.End{ID: fmt.Sprint("m", i), State: message.Delivered, Attempts: 1})
 		}
 	}
 	add(0, 3)
--- a/internal/journal/apply.go
+++ b/internal/journal/apply.go
@@ -34,14 +34,14 @@
 		e.n = j.n
 		j.entries[e.ID] = e
 		m := markMessage
-		if e.Tries > 0 || e.End != nil { // of an older file
+		if e.Attempts > 0 || e.End != nil { // of an older file
 			m |= markState
 		}
 		j.mark(e.ID, m)
-		j.passed.set(e.Behind, true)
+		j.passed.set(e.BacklogSeq, true)
 		return func() {
 			delete(j.entries, e.ID)
-			j.passed.set(e.Behind, false)
+			j.passed.set(e.BacklogSeq, false)
 			j.mark(e.ID, markMessage|markState) // part of it may have been written
 		}
 	case OpWait:
@@ -51,11 +51,11 @@
 			j.dropWaits(j.clock.Now())
 		}
 		return nil
-	case OpPassed:
-		j.passed.set(rec.Behind, true)
+	case OpLeftBacklog:
+		j.passed.set(rec.BacklogSeq, true)
 		return nil
-	case OpCleared:
-		j.passed.clear(rec.Behind, rec.Count)
+	case OpBacklogReclaimed:
+		j.passed.clear(rec.BacklogSeq, rec.Count)
 		return nil
 	case OpPartner:
 		j.applyPartner(rec.ID, rec.Partner)
@@ -80,28 +80,28 @@
 	j.mark(e.ID, markState)
 	switch rec.Op {
 	case OpSend:
-		tries, open, firstMay, firstZone := e.Tries, e.Open, e.FirstMay, e.FirstZone
-		e.Tries++
-		e.Open = true
-		if !e.MayRun {
-			e.FirstMay, e.FirstZone = rec.At, rec.Zone
+		tries, open, firstMay, firstZone := e.Attempts, e.InFlight, e.MayHaveRunSince, e.MayHaveRunZone
+		e.Attempts++
+		e.InFlight = true
+		if !e.MayHaveRun {
+			e.MayHaveRunSince, e.MayHaveRunZone = rec.At, rec.Zone
 		}
 		return func() {
-			e.Tries, e.Open, e.FirstMay, e.FirstZone = tries, open, firstMay, firstZone
+			e.Attempts, e.InFlight, e.MayHaveRunSince, e.MayHaveRunZone = tries, open, firstMay, firstZone
 			j.mark(e.ID, markState)
 		}
 	case OpOutcome:
-		e.Open = false
-		e.MayRun = e.MayRun || rec.MayRun
+		e.InFlight = false
+		e.MayHaveRun = e.MayHaveRun || rec.MayHaveRun
 	case OpEnd:
 		if rec.End == nil || e.End != nil {
 			return nil
 		}
-		e.EndDigest = e.Told()
+		e.StoredDigest = e.SubmittedDigest()
 		e.End = rec.End
-		e.Body, e.Left = nil, 0
+		e.Body, e.StoredBodySize = nil, 0
 		j.mark(e.ID, markMessage)
-	case OpDone, OpNoticed:
+	case OpDone, OpNotified:
 		delete(j.entries, e.ID)
 		j.mark(e.ID, markMessage)
 		j.remember(j.endedOf(e, rec))
@@ -111,13 +111,13 @@
 
 // endedOf is what is remembered of a message whose last record is rec.
 func (j *Journal) endedOf(e *Entry, rec *Record) *Ended {
-	x := &Ended{ID: e.ID, Tenant: e.Tenant, Partner: e.Partner, Class: e.Class, State: message.Delivered, Tries: e.Tries,
-		Accepted: e.Accepted, Over: rec.At, Digest: e.Told(), Until: e.Deadline, behind: e.Behind, n: e.n}
+	x := &Ended{ID: e.ID, Tenant: e.Tenant, Partner: e.Partner, Class: e.Class, State: message.Delivered, Attempts: e.Attempts,
+		AcceptedAt: e.AcceptedAt, EndedAt: rec.At, Digest: e.SubmittedDigest(), RetainUntil: e.Deadline, behind: e.BacklogSeq, n: e.n}
 	if e.End != nil {
-		x.State, x.AfterMS, x.Over = e.End.State, e.End.AfterMS, e.End.At
+		x.State, x.RetryAfterMS, x.EndedAt = e.End.State, e.End.RetryAfterMS, e.End.At
 	}
-	if k := j.opts.KeepEnded; k > 0 {
-		x.Until = x.Over + k.Microseconds()
+	if k := j.opts.EndRetention; k > 0 {
+		x.RetainUntil = x.EndedAt + k.Microseconds()
 	}
 	return x
 }
--- a/internal/journal/bench_test.go
+++ b/internal/journal/bench_test.go
@@ -17,7 +17,7 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	j := openJournal(b, dir, Options{Disk: 3e6, MostEnded: 16384, Sync: store.SyncNever})
+	j := openJournal(b, dir, Options{MaxBytes: 3e6, MaxEnded: 16384, Sync: store.SyncNever})
 	body := make([]byte, 256)
 	b.ReportAllocs()
 	for i := range b.N {
--- a/internal/journal/crash_test.go
+++ b/internal/journal/crash_test.go
@@ -18,10 +18,10 @@
 // steps are a message's records, one an append.
 func steps(i int) []Record {
 	id := fmt.Sprint("m", i)
-	list := []Record{accept(id, 200+i*37%900), {Op: OpSend, ID: id, At: 100}, {Op: OpOutcome, ID: id, MayRun: i%2 == 0}, {Op: OpSend, ID: id, At: 200}}
+	list := []Record{accept(id, 200+i*37%900), {Op: OpSend, ID: id, At: 100}, {Op: OpOutcome, ID: id, MayHaveRun: i%2 == 0}, {Op: OpSend, ID: id, At: 200}}
 	at := time.Now().UnixMicro()
 	if i%3 == 0 {
-		return append(list, Record{Op: OpEnd, ID: id, End: &message.End{ID: id, State: message.Failed, At: at}}, Record{Op: OpNoticed, ID: id, At: at})
+		return append(list, Record{Op: OpEnd, ID: id, End: &message.End{ID: id, State: message.Failed, At: at}}, Record{Op: OpNotified, ID: id, At: at})
 	}
 	return append(list, Record{Op: OpDone, ID: id, At: at})
 }
@@ -70,16 +70,16 @@
 			continue
 		}
 		// The place that it has come to lies between what was acknowledged and what was begun.
-		at := 1 + 2*e.Tries - 1
+		at := 1 + 2*e.Attempts - 1
 		switch {
-		case e.Tries == 0:
+		case e.Attempts == 0:
 			at = 1
 		case e.End != nil:
 			at = 5
-		case !e.Open:
+		case !e.InFlight:
 			at++
 		}
-		if at < l.acked || at > l.begun || e.End == nil && len(e.Body) != 200+i*37%900 || e.MayRun != (at > 2 && i%2 == 0) {
+		if at < l.acked || at > l.begun || e.End == nil && len(e.Body) != 200+i*37%900 || e.MayHaveRun != (at > 2 && i%2 == 0) {
 			t.Fatalf("%s: %s is at %d, between %d and %d: %+v", what, id, at, l.acked, l.begun, e)
 		}
 	}
@@ -89,7 +89,7 @@
 // from there.
 func TestCrashAtEveryCall(t *testing.T) {
 	const rounds = 90
-	opts := Options{Disk: 900_000, MostEnded: 1000, KeepEnded: time.Hour, Sync: store.SyncAlways}
+	opts := Options{MaxBytes: 900_000, MaxEnded: 1000, EndRetention: time.Hour, Sync: store.SyncAlways}
 	whole := vfs.NewMem()
 	j := openJournal(t, whole, opts)
 	if err := drive(j, make([]life, 40), rounds); err != nil {
@@ -145,13 +145,13 @@
 	if err == nil {
 		t.Fatal("no error")
 	}
-	if j.Entry("c") != nil || j.Entry("b").Tries != 0 || j.Entry("a") != nil {
+	if j.Entry("c") != nil || j.Entry("b").Attempts != 0 || j.Entry("a") != nil {
 		t.Errorf("after the error: a %v, b %+v, c %v", j.Entry("a"), j.Entry("b"), j.Entry("c"))
 	}
 	fs.Limit(0)
 	mustAppend(t, j, accept("d", 10))
 	j = reopen(t, j, fs)
-	if j.Entry("a") != nil || j.Entry("b") == nil || j.Entry("b").Tries != 0 || j.Entry("c") != nil || j.Entry("d") == nil {
+	if j.Entry("a") != nil || j.Entry("b") == nil || j.Entry("b").Attempts != 0 || j.Entry("c") != nil || j.Entry("d") == nil {
 		t.Errorf("after the restart: %v", j.entries)
 	}
 	j.Close()
@@ -171,7 +171,7 @@
 	fs.Set("00000001.seg", b)
 	j = openJournal(t, fs, plain)
 	for _, id := range []string{"a", "b"} {
-		if e := j.Entry(id); e == nil || !e.MayRun || e.FirstMay != e.Accepted {
+		if e := j.Entry(id); e == nil || !e.MayHaveRun || e.MayHaveRunSince != e.AcceptedAt {
 			t.Errorf("%s: %+v", id, e)
 		}
 	}
--- a/internal/journal/describe.go
+++ b/internal/journal/describe.go
@@ -2,32 +2,32 @@
 
 import "fmt"
 
-// Described is a record as a person may read it.
-type Described struct {
-	What  string `json:"what"` // message, state, wait, partner or terms
+// Description is a record as a person may read it.
+type Description struct {
+	Kind  string `json:"what"` // message, state, wait, partner or terms
 	ID    string `json:"id"`   // of the message; of a wait, the endpoint's name; of a partner, its own
 	Value any    `json:"value"`
 }
 
 // Describe reads a record of the store beneath a journal.
-func Describe(key string, value []byte) (Described, error) {
+func Describe(key string, value []byte) (Description, error) {
 	if key == "" {
-		return Described{}, fmt.Errorf("a record without a key")
+		return Description{}, fmt.Errorf("a record without a key")
 	}
-	d := Described{ID: key[1:]}
+	d := Description{ID: key[1:]}
 	switch key[:1] {
 	case keyMessage:
-		d.What, d.Value = "message", &messageRecord{}
+		d.Kind, d.Value = "message", &messageRecord{}
 	case keyState:
-		d.What, d.Value = "state", &stateRecord{}
+		d.Kind, d.Value = "state", &stateRecord{}
 	case keyWait:
-		d.What, d.Value = "wait", &waitRecord{}
+		d.Kind, d.Value = "wait", &waitRecord{}
 	case keyPartner:
-		d.What, d.Value = "partner", &Partner{}
+		d.Kind, d.Value = "partner", &Partner{}
 	case keyTerms:
-		d.What, d.Value = "terms", &Terms{}
+		d.Kind, d.Value = "terms", &Terms{}
 	case keyPassed:
-		d.What = "passed"
+		d.Kind = "passed"
 		p := newPassed()
 		d.Value = value
 		return d, p.load(d.ID, value)
--- a/internal/journal/ended.go
+++ b/internal/journal/ended.go
@@ -2,20 +2,20 @@
 
 // Ended is what is remembered of a message that is over.
 type Ended struct {
-	ID       string `json:"id"`
-	Tenant   string `json:"tenant,omitempty"`
-	Partner  string `json:"partner,omitempty"`
-	Class    string `json:"class,omitempty"`
-	State    string `json:"state"`
-	AfterMS  int64  `json:"after_ms,omitempty"`
-	Tries    int    `json:"tries,omitempty"`
-	Accepted int64  `json:"at,omitempty"` // by the clock of package clock, as is Over
-	Over     int64  `json:"over"`
-	Digest   uint64 `json:"digest"`
-	Until    int64  `json:"until"` // forgotten after this
-	behind   uint64 // of its [Entry], as is n
-	n        int64
-	saved    bool // it is to be in the store
+	ID           string `json:"id"`
+	Tenant       string `json:"tenant,omitempty"`
+	Partner      string `json:"partner,omitempty"`
+	Class        string `json:"class,omitempty"`
+	State        string `json:"state"`
+	RetryAfterMS int64  `json:"after_ms,omitempty"`
+	Attempts     int    `json:"tries,omitempty"`
+	AcceptedAt   int64  `json:"at,omitempty"` // by the clock of package clock, as is Over
+	EndedAt      int64  `json:"over"`
+	Digest       uint64 `json:"digest"`
+	RetainUntil  int64  `json:"until"` // forgotten after this
+	behind       uint64 // of its [Entry], as is n
+	n            int64
+	saved        bool // it is to be in the store
 }
 
 // size is roughly what it takes in the store.
@@ -82,7 +82,7 @@
 
 // forget drops those at the front whose time is up.
 func (d *ended) forget(now int64) {
-	for len(d.byID) > 0 && d.queue[d.head].Until < now {
+	for len(d.byID) > 0 && d.queue[d.head].RetainUntil < now {
 		d.pop()
 	}
 }
--- a/internal/journal/harness_test.go
+++ b/internal/journal/harness_test.go
@@ -12,7 +12,7 @@
 	"cometrack/internal/vfs"
 )
 
-var plain = Options{Disk: 3e6, MostEnded: 100, KeepEnded: time.Hour}
+var plain = Options{MaxBytes: 3e6, MaxEnded: 100, EndRetention: time.Hour}
 
 func openJournal(t testing.TB, fs vfs.FS, opts Options) *Journal {
 	t.Helper()
--- a/internal/journal/journal.go
+++ b/internal/journal/journal.go
@@ -17,17 +17,17 @@
 
 // Options bound the journal.
 type Options struct {
-	Disk int64 // bytes in the folder; 0 for a default
-	// Ends of messages are remembered for KeepEnded after the end, or if that is 0 until the message's own
+	MaxBytes int64 // bytes in the folder; 0 for a default
+	// Ends of messages are remembered for EndRetention after the end, or if that is 0 until the message's own
 	// deadline, and no more than MostEnded at once; the oldest go first. Those that fit into a fifth of the
 	// room outlive the process.
-	KeepEnded time.Duration
-	MostEnded int
-	Bodies    int  // a larger body is left on the disk until it is asked for; 0 to have all in memory
-	Partners  bool // what is known of partners is kept too, in a twentieth of the room
-	Sync      store.Sync
-	Every     time.Duration // store.SyncInterval: how often
-	Log       *slog.Logger  // nil for none
+	EndRetention    time.Duration
+	MaxEnded        int
+	MaxBodyInMemory int  // a larger body is left on the disk until it is asked for; 0 to have all in memory
+	KeepPartners    bool // what is known of partners is kept too, in a twentieth of the room
+	Sync            store.Sync
+	SyncInterval    time.Duration // store.SyncInterval: how often
+	Log             *slog.Logger  // nil for none
 }
 
 const (
@@ -59,7 +59,7 @@
 	clock    *clock.Clock
 	epoch    clock.Epoch
 	newEpoch bool  // the store does not have it
-	promised int64 // bytes that Room has said yes to and Append has not had
+	promised int64 // bytes that Reserve has said yes to and Append has not had
 	batch    store.Batch
 	buf      bytes.Buffer // values of the batch
 	undo     []undo
@@ -91,8 +91,8 @@
 
 // OpenOn is [Open] on a file system.
 func OpenOn(fs vfs.FS, opts Options) (*Journal, error) {
-	if opts.Disk <= 0 {
-		opts.Disk = defaultDisk
+	if opts.MaxBytes <= 0 {
+		opts.MaxBytes = defaultDisk
 	}
 	if opts.Log == nil {
 		opts.Log = slog.New(slog.DiscardHandler)
@@ -103,9 +103,9 @@
 	}
 	j := &Journal{store: st, fs: fs, opts: opts, log: opts.Log, entries: map[string]*Entry{}, waits: map[string]int64{}, dirty: map[string]mark{}, dirtyWaits: map[string]bool{},
 		terms: map[int64]*Terms{}, dirtyTerms: map[int64]bool{}, passed: newPassed()}
-	j.ended = newEnded(opts.MostEnded, int64(endedPart*float64(st.Stats().Capacity)), func(id string) { j.mark(id, markState) })
+	j.ended = newEnded(opts.MaxEnded, int64(endedPart*float64(st.Stats().Capacity)), func(id string) { j.mark(id, markState) })
 	j.partners = partners{by: map[string]*known{}, dirty: map[string]bool{}}
-	if opts.Partners {
+	if opts.KeepPartners {
 		j.partners.room = int64(partnersPart * float64(st.Stats().Capacity))
 	}
 	if err = j.load(); err == nil {
@@ -157,7 +157,7 @@
 			if err := decode(key, value, t); err != nil {
 				return err
 			}
-			j.terms[t.N], j.lastTerms = t, max(j.lastTerms, t.N)
+			j.terms[t.Number], j.lastTerms = t, max(j.lastTerms, t.Number)
 		case keyPassed:
 			if err := j.passed.load(id, value); err != nil {
 				return err
@@ -169,7 +169,7 @@
 				j.partners.dirty[id] = true
 				return nil
 			}
-			j.partners.by[id] = &known{at: r.At, sick: r.Sick, value: r, size: store.FrameSize(len(key), len(value))}
+			j.partners.by[id] = &known{at: r.At, sick: r.Unhealthy, value: r, size: store.FrameSize(len(key), len(value))}
 			j.partners.bytes += j.partners.by[id].size
 		}
 		return nil
@@ -178,7 +178,7 @@
 		return err
 	}
 	for _, e := range j.entries { // one that a crash has left in both places is here
-		j.passed.keep(e.Behind)
+		j.passed.keep(e.BacklogSeq)
 	}
 	for _, r := range states {
 		j.passed.keep(r.Behind)
@@ -211,17 +211,17 @@
 	if j.store.Found().Doubt() || unread > 0 {
 		// What became of a message may be lost: it may have run.
 		for _, e := range j.entries {
-			if e.End == nil && !e.MayRun && !e.Open {
-				e.MayRun, e.FirstMay, e.FirstZone = true, e.Accepted, ""
+			if e.End == nil && !e.MayHaveRun && !e.InFlight {
+				e.MayHaveRun, e.MayHaveRunSince, e.MayHaveRunZone = true, e.AcceptedAt, ""
 				j.mark(e.ID, markState)
 			}
 		}
 	}
-	slices.SortFunc(over, func(a, b *Ended) int { return int(min(max(a.Over-b.Over, -1), 1)) })
+	slices.SortFunc(over, func(a, b *Ended) int { return int(min(max(a.EndedAt-b.EndedAt, -1), 1)) })
 	known := j.startClock(kept, over)
 	for _, x := range over {
 		if !known { // nothing is forgotten early: its window begins anew
-			x.Until = max(x.Until, j.clock.Now()+max(x.Until-x.Over, 0))
+			x.RetainUntil = max(x.RetainUntil, j.clock.Now()+max(x.RetainUntil-x.EndedAt, 0))
 		}
 		j.ended.add(x)
 	}
@@ -272,8 +272,8 @@
 
 // leave leaves a large body to the store.
 func (j *Journal) leave(e *Entry) {
-	if most := j.opts.Bodies; most > 0 && len(e.Body) > most {
-		e.EndDigest, e.Left, e.Body = e.Digest(), len(e.Body), nil
+	if most := j.opts.MaxBodyInMemory; most > 0 && len(e.Body) > most {
+		e.StoredDigest, e.StoredBodySize, e.Body = e.Digest(), len(e.Body), nil
 	}
 }
 
@@ -302,13 +302,13 @@
 // Ended returns what is remembered of a message that is over; nil if nothing is.
 func (j *Journal) Ended(id string) *Ended { return j.ended.byID[id] }
 
-// Unsaved lists the ends that are remembered in memory only, the oldest first: what
+// UnsavedEnds lists the ends that are remembered in memory only, the oldest first: what
 // another process that opens the journal does not find in it.
-func (j *Journal) Unsaved() []*Ended { return j.ended.queue[j.ended.head:j.ended.saved] }
+func (j *Journal) UnsavedEnds() []*Ended { return j.ended.queue[j.ended.head:j.ended.saved] }
 
-// AddUnsaved has ends remembered that another process knew of and that are older
+// AddUnsavedEnds has ends remembered that another process knew of and that are older
 // than all that are in the store.
-func (j *Journal) AddUnsaved(list []*Ended) { j.ended.before(list) }
+func (j *Journal) AddUnsavedEnds(list []*Ended) { j.ended.before(list) }
 
 // Waits lists the waits that endpoints have told and that are not over: until when,
 // by the endpoint's name.
@@ -339,8 +339,8 @@
 	}
 }
 
-// Forget drops ends whose time is up.
-func (j *Journal) Forget(now int64) {
+// DropExpired drops ends whose time is up.
+func (j *Journal) DropExpired(now int64) {
 	if err := j.revive(); err != nil {
 		j.log.Warn("journal: the store can't be opened again yet", "err", err)
 		return
@@ -355,9 +355,9 @@
 	}
 }
 
-// Room says whether the journal can take on a message with such a body, beside all
+// Reserve says whether the journal can take on a message with such a body, beside all
 // that it holds and what is owed for it. A yes counts until the next Append.
-func (j *Journal) Room(body int) bool {
+func (j *Journal) Reserve(body int) bool {
 	need := store.FrameSize(message.MaxName+1, body+messageOverhead) + reserve
 	if !j.store.Room(j.promised + need + int64(len(j.entries))*reserve + j.partners.free()) {
 		return false
--- a/internal/journal/journal_test.go
+++ b/internal/journal/journal_test.go
@@ -19,9 +19,9 @@
 		mustAppend(t, j, Record{Op: OpSend, ID: id, At: 100, Zone: "b"})
 	}
 	mustAppend(t, j, Record{Op: OpDone, ID: "done"}, Record{Op: OpOutcome, ID: "never"},
-		Record{Op: OpOutcome, ID: "may", MayRun: true}, Record{Op: OpSend, ID: "may", At: 200, Zone: "a"},
+		Record{Op: OpOutcome, ID: "may", MayHaveRun: true}, Record{Op: OpSend, ID: "may", At: 200, Zone: "a"},
 		Record{Op: OpEnd, ID: "ended", End: &message.End{ID: "ended", State: "failed"}},
-		Record{Op: OpEnd, ID: "heard", End: &message.End{ID: "heard", State: "failed"}}, Record{Op: OpNoticed, ID: "heard"})
+		Record{Op: OpEnd, ID: "heard", End: &message.End{ID: "heard", State: "failed"}}, Record{Op: OpNotified, ID: "heard"})
 	for _, how := range []string{"at once", "reopened", "reopened twice"} {
 		if how != "at once" {
 			j = reopen(t, j, fs)
@@ -33,17 +33,17 @@
 		if got := fmt.Sprint(ids); got != "[sent never may ended]" {
 			t.Fatalf("%s: owed %v", how, got)
 		}
-		if e := j.Entry("sent"); e.Tries != 1 || !e.Open || e.MayRun || e.FirstMay != 100 || e.FirstZone != "b" || string(e.Body) != "bbb" {
+		if e := j.Entry("sent"); e.Attempts != 1 || !e.InFlight || e.MayHaveRun || e.MayHaveRunSince != 100 || e.MayHaveRunZone != "b" || string(e.Body) != "bbb" {
 			t.Errorf("%s: sent: %+v", how, e)
 		}
-		if e := j.Entry("never"); e.Tries != 1 || e.Open || e.MayRun {
+		if e := j.Entry("never"); e.Attempts != 1 || e.InFlight || e.MayHaveRun {
 			t.Errorf("%s: never: %+v", how, e)
 		}
 		// The window of a keyed message counts from the first send that may have run, not from the last.
-		if e := j.Entry("may"); e.Tries != 2 || !e.Open || !e.MayRun || e.FirstMay != 100 || e.FirstZone != "b" {
+		if e := j.Entry("may"); e.Attempts != 2 || !e.InFlight || !e.MayHaveRun || e.MayHaveRunSince != 100 || e.MayHaveRunZone != "b" {
 			t.Errorf("%s: may: %+v", how, e)
 		}
-		if e := j.Entry("ended"); e.End == nil || e.End.State != "failed" || e.Told() != accept("ended", 3).Entry.Digest() {
+		if e := j.Entry("ended"); e.End == nil || e.End.State != "failed" || e.SubmittedDigest() != accept("ended", 3).Entry.Digest() {
 			t.Errorf("%s: ended: %+v", how, e)
 		}
 	}
@@ -56,12 +56,12 @@
 	j := openJournal(t, fs, plain)
 	now := time.Now()
 	mustAppend(t, j, accept("done", 10), Record{Op: OpSend, ID: "done", At: 1}, Record{Op: OpDone, ID: "done", At: now.UnixMicro()},
-		accept("back", 10), Record{Op: OpEnd, ID: "back", End: &message.End{ID: "back", State: message.Returned, AfterMS: 7, At: now.UnixMicro()}},
-		Record{Op: OpNoticed, ID: "back"})
+		accept("back", 10), Record{Op: OpEnd, ID: "back", End: &message.End{ID: "back", State: message.Returned, RetryAfterMS: 7, At: now.UnixMicro()}},
+		Record{Op: OpNotified, ID: "back"})
 	want := accept("done", 10).Entry.Digest()
 	for i := range 3 {
 		a, b := j.Ended("done"), j.Ended("back")
-		if a == nil || a.State != message.Delivered || a.Tries != 1 || a.Digest != want || b == nil || b.State != message.Returned || b.AfterMS != 7 {
+		if a == nil || a.State != message.Delivered || a.Attempts != 1 || a.Digest != want || b == nil || b.State != message.Returned || b.RetryAfterMS != 7 {
 			t.Fatalf("restart %d: %+v %+v", i, a, b)
 		}
 		j = reopen(t, j, fs)
@@ -73,7 +73,7 @@
 	}
 	mustAppend(t, j, accept("late", 10))
 	j = reopen(t, j, fs)
-	if e := j.Entry("late"); e == nil || e.Tries != 0 || e.Open {
+	if e := j.Entry("late"); e == nil || e.Attempts != 0 || e.InFlight {
 		t.Errorf("the second message of the id: %+v", e)
 	}
 	j.Close()
@@ -84,7 +84,7 @@
 func TestEndedBounded(t *testing.T) {
 	fs := vfs.NewMem()
 	opts := plain
-	opts.Disk, opts.MostEnded = 1e6, 8000
+	opts.MaxBytes, opts.MaxEnded = 1e6, 8000
 	j := openJournal(t, fs, opts)
 	for i := range 10_000 {
 		id := fmt.Sprint("m", i)
@@ -93,10 +93,10 @@
 			t.Fatalf("%d are remembered, %d in the queue", n, len(j.ended.all()))
 		}
 	}
-	if s := j.Stats(); float64(s.Live) > 0.25*float64(s.Capacity) || s.Used > opts.Disk {
+	if s := j.Stats(); float64(s.Live) > 0.25*float64(s.Capacity) || s.Used > opts.MaxBytes {
 		t.Errorf("they take %d of %d bytes, files %d", s.Live, s.Capacity, s.Used)
 	}
-	if j.Ended("m9999") == nil || j.Ended("m2000") == nil || j.Ended("m1999") != nil || !j.Room(1000) {
+	if j.Ended("m9999") == nil || j.Ended("m2000") == nil || j.Ended("m1999") != nil || !j.Reserve(1000) {
 		t.Error("not the newest are remembered, or they leave no room")
 	}
 	if n := len(j.ended.queue); n > 20_000 {
@@ -111,7 +111,7 @@
 	}
 	until := newEnded(10, 0, func(string) {})
 	for i := range 5 {
-		until.add(&Ended{ID: fmt.Sprint(i), Until: int64(i * 100)})
+		until.add(&Ended{ID: fmt.Sprint(i), RetainUntil: int64(i * 100)})
 	}
 	until.forget(250)
 	if len(until.byID) != 2 || until.byID["3"] == nil {
@@ -157,7 +157,7 @@
 	}
 	for i := range 20_000 {
 		id := fmt.Sprint("m", i)
-		if !j.Room(1000) {
+		if !j.Reserve(1000) {
 			t.Fatal("no room while nothing is held")
 		}
 		mustAppend(t, j, accept(id, 1000), Record{Op: OpSend, ID: id, At: 1})
@@ -165,7 +165,7 @@
 		check()
 	}
 	n := 0
-	for ; j.Room(1000); n++ {
+	for ; j.Reserve(1000); n++ {
 		mustAppend(t, j, accept(fmt.Sprint("f", n), 1000))
 		check()
 	}
@@ -174,7 +174,7 @@
 	}
 	for i := range 20_000 { // what becomes of them finds its room
 		id := fmt.Sprint("f", i%n)
-		mustAppend(t, j, Record{Op: OpSend, ID: id, At: int64(i)}, Record{Op: OpOutcome, ID: id, MayRun: true})
+		mustAppend(t, j, Record{Op: OpSend, ID: id, At: int64(i)}, Record{Op: OpOutcome, ID: id, MayHaveRun: true})
 		check()
 	}
 	for i := range n {
@@ -182,7 +182,7 @@
 		mustAppend(t, j, Record{Op: OpEnd, ID: id, End: &message.End{ID: id, State: message.Failed, At: 1}})
 		check()
 	}
-	if j = reopen(t, j, fs); j.Len() != n || j.Entry("f0").Tries < 20_000/n {
+	if j = reopen(t, j, fs); j.Len() != n || j.Entry("f0").Attempts < 20_000/n {
 		t.Errorf("%d of %d, %+v", j.Len(), n, j.Entry("f0"))
 	}
 	j.Close()
--- a/internal/journal/old_test.go
+++ b/internal/journal/old_test.go
@@ -20,7 +20,7 @@
 		`{"op":2,"id":"a","at":5,"at_zone":"y"}`,
 		`{"op":1,"entry":{"id":"c","class":"safe","dest":7,"deadline":99}}`,
 		`{"op":5,"id":"c","notice":{"id":"c","state":"failed"}}`,
-		Record{Op: OpEnded, Ended: &Ended{ID: "d", State: message.Delivered, Until: until}},
+		Record{Op: OpEnded, Ended: &Ended{ID: "d", State: message.Delivered, RetainUntil: until}},
 		accept("e", 10), Record{Op: OpDone, ID: "e", At: until},
 		Record{Op: OpWait, ID: "w", At: until})
 	// Its times are those of a wall clock that may have been stepped since: how old an attempt is is not known.
@@ -30,8 +30,8 @@
 		if j.Len() != 3 || a == nil || b == nil || c == nil {
 			t.Fatalf("%s: %v", what, j.entries)
 		}
-		if a.Partner != "7" || a.Tenant != "acme" || a.Tries != 1 || !a.Open || a.FirstMay != longAgo || a.FirstZone != "y" || string(a.Body) != "x" ||
-			b.Partner != "0" || b.Tries != 2 || !b.MayRun || b.FirstMay != longAgo || b.FirstZone != "z" || c.End == nil || c.End.State != message.Failed {
+		if a.Partner != "7" || a.Tenant != "acme" || a.Attempts != 1 || !a.InFlight || a.MayHaveRunSince != longAgo || a.MayHaveRunZone != "y" || string(a.Body) != "x" ||
+			b.Partner != "0" || b.Attempts != 2 || !b.MayHaveRun || b.MayHaveRunSince != longAgo || b.MayHaveRunZone != "z" || c.End == nil || c.End.State != message.Failed {
 			t.Errorf("%s: a %+v\nb %+v\nc %+v", what, a, b, c)
 		}
 		if j.Ended("d") == nil || j.Ended("e") == nil || j.Ended("e").State != message.Delivered || j.Waits()["w"] != until {
--- a/internal/journal/partners.go
+++ b/internal/journal/partners.go
@@ -11,56 +11,56 @@
 // Partner is what is known of a partner, so that a later process does not begin
 // with nothing. Spans are microseconds before At. Endpoints stand by name.
 type Partner struct {
-	At        int64             `cbor:"1,keyasint" json:"at"`             // Unix time in microseconds
-	Sick      bool              `cbor:"2,keyasint,omitempty" json:"sick"` // something is out, or not warm yet
-	Used      int64             `cbor:"3,keyasint,omitempty" json:"used"`
-	Came      int               `cbor:"4,keyasint,omitempty" json:"came,omitempty"` // messages since an outage began
-	Down      int64             `cbor:"5,keyasint,omitempty" json:"down,omitempty"` // since that was seen
-	Limit     PartnerLimit      `cbor:"6,keyasint,omitempty" json:"limit"`
-	Endpoints []PartnerEndpoint `cbor:"7,keyasint,omitempty" json:"endpoints"`
-	Bins      []byte            `cbor:"8,keyasint,omitempty" json:"bins,omitempty"` // of the histogram of latencies
-	Weights   []uint16          `cbor:"9,keyasint,omitempty" json:"weights,omitempty"`
-	Cuts      uint16            `cbor:"10,keyasint,omitempty" json:"cuts,omitempty"`
-	Sampled   int64             `cbor:"11,keyasint,omitempty" json:"sampled,omitempty"`
-	Exact     bool              `cbor:"12,keyasint,omitempty" json:"-"` // of a handover, as are all that follow below; never stored
+	At          int64             `cbor:"1,keyasint" json:"at"`             // Unix time in microseconds
+	Unhealthy   bool              `cbor:"2,keyasint,omitempty" json:"sick"` // something is out, or not warm yet
+	SinceUsed   int64             `cbor:"3,keyasint,omitempty" json:"used"`
+	Arrivals    int               `cbor:"4,keyasint,omitempty" json:"came,omitempty"` // messages since an outage began
+	SinceOutage int64             `cbor:"5,keyasint,omitempty" json:"down,omitempty"` // since that was seen
+	Limiter     PartnerLimiter    `cbor:"6,keyasint,omitempty" json:"limit"`
+	Endpoints   []PartnerEndpoint `cbor:"7,keyasint,omitempty" json:"endpoints"`
+	Bins        []byte            `cbor:"8,keyasint,omitempty" json:"bins,omitempty"` // of the histogram of latencies
+	Weights     []uint16          `cbor:"9,keyasint,omitempty" json:"weights,omitempty"`
+	Censored    uint16            `cbor:"10,keyasint,omitempty" json:"cuts,omitempty"`
+	SinceSample int64             `cbor:"11,keyasint,omitempty" json:"sampled,omitempty"`
+	Exact       bool              `cbor:"12,keyasint,omitempty" json:"-"` // of a handover, as are all that follow below; never stored
 }
 
-// PartnerLimit is what is known of a limit; rates are calls a second.
-type PartnerLimit struct {
-	Told   float64 `cbor:"1,keyasint,omitempty" json:"told,omitempty"`
-	Pace   float64 `cbor:"2,keyasint,omitempty" json:"pace,omitempty"`
-	Halved int64   `cbor:"3,keyasint,omitempty" json:"halved,omitempty"`
-	Peak   float64 `cbor:"4,keyasint,omitempty" json:"peak,omitempty"`
-
-	Sent   []int64 `cbor:"5,keyasint,omitempty" json:"-"`
-	Tokens float64 `cbor:"6,keyasint,omitempty" json:"-"`
-	Wait   int64   `cbor:"7,keyasint,omitempty" json:"-"`
-	Fulls  int     `cbor:"8,keyasint,omitempty" json:"-"`
-	First  int64   `cbor:"9,keyasint,omitempty" json:"-"`
-	Spent  bool    `cbor:"10,keyasint,omitempty" json:"-"`
+// PartnerLimiter is what is known of a limit; rates are calls a second.
+type PartnerLimiter struct {
+	Limit         float64 `cbor:"1,keyasint,omitempty" json:"told,omitempty"`
+	Rate          float64 `cbor:"2,keyasint,omitempty" json:"pace,omitempty"`
+	SinceDecrease int64   `cbor:"3,keyasint,omitempty" json:"halved,omitempty"`
+	PeakRate      float64 `cbor:"4,keyasint,omitempty" json:"peak,omitempty"`
+
+	Sent               []int64 `cbor:"5,keyasint,omitempty" json:"-"`
+	Tokens             float64 `cbor:"6,keyasint,omitempty" json:"-"`
+	RequestedWait      int64   `cbor:"7,keyasint,omitempty" json:"-"`
+	Overloads          int     `cbor:"8,keyasint,omitempty" json:"-"`
+	SinceFirstOverload int64   `cbor:"9,keyasint,omitempty" json:"-"`
+	NearLimit          bool    `cbor:"10,keyasint,omitempty" json:"-"`
 }
 
 // PartnerEndpoint is what is known of one endpoint.
 type PartnerEndpoint struct {
-	Name    string       `cbor:"1,keyasint" json:"name"`
-	Limit   PartnerLimit `cbor:"2,keyasint,omitempty" json:"limit"` // its own, where it has one
-	Out     bool         `cbor:"3,keyasint,omitempty" json:"out,omitempty"`
-	Cold    bool         `cbor:"4,keyasint,omitempty" json:"cold,omitempty"`
-	Back    int64        `cbor:"5,keyasint,omitempty" json:"back,omitempty"`
-	Good    int64        `cbor:"6,keyasint,omitempty" json:"good,omitempty"`
-	Bad     int64        `cbor:"7,keyasint,omitempty" json:"bad,omitempty"`
-	Well    int64        `cbor:"8,keyasint,omitempty" json:"well,omitempty"`
-	Gap     int64        `cbor:"9,keyasint,omitempty" json:"gap,omitempty"`
-	Failing float64      `cbor:"10,keyasint,omitempty" json:"failing,omitempty"`
-	Slow    int64        `cbor:"11,keyasint,omitempty" json:"slow,omitempty"`
-	Fails   int          `cbor:"12,keyasint,omitempty" json:"fails,omitempty"`
-	Fulls   int          `cbor:"13,keyasint,omitempty" json:"fulls,omitempty"`
-	Resets  int          `cbor:"14,keyasint,omitempty" json:"resets,omitempty"`
-
-	Sent     []int64 `cbor:"15,keyasint,omitempty" json:"-"`
-	LastSent int64   `cbor:"16,keyasint,omitempty" json:"-"`
-	Trial    int64   `cbor:"17,keyasint,omitempty" json:"-"`
-	Told     int64   `cbor:"18,keyasint,omitempty" json:"-"`
+	Name                    string         `cbor:"1,keyasint" json:"name"`
+	Limiter                 PartnerLimiter `cbor:"2,keyasint,omitempty" json:"limit"` // its own, where it has one
+	Outage                  bool           `cbor:"3,keyasint,omitempty" json:"out,omitempty"`
+	Cold                    bool           `cbor:"4,keyasint,omitempty" json:"cold,omitempty"`
+	SinceRecovery           int64          `cbor:"5,keyasint,omitempty" json:"back,omitempty"`
+	SinceSuccess            int64          `cbor:"6,keyasint,omitempty" json:"good,omitempty"`
+	SinceFailure            int64          `cbor:"7,keyasint,omitempty" json:"bad,omitempty"`
+	SinceIndependentSuccess int64          `cbor:"8,keyasint,omitempty" json:"well,omitempty"`
+	TrialInterval           int64          `cbor:"9,keyasint,omitempty" json:"gap,omitempty"`
+	FailureRatio            float64        `cbor:"10,keyasint,omitempty" json:"failing,omitempty"`
+	Latency                 int64          `cbor:"11,keyasint,omitempty" json:"slow,omitempty"`
+	Failures                int            `cbor:"12,keyasint,omitempty" json:"fails,omitempty"`
+	Overloads               int            `cbor:"13,keyasint,omitempty" json:"fulls,omitempty"`
+	Resets                  int            `cbor:"14,keyasint,omitempty" json:"resets,omitempty"`
+
+	Sent          []int64 `cbor:"15,keyasint,omitempty" json:"-"`
+	SinceLastSent int64   `cbor:"16,keyasint,omitempty" json:"-"`
+	UntilTrial    int64   `cbor:"17,keyasint,omitempty" json:"-"`
+	RequestedWait int64   `cbor:"18,keyasint,omitempty" json:"-"`
 }
 
 const (
@@ -82,7 +82,7 @@
 // trim leaves out what is known of endpoints that are well, and of the last of very
 // many.
 func (p *Partner) trim() {
-	p.Endpoints = slices.DeleteFunc(slices.Clone(p.Endpoints), func(x PartnerEndpoint) bool { return !x.Out && !x.Cold })
+	p.Endpoints = slices.DeleteFunc(slices.Clone(p.Endpoints), func(x PartnerEndpoint) bool { return !x.Outage && !x.Cold })
 	p.Endpoints = p.Endpoints[:min(len(p.Endpoints), mostEndpoints)]
 }
 
@@ -107,7 +107,7 @@
 // add takes what is known of a partner.
 func (p *partners) add(name string, x *Partner, size int64) {
 	p.drop(name)
-	p.by[name] = &known{at: x.At, sick: x.Sick, value: x, size: size}
+	p.by[name] = &known{at: x.At, sick: x.Unhealthy, value: x, size: size}
 	p.bytes += size
 	p.dirty[name] = true
 	if p.bytes > p.room {
--- a/internal/journal/partners_test.go
+++ b/internal/journal/partners_test.go
@@ -11,13 +11,13 @@
 )
 
 func partner(name string, at time.Time, sick bool) Record {
-	return Record{Op: OpPartner, ID: name, Partner: &Partner{At: at.UnixMicro(), Sick: sick, Used: 5, Came: 3, Down: 9,
-		Limit: PartnerLimit{Told: 4.5, Pace: 2, Halved: 7, Peak: 12}, Bins: []byte{3, 40}, Weights: []uint16{1, 65535}, Cuts: 8, Sampled: 6,
-		Endpoints: []PartnerEndpoint{{Name: "e-" + name, Limit: PartnerLimit{Pace: 1}, Out: sick, Cold: true, Back: 1, Good: 2, Bad: 3,
-			Well: 4, Gap: 5, Failing: 0.25, Slow: 6, Fails: 7, Fulls: 8, Resets: 9}}}}
+	return Record{Op: OpPartner, ID: name, Partner: &Partner{At: at.UnixMicro(), Unhealthy: sick, SinceUsed: 5, Arrivals: 3, SinceOutage: 9,
+		Limiter: PartnerLimiter{Limit: 4.5, Rate: 2, SinceDecrease: 7, PeakRate: 12}, Bins: []byte{3, 40}, Weights: []uint16{1, 65535}, Censored: 8, SinceSample: 6,
+		Endpoints: []PartnerEndpoint{{Name: "e-" + name, Limiter: PartnerLimiter{Rate: 1}, Outage: sick, Cold: true, SinceRecovery: 1, SinceSuccess: 2, SinceFailure: 3,
+			SinceIndependentSuccess: 4, TrialInterval: 5, FailureRatio: 0.25, Latency: 6, Failures: 7, Overloads: 8, Resets: 9}}}}
 }
 
-var withPartners = Options{Disk: 3e6, Partners: true}
+var withPartners = Options{MaxBytes: 3e6, KeepPartners: true}
 
 // What is known of partners is handed to the next process as it was, once; a new word replaces it, and what can't be
 // read or is not wanted is dropped without a word against the start.
@@ -28,7 +28,7 @@
 	mustAppend(t, j, partner("a", now, false))
 	huge := partner("huge", now, true)
 	for i := range 1000 { // of which those in trouble are kept, as far as they fit
-		huge.Partner.Endpoints = append(huge.Partner.Endpoints, PartnerEndpoint{Name: "0123456789", Good: 1e9, Out: i%10 == 0})
+		huge.Partner.Endpoints = append(huge.Partner.Endpoints, PartnerEndpoint{Name: "0123456789", SinceSuccess: 1e9, Outage: i%10 == 0})
 	}
 	mustAppend(t, j, huge, partner("old", now.Add(-keepWell-time.Second), false), partner("old and sick", now.Add(-keepWell-time.Second), true))
 	var b store.Batch
@@ -46,18 +46,18 @@
 			t.Errorf("%s: %+v, want %+v", want.ID, got[want.ID], want.Partner)
 		}
 	}
-	if h := got["huge"]; h == nil || len(h.Endpoints) != mostEndpoints || !h.Endpoints[1].Out || len(h.Bins) != 2 {
+	if h := got["huge"]; h == nil || len(h.Endpoints) != mostEndpoints || !h.Endpoints[1].Outage || len(h.Bins) != 2 {
 		t.Errorf("of a huge one: %+v", h)
 	}
 	if len(got) != 4 || len(j.Partners()) > 0 {
 		t.Errorf("%d known, then %d; want 4, and nothing twice", len(got), len(j.Partners()))
 	}
-	j.Forget(now.UnixMicro())
-	j.opts.Partners = false
+	j.DropExpired(now.UnixMicro())
+	j.opts.KeepPartners = false
 	if j = reopen(t, j, fs); len(j.Partners()) > 0 {
 		t.Error("known where it is not wanted")
 	}
-	j.Forget(now.UnixMicro())
+	j.DropExpired(now.UnixMicro())
 	if n := j.Stats().Keys; n != 1 { // the record of the clock stays
 		t.Errorf("%d records are left", n)
 	}
@@ -70,7 +70,7 @@
 	fs, now := vfs.NewMem(), time.Now()
 	j := openJournal(t, fs, withPartners)
 	held := 0
-	for ; j.Room(2000); held++ {
+	for ; j.Reserve(2000); held++ {
 		mustAppend(t, j, accept(fmt.Sprint("m", held), 2000))
 	}
 	room := j.partners.room
--- a/internal/journal/passed.go
+++ b/internal/journal/passed.go
@@ -93,8 +93,8 @@
 	}
 }
 
-// KeepPassed drops what is known of numbers in no segment that lives says there is.
-func (j *Journal) KeepPassed(lives func(first, last uint64) bool) {
+// PruneLeftBacklog drops what is known of numbers in no segment that lives says there is.
+func (j *Journal) PruneLeftBacklog(lives func(first, last uint64) bool) {
 	for part := range j.passed.parts {
 		if !lives(part*passedPart, part*passedPart+passedPart-1) {
 			j.passed.clear(part*passedPart, 1)
@@ -102,9 +102,9 @@
 	}
 }
 
-// Gone says whether the message of a number is no longer behind its window.
-func (j *Journal) Gone(n uint64) bool { return j.passed.has(n) }
+// HasLeftBacklog says whether the message of a number is no longer behind its window.
+func (j *Journal) HasLeftBacklog(n uint64) bool { return j.passed.has(n) }
 
-// MostBehind is the largest number of a message behind a window that was ever told,
+// MaxBacklogSeq is the largest number of a message behind a window that was ever told,
 // or one above it.
-func (j *Journal) MostBehind() uint64 { return j.passed.most }
+func (j *Journal) MaxBacklogSeq() uint64 { return j.passed.most }
--- a/internal/journal/record.go
+++ b/internal/journal/record.go
@@ -104,36 +104,36 @@
 }
 
 func messageOf(buf *bytes.Buffer, e *Entry) []byte {
-	return encode(buf, &messageRecord{N: e.n, Accepted: e.Accepted, Deadline: e.Deadline, Class: e.Class, Partner: e.Partner,
-		Tenant: e.Tenant, Key: e.Key, Order: e.Order, Body: e.Body, Terms: e.Terms, Behind: e.Behind})
+	return encode(buf, &messageRecord{N: e.n, Accepted: e.AcceptedAt, Deadline: e.Deadline, Class: e.Class, Partner: e.Partner,
+		Tenant: e.Tenant, Key: e.Key, Order: e.Order, Body: e.Body, Terms: e.Terms, Behind: e.BacklogSeq})
 }
 
 func (r *messageRecord) entry(id string) *Entry {
 	return &Entry{Message: message.Message{ID: id, Key: r.Key, Order: r.Order, Class: r.Class, Tenant: r.Tenant,
-		Partner: r.Partner, Deadline: r.Deadline, Body: r.Body}, Accepted: r.Accepted, Terms: r.Terms, Behind: r.Behind, n: r.N}
+		Partner: r.Partner, Deadline: r.Deadline, Body: r.Body}, AcceptedAt: r.Accepted, Terms: r.Terms, BacklogSeq: r.Behind, n: r.N}
 }
 
 func stateOf(buf *bytes.Buffer, e *Entry) []byte {
-	r := stateRecord{N: e.n, Tries: e.Tries, Open: e.Open, MayRun: e.MayRun, FirstMay: e.FirstMay, FirstZone: e.FirstZone}
+	r := stateRecord{N: e.n, Tries: e.Attempts, Open: e.InFlight, MayRun: e.MayHaveRun, FirstMay: e.MayHaveRunSince, FirstZone: e.MayHaveRunZone}
 	if x := e.End; x != nil {
-		r.End, r.AfterMS, r.At, r.Digest = endCode(x.State), x.AfterMS, x.At, e.EndDigest
-		r.Accepted, r.Deadline, r.Class, r.Partner, r.Tenant = e.Accepted, e.Deadline, e.Class, e.Partner, e.Tenant
-		r.Behind = e.Behind
+		r.End, r.AfterMS, r.At, r.Digest = endCode(x.State), x.RetryAfterMS, x.At, e.StoredDigest
+		r.Accepted, r.Deadline, r.Class, r.Partner, r.Tenant = e.AcceptedAt, e.Deadline, e.Class, e.Partner, e.Tenant
+		r.Behind = e.BacklogSeq
 	}
 	return encode(buf, &r)
 }
 
 // merge adds a state to the message that it is of.
 func (r *stateRecord) merge(e *Entry) {
-	e.Tries, e.Open, e.MayRun, e.FirstMay, e.FirstZone = r.Tries, r.Open, r.MayRun, r.FirstMay, r.FirstZone
+	e.Attempts, e.InFlight, e.MayHaveRun, e.MayHaveRunSince, e.MayHaveRunZone = r.Tries, r.Open, r.MayRun, r.FirstMay, r.FirstZone
 }
 
 // owed is the entry of a message that has ended and whose notice is owed.
 func (r *stateRecord) owed(id string) *Entry {
 	e := &Entry{Message: message.Message{ID: id, Class: r.Class, Tenant: r.Tenant, Partner: r.Partner, Deadline: r.Deadline},
-		Accepted: r.Accepted, EndDigest: r.Digest, Behind: r.Behind, n: r.N}
+		AcceptedAt: r.Accepted, StoredDigest: r.Digest, BacklogSeq: r.Behind, n: r.N}
 	r.merge(e)
-	e.End = &message.End{ID: id, State: r.state(), AfterMS: r.AfterMS, At: r.At, Tries: r.Tries}
+	e.End = &message.End{ID: id, State: r.state(), RetryAfterMS: r.AfterMS, At: r.At, Attempts: r.Tries}
 	return e
 }
 
@@ -145,13 +145,13 @@
 }
 
 func overOf(buf *bytes.Buffer, x *Ended) []byte {
-	return encode(buf, &stateRecord{N: x.n, Tries: x.Tries, End: endCode(x.State), AfterMS: x.AfterMS, At: x.Over, Digest: x.Digest,
-		Over: true, Until: x.Until, Accepted: x.Accepted, Class: x.Class, Partner: x.Partner, Tenant: x.Tenant, Behind: x.behind})
+	return encode(buf, &stateRecord{N: x.n, Tries: x.Attempts, End: endCode(x.State), AfterMS: x.RetryAfterMS, At: x.EndedAt, Digest: x.Digest,
+		Over: true, Until: x.RetainUntil, Accepted: x.AcceptedAt, Class: x.Class, Partner: x.Partner, Tenant: x.Tenant, Behind: x.behind})
 }
 
 func (r *stateRecord) ended(id string) *Ended {
-	return &Ended{ID: id, Tenant: r.Tenant, Partner: r.Partner, Class: r.Class, State: r.state(), AfterMS: r.AfterMS,
-		Tries: r.Tries, Accepted: r.Accepted, Over: r.At, Digest: r.Digest, Until: r.Until, behind: r.Behind, n: r.N}
+	return &Ended{ID: id, Tenant: r.Tenant, Partner: r.Partner, Class: r.Class, State: r.state(), RetryAfterMS: r.AfterMS,
+		Attempts: r.Tries, AcceptedAt: r.Accepted, EndedAt: r.At, Digest: r.Digest, RetainUntil: r.Until, behind: r.Behind, n: r.N}
 }
 
 func decode(key string, value []byte, into any) error {
--- a/internal/journal/revive.go
+++ b/internal/journal/revive.go
@@ -9,7 +9,7 @@
 )
 
 func openStore(fs vfs.FS, opts Options) (*store.Store, error) {
-	return store.Open(fs, store.Options{Limit: opts.Disk, Sync: opts.Sync, Every: opts.Every, Log: opts.Log})
+	return store.Open(fs, store.Options{Limit: opts.MaxBytes, Sync: opts.Sync, Every: opts.SyncInterval, Log: opts.Log})
 }
 
 // revive opens the store again if a sync has failed: what was written before it may
--- a/internal/journal/revive_test.go
+++ b/internal/journal/revive_test.go
@@ -47,7 +47,7 @@
 func TestGoesOnAfterFailedSync(t *testing.T) {
 	mem, fail := vfs.NewMem(), &atomic.Bool{}
 	opts := plain
-	opts.Sync, opts.Bodies, opts.KeepEnded = store.SyncAlways, 100, time.Hour
+	opts.Sync, opts.MaxBodyInMemory, opts.EndRetention = store.SyncAlways, 100, time.Hour
 	j, err := OpenOn(unsynced{mem, fail}, opts)
 	if err != nil {
 		t.Fatal(err)
@@ -64,7 +64,7 @@
 		if err := j.Append([]Record{accept("again", 10)}); err == nil {
 			t.Fatal("taken on with a disk that fails")
 		}
-		j.Forget(j.Clock().Now())
+		j.DropExpired(j.Clock().Now())
 	}
 	fail.Store(false)
 	mustAppend(t, j, accept("after", 10))
--- a/internal/journal/terms.go
+++ b/internal/journal/terms.go
@@ -10,9 +10,9 @@
 // Terms are what a deployment stated of its classes when messages were taken on:
 // these messages are held to it, also after a restart with other settings.
 type Terms struct {
-	N        int64        `cbor:"1,keyasint" json:"n"`
-	Attempts int          `cbor:"2,keyasint,omitempty" json:"attempts,omitempty"` // for one message; 0 for no limit
-	Classes  []ClassTerms `cbor:"3,keyasint" json:"classes"`
+	Number      int64        `cbor:"1,keyasint" json:"n"`
+	MaxAttempts int          `cbor:"2,keyasint,omitempty" json:"attempts,omitempty"` // for one message; 0 for no limit
+	Classes     []ClassTerms `cbor:"3,keyasint" json:"classes"`
 }
 
 // ClassTerms is one class. Spans are in microseconds.
@@ -28,9 +28,9 @@
 	KeepOrder bool    `cbor:"9,keyasint,omitempty" json:"keep_order,omitempty"`
 }
 
-// Same says whether two state the same.
-func (t *Terms) Same(x *Terms) bool {
-	return t.Attempts == x.Attempts && slices.Equal(t.Classes, x.Classes)
+// Equal says whether two state the same.
+func (t *Terms) Equal(x *Terms) bool {
+	return t.MaxAttempts == x.MaxAttempts && slices.Equal(t.Classes, x.Classes)
 }
 
 // mostTerms bounds the sets that are kept at once. One that held messages name is
@@ -45,9 +45,9 @@
 // go before theirs.
 func (j *Journal) AddTerms(t Terms) (n int64, rec *Record, err error) {
 	for _, x := range j.terms {
-		if x.Same(&t) {
-			j.newest = x.N
-			return x.N, nil, nil
+		if x.Equal(&t) {
+			j.newest = x.Number
+			return x.Number, nil, nil
 		}
 	}
 	if size := len(encode(&bytes.Buffer{}, &t)); size > mostTermsBytes-mostOther {
@@ -57,20 +57,20 @@
 	if len(j.terms) >= mostTerms {
 		return 0, nil, fmt.Errorf("journal: messages are held under %d sets of classes; no more are taken", len(j.terms))
 	}
-	t.N = j.lastTerms + 1
-	return t.N, &Record{Op: OpTerms, Terms: &t}, nil
+	t.Number = j.lastTerms + 1
+	return t.Number, &Record{Op: OpTerms, Terms: &t}, nil
 }
 
-// HoldTerms has terms kept that messages elsewhere are held to, as list tells; nil
+// SetTermsInUse has terms kept that messages elsewhere are held to, as list tells; nil
 // for none.
-func (j *Journal) HoldTerms(list func() []int64) { j.heldTerms = list }
+func (j *Journal) SetTermsInUse(list func() []int64) { j.heldTerms = list }
 
 // Terms returns the terms of a number; nil if there are none.
 func (j *Journal) Terms(n int64) *Terms { return j.terms[n] }
 
 func (j *Journal) applyTerms(t *Terms) {
-	j.terms[t.N], j.dirtyTerms[t.N] = t, true
-	j.newest, j.lastTerms = t.N, max(j.lastTerms, t.N)
+	j.terms[t.Number], j.dirtyTerms[t.Number] = t, true
+	j.newest, j.lastTerms = t.Number, max(j.lastTerms, t.Number)
 }
 
 // dropTerms drops those that no message is held under.
--- a/internal/journal/times.go
+++ b/internal/journal/times.go
@@ -9,13 +9,13 @@
 func (j *Journal) startClock(kept *clock.Epoch, over []*Ended) (known bool) {
 	latest := int64(0)
 	for _, e := range j.entries {
-		latest = max(latest, e.Accepted, e.FirstMay)
+		latest = max(latest, e.AcceptedAt, e.MayHaveRunSince)
 		if e.End != nil {
 			latest = max(latest, e.End.At)
 		}
 	}
 	for _, x := range over {
-		latest = max(latest, x.Over)
+		latest = max(latest, x.EndedAt)
 	}
 	j.clock, j.epoch, known = clock.Start(kept, latest)
 	j.newEpoch = kept == nil || *kept != j.epoch
@@ -30,8 +30,8 @@
 // doubtWindows takes the windows for repeats of all that may have run for over.
 func (j *Journal) doubtWindows() {
 	for _, e := range j.entries {
-		if e.MayRun || e.Open {
-			e.FirstMay = longAgo
+		if e.MayHaveRun || e.InFlight {
+			e.MayHaveRunSince = longAgo
 			j.mark(e.ID, markState)
 		}
 	}
--- a/internal/journal/write.go
+++ b/internal/journal/write.go
@@ -46,7 +46,7 @@
 	j.unsaid = j.unsaid[:0]
 	b.Reset()
 	j.buf.Reset()
-	b.Owed = true // Room has seen to the room
+	b.Owed = true // Reserve has checked the space
 	commit := func(more int) error {
 		if b.Size()+int64(more) <= j.store.MaxBatch() {
 			return nil
@@ -74,7 +74,7 @@
 	for _, id := range j.changed {
 		more := mostOther
 		if e := j.entries[id]; e != nil {
-			more += max(len(e.Body), e.Left)
+			more += max(len(e.Body), e.StoredBodySize)
 		}
 		if err := commit(more); err != nil {
 			return err
@@ -133,7 +133,7 @@
 	if e != nil && e.End == nil {
 		switch {
 		case m&markMessage == 0:
-		case e.Left == 0:
+		case e.StoredBodySize == 0:
 			b.Put(keyMessage+id, messageOf(&j.buf, e))
 		case m&markAnew != 0: // one that is left is there, but may not last
 			if value, err := j.store.Get(keyMessage + id); err == nil && value != nil {
--- a/internal/message/message.go
+++ b/internal/message/message.go
@@ -39,8 +39,8 @@
 	return binary.LittleEndian.Uint64(h.Sum(sum[:0]))
 }
 
-// Plain says whether s may stand in a header field: visible ASCII without spaces.
-func Plain(s string) bool {
+// IsVisibleASCII says whether s may stand in a header field: visible ASCII without spaces.
+func IsVisibleASCII(s string) bool {
 	for i := range len(s) {
 		if s[i] <= ' ' || s[i] > '~' {
 			return false
@@ -58,9 +58,9 @@
 
 // End is how a message ended.
 type End struct {
-	ID      string `json:"id"`
-	State   string `json:"state"`
-	AfterMS int64  `json:"after_ms,omitempty"` // returned: when to come again, in milliseconds; 0 if not told
-	At      int64  `json:"at,omitempty"`       // when: in the journal by the sender's clock, told to others by the wall clock
-	Tries   int    `json:"tries,omitempty"`    // attempts made
+	ID           string `json:"id"`
+	State        string `json:"state"`
+	RetryAfterMS int64  `json:"after_ms,omitempty"` // returned: when to come again, in milliseconds; 0 if not told
+	At           int64  `json:"at,omitempty"`       // when: in the journal by the sender's clock, told to others by the wall clock
+	Attempts     int    `json:"tries,omitempty"`    // attempts made
 }
--- a/internal/sink/jsonl/jsonl_test.go
+++ b/internal/sink/jsonl/jsonl_test.go
@@ -24,7 +24,7 @@
 	const many = 20_000
 	partner := strings.Repeat("p", 120)
 	for i := range many {
-		s.Add(&message.Message{Partner: partner, Class: "c"}, message.End{ID: fmt.Sprintf("%06d", i), State: message.Delivered, Tries: 1})
+		s.Add(&message.Message{Partner: partner, Class: "c"}, message.End{ID: fmt.Sprintf("%06d", i), State: message.Delivered, Attempts: 1})
 	}
 	for n := 0; n < many; {
 		select {
--- a/internal/sink/notices/notices.go
+++ b/internal/sink/notices/notices.go
@@ -53,7 +53,7 @@
 // Add queues a notice; it never waits.
 func (n *Sink) Add(_ *message.Message, e message.End) {
 	n.mu.Lock()
-	n.queue = append(n.queue, line{e.ID, e.State, e.AfterMS})
+	n.queue = append(n.queue, line{e.ID, e.State, e.RetryAfterMS})
 	n.mu.Unlock()
 	select {
 	case n.wake <- struct{}{}:
--- a/internal/sink/queue.go
+++ b/internal/sink/queue.go
@@ -25,8 +25,8 @@
 
 // LineOf puts an end and its message together.
 func LineOf(m *message.Message, e message.End) Line {
-	return Line{ID: e.ID, State: e.State, Partner: m.Partner, Class: m.Class, Tenant: m.Tenant, Tries: e.Tries,
-		AfterMS: e.AfterMS, Over: time.UnixMicro(e.At).UTC()}
+	return Line{ID: e.ID, State: e.State, Partner: m.Partner, Class: m.Class, Tenant: m.Tenant, Tries: e.Attempts,
+		AfterMS: e.RetryAfterMS, Over: time.UnixMicro(e.At).UTC()}
 }
 
 // JSON is the line as text.
--- a/internal/sink/webhook/webhook_test.go
+++ b/internal/sink/webhook/webhook_test.go
@@ -65,7 +65,7 @@
 }
 
 func add(s *Sink, id string) {
-	s.Add(&message.Message{ID: id, Partner: "p", Class: "c", Tenant: "t"}, message.End{ID: id, State: message.Returned, AfterMS: 5, Tries: 2, At: 1e15})
+	s.Add(&message.Message{ID: id, Partner: "p", Class: "c", Tenant: "t"}, message.End{ID: id, State: message.Returned, RetryAfterMS: 5, Attempts: 2, At: 1e15})
 }
 
 // An end is posted, signed and the same each time, until it is answered with 2xx; nothing else confirms it.
--- a/internal/standin/ready/ready.go
+++ b/internal/standin/ready/ready.go
@@ -159,7 +159,7 @@
 
 // fill writes a journal with messages that are taken on and never tried, of each effect in turn.
 func (p Play) fill(dir string) error {
-	j, err := journal.Open(dir, journal.Options{Disk: diskMB * 1e6 / 2})
+	j, err := journal.Open(dir, journal.Options{MaxBytes: diskMB * 1e6 / 2})
 	if err != nil {
 		return err
 	}
@@ -169,7 +169,7 @@
 	for i := range p.Held {
 		class := []string{"safe", "keyed", "unsafe"}[i%3]
 		id := fmt.Sprintf("%s-%d", class, i)
-		recs = append(recs, journal.Record{Op: journal.OpAccept, Entry: &journal.Entry{Accepted: now.UnixMicro(), Message: message.Message{
+		recs = append(recs, journal.Record{Op: journal.OpAccept, Entry: &journal.Entry{AcceptedAt: now.UnixMicro(), Message: message.Message{
 			ID: id, Class: class, Partner: "1", Key: "key-" + id, Deadline: now.Add(left).UnixMicro(), Body: make([]byte, bodySize)}}})
 		if len(recs) == atOnce || i == p.Held-1 {
 			if err := j.Append(recs); err != nil {
