--- a/internal/daemon/handover.go
+++ b/internal/daemon/handover.go
@@ -97,7 +97,7 @@
 	if err := c.Send(&handover.SnapshotRequest{Format: handover.Format}); err != nil {
 		return nil, err
 	}
-	c.Within(time.Now().Add(askTime))
+	c.SetReceiveDeadline(time.Now().Add(askTime))
 	m, files, err := c.Receive()
 	if err != nil {
 		return nil, err
@@ -121,7 +121,7 @@
 			}
 			in.Listeners = append(in.Listeners, ln)
 		}
-		c.Within(time.Time{})
+		c.SetReceiveDeadline(time.Time{})
 		return in, nil
 	case *handover.Refusal:
 		return nil, errors.New(m.Reason)
@@ -178,18 +178,18 @@
 		s.ConnectionLost = true
 	}
 	by := time.Now().Add(takenTime)
-	peer := h.Peer()
+	peer := h.PeerPID()
 	var brokenAt time.Time // when the lock was first found taken after the socket had broken
 	for {
 		switch v := handover.Decide(s); v {
 		case handover.Relay:
-			h.Within(time.Time{})
+			h.SetReceiveDeadline(time.Time{})
 			return true, nil
 		case handover.Resume:
 			h.Close()
 			return false, err
 		case handover.Wait:
-			h.Within(by)
+			h.SetReceiveDeadline(by)
 			m, _, rerr := h.Receive()
 			switch m := m.(type) {
 			case *handover.Confirmation:
@@ -218,7 +218,7 @@
 			}
 			time.Sleep(fencePause)
 		case handover.Fence:
-			pid := h.Peer()
+			pid := h.PeerPID()
 			h.log.Error("the process that asked has the journal and says nothing; it is ended", "pid", pid)
 			if pid > 1 && pid != os.Getpid() {
 				syscall.Kill(pid, syscall.SIGKILL)
@@ -301,7 +301,7 @@
 
 // serveSuccessor deals with one that asks, and says whether it has taken over.
 func serveSuccessor(conn *handover.Conn, dir string, c *core.Core, log *slog.Logger) bool {
-	conn.Within(time.Now().Add(takenTime))
+	conn.SetReceiveDeadline(time.Now().Add(takenTime))
 	m, _, err := conn.Receive()
 	asked, ok := m.(*handover.SnapshotRequest)
 	switch {
@@ -311,7 +311,7 @@
 	case asked.Format != handover.Format:
 		err = fmt.Errorf("it asks for format %d; this process speaks %d", asked.Format, handover.Format)
 	default:
-		conn.Within(time.Time{})
+		conn.SetReceiveDeadline(time.Time{})
 		h := &successor{link: link{conn}, dir: dir, log: log}
 		if err = c.HandOver(h); err == nil {
 			return true
--- a/internal/daemon/upgrade_test.go
+++ b/internal/daemon/upgrade_test.go
@@ -296,7 +296,7 @@
 		if err := c.Send(&handover.SnapshotRequest{Format: format}); err != nil {
 			t.Fatal(err)
 		}
-		c.Within(time.Now().Add(byhand.Patience))
+		c.SetReceiveDeadline(time.Now().Add(byhand.Patience))
 		m, files, err := c.Receive()
 		for _, f := range files {
 			f.Close()
--- a/internal/handover/arbiter.go
+++ b/internal/handover/arbiter.go
@@ -1,45 +1,43 @@
 package handover
 
-// What a process that hands over does while it does not know whether its successor
-// has taken the snapshot.
-
-// Situation is what it knows.
+// Situation is the state of a handover at the predecessor, until it is settled whether the
+// successor has received the snapshot.
 type Situation struct {
-	Confirmed      bool      // the successor has said so
-	ConnectionLost bool      // the successor's socket has broken, or it has refused
-	TimedOut       bool      // it has said nothing for too long
-	Lock           LockState // what an attempt to take the journal's lock has shown
-	LockHeldLong   bool      // another process has had the lock for longer than one that dies keeps it
+	Confirmed      bool      // the successor has sent a [Confirmation]
+	ConnectionLost bool      // the connection to the successor is broken, or the successor has sent a [Refusal]
+	TimedOut       bool      // the successor has not replied in time
+	Lock           LockState // result of the last attempt to take the journal's lock
+	LockHeldLong   bool      // another process has held the lock for longer than a dying process would
 }
 
-// LockState is who has the lock of the journal.
+// LockState is the result of an attempt to take the journal's lock.
 type LockState int
 
-// What is known of the lock.
+// The states of the lock.
 const (
 	LockUntried     LockState = iota
-	LockAcquired              // this process has it again
-	LockHeldByOther           // another process has it
+	LockAcquired              // this process holds the lock again
+	LockHeldByOther           // another process holds the lock
 )
 
-// Action is what it does next.
+// Action is the next step of the predecessor.
 type Action int
 
-// The verdicts.
+// The actions.
 const (
-	Wait    Action = iota // for a word, for the socket or for time
-	TryLock               // take the lock if nobody has it
-	Relay                 // the successor decides; this process only finishes its calls
-	Resume                // this process decides again
-	Fence                 // the successor has the lock and is stalled: end it, then try the lock again
+	Wait    Action = iota // wait for a message, the end of the connection or the timeout
+	TryLock               // take the lock if it is free
+	Relay                 // the successor decides on messages; this process only finishes its calls
+	Resume                // this process decides on messages again
+	Fence                 // the successor stalls while another process holds the lock: kill it, then try the lock again
 )
 
-func (v Action) String() string {
-	return [...]string{"wait", "try the lock", "relay", "resume", "fence"}[v]
+func (a Action) String() string {
+	return [...]string{"wait", "try the lock", "relay", "resume", "fence"}[a]
 }
 
-// Decide says what to do. Whoever has the lock decides on messages; so a successor
-// that has said nothing may not be taken for dead before the lock is free.
+// Decide returns the next action. The process that holds the lock decides on messages, so a
+// silent successor must not be considered dead before the lock is free.
 func Decide(s Situation) Action {
 	switch {
 	case s.Confirmed:
@@ -52,9 +50,9 @@
 		return TryLock
 	case s.TimedOut:
 		return Fence
-	case s.LockHeldLong: // it lives, and only the socket has broken
+	case s.LockHeldLong: // the successor is alive, and only the connection is broken
 		return Relay
-	default: // gone, and another has the lock: it dies just now, or a third process took it
+	default: // the connection is lost and the lock held: by the dying successor, or by a third process
 		return TryLock
 	}
 }
--- a/internal/handover/conn.go
+++ b/internal/handover/conn.go
@@ -15,50 +15,51 @@
 )
 
 const (
-	maxFrame = 32 << 20 // bytes; ends in memory and what is learnt of partners are the most of it
-	maxFiles = 8
-	headLen  = 5 // of a frame: its length (4 bytes, big-endian) and kind
-	sendTime = 2 * time.Second
+	maxFrameBytes = 32 << 20 // mostly ends kept in memory and the states of partners
+	maxFiles      = 8        // descriptors that one message may carry
+	headerSize    = 5        // bytes: the length of the frame's body (4 bytes, big-endian) and the kind of message
+	sendTimeout   = 2 * time.Second
 )
 
-// Conn carries messages both ways. Sends may come from several goroutines;
-// receives from one.
+// Conn is a connection between predecessor and successor that carries messages both ways.
+// Several goroutines may send; only one may receive.
 type Conn struct {
 	c  *net.UnixConn
-	mu sync.Mutex // of sends
+	mu sync.Mutex // serializes sends
 }
 
-// Send sends a message. A peer that does not read breaks the connection.
+// Send sends a pointer to a message of this package. If that fails, also because the peer does
+// not read in time, it closes the connection.
 func (c *Conn) Send(m any) error { return c.SendWith(m, nil) }
 
-// SendWith sends a message with open files.
+// SendWith is [Conn.Send] with open file descriptors, which the peer receives duplicates of.
 func (c *Conn) SendWith(m any, files []int) error {
 	kind := kindOf(m)
 	if kind == 0 {
-		return fmt.Errorf("handover: %T is no message", m)
+		return fmt.Errorf("handover: %T is not a message type", m)
 	}
 	body, err := cbor.Marshal(m)
 	if err != nil {
 		return fmt.Errorf("handover: %w", err)
 	}
-	if len(body) > maxFrame {
-		return fmt.Errorf("handover: a message of %d bytes; %d are allowed", len(body), maxFrame)
+	if len(body) > maxFrameBytes {
+		return fmt.Errorf("handover: message of %d bytes exceeds the limit of %d bytes", len(body), maxFrameBytes)
 	}
 	head := binary.BigEndian.AppendUint32(nil, uint32(len(body)))
 	frame := append(append(head, kind), body...)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.c.SetWriteDeadline(time.Now().Add(sendTime))
+	c.c.SetWriteDeadline(time.Now().Add(sendTimeout))
 	if len(files) > 0 {
-		n, _, err := c.c.WriteMsgUnix(frame[:headLen], syscall.UnixRights(files...), nil)
-		if err == nil && n != headLen {
+		n, _, err := c.c.WriteMsgUnix(frame[:headerSize], syscall.UnixRights(files...), nil)
+		if err == nil && n != headerSize {
 			err = io.ErrShortWrite
 		}
 		if err != nil {
 			c.c.Close()
 			return fmt.Errorf("handover: %w", err)
 		}
-		frame = frame[headLen:]
+		frame = frame[headerSize:]
 	}
 	if _, err := c.c.Write(frame); err != nil {
 		c.c.Close()
@@ -67,7 +68,8 @@
 	return nil
 }
 
-// Receive waits for a message. Files that came with it are the caller's.
+// Receive waits for a message and returns a pointer to it. The caller must close the files
+// that came with it.
 func (c *Conn) Receive() (m any, files []*os.File, err error) {
 	defer func() {
 		if err != nil {
@@ -77,12 +79,12 @@
 			files = nil
 		}
 	}()
-	var head [headLen]byte
+	var head [headerSize]byte
 	oob := make([]byte, syscall.CmsgSpace(4*maxFiles))
-	for n := 0; n < headLen; {
+	for n := 0; n < headerSize; {
 		got, oobn, _, _, err := c.c.ReadMsgUnix(head[n:], oob)
 		if oobn > 0 {
-			more, ferr := received(oob[:oobn])
+			more, ferr := parseFiles(oob[:oobn])
 			files = append(files, more...)
 			err = errors.Join(err, ferr)
 		}
@@ -95,8 +97,8 @@
 		n += got
 	}
 	size, kind := binary.BigEndian.Uint32(head[:4]), int(head[4])
-	if size > maxFrame || kind == 0 || kind >= len(kinds) {
-		return nil, files, fmt.Errorf("handover: a message of kind %d and %d bytes", kind, size)
+	if size > maxFrameBytes || kind == 0 || kind >= len(kinds) {
+		return nil, files, fmt.Errorf("handover: invalid message of kind %d and %d bytes", kind, size)
 	}
 	body := make([]byte, size)
 	if _, err := io.ReadFull(c.c, body); err != nil {
@@ -109,7 +111,8 @@
 	return m, files, nil
 }
 
-func received(oob []byte) (files []*os.File, err error) {
+// parseFiles returns the files whose descriptors are in control messages.
+func parseFiles(oob []byte) (files []*os.File, err error) {
 	list, err := syscall.ParseSocketControlMessage(oob)
 	if err != nil {
 		return nil, err
@@ -127,14 +130,14 @@
 	return files, nil
 }
 
-// Within bounds the wait of Receive; the zero time for no bound.
-func (c *Conn) Within(by time.Time) { c.c.SetReadDeadline(by) }
+// SetReceiveDeadline sets the deadline of [Conn.Receive]; the zero time means none.
+func (c *Conn) SetReceiveDeadline(by time.Time) { c.c.SetReadDeadline(by) }
 
-// Close ends the connection.
+// Close closes the connection.
 func (c *Conn) Close() error { return c.c.Close() }
 
-// Peer is the process at the other end, as the kernel knows it; 0 if it does not.
-func (c *Conn) Peer() (pid int) {
+// PeerPID returns the process id of the peer as the kernel reports it; 0 if unknown.
+func (c *Conn) PeerPID() (pid int) {
 	raw, err := c.c.SyscallConn()
 	if err != nil {
 		return 0
--- a/internal/handover/doc.go
+++ b/internal/handover/doc.go
@@ -1,4 +1,4 @@
-// Package handover is how a sender hands over to another process that takes its
-// place: what is told, the socket in the journal's folder over which it is told,
-// and the decision who owns the journal when something fails on the way.
+// Package handover transfers the work of a sender to a successor process: the messages
+// exchanged, the Unix socket in the journal's folder that carries them, and the decision
+// which process owns the journal if the transfer fails midway.
 package handover
--- a/internal/message/doc.go
+++ b/internal/message/doc.go
@@ -1,3 +1,3 @@
-// Package message holds what every part of the program knows of a message: what
-// a client handed in and how it ended.
+// Package message defines a message as a client submits it and the end of a message
+// (delivered, returned or failed).
 package message
--- a/internal/message/message.go
+++ b/internal/message/message.go
@@ -5,14 +5,14 @@
 	"encoding/binary"
 )
 
-// MaxBody is the most bytes that a body may hold.
+// MaxBody is the maximum size of a body in bytes.
 const MaxBody = 64 << 10
 
-// MaxName is the most bytes that an id, a key or a name may hold.
+// MaxName is the maximum length of an id, a key or a name in bytes.
 const MaxName = 128
 
-// Message is a message as a client handed it in. Class, tenant and partner
-// stand by name: what numbers they have is a matter of one configuration.
+// Message is a message as a client submitted it. Class, tenant and partner are stored
+// by name, since their numbers differ between configurations.
 type Message struct {
 	ID       string `json:"id"`
 	Key      string `json:"key,omitempty"`   // idempotency key
@@ -20,12 +20,12 @@
 	Class    string `json:"class"`
 	Tenant   string `json:"tenant,omitempty"`
 	Partner  string `json:"partner"`
-	Deadline int64  `json:"deadline"` // by the sender's clock, see package clock
+	Deadline int64  `json:"deadline"` // in microseconds of the sender's clock, see package clock
 	Body     []byte `json:"body,omitempty"`
 }
 
-// Digest tells messages apart that were handed in under one id. The deadline is
-// left out: a client that hands a message in again may have less time left.
+// Digest returns a hash that distinguishes messages submitted under one id. It omits the
+// deadline: a client that submits a message again may have less time left.
 func (m *Message) Digest() uint64 {
 	h := sha256.New()
 	var size [8]byte
@@ -39,7 +39,8 @@
 	return binary.LittleEndian.Uint64(h.Sum(sum[:0]))
 }
 
-// IsVisibleASCII says whether s may stand in a header field: visible ASCII without spaces.
+// IsVisibleASCII reports whether s has only visible ASCII characters and no space, so that
+// it is valid in a header field.
 func IsVisibleASCII(s string) bool {
 	for i := range len(s) {
 		if s[i] <= ' ' || s[i] > '~' {
@@ -49,18 +50,22 @@
 	return true
 }
 
-// The states that a message ends in.
+// The states in which a message ends.
 const (
 	Delivered = "delivered"
-	Returned  = "returned" // it never ran: handing it in again is harmless
-	Failed    = "failed"   // whether it ran is not known
+	Returned  = "returned" // no attempt ran; submitting it again is safe
+	Failed    = "failed"   // an attempt may have run
 )
 
-// End is how a message ended.
+// End is the end of a message.
 type End struct {
-	ID           string `json:"id"`
-	State        string `json:"state"`
-	RetryAfterMS int64  `json:"after_ms,omitempty"` // returned: when to come again, in milliseconds; 0 if not told
-	At           int64  `json:"at,omitempty"`       // when: in the journal by the sender's clock, told to others by the wall clock
-	Attempts     int    `json:"tries,omitempty"`    // attempts made
+	ID    string `json:"id"`
+	State string `json:"state"`
+	// RetryAfterMS is the delay in milliseconds before a returned message may be submitted
+	// again; 0 if unknown.
+	RetryAfterMS int64 `json:"after_ms,omitempty"`
+	// At is when the message ended, in microseconds: of the sender's clock in the journal, of
+	// the wall clock in notices.
+	At       int64 `json:"at,omitempty"`
+	Attempts int   `json:"tries,omitempty"` // number of attempts made
 }
