--- a/internal/journal/apply.go
+++ b/internal/journal/apply.go
@@ -4,24 +4,22 @@
 	"cometrack/internal/message"
 )
 
-// What each record does to what the journal knows.
-
-// undo takes back what must not count if it can't be written.
+// undo reverts a change that must not take effect if it can't be written.
 type undo struct {
-	id  string // the message
+	id  string // of the message
 	run func()
 }
 
-// subject is the id of the message that a record is of.
-func (rec *Record) subject() string {
+// messageID returns the id of the message that a record is of.
+func (rec *Record) messageID() string {
 	if rec.Entry != nil {
 		return rec.Entry.ID
 	}
 	return rec.ID
 }
 
-// apply brings the entries up to date with a record. What must not count if it
-// can't be written comes with a way to undo it.
+// apply updates the journal's state in memory by a record. If the change must not take effect
+// unless it is written, apply returns a function that reverts it.
 func (j *Journal) apply(rec *Record) (undo func()) {
 	switch rec.Op {
 	case OpAccept:
@@ -29,33 +27,33 @@
 			return nil
 		}
 		e := rec.Entry
-		e.upgrade()
-		j.n++
-		e.n = j.n
+		e.convertLegacyPartner()
+		j.lastNumber++
+		e.number = j.lastNumber
 		j.entries[e.ID] = e
-		m := markMessage
-		if e.Attempts > 0 || e.End != nil { // of an older file
-			m |= markState
+		dirty := messageDirty
+		if e.Attempts > 0 || e.End != nil { // imported from a legacy file
+			dirty |= stateDirty
 		}
-		j.mark(e.ID, m)
-		j.passed.set(e.BacklogSeq, true)
+		j.markDirty(e.ID, dirty)
+		j.leftBacklog.set(e.BacklogSeq, true)
 		return func() {
 			delete(j.entries, e.ID)
-			j.passed.set(e.BacklogSeq, false)
-			j.mark(e.ID, markMessage|markState) // part of it may have been written
+			j.leftBacklog.set(e.BacklogSeq, false)
+			j.markDirty(e.ID, messageDirty|stateDirty) // part of it may be in the store
 		}
 	case OpWait:
-		j.waits[rec.ID] = max(j.waits[rec.ID], rec.At) // a shorter one takes nothing back
+		j.waits[rec.ID] = max(j.waits[rec.ID], rec.At) // a shorter wait does not end an earlier one
 		j.dirtyWaits[rec.ID] = true
-		if len(j.waits) > mostWaits {
-			j.dropWaits(j.clock.Now())
+		if len(j.waits) > maxWaits {
+			j.expireWaits(j.clock.Now())
 		}
 		return nil
 	case OpLeftBacklog:
-		j.passed.set(rec.BacklogSeq, true)
+		j.leftBacklog.set(rec.BacklogSeq, true)
 		return nil
 	case OpBacklogReclaimed:
-		j.passed.clear(rec.BacklogSeq, rec.Count)
+		j.leftBacklog.remove(rec.BacklogSeq, rec.Count)
 		return nil
 	case OpPartner:
 		j.applyPartner(rec.ID, rec.Partner)
@@ -67,9 +65,9 @@
 		return nil
 	case OpEnded:
 		if x := rec.Ended; x != nil {
-			j.n++
-			x.n = j.n
-			j.remember(x)
+			j.lastNumber++
+			x.number = j.lastNumber
+			j.addEnded(x)
 		}
 		return nil
 	}
@@ -77,18 +75,18 @@
 	if e == nil {
 		return nil
 	}
-	j.mark(e.ID, markState)
+	j.markDirty(e.ID, stateDirty)
 	switch rec.Op {
 	case OpSend:
-		tries, open, firstMay, firstZone := e.Attempts, e.InFlight, e.MayHaveRunSince, e.MayHaveRunZone
+		attempts, inFlight, since, zone := e.Attempts, e.InFlight, e.MayHaveRunSince, e.MayHaveRunZone
 		e.Attempts++
 		e.InFlight = true
 		if !e.MayHaveRun {
 			e.MayHaveRunSince, e.MayHaveRunZone = rec.At, rec.Zone
 		}
 		return func() {
-			e.Attempts, e.InFlight, e.MayHaveRunSince, e.MayHaveRunZone = tries, open, firstMay, firstZone
-			j.mark(e.ID, markState)
+			e.Attempts, e.InFlight, e.MayHaveRunSince, e.MayHaveRunZone = attempts, inFlight, since, zone
+			j.markDirty(e.ID, stateDirty)
 		}
 	case OpOutcome:
 		e.InFlight = false
@@ -100,29 +98,31 @@
 		e.StoredDigest = e.SubmittedDigest()
 		e.End = rec.End
 		e.Body, e.StoredBodySize = nil, 0
-		j.mark(e.ID, markMessage)
+		j.markDirty(e.ID, messageDirty)
 	case OpDone, OpNotified:
 		delete(j.entries, e.ID)
-		j.mark(e.ID, markMessage)
-		j.remember(j.endedOf(e, rec))
+		j.markDirty(e.ID, messageDirty)
+		j.addEnded(j.endedFrom(e, rec))
 	}
 	return nil
 }
 
-// endedOf is what is remembered of a message whose last record is rec.
-func (j *Journal) endedOf(e *Entry, rec *Record) *Ended {
-	x := &Ended{ID: e.ID, Tenant: e.Tenant, Partner: e.Partner, Class: e.Class, State: message.Delivered, Attempts: e.Attempts,
-		AcceptedAt: e.AcceptedAt, EndedAt: rec.At, Digest: e.SubmittedDigest(), RetainUntil: e.Deadline, behind: e.BacklogSeq, n: e.n}
+// endedFrom returns the ended message of an entry whose last record is rec.
+func (j *Journal) endedFrom(e *Entry, rec *Record) *Ended {
+	x := &Ended{ID: e.ID, Tenant: e.Tenant, Partner: e.Partner, Class: e.Class, State: message.Delivered,
+		Attempts: e.Attempts, AcceptedAt: e.AcceptedAt, EndedAt: rec.At, Digest: e.SubmittedDigest(), RetainUntil: e.Deadline,
+		backlogSeq: e.BacklogSeq, number: e.number}
 	if e.End != nil {
 		x.State, x.RetryAfterMS, x.EndedAt = e.End.State, e.End.RetryAfterMS, e.End.At
 	}
-	if k := j.opts.EndRetention; k > 0 {
-		x.RetainUntil = x.EndedAt + k.Microseconds()
+	if retention := j.opts.EndRetention; retention > 0 {
+		x.RetainUntil = x.EndedAt + retention.Microseconds()
 	}
 	return x
 }
 
-func (j *Journal) remember(x *Ended) {
+// addEnded retains an ended message.
+func (j *Journal) addEnded(x *Ended) {
 	j.ended.add(x)
-	j.mark(x.ID, markState)
+	j.markDirty(x.ID, stateDirty)
 }
--- a/internal/journal/clock_test.go
+++ b/internal/journal/clock_test.go
@@ -13,7 +13,7 @@
 // what was written.
 func TestClockOutlivesProcess(t *testing.T) {
 	fs := vfs.NewMem()
-	j := openJournal(t, fs, plain)
+	j := openJournal(t, fs, testOptions)
 	mustAppend(t, j, accept("a", 10), Record{Op: OpSend, ID: "a", At: j.Clock().Now()})
 	epoch, sent := j.epoch, j.Entry("a").MayHaveRunSince
 	j = reopen(t, j, fs)
@@ -30,7 +30,7 @@
 // remembered for its whole window from now on, and the clock does not go back behind what was written.
 func TestClockAfterAnotherBoot(t *testing.T) {
 	fs := vfs.NewMem()
-	j := openJournal(t, fs, plain)
+	j := openJournal(t, fs, testOptions)
 	over := j.Clock().Now() + time.Hour.Microseconds() // the wall clock was an hour ahead then, say
 	mustAppend(t, j, accept("a", 10), Record{Op: OpSend, ID: "a", At: j.Clock().Now()}, accept("fresh", 10),
 		accept("done", 10), Record{Op: OpDone, ID: "done", At: over},
@@ -40,7 +40,7 @@
 	mustAppend(t, j, accept("b", 10))
 	for range 2 { // the first start in a boot says what the next one knows
 		j = reopen(t, j, fs)
-		if e := j.Entry("a"); e.MayHaveRunSince != longAgo || !e.InFlight {
+		if e := j.Entry("a"); e.MayHaveRunSince != earliestTime || !e.InFlight {
 			t.Errorf("the attempt is %+v", e)
 		}
 		if e := j.Entry("fresh"); e.MayHaveRunSince != 0 || e.Attempts != 0 {
--- a/internal/journal/crash_test.go
+++ b/internal/journal/crash_test.go
@@ -11,12 +11,12 @@
 	"cometrack/internal/vfs"
 )
 
-// life is what a message has gone through, as far as the journal has acknowledged
+// progress is what a message has gone through, as far as the journal has acknowledged
 // it, and the step that was under way.
-type life struct{ acked, begun int }
+type progress struct{ acked, begun int }
 
-// steps are a message's records, one an append.
-func steps(i int) []Record {
+// recordsOf are a message's records, one an append.
+func recordsOf(i int) []Record {
 	id := fmt.Sprint("m", i)
 	list := []Record{accept(id, 200+i*37%900), {Op: OpSend, ID: id, At: 100}, {Op: OpOutcome, ID: id, MayHaveRun: i%2 == 0}, {Op: OpSend, ID: id, At: 200}}
 	at := time.Now().UnixMicro()
@@ -26,17 +26,17 @@
 	return append(list, Record{Op: OpDone, ID: id, At: at})
 }
 
-// drive takes many messages through their lives, several at once.
-func drive(j *Journal, lives []life, most int) error {
+// appendRecords takes many messages through their lives, several at once.
+func appendRecords(j *Journal, lives []progress, most int) error {
 	for n := 0; n < most; n++ {
 		var recs []Record
 		var of []int
 		for i := range lives {
 			// Some stay held for long: the segments that they are in are compacted.
-			if i > n/2 || lives[i].acked == len(steps(i)) || i%5 == 4 && lives[i].acked > 1 && n < most*3/4 || (n+i)%3 == 0 {
+			if i > n/2 || lives[i].acked == len(recordsOf(i)) || i%5 == 4 && lives[i].acked > 1 && n < most*3/4 || (n+i)%3 == 0 {
 				continue
 			}
-			recs = append(recs, steps(i)[lives[i].acked])
+			recs = append(recs, recordsOf(i)[lives[i].acked])
 			of = append(of, i)
 			lives[i].begun = lives[i].acked + 1
 		}
@@ -50,13 +50,13 @@
 	return nil
 }
 
-// check holds what was recovered against what was acknowledged.
-func check(t *testing.T, what string, j *Journal, lives []life) {
+// checkRecovered holds what was recovered against what was acknowledged.
+func checkRecovered(t *testing.T, what string, j *Journal, lives []progress) {
 	t.Helper()
 	for i, l := range lives {
 		id := fmt.Sprint("m", i)
 		e, x := j.Entry(id), j.Ended(id)
-		all := len(steps(i))
+		all := len(recordsOf(i))
 		switch {
 		case e != nil && x != nil:
 			t.Fatalf("%s: %s is held and over", what, id)
@@ -92,7 +92,7 @@
 	opts := Options{MaxBytes: 900_000, MaxEnded: 1000, EndRetention: time.Hour, Sync: store.SyncAlways}
 	whole := vfs.NewMem()
 	j := openJournal(t, whole, opts)
-	if err := drive(j, make([]life, 40), rounds); err != nil {
+	if err := appendRecords(j, make([]progress, 40), rounds); err != nil {
 		t.Fatal(err)
 	}
 	calls := whole.Calls()
@@ -100,9 +100,9 @@
 	for n := 1; n <= calls; n++ {
 		m := vfs.NewMem()
 		m.CrashAt(n)
-		lives := make([]life, 40)
+		lives := make([]progress, 40)
 		if j, err := OpenOn(m, opts); err == nil {
-			drive(j, lives, rounds)
+			appendRecords(j, lives, rounds)
 			j.store.Close()
 		}
 		loss := vfs.Loss(n % len(vfs.Losses()))
@@ -112,17 +112,17 @@
 		if err != nil {
 			t.Fatalf("%s: %v", what, err)
 		}
-		check(t, what, j, lives)
+		checkRecovered(t, what, j, lives)
 		if n%10 == 0 { // on from there, from what is known now
 			for i := range lives {
 				lives[i].acked = 0
 				if e := j.Entry(fmt.Sprint("m", i)); e != nil || j.Ended(fmt.Sprint("m", i)) != nil {
-					lives[i].acked = len(steps(i))
+					lives[i].acked = len(recordsOf(i))
 				}
 				lives[i].begun = lives[i].acked
 			}
 			before := j.Len()
-			if err := drive(j, lives, rounds); err != nil {
+			if err := appendRecords(j, lives, rounds); err != nil {
 				t.Fatalf("%s: afterwards: %v", what, err)
 			}
 			if j = reopen(t, j, left); j.Len() < before {
@@ -136,7 +136,7 @@
 // A disk that fails takes nothing on and forgets nothing that has happened; what is refused is not there later.
 func TestWriteFails(t *testing.T) {
 	fs := vfs.NewMem()
-	opts := plain
+	opts := testOptions
 	opts.Sync = store.SyncNever
 	j := openJournal(t, fs, opts)
 	mustAppend(t, j, accept("a", 10), accept("b", 10))
@@ -160,7 +160,7 @@
 // A damaged record of what became of a message leaves doubt: it counts as one that may have run.
 func TestDamageLeavesDoubt(t *testing.T) {
 	fs := vfs.NewMem()
-	j := openJournal(t, fs, plain)
+	j := openJournal(t, fs, testOptions)
 	mustAppend(t, j, accept("a", 100))
 	mustAppend(t, j, Record{Op: OpSend, ID: "a", At: 5})
 	at := len(fs.Data("00000001.seg")) - 3
@@ -169,7 +169,7 @@
 	b := fs.Data("00000001.seg")
 	b[at] ^= 1
 	fs.Set("00000001.seg", b)
-	j = openJournal(t, fs, plain)
+	j = openJournal(t, fs, testOptions)
 	for _, id := range []string{"a", "b"} {
 		if e := j.Entry(id); e == nil || !e.MayHaveRun || e.MayHaveRunSince != e.AcceptedAt {
 			t.Errorf("%s: %+v", id, e)
--- a/internal/journal/describe.go
+++ b/internal/journal/describe.go
@@ -2,17 +2,17 @@
 
 import "fmt"
 
-// Description is a record as a person may read it.
+// Description is a record of the store in readable form, as `cometrack store dump` prints it.
 type Description struct {
-	Kind  string `json:"what"` // message, state, wait, partner or terms
-	ID    string `json:"id"`   // of the message; of a wait, the endpoint's name; of a partner, its own
+	Kind  string `json:"what"` // message, state, wait, partner, terms or passed
+	ID    string `json:"id"`   // the record's key without its prefix, such as the message's id or the endpoint's name
 	Value any    `json:"value"`
 }
 
-// Describe reads a record of the store beneath a journal.
+// Describe decodes a record of a journal's store. It fails on an unknown prefix of the key.
 func Describe(key string, value []byte) (Description, error) {
 	if key == "" {
-		return Description{}, fmt.Errorf("a record without a key")
+		return Description{}, fmt.Errorf("record with an empty key")
 	}
 	d := Description{ID: key[1:]}
 	switch key[:1] {
@@ -26,13 +26,13 @@
 		d.Kind, d.Value = "partner", &Partner{}
 	case keyTerms:
 		d.Kind, d.Value = "terms", &Terms{}
-	case keyPassed:
+	case keyLeftBacklog:
 		d.Kind = "passed"
-		p := newPassed()
+		p := newSeqSet()
 		d.Value = value
 		return d, p.load(d.ID, value)
 	default:
-		return d, fmt.Errorf("record %q is of no kind that this program knows", key)
+		return d, fmt.Errorf("record %q is of an unknown kind", key)
 	}
 	return d, decode(key, value, d.Value)
 }
--- a/internal/journal/doc.go
+++ b/internal/journal/doc.go
@@ -1,3 +1,3 @@
-// Package journal keeps what must outlive the process: the messages that were
-// taken on, what became of them so far, and for a while how they ended.
+// Package journal persists what must outlive the process: the accepted messages with the state
+// of their attempts, and for a limited time how they ended.
 package journal
--- a/internal/journal/ended.go
+++ b/internal/journal/ended.go
@@ -1,6 +1,6 @@
 package journal
 
-// Ended is what is remembered of a message that is over.
+// Ended is the retained end of a message. Times are in microseconds of package clock.
 type Ended struct {
 	ID           string `json:"id"`
 	Tenant       string `json:"tenant,omitempty"`
@@ -9,65 +9,66 @@
 	State        string `json:"state"`
 	RetryAfterMS int64  `json:"after_ms,omitempty"`
 	Attempts     int    `json:"tries,omitempty"`
-	AcceptedAt   int64  `json:"at,omitempty"` // by the clock of package clock, as is Over
+	AcceptedAt   int64  `json:"at,omitempty"`
 	EndedAt      int64  `json:"over"`
 	Digest       uint64 `json:"digest"`
-	RetainUntil  int64  `json:"until"` // forgotten after this
-	behind       uint64 // of its [Entry], as is n
-	n            int64
-	saved        bool // it is to be in the store
+	RetainUntil  int64  `json:"until"` // end of its retention
+	backlogSeq   uint64 // of its [Entry], as is number
+	number       int64
+	saved        bool // it belongs into the store, not only into memory
 }
 
-// size is roughly what it takes in the store.
+// size returns about the number of bytes that it takes in the store.
 func (e *Ended) size() int64 {
 	return int64(80 + len(e.ID) + len(e.Tenant) + len(e.Partner) + len(e.Class))
 }
 
-// ended remembers messages that are over, the oldest first to go. Bounds hold at
-// once: number, each one's own time, and the bytes of those that are in the store
-// too.
-type ended struct {
-	byID  map[string]*Ended
-	queue []*Ended // in the order in which they came; the front ones are nil once dropped
-	head  int
-	saved int // the first of queue that is in the store
-	bytes int64
-	most  int
-	room  int64           // bytes in the store; 0 for no limit
-	drop  func(id string) // one is no longer to be in the store
+// endedMessages retains ended messages. Three bounds apply: the number of messages, the
+// retention of each, and the bytes of those that are in the store. The oldest are dropped first.
+type endedMessages struct {
+	byID       map[string]*Ended
+	queue      []*Ended // in the order of addition; dropped ones are nil until they are cut off the front
+	head       int      // index of the oldest in queue
+	firstSaved int      // index of the oldest in queue that is in the store
+	bytes      int64    // size of those in the store
+	maxCount   int
+	maxBytes   int64           // limit of bytes; 0 for none
+	onUnsave   func(id string) // called with the id of each that leaves the store
 }
 
-func newEnded(most int, room int64, drop func(id string)) *ended {
-	return &ended{byID: map[string]*Ended{}, most: most, room: room, drop: drop}
+func newEnded(maxCount int, maxBytes int64, onUnsave func(id string)) *endedMessages {
+	return &endedMessages{byID: map[string]*Ended{}, maxCount: maxCount, maxBytes: maxBytes, onUnsave: onUnsave}
 }
 
-func (d *ended) add(e *Ended) {
-	if d.byID[e.ID] != nil || d.most <= 0 {
+// add adds an ended message, unless there is one with its id.
+func (d *endedMessages) add(e *Ended) {
+	if d.byID[e.ID] != nil || d.maxCount <= 0 {
 		return
 	}
 	d.byID[e.ID] = e
 	d.queue = append(d.queue, e)
 	d.bytes += e.size()
 	e.saved = true
-	for d.room > 0 && d.bytes > d.room {
+	for d.maxBytes > 0 && d.bytes > d.maxBytes {
 		d.unsave()
 	}
-	for len(d.byID) > d.most {
+	for len(d.byID) > d.maxCount {
 		d.pop()
 	}
 }
 
-// unsave takes the oldest that is in the store out of it.
-func (d *ended) unsave() {
-	e := d.queue[d.saved]
-	d.saved++
+// unsave takes the oldest message in the store out of it; it stays in memory.
+func (d *endedMessages) unsave() {
+	e := d.queue[d.firstSaved]
+	d.firstSaved++
 	d.bytes -= e.size()
 	e.saved = false
-	d.drop(e.ID)
+	d.onUnsave(e.ID)
 }
 
-func (d *ended) pop() {
-	if d.saved <= d.head {
+// pop drops the oldest message.
+func (d *endedMessages) pop() {
+	if d.firstSaved <= d.head {
 		d.unsave()
 	}
 	e := d.queue[d.head]
@@ -75,23 +76,23 @@
 	delete(d.byID, e.ID)
 	if d.head++; d.head > 64 && d.head*2 > len(d.queue) {
 		d.queue = append(d.queue[:0:0], d.queue[d.head:]...)
-		d.saved -= d.head
+		d.firstSaved -= d.head
 		d.head = 0
 	}
 }
 
-// forget drops those at the front whose time is up.
-func (d *ended) forget(now int64) {
+// expire drops the oldest messages as long as their retention has ended.
+func (d *endedMessages) expire(now int64) {
 	for len(d.byID) > 0 && d.queue[d.head].RetainUntil < now {
 		d.pop()
 	}
 }
 
-// before adds older ones, in memory only, as far as there is room.
-func (d *ended) before(list []*Ended) {
+// addOlder adds messages older than all others, in memory only, as far as maxCount permits.
+func (d *endedMessages) addOlder(list []*Ended) {
 	var older []*Ended
 	for _, e := range list {
-		if e != nil && d.byID[e.ID] == nil && len(d.byID)+len(older) < d.most {
+		if e != nil && d.byID[e.ID] == nil && len(d.byID)+len(older) < d.maxCount {
 			e.saved = false
 			older = append(older, e)
 		}
@@ -100,9 +101,9 @@
 		d.byID[e.ID] = e
 	}
 	d.queue = append(older, d.queue[d.head:]...)
-	d.saved += len(older) - d.head
+	d.firstSaved += len(older) - d.head
 	d.head = 0
 }
 
-// all lists them, the oldest first.
-func (d *ended) all() []*Ended { return d.queue[d.head:] }
+// all lists the retained messages, the oldest first.
+func (d *endedMessages) all() []*Ended { return d.queue[d.head:] }
--- a/internal/journal/entry.go
+++ b/internal/journal/entry.go
@@ -6,26 +6,26 @@
 	"cometrack/internal/message"
 )
 
-// Entry is what the journal knows of a message that is not over, or whose end has
-// yet to be confirmed. Its names in JSON are those of the file of before 0.3.
+// Entry is a message that has not ended, or whose end is not confirmed. Its JSON names are those
+// of the legacy file that versions before 0.3 wrote. Times are in microseconds of package clock.
 type Entry struct {
 	message.Message
-	AcceptedAt      int64        `json:"at,omitempty"` // when it was taken on, by the clock of package clock
-	Attempts        int          `json:"tries,omitempty"`
+	AcceptedAt      int64        `json:"at,omitempty"`
+	Attempts        int          `json:"tries,omitempty"`     // number of attempts made
 	InFlight        bool         `json:"open,omitempty"`      // the last attempt has no outcome
-	MayHaveRun      bool         `json:"may_run,omitempty"`   // an earlier one may have run
-	MayHaveRunSince int64        `json:"first_may,omitempty"` // when the first that may have run was sent, by the clock of package clock
+	MayHaveRun      bool         `json:"may_run,omitempty"`   // an earlier attempt may have run
+	MayHaveRunSince int64        `json:"first_may,omitempty"` // when the first attempt that may have run was sent
 	MayHaveRunZone  string       `json:"at_zone,omitempty"`   // zone of its endpoint
-	End             *message.End `json:"end,omitempty"`
-	OldDest         *int64       `json:"dest,omitempty"`   // the partner, in files of before 0.2
-	StoredDigest    uint64       `json:"digest,omitempty"` // of the message as it was, once its body is not in memory
-	StoredBodySize  int          `json:"-"`                // bytes of a body that is in the store only, see [Journal.Body]
-	Terms           int64        `json:"-"`                // the number of the [Terms] that it was taken on under; 0 if not known
-	BacklogSeq      uint64       `json:"-"`                // its number while it was behind the window of its destination; 0 if it never was
-	n               int64        // its place in the order in which messages were taken on
+	End             *message.End `json:"end,omitempty"`       // nil while the message has not ended
+	LegacyDest      *int64       `json:"dest,omitempty"`      // the partner, in files of versions before 0.2
+	StoredDigest    uint64       `json:"digest,omitempty"`    // of the submitted message, once its body is not in memory
+	StoredBodySize  int          `json:"-"`                   // of a body that is only in the store, see [Journal.Body]
+	Terms           int64        `json:"-"`                   // number of the [Terms] of its acceptance; 0 if unknown
+	BacklogSeq      uint64       `json:"-"`                   // sequence number that it had in the backlog; 0 if none
+	number          int64        // position in the order of acceptance
 }
 
-// SubmittedDigest is the digest of the message as it was handed in.
+// SubmittedDigest returns the digest of the message as it was submitted.
 func (e *Entry) SubmittedDigest() uint64 {
 	if e.End != nil || e.StoredBodySize > 0 {
 		return e.StoredDigest
@@ -33,46 +33,48 @@
 	return e.Digest()
 }
 
-// upgrade reads an entry of an older file.
-func (e *Entry) upgrade() {
-	if e.Partner == "" && e.OldDest != nil {
-		e.Partner = strconv.FormatInt(*e.OldDest, 10)
+// convertLegacyPartner sets the partner of an entry of a file of a version before 0.2.
+func (e *Entry) convertLegacyPartner() {
+	if e.Partner == "" && e.LegacyDest != nil {
+		e.Partner = strconv.FormatInt(*e.LegacyDest, 10)
 	}
-	e.OldDest = nil
+	e.LegacyDest = nil
 }
 
 // Op is the kind of a record.
 type Op byte
 
-// The kinds of record.
+// The kinds of records.
 const (
-	OpAccept           Op = iota + 1 // a message is taken on
-	OpSend                           // an attempt is about to be made
-	OpOutcome                        // it has its outcome
-	OpDone                           // delivered, or over without our word
-	OpEnd                            // ended by us; the notice is owed
-	OpNotified                       // the notice is confirmed
-	OpWait                           // an endpoint has told to wait until At; ID is its name
-	OpEnded                          // what is remembered of one that is over; only in files of before 0.3
-	OpPartner                        // what is known of the partner ID
-	OpTerms                          // messages are taken on under Terms from here on
-	OpLeftBacklog                    // the message of the number Behind is no longer behind its window, and nothing else is known of it
-	OpBacklogReclaimed               // Count numbers from Behind on are of nobody any more: nothing is left of them behind the windows
+	OpAccept   Op = iota + 1 // Entry is accepted
+	OpSend                   // an attempt of the message ID is about to be sent, at the time At to Zone
+	OpOutcome                // the attempt has its outcome; MayHaveRun if it may have run
+	OpDone                   // the message has ended at the time At, delivered or without a notice
+	OpEnd                    // the message has ended with End; its notice is not confirmed
+	OpNotified               // the notice is confirmed
+	OpWait                   // the endpoint ID has requested a wait until At
+	OpEnded                  // Ended is retained; only in files of versions before 0.3
+	OpPartner                // Partner is the state of the partner ID
+	OpTerms                  // messages are accepted under Terms from here on
+	// OpLeftBacklog records that the message with the number BacklogSeq has left the backlog, if nothing else is stored
+	// of it.
+	OpLeftBacklog
+	// OpBacklogReclaimed records that no message is left of Count sequence numbers from BacklogSeq on.
+	OpBacklogReclaimed
 )
 
-// Record is one thing that has happened.
+// Record is an event of a message, an endpoint or a partner. Op says which of the fields are used.
 type Record struct {
 	Op         Op           `json:"op"`
-	ID         string       `json:"id,omitempty"`
+	ID         string       `json:"id,omitempty"` // of the message, or the name of the endpoint or partner
 	Entry      *Entry       `json:"entry,omitempty"`
-	At         int64        `json:"at,omitempty"`
-	Zone       string       `json:"at_zone,omitempty"` // of the endpoint that an attempt goes to
+	At         int64        `json:"at,omitempty"`      // in microseconds of package clock
+	Zone       string       `json:"at_zone,omitempty"` // of the endpoint that an attempt is sent to
 	MayHaveRun bool         `json:"may_run,omitempty"`
 	End        *message.End `json:"notice,omitempty"`
 	Ended      *Ended       `json:"ended,omitempty"`
-	// Partner is what is known of the partner ID.
-	Partner    *Partner `json:"-"`
-	Terms      *Terms   `json:"-"`
-	BacklogSeq uint64   `json:"-"`
-	Count      uint64   `json:"-"`
+	Partner    *Partner     `json:"-"`
+	Terms      *Terms       `json:"-"`
+	BacklogSeq uint64       `json:"-"`
+	Count      uint64       `json:"-"`
 }
--- a/internal/journal/harness_test.go
+++ b/internal/journal/harness_test.go
@@ -12,7 +12,7 @@
 	"cometrack/internal/vfs"
 )
 
-var plain = Options{MaxBytes: 3e6, MaxEnded: 100, EndRetention: time.Hour}
+var testOptions = Options{MaxBytes: 3e6, MaxEnded: 100, EndRetention: time.Hour}
 
 func openJournal(t testing.TB, fs vfs.FS, opts Options) *Journal {
 	t.Helper()
@@ -43,8 +43,8 @@
 	}
 }
 
-// oldFile writes records as versions before 0.3 did.
-func oldFile(t testing.TB, recs ...any) []byte {
+// legacyFile writes records as versions before 0.3 did.
+func legacyFile(t testing.TB, recs ...any) []byte {
 	t.Helper()
 	var b []byte
 	for _, r := range recs {
--- a/internal/journal/journal.go
+++ b/internal/journal/journal.go
@@ -15,72 +15,72 @@
 	"cometrack/internal/vfs"
 )
 
-// Options bound the journal.
+// Options configure a journal.
 type Options struct {
-	MaxBytes int64 // bytes in the folder; 0 for a default
-	// Ends of messages are remembered for EndRetention after the end, or if that is 0 until the message's own
-	// deadline, and no more than MostEnded at once; the oldest go first. Those that fit into a fifth of the
-	// room outlive the process.
-	EndRetention    time.Duration
+	MaxBytes int64 // maximum size of the folder in bytes; 0 for a default
+	// EndRetention is how long the end of a message is retained after it; 0 retains it until the message's deadline.
+	EndRetention time.Duration
+	// MaxEnded bounds the number of ended messages that are retained; the oldest are dropped first. Those that fit
+	// into a fifth of the capacity outlive the process.
 	MaxEnded        int
-	MaxBodyInMemory int  // a larger body is left on the disk until it is asked for; 0 to have all in memory
-	KeepPartners    bool // what is known of partners is kept too, in a twentieth of the room
+	MaxBodyInMemory int  // bytes; larger bodies are read from the disk when needed; 0 to keep all in memory
+	KeepPartners    bool // persist the state of partners as well, in a twentieth of the capacity
 	Sync            store.Sync
-	SyncInterval    time.Duration // store.SyncInterval: how often
+	SyncInterval    time.Duration // time between syncs for store.SyncInterval
 	Log             *slog.Logger  // nil for none
 }
 
 const (
-	defaultDisk = 16 << 20
-	mostWaits   = 10_000
-	// endedPart is the part of the room that remembered ends may fill.
-	endedPart = 0.2
-	// reserve is kept free for each message that is held, for what becomes of it: its state, its end, and the
-	// records that take it away. What these replace is dead and made room of by compaction.
-	reserve = 128
-	// mostOther is more than the records of a message take beside its body: eight names, twice, and numbers.
-	mostOther = 16*(message.MaxName+8) + 512
-	// messageOverhead is about what a message takes beside its id and body.
+	defaultMaxBytes = 16 << 20
+	maxWaits        = 10_000
+	// endedShare is the share of the capacity that ended messages may occupy.
+	endedShare = 0.2
+	// reservePerMessage is the number of bytes kept free for each pending message, for the records of its state, its
+	// end and its removal. The records that these replace are dead, and compaction reclaims their space.
+	reservePerMessage = 128
+	// maxRecordOverhead is an upper bound of the bytes that a message's records take beside its body: eight names,
+	// twice, and numbers.
+	maxRecordOverhead = 16*(message.MaxName+8) + 512
+	// messageOverhead is about the number of bytes that a message's record takes beside its id and body.
 	messageOverhead = 128
 )
 
-// Journal keeps accepted messages in a store that outlives the process. All that
-// it knows is in memory too. It is not safe for concurrent use.
+// Journal persists accepted messages in a store. It holds all of its state in memory too, except
+// large bodies. It is not safe for concurrent use, except for [Journal.Body].
 type Journal struct {
-	storeMu  sync.RWMutex // of the field store, for those beside the owner
-	store    *store.Store
-	fs       vfs.FS
-	opts     Options
-	log      *slog.Logger
-	n        int64
-	entries  map[string]*Entry
-	ended    *ended
-	waits    map[string]int64 // told waits: until when, by endpoint
-	clock    *clock.Clock
-	epoch    clock.Epoch
-	newEpoch bool  // the store does not have it
-	promised int64 // bytes that Reserve has said yes to and Append has not had
-	batch    store.Batch
-	buf      bytes.Buffer // values of the batch
-	undo     []undo
-	unsaid   []string // ids in the batch that is being put together
-	reviving bool     // the store has failed and is not whole again
-	behind   bool     // a write has failed, and what it was of is not in the store
-	// What the store does not have as it is here: messages by id, in the order in which they changed, and waits.
-	dirty      map[string]mark
-	changed    []string
-	dirtyWaits map[string]bool
-	partners   partners
-	terms      map[int64]*Terms
-	dirtyTerms map[int64]bool
-	passed     passed
-	heldTerms  func() []int64 // those that messages elsewhere are held to; nil for none
-	newest     int64          // the terms that messages are taken on under
-	lastTerms  int64
+	storeMu         sync.RWMutex // guards the field store against calls of Body by other goroutines
+	store           *store.Store
+	fs              vfs.FS
+	opts            Options
+	log             *slog.Logger
+	lastNumber      int64 // of the messages, in the order of their acceptance
+	entries         map[string]*Entry
+	ended           *endedMessages
+	waits           map[string]int64 // end of the waits that endpoints requested, by the endpoint's name
+	clock           *clock.Clock
+	epoch           clock.Epoch
+	newEpoch        bool  // epoch is not in the store yet
+	reserved        int64 // bytes that Reserve has granted since the last Append
+	batch           store.Batch
+	buf             bytes.Buffer // holds the values of batch
+	undo            []undo
+	batched         []string              // ids of the messages in the batch being built
+	reopening       bool                  // the store has failed and is not open again
+	unwritten       bool                  // a write has failed, and its changes are not in the store
+	dirty           map[string]dirtyFlags // messages whose records in the store are out of date, by id
+	changed         []string              // keys of dirty, in the order of the changes
+	dirtyWaits      map[string]bool       // endpoints whose waits in the store are out of date
+	partners        partnerStates
+	terms           map[int64]*Terms
+	dirtyTerms      map[int64]bool // terms whose records in the store are out of date
+	leftBacklog     seqSet
+	termsInUse      func() []int64 // terms of messages outside the journal; nil for none
+	currentTerms    int64          // number of the terms under which messages are accepted
+	lastTermsNumber int64
 }
 
-// Open reads the journal in dir, and takes over a file that a version before 0.3
-// has left.
+// Open opens the journal in the folder dir and reads it. It imports the file that a version
+// before 0.3 has left there.
 func Open(dir string, opts Options) (*Journal, error) {
 	fs, err := vfs.OpenDir(dir)
 	if err != nil {
@@ -92,7 +92,7 @@
 // OpenOn is [Open] on a file system.
 func OpenOn(fs vfs.FS, opts Options) (*Journal, error) {
 	if opts.MaxBytes <= 0 {
-		opts.MaxBytes = defaultDisk
+		opts.MaxBytes = defaultMaxBytes
 	}
 	if opts.Log == nil {
 		opts.Log = slog.New(slog.DiscardHandler)
@@ -101,15 +101,17 @@
 	if err != nil {
 		return nil, fmt.Errorf("journal: %w", err)
 	}
-	j := &Journal{store: st, fs: fs, opts: opts, log: opts.Log, entries: map[string]*Entry{}, waits: map[string]int64{}, dirty: map[string]mark{}, dirtyWaits: map[string]bool{},
-		terms: map[int64]*Terms{}, dirtyTerms: map[int64]bool{}, passed: newPassed()}
-	j.ended = newEnded(opts.MaxEnded, int64(endedPart*float64(st.Stats().Capacity)), func(id string) { j.mark(id, markState) })
-	j.partners = partners{by: map[string]*known{}, dirty: map[string]bool{}}
+	j := &Journal{store: st, fs: fs, opts: opts, log: opts.Log, entries: map[string]*Entry{}, waits: map[string]int64{},
+		dirty: map[string]dirtyFlags{}, dirtyWaits: map[string]bool{},
+		terms: map[int64]*Terms{}, dirtyTerms: map[int64]bool{}, leftBacklog: newSeqSet()}
+	j.ended = newEnded(opts.MaxEnded, int64(endedShare*float64(st.Stats().Capacity)),
+		func(id string) { j.markDirty(id, stateDirty) })
+	j.partners = partnerStates{byName: map[string]*partnerState{}, dirty: map[string]bool{}}
 	if opts.KeepPartners {
-		j.partners.room = int64(partnersPart * float64(st.Stats().Capacity))
+		j.partners.maxBytes = int64(partnersShare * float64(st.Stats().Capacity))
 	}
 	if err = j.load(); err == nil {
-		err = j.takeOver(fs)
+		err = j.importLegacyFile(fs)
 	}
 	if err != nil {
 		st.Close()
@@ -118,10 +120,10 @@
 	return j, nil
 }
 
-// load reads all that the store has.
+// load reads the whole store.
 func (j *Journal) load() error {
 	states := map[string]*stateRecord{}
-	var kept *clock.Epoch
+	var savedEpoch *clock.Epoch
 	unread, err := j.store.Range(func(key string, value []byte) error {
 		id := key[1:]
 		switch key[:1] {
@@ -131,15 +133,15 @@
 				return err
 			}
 			j.entries[id] = r.entry(id)
-			j.leave(j.entries[id])
-			j.n = max(j.n, r.N)
+			j.dropLargeBody(j.entries[id])
+			j.lastNumber = max(j.lastNumber, r.N)
 		case keyState:
 			r := &stateRecord{}
 			if err := decode(key, value, r); err != nil {
 				return err
 			}
 			states[id] = r
-			j.n = max(j.n, r.N)
+			j.lastNumber = max(j.lastNumber, r.N)
 		case keyWait:
 			var r waitRecord
 			if err := decode(key, value, &r); err != nil {
@@ -151,112 +153,112 @@
 			if err := decode(key, value, &r); err != nil {
 				return err
 			}
-			kept = &clock.Epoch{BootID: r.Boot, Offset: r.Offset}
+			savedEpoch = &clock.Epoch{BootID: r.Boot, Offset: r.Offset}
 		case keyTerms:
 			t := &Terms{}
 			if err := decode(key, value, t); err != nil {
 				return err
 			}
-			j.terms[t.Number], j.lastTerms = t, max(j.lastTerms, t.Number)
-		case keyPassed:
-			if err := j.passed.load(id, value); err != nil {
+			j.terms[t.Number], j.lastTermsNumber = t, max(j.lastTermsNumber, t.Number)
+		case keyLeftBacklog:
+			if err := j.leftBacklog.load(id, value); err != nil {
 				return err
 			}
 		case keyPartner:
 			r := &Partner{}
-			if err := decode(key, value, r); err != nil { // not worth a refusal to start
-				j.log.Warn("journal: what was known of a partner is dropped", "err", err)
+			if err := decode(key, value, r); err != nil { // starting without it is better than not at all
+				j.log.Warn("journal: discarding the state of a partner, which can't be decoded", "err", err)
 				j.partners.dirty[id] = true
 				return nil
 			}
-			j.partners.by[id] = &known{at: r.At, sick: r.Unhealthy, value: r, size: store.FrameSize(len(key), len(value))}
-			j.partners.bytes += j.partners.by[id].size
+			j.partners.byName[id] = &partnerState{updatedAt: r.At, unhealthy: r.Unhealthy, value: r,
+				size: store.FrameSize(len(key), len(value))}
+			j.partners.bytes += j.partners.byName[id].size
 		}
 		return nil
 	})
 	if err != nil {
 		return err
 	}
-	for _, e := range j.entries { // one that a crash has left in both places is here
-		j.passed.keep(e.BacklogSeq)
+	for _, e := range j.entries { // a crash may have left it in the backlog too: the journal's copy counts
+		j.leftBacklog.add(e.BacklogSeq)
 	}
 	for _, r := range states {
-		j.passed.keep(r.Behind)
+		j.leftBacklog.add(r.Behind)
 	}
 	if unread > 0 {
 		j.log.Error("journal: records can't be read", "records", unread)
 	}
-	var over []*Ended
+	var ended []*Ended
 	for id, r := range states {
 		e := j.entries[id]
 		switch {
-		case e != nil && e.n > r.N: // of an earlier message of this id
+		case e != nil && e.number > r.N: // the state is of an earlier message with this id
 		case r.Over:
 			if e != nil {
 				delete(j.entries, id)
-				j.mark(id, markMessage)
+				j.markDirty(id, messageDirty)
 			}
-			over = append(over, r.ended(id))
+			ended = append(ended, r.ended(id))
 		case r.End != 0:
 			if e != nil {
-				j.mark(id, markMessage)
+				j.markDirty(id, messageDirty)
 			}
-			j.entries[id] = r.owed(id)
-		case e == nil || e.n != r.N:
-			j.mark(id, markState)
+			j.entries[id] = r.unconfirmedEntry(id)
+		case e == nil || e.number != r.N:
+			j.markDirty(id, stateDirty)
 		default:
 			r.merge(e)
 		}
 	}
 	if j.store.Found().Doubt() || unread > 0 {
-		// What became of a message may be lost: it may have run.
+		// The state of a message may be lost, so an attempt may have run.
 		for _, e := range j.entries {
 			if e.End == nil && !e.MayHaveRun && !e.InFlight {
 				e.MayHaveRun, e.MayHaveRunSince, e.MayHaveRunZone = true, e.AcceptedAt, ""
-				j.mark(e.ID, markState)
+				j.markDirty(e.ID, stateDirty)
 			}
 		}
 	}
-	slices.SortFunc(over, func(a, b *Ended) int { return int(min(max(a.EndedAt-b.EndedAt, -1), 1)) })
-	known := j.startClock(kept, over)
-	for _, x := range over {
-		if !known { // nothing is forgotten early: its window begins anew
+	slices.SortFunc(ended, func(a, b *Ended) int { return int(min(max(a.EndedAt-b.EndedAt, -1), 1)) })
+	known := j.startClock(savedEpoch, ended)
+	for _, x := range ended {
+		if !known { // its retention starts again, so that it is not dropped too early
 			x.RetainUntil = max(x.RetainUntil, j.clock.Now()+max(x.RetainUntil-x.EndedAt, 0))
 		}
 		j.ended.add(x)
 	}
-	j.ended.forget(j.clock.Now())
-	if j.partners.bytes > j.partners.room { // less than before
+	j.ended.expire(j.clock.Now())
+	if j.partners.bytes > j.partners.maxBytes { // the limit may have become smaller
 		j.partners.evict()
 	}
-	j.partners.forget(j.clock.Now())
+	j.partners.expire(j.clock.Now())
 	return nil
 }
 
-// Append takes records on in one go, so that a process that dies leaves all of
-// the earlier ones before any later one. On an error the caller must not act on a
-// message taken on or a send: they count as not having been. What only records
-// the past counts all the same, and is written with the next records, of which there
-// may be none. What takes several batches may be written in part: a message that
-// [Journal.Entry] knows has been taken on even so.
+// Append applies records and writes them, in their order: if the process dies, none is in the
+// store without all earlier ones. After an error the caller must not act on an accepted message
+// or a send, which are undone. Records of past events are kept despite the error and written
+// with the next call of Append, which may be without records. Records that take several batches
+// may be written in part: a message that [Journal.Entry] returns after an error is accepted.
 func (j *Journal) Append(recs []Record) error {
-	if len(recs) == 0 && !j.behind {
+	if len(recs) == 0 && !j.unwritten {
 		return nil
 	}
-	if err := j.revive(); err != nil {
+	if err := j.reopenFailedStore(); err != nil {
 		return fmt.Errorf("journal: %w", err)
 	}
-	j.promised = 0
+	j.reserved = 0
 	clear(j.undo)
 	j.undo = j.undo[:0]
 	for i := range recs {
 		if u := j.apply(&recs[i]); u != nil {
-			j.undo = append(j.undo, undo{recs[i].subject(), u})
+			j.undo = append(j.undo, undo{recs[i].messageID(), u})
 		}
 	}
 	if err := j.flush(); err != nil {
 		for _, u := range slices.Backward(j.undo) {
-			if j.dirty[u.id] != 0 { // else it was in a batch that was written, and counts
+			if j.dirty[u.id] != 0 { // otherwise its batch was written, and it stands
 				u.run()
 			}
 		}
@@ -264,31 +266,31 @@
 	}
 	for i := range recs {
 		if recs[i].Op == OpAccept && recs[i].Entry != nil {
-			j.leave(recs[i].Entry)
+			j.dropLargeBody(recs[i].Entry)
 		}
 	}
 	return nil
 }
 
-// leave leaves a large body to the store.
-func (j *Journal) leave(e *Entry) {
-	if most := j.opts.MaxBodyInMemory; most > 0 && len(e.Body) > most {
+// dropLargeBody drops a large body from memory; it stays in the store.
+func (j *Journal) dropLargeBody(e *Entry) {
+	if limit := j.opts.MaxBodyInMemory; limit > 0 && len(e.Body) > limit {
 		e.StoredDigest, e.StoredBodySize, e.Body = e.Digest(), len(e.Body), nil
 	}
 }
 
-// Body reads the body of a message back that was left to the store; see
-// [Entry.Left]. It may be called beside all else.
+// Body reads the body of a message from the store, see [Entry.StoredBodySize]. It may be called
+// concurrently with all other methods. The error is [ErrNoBody] if there is no such message.
 func (j *Journal) Body(id string) ([]byte, error) {
 	j.storeMu.RLock()
 	defer j.storeMu.RUnlock()
 	value, err := j.store.Get(keyMessage + id)
 	if err != nil {
-		return nil, fmt.Errorf("journal: the body of %q: %w", id, err)
+		return nil, fmt.Errorf("journal: body of %q: %w", id, err)
 	}
 	var r messageRecord
 	if value == nil {
-		return nil, fmt.Errorf("journal: the body of %q: %w", id, ErrNoBody)
+		return nil, fmt.Errorf("journal: body of %q: %w", id, ErrNoBody)
 	}
 	if err := decode(keyMessage+id, value, &r); err != nil {
 		return nil, fmt.Errorf("journal: %w", err)
@@ -296,29 +298,30 @@
 	return r.Body, nil
 }
 
-// ErrNoBody says that nothing is held under an id.
-var ErrNoBody = errors.New("not held")
+// ErrNoBody reports that the store has no message with an id.
+var ErrNoBody = errors.New("no such message in the store")
 
-// Ended returns what is remembered of a message that is over; nil if nothing is.
+// Ended returns the ended message with an id; nil if none is retained.
 func (j *Journal) Ended(id string) *Ended { return j.ended.byID[id] }
 
-// UnsavedEnds lists the ends that are remembered in memory only, the oldest first: what
-// another process that opens the journal does not find in it.
-func (j *Journal) UnsavedEnds() []*Ended { return j.ended.queue[j.ended.head:j.ended.saved] }
+// UnsavedEnds lists the ended messages that are retained in memory only, the oldest first.
+// Another process that opens the journal does not find them in it.
+func (j *Journal) UnsavedEnds() []*Ended { return j.ended.queue[j.ended.head:j.ended.firstSaved] }
 
-// AddUnsavedEnds has ends remembered that another process knew of and that are older
+// AddUnsavedEnds adds ended messages that another process retained in memory. They must be older
 // than all that are in the store.
-func (j *Journal) AddUnsavedEnds(list []*Ended) { j.ended.before(list) }
+func (j *Journal) AddUnsavedEnds(list []*Ended) { j.ended.addOlder(list) }
 
-// Waits lists the waits that endpoints have told and that are not over: until when,
-// by the endpoint's name.
+// Waits returns the ends of the waits that endpoints requested and that are not over, by the
+// endpoint's name.
 func (j *Journal) Waits() map[string]int64 {
-	j.dropWaits(j.clock.Now())
+	j.expireWaits(j.clock.Now())
 	return j.waits
 }
 
-// dropWaits drops waits that are over, and above the bound those that end first.
-func (j *Journal) dropWaits(now int64) {
+// expireWaits drops the waits that are over, and those that end first if there are more than
+// maxWaits.
+func (j *Journal) expireWaits(now int64) {
 	drop := func(name string) {
 		delete(j.waits, name)
 		j.dirtyWaits[name] = true
@@ -328,7 +331,7 @@
 			drop(name)
 		}
 	}
-	for len(j.waits) > mostWaits {
+	for len(j.waits) > maxWaits {
 		soonest := ""
 		for name, until := range j.waits {
 			if soonest == "" || until < j.waits[soonest] {
@@ -339,51 +342,54 @@
 	}
 }
 
-// DropExpired drops ends whose time is up.
+// DropExpired drops ended messages and partner states whose retention has ended, and terms that
+// are no longer in use. now is a time of [Journal.Clock]. It reopens a store that has failed.
 func (j *Journal) DropExpired(now int64) {
-	if err := j.revive(); err != nil {
-		j.log.Warn("journal: the store can't be opened again yet", "err", err)
+	if err := j.reopenFailedStore(); err != nil {
+		j.log.Warn("journal: the store can't be reopened yet", "err", err)
 		return
 	}
-	j.ended.forget(now)
-	j.partners.forget(now)
+	j.ended.expire(now)
+	j.partners.expire(now)
 	j.dropTerms()
-	if len(j.dirty)+len(j.passed.dirty)+len(j.dirtyTerms)+len(j.dirtyWaits)+len(j.partners.dirty) > 0 {
+	if len(j.dirty)+len(j.leftBacklog.dirty)+len(j.dirtyTerms)+len(j.dirtyWaits)+len(j.partners.dirty) > 0 {
 		if err := j.flush(); err != nil {
-			j.log.Warn("journal: what is forgotten is not written yet", "err", err)
+			j.log.Warn("journal: expired records can't be removed from the store yet", "err", err)
 		}
 	}
 }
 
-// Reserve says whether the journal can take on a message with such a body, beside all
-// that it holds and what is owed for it. A yes counts until the next Append.
+// Reserve reports whether there is space for another message with a body of so many bytes, in
+// addition to the pending messages and the records that they still need. If so, it reserves the
+// space until the next Append.
 func (j *Journal) Reserve(body int) bool {
-	need := store.FrameSize(message.MaxName+1, body+messageOverhead) + reserve
-	if !j.store.Room(j.promised + need + int64(len(j.entries))*reserve + j.partners.free()) {
+	need := store.FrameSize(message.MaxName+1, body+messageOverhead) + reservePerMessage
+	if !j.store.Room(j.reserved + need + int64(len(j.entries))*reservePerMessage + j.partners.unused()) {
 		return false
 	}
-	j.promised += need
+	j.reserved += need
 	return true
 }
 
-// Entries lists what is owed, in the order in which it was taken on.
+// Entries lists the messages that have not ended or whose end is not confirmed, in the order of
+// their acceptance.
 func (j *Journal) Entries() []*Entry {
 	list := make([]*Entry, 0, len(j.entries))
 	for _, e := range j.entries {
 		list = append(list, e)
 	}
-	slices.SortFunc(list, func(a, b *Entry) int { return int(min(max(a.n-b.n, -1), 1)) })
+	slices.SortFunc(list, func(a, b *Entry) int { return int(min(max(a.number-b.number, -1), 1)) })
 	return list
 }
 
-// Entry returns what is known of a message; nil if nothing is owed for it.
+// Entry returns the message with an id; nil if there is none, or its end is confirmed.
 func (j *Journal) Entry(id string) *Entry { return j.entries[id] }
 
-// Len is the number of messages that something is owed for.
+// Len returns the number of entries.
 func (j *Journal) Len() int { return len(j.entries) }
 
-// Stats tells how the store beneath stands.
+// Stats returns the statistics of the underlying store.
 func (j *Journal) Stats() store.Stats { return j.store.Stats() }
 
-// Close writes what is not written yet and closes the store.
+// Close writes pending changes and closes the store.
 func (j *Journal) Close() error { return errors.Join(j.flush(), j.store.Close()) }
--- a/internal/journal/journal_test.go
+++ b/internal/journal/journal_test.go
@@ -13,7 +13,7 @@
 // The journal is what decides after a crash whether a message is sent again.
 func TestReplay(t *testing.T) {
 	fs := vfs.NewMem()
-	j := openJournal(t, fs, plain)
+	j := openJournal(t, fs, testOptions)
 	mustAppend(t, j, accept("sent", 3), accept("done", 3), accept("never", 3), accept("may", 3), accept("ended", 3), accept("heard", 3))
 	for _, id := range []string{"sent", "done", "never", "may"} {
 		mustAppend(t, j, Record{Op: OpSend, ID: id, At: 100, Zone: "b"})
@@ -22,8 +22,8 @@
 		Record{Op: OpOutcome, ID: "may", MayHaveRun: true}, Record{Op: OpSend, ID: "may", At: 200, Zone: "a"},
 		Record{Op: OpEnd, ID: "ended", End: &message.End{ID: "ended", State: "failed"}},
 		Record{Op: OpEnd, ID: "heard", End: &message.End{ID: "heard", State: "failed"}}, Record{Op: OpNotified, ID: "heard"})
-	for _, how := range []string{"at once", "reopened", "reopened twice"} {
-		if how != "at once" {
+	for _, stage := range []string{"at once", "reopened", "reopened twice"} {
+		if stage != "at once" {
 			j = reopen(t, j, fs)
 		}
 		var ids []string
@@ -31,20 +31,20 @@
 			ids = append(ids, e.ID)
 		}
 		if got := fmt.Sprint(ids); got != "[sent never may ended]" {
-			t.Fatalf("%s: owed %v", how, got)
+			t.Fatalf("%s: owed %v", stage, got)
 		}
 		if e := j.Entry("sent"); e.Attempts != 1 || !e.InFlight || e.MayHaveRun || e.MayHaveRunSince != 100 || e.MayHaveRunZone != "b" || string(e.Body) != "bbb" {
-			t.Errorf("%s: sent: %+v", how, e)
+			t.Errorf("%s: sent: %+v", stage, e)
 		}
 		if e := j.Entry("never"); e.Attempts != 1 || e.InFlight || e.MayHaveRun {
-			t.Errorf("%s: never: %+v", how, e)
+			t.Errorf("%s: never: %+v", stage, e)
 		}
 		// The window of a keyed message counts from the first send that may have run, not from the last.
 		if e := j.Entry("may"); e.Attempts != 2 || !e.InFlight || !e.MayHaveRun || e.MayHaveRunSince != 100 || e.MayHaveRunZone != "b" {
-			t.Errorf("%s: may: %+v", how, e)
+			t.Errorf("%s: may: %+v", stage, e)
 		}
 		if e := j.Entry("ended"); e.End == nil || e.End.State != "failed" || e.SubmittedDigest() != accept("ended", 3).Entry.Digest() {
-			t.Errorf("%s: ended: %+v", how, e)
+			t.Errorf("%s: ended: %+v", stage, e)
 		}
 	}
 }
@@ -53,7 +53,7 @@
 // then the id is free, and what its first message left says nothing of the second.
 func TestEndedOutlivesRestart(t *testing.T) {
 	fs := vfs.NewMem()
-	j := openJournal(t, fs, plain)
+	j := openJournal(t, fs, testOptions)
 	now := time.Now()
 	mustAppend(t, j, accept("done", 10), Record{Op: OpSend, ID: "done", At: 1}, Record{Op: OpDone, ID: "done", At: now.UnixMicro()},
 		accept("back", 10), Record{Op: OpEnd, ID: "back", End: &message.End{ID: "back", State: message.Returned, RetryAfterMS: 7, At: now.UnixMicro()}},
@@ -83,7 +83,7 @@
 // above the bytes is remembered until the process ends.
 func TestEndedBounded(t *testing.T) {
 	fs := vfs.NewMem()
-	opts := plain
+	opts := testOptions
 	opts.MaxBytes, opts.MaxEnded = 1e6, 8000
 	j := openJournal(t, fs, opts)
 	for i := range 10_000 {
@@ -113,7 +113,7 @@
 	for i := range 5 {
 		until.add(&Ended{ID: fmt.Sprint(i), RetainUntil: int64(i * 100)})
 	}
-	until.forget(250)
+	until.expire(250)
 	if len(until.byID) != 2 || until.byID["3"] == nil {
 		t.Errorf("left: %v", until.byID)
 	}
@@ -123,7 +123,7 @@
 // Waits are kept until they are over, and no more than so many. An id that reads like the key of a wait is none.
 func TestWaits(t *testing.T) {
 	fs := vfs.NewMem()
-	j := openJournal(t, fs, plain)
+	j := openJournal(t, fs, testOptions)
 	now := time.Now()
 	mustAppend(t, j, Record{Op: OpWait, ID: "over", At: now.Add(-time.Second).UnixMicro()}, accept("wopen", 1),
 		Record{Op: OpWait, ID: "open", At: now.Add(time.Second).UnixMicro()}, Record{Op: OpWait, ID: "open", At: now.Add(time.Hour).UnixMicro()},
@@ -132,10 +132,10 @@
 	if got := j.Waits(); len(got) != 1 || got["open"] != now.Add(time.Hour).UnixMicro() || j.Len() != 1 {
 		t.Errorf("%v, %d messages", got, j.Len())
 	}
-	for i := range mostWaits + 5 {
+	for i := range maxWaits + 5 {
 		j.apply(&Record{Op: OpWait, ID: fmt.Sprint(i), At: now.Add(time.Minute + time.Duration(i)*time.Millisecond).UnixMicro()})
 	}
-	if got := j.Waits(); len(got) != mostWaits || got["0"] != 0 || got["open"] == 0 {
+	if got := j.Waits(); len(got) != maxWaits || got["0"] != 0 || got["open"] == 0 {
 		t.Errorf("%d are kept", len(got))
 	}
 	j.Close()
@@ -146,7 +146,7 @@
 func TestStaysSmall(t *testing.T) {
 	fs := vfs.NewMem()
 	const disk = 3e6
-	opts := plain
+	opts := testOptions
 	opts.Sync = store.SyncNever
 	j := openJournal(t, fs, opts)
 	check := func() {
--- a/internal/journal/old.go
+++ b/internal/journal/old.go
@@ -11,62 +11,63 @@
 	"cometrack/internal/vfs"
 )
 
-// The file of before 0.3: records of JSON, each behind its length and CRC-32.
+// The legacy file of versions before 0.3 consists of JSON records, each preceded by its length and CRC-32, both 4 bytes
+// and little-endian.
 const (
-	oldName   = "journal"
-	oldNew    = "journal.new" // one that was being rewritten
-	oldHeader = 8
-	oldMost   = 1 << 20
+	legacyName       = "journal"
+	legacyTempName   = "journal.new" // an unfinished rewrite of it
+	legacyHeaderSize = 8
+	legacyMaxRecord  = 1 << 20
 )
 
-// takeOver reads a file that an older version has left into the store, and removes
-// it once the store has it all. Killed in between, it begins again: until the file
-// is gone nothing else is written.
-func (j *Journal) takeOver(dir vfs.FS) error {
-	b, err := readOld(dir)
+// importLegacyFile imports the file of an older version into the store, and removes it once the
+// store has all of it. If the process dies before that, the next start imports it again: nothing
+// else is written until the file is removed.
+func (j *Journal) importLegacyFile(dir vfs.FS) error {
+	b, err := readLegacyFile(dir)
 	if err != nil || b == nil {
 		return err
 	}
-	// What an earlier start has taken over so far is read again from the file.
+	// The store may have part of the file from an earlier start: drop it and read the whole file again.
 	for id := range j.entries {
-		j.mark(id, markMessage|markState)
+		j.markDirty(id, messageDirty|stateDirty)
 	}
 	for id := range j.ended.byID {
-		j.mark(id, markState)
+		j.markDirty(id, stateDirty)
 	}
 	for name := range j.waits {
 		j.dirtyWaits[name] = true
 	}
 	clear(j.entries)
 	clear(j.waits)
-	j.ended = newEnded(j.ended.most, j.ended.room, j.ended.drop)
+	j.ended = newEnded(j.ended.maxCount, j.ended.maxBytes, j.ended.onUnsave)
 	n, read := 0, 0
-	for ; len(b)-read >= oldHeader; n++ {
+	for ; len(b)-read >= legacyHeaderSize; n++ {
 		size := int64(binary.LittleEndian.Uint32(b[read:]))
-		if size == 0 || size > oldMost || size > int64(len(b)-read-oldHeader) {
+		if size == 0 || size > legacyMaxRecord || size > int64(len(b)-read-legacyHeaderSize) {
 			break
 		}
-		text := b[read+oldHeader : read+oldHeader+int(size)]
+		text := b[read+legacyHeaderSize : read+legacyHeaderSize+int(size)]
 		var rec Record
 		if crc32.ChecksumIEEE(text) != binary.LittleEndian.Uint32(b[read+4:]) || json.Unmarshal(text, &rec) != nil {
 			break
 		}
 		j.apply(&rec)
-		read += oldHeader + int(size)
+		read += legacyHeaderSize + int(size)
 	}
-	j.doubtWindows() // its times are those of a wall clock
-	j.dropWaits(j.clock.Now())
+	j.expireKeyWindows() // its times are of a wall clock that may have been set since
+	j.expireWaits(j.clock.Now())
 	if err := j.flush(); err != nil {
-		return fmt.Errorf("taking over the file %s: %w", oldName, err)
+		return fmt.Errorf("import the file %s: %w", legacyName, err)
 	}
 	if err := j.store.Flush(); err != nil {
 		return err
 	}
 	for _, e := range j.entries {
-		j.leave(e)
+		j.dropLargeBody(e)
 	}
-	j.log.Info("journal: the file of an older version has been taken over", "records", n, "held", len(j.entries), "cut", len(b)-read)
-	for _, name := range []string{oldNew, oldName} {
+	j.log.Info("journal: imported the file of an older version", "records", n, "held", len(j.entries), "cut", len(b)-read)
+	for _, name := range []string{legacyTempName, legacyName} {
 		if err := dir.Remove(name); err != nil && !errors.Is(err, fs.ErrNotExist) {
 			return err
 		}
@@ -74,8 +75,9 @@
 	return dir.SyncDir()
 }
 
-func readOld(dir vfs.FS) ([]byte, error) {
-	f, err := dir.Open(oldName, false)
+// readLegacyFile returns the content of the legacy file; nil if there is none.
+func readLegacyFile(dir vfs.FS) ([]byte, error) {
+	f, err := dir.Open(legacyName, false)
 	if errors.Is(err, fs.ErrNotExist) {
 		return nil, nil
 	}
--- a/internal/journal/old_test.go
+++ b/internal/journal/old_test.go
@@ -14,7 +14,7 @@
 // call, and the next one too, leaves nothing out and counts nothing twice.
 func TestTakeOver(t *testing.T) {
 	until := time.Now().Add(time.Hour).UnixMicro()
-	old := oldFile(t,
+	old := legacyFile(t,
 		`{"op":1,"entry":{"id":"a","class":"safe","tenant":"acme","dest":7,"deadline":99,"body":"eA=="}}`,
 		`{"op":1,"entry":{"id":"b","class":"safe","dest":0,"deadline":99,"tries":2,"may_run":true,"first_may":5,"at_zone":"z"}}`,
 		`{"op":2,"id":"a","at":5,"at_zone":"y"}`,
@@ -30,8 +30,8 @@
 		if j.Len() != 3 || a == nil || b == nil || c == nil {
 			t.Fatalf("%s: %v", what, j.entries)
 		}
-		if a.Partner != "7" || a.Tenant != "acme" || a.Attempts != 1 || !a.InFlight || a.MayHaveRunSince != longAgo || a.MayHaveRunZone != "y" || string(a.Body) != "x" ||
-			b.Partner != "0" || b.Attempts != 2 || !b.MayHaveRun || b.MayHaveRunSince != longAgo || b.MayHaveRunZone != "z" || c.End == nil || c.End.State != message.Failed {
+		if a.Partner != "7" || a.Tenant != "acme" || a.Attempts != 1 || !a.InFlight || a.MayHaveRunSince != earliestTime || a.MayHaveRunZone != "y" || string(a.Body) != "x" ||
+			b.Partner != "0" || b.Attempts != 2 || !b.MayHaveRun || b.MayHaveRunSince != earliestTime || b.MayHaveRunZone != "z" || c.End == nil || c.End.State != message.Failed {
 			t.Errorf("%s: a %+v\nb %+v\nc %+v", what, a, b, c)
 		}
 		if j.Ended("d") == nil || j.Ended("e") == nil || j.Ended("e").State != message.Delivered || j.Waits()["w"] != until {
@@ -40,20 +40,20 @@
 	}
 	fresh := func() *vfs.Mem {
 		m := vfs.NewMem()
-		m.Set(oldName, append(old, "a torn tail"...))
-		m.Set(oldNew, old[:9])
+		m.Set(legacyName, append(old, "a torn tail"...))
+		m.Set(legacyTempName, old[:9])
 		return m
 	}
 	for n := 1; ; n++ {
 		m := fresh()
 		m.CrashAt(n)
-		j, err := OpenOn(m, plain)
+		j, err := OpenOn(m, testOptions)
 		if err == nil && !m.Crashed() {
 			m.CrashAt(1 << 30)
 			verify("not crashed", j)
 			j = reopen(t, j, m)
 			verify("reopened", j)
-			if m.Data(oldName) != nil || m.Data(oldNew) != nil {
+			if m.Data(legacyName) != nil || m.Data(legacyTempName) != nil {
 				t.Error("the old files are still there")
 			}
 			j.Close()
@@ -63,11 +63,11 @@
 			what := fmt.Sprintf("crash at %d, loss %d", n, loss)
 			left := m.Restart(loss, rand.New(rand.NewPCG(uint64(n), uint64(loss))))
 			left.CrashAt(n % 13)
-			if j, err := OpenOn(left, plain); err == nil {
+			if j, err := OpenOn(left, testOptions); err == nil {
 				j.store.Close()
 			}
 			left = left.Restart(loss, rand.New(rand.NewPCG(uint64(n), 9)))
-			j, err := OpenOn(left, plain)
+			j, err := OpenOn(left, testOptions)
 			if err != nil {
 				t.Fatalf("%s: %v", what, err)
 			}
--- a/internal/journal/partners.go
+++ b/internal/journal/partners.go
@@ -8,29 +8,31 @@
 	"cometrack/internal/store"
 )
 
-// Partner is what is known of a partner, so that a later process does not begin
-// with nothing. Spans are microseconds before At. Endpoints stand by name.
+// Partner is the state of a partner's destination, from which a later process continues instead of
+// starting without any. Durations are in microseconds before At. Endpoints are stored by name.
 type Partner struct {
-	At          int64             `cbor:"1,keyasint" json:"at"`             // Unix time in microseconds
-	Unhealthy   bool              `cbor:"2,keyasint,omitempty" json:"sick"` // something is out, or not warm yet
-	SinceUsed   int64             `cbor:"3,keyasint,omitempty" json:"used"`
-	Arrivals    int               `cbor:"4,keyasint,omitempty" json:"came,omitempty"` // messages since an outage began
-	SinceOutage int64             `cbor:"5,keyasint,omitempty" json:"down,omitempty"` // since that was seen
+	At          int64             `cbor:"1,keyasint" json:"at"`                       // in microseconds of [Journal.Clock]
+	Unhealthy   bool              `cbor:"2,keyasint,omitempty" json:"sick"`           // in outage or slow start
+	SinceUsed   int64             `cbor:"3,keyasint,omitempty" json:"used"`           // since the last submission
+	Arrivals    int               `cbor:"4,keyasint,omitempty" json:"came,omitempty"` // submissions since the last outage
+	SinceOutage int64             `cbor:"5,keyasint,omitempty" json:"down,omitempty"` // since that outage was detected
 	Limiter     PartnerLimiter    `cbor:"6,keyasint,omitempty" json:"limit"`
 	Endpoints   []PartnerEndpoint `cbor:"7,keyasint,omitempty" json:"endpoints"`
-	Bins        []byte            `cbor:"8,keyasint,omitempty" json:"bins,omitempty"` // of the histogram of latencies
-	Weights     []uint16          `cbor:"9,keyasint,omitempty" json:"weights,omitempty"`
-	Censored    uint16            `cbor:"10,keyasint,omitempty" json:"cuts,omitempty"`
-	SinceSample int64             `cbor:"11,keyasint,omitempty" json:"sampled,omitempty"`
-	Exact       bool              `cbor:"12,keyasint,omitempty" json:"-"` // of a handover, as are all that follow below; never stored
+	Bins        []byte            `cbor:"8,keyasint,omitempty" json:"bins,omitempty"`     // bins of the latency histogram
+	Weights     []uint16          `cbor:"9,keyasint,omitempty" json:"weights,omitempty"`  // of the bins
+	Censored    uint16            `cbor:"10,keyasint,omitempty" json:"cuts,omitempty"`    // weight of the censored samples
+	SinceSample int64             `cbor:"11,keyasint,omitempty" json:"sampled,omitempty"` // since the last sample
+	Exact       bool              `cbor:"12,keyasint,omitempty" json:"-"`                 // complete; only for a handover
 }
 
-// PartnerLimiter is what is known of a limit; rates are calls a second.
+// PartnerLimiter is the state of a rate limiter. Rates are in calls per second.
 type PartnerLimiter struct {
-	Limit         float64 `cbor:"1,keyasint,omitempty" json:"told,omitempty"`
-	Rate          float64 `cbor:"2,keyasint,omitempty" json:"pace,omitempty"`
-	SinceDecrease int64   `cbor:"3,keyasint,omitempty" json:"halved,omitempty"`
-	PeakRate      float64 `cbor:"4,keyasint,omitempty" json:"peak,omitempty"`
+	Limit         float64 `cbor:"1,keyasint,omitempty" json:"told,omitempty"`   // the reported limit; 0 if none
+	Rate          float64 `cbor:"2,keyasint,omitempty" json:"pace,omitempty"`   // adaptive rate; 0 if it is not limited
+	SinceDecrease int64   `cbor:"3,keyasint,omitempty" json:"halved,omitempty"` // since the last multiplicative decrease
+	PeakRate      float64 `cbor:"4,keyasint,omitempty" json:"peak,omitempty"`   // most calls within a second
+
+	// The fields below are only set for a handover.
 
 	Sent               []int64 `cbor:"5,keyasint,omitempty" json:"-"`
 	Tokens             float64 `cbor:"6,keyasint,omitempty" json:"-"`
@@ -40,10 +42,10 @@
 	NearLimit          bool    `cbor:"10,keyasint,omitempty" json:"-"`
 }
 
-// PartnerEndpoint is what is known of one endpoint.
+// PartnerEndpoint is the state of an endpoint. Durations are in microseconds before [Partner.At].
 type PartnerEndpoint struct {
 	Name                    string         `cbor:"1,keyasint" json:"name"`
-	Limiter                 PartnerLimiter `cbor:"2,keyasint,omitempty" json:"limit"` // its own, where it has one
+	Limiter                 PartnerLimiter `cbor:"2,keyasint,omitempty" json:"limit"` // its own limiter, if it has one
 	Outage                  bool           `cbor:"3,keyasint,omitempty" json:"out,omitempty"`
 	Cold                    bool           `cbor:"4,keyasint,omitempty" json:"cold,omitempty"`
 	SinceRecovery           int64          `cbor:"5,keyasint,omitempty" json:"back,omitempty"`
@@ -57,6 +59,8 @@
 	Overloads               int            `cbor:"13,keyasint,omitempty" json:"fulls,omitempty"`
 	Resets                  int            `cbor:"14,keyasint,omitempty" json:"resets,omitempty"`
 
+	// The fields below are only set for a handover.
+
 	Sent          []int64 `cbor:"15,keyasint,omitempty" json:"-"`
 	SinceLastSent int64   `cbor:"16,keyasint,omitempty" json:"-"`
 	UntilTrial    int64   `cbor:"17,keyasint,omitempty" json:"-"`
@@ -64,113 +68,113 @@
 }
 
 const (
-	// partnersPart is the part of the room that what is known of partners may fill; it is kept free for that.
-	partnersPart = 0.05
-	// evictTo is how far it is emptied when it is full.
-	evictTo = 0.9
-	// mostPartner is the most bytes of one, which that of so many endpoints does not reach.
-	mostPartner   = 16 << 10
-	mostEndpoints = 50
-	// keepSick and keepWell are how long it is kept of a partner that has not been heard of since. Of one that was
-	// well the module believes nothing older than two minutes but a limit, which comes with the next answer.
-	keepSick = 30 * 24 * time.Hour
-	keepWell = 10 * time.Minute
-	// partnersEvery is how often those whose time is up are looked for.
-	partnersEvery = time.Minute
+	// partnersShare is the share of the capacity that partner states may occupy; it is kept free for them.
+	partnersShare = 0.05
+	// evictionTarget is the fraction of that space to which an eviction reduces the partner states.
+	evictionTarget = 0.9
+	// maxPartnerBytes is the maximum size of one state. A state with maxPartnerEndpoints endpoints stays below it.
+	maxPartnerBytes     = 16 << 10
+	maxPartnerEndpoints = 50
+	// unhealthyRetention and healthyRetention are how long a state is kept without an update. Of a healthy partner the
+	// module uses nothing older than two minutes except a limit, which the next answer reports again.
+	unhealthyRetention = 30 * 24 * time.Hour
+	healthyRetention   = 10 * time.Minute
+	// partnerExpiryInterval is the interval between searches for states whose retention has ended.
+	partnerExpiryInterval = time.Minute
 )
 
-// trim leaves out what is known of endpoints that are well, and of the last of very
-// many.
-func (p *Partner) trim() {
-	p.Endpoints = slices.DeleteFunc(slices.Clone(p.Endpoints), func(x PartnerEndpoint) bool { return !x.Outage && !x.Cold })
-	p.Endpoints = p.Endpoints[:min(len(p.Endpoints), mostEndpoints)]
+// trimEndpoints drops the states of healthy endpoints, and all above maxPartnerEndpoints.
+func (p *Partner) trimEndpoints() {
+	p.Endpoints = slices.DeleteFunc(slices.Clone(p.Endpoints),
+		func(x PartnerEndpoint) bool { return !x.Outage && !x.Cold })
+	p.Endpoints = p.Endpoints[:min(len(p.Endpoints), maxPartnerEndpoints)]
 }
 
-// known is what the journal keeps in memory of a partner: not the values, once the
-// store has them and the core has had them.
-type known struct {
-	at    int64
-	size  int64
-	sick  bool
-	value *Partner
+// partnerState is what the journal keeps in memory of a partner. value is nil once the store has it
+// and, if it was read at the start, [Journal.Partners] has returned it.
+type partnerState struct {
+	updatedAt int64
+	size      int64 // bytes in the store
+	unhealthy bool
+	value     *Partner
 }
 
-// partners is what is known of partners, within its room.
-type partners struct {
-	by    map[string]*known
-	dirty map[string]bool
-	room  int64 // 0: nothing is kept
-	bytes int64
-	next  int64 // of the search for those whose time is up
+// partnerStates are the states of partners, within a limit of bytes.
+type partnerStates struct {
+	byName     map[string]*partnerState
+	dirty      map[string]bool
+	maxBytes   int64 // 0: no states are kept
+	bytes      int64
+	nextExpiry int64 // time of the next search for expired states
 }
 
-// add takes what is known of a partner.
-func (p *partners) add(name string, x *Partner, size int64) {
+// add stores the state of a partner in place of an earlier one.
+func (p *partnerStates) add(name string, x *Partner, size int64) {
 	p.drop(name)
-	p.by[name] = &known{at: x.At, sick: x.Unhealthy, value: x, size: size}
+	p.byName[name] = &partnerState{updatedAt: x.At, unhealthy: x.Unhealthy, value: x, size: size}
 	p.bytes += size
 	p.dirty[name] = true
-	if p.bytes > p.room {
+	if p.bytes > p.maxBytes {
 		p.evict()
 	}
 }
 
-func (p *partners) drop(name string) {
-	if k := p.by[name]; k != nil {
+// drop removes the state of a partner.
+func (p *partnerStates) drop(name string) {
+	if k := p.byName[name]; k != nil {
 		p.bytes -= k.size
-		delete(p.by, name)
+		delete(p.byName, name)
 		p.dirty[name] = true
 	}
 }
 
-// evict makes room: those that were well go before those that were not, the oldest
-// first.
-func (p *partners) evict() {
-	names := make([]string, 0, len(p.by))
-	for name := range p.by {
+// evict frees space: it drops healthy states before unhealthy ones, the oldest first.
+func (p *partnerStates) evict() {
+	names := make([]string, 0, len(p.byName))
+	for name := range p.byName {
 		names = append(names, name)
 	}
 	slices.SortFunc(names, func(a, b string) int {
-		x, y := p.by[a], p.by[b]
+		x, y := p.byName[a], p.byName[b]
 		switch {
-		case x.sick && !y.sick:
+		case x.unhealthy && !y.unhealthy:
 			return 1
-		case y.sick && !x.sick:
+		case y.unhealthy && !x.unhealthy:
 			return -1
 		}
-		return cmp.Or(cmp.Compare(x.at, y.at), cmp.Compare(a, b))
+		return cmp.Or(cmp.Compare(x.updatedAt, y.updatedAt), cmp.Compare(a, b))
 	})
 	for _, name := range names {
-		if float64(p.bytes) <= evictTo*float64(p.room) {
+		if float64(p.bytes) <= evictionTarget*float64(p.maxBytes) {
 			return
 		}
 		p.drop(name)
 	}
 }
 
-// forget drops those whose time is up.
-func (p *partners) forget(now int64) {
-	if now < p.next {
+// expire drops states whose retention has ended.
+func (p *partnerStates) expire(now int64) {
+	if now < p.nextExpiry {
 		return
 	}
-	p.next = now + partnersEvery.Microseconds()
-	for name, k := range p.by {
-		keep := keepWell
-		if k.sick {
-			keep = keepSick
+	p.nextExpiry = now + partnerExpiryInterval.Microseconds()
+	for name, k := range p.byName {
+		retention := healthyRetention
+		if k.unhealthy {
+			retention = unhealthyRetention
 		}
-		if now-k.at > keep.Microseconds() {
+		if now-k.updatedAt > retention.Microseconds() {
 			p.drop(name)
 		}
 	}
 }
 
-// free is what is kept free for what is not there yet.
-func (p *partners) free() int64 { return max(p.room-p.bytes, 0) }
+// unused returns the number of bytes to keep free for further states.
+func (p *partnerStates) unused() int64 { return max(p.maxBytes-p.bytes, 0) }
 
-// putPartner adds to a batch what the store is to have of a partner.
+// putPartner adds the state of a partner, or its removal, to a batch.
 func (j *Journal) putPartner(b *store.Batch, name string) {
-	k := j.partners.by[name]
+	k := j.partners.byName[name]
 	if k == nil {
 		b.Forget(keyPartner + name)
 		return
@@ -180,26 +184,27 @@
 	}
 }
 
-// applyPartner notes what is known of a partner.
+// applyPartner stores the state of a partner, trimmed to maxPartnerBytes.
 func (j *Journal) applyPartner(name string, x *Partner) {
-	if x == nil || j.partners.room == 0 {
+	if x == nil || j.partners.maxBytes == 0 {
 		return
 	}
 	from := j.buf.Len()
 	size := store.FrameSize(len(name)+1, len(encode(&j.buf, x)))
 	j.buf.Truncate(from)
-	if size > mostPartner {
-		x.trim()
+	if size > maxPartnerBytes {
+		x.trimEndpoints()
 		size = store.FrameSize(len(name)+1, len(encode(&j.buf, x)))
 		j.buf.Truncate(from)
 	}
 	j.partners.add(name, x, size)
 }
 
-// Partners hands over what an earlier process knew of partners, once.
+// Partners returns the states of partners that an earlier process stored, by name, and releases
+// them: a second call does not return them again.
 func (j *Journal) Partners() map[string]*Partner {
 	out := map[string]*Partner{}
-	for name, k := range j.partners.by {
+	for name, k := range j.partners.byName {
 		if k.value != nil && !j.partners.dirty[name] {
 			out[name], k.value = k.value, nil
 		}
--- a/internal/journal/partners_test.go
+++ b/internal/journal/partners_test.go
@@ -17,20 +17,20 @@
 			SinceIndependentSuccess: 4, TrialInterval: 5, FailureRatio: 0.25, Latency: 6, Failures: 7, Overloads: 8, Resets: 9}}}}
 }
 
-var withPartners = Options{MaxBytes: 3e6, KeepPartners: true}
+var partnerOptions = Options{MaxBytes: 3e6, KeepPartners: true}
 
 // What is known of partners is handed to the next process as it was, once; a new word replaces it, and what can't be
 // read or is not wanted is dropped without a word against the start.
 func TestPartnersOutliveTheProcess(t *testing.T) {
 	fs, now := vfs.NewMem(), time.Now()
-	j := openJournal(t, fs, withPartners)
+	j := openJournal(t, fs, partnerOptions)
 	mustAppend(t, j, partner("a", now, true), partner("b", now, false))
 	mustAppend(t, j, partner("a", now, false))
 	huge := partner("huge", now, true)
 	for i := range 1000 { // of which those in trouble are kept, as far as they fit
 		huge.Partner.Endpoints = append(huge.Partner.Endpoints, PartnerEndpoint{Name: "0123456789", SinceSuccess: 1e9, Outage: i%10 == 0})
 	}
-	mustAppend(t, j, huge, partner("old", now.Add(-keepWell-time.Second), false), partner("old and sick", now.Add(-keepWell-time.Second), true))
+	mustAppend(t, j, huge, partner("old", now.Add(-healthyRetention-time.Second), false), partner("old and sick", now.Add(-healthyRetention-time.Second), true))
 	var b store.Batch
 	b.Put(keyPartner+"odd", []byte{0xff})
 	if err := j.store.Commit(&b); err != nil {
@@ -41,12 +41,12 @@
 	}
 	j = reopen(t, j, fs)
 	got := j.Partners()
-	for _, want := range []Record{partner("a", now, false), partner("b", now, false), partner("old and sick", now.Add(-keepWell-time.Second), true)} {
+	for _, want := range []Record{partner("a", now, false), partner("b", now, false), partner("old and sick", now.Add(-healthyRetention-time.Second), true)} {
 		if !reflect.DeepEqual(got[want.ID], want.Partner) {
 			t.Errorf("%s: %+v, want %+v", want.ID, got[want.ID], want.Partner)
 		}
 	}
-	if h := got["huge"]; h == nil || len(h.Endpoints) != mostEndpoints || !h.Endpoints[1].Outage || len(h.Bins) != 2 {
+	if h := got["huge"]; h == nil || len(h.Endpoints) != maxPartnerEndpoints || !h.Endpoints[1].Outage || len(h.Bins) != 2 {
 		t.Errorf("of a huge one: %+v", h)
 	}
 	if len(got) != 4 || len(j.Partners()) > 0 {
@@ -68,13 +68,13 @@
 // messages are held, and they take nothing from what is owed.
 func TestPartnersKeepToTheirRoom(t *testing.T) {
 	fs, now := vfs.NewMem(), time.Now()
-	j := openJournal(t, fs, withPartners)
+	j := openJournal(t, fs, partnerOptions)
 	held := 0
 	for ; j.Reserve(2000); held++ {
 		mustAppend(t, j, accept(fmt.Sprint("m", held), 2000))
 	}
-	room := j.partners.room
-	if live := j.Stats().Live + int64(held)*reserve; held < 500 || live+room > j.Stats().Capacity {
+	room := j.partners.maxBytes
+	if live := j.Stats().Live + int64(held)*reservePerMessage; held < 500 || live+room > j.Stats().Capacity {
 		t.Fatalf("%d held, %d of %d bytes live, %d kept for partners", held, live, j.Stats().Capacity, room)
 	}
 	const sick = 100
@@ -84,11 +84,11 @@
 			t.Fatalf("%d bytes of %d after %d", j.partners.bytes, room, i)
 		}
 	}
-	if len(j.partners.by) < 200 || len(j.partners.by) > 1000 {
-		t.Errorf("%d partners are kept", len(j.partners.by))
+	if len(j.partners.byName) < 200 || len(j.partners.byName) > 1000 {
+		t.Errorf("%d partners are kept", len(j.partners.byName))
 	}
 	for i := range sick {
-		if j.partners.by[fmt.Sprint("p", i)] == nil {
+		if j.partners.byName[fmt.Sprint("p", i)] == nil {
 			t.Fatalf("p%d was sick and is gone", i)
 		}
 	}
--- a/internal/journal/passed.go
+++ b/internal/journal/passed.go
@@ -6,44 +6,47 @@
 	"strconv"
 )
 
-// passedPart is how many numbers one record of the store is for. Segments of messages
-// behind the windows begin at multiples of it.
-const passedPart = 1024
-
-// passed knows by number which of the messages that were behind the windows of their
-// destinations no longer are. A message comes into its window by one write of the
-// message here and then of this: a crash between the two leaves it in both places,
-// and then it is here.
-type passed struct {
-	parts map[uint64]*passedSet // by number over passedPart
-	dirty map[uint64]bool
-	most  uint64
+// seqsPerPage is the number of sequence numbers in one record of the store. Segments of the
+// backlog begin at multiples of it.
+const seqsPerPage = 1024
+
+// seqSet is a bitmap of the backlog sequence numbers of messages that have left the backlog of
+// their destination. A message that enters the window is first written to the journal, and its
+// number after it: a crash in between leaves it in both places, and then the journal's copy
+// counts.
+type seqSet struct {
+	pages   map[uint64]*seqPage // by sequence number / seqsPerPage
+	dirty   map[uint64]bool     // pages that changed since they were written
+	highest uint64              // largest number seen, or the last of its page after a restart
 }
 
-// passedSize is more than a record of one takes.
-const passedSize = passedPart/8 + 64
+// maxPageRecord is an upper bound of the size of a page's record in bytes.
+const maxPageRecord = seqsPerPage/8 + 64
 
-type passedSet [passedPart / 64]uint64
+// seqPage has a bit for each number of a page.
+type seqPage [seqsPerPage / 64]uint64
 
-func newPassed() passed { return passed{parts: map[uint64]*passedSet{}, dirty: map[uint64]bool{}} }
+func newSeqSet() seqSet { return seqSet{pages: map[uint64]*seqPage{}, dirty: map[uint64]bool{}} }
 
-func passedKey(part uint64) string { return keyPassed + strconv.FormatUint(part, 16) }
+// pageKey returns the key of a page in the store.
+func pageKey(page uint64) string { return keyLeftBacklog + strconv.FormatUint(page, 16) }
 
-func (p *passed) load(id string, value []byte) error {
-	part, err := strconv.ParseUint(id, 16, 64)
-	if err != nil || len(value) != passedPart/8 {
-		return fmt.Errorf("record %q of %d bytes: %w", keyPassed+id, len(value), err)
+// load reads a page from the value of its record; id is the record's key without its first byte.
+func (p *seqSet) load(id string, value []byte) error {
+	page, err := strconv.ParseUint(id, 16, 64)
+	if err != nil || len(value) != seqsPerPage/8 {
+		return fmt.Errorf("record %q of %d bytes: %w", keyLeftBacklog+id, len(value), err)
 	}
-	set := &passedSet{}
+	set := &seqPage{}
 	for i := range set {
 		set[i] = binary.LittleEndian.Uint64(value[8*i:])
 	}
-	p.parts[part] = set
-	p.most = max(p.most, part*passedPart+passedPart-1)
+	p.pages[page] = set
+	p.highest = max(p.highest, page*seqsPerPage+seqsPerPage-1)
 	return nil
 }
 
-func (s *passedSet) encode() []byte {
+func (s *seqPage) encode() []byte {
 	var b []byte
 	for _, x := range s {
 		b = binary.LittleEndian.AppendUint64(b, x)
@@ -51,60 +54,63 @@
 	return b
 }
 
-// set notes a number; 0 is none.
-func (p *passed) set(n uint64, on bool) {
+// set adds a number (on) or removes it; 0 stands for none and is ignored.
+func (p *seqSet) set(n uint64, on bool) {
 	if n == 0 {
 		return
 	}
-	part, bit := n/passedPart, n%passedPart
-	s := p.parts[part]
+	page, bit := n/seqsPerPage, n%seqsPerPage
+	s := p.pages[page]
 	if s == nil {
-		s = &passedSet{}
-		p.parts[part] = s
+		s = &seqPage{}
+		p.pages[page] = s
 	}
 	if on {
 		s[bit/64] |= 1 << (bit % 64)
 	} else {
 		s[bit/64] &^= 1 << (bit % 64)
 	}
-	p.dirty[part] = true
-	p.most = max(p.most, n)
+	p.dirty[page] = true
+	p.highest = max(p.highest, n)
 }
 
-// keep notes a number of a message that the store has; 0 is none.
-func (p *passed) keep(n uint64) {
+// add adds a number unless the set has it, so that an unchanged page is not written again; 0
+// stands for none and is ignored.
+func (p *seqSet) add(n uint64) {
 	if n > 0 && !p.has(n) {
 		p.set(n, true)
 	}
 }
 
-func (p *passed) has(n uint64) bool {
-	s := p.parts[n/passedPart]
-	return s != nil && s[n%passedPart/64]&(1<<(n%64)) != 0
+// has reports whether the set has a number.
+func (p *seqSet) has(n uint64) bool {
+	s := p.pages[n/seqsPerPage]
+	return s != nil && s[n%seqsPerPage/64]&(1<<(n%64)) != 0
 }
 
-// clear drops what is known of count numbers from first on, which a segment began with.
-func (p *passed) clear(first, count uint64) {
-	for part := first / passedPart; part*passedPart < first+count; part++ {
-		if p.parts[part] != nil {
-			delete(p.parts, part)
-			p.dirty[part] = true
+// remove removes the pages of count numbers from first on, the first number of a segment.
+func (p *seqSet) remove(first, count uint64) {
+	for page := first / seqsPerPage; page*seqsPerPage < first+count; page++ {
+		if p.pages[page] != nil {
+			delete(p.pages, page)
+			p.dirty[page] = true
 		}
 	}
 }
 
-// PruneLeftBacklog drops what is known of numbers in no segment that lives says there is.
-func (j *Journal) PruneLeftBacklog(lives func(first, last uint64) bool) {
-	for part := range j.passed.parts {
-		if !lives(part*passedPart, part*passedPart+passedPart-1) {
-			j.passed.clear(part*passedPart, 1)
+// PruneLeftBacklog forgets the numbers of segments that no longer exist. exists reports whether
+// a segment overlaps the numbers from first to last.
+func (j *Journal) PruneLeftBacklog(exists func(first, last uint64) bool) {
+	for page := range j.leftBacklog.pages {
+		if !exists(page*seqsPerPage, page*seqsPerPage+seqsPerPage-1) {
+			j.leftBacklog.remove(page*seqsPerPage, 1)
 		}
 	}
 }
 
-// HasLeftBacklog says whether the message of a number is no longer behind its window.
-func (j *Journal) HasLeftBacklog(n uint64) bool { return j.passed.has(n) }
+// HasLeftBacklog reports whether the message with a sequence number has left the backlog.
+func (j *Journal) HasLeftBacklog(seq uint64) bool { return j.leftBacklog.has(seq) }
 
-// MaxBacklogSeq is the largest number of a message behind a window that was ever told,
-// or one above it.
-func (j *Journal) MaxBacklogSeq() uint64 { return j.passed.most }
+// MaxBacklogSeq returns the largest sequence number that is known to have left the backlog, or a
+// larger one.
+func (j *Journal) MaxBacklogSeq() uint64 { return j.leftBacklog.highest }
--- a/internal/journal/passed_test.go
+++ b/internal/journal/passed_test.go
@@ -11,7 +11,7 @@
 // not, and numbers of which nothing is left are forgotten.
 func TestPassed(t *testing.T) {
 	fs := vfs.NewMem()
-	opts := plain
+	opts := testOptions
 	opts.MaxEnded = 0
 	j := openJournal(t, fs, opts)
 	behind := func(id string, n uint64) Record {
--- a/internal/journal/revive.go
+++ b/internal/journal/revive.go
@@ -8,46 +8,48 @@
 	"cometrack/internal/vfs"
 )
 
+// openStore opens the store in the journal's folder.
 func openStore(fs vfs.FS, opts Options) (*store.Store, error) {
 	return store.Open(fs, store.Options{Limit: opts.MaxBytes, Sync: opts.Sync, Every: opts.SyncInterval, Log: opts.Log})
 }
 
-// revive opens the store again if a sync has failed: what was written before it may
-// be gone whatever the system says, so all that the journal knows is written once more,
-// to a new segment. Until that has been synced nothing that was taken on since counts.
-func (j *Journal) revive() error {
-	if !j.reviving && !j.store.Failed() {
+// reopenFailedStore opens the store again after a failed sync. Data written before it may be lost
+// even if later syncs succeed, so the whole state is written again, to a new segment. Until that
+// is synced, no record appended since takes effect.
+func (j *Journal) reopenFailedStore() error {
+	if !j.reopening && !j.store.Failed() {
 		return nil
 	}
-	j.reviving = true
+	j.reopening = true
 	j.storeMu.Lock()
 	defer j.storeMu.Unlock()
 	if err := j.store.Close(); err != nil && !errors.Is(err, store.ErrClosed) && !errors.Is(err, store.ErrFailed) {
-		j.log.Warn("journal: the store that failed", "err", err)
+		j.log.Warn("journal: close the failed store", "err", err)
 	}
 	st, err := openStore(j.fs, j.opts)
 	if err != nil {
-		return fmt.Errorf("open the store again after a sync that failed: %w", err)
+		return fmt.Errorf("reopen the store after a failed sync: %w", err)
 	}
 	j.store = st
 	if err := st.Rotate(); err != nil {
-		return fmt.Errorf("after a sync that failed: %w", err)
+		return fmt.Errorf("start a new segment after a failed sync: %w", err)
 	}
-	j.markAll()
-	j.reviving, j.behind = false, true
-	j.log.Warn("journal: a sync had failed; all is written anew", "held", len(j.entries), "ended", len(j.ended.byID))
+	j.markAllDirty()
+	j.reopening, j.unwritten = false, true
+	j.log.Warn("journal: reopened the store after a failed sync; the whole state is written again",
+		"held", len(j.entries), "ended", len(j.ended.byID))
 	return nil
 }
 
-// markAll has all that the journal knows written again.
-func (j *Journal) markAll() {
+// markAllDirty has the whole state written again.
+func (j *Journal) markAllDirty() {
 	j.newEpoch = true
 	for id := range j.entries {
-		j.mark(id, markMessage|markState|markAnew)
+		j.markDirty(id, messageDirty|stateDirty|rewriteStored)
 	}
 	for _, x := range j.ended.all() {
 		if x.saved {
-			j.mark(x.ID, markState)
+			j.markDirty(x.ID, stateDirty)
 		}
 	}
 	for name := range j.waits {
@@ -56,7 +58,7 @@
 	for n := range j.terms {
 		j.dirtyTerms[n] = true
 	}
-	for n := range j.passed.parts {
-		j.passed.dirty[n] = true
+	for n := range j.leftBacklog.pages {
+		j.leftBacklog.dirty[n] = true
 	}
 }
--- a/internal/journal/revive_test.go
+++ b/internal/journal/revive_test.go
@@ -12,30 +12,30 @@
 	"cometrack/internal/vfs"
 )
 
-// unsynced is a folder whose syncs fail while it is told so.
-type unsynced struct {
+// failingSyncFS is a folder whose syncs fail while it is told so.
+type failingSyncFS struct {
 	vfs.FS
 	fail *atomic.Bool
 }
 
-func (f unsynced) Open(name string, create bool) (vfs.File, error) {
+func (f failingSyncFS) Open(name string, create bool) (vfs.File, error) {
 	file, err := f.FS.Open(name, create)
-	return unsyncedFile{file, f.fail}, err
+	return failingSyncFile{file, f.fail}, err
 }
 
-func (f unsynced) SyncDir() error {
+func (f failingSyncFS) SyncDir() error {
 	if f.fail.Load() {
 		return syscall.EIO
 	}
 	return f.FS.SyncDir()
 }
 
-type unsyncedFile struct {
+type failingSyncFile struct {
 	vfs.File
 	fail *atomic.Bool
 }
 
-func (f unsyncedFile) Sync() error {
+func (f failingSyncFile) Sync() error {
 	if f.fail.Load() {
 		return syscall.EIO
 	}
@@ -46,9 +46,9 @@
 // bodies that lie in the store only, and what is remembered is written anew, and outlives a crash of the machine.
 func TestGoesOnAfterFailedSync(t *testing.T) {
 	mem, fail := vfs.NewMem(), &atomic.Bool{}
-	opts := plain
+	opts := testOptions
 	opts.Sync, opts.MaxBodyInMemory, opts.EndRetention = store.SyncAlways, 100, time.Hour
-	j, err := OpenOn(unsynced{mem, fail}, opts)
+	j, err := OpenOn(failingSyncFS{mem, fail}, opts)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/journal/terms.go
+++ b/internal/journal/terms.go
@@ -7,15 +7,15 @@
 	"strconv"
 )
 
-// Terms are what a deployment stated of its classes when messages were taken on:
-// these messages are held to it, also after a restart with other settings.
+// Terms are the settings of the classes at the time that messages were accepted. They apply to
+// these messages for good, also after a restart with other settings.
 type Terms struct {
 	Number      int64        `cbor:"1,keyasint" json:"n"`
-	MaxAttempts int          `cbor:"2,keyasint,omitempty" json:"attempts,omitempty"` // for one message; 0 for no limit
+	MaxAttempts int          `cbor:"2,keyasint,omitempty" json:"attempts,omitempty"` // of one message; 0 for no limit
 	Classes     []ClassTerms `cbor:"3,keyasint" json:"classes"`
 }
 
-// ClassTerms is one class. Spans are in microseconds.
+// ClassTerms are the settings of one class. Durations are in microseconds.
 type ClassTerms struct {
 	Name      string  `cbor:"1,keyasint" json:"name"`
 	Aim       int64   `cbor:"2,keyasint,omitempty" json:"aim"`
@@ -28,62 +28,65 @@
 	KeepOrder bool    `cbor:"9,keyasint,omitempty" json:"keep_order,omitempty"`
 }
 
-// Equal says whether two state the same.
+// Equal reports whether two terms are the same except for their number.
 func (t *Terms) Equal(x *Terms) bool {
 	return t.MaxAttempts == x.MaxAttempts && slices.Equal(t.Classes, x.Classes)
 }
 
-// mostTerms bounds the sets that are kept at once. One that held messages name is
-// not dropped for it: a new one is refused.
-const mostTerms = 32
+// maxTerms bounds the number of terms stored at once. Above it new terms are rejected, since those
+// that pending messages refer to can't be dropped.
+const maxTerms = 32
 
-// mostTermsBytes is more than a record of terms takes that a configuration can state.
-const mostTermsBytes = 64 << 10
+// maxTermsBytes is an upper bound of the size of a record of terms in bytes.
+const maxTermsBytes = 64 << 10
 
-// AddTerms makes the number of terms that messages are to be taken on under: that
-// of the same ones, where there are such. The record that it returns, if any, must
-// go before theirs.
+// AddTerms returns the number of terms, under which further messages are to be accepted. Equal
+// terms that are stored already keep their number; otherwise the caller must append the returned
+// record before those of the messages.
 func (j *Journal) AddTerms(t Terms) (n int64, rec *Record, err error) {
 	for _, x := range j.terms {
 		if x.Equal(&t) {
-			j.newest = x.Number
+			j.currentTerms = x.Number
 			return x.Number, nil, nil
 		}
 	}
-	if size := len(encode(&bytes.Buffer{}, &t)); size > mostTermsBytes-mostOther {
-		return 0, nil, fmt.Errorf("journal: the classes take %d bytes; %d are taken", size, mostTermsBytes-mostOther)
+	if size := len(encode(&bytes.Buffer{}, &t)); size > maxTermsBytes-maxRecordOverhead {
+		return 0, nil, fmt.Errorf("journal: the classes take %d bytes, over the limit of %d bytes",
+			size, maxTermsBytes-maxRecordOverhead)
 	}
 	j.dropTerms()
-	if len(j.terms) >= mostTerms {
-		return 0, nil, fmt.Errorf("journal: messages are held under %d sets of classes; no more are taken", len(j.terms))
+	if len(j.terms) >= maxTerms {
+		return 0, nil, fmt.Errorf("journal: pending messages refer to %d different sets of classes, which is the limit",
+			len(j.terms))
 	}
-	t.Number = j.lastTerms + 1
+	t.Number = j.lastTermsNumber + 1
 	return t.Number, &Record{Op: OpTerms, Terms: &t}, nil
 }
 
-// SetTermsInUse has terms kept that messages elsewhere are held to, as list tells; nil
-// for none.
-func (j *Journal) SetTermsInUse(list func() []int64) { j.heldTerms = list }
+// SetTermsInUse sets the function that lists the numbers of the terms of messages outside the
+// journal; nil for none. These terms are kept.
+func (j *Journal) SetTermsInUse(list func() []int64) { j.termsInUse = list }
 
-// Terms returns the terms of a number; nil if there are none.
+// Terms returns the terms with a number; nil if there are none.
 func (j *Journal) Terms(n int64) *Terms { return j.terms[n] }
 
+// applyTerms stores terms as those under which messages are accepted.
 func (j *Journal) applyTerms(t *Terms) {
 	j.terms[t.Number], j.dirtyTerms[t.Number] = t, true
-	j.newest, j.lastTerms = t.Number, max(j.lastTerms, t.Number)
+	j.currentTerms, j.lastTermsNumber = t.Number, max(j.lastTermsNumber, t.Number)
 }
 
-// dropTerms drops those that no message is held under.
+// dropTerms drops terms that no message refers to, except the current ones.
 func (j *Journal) dropTerms() {
 	if len(j.terms) < 2 {
 		return
 	}
-	used := map[int64]bool{j.newest: true}
+	used := map[int64]bool{j.currentTerms: true}
 	for _, e := range j.entries {
 		used[e.Terms] = true
 	}
-	if j.heldTerms != nil {
-		for _, n := range j.heldTerms() {
+	if j.termsInUse != nil {
+		for _, n := range j.termsInUse() {
 			used[n] = true
 		}
 	}
@@ -95,4 +98,5 @@
 	}
 }
 
+// termsKey returns the key of terms in the store.
 func termsKey(n int64) string { return keyTerms + strconv.FormatInt(n, 10) }
--- a/internal/journal/times.go
+++ b/internal/journal/times.go
@@ -2,10 +2,8 @@
 
 import "cometrack/internal/clock"
 
-// How the times in the records are to be read.
-
-// startClock makes the clock that the times of the records are of, and says whether the time that has passed since they
-// were written is known. If it is not, no window for repeats is taken to be open.
+// startClock starts the clock of the records' times, and reports whether the time that has passed since they were
+// written is known. If not, it treats every idempotency window as closed.
 func (j *Journal) startClock(kept *clock.Epoch, over []*Ended) (known bool) {
 	latest := int64(0)
 	for _, e := range j.entries {
@@ -22,23 +20,23 @@
 	if known {
 		return true
 	}
-	j.log.Warn("journal: how long ago it was written is not known; the wall clock is taken, and nothing that may have run is repeated by its key")
-	j.doubtWindows()
+	j.log.Warn("journal: time since the last write is unknown: using the wall clock, and not retrying by idempotency key")
+	j.expireKeyWindows()
 	return false
 }
 
-// doubtWindows takes the windows for repeats of all that may have run for over.
-func (j *Journal) doubtWindows() {
+// expireKeyWindows closes the idempotency windows of all messages that may have run, so that they are not repeated.
+func (j *Journal) expireKeyWindows() {
 	for _, e := range j.entries {
 		if e.MayHaveRun || e.InFlight {
-			e.MayHaveRunSince = longAgo
-			j.mark(e.ID, markState)
+			e.MayHaveRunSince = earliestTime
+			j.markDirty(e.ID, stateDirty)
 		}
 	}
 }
 
-// longAgo is a time before all others.
-const longAgo = 1
+// earliestTime is a time before all others; 0 stands for none.
+const earliestTime = 1
 
-// Clock is the clock that the times in the journal are of.
+// Clock returns the clock of the times in the journal.
 func (j *Journal) Clock() *clock.Clock { return j.clock }
--- a/internal/journal/write.go
+++ b/internal/journal/write.go
@@ -6,47 +6,48 @@
 	"cometrack/internal/store"
 )
 
-// How what the journal knows gets into the store.
-
-// mark says what of a message the store is to get.
-type mark byte
+// dirtyFlags are the records of a message that must be written to the store.
+type dirtyFlags byte
 
 const (
-	markMessage mark = 1 << iota
-	markState
-	markAnew // what the store has of it is to be written again
+	messageDirty dirtyFlags = 1 << iota
+	stateDirty
+	rewriteStored // a body that is only in the store must be written again too
 )
 
-func (j *Journal) mark(id string, m mark) {
+// markDirty notes that records of a message must be written.
+func (j *Journal) markDirty(id string, flags dirtyFlags) {
 	if j.dirty[id] == 0 {
 		j.changed = append(j.changed, id)
 	}
-	j.dirty[id] |= m
+	j.dirty[id] |= flags
 }
 
-// flush writes what the store does not have, in as many batches as it takes.
+// flush writes all changes that the store does not have, in as many batches as needed.
 func (j *Journal) flush() error {
 	err := j.writeAll()
-	if j.behind = err != nil; j.behind {
+	if j.unwritten = err != nil; j.unwritten {
 		j.changed = slices.DeleteFunc(j.changed, func(id string) bool { return j.dirty[id] == 0 })
 	}
 	return err
 }
 
-// written notes that the store has the batch.
-func (j *Journal) written() {
-	for _, id := range j.unsaid {
+// batchWritten notes that the messages of the batch are in the store.
+func (j *Journal) batchWritten() {
+	for _, id := range j.batched {
 		delete(j.dirty, id)
 	}
-	j.unsaid = j.unsaid[:0]
+	j.batched = j.batched[:0]
 }
 
+// writeAll builds and commits the batches of [Journal.flush].
 func (j *Journal) writeAll() error {
 	b := &j.batch
-	j.unsaid = j.unsaid[:0]
+	j.batched = j.batched[:0]
 	b.Reset()
 	j.buf.Reset()
-	b.Owed = true // Reserve has checked the space
+	b.Owed = true // Reserve has reserved the space
+	// commit writes the batch if it would exceed the maximum with more bytes.
 	commit := func(more int) error {
 		if b.Size()+int64(more) <= j.store.MaxBatch() {
 			return nil
@@ -54,15 +55,15 @@
 		err := j.store.Commit(b)
 		b.Reset()
 		if err == nil {
-			j.written()
+			j.batchWritten()
 		}
 		return err
 	}
-	if j.newEpoch { // before all that has times
+	if j.newEpoch { // before all records with times
 		b.Put(keyClock, encode(&j.buf, &clockRecord{j.epoch.BootID, j.epoch.Offset}))
 	}
-	for n := range j.dirtyTerms { // before the messages that name them
-		if err := commit(mostTermsBytes); err != nil {
+	for n := range j.dirtyTerms { // before the messages that refer to them
+		if err := commit(maxTermsBytes); err != nil {
 			return err
 		}
 		if t := j.terms[n]; t != nil {
@@ -72,18 +73,18 @@
 		}
 	}
 	for _, id := range j.changed {
-		more := mostOther
+		more := maxRecordOverhead
 		if e := j.entries[id]; e != nil {
 			more += max(len(e.Body), e.StoredBodySize)
 		}
 		if err := commit(more); err != nil {
 			return err
 		}
-		j.put(b, id, j.dirty[id])
-		j.unsaid = append(j.unsaid, id)
+		j.putMessage(b, id, j.dirty[id])
+		j.batched = append(j.batched, id)
 	}
 	for name := range j.dirtyWaits {
-		if err := commit(mostOther); err != nil {
+		if err := commit(maxRecordOverhead); err != nil {
 			return err
 		}
 		if until, ok := j.waits[name]; ok {
@@ -93,27 +94,28 @@
 		}
 	}
 	for name := range j.partners.dirty {
-		if err := commit(mostPartner); err != nil {
+		if err := commit(maxPartnerBytes); err != nil {
 			return err
 		}
 		j.putPartner(b, name)
 	}
-	// Last, and all at once: none is written unless each message that it says is here, is.
-	if err := commit(len(j.passed.dirty) * passedSize); err != nil {
+	// The numbers that have left the backlog come last, in one batch: a number must not be in the store without its
+	// message.
+	if err := commit(len(j.leftBacklog.dirty) * maxPageRecord); err != nil {
 		return err
 	}
-	for n := range j.passed.dirty {
-		if p := j.passed.parts[n]; p != nil {
-			b.Put(passedKey(n), p.encode())
+	for n := range j.leftBacklog.dirty {
+		if p := j.leftBacklog.pages[n]; p != nil {
+			b.Put(pageKey(n), p.encode())
 		} else {
-			b.Delete(passedKey(n))
+			b.Delete(pageKey(n))
 		}
 	}
 	if err := j.store.Commit(b); err != nil {
 		return err
 	}
 	for name := range j.partners.dirty {
-		if k := j.partners.by[name]; k != nil {
+		if k := j.partners.byName[name]; k != nil {
 			k.value = nil
 		}
 	}
@@ -122,41 +124,41 @@
 	clear(j.dirtyWaits)
 	j.newEpoch = false
 	clear(j.dirtyTerms)
-	clear(j.passed.dirty)
+	clear(j.leftBacklog.dirty)
 	j.changed = j.changed[:0]
 	return nil
 }
 
-// put adds to a batch what the store is to have of a message.
-func (j *Journal) put(b *store.Batch, id string, m mark) {
-	e, x := j.entries[id], j.ended.byID[id]
+// putMessage adds the dirty records of a message to a batch.
+func (j *Journal) putMessage(b *store.Batch, id string, flags dirtyFlags) {
+	e, ended := j.entries[id], j.ended.byID[id]
 	if e != nil && e.End == nil {
 		switch {
-		case m&markMessage == 0:
+		case flags&messageDirty == 0:
 		case e.StoredBodySize == 0:
-			b.Put(keyMessage+id, messageOf(&j.buf, e))
-		case m&markAnew != 0: // one that is left is there, but may not last
+			b.Put(keyMessage+id, encodeMessage(&j.buf, e))
+		case flags&rewriteStored != 0: // the body is only in the store, where it may not be safe after a failed sync
 			if value, err := j.store.Get(keyMessage + id); err == nil && value != nil {
 				b.Put(keyMessage+id, value)
 			}
 		}
-		if m&markState != 0 {
-			b.Put(keyState+id, stateOf(&j.buf, e))
+		if flags&stateDirty != 0 {
+			b.Put(keyState+id, encodeState(&j.buf, e))
 		}
 		return
 	}
-	// The end is written before the message goes: in between it is known twice rather than not at all.
-	if m&markState != 0 {
+	// The end is written before the message is deleted: a crash in between leaves both records rather than none.
+	if flags&stateDirty != 0 {
 		switch {
 		case e != nil:
-			b.Put(keyState+id, stateOf(&j.buf, e))
-		case x != nil && x.saved:
-			b.Put(keyState+id, overOf(&j.buf, x))
+			b.Put(keyState+id, encodeState(&j.buf, e))
+		case ended != nil && ended.saved:
+			b.Put(keyState+id, encodeEnded(&j.buf, ended))
 		default:
 			b.Forget(keyState + id)
 		}
 	}
-	if m&markMessage != 0 {
+	if flags&messageDirty != 0 {
 		b.Delete(keyMessage + id)
 	}
 }
