--- a/internal/journal/clock_test.go
+++ b/internal/journal/clock_test.go
@@ -9,8 +9,8 @@
 	"cometrack/internal/vfs"
 )
 
-// Times keep their meaning over a restart of the same boot, however the wall clock was set in between: what is read is
-// what was written.
+// After a restart within the same boot, stored times must be read as they were written, however the wall clock was set
+// in between.
 func TestClockOutlivesProcess(t *testing.T) {
 	fs := vfs.NewMem()
 	j := openJournal(t, fs, testOptions)
@@ -21,36 +21,38 @@
 		t.Errorf("epoch %+v, was %+v; first attempt at %d, was %d", j.epoch, epoch, j.Entry("a").MayHaveRunSince, sent)
 	}
 	if j.Clock().Now() < sent {
-		t.Error("the clock went back")
+		t.Error("the clock went backwards")
 	}
 	j.Close()
 }
 
-// After another boot nobody knows how long ago an attempt was sent: its window for repeats counts as over, an end is
-// remembered for its whole window from now on, and the clock does not go back behind what was written.
+// After a reboot the time since an attempt is unknown. Its idempotency window must then count as closed, or the message
+// might be repeated too late; the retention of an ended message starts again; and the clock must not go back behind a
+// stored time.
 func TestClockAfterAnotherBoot(t *testing.T) {
 	fs := vfs.NewMem()
 	j := openJournal(t, fs, testOptions)
-	over := j.Clock().Now() + time.Hour.Microseconds() // the wall clock was an hour ahead then, say
+	endedAt := j.Clock().Now() + time.Hour.Microseconds() // as if the wall clock was an hour ahead then
 	mustAppend(t, j, accept("a", 10), Record{Op: OpSend, ID: "a", At: j.Clock().Now()}, accept("fresh", 10),
-		accept("done", 10), Record{Op: OpDone, ID: "done", At: over},
-		accept("back", 10), Record{Op: OpEnd, ID: "back", End: &message.End{ID: "back", State: message.Returned, At: over + 1}})
-	keep := j.Ended("done").RetainUntil - over
+		accept("done", 10), Record{Op: OpDone, ID: "done", At: endedAt},
+		accept("back", 10),
+		Record{Op: OpEnd, ID: "back", End: &message.End{ID: "back", State: message.Returned, At: endedAt + 1}})
+	retention := j.Ended("done").RetainUntil - endedAt
 	j.epoch, j.newEpoch = clock.Epoch{BootID: "another", Offset: 3}, true
 	mustAppend(t, j, accept("b", 10))
-	for range 2 { // the first start in a boot says what the next one knows
+	for range 2 { // the second start reads what the first one stored
 		j = reopen(t, j, fs)
 		if e := j.Entry("a"); e.MayHaveRunSince != earliestTime || !e.InFlight {
-			t.Errorf("the attempt is %+v", e)
+			t.Errorf("message with an attempt in flight: %+v", e)
 		}
 		if e := j.Entry("fresh"); e.MayHaveRunSince != 0 || e.Attempts != 0 {
-			t.Errorf("what was never tried is %+v", e)
+			t.Errorf("message without an attempt: %+v", e)
 		}
-		if now := j.Clock().Now(); now < over || j.Ended("done").RetainUntil < now+keep-time.Minute.Microseconds() {
-			t.Errorf("now %d, ended %+v", now, j.Ended("done"))
+		if now := j.Clock().Now(); now < endedAt || j.Ended("done").RetainUntil < now+retention-time.Minute.Microseconds() {
+			t.Errorf("now %d, ended message %+v", now, j.Ended("done"))
 		}
 		if j.Entry("back") == nil || j.Entry("back").End == nil {
-			t.Error("an end that is owed is gone")
+			t.Error("an unconfirmed end is lost")
 		}
 		mustAppend(t, j, accept("c", 10))
 	}
--- a/internal/journal/crash_test.go
+++ b/internal/journal/crash_test.go
@@ -11,28 +11,30 @@
 	"cometrack/internal/vfs"
 )
 
-// progress is what a message has gone through, as far as the journal has acknowledged
-// it, and the step that was under way.
+// progress counts the records of a message that the journal has acknowledged, and those passed to
+// Append.
 type progress struct{ acked, begun int }
 
-// recordsOf are a message's records, one an append.
+// recordsOf returns the records of message i; each is appended by its own call.
 func recordsOf(i int) []Record {
 	id := fmt.Sprint("m", i)
-	list := []Record{accept(id, 200+i*37%900), {Op: OpSend, ID: id, At: 100}, {Op: OpOutcome, ID: id, MayHaveRun: i%2 == 0}, {Op: OpSend, ID: id, At: 200}}
+	list := []Record{accept(id, 200+i*37%900), {Op: OpSend, ID: id, At: 100},
+		{Op: OpOutcome, ID: id, MayHaveRun: i%2 == 0}, {Op: OpSend, ID: id, At: 200}}
 	at := time.Now().UnixMicro()
 	if i%3 == 0 {
-		return append(list, Record{Op: OpEnd, ID: id, End: &message.End{ID: id, State: message.Failed, At: at}}, Record{Op: OpNotified, ID: id, At: at})
+		return append(list, Record{Op: OpEnd, ID: id, End: &message.End{ID: id, State: message.Failed, At: at}},
+			Record{Op: OpNotified, ID: id, At: at})
 	}
 	return append(list, Record{Op: OpDone, ID: id, At: at})
 }
 
-// appendRecords takes many messages through their lives, several at once.
+// appendRecords appends the records of many messages in most calls, several messages in each.
 func appendRecords(j *Journal, lives []progress, most int) error {
 	for n := 0; n < most; n++ {
 		var recs []Record
 		var of []int
 		for i := range lives {
-			// Some stay held for long: the segments that they are in are compacted.
+			// Some messages stay pending for long, so that their segments are compacted.
 			if i > n/2 || lives[i].acked == len(recordsOf(i)) || i%5 == 4 && lives[i].acked > 1 && n < most*3/4 || (n+i)%3 == 0 {
 				continue
 			}
@@ -50,7 +52,7 @@
 	return nil
 }
 
-// checkRecovered holds what was recovered against what was acknowledged.
+// checkRecovered compares the recovered messages with the acknowledged records.
 func checkRecovered(t *testing.T, what string, j *Journal, lives []progress) {
 	t.Helper()
 	for i, l := range lives {
@@ -59,17 +61,17 @@
 		all := len(recordsOf(i))
 		switch {
 		case e != nil && x != nil:
-			t.Fatalf("%s: %s is held and over", what, id)
+			t.Fatalf("%s: %s is both pending and ended", what, id)
 		case l.acked == all && (e != nil || x == nil):
-			t.Fatalf("%s: %s was over and is held: %+v", what, id, e)
+			t.Fatalf("%s: %s had ended and is pending: %+v", what, id, e)
 		case l.acked > 0 && l.acked < all && e == nil && x == nil:
-			t.Fatalf("%s: %s is lost after %d of %d", what, id, l.acked, all)
+			t.Fatalf("%s: %s is lost after %d of %d records", what, id, l.acked, all)
 		case l.begun == 0 && (e != nil || x != nil):
-			t.Fatalf("%s: %s was never handed in", what, id)
+			t.Fatalf("%s: %s was never appended", what, id)
 		case e == nil:
 			continue
 		}
-		// The place that it has come to lies between what was acknowledged and what was begun.
+		// The number of recovered records lies between those acknowledged and those begun.
 		at := 1 + 2*e.Attempts - 1
 		switch {
 		case e.Attempts == 0:
@@ -79,14 +81,15 @@
 		case !e.InFlight:
 			at++
 		}
-		if at < l.acked || at > l.begun || e.End == nil && len(e.Body) != 200+i*37%900 || e.MayHaveRun != (at > 2 && i%2 == 0) {
-			t.Fatalf("%s: %s is at %d, between %d and %d: %+v", what, id, at, l.acked, l.begun, e)
+		if at < l.acked || at > l.begun || e.End == nil && len(e.Body) != 200+i*37%900 ||
+			e.MayHaveRun != (at > 2 && i%2 == 0) {
+			t.Fatalf("%s: %s is at record %d, not from %d to %d: %+v", what, id, at, l.acked, l.begun, e)
 		}
 	}
 }
 
-// A process that dies at any call leaves each message where it was or one step on, and the next one takes it on
-// from there.
+// The process dies at each call of the file system in turn. No acknowledged record may be lost, at most the last one
+// appended may be there in addition, and the next process must be able to continue from there.
 func TestCrashAtEveryCall(t *testing.T) {
 	const rounds = 90
 	opts := Options{MaxBytes: 900_000, MaxEnded: 1000, EndRetention: time.Hour, Sync: store.SyncAlways}
@@ -113,7 +116,7 @@
 			t.Fatalf("%s: %v", what, err)
 		}
 		checkRecovered(t, what, j, lives)
-		if n%10 == 0 { // on from there, from what is known now
+		if n%10 == 0 { // continue from the recovered state
 			for i := range lives {
 				lives[i].acked = 0
 				if e := j.Entry(fmt.Sprint("m", i)); e != nil || j.Ended(fmt.Sprint("m", i)) != nil {
@@ -123,17 +126,18 @@
 			}
 			before := j.Len()
 			if err := appendRecords(j, lives, rounds); err != nil {
-				t.Fatalf("%s: afterwards: %v", what, err)
+				t.Fatalf("%s: continue: %v", what, err)
 			}
 			if j = reopen(t, j, left); j.Len() < before {
-				t.Fatalf("%s: %d of %d are left", what, j.Len(), before)
+				t.Fatalf("%s: %d of %d messages are left", what, j.Len(), before)
 			}
 		}
 		j.Close()
 	}
 }
 
-// A disk that fails takes nothing on and forgets nothing that has happened; what is refused is not there later.
+// A failed write must undo acceptances and sends, also for the next process, but keep records of past events: a message
+// whose delivery is forgotten would be sent again.
 func TestWriteFails(t *testing.T) {
 	fs := vfs.NewMem()
 	opts := testOptions
@@ -146,19 +150,21 @@
 		t.Fatal("no error")
 	}
 	if j.Entry("c") != nil || j.Entry("b").Attempts != 0 || j.Entry("a") != nil {
-		t.Errorf("after the error: a %v, b %+v, c %v", j.Entry("a"), j.Entry("b"), j.Entry("c"))
+		t.Errorf("after the failed write: a %v, b %+v, c %v", j.Entry("a"), j.Entry("b"), j.Entry("c"))
 	}
 	fs.Limit(0)
 	mustAppend(t, j, accept("d", 10))
 	j = reopen(t, j, fs)
-	if j.Entry("a") != nil || j.Entry("b") == nil || j.Entry("b").Attempts != 0 || j.Entry("c") != nil || j.Entry("d") == nil {
+	if j.Entry("a") != nil || j.Entry("b") == nil || j.Entry("b").Attempts != 0 ||
+		j.Entry("c") != nil || j.Entry("d") == nil {
 		t.Errorf("after the restart: %v", j.entries)
 	}
 	j.Close()
 }
 
-// A damaged record of what became of a message leaves doubt: it counts as one that may have run.
-func TestDamageLeavesDoubt(t *testing.T) {
+// A damaged record may have held the state of any message. Messages without an attempt in flight must then count as
+// possibly run, or they might run twice.
+func TestDamagedRecordMayHaveRun(t *testing.T) {
 	fs := vfs.NewMem()
 	j := openJournal(t, fs, testOptions)
 	mustAppend(t, j, accept("a", 100))
--- a/internal/journal/harness_test.go
+++ b/internal/journal/harness_test.go
@@ -23,6 +23,7 @@
 	return j
 }
 
+// reopen closes the journal and opens it again with its options.
 func reopen(t testing.TB, j *Journal, fs vfs.FS) *Journal {
 	t.Helper()
 	if err := j.Close(); err != nil {
@@ -31,6 +32,7 @@
 	return openJournal(t, fs, j.opts)
 }
 
+// accept returns the record of a message's acceptance, with a body of so many bytes.
 func accept(id string, body int) Record {
 	return Record{Op: OpAccept, Entry: &Entry{Message: message.Message{ID: id, Class: "safe", Partner: "1",
 		Deadline: time.Now().Add(time.Hour).UnixMicro(), Body: bytes.Repeat([]byte("b"), body)}}}
@@ -43,7 +45,7 @@
 	}
 }
 
-// legacyFile writes records as versions before 0.3 did.
+// legacyFile returns a file with records as versions before 0.3 wrote it.
 func legacyFile(t testing.TB, recs ...any) []byte {
 	t.Helper()
 	var b []byte
--- a/internal/journal/journal_test.go
+++ b/internal/journal/journal_test.go
@@ -10,20 +10,22 @@
 	"cometrack/internal/vfs"
 )
 
-// The journal is what decides after a crash whether a message is sent again.
+// The recovered state of a message decides whether it is sent again, so it must be the same before and after restarts.
 func TestReplay(t *testing.T) {
 	fs := vfs.NewMem()
 	j := openJournal(t, fs, testOptions)
-	mustAppend(t, j, accept("sent", 3), accept("done", 3), accept("never", 3), accept("may", 3), accept("ended", 3), accept("heard", 3))
+	mustAppend(t, j, accept("sent", 3), accept("done", 3), accept("never", 3), accept("may", 3),
+		accept("ended", 3), accept("confirmed", 3))
 	for _, id := range []string{"sent", "done", "never", "may"} {
 		mustAppend(t, j, Record{Op: OpSend, ID: id, At: 100, Zone: "b"})
 	}
 	mustAppend(t, j, Record{Op: OpDone, ID: "done"}, Record{Op: OpOutcome, ID: "never"},
 		Record{Op: OpOutcome, ID: "may", MayHaveRun: true}, Record{Op: OpSend, ID: "may", At: 200, Zone: "a"},
 		Record{Op: OpEnd, ID: "ended", End: &message.End{ID: "ended", State: "failed"}},
-		Record{Op: OpEnd, ID: "heard", End: &message.End{ID: "heard", State: "failed"}}, Record{Op: OpNotified, ID: "heard"})
-	for _, stage := range []string{"at once", "reopened", "reopened twice"} {
-		if stage != "at once" {
+		Record{Op: OpEnd, ID: "confirmed", End: &message.End{ID: "confirmed", State: "failed"}},
+		Record{Op: OpNotified, ID: "confirmed"})
+	for _, stage := range []string{"before a restart", "reopened", "reopened twice"} {
+		if stage != "before a restart" {
 			j = reopen(t, j, fs)
 		}
 		var ids []string
@@ -31,56 +33,62 @@
 			ids = append(ids, e.ID)
 		}
 		if got := fmt.Sprint(ids); got != "[sent never may ended]" {
-			t.Fatalf("%s: owed %v", stage, got)
+			t.Fatalf("%s: entries %v", stage, got)
 		}
-		if e := j.Entry("sent"); e.Attempts != 1 || !e.InFlight || e.MayHaveRun || e.MayHaveRunSince != 100 || e.MayHaveRunZone != "b" || string(e.Body) != "bbb" {
+		if e := j.Entry("sent"); e.Attempts != 1 || !e.InFlight || e.MayHaveRun ||
+			e.MayHaveRunSince != 100 || e.MayHaveRunZone != "b" || string(e.Body) != "bbb" {
 			t.Errorf("%s: sent: %+v", stage, e)
 		}
 		if e := j.Entry("never"); e.Attempts != 1 || e.InFlight || e.MayHaveRun {
 			t.Errorf("%s: never: %+v", stage, e)
 		}
-		// The window of a keyed message counts from the first send that may have run, not from the last.
-		if e := j.Entry("may"); e.Attempts != 2 || !e.InFlight || !e.MayHaveRun || e.MayHaveRunSince != 100 || e.MayHaveRunZone != "b" {
+		// The idempotency window begins with the first attempt that may have run, not with the last one.
+		if e := j.Entry("may"); e.Attempts != 2 || !e.InFlight || !e.MayHaveRun ||
+			e.MayHaveRunSince != 100 || e.MayHaveRunZone != "b" {
 			t.Errorf("%s: may: %+v", stage, e)
 		}
-		if e := j.Entry("ended"); e.End == nil || e.End.State != "failed" || e.SubmittedDigest() != accept("ended", 3).Entry.Digest() {
+		if e := j.Entry("ended"); e.End == nil || e.End.State != "failed" ||
+			e.SubmittedDigest() != accept("ended", 3).Entry.Digest() {
 			t.Errorf("%s: ended: %+v", stage, e)
 		}
 	}
 }
 
-// Ends are told after restarts, with what tells another message under the same id apart, until their time is up;
-// then the id is free, and what its first message left says nothing of the second.
+// An ended message must be retained over restarts until its retention ends, with the digest that distinguishes another
+// message with its id. Afterwards the id is free, and records of its first message must not apply to the second.
 func TestEndedOutlivesRestart(t *testing.T) {
 	fs := vfs.NewMem()
 	j := openJournal(t, fs, testOptions)
 	now := time.Now()
-	mustAppend(t, j, accept("done", 10), Record{Op: OpSend, ID: "done", At: 1}, Record{Op: OpDone, ID: "done", At: now.UnixMicro()},
-		accept("back", 10), Record{Op: OpEnd, ID: "back", End: &message.End{ID: "back", State: message.Returned, RetryAfterMS: 7, At: now.UnixMicro()}},
+	mustAppend(t, j, accept("done", 10), Record{Op: OpSend, ID: "done", At: 1},
+		Record{Op: OpDone, ID: "done", At: now.UnixMicro()}, accept("back", 10), Record{Op: OpEnd, ID: "back",
+			End: &message.End{ID: "back", State: message.Returned, RetryAfterMS: 7, At: now.UnixMicro()}},
 		Record{Op: OpNotified, ID: "back"})
 	want := accept("done", 10).Entry.Digest()
 	for i := range 3 {
 		a, b := j.Ended("done"), j.Ended("back")
-		if a == nil || a.State != message.Delivered || a.Attempts != 1 || a.Digest != want || b == nil || b.State != message.Returned || b.RetryAfterMS != 7 {
+		if a == nil || a.State != message.Delivered || a.Attempts != 1 || a.Digest != want ||
+			b == nil || b.State != message.Returned || b.RetryAfterMS != 7 {
 			t.Fatalf("restart %d: %+v %+v", i, a, b)
 		}
 		j = reopen(t, j, fs)
 	}
-	mustAppend(t, j, accept("late", 10), Record{Op: OpSend, ID: "late", At: 1}, Record{Op: OpDone, ID: "late", At: now.Add(-2 * time.Hour).UnixMicro()})
+	mustAppend(t, j, accept("late", 10), Record{Op: OpSend, ID: "late", At: 1},
+		Record{Op: OpDone, ID: "late", At: now.Add(-2 * time.Hour).UnixMicro()})
 	j = reopen(t, j, fs)
 	if j.Ended("late") != nil || j.Entry("late") != nil {
-		t.Error("remembered after its time")
+		t.Error("retained after its retention has ended")
 	}
 	mustAppend(t, j, accept("late", 10))
 	j = reopen(t, j, fs)
 	if e := j.Entry("late"); e == nil || e.Attempts != 0 || e.InFlight {
-		t.Errorf("the second message of the id: %+v", e)
+		t.Errorf("second message with the id: %+v", e)
 	}
 	j.Close()
 }
 
-// Number, bytes and time bound what is remembered; the oldest go first, and room for messages stays. What is
-// above the bytes is remembered until the process ends.
+// Retained ends are bounded by number, bytes and time: unbounded they would use up the space for messages. The oldest
+// are dropped first; those above the bytes are retained until the process ends.
 func TestEndedBounded(t *testing.T) {
 	fs := vfs.NewMem()
 	opts := testOptions
@@ -90,24 +98,26 @@
 		id := fmt.Sprint("m", i)
 		mustAppend(t, j, accept(id, 10), Record{Op: OpDone, ID: id, At: time.Now().UnixMicro()})
 		if n := len(j.ended.byID); n > 8000 || n != len(j.ended.all()) {
-			t.Fatalf("%d are remembered, %d in the queue", n, len(j.ended.all()))
+			t.Fatalf("%d are retained, %d in the queue", n, len(j.ended.all()))
 		}
 	}
 	if s := j.Stats(); float64(s.Live) > 0.25*float64(s.Capacity) || s.Used > opts.MaxBytes {
-		t.Errorf("they take %d of %d bytes, files %d", s.Live, s.Capacity, s.Used)
+		t.Errorf("they take %d of %d bytes; the files have %d bytes", s.Live, s.Capacity, s.Used)
 	}
 	if j.Ended("m9999") == nil || j.Ended("m2000") == nil || j.Ended("m1999") != nil || !j.Reserve(1000) {
-		t.Error("not the newest are remembered, or they leave no room")
+		t.Error("not the newest are retained, or they leave no space for a message")
 	}
 	if n := len(j.ended.queue); n > 20_000 {
 		t.Errorf("the queue has grown to %d", n)
 	}
 	saved := j.ended.bytes
 	j = reopen(t, j, fs)
-	// What was forgotten may come back from a segment that is still there, as Batch.Forget says; it takes no room in the store.
+	// A forgotten message may come back from a segment that is still there, see Batch.Forget; it counts for nothing in
+	// the store.
 	back := j.Ended("m2000")
-	if n := len(j.ended.byID); n < 100 || n > 8000 || j.ended.bytes != saved || j.Ended("m9999") == nil || !j.Ended("m9999").saved || back != nil && back.saved {
-		t.Errorf("%d outlive the process, in %d bytes, %d before; m2000 %+v", n, j.ended.bytes, saved, back)
+	if n := len(j.ended.byID); n < 100 || n > 8000 || j.ended.bytes != saved || j.Ended("m9999") == nil ||
+		!j.Ended("m9999").saved || back != nil && back.saved {
+		t.Errorf("%d are retained over the restart, in %d bytes, %d before; m2000 %+v", n, j.ended.bytes, saved, back)
 	}
 	until := newEnded(10, 0, func(string) {})
 	for i := range 5 {
@@ -115,35 +125,39 @@
 	}
 	until.expire(250)
 	if len(until.byID) != 2 || until.byID["3"] == nil {
-		t.Errorf("left: %v", until.byID)
+		t.Errorf("after the expiry: %v", until.byID)
 	}
 	j.Close()
 }
 
-// Waits are kept until they are over, and no more than so many. An id that reads like the key of a wait is none.
+// Requested waits are stored until they are over, at most maxWaits of them. The message id "wopen" must not be taken
+// for the key of a wait of the endpoint "open".
 func TestWaits(t *testing.T) {
 	fs := vfs.NewMem()
 	j := openJournal(t, fs, testOptions)
 	now := time.Now()
 	mustAppend(t, j, Record{Op: OpWait, ID: "over", At: now.Add(-time.Second).UnixMicro()}, accept("wopen", 1),
-		Record{Op: OpWait, ID: "open", At: now.Add(time.Second).UnixMicro()}, Record{Op: OpWait, ID: "open", At: now.Add(time.Hour).UnixMicro()},
+		Record{Op: OpWait, ID: "open", At: now.Add(time.Second).UnixMicro()},
+		Record{Op: OpWait, ID: "open", At: now.Add(time.Hour).UnixMicro()},
 		Record{Op: OpWait, ID: "open", At: now.Add(time.Minute).UnixMicro()})
 	j = reopen(t, j, fs)
 	if got := j.Waits(); len(got) != 1 || got["open"] != now.Add(time.Hour).UnixMicro() || j.Len() != 1 {
-		t.Errorf("%v, %d messages", got, j.Len())
+		t.Errorf("waits %v, %d messages", got, j.Len())
 	}
 	for i := range maxWaits + 5 {
-		j.apply(&Record{Op: OpWait, ID: fmt.Sprint(i), At: now.Add(time.Minute + time.Duration(i)*time.Millisecond).UnixMicro()})
+		j.apply(&Record{Op: OpWait, ID: fmt.Sprint(i),
+			At: now.Add(time.Minute + time.Duration(i)*time.Millisecond).UnixMicro()})
 	}
 	if got := j.Waits(); len(got) != maxWaits || got["0"] != 0 || got["open"] == 0 {
-		t.Errorf("%d are kept", len(got))
+		t.Errorf("%d waits are kept", len(got))
 	}
 	j.Close()
 }
 
-// A folder that grows over its limit counts as a crash. What is over must make room, and while nothing is over new
-// messages are turned away, with room left for what becomes of the old ones. Less than seven tenths are not full.
-func TestStaysSmall(t *testing.T) {
+// A folder that grows over its limit counts as a crash of the sender. Ended messages make room for new ones;
+// while none end, new ones are rejected, with enough space left for the states and ends of the pending ones. At least
+// half of the limit must be usable for messages.
+func TestFolderStaysWithinLimit(t *testing.T) {
 	fs := vfs.NewMem()
 	const disk = 3e6
 	opts := testOptions
@@ -158,7 +172,7 @@
 	for i := range 20_000 {
 		id := fmt.Sprint("m", i)
 		if !j.Reserve(1000) {
-			t.Fatal("no room while nothing is held")
+			t.Fatal("no space while no message is pending")
 		}
 		mustAppend(t, j, accept(id, 1000), Record{Op: OpSend, ID: id, At: 1})
 		mustAppend(t, j, Record{Op: OpDone, ID: id, At: time.Now().UnixMicro()})
@@ -170,9 +184,9 @@
 		check()
 	}
 	if live := j.Stats().Live; live < disk*0.5 {
-		t.Fatalf("room for %d messages only, %d bytes", n, live)
+		t.Fatalf("space for only %d messages, %d bytes", n, live)
 	}
-	for i := range 20_000 { // what becomes of them finds its room
+	for i := range 20_000 { // their states find space
 		id := fmt.Sprint("f", i%n)
 		mustAppend(t, j, Record{Op: OpSend, ID: id, At: int64(i)}, Record{Op: OpOutcome, ID: id, MayHaveRun: true})
 		check()
--- a/internal/journal/old_test.go
+++ b/internal/journal/old_test.go
@@ -10,9 +10,10 @@
 	"cometrack/internal/vfs"
 )
 
-// A file of an older version is taken over, also one of before partners had names; a start that is killed at any
-// call, and the next one too, leaves nothing out and counts nothing twice.
-func TestTakeOver(t *testing.T) {
+// The file of an older version is imported, also entries of versions before partners had names. The process dies at
+// each call of the file system in turn, and so does the next one: the import must then still be complete, without
+// duplicates.
+func TestImportLegacyFile(t *testing.T) {
 	until := time.Now().Add(time.Hour).UnixMicro()
 	old := legacyFile(t,
 		`{"op":1,"entry":{"id":"a","class":"safe","tenant":"acme","dest":7,"deadline":99,"body":"eA=="}}`,
@@ -23,19 +24,21 @@
 		Record{Op: OpEnded, Ended: &Ended{ID: "d", State: message.Delivered, RetainUntil: until}},
 		accept("e", 10), Record{Op: OpDone, ID: "e", At: until},
 		Record{Op: OpWait, ID: "w", At: until})
-	// Its times are those of a wall clock that may have been stepped since: how old an attempt is is not known.
+	// The times in the file are of a wall clock that may have been set since, so the age of an attempt is unknown.
 	verify := func(what string, j *Journal) {
 		t.Helper()
 		a, b, c := j.Entry("a"), j.Entry("b"), j.Entry("c")
 		if j.Len() != 3 || a == nil || b == nil || c == nil {
 			t.Fatalf("%s: %v", what, j.entries)
 		}
-		if a.Partner != "7" || a.Tenant != "acme" || a.Attempts != 1 || !a.InFlight || a.MayHaveRunSince != earliestTime || a.MayHaveRunZone != "y" || string(a.Body) != "x" ||
-			b.Partner != "0" || b.Attempts != 2 || !b.MayHaveRun || b.MayHaveRunSince != earliestTime || b.MayHaveRunZone != "z" || c.End == nil || c.End.State != message.Failed {
+		if a.Partner != "7" || a.Tenant != "acme" || a.Attempts != 1 || !a.InFlight || a.MayHaveRunSince != earliestTime ||
+			a.MayHaveRunZone != "y" || string(a.Body) != "x" ||
+			b.Partner != "0" || b.Attempts != 2 || !b.MayHaveRun || b.MayHaveRunSince != earliestTime ||
+			b.MayHaveRunZone != "z" || c.End == nil || c.End.State != message.Failed {
 			t.Errorf("%s: a %+v\nb %+v\nc %+v", what, a, b, c)
 		}
 		if j.Ended("d") == nil || j.Ended("e") == nil || j.Ended("e").State != message.Delivered || j.Waits()["w"] != until {
-			t.Errorf("%s: ended %v, waits %v", what, j.ended.byID, j.waits)
+			t.Errorf("%s: ended messages %v, waits %v", what, j.ended.byID, j.waits)
 		}
 	}
 	fresh := func() *vfs.Mem {
@@ -50,7 +53,7 @@
 		j, err := OpenOn(m, testOptions)
 		if err == nil && !m.Crashed() {
 			m.CrashAt(1 << 30)
-			verify("not crashed", j)
+			verify("no crash", j)
 			j = reopen(t, j, m)
 			verify("reopened", j)
 			if m.Data(legacyName) != nil || m.Data(legacyTempName) != nil {
--- a/internal/journal/revive_test.go
+++ b/internal/journal/revive_test.go
@@ -12,7 +12,7 @@
 	"cometrack/internal/vfs"
 )
 
-// failingSyncFS is a folder whose syncs fail while it is told so.
+// failingSyncFS is a file system whose syncs fail while fail is set.
 type failingSyncFS struct {
 	vfs.FS
 	fail *atomic.Bool
@@ -42,9 +42,9 @@
 	return f.File.Sync()
 }
 
-// A sync that fails stops the store, and the journal opens it again by itself once the disk is well: what is held, its
-// bodies that lie in the store only, and what is remembered is written anew, and outlives a crash of the machine.
-func TestGoesOnAfterFailedSync(t *testing.T) {
+// After a failed sync, data written before may be lost. The journal must reopen the store once the disk works again and
+// write everything again, with bodies that are only in the store, so that it survives a crash of the machine.
+func TestReopenAfterFailedSync(t *testing.T) {
 	mem, fail := vfs.NewMem(), &atomic.Bool{}
 	opts := testOptions
 	opts.Sync, opts.MaxBodyInMemory, opts.EndRetention = store.SyncAlways, 100, time.Hour
@@ -52,17 +52,18 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	mustAppend(t, j, accept("small", 10), accept("large", 500), accept("done", 10), Record{Op: OpDone, ID: "done", At: j.Clock().Now()})
+	mustAppend(t, j, accept("small", 10), accept("large", 500), accept("done", 10),
+		Record{Op: OpDone, ID: "done", At: j.Clock().Now()})
 	fail.Store(true)
 	if err := j.Append([]Record{accept("refused", 10)}); !errors.Is(err, store.ErrFailed) {
-		t.Fatalf("append with a sync that fails: %v", err)
+		t.Fatalf("append with a failing sync: %v", err)
 	}
 	if j.Entry("refused") != nil {
-		t.Error("what could not be synced counts")
+		t.Error("a message that could not be synced counts as accepted")
 	}
 	for range 3 {
 		if err := j.Append([]Record{accept("again", 10)}); err == nil {
-			t.Fatal("taken on with a disk that fails")
+			t.Fatal("accepted a message with a failing disk")
 		}
 		j.DropExpired(j.Clock().Now())
 	}
