--- a/internal/journal/terms.go
+++ b/internal/journal/terms.go
@@ -15,7 +15,7 @@
 	Classes     []ClassTerms `cbor:"3,keyasint" json:"classes"`
 }
 
-// ClassTerms are the settings of one class. Durations are in microseconds.
+// ClassTerms are the settings of one class, as in logic.Class. Durations are in microseconds.
 type ClassTerms struct {
 	Name      string  `cbor:"1,keyasint" json:"name"`
 	Aim       int64   `cbor:"2,keyasint,omitempty" json:"aim"`
