--- a/internal/journal/crash_test.go
+++ b/internal/journal/crash_test.go
@@ -28,34 +28,34 @@
 	return append(list, Record{Op: OpDone, ID: id, At: at})
 }
 
-// appendRecords appends the records of many messages in most calls, several messages in each.
-func appendRecords(j *Journal, lives []progress, most int) error {
-	for n := 0; n < most; n++ {
+// appendRecords appends the records of many messages in so many calls, several messages in each.
+func appendRecords(j *Journal, messages []progress, calls int) error {
+	for n := 0; n < calls; n++ {
 		var recs []Record
 		var of []int
-		for i := range lives {
+		for i := range messages {
 			// Some messages stay pending for long, so that their segments are compacted.
-			if i > n/2 || lives[i].acked == len(recordsOf(i)) || i%5 == 4 && lives[i].acked > 1 && n < most*3/4 || (n+i)%3 == 0 {
+			if i > n/2 || messages[i].acked == len(recordsOf(i)) || i%5 == 4 && messages[i].acked > 1 && n < calls*3/4 || (n+i)%3 == 0 {
 				continue
 			}
-			recs = append(recs, recordsOf(i)[lives[i].acked])
+			recs = append(recs, recordsOf(i)[messages[i].acked])
 			of = append(of, i)
-			lives[i].begun = lives[i].acked + 1
+			messages[i].begun = messages[i].acked + 1
 		}
 		if err := j.Append(recs); err != nil {
 			return err
 		}
 		for _, i := range of {
-			lives[i].acked = lives[i].begun
+			messages[i].acked = messages[i].begun
 		}
 	}
 	return nil
 }
 
 // checkRecovered compares the recovered messages with the acknowledged records.
-func checkRecovered(t *testing.T, what string, j *Journal, lives []progress) {
+func checkRecovered(t *testing.T, what string, j *Journal, messages []progress) {
 	t.Helper()
-	for i, l := range lives {
+	for i, l := range messages {
 		id := fmt.Sprint("m", i)
 		e, x := j.Entry(id), j.Ended(id)
 		all := len(recordsOf(i))
@@ -103,9 +103,9 @@
 	for n := 1; n <= calls; n++ {
 		m := vfs.NewMem()
 		m.CrashAt(n)
-		lives := make([]progress, 40)
+		messages := make([]progress, 40)
 		if j, err := OpenOn(m, opts); err == nil {
-			appendRecords(j, lives, rounds)
+			appendRecords(j, messages, rounds)
 			j.store.Close()
 		}
 		loss := vfs.Loss(n % len(vfs.Losses()))
@@ -115,17 +115,17 @@
 		if err != nil {
 			t.Fatalf("%s: %v", what, err)
 		}
-		checkRecovered(t, what, j, lives)
+		checkRecovered(t, what, j, messages)
 		if n%10 == 0 { // continue from the recovered state
-			for i := range lives {
-				lives[i].acked = 0
+			for i := range messages {
+				messages[i].acked = 0
 				if e := j.Entry(fmt.Sprint("m", i)); e != nil || j.Ended(fmt.Sprint("m", i)) != nil {
-					lives[i].acked = len(recordsOf(i))
+					messages[i].acked = len(recordsOf(i))
 				}
-				lives[i].begun = lives[i].acked
+				messages[i].begun = messages[i].acked
 			}
 			before := j.Len()
-			if err := appendRecords(j, lives, rounds); err != nil {
+			if err := appendRecords(j, messages, rounds); err != nil {
 				t.Fatalf("%s: continue: %v", what, err)
 			}
 			if j = reopen(t, j, left); j.Len() < before {
--- a/internal/journal/journal_test.go
+++ b/internal/journal/journal_test.go
@@ -154,9 +154,9 @@
 	j.Close()
 }
 
-// A folder that grows over its limit counts as a crash of the sender. Ended messages make room for new ones;
-// while none end, new ones are rejected, with enough space left for the states and ends of the pending ones. At least
-// half of the limit must be usable for messages.
+// A folder that grows over its limit counts as a crash of the sender. Ended messages make room for new ones; while none
+// end, new ones are rejected, with enough space left for the states and ends of the pending ones. A folder of which less
+// than seven tenths are in use is not full; the test requires that half of the limit is usable.
 func TestFolderStaysWithinLimit(t *testing.T) {
 	fs := vfs.NewMem()
 	const disk = 3e6
--- a/internal/journal/passed.go
+++ b/internal/journal/passed.go
@@ -37,11 +37,11 @@
 	if err != nil || len(value) != seqsPerPage/8 {
 		return fmt.Errorf("record %q of %d bytes: %w", keyLeftBacklog+id, len(value), err)
 	}
-	set := &seqPage{}
-	for i := range set {
-		set[i] = binary.LittleEndian.Uint64(value[8*i:])
+	bits := &seqPage{}
+	for i := range bits {
+		bits[i] = binary.LittleEndian.Uint64(value[8*i:])
 	}
-	p.pages[page] = set
+	p.pages[page] = bits
 	p.highest = max(p.highest, page*seqsPerPage+seqsPerPage-1)
 	return nil
 }
--- a/internal/journal/times.go
+++ b/internal/journal/times.go
@@ -4,7 +4,7 @@
 
 // startClock starts the clock of the records' times, and reports whether the time that has passed since they were
 // written is known. If not, it treats every idempotency window as closed.
-func (j *Journal) startClock(kept *clock.Epoch, over []*Ended) (known bool) {
+func (j *Journal) startClock(savedEpoch *clock.Epoch, ended []*Ended) (known bool) {
 	latest := int64(0)
 	for _, e := range j.entries {
 		latest = max(latest, e.AcceptedAt, e.MayHaveRunSince)
@@ -12,11 +12,11 @@
 			latest = max(latest, e.End.At)
 		}
 	}
-	for _, x := range over {
+	for _, x := range ended {
 		latest = max(latest, x.EndedAt)
 	}
-	j.clock, j.epoch, known = clock.Start(kept, latest)
-	j.newEpoch = kept == nil || *kept != j.epoch
+	j.clock, j.epoch, known = clock.Start(savedEpoch, latest)
+	j.newEpoch = savedEpoch == nil || *savedEpoch != j.epoch
 	if known {
 		return true
 	}
