--- a/internal/backlog/spill/harness_test.go
+++ b/internal/backlog/spill/harness_test.go
@@ -66,7 +66,7 @@
 const startTime = int64(1_000_000_000_000)
 
 // journalOptions has the journal remember the ends of all messages.
-var journalOptions = journal.Options{Disk: 1 << 20, MostEnded: 10_000, KeepEnded: 1 << 62}
+var journalOptions = journal.Options{MaxBytes: 1 << 20, MaxEnded: 10_000, EndRetention: 1 << 62}
 
 // start opens what an earlier process has left. known has the expected state of the
 // messages.
@@ -89,7 +89,7 @@
 	if err != nil {
 		return nil, errors.Join(err, j.Close())
 	}
-	j.HoldTerms(p.s.Terms)
+	j.SetTermsInUse(p.s.Terms)
 	for _, e := range j.Entries() {
 		if e.End == nil {
 			p.window = append(p.window, e.ID)
@@ -122,7 +122,7 @@
 		case backlog.InWindow:
 			p.s.EnterWindow(m.Partner)
 			records = append(records, journal.Record{Op: journal.OpAccept,
-				Entry: &journal.Entry{Message: *m, Accepted: p.now}})
+				Entry: &journal.Entry{Message: *m, AcceptedAt: p.now}})
 			p.window = append(p.window, m.ID)
 		case backlog.InBacklog:
 			p.s.Stage(&disk.Record{Message: *m, Accepted: p.now, Digest: m.Digest()})
@@ -198,7 +198,7 @@
 		return nil, fmt.Errorf("HandleEvent does not handle %T", ev)
 	}
 	if count > 0 {
-		records = append(records, journal.Record{Op: journal.OpCleared, Behind: first, Count: count})
+		records = append(records, journal.Record{Op: journal.OpBacklogReclaimed, BacklogSeq: first, Count: count})
 	}
 	for _, x := range in {
 		if x.Err != nil {
@@ -208,7 +208,7 @@
 			return nil, fmt.Errorf("%s is refilled with another body", x.ID)
 		}
 		records = append(records, journal.Record{Op: journal.OpAccept,
-			Entry: &journal.Entry{Message: x.Message, Accepted: x.Accepted, Behind: x.Seq}})
+			Entry: &journal.Entry{Message: x.Message, AcceptedAt: x.Accepted, BacklogSeq: x.Seq}})
 		p.window = append(p.window, x.ID)
 	}
 	return records, nil
@@ -228,9 +228,9 @@
 		}
 		p.messages[r.ID].endBegun = true
 		records = append(records, journal.Record{Op: journal.OpAccept,
-			Entry: &journal.Entry{Message: r.Message, Behind: seq, Left: 1, EndDigest: r.Digest}},
+			Entry: &journal.Entry{Message: r.Message, BacklogSeq: seq, StoredBodySize: 1, StoredDigest: r.Digest}},
 			journal.Record{Op: journal.OpEnd, ID: r.ID, End: &message.End{ID: r.ID, State: message.Returned, At: p.now}},
-			journal.Record{Op: journal.OpNoticed, ID: r.ID, At: p.now})
+			journal.Record{Op: journal.OpNotified, ID: r.ID, At: p.now})
 		ids = append(ids, r.ID)
 	}
 	if err := p.j.Append(records); err != nil {
--- a/internal/backlog/spill/spill.go
+++ b/internal/backlog/spill/spill.go
@@ -26,12 +26,12 @@
 // backlog.
 type Journal interface {
 	// Gone reports whether the message with a sequence number is no longer spilled.
-	Gone(seq uint64) bool
+	HasLeftBacklog(seq uint64) bool
 	// MostBehind returns the largest sequence number in the journal.
-	MostBehind() uint64
+	MaxBacklogSeq() uint64
 	// KeepPassed drops the records of sequence numbers in ranges for which lives is false:
 	// no segment has them any more.
-	KeepPassed(lives func(first, last uint64) bool)
+	PruneLeftBacklog(lives func(first, last uint64) bool)
 }
 
 const (
@@ -93,7 +93,7 @@
 // worker goroutine calls notify with events, for [Spill.HandleEvent], until Close returns;
 // notify must return once quit is closed.
 func Open(fs vfs.FS, journal Journal, opts Options, notify func(event any, quit <-chan struct{})) (*Spill, error) {
-	files, err := disk.Open(fs, journal.MostBehind(), disk.Options{MaxBytes: opts.MaxBytes,
+	files, err := disk.Open(fs, journal.MaxBacklogSeq(), disk.Options{MaxBytes: opts.MaxBytes,
 		SegmentBytes: opts.SegmentBytes, Sync: opts.Sync, FlushInterval: opts.FlushInterval, Log: opts.Log})
 	if err != nil {
 		return nil, err
@@ -102,14 +102,14 @@
 		stagedByDestination: map[string]int{}, stagedOrderKeys: map[uint64]backlog.Queue{}, refillEnabled: true}
 	err = files.Restore(s.spilled.Queue, func(x disk.RestoredSegment) {
 		s.spilled.Restore(x.First, x.Entries,
-			func(seq uint64) bool { return journal.Gone(seq) || x.Entries[seq-x.First].HeadSize == 0 },
+			func(seq uint64) bool { return journal.HasLeftBacklog(seq) || x.Entries[seq-x.First].HeadSize == 0 },
 			x.ByDeadline, x.Runs)
 	})
 	if err != nil {
 		files.Close()
 		return nil, err
 	}
-	journal.KeepPassed(s.spilled.Overlaps)
+	journal.PruneLeftBacklog(s.spilled.Overlaps)
 	s.firstOwnSeq, _ = files.StartsSegment()
 	s.worker = newWorker(files, opts, notify)
 	return s, nil
--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -79,9 +79,9 @@
 	class := cmp.Or(p.class, &logic.Class{Effect: logic.Unsafe})
 	attempt.Unrepeatable = class.Effect == logic.Unsafe
 	attempt.Expires = c.clock.Moment(p.msg.Deadline)
-	if entry := c.store.Entry(start.ID); entry != nil && entry.MayRun {
+	if entry := c.store.Entry(start.ID); entry != nil && entry.MayHaveRun {
 		attempt.Repeat = permit.Repeat{MayHaveRun: true, Effect: class.Effect, Window: toDuration(class.Window),
-			Age: attempt.createdAt.Sub(c.clock.Moment(entry.FirstMay))}
+			Age: attempt.createdAt.Sub(c.clock.Moment(entry.MayHaveRunSince))}
 	}
 	p.attempt, attempt.bodyInStore = attempt, p.bodyInStore
 	c.metrics.Attempts.Add(1)
@@ -202,7 +202,7 @@
 	case done:
 		c.endDelivered(id, p, result)
 	default:
-		c.records = append(c.records, journal.Record{Op: journal.OpOutcome, ID: id, MayRun: mayHaveRun(result.Outcome)})
+		c.records = append(c.records, journal.Record{Op: journal.OpOutcome, ID: id, MayHaveRun: mayHaveRun(result.Outcome)})
 	}
 	if p.ended {
 		delete(c.pending, id)
@@ -215,7 +215,7 @@
 // endDelivered ends a message that was delivered, or that the endpoint has declared as ended.
 func (c *Core) endDelivered(id string, p *pendingMessage, result Result) {
 	now := c.clock.Now()
-	end := message.End{ID: id, State: message.Delivered, At: now, Tries: p.attempts}
+	end := message.End{ID: id, State: message.Delivered, At: now, Attempts: p.attempts}
 	notify := c.cfg.NotifyDelivered && result.Outcome == logic.Completed
 	if notify {
 		c.records = append(c.records, journal.Record{Op: journal.OpEnd, ID: id, End: &end})
--- a/internal/core/backlog.go
+++ b/internal/core/backlog.go
@@ -85,7 +85,7 @@
 	endTimer := time.NewTimer(time.Hour)
 	c.backlog = loopBacklog{Backlog: b, endTimer: endTimer, refilledIDs: map[string]bool{},
 		endingDigests: map[string]uint64{}, spilledIDs: map[string]bool{}, stopping: c.backlog.stopping}
-	c.store.HoldTerms(b.Terms)
+	c.store.SetTermsInUse(b.Terms)
 	for _, p := range c.pending {
 		if !p.ended {
 			b.EnterWindow(p.msg.Partner)
@@ -221,10 +221,10 @@
 	}
 	list, first, count, ok := c.backlog.HandleEvent(ev)
 	if count > 0 {
-		c.records = append(c.records, journal.Record{Op: journal.OpCleared, Behind: first, Count: count})
+		c.records = append(c.records, journal.Record{Op: journal.OpBacklogReclaimed, BacklogSeq: first, Count: count})
 	}
 	for i := range list {
-		if r := list[i].Record; r != nil && list[i].Err == nil && !c.store.Room(len(r.Body)) {
+		if r := list[i].Record; r != nil && list[i].Err == nil && !c.store.Reserve(len(r.Body)) {
 			c.backlog.PutBack(list[i:]) // they are read again later
 			break
 		}
@@ -239,7 +239,7 @@
 	if r == nil {
 		c.log.Error("a message in the backlog can't be read; only its number is known",
 			"number", refilled.Seq, "err", refilled.Err)
-		c.records = append(c.records, journal.Record{Op: journal.OpPassed, Behind: refilled.Seq})
+		c.records = append(c.records, journal.Record{Op: journal.OpLeftBacklog, BacklogSeq: refilled.Seq})
 		c.backlog.LeaveWindow(refilled.Partner)
 		return
 	}
@@ -271,7 +271,7 @@
 	c.pendingCount++
 	c.backlog.refilled, c.backlog.refilledIDs[m.ID] = append(c.backlog.refilled, refilled), true
 	c.records = append(c.records, journal.Record{Op: journal.OpAccept,
-		Entry: &journal.Entry{Message: *m, Accepted: r.Accepted, Terms: r.Terms, Behind: refilled.Seq}})
+		Entry: &journal.Entry{Message: *m, AcceptedAt: r.Accepted, Terms: r.Terms, BacklogSeq: refilled.Seq}})
 	c.nextEvents = append(c.nextEvents, event)
 }
 
@@ -280,7 +280,7 @@
 	m := r.Message
 	m.Body = nil
 	c.backlog.unwrittenEnds = append(c.backlog.unwrittenEnds, backlogEnd{
-		entry: journal.Entry{Message: m, Accepted: r.Accepted, Terms: r.Terms, Behind: seq, EndDigest: r.Digest, Left: 1},
+		entry: journal.Entry{Message: m, AcceptedAt: r.Accepted, Terms: r.Terms, BacklogSeq: seq, StoredDigest: r.Digest, StoredBodySize: 1},
 		end:   message.End{ID: r.ID, State: message.Returned, At: c.clock.Now()}})
 	c.backlog.endingDigests[r.ID] = r.Digest
 }
@@ -299,7 +299,7 @@
 		}
 		if r == nil {
 			c.log.Error("an expired message in the backlog can't be read; only its number is known", "number", seq)
-			c.records = append(c.records, journal.Record{Op: journal.OpPassed, Behind: seq})
+			c.records = append(c.records, journal.Record{Op: journal.OpLeftBacklog, BacklogSeq: seq})
 			continue
 		}
 		c.endInBacklog(r, seq)
--- a/internal/core/check.go
+++ b/internal/core/check.go
@@ -47,7 +47,7 @@
 			return fieldError(f.field, "must be given")
 		case len(f.text) > message.MaxName:
 			return fieldError(f.field, "over %d bytes", message.MaxName)
-		case !message.Plain(f.text):
+		case !message.IsVisibleASCII(f.text):
 			return fieldError(f.field, "holds what is not visible ASCII")
 		}
 	}
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -41,7 +41,7 @@
 		s.EndedAt.IsZero() || s.Partner != "acme" {
 		t.Errorf("final state: %+v", s)
 	}
-	if x := byhand.Await(t, r.fakeSink.added, "end"); x.ID != "a" || x.State != message.Delivered || x.Tries != 2 {
+	if x := byhand.Await(t, r.fakeSink.added, "end"); x.ID != "a" || x.State != message.Delivered || x.Attempts != 2 {
 		t.Errorf("end %+v", x)
 	}
 	r.submitAndWait(newMessage("b", "unsafe"))
@@ -198,7 +198,7 @@
 		t.Errorf("above max_open: %+v", a)
 	}
 	r.pendingCount = 0
-	for i := 0; r.store.Room(9); i++ {
+	for i := 0; r.store.Reserve(9); i++ {
 		if err := r.store.Append([]journal.Record{{Op: journal.OpAccept, Entry: &journal.Entry{
 			Message: message.Message{ID: fmt.Sprint("f", i), Body: make([]byte, 60000)}}}}); err != nil {
 			t.Fatal(err)
--- a/internal/core/handover.go
+++ b/internal/core/handover.go
@@ -79,7 +79,7 @@
 		taken, err = ev.successor.Transfer(snapshot, listeners)
 	}
 	if taken {
-		c.log.Info("handed over", "held", c.pendingCount, "calls_out", len(snapshot.Calls), "took", time.Since(startedAt))
+		c.log.Info("handed over", "held", c.pendingCount, "calls_out", len(snapshot.Attempts), "took", time.Since(startedAt))
 		c.lifecycle.HandleEvent(lifecycle.HandoverCompleted)
 		ev.done <- nil
 		return true, nil
@@ -100,7 +100,7 @@
 		store, err := c.reopenStore()
 		if err == nil {
 			if snapshot != nil {
-				store.AddUnsaved(snapshot.Ended)
+				store.AddUnsavedEnds(snapshot.Ended)
 			}
 			c.storeMu.Lock()
 			c.store = store
@@ -125,8 +125,8 @@
 // journal. Attempts that have not begun are withheld and not part of the snapshot.
 func (c *Core) takeSnapshot(fronts []Front) (*handover.Snapshot, error) {
 	now := time.Now()
-	out := &handover.Snapshot{Format: handover.Format, At: c.clock.At(now), Heard: c.listReceived,
-		Version: c.source.Version(), Partners: map[string]*journal.Partner{}, Listeners: len(fronts)}
+	out := &handover.Snapshot{Format: handover.Format, At: c.clock.At(now), ListReceived: c.listReceived,
+		ListVersion: c.source.Version(), Partners: map[string]*journal.Partner{}, Listeners: len(fronts)}
 	inUse := map[logic.EndpointID]bool{} // endpoints with calls in flight
 	for _, p := range c.pending {
 		if p.attempt != nil {
@@ -135,9 +135,9 @@
 	}
 	for id, endpoint := range c.directory.endpoints {
 		if endpoint.goneSince.IsZero() || inUse[id] {
-			out.Endpoints = append(out.Endpoints, handover.Endpoint{Gone: !endpoint.goneSince.IsZero(), Name: endpoint.name,
+			out.Endpoints = append(out.Endpoints, handover.Endpoint{Removed: !endpoint.goneSince.IsZero(), Name: endpoint.name,
 				Addr: endpoint.addr, Zone: c.directory.zoneName(endpoint.zone), Kind: c.directory.kindName(endpoint.kind),
-				Partner: endpoint.partner, Drains: endpoint.state != logic.Ready, Weight: endpoint.weight})
+				Partner: endpoint.partner, Draining: endpoint.state != logic.Ready, Weight: endpoint.weight})
 		}
 		c.transport.CloseIdle(id)
 	}
@@ -148,7 +148,7 @@
 		}
 	}
 	for _, k := range keys {
-		out.Keys = append(out.Keys, handover.Key{Key: k.Key, Left: int64(k.Remaining)})
+		out.QuietKeys = append(out.QuietKeys, handover.QuietKey{Key: k.Key, Remaining: int64(k.Remaining)})
 	}
 	for id, p := range c.pending {
 		if p.attempt == nil {
@@ -161,17 +161,17 @@
 			}
 			continue
 		}
-		call := handover.Call{ID: id, Over: p.ended, Number: p.attempt.Number,
+		call := handover.Attempt{ID: id, MessageEnded: p.ended, Number: p.attempt.Number,
 			Endpoint: c.directory.endpoints[p.attempt.Endpoint].name,
 			Age:      now.Sub(p.attempt.createdAt).Microseconds()}
 		if p.attempt.firstID != id {
-			call.With = p.attempt.firstID
+			call.BatchedWith = p.attempt.firstID
 		}
-		out.Calls = append(out.Calls, call)
+		out.Attempts = append(out.Attempts, call)
 	}
 	err := c.store.Append(c.records)
 	clear(c.records)
 	c.records = c.records[:0]
-	out.Ended = c.store.Unsaved()
+	out.Ended = c.store.UnsavedEnds()
 	return out, err
 }
--- a/internal/core/inherit.go
+++ b/internal/core/inherit.go
@@ -66,7 +66,7 @@
 	for _, endpoint := range in.Snapshot.Endpoints {
 		e := Endpoint{Name: endpoint.Name, Addr: endpoint.Addr, Zone: endpoint.Zone, Kind: endpoint.Kind,
 			Partner: endpoint.Partner, Weight: endpoint.Weight}
-		if endpoint.Drains || endpoint.Gone {
+		if endpoint.Draining || endpoint.Removed {
 			e.State = logic.Draining
 		}
 		out.Endpoints = append(out.Endpoints, e)
@@ -76,23 +76,23 @@
 
 // restoreSnapshot passes the snapshot that was handed over to the scheduler and returns the attempts in flight by ID of
 // their messages. It must be called before the messages are restored.
-func (c *Core) restoreSnapshot() map[string]handover.Call {
+func (c *Core) restoreSnapshot() map[string]handover.Attempt {
 	if c.takeover == nil {
 		return nil
 	}
 	snapshot := c.takeover.Snapshot
-	c.listReceived = snapshot.Heard
+	c.listReceived = snapshot.ListReceived
 	list := c.takeover.endpointList()
 	c.nextEvents = append(c.nextEvents, logic.Endpoints{Form: logic.ListFull, Entries: c.directory.applyList(list)})
 	for i, endpoint := range snapshot.Endpoints { // it is in the list only for its attempts in flight
-		if endpoint.Gone {
+		if endpoint.Removed {
 			list.Endpoints[i].State = logic.Gone
 			c.nextEvents = append(c.nextEvents, logic.Endpoints{Form: logic.ListDelta,
 				Entries: c.directory.applyList(EndpointList{Endpoints: list.Endpoints[i : i+1]})})
 		}
 	}
 	c.cfg.CachedEndpoints = nil
-	c.store.AddUnsaved(snapshot.Ended)
+	c.store.AddUnsavedEnds(snapshot.Ended)
 	age := logic.Micros(c.clock.Now() - snapshot.At)
 	for name, saved := range snapshot.Partners {
 		if c.directory.hasEndpoint(name) {
@@ -100,18 +100,18 @@
 				logic.RestoreState{Age: age, State: c.toDestinationState(name, saved)})
 		}
 	}
-	for _, k := range snapshot.Keys {
-		c.nextEvents = append(c.nextEvents, logic.QuietKey{Key: k.Key, Remaining: logic.Micros(k.Left) - age})
+	for _, k := range snapshot.QuietKeys {
+		c.nextEvents = append(c.nextEvents, logic.QuietKey{Key: k.Key, Remaining: logic.Micros(k.Remaining) - age})
 	}
-	inFlight := map[string]handover.Call{}
-	for _, call := range snapshot.Calls {
+	inFlight := map[string]handover.Attempt{}
+	for _, call := range snapshot.Attempts {
 		inFlight[call.ID] = call
 	}
 	return inFlight
 }
 
 // adoptAttempt registers an attempt that is in flight in the predecessor.
-func (c *Core) adoptAttempt(p *pendingMessage, call handover.Call, event *logic.NewMessage,
+func (c *Core) adoptAttempt(p *pendingMessage, call handover.Attempt, event *logic.NewMessage,
 	entry *journal.Entry, now int64) {
 	age := now - c.takeover.Snapshot.At + call.Age
 	ep, ok := c.directory.endpointIDs[call.Endpoint]
@@ -128,19 +128,19 @@
 	p.attempts = call.Number + 1
 	c.remoteAttempts[call.ID] = p
 	if entry != nil {
-		event.History.MayHaveRun = entry.MayRun
-		event.History.SinceFirst = logic.Micros(max(now-entry.FirstMay, 0))
+		event.History.MayHaveRun = entry.MayHaveRun
+		event.History.SinceFirst = logic.Micros(max(now-entry.MayHaveRunSince, 0))
 	}
-	event.History.InFlight = &logic.InFlightAttempt{Endpoint: ep, Age: logic.Micros(age), BatchedWith: call.With}
+	event.History.InFlight = &logic.InFlightAttempt{Endpoint: ep, Age: logic.Micros(age), BatchedWith: call.BatchedWith}
 }
 
 // adoptEndedAttempts registers the attempts in flight of messages that have ended, because they occupy slots. It
 // returns events for the scheduler.
-func (c *Core) adoptEndedAttempts(inFlight map[string]handover.Call) (events []logic.Event) {
+func (c *Core) adoptEndedAttempts(inFlight map[string]handover.Attempt) (events []logic.Event) {
 	now := c.clock.Now()
 	for id, call := range inFlight {
 		ep, ok := c.directory.endpointIDs[call.Endpoint]
-		if !call.Over || !ok || c.pending[id] != nil {
+		if !call.MessageEnded || !ok || c.pending[id] != nil {
 			continue
 		}
 		p := &pendingMessage{msg: &message.Message{ID: id, Partner: c.directory.endpoints[ep].partner}, ended: true}
@@ -165,7 +165,7 @@
 	}
 	c.log.Info("taken over", "held", len(c.pending), "calls_out", len(c.remoteAttempts),
 		"endpoints", len(c.directory.endpoints))
-	if err := c.takeover.Predecessor.Send(&handover.Taken{}); err != nil {
+	if err := c.takeover.Predecessor.Send(&handover.Confirmation{}); err != nil {
 		c.takeover.Predecessor.Close()
 		c.takeover.closeListeners()
 		return fmt.Errorf("%w: %w", ErrPredecessorUnreachable, err)
@@ -185,14 +185,14 @@
 		switch m := m.(type) {
 		case *handover.Outcomes:
 			c.post(remoteOutcomesEvent{m.List})
-		case *handover.Put:
+		case *handover.Submission:
 			go c.submitForwarded(link, m)
-		case *handover.AskState:
+		case *handover.StateRequest:
 			go func() {
 				s, _ := c.State(context.Background(), m.ID, false)
-				link.Send(&handover.State{Seq: m.Seq, Name: s.Name, Tenant: s.Tenant, Partner: s.Partner,
-					Class: s.Class, Tries: s.Attempts, After: s.RetryAfter, Accepted: toUnixMicro(s.AcceptedAt),
-					Deadline: toUnixMicro(s.Deadline), Over: toUnixMicro(s.EndedAt)})
+				link.Send(&handover.StateReply{Seq: m.Seq, Name: s.Name, Tenant: s.Tenant, Partner: s.Partner,
+					Class: s.Class, Attempts: s.Attempts, RetryAfter: s.RetryAfter, AcceptedAt: toUnixMicro(s.AcceptedAt),
+					Deadline: toUnixMicro(s.Deadline), EndedAt: toUnixMicro(s.EndedAt)})
 			}()
 		}
 	}, func(error) {
@@ -203,12 +203,12 @@
 }
 
 // submitForwarded submits a message that the predecessor has forwarded, and sends the response back.
-func (c *Core) submitForwarded(link Link, m *handover.Put) {
+func (c *Core) submitForwarded(link Link, m *handover.Submission) {
 	response := make(chan SubmitResponse, 1)
 	msg := m.Message
 	c.Submit(&msg, response)
 	r := <-response
-	link.Send(&handover.Answer{Seq: m.Seq, Verdict: int(r.Status), After: r.RetryAfter, Again: r.Duplicate})
+	link.Send(&handover.SubmissionReply{Seq: m.Seq, Status: int(r.Status), RetryAfter: r.RetryAfter, Duplicate: r.Duplicate})
 }
 
 // toUnixMicro converts a wall-clock time for the link; 0 for the zero time.
@@ -228,8 +228,8 @@
 		}
 		delete(c.remoteAttempts, o.ID)
 		p.cancel = func() {}
-		c.handleOutcome(attemptOutcome{attempt: p.attempt, took: o.Took,
-			result: Result{Outcome: logic.Outcome(o.Outcome), RequestedWait: o.Wait, MessageEnded: o.Over, Load: o.Load}})
+		c.handleOutcome(attemptOutcome{attempt: p.attempt, took: o.Latency,
+			result: Result{Outcome: logic.Outcome(o.Outcome), RequestedWait: o.RequestedWait, MessageEnded: o.MessageEnded, Load: o.Load}})
 	}
 }
 
--- a/internal/core/loop.go
+++ b/internal/core/loop.go
@@ -126,7 +126,7 @@
 	}
 	clear(c.records)
 	c.records = c.records[:0]
-	c.store.Forget(c.clock.At(now))
+	c.store.DropExpired(c.clock.At(now))
 	if c.directory.needsPruning(now) {
 		c.pruneDirectory(now)
 	} else {
@@ -188,8 +188,8 @@
 			continue
 		}
 		event := c.newMessageEvent(&entry.Message, now)
-		p := &pendingMessage{msg: &entry.Message, acceptedAt: entry.Accepted, attempts: entry.Tries,
-			bodyInStore: entry.Left > 0, termsNumber: entry.Terms, class: c.terms.class(entry.Class)}
+		p := &pendingMessage{msg: &entry.Message, acceptedAt: entry.AcceptedAt, attempts: entry.Attempts,
+			bodyInStore: entry.StoredBodySize > 0, termsNumber: entry.Terms, class: c.terms.class(entry.Class)}
 		if entry.Terms != c.terms.number {
 			if event.Terms = classTerms(c.store.Terms(entry.Terms), entry.Class); event.Terms != nil {
 				p.class = &event.Terms.Class
@@ -197,17 +197,17 @@
 		}
 		c.pending[entry.ID] = p
 		c.pendingCount++
-		event.History = logic.History{Attempts: entry.Tries, MayHaveRun: entry.MayRun || entry.Open,
+		event.History = logic.History{Attempts: entry.Attempts, MayHaveRun: entry.MayHaveRun || entry.InFlight,
 			Inherited: c.takeover == nil}
 		if event.History.MayHaveRun {
-			event.History.SinceFirst = logic.Micros(max(now-entry.FirstMay, 0))
-			event.History.Zone = slices.Index(c.cfg.Zones, entry.FirstZone)
+			event.History.SinceFirst = logic.Micros(max(now-entry.MayHaveRunSince, 0))
+			event.History.Zone = slices.Index(c.cfg.Zones, entry.MayHaveRunZone)
 		}
-		if call, ok := inFlight[entry.ID]; ok && entry.Open {
+		if call, ok := inFlight[entry.ID]; ok && entry.InFlight {
 			c.adoptAttempt(p, call, &event, entry, now)
 			delete(inFlight, entry.ID)
-		} else if entry.Open { // the next reader of the journal must not attribute this outcome to a later attempt
-			c.records = append(c.records, journal.Record{Op: journal.OpOutcome, ID: entry.ID, MayRun: true})
+		} else if entry.InFlight { // the next reader of the journal must not attribute this outcome to a later attempt
+			c.records = append(c.records, journal.Record{Op: journal.OpOutcome, ID: entry.ID, MayHaveRun: true})
 		}
 		if c.cfg.CachedEndpoints != nil && !c.directory.hasEndpoint(entry.Partner) {
 			orphans[entry.Partner]++
@@ -263,7 +263,7 @@
 	case noticesConfirmedEvent:
 		now := c.clock.Now()
 		for _, id := range ev.ids {
-			c.records = append(c.records, journal.Record{Op: journal.OpNoticed, ID: id, At: now})
+			c.records = append(c.records, journal.Record{Op: journal.OpNotified, ID: id, At: now})
 		}
 	case remoteOutcomesEvent:
 		c.applyRemoteOutcomes(ev.list)
--- a/internal/core/memory.go
+++ b/internal/core/memory.go
@@ -46,10 +46,10 @@
 // toJournalPartner converts a partner state for the journal, with names in place of the scheduler's numbers. The name
 // is empty if none of the endpoints is listed.
 func (c *Core) toJournalPartner(state logic.DestinationState) (name string, out *journal.Partner) {
-	out = &journal.Partner{Exact: state.Exact, At: c.clock.Now(), Sick: state.Unhealthy, Used: int64(state.SinceUsed),
-		Came: state.Arrivals, Down: int64(state.SinceOutage), Limit: toJournalLimit(state.Limiter),
-		Bins: state.Latencies.Bins, Weights: state.Latencies.Weights, Cuts: state.Latencies.Censored,
-		Sampled: int64(state.Latencies.SinceSample)}
+	out = &journal.Partner{Exact: state.Exact, At: c.clock.Now(), Unhealthy: state.Unhealthy, SinceUsed: int64(state.SinceUsed),
+		Arrivals: state.Arrivals, SinceOutage: int64(state.SinceOutage), Limiter: toJournalLimit(state.Limiter),
+		Bins: state.Latencies.Bins, Weights: state.Latencies.Weights, Censored: state.Latencies.Censored,
+		SinceSample: int64(state.Latencies.SinceSample)}
 	for _, endpoint := range state.Endpoints {
 		listed, ok := c.directory.endpoints[endpoint.Endpoint]
 		if !ok {
@@ -57,55 +57,55 @@
 		}
 		name = listed.partner
 		out.Endpoints = append(out.Endpoints, journal.PartnerEndpoint{Name: listed.name,
-			Limit: toJournalLimit(endpoint.Limiter), Out: endpoint.Outage, Cold: endpoint.Cold,
-			Back: int64(endpoint.SinceRecovery), Good: int64(endpoint.SinceSuccess),
-			Bad: int64(endpoint.SinceFailure), Well: int64(endpoint.SinceIndependentSuccess),
-			Gap: int64(endpoint.TrialInterval), Failing: endpoint.FailureRatio, Slow: int64(endpoint.Latency),
-			Fails: endpoint.Failures, Fulls: endpoint.Overloads, Resets: endpoint.Resets,
-			Sent: toInt64s(endpoint.Sent), LastSent: int64(endpoint.SinceLastSent), Trial: int64(endpoint.UntilTrial),
-			Told: int64(endpoint.RequestedWait)})
+			Limiter: toJournalLimit(endpoint.Limiter), Outage: endpoint.Outage, Cold: endpoint.Cold,
+			SinceRecovery: int64(endpoint.SinceRecovery), SinceSuccess: int64(endpoint.SinceSuccess),
+			SinceFailure: int64(endpoint.SinceFailure), SinceIndependentSuccess: int64(endpoint.SinceIndependentSuccess),
+			TrialInterval: int64(endpoint.TrialInterval), FailureRatio: endpoint.FailureRatio, Latency: int64(endpoint.Latency),
+			Failures: endpoint.Failures, Overloads: endpoint.Overloads, Resets: endpoint.Resets,
+			Sent: toInt64s(endpoint.Sent), SinceLastSent: int64(endpoint.SinceLastSent), UntilTrial: int64(endpoint.UntilTrial),
+			RequestedWait: int64(endpoint.RequestedWait)})
 	}
 	return name, out
 }
 
-func toJournalLimit(state logic.LimiterState) journal.PartnerLimit {
-	return journal.PartnerLimit{Told: state.Limit, Pace: state.Rate, Halved: int64(state.SinceDecrease),
-		Peak: state.PeakRate, Sent: toInt64s(state.Sent), Tokens: state.Tokens, Wait: int64(state.RequestedWait),
-		Fulls: state.Overloads, First: int64(state.SinceFirstOverload), Spent: state.NearLimit}
+func toJournalLimit(state logic.LimiterState) journal.PartnerLimiter {
+	return journal.PartnerLimiter{Limit: state.Limit, Rate: state.Rate, SinceDecrease: int64(state.SinceDecrease),
+		PeakRate: state.PeakRate, Sent: toInt64s(state.Sent), Tokens: state.Tokens, RequestedWait: int64(state.RequestedWait),
+		Overloads: state.Overloads, SinceFirstOverload: int64(state.SinceFirstOverload), NearLimit: state.NearLimit}
 }
 
 // toDestinationState converts a saved partner state for the scheduler, with numbers in place of names. Endpoints that
 // are not listed with the partner are left out.
 func (c *Core) toDestinationState(name string, saved *journal.Partner) logic.DestinationState {
-	state := logic.DestinationState{Exact: saved.Exact, Dest: c.directory.partner(name).destination, Unhealthy: saved.Sick,
-		SinceUsed: logic.Micros(saved.Used), Arrivals: saved.Came, SinceOutage: logic.Micros(saved.Down),
-		Limiter: toLimiterState(saved.Limit),
-		Latencies: logic.LatencyHistogram{Bins: saved.Bins, Weights: saved.Weights, Censored: saved.Cuts,
-			SinceSample: logic.Micros(saved.Sampled)}}
+	state := logic.DestinationState{Exact: saved.Exact, Dest: c.directory.partner(name).destination, Unhealthy: saved.Unhealthy,
+		SinceUsed: logic.Micros(saved.SinceUsed), Arrivals: saved.Arrivals, SinceOutage: logic.Micros(saved.SinceOutage),
+		Limiter: toLimiterState(saved.Limiter),
+		Latencies: logic.LatencyHistogram{Bins: saved.Bins, Weights: saved.Weights, Censored: saved.Censored,
+			SinceSample: logic.Micros(saved.SinceSample)}}
 	for _, endpoint := range saved.Endpoints {
 		id, ok := c.directory.endpointIDs[endpoint.Name]
 		if !ok || c.directory.endpoints[id].partner != name {
 			continue
 		}
-		state.Endpoints = append(state.Endpoints, logic.EndpointState{Endpoint: id, Limiter: toLimiterState(endpoint.Limit),
-			Outage: endpoint.Out, Cold: endpoint.Cold, SinceRecovery: logic.Micros(endpoint.Back),
-			SinceSuccess: logic.Micros(endpoint.Good),
-			SinceFailure: logic.Micros(endpoint.Bad), SinceIndependentSuccess: logic.Micros(endpoint.Well),
-			TrialInterval: logic.Micros(endpoint.Gap), FailureRatio: endpoint.Failing, Latency: logic.Micros(endpoint.Slow),
-			Failures: endpoint.Fails, Overloads: endpoint.Fulls, Resets: endpoint.Resets,
+		state.Endpoints = append(state.Endpoints, logic.EndpointState{Endpoint: id, Limiter: toLimiterState(endpoint.Limiter),
+			Outage: endpoint.Outage, Cold: endpoint.Cold, SinceRecovery: logic.Micros(endpoint.SinceRecovery),
+			SinceSuccess: logic.Micros(endpoint.SinceSuccess),
+			SinceFailure: logic.Micros(endpoint.SinceFailure), SinceIndependentSuccess: logic.Micros(endpoint.SinceIndependentSuccess),
+			TrialInterval: logic.Micros(endpoint.TrialInterval), FailureRatio: endpoint.FailureRatio, Latency: logic.Micros(endpoint.Latency),
+			Failures: endpoint.Failures, Overloads: endpoint.Overloads, Resets: endpoint.Resets,
 			EndpointHandover: logic.EndpointHandover{Sent: toMicrosList(endpoint.Sent),
-				SinceLastSent: logic.Micros(endpoint.LastSent), UntilTrial: logic.Micros(endpoint.Trial),
-				RequestedWait: logic.Micros(endpoint.Told)}})
+				SinceLastSent: logic.Micros(endpoint.SinceLastSent), UntilTrial: logic.Micros(endpoint.UntilTrial),
+				RequestedWait: logic.Micros(endpoint.RequestedWait)}})
 	}
 	return state
 }
 
-func toLimiterState(limit journal.PartnerLimit) logic.LimiterState {
-	return logic.LimiterState{Limit: limit.Told, Rate: limit.Pace, SinceDecrease: logic.Micros(limit.Halved),
-		PeakRate: limit.Peak,
+func toLimiterState(limit journal.PartnerLimiter) logic.LimiterState {
+	return logic.LimiterState{Limit: limit.Limit, Rate: limit.Rate, SinceDecrease: logic.Micros(limit.SinceDecrease),
+		PeakRate: limit.PeakRate,
 		LimiterHandover: logic.LimiterHandover{Sent: toMicrosList(limit.Sent), Tokens: limit.Tokens,
-			RequestedWait: logic.Micros(limit.Wait), Overloads: limit.Fulls,
-			SinceFirstOverload: logic.Micros(limit.First), NearLimit: limit.Spent}}
+			RequestedWait: logic.Micros(limit.RequestedWait), Overloads: limit.Overloads,
+			SinceFirstOverload: logic.Micros(limit.SinceFirstOverload), NearLimit: limit.NearLimit}}
 }
 
 func toInt64s(list []logic.Micros) (out []int64) {
--- a/internal/core/relay.go
+++ b/internal/core/relay.go
@@ -144,7 +144,7 @@
 	}
 	r.seq++
 	r.submissions[r.seq] = ev
-	r.successor.Send(&handover.Put{Seq: r.seq, Message: *ev.msg})
+	r.successor.Send(&handover.Submission{Seq: r.seq, Message: *ev.msg})
 }
 
 // forwardQuery forwards a state query.
@@ -155,7 +155,7 @@
 	}
 	r.seq++
 	r.stateQueries[r.seq] = ev
-	r.successor.Send(&handover.AskState{Seq: r.seq, ID: ev.id})
+	r.successor.Send(&handover.StateRequest{Seq: r.seq, ID: ev.id})
 }
 
 // forwardOutcomes sends the outcomes of attempts to the successor.
@@ -168,8 +168,8 @@
 		}
 		delete(r.inFlight, id)
 		outcomes.List = append(outcomes.List, handover.Outcome{ID: id, Number: outcome.attempt.Number,
-			Outcome: int(outcome.result.Outcome), Took: outcome.took, Wait: outcome.result.RequestedWait,
-			Over: outcome.result.MessageEnded, Load: outcome.result.Load})
+			Outcome: int(outcome.result.Outcome), Latency: outcome.took, RequestedWait: outcome.result.RequestedWait,
+			MessageEnded: outcome.result.MessageEnded, Load: outcome.result.Load})
 	}
 	if len(outcomes.List) > 0 {
 		r.successor.Send(&outcomes)
@@ -179,17 +179,17 @@
 // handleMessage handles a message of the successor.
 func (r *relay) handleMessage(msg any) {
 	switch m := msg.(type) {
-	case *handover.Answer:
+	case *handover.SubmissionReply:
 		if ev, ok := r.submissions[m.Seq]; ok {
 			delete(r.submissions, m.Seq)
-			ev.respond(SubmitResponse{Status: SubmitStatus(m.Verdict), RetryAfter: m.After, Duplicate: m.Again})
+			ev.respond(SubmitResponse{Status: SubmitStatus(m.Status), RetryAfter: m.RetryAfter, Duplicate: m.Duplicate})
 		}
-	case *handover.State:
+	case *handover.StateReply:
 		if query, ok := r.stateQueries[m.Seq]; ok {
 			delete(r.stateQueries, m.Seq)
 			query.response <- State{ID: query.id, Name: m.Name, Tenant: m.Tenant, Partner: m.Partner, Class: m.Class,
-				Attempts: m.Tries, RetryAfter: m.After, AcceptedAt: fromUnixMicro(m.Accepted),
-				Deadline: fromUnixMicro(m.Deadline), EndedAt: fromUnixMicro(m.Over)}
+				Attempts: m.Attempts, RetryAfter: m.RetryAfter, AcceptedAt: fromUnixMicro(m.AcceptedAt),
+				Deadline: fromUnixMicro(m.Deadline), EndedAt: fromUnixMicro(m.EndedAt)}
 		}
 	case *handover.Cancel:
 		if p := r.inFlight[m.ID]; p != nil && p.attempt.Number == m.Number {
--- a/internal/core/relay_test.go
+++ b/internal/core/relay_test.go
@@ -89,7 +89,7 @@
 		return response
 	}
 	first := submit("first")
-	forwarded := byhand.Await(t, s.sent, "request at the successor").(*handover.Put)
+	forwarded := byhand.Await(t, s.sent, "request at the successor").(*handover.Submission)
 	close(stopped)
 	select {
 	case a := <-first:
@@ -99,7 +99,7 @@
 	if a := byhand.Await(t, submit("second"), "response to the second"); a.Status != Busy {
 		t.Errorf("a request during the exit gets %+v", a)
 	}
-	s.incoming <- &handover.Answer{Seq: forwarded.Seq, Verdict: int(Accepted)}
+	s.incoming <- &handover.SubmissionReply{Seq: forwarded.Seq, Status: int(Accepted)}
 	if a := byhand.Await(t, first, "response to the first"); a.Status != Accepted {
 		t.Errorf("the first gets %+v", a)
 	}
--- a/internal/core/restart_test.go
+++ b/internal/core/restart_test.go
@@ -36,7 +36,7 @@
 	if d := time.Since(requestedAt); d < wait {
 		t.Errorf("sent again %v after a wait of %v was requested", d, wait)
 	}
-	if x := byhand.Await(t, r.fakeSink.added, "end"); x.State != message.Delivered || x.Tries != 2 {
+	if x := byhand.Await(t, r.fakeSink.added, "end"); x.State != message.Delivered || x.Attempts != 2 {
 		t.Errorf("end %+v", x)
 	}
 	r.fakeSink.confirm <- "a"
@@ -185,8 +185,8 @@
 	r.submitAndWait(big("x"))
 	answer(logic.ConnectionRefused)
 	answer(logic.ConnectionRefused)
-	if e := r.store.Entry("a"); e.Left != 3000 || e.Body != nil {
-		t.Errorf("%d bytes on disk, %d in memory", e.Left, len(e.Body))
+	if e := r.store.Entry("a"); e.StoredBodySize != 3000 || e.Body != nil {
+		t.Errorf("%d bytes on disk, %d in memory", e.StoredBodySize, len(e.Body))
 	}
 	if a, b := r.submitAndWait(big("x")), r.submitAndWait(big("y")); a.Status != Accepted || !a.Duplicate ||
 		b.Status != Conflict {
--- a/internal/core/seams.go
+++ b/internal/core/seams.go
@@ -138,28 +138,28 @@
 // methods without a comment.
 type Store interface {
 	Append(recs []journal.Record) error
-	Room(body int) bool
+	Reserve(body int) bool
 	Entry(id string) *journal.Entry
 	Entries() []*journal.Entry
 	Ended(id string) *journal.Ended
 	// Body reads a body that is not kept in memory. It is safe for concurrent use with all other methods.
 	Body(id string) ([]byte, error)
-	Unsaved() []*journal.Ended
-	AddUnsaved(list []*journal.Ended)
+	UnsavedEnds() []*journal.Ended
+	AddUnsavedEnds(list []*journal.Ended)
 	Waits() map[string]int64
 	AddTerms(t journal.Terms) (n int64, rec *journal.Record, err error)
 	Terms(n int64) *journal.Terms
 	// HoldTerms keeps the terms whose numbers list returns, which messages outside the store refer to.
-	HoldTerms(list func() []int64)
+	SetTermsInUse(list func() []int64)
 	// Gone reports whether the message with a sequence number has left the backlog. MostBehind returns the largest
 	// known sequence number.
-	Gone(seq uint64) bool
-	MostBehind() uint64
+	HasLeftBacklog(seq uint64) bool
+	MaxBacklogSeq() uint64
 	// KeepPassed drops the records of sequence numbers of which the backlog holds nothing any more.
-	KeepPassed(lives func(first, last uint64) bool)
+	PruneLeftBacklog(lives func(first, last uint64) bool)
 	Partners() map[string]*journal.Partner
 	// Forget drops ended messages whose retention has expired by now, a time of Clock.
-	Forget(now int64)
+	DropExpired(now int64)
 	// Clock returns the clock of all times in the store.
 	Clock() *clock.Clock
 	Len() int
--- a/internal/core/step.go
+++ b/internal/core/step.go
@@ -56,7 +56,7 @@
 		id := submission.msg.ID
 		if _, rejected := responses[id]; !rejected && c.newMessages[id] == submission.msg && !c.backlog.spilledIDs[id] {
 			c.records = append(c.records, journal.Record{Op: journal.OpAccept,
-				Entry: &journal.Entry{Message: *submission.msg, Accepted: c.pending[id].acceptedAt,
+				Entry: &journal.Entry{Message: *submission.msg, AcceptedAt: c.pending[id].acceptedAt,
 					Terms: c.pending[id].termsNumber}})
 		}
 	}
@@ -117,7 +117,7 @@
 }
 
 func (c *Core) releaseBody(id string) {
-	if entry, p := c.store.Entry(id), c.pending[id]; entry != nil && p != nil && entry.Left > 0 {
+	if entry, p := c.store.Entry(id), c.pending[id]; entry != nil && p != nil && entry.StoredBodySize > 0 {
 		stripped := *p.msg
 		stripped.Body = nil
 		p.msg, p.bodyInStore = &stripped, true
@@ -135,12 +135,12 @@
 	end := message.End{At: now}
 	switch a := a.(type) {
 	case logic.ReturnMessage:
-		end.ID, end.State, end.AfterMS = a.ID, message.Returned, int64((a.RetryIn+999)/1000)
+		end.ID, end.State, end.RetryAfterMS = a.ID, message.Returned, int64((a.RetryIn+999)/1000)
 	case logic.FailMessage:
 		end.ID, end.State = a.ID, message.Failed
 	}
 	if p := c.pending[end.ID]; p != nil {
-		end.Tries = p.attempts
+		end.Attempts = p.attempts
 	}
 	return end
 }
--- a/internal/core/submit.go
+++ b/internal/core/submit.go
@@ -43,7 +43,7 @@
 		return p.msg.Digest(), true
 	}
 	if e := c.store.Entry(id); e != nil {
-		return e.Told(), true
+		return e.SubmittedDigest(), true
 	}
 	if e := c.store.Ended(id); e != nil {
 		return e.Digest, true
@@ -95,7 +95,7 @@
 	if c.placeInBacklog(ev, class) {
 		return
 	}
-	if !c.store.Room(len(m.Body)) {
+	if !c.store.Reserve(len(m.Body)) {
 		ev.respond(SubmitResponse{Status: Busy})
 		return
 	}
@@ -202,17 +202,17 @@
 	}
 	if report := c.unreportedEnd(id); report != nil { // the end must not be visible yet
 		return State{ID: id, Name: StateAccepted, Tenant: report.msg.Tenant, Partner: report.msg.Partner,
-			Class: report.msg.Class, Attempts: report.end.Tries, Deadline: c.wallTime(report.msg.Deadline)}
+			Class: report.msg.Class, Attempts: report.end.Attempts, Deadline: c.wallTime(report.msg.Deadline)}
 	}
 	if entry := c.store.Entry(id); entry != nil && entry.End != nil {
 		return State{ID: id, Name: entry.End.State, Tenant: entry.Tenant, Partner: entry.Partner, Class: entry.Class,
-			Attempts: entry.Tries, RetryAfter: time.Duration(entry.End.AfterMS) * time.Millisecond,
-			AcceptedAt: c.wallTime(entry.Accepted), EndedAt: c.wallTime(entry.End.At)}
+			Attempts: entry.Attempts, RetryAfter: time.Duration(entry.End.RetryAfterMS) * time.Millisecond,
+			AcceptedAt: c.wallTime(entry.AcceptedAt), EndedAt: c.wallTime(entry.End.At)}
 	}
 	if entry := c.store.Ended(id); entry != nil {
 		return State{ID: id, Name: entry.State, Tenant: entry.Tenant, Partner: entry.Partner, Class: entry.Class,
-			Attempts: entry.Tries, RetryAfter: time.Duration(entry.AfterMS) * time.Millisecond,
-			AcceptedAt: c.wallTime(entry.Accepted), EndedAt: c.wallTime(entry.Over)}
+			Attempts: entry.Attempts, RetryAfter: time.Duration(entry.RetryAfterMS) * time.Millisecond,
+			AcceptedAt: c.wallTime(entry.AcceptedAt), EndedAt: c.wallTime(entry.EndedAt)}
 	}
 	return State{ID: id}
 }
--- a/internal/core/terms.go
+++ b/internal/core/terms.go
@@ -41,7 +41,7 @@
 
 // journalTerms returns the terms in the form that is stored in the journal.
 func (t *terms) journalTerms() journal.Terms {
-	out := journal.Terms{Attempts: t.settings.MaxTries}
+	out := journal.Terms{MaxAttempts: t.settings.MaxTries}
 	for _, c := range t.settings.Classes {
 		out.Classes = append(out.Classes, journal.ClassTerms{Name: c.Name, Aim: int64(c.Aim),
 			Deadline: int64(c.Deadline), Worth: c.Worth, LateWorth: c.LateWorth, Effect: uint8(c.Effect),
@@ -57,7 +57,7 @@
 	}
 	for _, c := range t.Classes {
 		if c.Name == class {
-			return &logic.Terms{MaxTries: t.Attempts, Class: logic.Class{Name: c.Name, Aim: logic.Micros(c.Aim),
+			return &logic.Terms{MaxTries: t.MaxAttempts, Class: logic.Class{Name: c.Name, Aim: logic.Micros(c.Aim),
 				Deadline: logic.Micros(c.Deadline), Worth: c.Worth, LateWorth: c.LateWorth,
 				Effect: logic.Effect(c.Effect), ByZone: c.ByZone, Window: logic.Micros(c.Window),
 				KeepOrder: c.KeepOrder}}
--- a/internal/core/terms_test.go
+++ b/internal/core/terms_test.go
@@ -101,7 +101,7 @@
 				r.fakeSink.confirm <- x.ID
 			}
 			for _, id := range []string{"x1", "y1"} {
-				if x := ends[id]; x.State != message.Failed || x.Tries != 2 {
+				if x := ends[id]; x.State != message.Failed || x.Attempts != 2 {
 					t.Errorf("%s ended as %+v", id, x)
 				}
 			}
--- a/internal/journal/crash_test.go
+++ b/internal/journal/crash_test.go
@@ -11,88 +11,91 @@
 	"cometrack/internal/vfs"
 )
 
-// life is what a message has gone through, as far as the journal has acknowledged
-// it, and the step that was under way.
-type life struct{ acked, begun int }
+// progress counts the records of a message that the journal has acknowledged, and those passed to
+// Append.
+type progress struct{ acked, begun int }
 
-// steps are a message's records, one an append.
-func steps(i int) []Record {
+// recordsOf returns the records of message i; each is appended by its own call.
+func recordsOf(i int) []Record {
 	id := fmt.Sprint("m", i)
-	list := []Record{accept(id, 200+i*37%900), {Op: OpSend, ID: id, At: 100}, {Op: OpOutcome, ID: id, MayRun: i%2 == 0}, {Op: OpSend, ID: id, At: 200}}
+	list := []Record{accept(id, 200+i*37%900), {Op: OpSend, ID: id, At: 100},
+		{Op: OpOutcome, ID: id, MayHaveRun: i%2 == 0}, {Op: OpSend, ID: id, At: 200}}
 	at := time.Now().UnixMicro()
 	if i%3 == 0 {
-		return append(list, Record{Op: OpEnd, ID: id, End: &message.End{ID: id, State: message.Failed, At: at}}, Record{Op: OpNoticed, ID: id, At: at})
+		return append(list, Record{Op: OpEnd, ID: id, End: &message.End{ID: id, State: message.Failed, At: at}},
+			Record{Op: OpNotified, ID: id, At: at})
 	}
 	return append(list, Record{Op: OpDone, ID: id, At: at})
 }
 
-// drive takes many messages through their lives, several at once.
-func drive(j *Journal, lives []life, most int) error {
-	for n := 0; n < most; n++ {
+// appendRecords appends the records of many messages in so many calls, several messages in each.
+func appendRecords(j *Journal, messages []progress, calls int) error {
+	for n := 0; n < calls; n++ {
 		var recs []Record
 		var of []int
-		for i := range lives {
-			// Some stay held for long: the segments that they are in are compacted.
-			if i > n/2 || lives[i].acked == len(steps(i)) || i%5 == 4 && lives[i].acked > 1 && n < most*3/4 || (n+i)%3 == 0 {
+		for i := range messages {
+			// Some messages stay pending for long, so that their segments are compacted.
+			if i > n/2 || messages[i].acked == len(recordsOf(i)) || i%5 == 4 && messages[i].acked > 1 && n < calls*3/4 || (n+i)%3 == 0 {
 				continue
 			}
-			recs = append(recs, steps(i)[lives[i].acked])
+			recs = append(recs, recordsOf(i)[messages[i].acked])
 			of = append(of, i)
-			lives[i].begun = lives[i].acked + 1
+			messages[i].begun = messages[i].acked + 1
 		}
 		if err := j.Append(recs); err != nil {
 			return err
 		}
 		for _, i := range of {
-			lives[i].acked = lives[i].begun
+			messages[i].acked = messages[i].begun
 		}
 	}
 	return nil
 }
 
-// check holds what was recovered against what was acknowledged.
-func check(t *testing.T, what string, j *Journal, lives []life) {
+// checkRecovered compares the recovered messages with the acknowledged records.
+func checkRecovered(t *testing.T, what string, j *Journal, messages []progress) {
 	t.Helper()
-	for i, l := range lives {
+	for i, l := range messages {
 		id := fmt.Sprint("m", i)
 		e, x := j.Entry(id), j.Ended(id)
-		all := len(steps(i))
+		all := len(recordsOf(i))
 		switch {
 		case e != nil && x != nil:
-			t.Fatalf("%s: %s is held and over", what, id)
+			t.Fatalf("%s: %s is both pending and ended", what, id)
 		case l.acked == all && (e != nil || x == nil):
-			t.Fatalf("%s: %s was over and is held: %+v", what, id, e)
+			t.Fatalf("%s: %s had ended and is pending: %+v", what, id, e)
 		case l.acked > 0 && l.acked < all && e == nil && x == nil:
-			t.Fatalf("%s: %s is lost after %d of %d", what, id, l.acked, all)
+			t.Fatalf("%s: %s is lost after %d of %d records", what, id, l.acked, all)
 		case l.begun == 0 && (e != nil || x != nil):
-			t.Fatalf("%s: %s was never handed in", what, id)
+			t.Fatalf("%s: %s was never appended", what, id)
 		case e == nil:
 			continue
 		}
-		// The place that it has come to lies between what was acknowledged and what was begun.
-		at := 1 + 2*e.Tries - 1
+		// The number of recovered records lies between those acknowledged and those begun.
+		at := 1 + 2*e.Attempts - 1
 		switch {
-		case e.Tries == 0:
+		case e.Attempts == 0:
 			at = 1
 		case e.End != nil:
 			at = 5
-		case !e.Open:
+		case !e.InFlight:
 			at++
 		}
-		if at < l.acked || at > l.begun || e.End == nil && len(e.Body) != 200+i*37%900 || e.MayRun != (at > 2 && i%2 == 0) {
-			t.Fatalf("%s: %s is at %d, between %d and %d: %+v", what, id, at, l.acked, l.begun, e)
+		if at < l.acked || at > l.begun || e.End == nil && len(e.Body) != 200+i*37%900 ||
+			e.MayHaveRun != (at > 2 && i%2 == 0) {
+			t.Fatalf("%s: %s is at record %d, not from %d to %d: %+v", what, id, at, l.acked, l.begun, e)
 		}
 	}
 }
 
-// A process that dies at any call leaves each message where it was or one step on, and the next one takes it on
-// from there.
+// The process dies at each call of the file system in turn. No acknowledged record may be lost, at most the last one
+// appended may be there in addition, and the next process must be able to continue from there.
 func TestCrashAtEveryCall(t *testing.T) {
 	const rounds = 90
-	opts := Options{Disk: 900_000, MostEnded: 1000, KeepEnded: time.Hour, Sync: store.SyncAlways}
+	opts := Options{MaxBytes: 900_000, MaxEnded: 1000, EndRetention: time.Hour, Sync: store.SyncAlways}
 	whole := vfs.NewMem()
 	j := openJournal(t, whole, opts)
-	if err := drive(j, make([]life, 40), rounds); err != nil {
+	if err := appendRecords(j, make([]progress, 40), rounds); err != nil {
 		t.Fatal(err)
 	}
 	calls := whole.Calls()
@@ -100,9 +103,9 @@
 	for n := 1; n <= calls; n++ {
 		m := vfs.NewMem()
 		m.CrashAt(n)
-		lives := make([]life, 40)
+		messages := make([]progress, 40)
 		if j, err := OpenOn(m, opts); err == nil {
-			drive(j, lives, rounds)
+			appendRecords(j, messages, rounds)
 			j.store.Close()
 		}
 		loss := vfs.Loss(n % len(vfs.Losses()))
@@ -112,31 +115,32 @@
 		if err != nil {
 			t.Fatalf("%s: %v", what, err)
 		}
-		check(t, what, j, lives)
-		if n%10 == 0 { // on from there, from what is known now
-			for i := range lives {
-				lives[i].acked = 0
+		checkRecovered(t, what, j, messages)
+		if n%10 == 0 { // continue from the recovered state
+			for i := range messages {
+				messages[i].acked = 0
 				if e := j.Entry(fmt.Sprint("m", i)); e != nil || j.Ended(fmt.Sprint("m", i)) != nil {
-					lives[i].acked = len(steps(i))
+					messages[i].acked = len(recordsOf(i))
 				}
-				lives[i].begun = lives[i].acked
+				messages[i].begun = messages[i].acked
 			}
 			before := j.Len()
-			if err := drive(j, lives, rounds); err != nil {
-				t.Fatalf("%s: afterwards: %v", what, err)
+			if err := appendRecords(j, messages, rounds); err != nil {
+				t.Fatalf("%s: continue: %v", what, err)
 			}
 			if j = reopen(t, j, left); j.Len() < before {
-				t.Fatalf("%s: %d of %d are left", what, j.Len(), before)
+				t.Fatalf("%s: %d of %d messages are left", what, j.Len(), before)
 			}
 		}
 		j.Close()
 	}
 }
 
-// A disk that fails takes nothing on and forgets nothing that has happened; what is refused is not there later.
+// A failed write must undo acceptances and sends, also for the next process, but keep records of past events: a message
+// whose delivery is forgotten would be sent again.
 func TestWriteFails(t *testing.T) {
 	fs := vfs.NewMem()
-	opts := plain
+	opts := testOptions
 	opts.Sync = store.SyncNever
 	j := openJournal(t, fs, opts)
 	mustAppend(t, j, accept("a", 10), accept("b", 10))
@@ -145,22 +149,24 @@
 	if err == nil {
 		t.Fatal("no error")
 	}
-	if j.Entry("c") != nil || j.Entry("b").Tries != 0 || j.Entry("a") != nil {
-		t.Errorf("after the error: a %v, b %+v, c %v", j.Entry("a"), j.Entry("b"), j.Entry("c"))
+	if j.Entry("c") != nil || j.Entry("b").Attempts != 0 || j.Entry("a") != nil {
+		t.Errorf("after the failed write: a %v, b %+v, c %v", j.Entry("a"), j.Entry("b"), j.Entry("c"))
 	}
 	fs.SetLimit(0)
 	mustAppend(t, j, accept("d", 10))
 	j = reopen(t, j, fs)
-	if j.Entry("a") != nil || j.Entry("b") == nil || j.Entry("b").Tries != 0 || j.Entry("c") != nil || j.Entry("d") == nil {
+	if j.Entry("a") != nil || j.Entry("b") == nil || j.Entry("b").Attempts != 0 ||
+		j.Entry("c") != nil || j.Entry("d") == nil {
 		t.Errorf("after the restart: %v", j.entries)
 	}
 	j.Close()
 }
 
-// A damaged record of what became of a message leaves doubt: it counts as one that may have run.
-func TestDamageLeavesDoubt(t *testing.T) {
+// A damaged record may have held the state of any message. Messages without an attempt in flight must then count as
+// possibly run, or they might run twice.
+func TestDamagedRecordMayHaveRun(t *testing.T) {
 	fs := vfs.NewMem()
-	j := openJournal(t, fs, plain)
+	j := openJournal(t, fs, testOptions)
 	mustAppend(t, j, accept("a", 100))
 	mustAppend(t, j, Record{Op: OpSend, ID: "a", At: 5})
 	at := len(fs.Data("00000001.seg")) - 3
@@ -169,9 +175,9 @@
 	b := fs.Data("00000001.seg")
 	b[at] ^= 1
 	fs.SetFile("00000001.seg", b)
-	j = openJournal(t, fs, plain)
+	j = openJournal(t, fs, testOptions)
 	for _, id := range []string{"a", "b"} {
-		if e := j.Entry(id); e == nil || !e.MayRun || e.FirstMay != e.Accepted {
+		if e := j.Entry(id); e == nil || !e.MayHaveRun || e.MayHaveRunSince != e.AcceptedAt {
 			t.Errorf("%s: %+v", id, e)
 		}
 	}
--- a/internal/journal/harness_test.go
+++ b/internal/journal/harness_test.go
@@ -12,7 +12,7 @@
 	"cometrack/internal/vfs"
 )
 
-var plain = Options{Disk: 3e6, MostEnded: 100, KeepEnded: time.Hour}
+var testOptions = Options{MaxBytes: 3e6, MaxEnded: 100, EndRetention: time.Hour}
 
 func openJournal(t testing.TB, fs vfs.FS, opts Options) *Journal {
 	t.Helper()
@@ -23,6 +23,7 @@
 	return j
 }
 
+// reopen closes the journal and opens it again with its options.
 func reopen(t testing.TB, j *Journal, fs vfs.FS) *Journal {
 	t.Helper()
 	if err := j.Close(); err != nil {
@@ -31,6 +32,7 @@
 	return openJournal(t, fs, j.opts)
 }
 
+// accept returns the record of a message's acceptance, with a body of so many bytes.
 func accept(id string, body int) Record {
 	return Record{Op: OpAccept, Entry: &Entry{Message: message.Message{ID: id, Class: "safe", Partner: "1",
 		Deadline: time.Now().Add(time.Hour).UnixMicro(), Body: bytes.Repeat([]byte("b"), body)}}}
@@ -43,8 +45,8 @@
 	}
 }
 
-// oldFile writes records as versions before 0.3 did.
-func oldFile(t testing.TB, recs ...any) []byte {
+// legacyFile returns a file with records as versions before 0.3 wrote it.
+func legacyFile(t testing.TB, recs ...any) []byte {
 	t.Helper()
 	var b []byte
 	for _, r := range recs {
--- a/internal/soak/points.go
+++ b/internal/soak/points.go
@@ -82,7 +82,7 @@
 	{faultbuild.Point{Name: "list: answered, core not told", File: following, Before: "	f.tell(core.EndpointUpdate{"}, byTraffic},
 	{faultbuild.Point{Name: "list: taken, module not told", File: coreLoop, Before: "	c.logList(ev, rows)"}, byTraffic},
 	{faultbuild.Point{Name: "list: read, not taken", File: coreLoop, Before: "	c.listReceived, c.weightShare = true, ev.List.Share"}, byTraffic},
-	{faultbuild.Point{Name: "sweep: about to forget", File: coreLoop, Before: "	c.store.Forget(c.clock.At(now))"}, byTraffic},
+	{faultbuild.Point{Name: "sweep: about to forget", File: coreLoop, Before: "	c.store.DropExpired(c.clock.At(now))"}, byTraffic},
 	{faultbuild.Point{Name: "reload: read, not checked", File: startup, Before: "			err = p.cfg.CanFollow(cfg)"}, byReload},
 	{faultbuild.Point{Name: "reload: settings follow, not kept", File: startup, Before: "		p.cfg = cfg\n		p.keep()"}, byReload},
 	{faultbuild.Point{Name: "reload: notices about to move", File: startup, Before: "		p.sink.Move(cfg.Discovery)"}, byReload},
