--- a/internal/soak/points.go
+++ b/internal/soak/points.go
@@ -94,7 +94,7 @@
 	{faultbuild.Point{Name: "handover: taken, not noted", File: handingOver, Before: "		c.lifecycle.HandleEvent(lifecycle.HandoverCompleted)"}, byUpgrade},
 	{faultbuild.Point{Name: "handover: about to relay", File: "internal/core/relay.go", Before: "	for !r.finished() {"}, byUpgrade},
 	{faultbuild.Point{Name: "handover: outcome about to be told", File: "internal/core/relay.go", Before: "	if len(outcomes.List) > 0 {"}, byUpgrade},
-	{faultbuild.Point{Name: "handover: outcome about to be taken", File: "internal/core/inherit.go", Before: "		delete(c.remoteAttempts, o.ID)\n		p.cancel = func() {}\n		c.handleOutcome(attemptOutcome{attempt: p.attempt, took: o.Took"}, byUpgrade},
+	{faultbuild.Point{Name: "handover: outcome about to be taken", File: "internal/core/inherit.go", Before: "		delete(c.remoteAttempts, o.ID)\n		p.cancel = func() {}\n		c.handleOutcome(attemptOutcome{attempt: p.attempt, took: o.Latency"}, byUpgrade},
 	{faultbuild.Point{Name: "end of process: told, module not", File: coreLoop, Before: "		c.nextEvents = append(c.nextEvents, logic.Stopping{"}, byTerm},
 	{faultbuild.Point{Name: "end of process: listeners about to close", File: coreRun, Before: "			accepting = false\n			var shutdowns"}, byTerm},
 	{faultbuild.Point{Name: "end of process: clients about to be ended", File: front, Before: "	c.closing, c.retiring, c.leaving = true, true, hurry"}, byTerm},
