--- a/cmd/cometrack/cluster.go
+++ b/cmd/cometrack/cluster.go
@@ -76,7 +76,7 @@
 func askStatus(ctx context.Context, addr string) (s cluster.Status, text string, err error) {
 	ctx, stop := context.WithTimeout(ctx, consoleTime)
 	defer stop()
-	if text, err = console.Ask(ctx, addr, "GET", "/cluster"); err == nil {
+	if text, err = console.Request(ctx, addr, "GET", "/cluster"); err == nil {
 		err = json.Unmarshal([]byte(text), &s)
 	}
 	return s, text, err
@@ -112,7 +112,7 @@
 	}
 	t.Flush()
 	w.Write(b.Bytes())
-	k := s.Knowledge
+	k := s.Replication
 	if k == nil {
 		fmt.Fprintln(w, "facts: none are shared")
 		return
@@ -122,7 +122,7 @@
 		now = fmt.Sprintf("behind for %.1f s", k.CatchingUpSeconds)
 	}
 	fmt.Fprintf(w, "facts: %d, %s; %d of its own not confirmed by all; %d bytes sent; %d messages that made no sense, %d repairs, %d lost for want of room\n",
-		k.Facts, now, k.Unconfirmed, k.BytesSent, k.InvalidMessages, k.Repairs, k.Lost+k.Dropped)
+		k.Facts, now, k.Unconfirmed, k.BytesSent, k.InvalidMessages, k.Repairs, k.Overflows+k.Dropped)
 }
 
 func clusterFacts() *cobra.Command {
@@ -138,7 +138,7 @@
 			}
 			ctx, stop := context.WithTimeout(cmd.Context(), consoleTime)
 			defer stop()
-			text, err := console.Ask(ctx, addr, "GET", "/cluster/facts?"+url.Values{"partner": {partner}, "diff": {diff}}.Encode())
+			text, err := console.Request(ctx, addr, "GET", "/cluster/facts?"+url.Values{"partner": {partner}, "diff": {diff}}.Encode())
 			if err != nil {
 				return &exit{exitError, err}
 			}
@@ -146,7 +146,7 @@
 				fmt.Fprintln(cmd.OutOrStdout(), strings.TrimSpace(text))
 				return nil
 			}
-			var told cluster.Told
+			var told cluster.FactsReport
 			if err := json.Unmarshal([]byte(text), &told); err != nil {
 				return &exit{exitError, err}
 			}
@@ -161,22 +161,22 @@
 	return cmd
 }
 
-func printFacts(w io.Writer, told cluster.Told, diff string) {
+func printFacts(w io.Writer, told cluster.FactsReport, diff string) {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "PARTNER\tENDPOINT\tKIND\tSAYS\tBY\tNUMBER\tZONE\tAGE\tLEFT\tRULE")
 	for _, x := range told.Facts {
-		fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\t%d\t%s\t%.1f to %.1f s\t%.1f s\t%s\n", x.Partner, x.Endpoint, x.Kind, x.Says, x.By, x.Number, x.Zone,
-			x.Age[0], x.Age[1], x.Left, x.Rule)
+		fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\t%d\t%s\t%.1f to %.1f s\t%.1f s\t%s\n", x.Partner, x.Endpoint, x.Kind, x.Statement, x.Origin, x.Seq, x.Zone,
+			x.AgeSeconds[0], x.AgeSeconds[1], x.RemainingSeconds, x.Rule)
 	}
 	t.Flush()
-	if told.More {
+	if told.Truncated {
 		fmt.Fprintln(w, "there are more")
 	}
 	if diff == "" {
 		return
 	}
-	fmt.Fprintf(w, "differences from %s, as it last told: %d\n", diff, len(told.Lacks))
-	for _, g := range told.Lacks {
+	fmt.Fprintf(w, "differences from %s, as it last told: %d\n", diff, len(told.Differences))
+	for _, g := range told.Differences {
 		lacks := diff
 		if g.Local < g.Remote {
 			lacks = "this sender"
@@ -218,7 +218,7 @@
 	cmd := &cobra.Command{
 		Use: "guard", Hidden: true, Args: cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
-			return cluster.Guard(lease, keys)
+			return cluster.RunGuard(lease, keys)
 		},
 	}
 	cmd.Flags().DurationVar(&lease, "lease", 0, "that of the sender")
--- a/cmd/cometrack/console.go
+++ b/cmd/cometrack/console.go
@@ -26,7 +26,7 @@
 	}
 	ctx, stop := context.WithTimeout(cmd.Context(), consoleTime)
 	defer stop()
-	text, err := console.Ask(ctx, addr, method, path)
+	text, err := console.Request(ctx, addr, method, path)
 	if err != nil {
 		return &exit{exitError, err}
 	}
--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -35,15 +35,15 @@
 	Advertise           string   // where others reach it; empty for Listen
 	Join                []string // addresses of others
 	KeyFile             string   // empty for none
-	Seats               int      // the most senders there may be, this one counted
-	Least               float64  // share of each rate that is kept for those who are cut off
-	Lease, Every        time.Duration
-	Drift               float64
+	MaxSenders          int      // the most senders there may be, this one counted
+	MinShareTotal       float64  // share of each rate that is kept for those who are cut off
+	Lease, Interval     time.Duration
+	MaxClockDrift       float64
 	Dir                 string // folder for what outlives a restart
-	Guard               []string
-	Facts               bool // what is learnt of partners is shared
+	GuardArgs           []string
+	ShareFacts          bool // what is learnt of partners is shared
 	Log                 *slog.Logger
-	Rig                 *Rig // nil for the kernel's clock and sockets
+	Hooks               *Hooks // nil for the kernel's clock and sockets
 }
 
 // Cluster is one sender among others.
@@ -70,7 +70,7 @@
 
 	// What follows belongs to the loop.
 	machine *view.Machine
-	udp     Datagrams
+	udp     DatagramConn
 	home    kept
 	said    int // lines within the second
 	second  int64
@@ -114,12 +114,12 @@
 	<-c.done
 }
 
-// Allowed is which part of each rate may be used now: nothing for a moment while the
+// AllowedShare is which part of each rate may be used now: nothing for a moment while the
 // copy of the facts is behind, and then the least until it has caught up. After a pause
 // that is so at once, before the loop has seen that there was one.
-func (c *Cluster) Allowed() float64 {
+func (c *Cluster) AllowedShare() float64 {
 	t := c.opts.now()
-	if c.opts.Facts && t-time.Duration(c.ran.Load()) > replicate.MaxMissedTicks*c.opts.Every {
+	if c.opts.ShareFacts && t-time.Duration(c.ran.Load()) > replicate.MaxMissedTicks*c.opts.Interval {
 		return 0
 	}
 	if least := time.Duration(c.behind.Load()); least > 0 && t < least {
@@ -128,9 +128,9 @@
 	return c.share(t)
 }
 
-// Share is the part that rates are to be planned with: that of [Cluster.Allowed], but
+// PlanningShare is the part that rates are to be planned with: that of [Cluster.AllowedShare], but
 // for moments.
-func (c *Cluster) Share() float64 { return c.share(c.opts.now()) }
+func (c *Cluster) PlanningShare() float64 { return c.share(c.opts.now()) }
 
 func (c *Cluster) share(t time.Duration) float64 {
 	p := c.part.Load()
@@ -148,7 +148,7 @@
 	}
 }
 
-// Changed has an entry when what [Cluster.Allowed] says may have changed.
+// Changed has an entry when what [Cluster.AllowedShare] says may have changed.
 func (c *Cluster) Changed() <-chan struct{} { return c.change }
 
 // Why the loop can't be asked.
@@ -178,12 +178,12 @@
 	err = c.within(func() {
 		s.Status = c.machine.Status(c.opts.now())
 		if m := c.lore.machine; m != nil {
-			s.Knowledge = &Knowledge{Status: m.Status(c.opts.now())}
+			s.Replication = &ReplicationStatus{Status: m.Status(c.opts.now())}
 		}
 	})
-	if s.Knowledge != nil {
+	if s.Replication != nil {
 		c.lore.mu.Lock()
-		s.Knowledge.Lost = c.lore.lost
+		s.Replication.Overflows = c.lore.lost
 		c.lore.mu.Unlock()
 	}
 	return s, err
@@ -305,7 +305,7 @@
 func (c *Cluster) newMachine() *view.Machine {
 	o := c.opts
 	return view.New(view.Config{Name: o.Name, Addr: o.Advertise, Zone: o.Zone, Version: o.Version, ID: rand.Uint64() | 1, Incarnation: c.home.Incarnation,
-		MaxSenders: o.Seats, MinShareTotal: o.Least, Lease: o.Lease, Interval: o.Every, MaxClockDrift: o.Drift, Join: o.Join, KnownPeers: c.home.Senders, AdmittedAddr: c.home.Home,
+		MaxSenders: o.MaxSenders, MinShareTotal: o.MinShareTotal, Lease: o.Lease, Interval: o.Interval, MaxClockDrift: o.MaxClockDrift, Join: o.Join, KnownPeers: c.home.Senders, AdmittedAddr: c.home.Home,
 		Seed: rand.Uint64()}, c.opts.now())
 }
 
--- a/internal/cluster/datagrams.go
+++ b/internal/cluster/datagrams.go
@@ -7,7 +7,7 @@
 )
 
 // read takes datagrams until the socket is closed.
-func (c *Cluster) read(udp Datagrams) {
+func (c *Cluster) read(udp DatagramConn) {
 	buf := make([]byte, maxPacket+1)
 	for {
 		n, _, err := udp.ReadFromUDP(buf)
@@ -20,7 +20,7 @@
 		switch ring := c.ring.get(); {
 		case kindOf(buf[:n]) != lore:
 			take(c, buf[:n], ring.unpack, c.in)
-		case c.opts.Facts: // else the others share what this one does not
+		case c.opts.ShareFacts: // else the others share what this one does not
 			take(c, buf[:n], ring.open, c.lore.in)
 		}
 	}
--- a/internal/cluster/door_test.go
+++ b/internal/cluster/door_test.go
@@ -18,7 +18,7 @@
 	}
 	addr := ln.Addr().String()
 	ln.Close()
-	c, err := Open(Options{Name: "a", Listen: addr, Seats: 2, Least: 0.1, Lease: 3 * time.Second, Every: 300 * time.Millisecond, Drift: 0.01, Dir: t.TempDir(),
+	c, err := Open(Options{Name: "a", Listen: addr, MaxSenders: 2, MinShareTotal: 0.1, Lease: 3 * time.Second, Interval: 300 * time.Millisecond, MaxClockDrift: 0.01, Dir: t.TempDir(),
 		Log: slog.New(slog.DiscardHandler)})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/cluster/guard.go
+++ b/internal/cluster/guard.go
@@ -153,7 +153,7 @@
 // run serves until ctx is over. A guard that ends is started again; meanwhile calls
 // wait with the kernel.
 func (d *door) run(ctx context.Context) {
-	if len(d.c.opts.Guard) == 0 {
+	if len(d.c.opts.GuardArgs) == 0 {
 		go serveAsks(d.ln, d.c.ring, func() answer {
 			id, _ := d.c.stamp.get()
 			return answer{ID: id}
@@ -182,7 +182,7 @@
 		return err
 	}
 	defer f.Close()
-	cmd := exec.CommandContext(ctx, exe(), d.c.opts.Guard...)
+	cmd := exec.CommandContext(ctx, exe(), d.c.opts.GuardArgs...)
 	cmd.Args = append(cmd.Args, "--lease", d.c.opts.Lease.String(), "--key-file", d.c.opts.KeyFile)
 	cmd.ExtraFiles = []*os.File{f, d.c.stamp.file}
 	cmd.Env = append(os.Environ(), "GOMEMLIMIT=16MiB", "GOMAXPROCS=1")
@@ -201,9 +201,9 @@
 
 func (d *door) close() { d.ln.Close() }
 
-// Guard is the life of a guard: it has the listener as its third descriptor and the
+// RunGuard is the life of a guard: it has the listener as its third descriptor and the
 // stamp as its fourth, and ends when its standard input does.
-func Guard(lease time.Duration, keyFile string) error {
+func RunGuard(lease time.Duration, keyFile string) error {
 	ln, err := net.FileListener(os.NewFile(3, "listener"))
 	if err != nil {
 		return fmt.Errorf("guard: %w", err)
--- a/internal/cluster/knowledge.go
+++ b/internal/cluster/knowledge.go
@@ -57,9 +57,9 @@
 
 // open makes the machine. It begins behind.
 func (k *knowledge) open(o Options) {
-	if o.Facts {
-		k.machine = replicate.New(replicate.Config{Self: facts.Origin{Name: o.Name, Incarnation: rand.Uint64() | 1}, Zone: o.Zone, Drift: o.Drift,
-			DigestInterval: o.Every, CatchUpTimeout: o.Lease, Rate: spreadRate, Seed: rand.Uint64()}, o.now())
+	if o.ShareFacts {
+		k.machine = replicate.New(replicate.Config{Self: facts.Origin{Name: o.Name, Incarnation: rand.Uint64() | 1}, Zone: o.Zone, Drift: o.MaxClockDrift,
+			DigestInterval: o.Interval, CatchUpTimeout: o.Lease, Rate: spreadRate, Seed: rand.Uint64()}, o.now())
 	}
 }
 
@@ -102,8 +102,8 @@
 	}
 }
 
-// Hear hands what others have learnt to take until ctx is over.
-func (c *Cluster) Hear(ctx context.Context, take func([]facts.Observation)) {
+// WatchObservations hands what others have learnt to take until ctx is over.
+func (c *Cluster) WatchObservations(ctx context.Context, take func([]facts.Observation)) {
 	k := c.lore
 	for {
 		select {
@@ -125,14 +125,14 @@
 	}
 }
 
-// TellWait has the others told that an endpoint has told to be left alone for a span.
-func (c *Cluster) TellWait(partner, endpoint string, d time.Duration) {
+// PublishWait has the others told that an endpoint has told to be left alone for a span.
+func (c *Cluster) PublishWait(partner, endpoint string, d time.Duration) {
 	c.lore.tell(finding{at: c.opts.now(), subject: facts.Subject{Kind: facts.RequestedWait, Partner: partner, Endpoint: endpoint}, span: min(d, facts.MaxTTL)})
 }
 
-// TellHealth has the others told that this sender has found an endpoint out, or has
+// PublishHealth has the others told that this sender has found an endpoint out, or has
 // had an answer to a call that was begun after the lesson with that mark.
-func (c *Cluster) TellHealth(partner, endpoint string, out bool, mark uint64) {
+func (c *Cluster) PublishHealth(partner, endpoint string, out bool, mark uint64) {
 	c.lore.tell(finding{at: c.opts.now(), subject: facts.Subject{Kind: facts.Health, Partner: partner, Endpoint: endpoint}, value: facts.Value{InOutage: out}, span: outFor, mark: mark})
 }
 
@@ -184,7 +184,7 @@
 	behind, since := c.lore.machine.CatchingUp()
 	least := int64(0)
 	if behind {
-		least = int64(since + patience*c.opts.Every)
+		least = int64(since + patience*c.opts.Interval)
 	}
 	if c.behind.Swap(least) != least {
 		c.notify()
@@ -209,41 +209,41 @@
 // Status is what operators see of a sender among others.
 type Status struct {
 	view.Status
-	Knowledge *Knowledge `json:"knowledge,omitempty"` // nil if nothing is shared
+	Replication *ReplicationStatus `json:"knowledge,omitempty"` // nil if nothing is shared
 }
 
-// Knowledge is what operators see of its copy of the facts.
-type Knowledge struct {
+// ReplicationStatus is what operators see of its copy of the facts.
+type ReplicationStatus struct {
 	replicate.Status
-	Lost int `json:"lost"` // facts and news that there was no room for
+	Overflows int `json:"lost"` // facts and news that there was no room for
 }
 
-// Told is all that is said of partners, for operators.
-type Told struct {
-	Facts []Said `json:"facts"`
-	More  bool   `json:"more"` // there are more than are listed
+// FactsReport is all that is said of partners, for operators.
+type FactsReport struct {
+	Facts     []FactReport `json:"facts"`
+	Truncated bool         `json:"more"` // there are more than are listed
 	// Of a comparison with another sender: whose facts it lacks here, and the other way.
-	Lacks []replicate.Difference `json:"lacks,omitempty"`
+	Differences []replicate.Difference `json:"lacks,omitempty"`
 }
 
-// Said is one sender's word on something.
-type Said struct {
-	Kind     string     `json:"kind"`
-	Partner  string     `json:"partner"`
-	Endpoint string     `json:"endpoint"`
-	Says     string     `json:"says"`
-	By       string     `json:"by"`
-	Number   uint64     `json:"number"`
-	Zone     string     `json:"zone,omitempty"`
-	Age      [2]float64 `json:"age_s"` // at least and at most
-	Left     float64    `json:"left_s"`
-	Rule     string     `json:"rule"` // why it decides, or does not
+// FactReport is one sender's word on something.
+type FactReport struct {
+	Kind             string     `json:"kind"`
+	Partner          string     `json:"partner"`
+	Endpoint         string     `json:"endpoint"`
+	Statement        string     `json:"says"`
+	Origin           string     `json:"by"`
+	Seq              uint64     `json:"number"`
+	Zone             string     `json:"zone,omitempty"`
+	AgeSeconds       [2]float64 `json:"age_s"` // at least and at most
+	RemainingSeconds float64    `json:"left_s"`
+	Rule             string     `json:"rule"` // why it decides, or does not
 }
 
 // Facts lists what is said of a partner, or of all; with other, what that sender and
 // this one lack of each other's.
-func (c *Cluster) Facts(partner, other string) (out Told, err error) {
-	out.Facts = []Said{}
+func (c *Cluster) Facts(partner, other string) (out FactsReport, err error) {
+	out.Facts = []FactReport{}
 	e := c.within(func() {
 		m := c.lore.machine
 		if m == nil {
@@ -251,14 +251,14 @@
 			return
 		}
 		list := m.Replica().List(c.opts.now(), partner, mostListed+1)
-		if out.More = len(list) > mostListed; out.More {
+		if out.Truncated = len(list) > mostListed; out.Truncated {
 			list = list[:mostListed]
 		}
 		for _, s := range list {
 			out.Facts = append(out.Facts, said(s))
 		}
 		if other != "" {
-			out.Lacks, err = m.Differences(other)
+			out.Differences, err = m.Differences(other)
 		}
 	})
 	if e != nil {
@@ -267,19 +267,19 @@
 	return out, err
 }
 
-func said(s facts.FactStatus) Said {
-	out := Said{Kind: fmt.Sprint("kind ", s.Kind), Partner: s.Partner, Endpoint: s.Endpoint, By: s.Origin.Name, Number: s.Seq, Zone: s.Zone,
-		Age: [2]float64{s.MinAge.Seconds(), s.MaxAge.Seconds()}, Left: s.Remaining.Seconds(), Rule: "passed on; this version does not know the kind"}
+func said(s facts.FactStatus) FactReport {
+	out := FactReport{Kind: fmt.Sprint("kind ", s.Kind), Partner: s.Partner, Endpoint: s.Endpoint, Origin: s.Origin.Name, Seq: s.Seq, Zone: s.Zone,
+		AgeSeconds: [2]float64{s.MinAge.Seconds(), s.MaxAge.Seconds()}, RemainingSeconds: s.Remaining.Seconds(), Rule: "passed on; this version does not know the kind"}
 	switch {
 	case s.Kind == facts.RequestedWait:
-		out.Kind, out.Says, out.Rule = "wait", "leave it alone", "a longer one holds"
+		out.Kind, out.Statement, out.Rule = "wait", "leave it alone", "a longer one holds"
 		if s.Effective {
 			out.Rule = "the longest holds"
 		}
 	case s.Kind == facts.Health && !s.Value.InOutage:
-		out.Kind, out.Says, out.Rule = "health", "answers", fmt.Sprintf("refutes %d that were known when its call began, in its zone", len(s.Value.Refutes))
+		out.Kind, out.Statement, out.Rule = "health", "answers", fmt.Sprintf("refutes %d that were known when its call began, in its zone", len(s.Value.Refutes))
 	case s.Kind == facts.Health:
-		out.Kind, out.Says, out.Rule = "health", "out", "holds: no answer here to a call begun since it was known"
+		out.Kind, out.Statement, out.Rule = "health", "out", "holds: no answer here to a call begun since it was known"
 		switch {
 		case s.Refuted:
 			out.Rule = "refuted by an answer in this zone"
--- a/internal/cluster/packet_test.go
+++ b/internal/cluster/packet_test.go
@@ -144,13 +144,13 @@
 		"behind":                 {true, 0, time.Minute, 0},
 		"behind for longer":      {true, 0, -time.Second, 0.1},
 	} {
-		c := &Cluster{opts: Options{Facts: x.facts, Every: time.Second}}
+		c := &Cluster{opts: Options{ShareFacts: x.facts, Interval: time.Second}}
 		c.part.Store(&view.Share{Current: 0.9, Until: at + time.Hour, Min: 0.1, StopAt: at + time.Hour})
 		c.ran.Store(int64(at - x.ran))
 		if x.behind != 0 {
 			c.behind.Store(int64(at + x.behind))
 		}
-		if got := c.Allowed(); got != x.want {
+		if got := c.AllowedShare(); got != x.want {
 			t.Errorf("%s: %v, want %v", name, got, x.want)
 		}
 	}
--- a/internal/cluster/rig.go
+++ b/internal/cluster/rig.go
@@ -5,20 +5,20 @@
 	"time"
 )
 
-// Rig is what a test rig puts between a sender and the machine, to run many senders
+// Hooks is what a test rig puts between a sender and the machine, to run many senders
 // in a process: each with a clock of its own, and with faults and counts at its
 // sockets. A member that is nil leaves what the kernel gives.
-type Rig struct {
+type Hooks struct {
 	// Now is the sender's clock.
 	Now func() time.Duration
-	// Datagrams wraps the socket of datagrams, once it is open.
-	Datagrams func(*net.UDPConn) Datagrams
+	// WrapUDP wraps the socket of datagrams, once it is open.
+	WrapUDP func(*net.UDPConn) DatagramConn
 	// Dial opens the stream of a probe.
 	Dial func(d *net.Dialer, addr string) (net.Conn, error)
 }
 
-// Datagrams is the socket of datagrams, as [net.UDPConn] has it.
-type Datagrams interface {
+// DatagramConn is the socket of datagrams, as [net.UDPConn] has it.
+type DatagramConn interface {
 	ReadFromUDP(b []byte) (int, *net.UDPAddr, error)
 	WriteToUDP(b []byte, to *net.UDPAddr) (int, error)
 	Close() error
@@ -26,22 +26,22 @@
 
 // now is the time on this sender's clock.
 func (o *Options) now() time.Duration {
-	if o.Rig != nil && o.Rig.Now != nil {
-		return o.Rig.Now()
+	if o.Hooks != nil && o.Hooks.Now != nil {
+		return o.Hooks.Now()
 	}
 	return now()
 }
 
-func (o *Options) datagrams(udp *net.UDPConn) Datagrams {
-	if o.Rig != nil && o.Rig.Datagrams != nil {
-		return o.Rig.Datagrams(udp)
+func (o *Options) datagrams(udp *net.UDPConn) DatagramConn {
+	if o.Hooks != nil && o.Hooks.WrapUDP != nil {
+		return o.Hooks.WrapUDP(udp)
 	}
 	return udp
 }
 
 func (o *Options) dial(d *net.Dialer, addr string) (net.Conn, error) {
-	if o.Rig != nil && o.Rig.Dial != nil {
-		return o.Rig.Dial(d, addr)
+	if o.Hooks != nil && o.Hooks.Dial != nil {
+		return o.Hooks.Dial(d, addr)
 	}
 	return d.Dial("tcp", addr)
 }
@@ -52,5 +52,5 @@
 	return len(b) + headSize, err
 }
 
-// IsLore says whether a packet is one of facts; else it is one of the view.
-func IsLore(b []byte) bool { return kindOf(b) == lore }
+// IsFactsPacket says whether a packet is one of facts; else it is one of the view.
+func IsFactsPacket(b []byte) bool { return kindOf(b) == lore }
--- a/internal/console/console.go
+++ b/internal/console/console.go
@@ -19,11 +19,11 @@
 
 // Bounds of the console.
 const (
-	// Connections are held at once. When all are taken, the one that has gone longest
+	// MaxConnections are held at once. When all are taken, the one that has gone longest
 	// without a whole call makes room.
-	Connections = 16
-	// Descriptors is what the console takes at most.
-	Descriptors = Connections + 2
+	MaxConnections = 16
+	// MaxDescriptors is what the console takes at most.
+	MaxDescriptors = MaxConnections + 2
 
 	headTime   = 2 * time.Second // for a call's head
 	answerTime = 2 * time.Second // for its body, and for the caller to take the answer
@@ -32,8 +32,8 @@
 	maxText    = 4 << 20 // of an answer, as its caller reads it
 )
 
-// Life is what the console asks and tells. [lifecycle.Controller] is one.
-type Life interface {
+// Lifecycle is what the console asks and tells. [lifecycle.Controller] is one.
+type Lifecycle interface {
 	Behavior() lifecycle.Behavior
 	HandleEvent(ev lifecycle.Event) bool
 }
@@ -41,7 +41,7 @@
 // Cluster is what the console asks of other senders. [cluster.Cluster] is one.
 type Cluster interface {
 	Status() (cluster.Status, error)
-	Facts(partner, other string) (cluster.Told, error)
+	Facts(partner, other string) (cluster.FactsReport, error)
 	Leave() error
 	Forget(name string) error
 }
@@ -56,12 +56,12 @@
 }
 
 // Listen opens a console at an address. Nothing is served before [Console.Serve].
-func Listen(addr string, life Life, log *slog.Logger) (*Console, error) {
+func Listen(addr string, life Lifecycle, log *slog.Logger) (*Console, error) {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, fmt.Errorf("console: %w", err)
 	}
-	p := newPlaces(Connections)
+	p := newPlaces(MaxConnections)
 	c := &Console{ln: &listener{netutil.Acceptor{Listener: ln, Log: log}, p}, log: log}
 	c.server = &http.Server{Handler: c.handler(life), ReadHeaderTimeout: headTime, ReadTimeout: headTime + answerTime,
 		WriteTimeout: headTime + answerTime, MaxHeaderBytes: maxHead, ConnState: p.note,
@@ -89,17 +89,17 @@
 	Violations map[string]int64 `json:"violations"`
 }
 
-// Report has the console tell metrics.
-func (c *Console) Report(metrics func() Metrics) { c.metrics.Store(&metrics) }
+// SetMetrics has the console tell metrics.
+func (c *Console) SetMetrics(metrics func() Metrics) { c.metrics.Store(&metrics) }
 
-// Know has the console answer for what is known of other senders.
-func (c *Console) Know(x Cluster) { c.cluster.Store(&x) }
+// SetCluster has the console answer for what is known of other senders.
+func (c *Console) SetCluster(x Cluster) { c.cluster.Store(&x) }
 
 // Close ends the console at once.
 func (c *Console) Close() error { return c.server.Close() }
 
 // handler answers by path and method.
-func (c *Console) handler(life Life) http.Handler {
+func (c *Console) handler(life Lifecycle) http.Handler {
 	type route struct {
 		method string
 		serve  func(w http.ResponseWriter)
@@ -226,8 +226,8 @@
 	w.ResponseWriter.WriteHeader(status)
 }
 
-// Ask makes one call to a console and returns its text; an error says no.
-func Ask(ctx context.Context, addr, method, path string) (string, error) {
+// Request makes one call to a console and returns its text; an error says no.
+func Request(ctx context.Context, addr, method, path string) (string, error) {
 	r, err := http.NewRequestWithContext(ctx, method, "http://"+addr+path, nil)
 	if err != nil {
 		return "", err
--- a/internal/daemon/console.go
+++ b/internal/daemon/console.go
@@ -31,7 +31,7 @@
 // Know has the console answer for what is known of other senders; nil for nothing.
 func (c *Console) Know(x *cluster.Cluster) {
 	if c.served != nil && x != nil {
-		c.served.Know(x)
+		c.served.SetCluster(x)
 	}
 }
 
@@ -40,7 +40,7 @@
 	if c.served == nil {
 		return
 	}
-	c.served.Report(func() console.Metrics {
+	c.served.SetMetrics(func() console.Metrics {
 		refused, violations := monitor.Counts()
 		return console.Metrics{Counts: metrics.Counts(), Refused: refused, Violations: violations}
 	})
@@ -58,5 +58,5 @@
 	if addr == "" {
 		return 0
 	}
-	return console.Descriptors
+	return console.MaxDescriptors
 }
--- a/internal/daemon/others.go
+++ b/internal/daemon/others.go
@@ -19,10 +19,10 @@
 func meet(f *config.File, log *slog.Logger) cluster.Options {
 	c := f.Cluster
 	o := cluster.Options{Name: f.Name, Zone: f.Zone, Version: Version, Listen: c.Listen, Advertise: c.Advertise, Join: c.Join, KeyFile: c.KeyFile,
-		Seats: f.Senders, Least: c.Least, Lease: time.Duration(c.Lease), Every: time.Duration(c.Lease) / config.Ticks, Drift: c.Drift,
-		Dir: f.State, Facts: *c.Facts, Log: log}
+		MaxSenders: f.Senders, MinShareTotal: c.Least, Lease: time.Duration(c.Lease), Interval: time.Duration(c.Lease) / config.Ticks, MaxClockDrift: c.Drift,
+		Dir: f.State, ShareFacts: *c.Facts, Log: log}
 	if *c.Guard {
-		o.Guard = guardArgs
+		o.GuardArgs = guardArgs
 	}
 	return o
 }
@@ -38,7 +38,7 @@
 	if s.cluster == nil {
 		return s.file.Even()
 	}
-	return s.cluster.Share()
+	return s.cluster.PlanningShare()
 }
 
 // observations is how the core hears of other senders, and they of it.
@@ -47,15 +47,15 @@
 // Publish has the others told.
 func (x observations) Publish(l core.Observation) {
 	if l.RequestedWait > 0 {
-		x.TellWait(l.Partner, l.Endpoint, l.RequestedWait)
+		x.PublishWait(l.Partner, l.Endpoint, l.RequestedWait)
 		return
 	}
-	x.TellHealth(l.Partner, l.Endpoint, l.Outage, l.CausalMark)
+	x.PublishHealth(l.Partner, l.Endpoint, l.Outage, l.CausalMark)
 }
 
 // Receive hands on what the others tell.
 func (x observations) Receive(ctx context.Context, take func([]core.Observation)) {
-	x.Cluster.Hear(ctx, func(list []facts.Observation) {
+	x.Cluster.WatchObservations(ctx, func(list []facts.Observation) {
 		out := make([]core.Observation, 0, len(list))
 		for _, l := range list {
 			out = append(out, core.Observation{Partner: l.Partner, Endpoint: l.Endpoint, RequestedWait: l.Remaining, Outage: l.OutageReported, Recovered: l.OutageEnded, TrialIntervalFactor: l.TrialSpacing, CausalMark: l.Mark})
--- a/internal/daemon/platform.go
+++ b/internal/daemon/platform.go
@@ -152,7 +152,7 @@
 		p.cfg = cfg
 		p.keep()
 		p.log.Info("reload: settings", "classes", len(cfg.Deploy.Settings.Classes), "attempts", cfg.Deploy.Settings.MaxTries)
-		p.sink.Move(cfg.Discovery)
+		p.sink.SetAddress(cfg.Discovery)
 		p.source.Retune(pollSettings(cfg.Deploy.Settings))
 		if p.source.Move(cfg.Discovery) {
 			p.log.Info("reload: discovery moves", "to", cfg.Discovery)
--- a/internal/daemon/room_test.go
+++ b/internal/daemon/room_test.go
@@ -58,7 +58,7 @@
 	byhand.Await(t, e.Calls, "call").Reply(200)
 	for _, id := range []string{"a", "b", "c"} {
 		ctx, stop := context.WithTimeout(t.Context(), time.Second)
-		if got, err := console.Ask(ctx, at, "GET", "/_ready"); err != nil || strings.TrimSpace(got) != "serving" {
+		if got, err := console.Request(ctx, at, "GET", "/_ready"); err != nil || strings.TrimSpace(got) != "serving" {
 			t.Errorf("the console says %q, %v", got, err)
 		}
 		stop()
--- a/internal/daemon/standalone.go
+++ b/internal/daemon/standalone.go
@@ -63,7 +63,7 @@
 			kept.Close()
 			return nil, err
 		}
-		parts.AllowedShare = others.Allowed
+		parts.AllowedShare = others.AllowedShare
 		if f.Shares() {
 			parts.Peers = observations{others}
 		}
@@ -99,10 +99,10 @@
 			return nil, fmt.Errorf("webhook: %w", err)
 		}
 		sinks = append(sinks, webhook.New(webhook.Options{URL: w.URL, Key: key, Timeout: time.Duration(w.Timeout),
-			Parallel: w.Parallel, Waiting: w.Waiting, Log: log}))
+			Parallel: w.Parallel, MaxQueued: w.Waiting, Log: log}))
 	}
 	if x := f.Sink.File; x != nil {
-		sinks = append(sinks, jsonl.New(jsonl.Options{Path: x.Path, MaxMB: x.MaxMB, Keep: x.Keep, Waiting: x.Waiting, Log: log}))
+		sinks = append(sinks, jsonl.New(jsonl.Options{Path: x.Path, MaxMB: x.MaxMB, MaxBackups: x.Keep, MaxQueued: x.Waiting, Log: log}))
 	}
 	sink := fan.New(sinks...)
 	if stream != nil {
--- a/internal/daemon/standalone_test.go
+++ b/internal/daemon/standalone_test.go
@@ -362,7 +362,7 @@
 	}
 }
 
-func readEnds(t *testing.T, path string) []sink.Line {
+func readEnds(t *testing.T, path string) []sink.Notice {
 	t.Helper()
 	list, err := traffic.Ends(path)
 	if err != nil {
--- a/internal/demo/clients.go
+++ b/internal/demo/clients.go
@@ -150,7 +150,7 @@
 }
 
 // follow reads the stream of ends until ctx is over. ready is closed once it flows.
-func follow(ctx context.Context, addr string, ready chan<- struct{}, end func(sink.Line)) error {
+func follow(ctx context.Context, addr string, ready chan<- struct{}, end func(sink.Notice)) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+"/v1/ends", nil)
 	if err != nil {
 		return err
@@ -172,7 +172,7 @@
 		if !ok {
 			continue
 		}
-		var l sink.Line
+		var l sink.Notice
 		if err := json.Unmarshal([]byte(data), &l); err != nil {
 			return err
 		}
--- a/internal/demo/tally.go
+++ b/internal/demo/tally.go
@@ -18,9 +18,9 @@
 type tally struct {
 	mu      sync.Mutex
 	partner map[string]*counts
-	begun   map[string]time.Time // when each was handed in; until its end
-	by      map[string]string    // its partner
-	early   map[string]sink.Line // ends that came before the answer to the hand-in
+	begun   map[string]time.Time   // when each was handed in; until its end
+	by      map[string]string      // its partner
+	early   map[string]sink.Notice // ends that came before the answer to the hand-in
 	taken   map[string]bool
 	ended   map[string]int // ends told, by id
 	errs    []string
@@ -36,7 +36,7 @@
 
 func newTally() *tally {
 	return &tally{partner: map[string]*counts{}, begun: map[string]time.Time{}, by: map[string]string{},
-		early: map[string]sink.Line{}, taken: map[string]bool{}, ended: map[string]int{}}
+		early: map[string]sink.Notice{}, taken: map[string]bool{}, ended: map[string]int{}}
 }
 
 func (t *tally) of(name string) *counts {
@@ -73,7 +73,7 @@
 	}
 }
 
-func (t *tally) end(l sink.Line) {
+func (t *tally) end(l sink.Notice) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if !t.taken[l.ID] {
@@ -83,17 +83,17 @@
 	t.count(l)
 }
 
-func (t *tally) count(l sink.Line) {
+func (t *tally) count(l sink.Notice) {
 	if t.ended[l.ID]++; t.ended[l.ID] > 1 {
 		t.errs = append(t.errs, l.ID+" has had more than one end")
 		return
 	}
 	c := t.of(l.Partner)
-	c.tries += l.Tries
+	c.tries += l.Attempts
 	switch l.State {
 	case message.Delivered:
 		c.delivered++
-		c.took = append(c.took, l.Over.Sub(t.begun[l.ID]))
+		c.took = append(c.took, l.EndedAt.Sub(t.begun[l.ID]))
 	case message.Returned:
 		c.returned++
 	case message.Failed:
--- a/internal/front/http/ends.go
+++ b/internal/front/http/ends.go
@@ -21,7 +21,7 @@
 type Stream struct {
 	epoch string // of this process: numbers of another mean nothing
 	mu    sync.Mutex
-	ring  []sink.Line
+	ring  []sink.Notice
 	next  uint64        // number of the end to come; the first is 0
 	news  chan struct{} // closed when there is another; nil while nobody waits
 }
@@ -30,12 +30,12 @@
 func NewStream(window int) *Stream {
 	var b [4]byte
 	rand.Read(b[:])
-	return &Stream{epoch: hex.EncodeToString(b[:]), ring: make([]sink.Line, 0, max(window, 1))}
+	return &Stream{epoch: hex.EncodeToString(b[:]), ring: make([]sink.Notice, 0, max(window, 1))}
 }
 
 // Add takes an end; it never waits.
 func (s *Stream) Add(m *message.Message, e message.End) {
-	l := sink.LineOf(m, e)
+	l := sink.NewNotice(m, e)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if len(s.ring) < cap(s.ring) {
@@ -53,7 +53,7 @@
 // from returns ends from number at on, at most n, and the number after them. A gap
 // says that some before them are kept no more. With none, news is closed when one
 // comes.
-func (s *Stream) from(at uint64, n int) (lines []sink.Line, next uint64, gap bool, news <-chan struct{}) {
+func (s *Stream) from(at uint64, n int) (lines []sink.Notice, next uint64, gap bool, news <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	oldest := s.next - uint64(len(s.ring))
--- a/internal/sink/jsonl/jsonl.go
+++ b/internal/sink/jsonl/jsonl.go
@@ -20,11 +20,11 @@
 
 // Options set a file up.
 type Options struct {
-	Path    string
-	MaxMB   int // of one file
-	Keep    int // older files
-	Waiting int // ends that wait; the oldest is given up above it
-	Log     *slog.Logger
+	Path       string
+	MaxMB      int // of one file
+	MaxBackups int // older files
+	MaxQueued  int // ends that wait; the oldest is given up above it
+	Log        *slog.Logger
 }
 
 // Sink writes ends in their order. A line is confirmed once it has been written;
@@ -37,17 +37,17 @@
 
 // New makes a sink; the file is opened with the first line.
 func New(opts Options) *Sink {
-	return &Sink{opts: opts, queue: sink.NewQueue(opts.Waiting, opts.Log),
-		file: &lumberjack.Logger{Filename: opts.Path, MaxSize: opts.MaxMB, MaxBackups: opts.Keep}}
+	return &Sink{opts: opts, queue: sink.NewQueue(opts.MaxQueued, opts.Log),
+		file: &lumberjack.Logger{Filename: opts.Path, MaxSize: opts.MaxMB, MaxBackups: opts.MaxBackups}}
 }
 
 // Add queues an end.
-func (s *Sink) Add(m *message.Message, e message.End) { s.queue.Add(sink.LineOf(m, e)) }
+func (s *Sink) Add(m *message.Message, e message.End) { s.queue.Add(sink.NewNotice(m, e)) }
 
 // Run writes what waits until ctx is over.
 func (s *Sink) Run(ctx context.Context, confirm func(ids []string)) {
 	defer s.file.Close()
-	go s.queue.ConfirmGivenUp(ctx, confirm)
+	go s.queue.ConfirmDropped(ctx, confirm)
 	broken := false // the last write may have left part of a line
 	for {
 		lines := s.queue.Take(batch)
@@ -55,7 +55,7 @@
 			select {
 			case <-ctx.Done():
 				return
-			case <-s.queue.Wake:
+			case <-s.queue.Ready:
 			}
 			continue
 		}
--- a/internal/sink/jsonl/jsonl_test.go
+++ b/internal/sink/jsonl/jsonl_test.go
@@ -18,7 +18,7 @@
 // Ends are written whole, in order, and confirmed after that; files are rotated and the oldest go.
 func TestRotated(t *testing.T) {
 	dir := t.TempDir()
-	s := New(Options{Path: filepath.Join(dir, "ends.jsonl"), MaxMB: 1, Keep: 2, Waiting: 1 << 20, Log: slog.New(slog.DiscardHandler)})
+	s := New(Options{Path: filepath.Join(dir, "ends.jsonl"), MaxMB: 1, MaxBackups: 2, MaxQueued: 1 << 20, Log: slog.New(slog.DiscardHandler)})
 	confirmed := make(chan []string, 1024)
 	go s.Run(t.Context(), func(ids []string) { confirmed <- ids })
 	const many = 20_000
@@ -57,7 +57,7 @@
 			t.Errorf("%s holds %d bytes", path, info.Size())
 		}
 		for sc := bufio.NewScanner(f); sc.Scan(); {
-			var l sink.Line
+			var l sink.Notice
 			if err := json.Unmarshal(sc.Bytes(), &l); err != nil || l.Partner != partner {
 				t.Fatalf("%q: %v", sc.Text(), err)
 			}
@@ -75,7 +75,7 @@
 	if err := os.WriteFile(dir, nil, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	s := New(Options{Path: filepath.Join(dir, "ends.jsonl"), MaxMB: 1, Keep: 2, Waiting: 100, Log: slog.New(slog.DiscardHandler)})
+	s := New(Options{Path: filepath.Join(dir, "ends.jsonl"), MaxMB: 1, MaxBackups: 2, MaxQueued: 100, Log: slog.New(slog.DiscardHandler)})
 	confirmed := make(chan []string, 256)
 	go s.Run(t.Context(), func(ids []string) { confirmed <- ids })
 	for i := range 10 {
--- a/internal/sink/notices/notices.go
+++ b/internal/sink/notices/notices.go
@@ -61,8 +61,8 @@
 	}
 }
 
-// Move turns to another address. What the old one has not confirmed goes to the new one at once.
-func (n *Sink) Move(addr string) {
+// SetAddress turns to another address. What the old one has not confirmed goes to the new one at once.
+func (n *Sink) SetAddress(addr string) {
 	n.mu.Lock()
 	if n.url == noticeURL(addr) {
 		n.mu.Unlock()
--- a/internal/sink/notices/notices_test.go
+++ b/internal/sink/notices/notices_test.go
@@ -87,7 +87,7 @@
 			body = byhand.Await(t, posts, "post")
 		}
 		if id == "b" {
-			n.Move(strings.TrimPrefix(second.URL, "http://"))
+			n.SetAddress(strings.TrimPrefix(second.URL, "http://"))
 		}
 	}
 }
--- a/internal/sink/webhook/webhook.go
+++ b/internal/sink/webhook/webhook.go
@@ -31,12 +31,12 @@
 
 // Options set a webhook up.
 type Options struct {
-	URL      string
-	Key      []byte
-	Timeout  time.Duration // for one answer
-	Parallel int           // posts out at once
-	Waiting  int           // ends that wait; the oldest is given up above it
-	Log      *slog.Logger
+	URL       string
+	Key       []byte
+	Timeout   time.Duration // for one answer
+	Parallel  int           // posts out at once
+	MaxQueued int           // ends that wait; the oldest is given up above it
+	Log       *slog.Logger
 }
 
 // Sink posts ends. Order is not kept: each is tried until it is heard.
@@ -49,21 +49,21 @@
 
 // New makes a webhook.
 func New(opts Options) *Sink {
-	return &Sink{opts: opts, queue: sink.NewQueue(opts.Waiting, opts.Log), pause: sleep,
+	return &Sink{opts: opts, queue: sink.NewQueue(opts.MaxQueued, opts.Log), pause: sleep,
 		client: &http.Client{Timeout: opts.Timeout, CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 			Transport: &http.Transport{DialContext: (&net.Dialer{Timeout: opts.Timeout}).DialContext,
 				MaxIdleConnsPerHost: opts.Parallel, MaxConnsPerHost: opts.Parallel, IdleConnTimeout: 30 * time.Second}}}
 }
 
 // Add queues an end.
-func (s *Sink) Add(m *message.Message, e message.End) { s.queue.Add(sink.LineOf(m, e)) }
+func (s *Sink) Add(m *message.Message, e message.End) { s.queue.Add(sink.NewNotice(m, e)) }
 
 // Run posts what waits until ctx is over.
 func (s *Sink) Run(ctx context.Context, confirm func(ids []string)) {
 	places := make(chan struct{}, s.opts.Parallel)
 	var wg sync.WaitGroup
 	defer wg.Wait()
-	wg.Go(func() { s.queue.ConfirmGivenUp(ctx, confirm) })
+	wg.Go(func() { s.queue.ConfirmDropped(ctx, confirm) })
 	for {
 		select { // a place first: what waits must stay in the queue, where the bound holds
 		case <-ctx.Done():
@@ -76,7 +76,7 @@
 			select {
 			case <-ctx.Done():
 				return
-			case <-s.queue.Wake:
+			case <-s.queue.Ready:
 			}
 			continue
 		}
@@ -90,7 +90,7 @@
 }
 
 // tell posts an end until it is heard; false if ctx was over before.
-func (s *Sink) tell(ctx context.Context, l sink.Line) bool {
+func (s *Sink) tell(ctx context.Context, l sink.Notice) bool {
 	body := l.JSON()
 	for pause := firstPause; ; pause = min(2*pause, mostPause) {
 		err := s.post(ctx, l.ID, body)
--- a/internal/sink/webhook/webhook_test.go
+++ b/internal/sink/webhook/webhook_test.go
@@ -58,7 +58,7 @@
 }
 
 func newSink(url string, parallel, waiting int) *Sink {
-	s := New(Options{URL: url, Key: []byte("0123456789abcdef0123456789abcdef"), Timeout: byhand.Patience, Parallel: parallel, Waiting: waiting,
+	s := New(Options{URL: url, Key: []byte("0123456789abcdef0123456789abcdef"), Timeout: byhand.Patience, Parallel: parallel, MaxQueued: waiting,
 		Log: slog.New(slog.DiscardHandler)})
 	s.pause = func(context.Context, time.Duration) {}
 	return s
@@ -92,8 +92,8 @@
 	if got := fmt.Sprint(byhand.Await(t, heard, "confirmation")); got != "[a]" {
 		t.Errorf("confirmed %s", got)
 	}
-	var l sink.Line
-	if err := json.Unmarshal(first, &l); err != nil || l.ID != "a" || l.State != message.Returned || l.AfterMS != 5 || l.Tries != 2 || l.Partner != "p" {
+	var l sink.Notice
+	if err := json.Unmarshal(first, &l); err != nil || l.ID != "a" || l.State != message.Returned || l.RetryAfterMS != 5 || l.Attempts != 2 || l.Partner != "p" {
 		t.Errorf("%s: %+v, %v", first, l, err)
 	}
 }
@@ -111,7 +111,7 @@
 	for i := 2; i < 20; i++ {
 		add(s, fmt.Sprint("m", i))
 	}
-	if got := s.queue.Lost(); got < 12 || got > 13 { // one may be held by the loop that waits for a place
+	if got := s.queue.Dropped(); got < 12 || got > 13 { // one may be held by the loop that waits for a place
 		t.Errorf("%d given up", got)
 	}
 	byhand.Until(t, "confirmation of those given up, while the receiver is still silent", func() bool { return confirmed.Load() >= 12 })
--- a/internal/soak/points.go
+++ b/internal/soak/points.go
@@ -85,7 +85,7 @@
 	{faultbuild.Point{Name: "sweep: about to forget", File: coreLoop, Before: "	c.store.Forget(c.clock.At(now))"}, byTraffic},
 	{faultbuild.Point{Name: "reload: read, not checked", File: startup, Before: "			err = p.cfg.CanFollow(cfg)"}, byReload},
 	{faultbuild.Point{Name: "reload: settings follow, not kept", File: startup, Before: "		p.cfg = cfg\n		p.keep()"}, byReload},
-	{faultbuild.Point{Name: "reload: notices about to move", File: startup, Before: "		p.sink.Move(cfg.Discovery)"}, byReload},
+	{faultbuild.Point{Name: "reload: notices about to move", File: startup, Before: "		p.sink.SetAddress(cfg.Discovery)"}, byReload},
 	{faultbuild.Point{Name: "handover: asked for, not begun", File: handingOver, Before: "		c.handoverRequest = &ev"}, byUpgrade},
 	{faultbuild.Point{Name: "handover: snapshot there, journal open", File: handingOver, Before: "	taken := false\n	c.closeBacklog()"}, byUpgrade},
 	{faultbuild.Point{Name: "handover: journal shut, nothing given", File: handingOver, Before: "		var listeners []net.Listener"}, byUpgrade},
--- a/internal/standin/fleet/knowledge.go
+++ b/internal/standin/fleet/knowledge.go
@@ -50,7 +50,7 @@
 		if !x.OK {
 			continue
 		}
-		k := x.Knowledge
+		k := x.Replication
 		if k == nil || k.CatchingUp {
 			return false
 		}
@@ -72,9 +72,9 @@
 			continue
 		}
 		ctx, stop := context.WithTimeout(context.Background(), askTime)
-		text, err := console.Ask(ctx, s.Console, "GET", "/cluster/facts")
+		text, err := console.Request(ctx, s.Console, "GET", "/cluster/facts")
 		stop()
-		var told cluster.Told
+		var told cluster.FactsReport
 		if err == nil {
 			err = json.Unmarshal([]byte(text), &told)
 		}
@@ -83,8 +83,8 @@
 		}
 		set := map[string]bool{}
 		for _, x := range told.Facts {
-			if x.Left > nearly {
-				set[fmt.Sprint(x.Kind, x.Partner, x.Endpoint, x.Says, x.By, x.Number)] = true
+			if x.RemainingSeconds > nearly {
+				set[fmt.Sprint(x.Kind, x.Partner, x.Endpoint, x.Statement, x.Origin, x.Seq)] = true
 			}
 		}
 		out = append(out, set)
--- a/internal/standin/fleet/views.go
+++ b/internal/standin/fleet/views.go
@@ -37,7 +37,7 @@
 		all.Go(func() {
 			ctx, stop := context.WithTimeout(context.Background(), askTime)
 			defer stop()
-			text, err := console.Ask(ctx, s.Console, "GET", "/cluster")
+			text, err := console.Request(ctx, s.Console, "GET", "/cluster")
 			out[i].OK = err == nil && json.Unmarshal([]byte(text), &out[i].Status) == nil
 		})
 	}
--- a/internal/standin/hollow/count.go
+++ b/internal/standin/hollow/count.go
@@ -48,7 +48,7 @@
 	size := int64(len(b) + udpHead)
 	c.out.Add(1)
 	c.outBytes.Add(size)
-	if cluster.IsLore(b) {
+	if cluster.IsFactsPacket(b) {
 		c.lore.Add(size)
 	}
 }
--- a/internal/standin/hollow/doc.go
+++ b/internal/standin/hollow/doc.go
@@ -3,7 +3,7 @@
 // replicate) behind the real package cluster, with its sockets and codec, a loopback
 // address and a folder of its own, a configuration that package config has checked,
 // and a clock that begins anywhere and runs a little fast or slow. Package cluster
-// is given a [cluster.Rig]: faults between directed pairs and counts of bytes are at
+// is given a [cluster.Hooks]: faults between directed pairs and counts of bytes are at
 // its sockets.
 //
 // Hollow is what is not there, and so is not measured:
--- a/internal/standin/hollow/fleet.go
+++ b/internal/standin/hollow/fleet.go
@@ -130,9 +130,9 @@
 			pace = p
 		}
 	}
-	return cluster.Options{Name: file.Name, Zone: file.Zone, Version: version, Listen: c.Listen, Advertise: c.Advertise, Join: c.Join, Seats: file.Senders,
-		Least: c.Least, Lease: time.Duration(c.Lease), Every: time.Duration(c.Lease) / config.Ticks, Drift: c.Drift, Dir: dir, Facts: *c.Facts,
-		Log: slog.New(slog.DiscardHandler), Rig: f.wire.rig(i, clock(pace, offset))}, nil
+	return cluster.Options{Name: file.Name, Zone: file.Zone, Version: version, Listen: c.Listen, Advertise: c.Advertise, Join: c.Join, MaxSenders: file.Senders,
+		MinShareTotal: c.Least, Lease: time.Duration(c.Lease), Interval: time.Duration(c.Lease) / config.Ticks, MaxClockDrift: c.Drift, Dir: dir, ShareFacts: *c.Facts,
+		Log: slog.New(slog.DiscardHandler), Hooks: f.wire.rig(i, clock(pace, offset))}, nil
 }
 
 // clock begins somewhere and runs at a pace. A process that is paused as a whole
@@ -156,7 +156,7 @@
 		s := f.senders[rng.IntN(len(f.senders))]
 		s.mu.Lock()
 		if s.life != nil {
-			s.life.TellWait(fmt.Sprintf("partner-%d", n), "192.0.2.1:443", facts.MaxTTL)
+			s.life.PublishWait(fmt.Sprintf("partner-%d", n), "192.0.2.1:443", facts.MaxTTL)
 		}
 		s.mu.Unlock()
 	}
@@ -199,7 +199,7 @@
 			return fmt.Errorf("hollow: %s: %w", name(i), err)
 		}
 		ctx, deaf := context.WithCancel(context.Background())
-		go c.Hear(ctx, func([]facts.Observation) {})
+		go c.WatchObservations(ctx, func([]facts.Observation) {})
 		s.mu.Lock()
 		s.life, s.deaf = c, deaf
 		s.mu.Unlock()
@@ -249,7 +249,7 @@
 		s.mu.Unlock()
 		out[i] = -1
 		if c != nil {
-			out[i] = c.Allowed()
+			out[i] = c.AllowedShare()
 			sum += out[i]
 		}
 	}
--- a/internal/standin/hollow/wire.go
+++ b/internal/standin/hollow/wire.go
@@ -48,10 +48,10 @@
 func (w *wire) cut(from, to int, cut bool) { w.cuts[from*len(w.counts)+to].Store(cut) }
 
 // rig is what stands between sender i and the machine.
-func (w *wire) rig(i int, now func() time.Duration) *cluster.Rig {
-	return &cluster.Rig{Now: now,
-		Datagrams: func(u *net.UDPConn) cluster.Datagrams { return &socket{u, w, i} },
-		Dial:      func(d *net.Dialer, addr string) (net.Conn, error) { return w.dial(d, i, addr) }}
+func (w *wire) rig(i int, now func() time.Duration) *cluster.Hooks {
+	return &cluster.Hooks{Now: now,
+		WrapUDP: func(u *net.UDPConn) cluster.DatagramConn { return &socket{u, w, i} },
+		Dial:    func(d *net.Dialer, addr string) (net.Conn, error) { return w.dial(d, i, addr) }}
 }
 
 // socket is the socket of a sender's datagrams.
--- a/internal/standin/traffic/traffic.go
+++ b/internal/standin/traffic/traffic.go
@@ -110,13 +110,13 @@
 }
 
 // Ends reads a file of ends.
-func Ends(path string) (list []sink.Line, err error) {
+func Ends(path string) (list []sink.Notice, err error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, err
 	}
 	for line := range strings.Lines(string(text)) {
-		var l sink.Line
+		var l sink.Notice
 		if err := json.Unmarshal([]byte(line), &l); err != nil {
 			return nil, fmt.Errorf("%q: %w", line, err)
 		}
