--- a/internal/console/console.go
+++ b/internal/console/console.go
@@ -17,28 +17,30 @@
 	"cometrack/internal/netutil"
 )
 
-// Bounds of the console.
+// Limits of the console.
 const (
-	// MaxConnections are held at once. When all are taken, the one that has gone longest
-	// without a whole call makes room.
+	// MaxConnections is the number of concurrent connections. At the limit, a new connection
+	// replaces the oldest one that has not sent a complete request head.
 	MaxConnections = 16
-	// MaxDescriptors is what the console takes at most.
+	// MaxDescriptors is the largest number of file descriptors that the console uses.
 	MaxDescriptors = MaxConnections + 2
 
-	headTime   = 2 * time.Second // for a call's head
-	answerTime = 2 * time.Second // for its body, and for the caller to take the answer
-	maxHead    = 4 << 10
-	maxBody    = 4 << 10
-	maxText    = 4 << 20 // of an answer, as its caller reads it
+	headTimeout      = 2 * time.Second // to read the head of a request
+	responseTimeout  = 2 * time.Second // to read the body, and for the client to read the response
+	maxHeaderBytes   = 4 << 10
+	maxBodyBytes     = 4 << 10
+	maxResponseBytes = 4 << 20 // of a response, as read by Request
 )
 
-// Lifecycle is what the console asks and tells. [lifecycle.Controller] is one.
+// Lifecycle is the part of the lifecycle that the console reads and controls. [lifecycle.Controller]
+// implements it.
 type Lifecycle interface {
 	Behavior() lifecycle.Behavior
 	HandleEvent(ev lifecycle.Event) bool
 }
 
-// Cluster is what the console asks of other senders. [cluster.Cluster] is one.
+// Cluster is the part of the cluster that the console reads and controls. [cluster.Cluster] implements
+// it.
 type Cluster interface {
 	Status() (cluster.Status, error)
 	Facts(partner, other string) (cluster.FactsReport, error)
@@ -46,7 +48,7 @@
 	Forget(name string) error
 }
 
-// Console serves the operators.
+// Console is the HTTP server for operators.
 type Console struct {
 	cluster atomic.Pointer[Cluster]
 	metrics atomic.Pointer[func() Metrics]
@@ -55,33 +57,34 @@
 	log     *slog.Logger
 }
 
-// Listen opens a console at an address. Nothing is served before [Console.Serve].
+// Listen opens a console at an address. It serves no request before [Console.Serve].
 func Listen(addr string, life Lifecycle, log *slog.Logger) (*Console, error) {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, fmt.Errorf("console: %w", err)
 	}
-	p := newPlaces(MaxConnections)
-	c := &Console{ln: &listener{netutil.Acceptor{Listener: ln, Log: log}, p}, log: log}
-	c.server = &http.Server{Handler: c.handler(life), ReadHeaderTimeout: headTime, ReadTimeout: headTime + answerTime,
-		WriteTimeout: headTime + answerTime, MaxHeaderBytes: maxHead, ConnState: p.note,
+	limiter := newConnLimiter(MaxConnections)
+	c := &Console{ln: &limitedListener{netutil.Acceptor{Listener: ln, Log: log}, limiter}, log: log}
+	c.server = &http.Server{Handler: c.handler(life),
+		ReadHeaderTimeout: headTimeout, ReadTimeout: headTimeout + responseTimeout,
+		WriteTimeout: headTimeout + responseTimeout, MaxHeaderBytes: maxHeaderBytes, ConnState: limiter.onConnState,
 		ErrorLog: slog.NewLogLogger(log.Handler(), slog.LevelDebug)}
 	c.server.SetKeepAlivesEnabled(false)
 	return c, nil
 }
 
-// Addr is where the console listens.
+// Addr returns the address of the listener.
 func (c *Console) Addr() net.Addr { return c.ln.Addr() }
 
-// Serve answers calls until Close.
+// Serve answers requests until Close.
 func (c *Console) Serve() {
 	if err := c.server.Serve(c.ln); err != nil && !errors.Is(err, http.ErrServerClosed) {
 		c.log.Error("console", "err", err)
 	}
 }
 
-// Metrics are what GET /_metrics tells, as JSON: counts since the start, actions that
-// were refused by their reason, and violations of what must always hold.
+// Metrics are returned by GET /_metrics as JSON: counters since the start, denied actions by reason,
+// and violations of invariants.
 type Metrics struct {
 	State      string           `json:"state"`
 	Counts     map[string]int64 `json:"counts"`
@@ -89,16 +92,16 @@
 	Violations map[string]int64 `json:"violations"`
 }
 
-// SetMetrics has the console tell metrics.
+// SetMetrics sets the function that collects the metrics.
 func (c *Console) SetMetrics(metrics func() Metrics) { c.metrics.Store(&metrics) }
 
-// SetCluster has the console answer for what is known of other senders.
+// SetCluster sets the cluster that the console reports about.
 func (c *Console) SetCluster(x Cluster) { c.cluster.Store(&x) }
 
-// Close ends the console at once.
+// Close stops the console at once.
 func (c *Console) Close() error { return c.server.Close() }
 
-// handler answers by path and method.
+// handler routes requests by path and method.
 func (c *Console) handler(life Lifecycle) http.Handler {
 	type route struct {
 		method string
@@ -108,7 +111,7 @@
 		method string
 		serve  func(w http.ResponseWriter, r *http.Request, x Cluster)
 	}
-	say := func(w http.ResponseWriter, code int, text string) {
+	writeText := func(w http.ResponseWriter, code int, text string) {
 		w.Header().Set("Content-Type", "text/plain; charset=utf-8")
 		w.Header().Set("Cache-Control", "no-store")
 		w.WriteHeader(code)
@@ -121,7 +124,7 @@
 			if !v.Ready {
 				code = http.StatusServiceUnavailable
 			}
-			say(w, code, v.State.String())
+			writeText(w, code, v.State.String())
 		}},
 		"/_metrics": {http.MethodGet, func(w http.ResponseWriter) {
 			m := Metrics{}
@@ -135,47 +138,49 @@
 		}},
 		"/_lameduck/on": {http.MethodPost, func(w http.ResponseWriter) {
 			life.HandleEvent(lifecycle.DrainOn)
-			say(w, http.StatusOK, life.Behavior().State.String())
+			writeText(w, http.StatusOK, life.Behavior().State.String())
 		}},
 		"/_lameduck/off": {http.MethodPost, func(w http.ResponseWriter) {
 			life.HandleEvent(lifecycle.DrainOff)
 			v := life.Behavior()
 			if v.State == lifecycle.Leaving || v.State == lifecycle.HandedOver {
-				say(w, http.StatusConflict, v.State.String()+": it does not come back")
+				writeText(w, http.StatusConflict, v.State.String()+": it does not come back")
 				return
 			}
-			say(w, http.StatusOK, v.State.String())
+			writeText(w, http.StatusOK, v.State.String())
 		}},
 	}
-	told := func(w http.ResponseWriter, err error, text string) {
+	writeResult := func(w http.ResponseWriter, err error, text string) {
 		if err != nil {
-			say(w, http.StatusConflict, err.Error())
+			writeText(w, http.StatusConflict, err.Error())
 			return
 		}
-		say(w, http.StatusOK, text)
+		writeText(w, http.StatusOK, text)
 	}
-	show := func(w http.ResponseWriter, v any, err error) {
+	writeJSON := func(w http.ResponseWriter, v any, err error) {
 		if err != nil {
-			say(w, http.StatusServiceUnavailable, err.Error())
+			writeText(w, http.StatusServiceUnavailable, err.Error())
 			return
 		}
 		w.Header().Set("Content-Type", "application/json")
 		w.Header().Set("Cache-Control", "no-store")
 		json.NewEncoder(w).Encode(v)
 	}
-	others := map[string]clusterRoute{
+	clusterRoutes := map[string]clusterRoute{
 		"/cluster": {http.MethodGet, func(w http.ResponseWriter, _ *http.Request, x Cluster) {
 			s, err := x.Status()
-			show(w, s, err)
+			writeJSON(w, s, err)
 		}},
 		"/cluster/facts": {http.MethodGet, func(w http.ResponseWriter, r *http.Request, x Cluster) {
-			told, err := x.Facts(r.URL.Query().Get("partner"), r.URL.Query().Get("diff"))
-			show(w, told, err)
+			report, err := x.Facts(r.URL.Query().Get("partner"), r.URL.Query().Get("diff"))
+			writeJSON(w, report, err)
+		}},
+		"/cluster/leave": {http.MethodPost, func(w http.ResponseWriter, _ *http.Request, x Cluster) {
+			writeResult(w, x.Leave(), "left")
 		}},
-		"/cluster/leave": {http.MethodPost, func(w http.ResponseWriter, _ *http.Request, x Cluster) { told(w, x.Leave(), "left") }},
 		"/cluster/forget": {http.MethodPost, func(w http.ResponseWriter, r *http.Request, x Cluster) {
 			name := r.URL.Query().Get("name")
-			told(w, x.Forget(name), "forgotten: "+name)
+			writeResult(w, x.Forget(name), "forgotten: "+name)
 		}},
 	}
 	return http.HandlerFunc(func(out http.ResponseWriter, r *http.Request) {
@@ -183,50 +188,52 @@
 		defer func() {
 			c.log.Debug("console", "method", r.Method, "path", r.URL.Path, "status", w.status)
 		}()
-		at, ok := routes[r.URL.Path]
+		matched, ok := routes[r.URL.Path]
 		if x := c.cluster.Load(); !ok && x != nil {
-			if to, is := others[r.URL.Path]; is {
-				at, ok = route{to.method, func(w http.ResponseWriter) { to.serve(w, r, *x) }}, true
+			if candidate, found := clusterRoutes[r.URL.Path]; found {
+				matched, ok = route{candidate.method, func(w http.ResponseWriter) { candidate.serve(w, r, *x) }}, true
 			}
 		}
 		switch {
-		case !ok && others[r.URL.Path].method != "":
-			say(w, http.StatusNotFound, "this sender knows nothing of others: its file has no [cluster]")
+		case !ok && clusterRoutes[r.URL.Path].method != "":
+			writeText(w, http.StatusNotFound, "this sender knows nothing of others: its file has no [cluster]")
 		case !ok:
-			say(w, http.StatusNotFound, "no such call; there are GET /_ready, GET /_metrics, POST /_lameduck/on, POST /_lameduck/off, GET /cluster, GET /cluster/facts?partner=NAME, POST /cluster/leave, POST /cluster/forget?name=NAME")
-		case r.Method != at.method:
-			w.Header().Set("Allow", at.method)
-			say(w, http.StatusMethodNotAllowed, "this call takes "+at.method)
-		case r.ContentLength > maxBody:
-			say(w, http.StatusRequestEntityTooLarge, fmt.Sprintf("a body may hold %d bytes", maxBody))
+			writeText(w, http.StatusNotFound,
+				"no such call; there are GET /_ready, GET /_metrics, POST /_lameduck/on, POST /_lameduck/off, GET /cluster, GET /cluster/facts?partner=NAME, POST /cluster/leave, POST /cluster/forget?name=NAME")
+		case r.Method != matched.method:
+			w.Header().Set("Allow", matched.method)
+			writeText(w, http.StatusMethodNotAllowed, "this call takes "+matched.method)
+		case r.ContentLength > maxBodyBytes:
+			writeText(w, http.StatusRequestEntityTooLarge, fmt.Sprintf("a body may hold %d bytes", maxBodyBytes))
 		default:
-			if _, err := io.Copy(io.Discard, http.MaxBytesReader(w, r.Body, maxBody)); err != nil {
-				var over *http.MaxBytesError
-				if errors.As(err, &over) {
-					say(w, http.StatusRequestEntityTooLarge, fmt.Sprintf("a body may hold %d bytes", maxBody))
+			if _, err := io.Copy(io.Discard, http.MaxBytesReader(w, r.Body, maxBodyBytes)); err != nil {
+				var tooLarge *http.MaxBytesError
+				if errors.As(err, &tooLarge) {
+					writeText(w, http.StatusRequestEntityTooLarge, fmt.Sprintf("a body may hold %d bytes", maxBodyBytes))
 				} else {
-					say(w, http.StatusBadRequest, "the body can't be read")
+					writeText(w, http.StatusBadRequest, "the body can't be read")
 				}
 				return
 			}
-			at.serve(w)
+			matched.serve(w)
 		}
 	})
 }
 
-// statusWriter keeps the status of an answer.
+// statusWriter records the status code of a response.
 type statusWriter struct {
 	http.ResponseWriter
 	status int
 }
 
-// WriteHeader is [http.ResponseWriter.WriteHeader].
+// WriteHeader implements [http.ResponseWriter].
 func (w *statusWriter) WriteHeader(status int) {
 	w.status = status
 	w.ResponseWriter.WriteHeader(status)
 }
 
-// Request makes one call to a console and returns its text; an error says no.
+// Request sends one request to a console and returns the response text. A status other than 2xx is an
+// error.
 func Request(ctx context.Context, addr, method, path string) (string, error) {
 	r, err := http.NewRequestWithContext(ctx, method, "http://"+addr+path, nil)
 	if err != nil {
@@ -237,7 +244,7 @@
 		return "", err
 	}
 	defer resp.Body.Close()
-	text, err := io.ReadAll(io.LimitReader(resp.Body, maxText))
+	text, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	if err == nil && resp.StatusCode/100 != 2 {
 		err = fmt.Errorf("%s: %s", resp.Status, text)
 	}
--- a/internal/console/console_test.go
+++ b/internal/console/console_test.go
@@ -15,6 +15,7 @@
 	"cometrack/internal/netutil"
 )
 
+// start serves a console until the end of the test.
 func start(t *testing.T) (*Console, *lifecycle.Controller) {
 	t.Helper()
 	log := slog.New(slog.DiscardHandler)
@@ -28,8 +29,8 @@
 	return c, life
 }
 
-// raw sends a text on a connection of its own and returns the answer.
-func raw(t *testing.T, c *Console, text string) *http.Response {
+// sendRaw sends a text on a connection of its own and returns the response.
+func sendRaw(t *testing.T, c *Console, text string) *http.Response {
 	t.Helper()
 	conn, err := net.Dial("tcp", c.Addr().String())
 	if err != nil {
@@ -38,66 +39,71 @@
 	defer conn.Close()
 	conn.SetDeadline(time.Now().Add(20 * time.Second))
 	io.WriteString(conn, text)
-	r, err := http.ReadResponse(bufio.NewReader(conn), nil)
+	response, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	if err != nil {
 		t.Fatalf("%q: %v", text, err)
 	}
-	io.Copy(io.Discard, r.Body)
-	return r
+	io.Copy(io.Discard, response.Body)
+	return response
 }
 
-func call(method, path string, more ...string) string {
-	return method + " " + path + " HTTP/1.1\r\nHost: x\r\n" + strings.Join(more, "") + "\r\n"
+// requestText returns the text of a request with additional header lines.
+func requestText(method, path string, headers ...string) string {
+	return method + " " + path + " HTTP/1.1\r\nHost: x\r\n" + strings.Join(headers, "") + "\r\n"
 }
 
-func TestCalls(t *testing.T) {
+// Each path answers its method only, malformed and oversized requests are rejected without effect, and
+// every response closes the connection.
+func TestRequests(t *testing.T) {
 	c, life := start(t)
 	steps := []struct {
 		text string
 		want int
 	}{
-		{call("GET", "/_ready"), 503}, // it has not started
+		{requestText("GET", "/_ready"), 503}, // not started yet
 		{"", 0},
-		{call("GET", "/_ready"), 200},
-		{call("POST", "/_lameduck/on"), 200},
-		{call("POST", "/_lameduck/on"), 200},
-		{call("GET", "/_ready"), 503},
-		{call("POST", "/_lameduck/off", "Content-Length: 2\r\n") + "ab", 200},
-		{call("POST", "/_lameduck/off", "Transfer-Encoding: chunked\r\n") + "2\r\nab\r\n0\r\n\r\n", 200},
-		{call("GET", "/_ready"), 200},
-		{call("GET", "/"), 404},
-		{call("GET", "/_ready/"), 404},
-		{call("POST", "/_ready"), 405},
-		{call("GET", "/_lameduck/on"), 405},
-		{call("POST", "/_lameduck/on", "Content-Length: 100000\r\n"), 413},
-		{call("POST", "/_lameduck/on", "Transfer-Encoding: chunked\r\n") + "2000\r\n" + strings.Repeat("x", 0x2000) + "\r\n0\r\n\r\n", 413},
+		{requestText("GET", "/_ready"), 200},
+		{requestText("POST", "/_lameduck/on"), 200},
+		{requestText("POST", "/_lameduck/on"), 200},
+		{requestText("GET", "/_ready"), 503},
+		{requestText("POST", "/_lameduck/off", "Content-Length: 2\r\n") + "ab", 200},
+		{requestText("POST", "/_lameduck/off", "Transfer-Encoding: chunked\r\n") + "2\r\nab\r\n0\r\n\r\n", 200},
+		{requestText("GET", "/_ready"), 200},
+		{requestText("GET", "/"), 404},
+		{requestText("GET", "/_ready/"), 404},
+		{requestText("POST", "/_ready"), 405},
+		{requestText("GET", "/_lameduck/on"), 405},
+		{requestText("POST", "/_lameduck/on", "Content-Length: 100000\r\n"), 413},
+		{requestText("POST", "/_lameduck/on", "Transfer-Encoding: chunked\r\n") +
+			"2000\r\n" + strings.Repeat("x", 0x2000) + "\r\n0\r\n\r\n", 413},
 		{"NONSENSE\r\n\r\n", 400},
-		{call("GET", "/_ready", "X: "+strings.Repeat("x", 20000)+"\r\n"), 431},
-		{call("GET", "/_ready"), 200}, // what was refused has changed nothing
+		{requestText("GET", "/_ready", "X: "+strings.Repeat("x", 20000)+"\r\n"), 431},
+		{requestText("GET", "/_ready"), 200}, // rejected requests have no effect
 	}
 	for _, s := range steps {
 		if s.text == "" {
 			life.HandleEvent(lifecycle.Started)
 			continue
 		}
-		r := raw(t, c, s.text)
-		if r.StatusCode != s.want {
-			t.Errorf("%.40q: %d, want %d", s.text, r.StatusCode, s.want)
+		response := sendRaw(t, c, s.text)
+		if response.StatusCode != s.want {
+			t.Errorf("%.40q: %d, want %d", s.text, response.StatusCode, s.want)
 		}
-		if s.want == 405 && r.Header.Get("Allow") == "" {
+		if s.want == 405 && response.Header.Get("Allow") == "" {
 			t.Errorf("%.40q: no Allow", s.text)
 		}
-		if !r.Close {
-			t.Errorf("%.40q: the connection is kept", s.text)
+		if !response.Close {
+			t.Errorf("%.40q: the connection is kept alive", s.text)
 		}
 	}
 	life.HandleEvent(lifecycle.Terminate)
-	if r := raw(t, c, call("POST", "/_lameduck/off")); r.StatusCode != 409 {
-		t.Errorf("back to work while it leaves: %d", r.StatusCode)
+	if response := sendRaw(t, c, requestText("POST", "/_lameduck/off")); response.StatusCode != 409 {
+		t.Errorf("POST /_lameduck/off while leaving: %d, want 409", response.StatusCode)
 	}
 }
 
-// Callers that say nothing, or half a call, hold places only until others come.
+// Guards against idle clients, or clients with an incomplete request head, that block the console by
+// holding all connections.
 func TestSilentCallers(t *testing.T) {
 	c, life := start(t)
 	life.HandleEvent(lifecycle.Started)
@@ -111,58 +117,60 @@
 			io.WriteString(conn, "GET /_ready HTTP/1.1\r\nHo")
 		}
 		if i%100 == 99 {
-			at := time.Now()
-			if r := raw(t, c, call("GET", "/_ready")); r.StatusCode != 200 {
-				t.Fatalf("beside %d callers: %d", i+1, r.StatusCode)
+			startedAt := time.Now()
+			if r := sendRaw(t, c, requestText("GET", "/_ready")); r.StatusCode != 200 {
+				t.Fatalf("with %d silent clients: status %d", i+1, r.StatusCode)
 			}
-			if d := time.Since(at); d > time.Second {
-				t.Errorf("beside %d callers: %v", i+1, d)
+			if elapsed := time.Since(startedAt); elapsed > time.Second {
+				t.Errorf("with %d silent clients: %v", i+1, elapsed)
 			}
 		}
 	}
 }
 
-// The oldest unfinished call makes room, never a whole one; with whole ones only, the new one goes.
-func TestPlaces(t *testing.T) {
-	p := newPlaces(3)
+// A new connection replaces the oldest one without a complete request. If all have complete requests,
+// the new one is refused.
+func TestConnLimiter(t *testing.T) {
+	limiter := newConnLimiter(3)
 	var conns []net.Conn
-	take := func() bool {
+	admit := func() bool {
 		a, _ := net.Pipe()
 		conns = append(conns, a)
-		return p.take(a)
+		return limiter.admit(a)
 	}
 	for range 3 {
-		take()
+		admit()
 	}
-	p.conns[conns[0]].whole = true
-	for i, want := range []int{1, 2, 3} { // each new one pushes out the oldest unfinished
-		if !take() || p.conns[conns[want]] != nil || p.conns[conns[0]] == nil {
-			t.Fatalf("round %d: %d is still there, or the whole call is gone", i, want)
+	limiter.conns[conns[0]].complete = true
+	for i, want := range []int{1, 2, 3} { // each new one replaces the oldest incomplete one
+		if !admit() || limiter.conns[conns[want]] != nil || limiter.conns[conns[0]] == nil {
+			t.Fatalf("round %d: connection %d is still admitted, or the complete request was closed", i, want)
 		}
 	}
-	for _, at := range p.conns {
-		at.whole = true
+	for _, tracked := range limiter.conns {
+		tracked.complete = true
 	}
-	if take() {
-		t.Error("a whole call made room")
+	if admit() {
+		t.Error("a connection with a complete request was replaced")
 	}
-	p.note(conns[0], http.StateClosed)
-	if !take() {
-		t.Error("a place that was given back is not taken")
+	limiter.onConnState(conns[0], http.StateClosed)
+	if !admit() {
+		t.Error("a freed connection is not reused")
 	}
-	if got := fmt.Sprint(len(p.conns)); got != "3" {
-		t.Errorf("%s places", got)
+	if got := fmt.Sprint(len(limiter.conns)); got != "3" {
+		t.Errorf("%s connections, want 3", got)
 	}
 }
 
-// A call that has come whole is not cut off for later ones, though nobody has read it yet.
-func TestUnreadCallsKeepTheirPlaces(t *testing.T) {
+// Guards against closing a connection whose complete request is still in the receive buffer, or was
+// read in pieces.
+func TestUnreadRequestsKeepTheirConnections(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer ln.Close()
-	p := newPlaces(2)
+	limiter := newConnLimiter(2)
 	accept := func(text string) net.Conn {
 		t.Helper()
 		c, err := net.Dial("tcp", ln.Addr().String())
@@ -183,20 +191,20 @@
 		}
 		return in
 	}
-	whole, half := accept(call("GET", "/_ready")), accept("GET /_ready HTTP/1.1\r\nHost: x\r\n")
-	if !p.take(whole) || !p.take(half) {
-		t.Fatal("no place")
+	complete, partial := accept(requestText("GET", "/_ready")), accept("GET /_ready HTTP/1.1\r\nHost: x\r\n")
+	if !limiter.admit(complete) || !limiter.admit(partial) {
+		t.Fatal("connection not admitted")
 	}
-	if !p.take(accept("")) || p.conns[whole] == nil || p.conns[half] != nil {
-		t.Error("the whole call is cut off, or the half one is not")
+	if !limiter.admit(accept("")) || limiter.conns[complete] == nil || limiter.conns[partial] != nil {
+		t.Error("the complete request was closed, or the incomplete one was not")
 	}
-	read := accept("") // its head is read in two pieces
-	if !p.take(read) || p.conns[whole] == nil {
-		t.Fatal("no place")
+	read := accept("") // its request head arrives in two reads
+	if !limiter.admit(read) || limiter.conns[complete] == nil {
+		t.Fatal("connection not admitted")
 	}
-	p.read(read, []byte("GET /_ready HTTP/1.1\r\n"))
-	p.read(read, []byte("\r\n"))
-	if p.take(accept("")) {
-		t.Error("a call that has been read whole is cut off")
+	limiter.recordRead(read, []byte("GET /_ready HTTP/1.1\r\n"))
+	limiter.recordRead(read, []byte("\r\n"))
+	if limiter.admit(accept("")) {
+		t.Error("a connection whose request was read completely was replaced")
 	}
 }
--- a/internal/console/doc.go
+++ b/internal/console/doc.go
@@ -1,4 +1,3 @@
-// Package console is the operators' door: HTTP/1.1 on an address of its own, one
-// call to a connection. It asks nobody who may be busy: its answers come from the
-// lifecycle's view alone.
+// Package console serves the operators: HTTP/1.1 on an address of its own, one request per
+// connection. It does not wait for the core, so it answers while the core is busy.
 package console
--- a/internal/console/places.go
+++ b/internal/console/places.go
@@ -12,42 +12,44 @@
 )
 
 const (
-	placeTime = 100 * time.Millisecond // for a whole call to give its place back
+	admitTimeout = 100 * time.Millisecond // to wait for a complete request to free its connection
 )
 
-// headEnd ends the head of a call.
-var headEnd = []byte("\r\n\r\n")
-
-// places bounds the connections. Callers that hold one with no whole call make
-// room for later ones, the longest there first; a whole call is never cut off, be
-// it read yet or not.
-type places struct {
-	most  int
-	freed chan struct{} // a place has been given back
-	mu    sync.Mutex
-	conns map[net.Conn]*place
-	n     int // counts connections
+// headerTerminator ends the head of a request.
+var headerTerminator = []byte("\r\n\r\n")
+
+// connLimiter limits the number of connections. Connections without a complete request head are closed
+// in favor of later ones, oldest first. A complete request is never cut off, even if the server has
+// not read it yet.
+type connLimiter struct {
+	limit    int
+	freed    chan struct{} // receives a value when a connection was closed
+	mu       sync.Mutex
+	conns    map[net.Conn]*trackedConn
+	arrivals int // connections admitted so far
 }
 
-type place struct {
-	n     int    // its place in the order of arrival
-	whole bool   // the head of its call has been read whole
-	tail  []byte // the last bytes read, shorter than headEnd
+// trackedConn is the state of an admitted connection.
+type trackedConn struct {
+	arrival  int    // position in the order of arrival
+	complete bool   // the complete request head was received
+	tail     []byte // last bytes read, shorter than headerTerminator
 }
 
-func newPlaces(most int) *places {
-	return &places{most: most, conns: map[net.Conn]*place{}, freed: make(chan struct{}, 1)}
+// newConnLimiter returns a limiter for a number of connections.
+func newConnLimiter(limit int) *connLimiter {
+	return &connLimiter{limit: limit, conns: map[net.Conn]*trackedConn{}, freed: make(chan struct{}, 1)}
 }
 
-// take gives a connection a place; false if whole calls hold all of them.
-func (p *places) take(c net.Conn) bool {
+// admit admits a connection; it returns false if all others have complete requests.
+func (p *connLimiter) admit(c net.Conn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if len(p.conns) >= p.most {
+	if len(p.conns) >= p.limit {
 		var oldest net.Conn
-		for x, at := range p.conns {
-			if !at.isWhole(x) && (oldest == nil || at.n < p.conns[oldest].n) {
-				oldest = x
+		for other, tracked := range p.conns {
+			if !tracked.hasCompleteHead(other) && (oldest == nil || tracked.arrival < p.conns[oldest].arrival) {
+				oldest = other
 			}
 		}
 		if oldest == nil {
@@ -56,41 +58,41 @@
 		delete(p.conns, oldest)
 		oldest.Close()
 	}
-	p.n++
-	p.conns[c] = &place{n: p.n}
+	p.arrivals++
+	p.conns[c] = &trackedConn{arrival: p.arrivals}
 	return true
 }
 
-// isWhole says whether the head of a call has come, though it may not be read yet.
-func (at *place) isWhole(c net.Conn) bool {
-	if !at.whole {
-		var b [maxHead]byte
+// hasCompleteHead reports whether a complete request head was received, including unread data.
+func (at *trackedConn) hasCompleteHead(c net.Conn) bool {
+	if !at.complete {
+		var b [maxHeaderBytes]byte
 		n := netutil.PeekInto(c, b[:])
-		at.whole = bytes.Contains(append(bytes.Clone(at.tail), b[:n]...), headEnd)
+		at.complete = bytes.Contains(append(bytes.Clone(at.tail), b[:n]...), headerTerminator)
 	}
-	return at.whole
+	return at.complete
 }
 
-// read notes what has been read on a connection.
-func (p *places) read(c net.Conn, b []byte) {
+// recordRead records the bytes that the server read from a connection.
+func (p *connLimiter) recordRead(c net.Conn, b []byte) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	at := p.conns[c]
-	if at == nil || at.whole {
+	tracked := p.conns[c]
+	if tracked == nil || tracked.complete {
 		return
 	}
-	all := append(at.tail, b...)
-	at.whole = bytes.Contains(all, headEnd)
-	at.tail = bytes.Clone(all[max(len(all)-len(headEnd)+1, 0):])
+	received := append(tracked.tail, b...)
+	tracked.complete = bytes.Contains(received, headerTerminator)
+	tracked.tail = bytes.Clone(received[max(len(received)-len(headerTerminator)+1, 0):])
 }
 
-// note takes a place back with the connection.
-func (p *places) note(c net.Conn, state http.ConnState) {
+// onConnState removes a closed connection from the limiter.
+func (p *connLimiter) onConnState(c net.Conn, state http.ConnState) {
 	if state != http.StateClosed && state != http.StateHijacked {
 		return
 	}
-	if x, ok := c.(*conn); ok {
-		c = x.Conn
+	if limited, ok := c.(*limitedConn); ok {
+		c = limited.Conn
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -101,47 +103,49 @@
 	}
 }
 
-// conn is a connection with a place.
-type conn struct {
+// limitedConn is an admitted connection. It passes the bytes read to the limiter.
+type limitedConn struct {
 	net.Conn
-	p *places
+	limiter *connLimiter
 }
 
-func (c *conn) Read(b []byte) (int, error) {
+// Read implements [net.Conn].
+func (c *limitedConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	if n > 0 {
-		c.p.read(c.Conn, b[:n])
+		c.limiter.recordRead(c.Conn, b[:n])
 	}
 	return n, err
 }
 
-// listener hands out connections that have a place.
-type listener struct {
+// limitedListener accepts connections that the limiter admits.
+type limitedListener struct {
 	netutil.Acceptor
-	places *places
+	limiter *connLimiter
 }
 
-func (l *listener) Accept() (net.Conn, error) {
+// Accept implements [net.Listener].
+func (l *limitedListener) Accept() (net.Conn, error) {
 	for {
 		c, err := l.Acceptor.Accept()
 		if err != nil {
 			return nil, err
 		}
-		if l.await(c) {
-			return &conn{c, l.places}, nil
+		if l.awaitAdmission(c) {
+			return &limitedConn{c, l.limiter}, nil
 		}
 		c.Close()
 	}
 }
 
-// await gives a connection a place, after a moment if whole calls hold all of them:
-// they are answered at once.
-func (l *listener) await(c net.Conn) bool {
-	ctx, stop := context.WithTimeout(context.Background(), placeTime)
-	defer stop()
-	for !l.places.take(c) {
+// awaitAdmission waits up to admitTimeout for the limiter to admit a connection. Complete requests are answered
+// at once and soon make room.
+func (l *limitedListener) awaitAdmission(c net.Conn) bool {
+	ctx, cancel := context.WithTimeout(context.Background(), admitTimeout)
+	defer cancel()
+	for !l.limiter.admit(c) {
 		select {
-		case <-l.places.freed:
+		case <-l.limiter.freed:
 		case <-ctx.Done():
 			return false
 		}
