--- a/internal/cluster/datagrams.go
+++ b/internal/cluster/datagrams.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// read takes datagrams until the socket is closed.
-func (c *Cluster) read(udp DatagramConn) {
+// readDatagrams receives datagrams until the socket is closed.
+func (c *Cluster) readDatagrams(udp DatagramConn) {
 	buf := make([]byte, maxPacket+1)
 	for {
 		n, _, err := udp.ReadFromUDP(buf)
@@ -15,48 +15,49 @@
 			if errors.Is(err, net.ErrClosed) {
 				return
 			}
-			continue // an earlier datagram found nobody
+			continue // an ICMP error for a datagram sent before
 		}
-		switch ring := c.ring.get(); {
-		case kindOf(buf[:n]) != lore:
-			take(c, buf[:n], ring.unpack, c.in)
-		case c.opts.ShareFacts: // else the others share what this one does not
-			take(c, buf[:n], ring.open, c.lore.in)
+		switch currentKeys := c.keyring.current(); {
+		case magicOf(buf[:n]) != factsMagic:
+			enqueue(c, buf[:n], currentKeys.unpackView, c.viewMessages)
+		case c.opts.ShareFacts: // if not, facts from peers are ignored
+			enqueue(c, buf[:n], currentKeys.unpack, c.replication.messages)
 		}
 	}
 }
 
-// take hands a packet to the loop, unless it is dropped.
-func take[M any](c *Cluster, b []byte, read func([]byte, any) error, to chan<- *M) {
+// enqueue decodes a packet and queues its message for the loop. It drops packets that are invalid or
+// exceed the queue.
+func enqueue[M any](c *Cluster, packet []byte, decode func([]byte, any) error, queue chan<- *M) {
 	m := new(M)
-	if err := read(b, m); err != nil {
-		c.drop(err.Error())
+	if err := decode(packet, m); err != nil {
+		c.countDropped(err.Error())
 		return
 	}
 	select {
-	case to <- m:
+	case queue <- m:
 	default:
-		c.drop("too many at once")
+		c.countDropped("too many at once")
 	}
 }
 
-// drop counts a packet that was dropped, and says so now and then.
-func (c *Cluster) drop(why string) {
+// countDropped counts a dropped packet and logs the counts at most every dropLogInterval.
+func (c *Cluster) countDropped(reason string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.dropped[why]++
-	if time.Since(c.saidAt) < logEvery {
+	c.dropped[reason]++
+	if time.Since(c.dropsLoggedAt) < dropLogInterval {
 		return
 	}
-	c.saidAt = time.Now()
+	c.dropsLoggedAt = time.Now()
 	attrs := []any{}
-	for reason, n := range c.dropped {
-		attrs = append(attrs, reason, n)
+	for key, n := range c.dropped {
+		attrs = append(attrs, key, n)
 	}
 	c.log.Warn("cluster: packets dropped", attrs...)
 }
 
-// Dropped counts the packets that were dropped, by reason.
+// Dropped returns the number of dropped packets by reason.
 func (c *Cluster) Dropped() map[string]int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/cluster/doc.go
+++ b/internal/cluster/doc.go
@@ -1,4 +1,5 @@
-// Package cluster carries what senders tell each other: it has the sockets, keys,
-// clock and file for package view, which decides, and the guard, a small process
-// that can say of a paused one that it does not run.
+// Package cluster connects a sender with its peers. It provides package view, which decides on
+// membership and shares, with sockets, keys, a clock and a state file, replicates facts about
+// partners by package replicate, and runs the guard, a small process that reports when its sender
+// is paused.
 package cluster
--- a/internal/cluster/door_test.go
+++ b/internal/cluster/door_test.go
@@ -8,9 +8,8 @@
 	"time"
 )
 
-// lone opens a sender with no guard, at an address of its own, and waits until its
-// loop runs.
-func lone(t *testing.T) *Cluster {
+// openSingle starts a sender without a guard at a free address, and waits until its loop runs.
+func openSingle(t *testing.T) *Cluster {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -18,7 +17,8 @@
 	}
 	addr := ln.Addr().String()
 	ln.Close()
-	c, err := Open(Options{Name: "a", Listen: addr, MaxSenders: 2, MinShareTotal: 0.1, Lease: 3 * time.Second, Interval: 300 * time.Millisecond, MaxClockDrift: 0.01, Dir: t.TempDir(),
+	c, err := Open(Options{Name: "a", Listen: addr, MaxSenders: 2, MinShareTotal: 0.1,
+		Lease: 3 * time.Second, Interval: 300 * time.Millisecond, MaxClockDrift: 0.01, Dir: t.TempDir(),
 		Log: slog.New(slog.DiscardHandler)})
 	if err != nil {
 		t.Fatal(err)
@@ -29,7 +29,8 @@
 	return c
 }
 
-func call(t *testing.T, c *Cluster) *net.TCPConn {
+// dialCluster connects to the probe server of a sender.
+func dialCluster(t *testing.T, c *Cluster) *net.TCPConn {
 	t.Helper()
 	conn, err := net.Dial("tcp", c.opts.Listen)
 	if err != nil {
@@ -40,53 +41,55 @@
 	return conn.(*net.TCPConn)
 }
 
-// A probe that is under way while the sender is closed gets an answer about no life.
+// Guards against a crash on the unmapped liveness page when a sender is closed while it reads a probe.
+// The response then names no incarnation.
 func TestProbeAtClose(t *testing.T) {
-	c := lone(t)
-	b, err := keys{}.pack(ask{Nonce: 7, ID: 1})
+	c := openSingle(t)
+	request, err := keys{}.packView(probeRequest{Nonce: 7, ID: 1})
 	if err != nil {
 		t.Fatal(err)
 	}
-	frame := append(binary.BigEndian.AppendUint16(nil, uint16(len(b))), b...)
-	conn := call(t, c)
-	other := call(t, c) // once this is answered the one before has been taken on too
+	frame := append(binary.BigEndian.AppendUint16(nil, uint16(len(request))), request...)
+	conn := dialCluster(t, c)
+	other := dialCluster(t, c) // its response shows that the connection before was accepted too
 	other.Write(frame)
-	var a answer
-	if err := readFrame(other, nil, &a); err != nil || a.ID == 0 {
-		t.Fatalf("%+v, %v", a, err)
+	var response probeResponse
+	if err := readFrame(other, nil, &response); err != nil || response.ID == 0 {
+		t.Fatalf("%+v, %v", response, err)
 	}
 	conn.Write(frame[:5])
 	c.Close()
 	conn.Write(frame[5:])
-	a = answer{}
-	if err := readFrame(conn, nil, &a); err != nil {
+	response = probeResponse{}
+	if err := readFrame(conn, nil, &response); err != nil {
 		t.Fatal(err)
 	}
-	if a.Nonce != 7 || a.ID != 0 || a.Over {
-		t.Errorf("answered %+v", a)
+	if response.Nonce != 7 || response.ID != 0 || response.Ended {
+		t.Errorf("response %+v, want nonce 7 and no incarnation", response)
 	}
 }
 
-// However many probes break off, from whichever ports, they are one reason.
-func TestBrokenProbesAreOneReason(t *testing.T) {
-	c := lone(t)
+// Guards against a counter per address: aborted probes are counted under one reason, whatever port they
+// come from and however they break off.
+func TestAbortedProbesHaveOneReason(t *testing.T) {
+	c := openSingle(t)
 	defer c.Close()
 	const probes = 5
 	for i := range probes {
-		conn := call(t, c)
+		conn := dialCluster(t, c)
 		conn.Write([]byte{0, 9, 'c'})
 		if i%2 == 0 {
 			conn.SetLinger(0) // a reset
 		}
 		conn.Close()
 	}
-	for stop := time.Now().Add(10 * time.Second); ; time.Sleep(time.Millisecond) {
-		d := c.Dropped()
-		if d[errBroken.Error()] == probes && len(d) == 1 {
+	for deadline := time.Now().Add(10 * time.Second); ; time.Sleep(time.Millisecond) {
+		dropped := c.Dropped()
+		if dropped[errProbeAborted.Error()] == probes && len(dropped) == 1 {
 			return
 		}
-		if time.Now().After(stop) {
-			t.Fatalf("dropped %v", d)
+		if time.Now().After(deadline) {
+			t.Fatalf("dropped %v", dropped)
 		}
 	}
 }
--- a/internal/cluster/guard.go
+++ b/internal/cluster/guard.go
@@ -22,211 +22,222 @@
 	"cometrack/internal/netutil"
 )
 
-// A guard is a second process of a sender that answers the others' probes. It says
-// of a life that has not run for two leases that it is over: a step that began
-// within the first of them finds its pause when it ends, and any later one before
-// it begins. So a paused sender is told from one that is cut off. The guard ends
-// with its sender, and with it the address refuses.
+// A guard is a second process of a sender that answers the probes of peers. It reports an
+// incarnation that has not run for two leases as ended: a step that began within the first lease
+// detects the pause when it ends, and any later step detects it before it begins. This tells a
+// paused sender from one that is cut off. The guard ends with its sender; the address then refuses
+// connections.
 
-// Bounds of a door.
+// Limits of a probe server.
 const (
-	doorConns  = 64
-	doorTime   = time.Second // for one ask
-	guardPause = time.Second // before a guard that has ended is started again
+	maxProbeConns     = 64
+	probeServeTimeout = time.Second // for one probe
+	guardRestartDelay = time.Second // before a guard that exited is restarted
 )
 
-// stamp is a page that a sender and its guard share: the life, and when it last ran.
-type stamp struct {
+// livenessPage is a memory page that a sender and its guard share. It holds the ID of the running
+// incarnation and the time of its last step.
+type livenessPage struct {
 	file *os.File
-	mu   sync.RWMutex // of what follows, against its end
-	page []byte       // nil once it is closed: an answer to a probe may still be under way
+	mu   sync.RWMutex // guards page against close
+	page []byte       // nil after close; a probe may still be in progress then
 }
 
-const stampSize = 4096
+const livenessPageSize = 4096
 
-func newStamp(dir string) (*stamp, error) {
-	f, err := os.OpenFile(filepath.Join(dir, "cluster.stamp"), os.O_CREATE|os.O_RDWR, 0o600)
+// openLivenessPage creates or opens the file of the page in a folder and maps it.
+func openLivenessPage(dir string) (*livenessPage, error) {
+	file, err := os.OpenFile(filepath.Join(dir, "cluster.stamp"), os.O_CREATE|os.O_RDWR, 0o600)
 	if err == nil {
-		if err = f.Truncate(stampSize); err != nil {
-			f.Close()
+		if err = file.Truncate(livenessPageSize); err != nil {
+			file.Close()
 		}
 	}
 	if err != nil {
 		return nil, err
 	}
-	return mapStamp(f)
+	return mapLivenessPage(file)
 }
 
-func mapStamp(f *os.File) (*stamp, error) {
-	page, err := unix.Mmap(int(f.Fd()), 0, stampSize, unix.PROT_READ|unix.PROT_WRITE, unix.MAP_SHARED)
+// mapLivenessPage maps the page of an open file. It closes the file on an error.
+func mapLivenessPage(file *os.File) (*livenessPage, error) {
+	page, err := unix.Mmap(int(file.Fd()), 0, livenessPageSize, unix.PROT_READ|unix.PROT_WRITE, unix.MAP_SHARED)
 	if err != nil {
-		f.Close()
-		return nil, fmt.Errorf("stamp: %w", err)
+		file.Close()
+		return nil, fmt.Errorf("map cluster.stamp: %w", err)
 	}
-	return &stamp{file: f, page: page}, nil
+	return &livenessPage{file: file, page: page}, nil
 }
 
-func (s *stamp) word(i int) *uint64 { return (*uint64)(unsafe.Pointer(&s.page[8*i])) }
+// word returns the address of the word with index i.
+func (p *livenessPage) word(i int) *uint64 { return (*uint64)(unsafe.Pointer(&p.page[8*i])) }
 
-// set notes that a life ran at a time.
-func (s *stamp) set(id uint64, ran time.Duration) {
-	s.mu.RLock()
-	defer s.mu.RUnlock()
-	if s.page == nil {
+// set stores the ID of the incarnation and the time of its last step.
+func (p *livenessPage) set(id uint64, lastStep time.Duration) {
+	p.mu.RLock()
+	defer p.mu.RUnlock()
+	if p.page == nil {
 		return
 	}
-	atomic.StoreUint64(s.word(0), id)
-	atomic.StoreUint64(s.word(1), uint64(ran))
+	atomic.StoreUint64(p.word(0), id)
+	atomic.StoreUint64(p.word(1), uint64(lastStep))
 }
 
-// get tells the life and when it last ran, as they belonged together; 0 once it is
-// closed, which is no life.
-func (s *stamp) get() (id uint64, ran time.Duration) {
-	s.mu.RLock()
-	defer s.mu.RUnlock()
-	if s.page == nil {
+// get returns a consistent pair of incarnation ID and time of the last step. The ID is 0 after close;
+// no incarnation has that ID.
+func (p *livenessPage) get() (id uint64, lastStep time.Duration) {
+	p.mu.RLock()
+	defer p.mu.RUnlock()
+	if p.page == nil {
 		return 0, 0
 	}
 	for {
-		id = atomic.LoadUint64(s.word(0))
-		ran = time.Duration(atomic.LoadUint64(s.word(1)))
-		if atomic.LoadUint64(s.word(0)) == id {
-			return id, ran
+		id = atomic.LoadUint64(p.word(0))
+		lastStep = time.Duration(atomic.LoadUint64(p.word(1)))
+		if atomic.LoadUint64(p.word(0)) == id {
+			return id, lastStep
 		}
 	}
 }
 
-func (s *stamp) close() {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	unix.Munmap(s.page)
-	s.page = nil
-	s.file.Close()
+// close unmaps the page; set and get do nothing afterwards.
+func (p *livenessPage) close() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	unix.Munmap(p.page)
+	p.page = nil
+	p.file.Close()
 }
 
-// serveAsks answers probes on a listener until it is closed.
-func serveAsks(ln net.Listener, ring *keyring, state func() answer, drop func(string)) {
-	places := make(chan struct{}, doorConns)
-	accept := netutil.Acceptor{Listener: ln}
+// serveProbes answers probes on a listener until it is closed.
+func serveProbes(ln net.Listener, ring *keyring, state func() probeResponse, drop func(string)) {
+	slots := make(chan struct{}, maxProbeConns)
+	acceptor := netutil.Acceptor{Listener: ln}
 	for {
-		conn, err := accept.Accept()
+		conn, err := acceptor.Accept()
 		if err != nil {
 			return
 		}
 		select {
-		case places <- struct{}{}:
+		case slots <- struct{}{}:
 		default:
 			conn.Close()
 			continue
 		}
 		go func() {
-			defer func() { conn.Close(); <-places }()
-			conn.SetDeadline(time.Now().Add(doorTime))
-			keys := ring.get()
-			var q ask
-			if err := readFrame(conn, keys, &q); err != nil {
+			defer func() { conn.Close(); <-slots }()
+			conn.SetDeadline(time.Now().Add(probeServeTimeout))
+			keys := ring.current()
+			var request probeRequest
+			if err := readFrame(conn, keys, &request); err != nil {
 				var broken net.Error
 				switch {
 				case errors.Is(err, io.EOF):
-				case errors.As(err, &broken) || errors.Is(err, io.ErrUnexpectedEOF): // its text has addresses in it, and reasons are counted
-					drop(errBroken.Error())
+				case errors.As(err, &broken) || errors.Is(err, io.ErrUnexpectedEOF):
+					// Drops are counted by reason, so that the addresses in the error text must not be part of it.
+					drop(errProbeAborted.Error())
 				default:
 					drop(err.Error())
 				}
 				return
 			}
-			a := state()
-			a.Nonce = q.Nonce
-			writeFrame(conn, keys, a)
+			response := state()
+			response.Nonce = request.Nonce
+			writeFrame(conn, keys, response)
 		}()
 	}
 }
 
-// door answers the others' probes: by a guard, or by this process itself.
-type door struct {
-	c  *Cluster
-	ln *net.TCPListener
+// probeServer answers the probes of peers, by a guard or in this process.
+type probeServer struct {
+	cluster *Cluster
+	ln      *net.TCPListener
 }
 
-func newDoor(c *Cluster, ln *net.TCPListener) *door { return &door{c: c, ln: ln} }
+// newProbeServer returns a server that accepts probes on ln.
+func newProbeServer(c *Cluster, ln *net.TCPListener) *probeServer {
+	return &probeServer{cluster: c, ln: ln}
+}
 
-// run serves until ctx is over. A guard that ends is started again; meanwhile calls
-// wait with the kernel.
-func (d *door) run(ctx context.Context) {
-	if len(d.c.opts.GuardArgs) == 0 {
-		go serveAsks(d.ln, d.c.ring, func() answer {
-			id, _ := d.c.stamp.get()
-			return answer{ID: id}
-		}, d.c.drop)
+// run serves probes until ctx is done. A guard that exits is restarted; meanwhile connections wait in
+// the listen queue of the kernel.
+func (p *probeServer) run(ctx context.Context) {
+	if len(p.cluster.opts.GuardArgs) == 0 {
+		go serveProbes(p.ln, p.cluster.keyring, func() probeResponse {
+			id, _ := p.cluster.liveness.get()
+			return probeResponse{ID: id}
+		}, p.cluster.countDropped)
 		<-ctx.Done()
-		d.ln.Close()
+		p.ln.Close()
 		return
 	}
 	for ctx.Err() == nil {
-		if err := d.guard(ctx); err != nil && ctx.Err() == nil {
-			d.c.log.Error("cluster: guard", "err", err)
+		if err := p.runGuardProcess(ctx); err != nil && ctx.Err() == nil {
+			p.cluster.log.Error("cluster: guard", "err", err)
 		}
-		t := time.NewTimer(guardPause)
+		restart := time.NewTimer(guardRestartDelay)
 		select {
 		case <-ctx.Done():
-		case <-t.C:
+		case <-restart.C:
 		}
-		t.Stop()
+		restart.Stop()
 	}
 }
 
-// guard runs one guard until it ends.
-func (d *door) guard(ctx context.Context) error {
-	f, err := d.ln.File()
+// runGuardProcess starts a guard and waits until it exits.
+func (p *probeServer) runGuardProcess(ctx context.Context) error {
+	listenerFile, err := p.ln.File()
 	if err != nil {
 		return err
 	}
-	defer f.Close()
-	cmd := exec.CommandContext(ctx, exe(), d.c.opts.GuardArgs...)
-	cmd.Args = append(cmd.Args, "--lease", d.c.opts.Lease.String(), "--key-file", d.c.opts.KeyFile)
-	cmd.ExtraFiles = []*os.File{f, d.c.stamp.file}
+	defer listenerFile.Close()
+	cmd := exec.CommandContext(ctx, executablePath(), p.cluster.opts.GuardArgs...)
+	cmd.Args = append(cmd.Args, "--lease", p.cluster.opts.Lease.String(), "--key-file", p.cluster.opts.KeyFile)
+	cmd.ExtraFiles = []*os.File{listenerFile, p.cluster.liveness.file}
 	cmd.Env = append(os.Environ(), "GOMEMLIMIT=16MiB", "GOMAXPROCS=1")
 	cmd.Stderr = os.Stderr
-	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true} // signals from a terminal are not for it
-	alive, err := cmd.StdinPipe()
+	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true} // own process group: terminal signals must not reach it
+	stdin, err := cmd.StdinPipe()
 	if err != nil {
 		return err
 	}
 	if err := cmd.Start(); err != nil {
 		return err
 	}
-	defer alive.Close()
+	defer stdin.Close()
 	return cmd.Wait()
 }
 
-func (d *door) close() { d.ln.Close() }
+// close closes the listener.
+func (p *probeServer) close() { p.ln.Close() }
 
-// RunGuard is the life of a guard: it has the listener as its third descriptor and the
-// stamp as its fourth, and ends when its standard input does.
+// RunGuard is the main function of the guard process. It inherits the listener as descriptor 3 and
+// the liveness page as descriptor 4, and exits when its standard input is closed.
 func RunGuard(lease time.Duration, keyFile string) error {
 	ln, err := net.FileListener(os.NewFile(3, "listener"))
 	if err != nil {
 		return fmt.Errorf("guard: %w", err)
 	}
 	unix.CloseOnExec(3)
-	s, err := mapStamp(os.NewFile(4, "stamp"))
+	liveness, err := mapLivenessPage(os.NewFile(4, "stamp"))
 	if err != nil {
 		return fmt.Errorf("guard: %w", err)
 	}
-	ring, err := newKeyring(keyFile, slog.New(slog.DiscardHandler)) // its sender says what there is to say
+	ring, err := newKeyring(keyFile, slog.New(slog.DiscardHandler)) // the sender logs errors of the key file
 	if err != nil {
 		return fmt.Errorf("guard: %w", err)
 	}
-	go serveAsks(ln, ring, func() answer {
-		id, ran := s.get()
-		return answer{ID: id, Over: now()-ran > 2*lease}
+	go serveProbes(ln, ring, func() probeResponse {
+		id, lastStep := liveness.get()
+		return probeResponse{ID: id, Ended: now()-lastStep > 2*lease}
 	}, func(string) {})
-	var b [binary.MaxVarintLen64]byte
+	var buf [binary.MaxVarintLen64]byte
 	for {
-		if _, err := os.Stdin.Read(b[:]); err != nil {
-			os.Exit(0) // at once: with the listener goes the address
+		if _, err := os.Stdin.Read(buf[:]); err != nil {
+			os.Exit(0) // immediately: the listener, and with it the address, is released
 		}
 	}
 }
 
-func isRefused(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
+// isConnectionRefused reports whether the peer refused the connection.
+func isConnectionRefused(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
--- a/internal/cluster/kept.go
+++ b/internal/cluster/kept.go
@@ -11,59 +11,60 @@
 	"cometrack/internal/view"
 )
 
-// keptName is the file in the state folder that holds what outlives a restart.
-const keptName = "cluster.json"
+// stateFileName is the file in the state folder with the state that survives a restart.
+const stateFileName = "cluster.json"
 
-// kept is what outlives a restart.
-type kept struct {
-	Incarnation uint64      `json:"incarnation"`
-	Home        string      `json:"home"` // address at which all others last took this sender in
-	Senders     []view.Peer `json:"senders"`
+// savedState is the state that survives a restart.
+type savedState struct {
+	Incarnation  uint64      `json:"incarnation"`
+	AdmittedAddr string      `json:"home"` // address at which all peers last admitted this sender
+	Senders      []view.Peer `json:"senders"`
 }
 
-const maxKept = 1 << 20 // bytes
+// maxStateFileBytes limits the size of the state file.
+const maxStateFileBytes = 1 << 20
 
-// readKept reads what was kept. A file that can't be read counts as none: this
-// sender is then a stranger who has to be taken in by all.
-func readKept(dir string) (k kept, err error) {
-	path := filepath.Join(dir, keptName)
+// readSavedState reads the saved state; it is empty if there is none. With an unreadable file the
+// sender is a new member that all peers have to admit.
+func readSavedState(dir string) (saved savedState, err error) {
+	path := filepath.Join(dir, stateFileName)
 	info, err := os.Stat(path)
 	if errors.Is(err, fs.ErrNotExist) {
-		return kept{}, nil
+		return savedState{}, nil
 	}
-	if err == nil && info.Size() > maxKept {
-		err = fmt.Errorf("over %d bytes", maxKept)
+	if err == nil && info.Size() > maxStateFileBytes {
+		err = fmt.Errorf("over %d bytes", maxStateFileBytes)
 	}
 	var text []byte
 	if err == nil {
 		text, err = os.ReadFile(path)
 	}
 	if err == nil {
-		err = json.Unmarshal(text, &k)
+		err = json.Unmarshal(text, &saved)
 	}
 	if err != nil {
-		return kept{}, fmt.Errorf("%s: %w", path, err)
+		return savedState{}, fmt.Errorf("%s: %w", path, err)
 	}
-	return k, nil
+	return saved, nil
 }
 
-// write puts the file in place whole: after a crash it is the old one or the new.
-func (k kept) write(dir string) error {
+// write replaces the file atomically: after a crash it has either the old or the new content.
+func (k savedState) write(dir string) error {
 	text, err := json.MarshalIndent(k, "", " ")
 	if err != nil {
 		return err
 	}
-	path := filepath.Join(dir, keptName)
-	f, err := os.OpenFile(path+".new", os.O_CREATE|os.O_TRUNC|os.O_WRONLY, 0o600)
+	path := filepath.Join(dir, stateFileName)
+	file, err := os.OpenFile(path+".new", os.O_CREATE|os.O_TRUNC|os.O_WRONLY, 0o600)
 	if err != nil {
 		return err
 	}
-	_, err = f.Write(text)
+	_, err = file.Write(text)
 	if err == nil {
-		err = f.Sync()
+		err = file.Sync()
 	}
-	if cerr := f.Close(); err == nil {
-		err = cerr
+	if closeErr := file.Close(); err == nil {
+		err = closeErr
 	}
 	if err != nil {
 		return err
@@ -71,10 +72,10 @@
 	if err := os.Rename(path+".new", path); err != nil {
 		return err
 	}
-	d, err := os.Open(dir)
+	folder, err := os.Open(dir)
 	if err != nil {
 		return err
 	}
-	defer d.Close()
-	return d.Sync()
+	defer folder.Close()
+	return folder.Sync()
 }
--- a/internal/cluster/knowledge.go
+++ b/internal/cluster/knowledge.go
@@ -14,110 +14,113 @@
 	"cometrack/internal/view"
 )
 
-// Bounds of what is shared.
+// Limits of replication.
 const (
-	mostTells  = 4096             // facts of this sender that wait for the loop; those above are dropped and counted
-	mostHeard  = 10_000           // subjects of which news wait for whoever takes them
-	outFor     = 60 * time.Second // a sender's word that an endpoint is out, unless it says so again
-	outAgain   = outFor / 3       // no word on the same before
-	spreadRate = 1 << 20          // bytes a second for all but what binds
-	mostListed = 10_000           // statements in one answer to an operator
-	patience   = 3                // ticks for which one that is behind waits before it uses its least part
+	maxQueuedFacts            = 4096             // own facts queued for the loop; more are dropped and counted
+	maxQueuedObservations     = 10_000           // subjects with observations that nobody has taken yet
+	outageTTL                 = 60 * time.Second // validity of an outage report that is not repeated
+	outageRepublishInterval   = outageTTL / 3    // minimum time between two reports of the same outage
+	replicationBytesPerSecond = 1 << 20          // budget for everything but urgent facts, confirmations and digests
+	maxListedFacts            = 10_000           // facts in one response to an operator
+	catchUpGraceTicks         = 3                // ticks of catching up with share 0 before the minimum share applies
 )
 
-// finding is a fact that this sender is to tell. Mark is given back with what it has
-// found itself; see [facts.Replica.ObservedOutages].
-type finding struct {
-	subject facts.Subject
-	value   facts.Value
-	span    time.Duration
-	mark    uint64
-	at      time.Duration
+// localFact is a fact that this sender publishes. The caller gets causalMark with an observation and
+// returns it with its own result; see [facts.Replica.ObservedOutages].
+type localFact struct {
+	subject    facts.Subject
+	value      facts.Value
+	ttl        time.Duration
+	causalMark uint64
+	observedAt time.Duration
 }
 
-// knowledge is what a sender and the others know of partners.
-type knowledge struct {
-	tells chan finding
-	in    chan *replicate.Message
+// replication connects the replica of the facts with the loop and with the consumer of observations.
+type replication struct {
+	localFacts chan localFact          // own facts for the loop
+	messages   chan *replicate.Message // received
 
-	mu      sync.Mutex // of what follows
-	heard   map[facts.Subject]facts.Observation
-	order   []facts.Subject
-	lost    int // of both
-	waiting chan struct{}
+	mu           sync.Mutex                          // guards the fields up to available
+	observations map[facts.Subject]facts.Observation // newest observation of each subject
+	order        []facts.Subject                     // subjects of observations in the order of arrival
+	overflows    int                                 // entries dropped from either queue
+	available    chan struct{}                       // holds a value if observations are queued
 
-	machine *replicate.Machine // the loop's; nil if nothing is shared
+	machine *replicate.Machine // owned by the loop; nil if facts are not shared
 	peers   []replicate.Peer
 }
 
-func newKnowledge() *knowledge {
-	return &knowledge{tells: make(chan finding, mostTells), in: make(chan *replicate.Message, inbox),
-		heard: map[facts.Subject]facts.Observation{}, waiting: make(chan struct{}, 1)}
+// newReplication returns the queues; start creates the machine.
+func newReplication() *replication {
+	return &replication{localFacts: make(chan localFact, maxQueuedFacts),
+		messages:     make(chan *replicate.Message, inboxSize),
+		observations: map[facts.Subject]facts.Observation{}, available: make(chan struct{}, 1)}
 }
 
-// open makes the machine. It begins behind.
-func (k *knowledge) open(o Options) {
-	if o.ShareFacts {
-		k.machine = replicate.New(replicate.Config{Self: facts.Origin{Name: o.Name, Incarnation: rand.Uint64() | 1}, Zone: o.Zone, Drift: o.MaxClockDrift,
-			DigestInterval: o.Interval, CatchUpTimeout: o.Lease, Rate: spreadRate, Seed: rand.Uint64()}, o.now())
+// start creates the replication machine if facts are shared. It begins by catching up.
+func (k *replication) start(opts Options) {
+	if opts.ShareFacts {
+		k.machine = replicate.New(replicate.Config{Self: facts.Origin{Name: opts.Name, Incarnation: rand.Uint64() | 1},
+			Zone: opts.Zone, Drift: opts.MaxClockDrift, DigestInterval: opts.Interval, CatchUpTimeout: opts.Lease,
+			Rate: replicationBytesPerSecond, Seed: rand.Uint64()}, opts.now())
 	}
 }
 
-// drop counts what there was no room for.
-func (k *knowledge) drop() {
+// countOverflow counts an entry that was dropped because a queue was full.
+func (k *replication) countOverflow() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.lost++
+	k.overflows++
 }
 
-// tell hands the loop a fact of this sender. It never waits.
-func (k *knowledge) tell(f finding) {
+// queueFact queues a local fact for the loop. It never blocks.
+func (k *replication) queueFact(f localFact) {
 	select {
-	case k.tells <- f:
+	case k.localFacts <- f:
 	default:
-		k.drop()
+		k.countOverflow()
 	}
 }
 
-// put keeps observations for whoever takes them, the newest of each subject.
-func (k *knowledge) put(list []facts.Observation) {
+// queueObservations queues observations for the consumer, keeping the newest of each subject.
+func (k *replication) queueObservations(list []facts.Observation) {
 	if len(list) == 0 {
 		return
 	}
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	for _, l := range list {
-		if _, waits := k.heard[l.Subject]; !waits {
-			if len(k.order) >= mostHeard {
-				k.lost++
+	for _, observation := range list {
+		if _, queued := k.observations[observation.Subject]; !queued {
+			if len(k.order) >= maxQueuedObservations {
+				k.overflows++
 				continue
 			}
-			k.order = append(k.order, l.Subject)
+			k.order = append(k.order, observation.Subject)
 		}
-		k.heard[l.Subject] = l
+		k.observations[observation.Subject] = observation
 	}
 	select {
-	case k.waiting <- struct{}{}:
+	case k.available <- struct{}{}:
 	default:
 	}
 }
 
-// WatchObservations hands what others have learnt to take until ctx is over.
+// WatchObservations calls take with observations from peers until ctx is done.
 func (c *Cluster) WatchObservations(ctx context.Context, take func([]facts.Observation)) {
-	k := c.lore
+	k := c.replication
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-k.waiting:
+		case <-k.available:
 		}
 		k.mu.Lock()
 		list := make([]facts.Observation, 0, len(k.order))
 		for _, s := range k.order {
-			list = append(list, k.heard[s])
+			list = append(list, k.observations[s])
 		}
 		k.order = k.order[:0]
-		clear(k.heard)
+		clear(k.observations)
 		k.mu.Unlock()
 		if len(list) > 0 {
 			take(list)
@@ -125,108 +128,113 @@
 	}
 }
 
-// PublishWait has the others told that an endpoint has told to be left alone for a span.
-func (c *Cluster) PublishWait(partner, endpoint string, d time.Duration) {
-	c.lore.tell(finding{at: c.opts.now(), subject: facts.Subject{Kind: facts.RequestedWait, Partner: partner, Endpoint: endpoint}, span: min(d, facts.MaxTTL)})
+// PublishWait tells the peers that an endpoint requested to receive no calls for a duration.
+func (c *Cluster) PublishWait(partner, endpoint string, wait time.Duration) {
+	c.replication.queueFact(localFact{observedAt: c.opts.now(),
+		subject: facts.Subject{Kind: facts.RequestedWait, Partner: partner, Endpoint: endpoint},
+		ttl:     min(wait, facts.MaxTTL)})
 }
 
-// PublishHealth has the others told that this sender has found an endpoint out, or has
-// had an answer to a call that was begun after the lesson with that mark.
-func (c *Cluster) PublishHealth(partner, endpoint string, out bool, mark uint64) {
-	c.lore.tell(finding{at: c.opts.now(), subject: facts.Subject{Kind: facts.Health, Partner: partner, Endpoint: endpoint}, value: facts.Value{InOutage: out}, span: outFor, mark: mark})
+// PublishHealth tells the peers that this sender found an endpoint in outage, or that it received a
+// response to a call that began after the observation with that causal mark.
+func (c *Cluster) PublishHealth(partner, endpoint string, inOutage bool, causalMark uint64) {
+	c.replication.queueFact(localFact{observedAt: c.opts.now(),
+		subject: facts.Subject{Kind: facts.Health, Partner: partner, Endpoint: endpoint},
+		value:   facts.Value{InOutage: inOutage}, ttl: outageTTL, causalMark: causalMark})
 }
 
-// learn puts a finding into this sender's copy, and out to the others.
-func (c *Cluster) learn(f finding) {
-	m := c.lore.machine
-	if m == nil || f.span <= 0 {
+// publish adds a local fact to the replica and sends it to the peers.
+func (c *Cluster) publish(f localFact) {
+	m := c.replication.machine
+	if m == nil || f.ttl <= 0 {
 		return
 	}
 	t := c.opts.now()
 	if f.subject.Kind == facts.Health {
-		own, left := m.Replica().OwnValue(t, f.subject)
-		if f.value.InOutage && own.InOutage && left > outFor-outAgain {
+		own, remaining := m.Replica().OwnValue(t, f.subject)
+		if f.value.InOutage && own.InOutage && remaining > outageTTL-outageRepublishInterval {
 			return
 		}
 		if !f.value.InOutage {
-			f.value.Refutes = m.Replica().ObservedOutages(f.subject, f.mark)
+			f.value.Refutes = m.Replica().ObservedOutages(f.subject, f.causalMark)
 			if len(f.value.Refutes) == 0 && !own.InOutage {
-				return // nobody says otherwise
+				return // there is no outage report to refute
 			}
 		}
 	}
-	r, err := m.Publish(t, f.subject, f.value, max(t-f.at, 0), f.span)
+	ready, err := m.Publish(t, f.subject, f.value, max(t-f.observedAt, 0), f.ttl)
 	if err != nil {
-		c.log.Error("cluster: what was learnt can't be told", "partner", f.subject.Partner, "endpoint", f.subject.Endpoint, "err", err)
+		c.log.Error("cluster: a fact can't be published",
+			"partner", f.subject.Partner, "endpoint", f.subject.Endpoint, "err", err)
 	}
-	c.spread(r)
+	c.applyReplication(ready)
 }
 
-// spread does what a step of the copies asks for.
-func (c *Cluster) spread(r replicate.Ready) {
-	ring := c.ring.get()
-	for _, out := range r.Send {
-		to, err := net.ResolveUDPAddr("udp", out.To)
+// applyReplication executes the actions of a step of the replication machine.
+func (c *Cluster) applyReplication(ready replicate.Ready) {
+	currentKeys := c.keyring.current()
+	for _, outgoing := range ready.Send {
+		to, err := net.ResolveUDPAddr("udp", outgoing.To)
 		if err != nil {
 			continue
 		}
-		b, err := ring.packAs(lore, out.Message)
+		packet, err := currentKeys.packWithMagic(factsMagic, outgoing.Message)
 		if err != nil {
 			c.log.Error("cluster: facts can't be sent", "err", err)
 			continue
 		}
-		c.udp.WriteToUDP(b, to)
+		c.udp.WriteToUDP(packet, to)
 	}
-	c.lore.put(r.Observations)
-	if r.Event != "" {
-		c.log.Info("cluster: facts", "what", r.Event)
+	c.replication.queueObservations(ready.Observations)
+	if ready.Event != "" {
+		c.log.Info("cluster: facts", "what", ready.Event)
 	}
-	behind, since := c.lore.machine.CatchingUp()
-	least := int64(0)
-	if behind {
-		least = int64(since + patience*c.opts.Interval)
+	catchingUp, since := c.replication.machine.CatchingUp()
+	minShareFrom := int64(0)
+	if catchingUp {
+		minShareFrom = int64(since + catchUpGraceTicks*c.opts.Interval)
 	}
-	if c.behind.Swap(least) != least {
-		c.notify()
+	if c.minShareFrom.Swap(minShareFrom) != minShareFrom {
+		c.notifyChanged()
 	}
 }
 
-// meetPeers follows the view: facts go to all who are not proven to have ended.
-func (c *Cluster) meetPeers() {
-	if c.lore.machine == nil {
+// updatePeers sets the peers of replication to the members that are not proven to have ended.
+func (c *Cluster) updatePeers() {
+	if c.replication.machine == nil {
 		return
 	}
-	var list []replicate.Peer
-	for _, x := range c.machine.LivePeers() {
-		list = append(list, replicate.Peer{Name: x.Name, Addr: x.Addr})
+	var peers []replicate.Peer
+	for _, member := range c.machine.LivePeers() {
+		peers = append(peers, replicate.Peer{Name: member.Name, Addr: member.Addr})
 	}
-	if !slices.Equal(list, c.lore.peers) {
-		c.lore.peers = list
-		c.lore.machine.SetPeers(list)
+	if !slices.Equal(peers, c.replication.peers) {
+		c.replication.peers = peers
+		c.replication.machine.SetPeers(peers)
 	}
 }
 
-// Status is what operators see of a sender among others.
+// Status describes a sender and its view of the peers, for operators.
 type Status struct {
 	view.Status
-	Replication *ReplicationStatus `json:"knowledge,omitempty"` // nil if nothing is shared
+	Replication *ReplicationStatus `json:"knowledge,omitempty"` // nil if facts are not shared
 }
 
-// ReplicationStatus is what operators see of its copy of the facts.
+// ReplicationStatus describes a sender's replica of the facts, for operators.
 type ReplicationStatus struct {
 	replicate.Status
-	Overflows int `json:"lost"` // facts and news that there was no room for
+	Overflows int `json:"lost"` // facts and observations dropped because a queue was full
 }
 
-// FactsReport is all that is said of partners, for operators.
+// FactsReport lists the facts about partners, for operators.
 type FactsReport struct {
 	Facts     []FactReport `json:"facts"`
-	Truncated bool         `json:"more"` // there are more than are listed
-	// Of a comparison with another sender: whose facts it lacks here, and the other way.
+	Truncated bool         `json:"more"` // more facts exist than are listed
+	// Differences to the replica of another sender, in both directions, if one was requested.
 	Differences []replicate.Difference `json:"lacks,omitempty"`
 }
 
-// FactReport is one sender's word on something.
+// FactReport is one fact as its origin published it, for operators.
 type FactReport struct {
 	Kind             string     `json:"kind"`
 	Partner          string     `json:"partner"`
@@ -235,57 +243,62 @@
 	Origin           string     `json:"by"`
 	Seq              uint64     `json:"number"`
 	Zone             string     `json:"zone,omitempty"`
-	AgeSeconds       [2]float64 `json:"age_s"` // at least and at most
+	AgeSeconds       [2]float64 `json:"age_s"` // lower and upper bound
 	RemainingSeconds float64    `json:"left_s"`
-	Rule             string     `json:"rule"` // why it decides, or does not
+	Rule             string     `json:"rule"` // why the fact is or is not effective
 }
 
-// Facts lists what is said of a partner, or of all; with other, what that sender and
-// this one lack of each other's.
+// Facts lists the facts about a partner, or about all if it is empty. If other is not empty, it also
+// compares the replica with that of the named sender.
 func (c *Cluster) Facts(partner, other string) (out FactsReport, err error) {
 	out.Facts = []FactReport{}
-	e := c.within(func() {
-		m := c.lore.machine
+	loopErr := c.runInLoop(func() {
+		m := c.replication.machine
 		if m == nil {
 			err = fmt.Errorf("this sender shares no facts: its file says facts = false")
 			return
 		}
-		list := m.Replica().List(c.opts.now(), partner, mostListed+1)
-		if out.Truncated = len(list) > mostListed; out.Truncated {
-			list = list[:mostListed]
+		list := m.Replica().List(c.opts.now(), partner, maxListedFacts+1)
+		if out.Truncated = len(list) > maxListedFacts; out.Truncated {
+			list = list[:maxListedFacts]
 		}
-		for _, s := range list {
-			out.Facts = append(out.Facts, said(s))
+		for _, status := range list {
+			out.Facts = append(out.Facts, reportFact(status))
 		}
 		if other != "" {
 			out.Differences, err = m.Differences(other)
 		}
 	})
-	if e != nil {
-		return out, e
+	if loopErr != nil {
+		return out, loopErr
 	}
 	return out, err
 }
 
-func said(s facts.FactStatus) FactReport {
-	out := FactReport{Kind: fmt.Sprint("kind ", s.Kind), Partner: s.Partner, Endpoint: s.Endpoint, Origin: s.Origin.Name, Seq: s.Seq, Zone: s.Zone,
-		AgeSeconds: [2]float64{s.MinAge.Seconds(), s.MaxAge.Seconds()}, RemainingSeconds: s.Remaining.Seconds(), Rule: "passed on; this version does not know the kind"}
+// reportFact converts a fact to its report.
+func reportFact(s facts.FactStatus) FactReport {
+	report := FactReport{Kind: fmt.Sprint("kind ", s.Kind), Partner: s.Partner, Endpoint: s.Endpoint,
+		Origin: s.Origin.Name, Seq: s.Seq, Zone: s.Zone,
+		AgeSeconds:       [2]float64{s.MinAge.Seconds(), s.MaxAge.Seconds()},
+		RemainingSeconds: s.Remaining.Seconds(), Rule: "passed on; this version does not know the kind"}
 	switch {
 	case s.Kind == facts.RequestedWait:
-		out.Kind, out.Statement, out.Rule = "wait", "leave it alone", "a longer one holds"
+		report.Kind, report.Statement, report.Rule = "wait", "leave it alone", "a longer one holds"
 		if s.Effective {
-			out.Rule = "the longest holds"
+			report.Rule = "the longest holds"
 		}
 	case s.Kind == facts.Health && !s.Value.InOutage:
-		out.Kind, out.Statement, out.Rule = "health", "answers", fmt.Sprintf("refutes %d that were known when its call began, in its zone", len(s.Value.Refutes))
+		report.Kind, report.Statement, report.Rule = "health", "answers",
+			fmt.Sprintf("refutes %d that were known when its call began, in its zone", len(s.Value.Refutes))
 	case s.Kind == facts.Health:
-		out.Kind, out.Statement, out.Rule = "health", "out", "holds: no answer here to a call begun since it was known"
+		report.Kind, report.Statement, report.Rule = "health", "out",
+			"holds: no answer here to a call begun since it was known"
 		switch {
 		case s.Refuted:
-			out.Rule = "refuted by an answer in this zone"
+			report.Rule = "refuted by an answer in this zone"
 		case s.TrialOwner:
-			out.Rule += "; it is its turn to try it"
+			report.Rule += "; it is its turn to try it"
 		}
 	}
-	return out
+	return report
 }
--- a/internal/cluster/packet.go
+++ b/internal/cluster/packet.go
@@ -20,23 +20,23 @@
 	"cometrack/internal/view"
 )
 
-// A packet is a magic number, a seal (the first bytes of the HMAC-SHA256 of the
-// rest, RFC 2104), and a message in CBOR (RFC 8949).
+// A packet consists of a magic number, a MAC (the first macSize bytes of the HMAC-SHA256 of the
+// message, RFC 2104), and a message in CBOR (RFC 8949).
 const (
-	magic     = "cmtk1" // of the view, and of probes
-	lore      = "cmtf1" // of facts
-	sealSize  = 16
-	headSize  = len(magic) + sealSize
-	maxPacket = 60_000 // bytes; of a datagram over IPv4 65,507 fit
+	viewMagic  = "cmtk1" // messages of the view, and probes
+	factsMagic = "cmtf1" // messages with facts
+	macSize    = 16
+	headerSize = len(viewMagic) + macSize
+	maxPacket  = 60_000 // bytes; the limit of a UDP datagram over IPv4 is 65,507
 )
 
-// What makes a packet be dropped.
+// Reasons to drop a packet.
 var (
-	errForeign  = errors.New("no packet of a sender")
-	errOversize = errors.New("oversized packet")
-	errKey      = errors.New("wrong key")
-	errGarbage  = errors.New("packet that can't be read")
-	errBroken   = errors.New("probe that broke off")
+	errNotPacket    = errors.New("no packet of a sender")
+	errOversize     = errors.New("oversized packet")
+	errKey          = errors.New("wrong key")
+	errMalformed    = errors.New("packet that can't be read")
+	errProbeAborted = errors.New("probe that broke off")
 )
 
 var (
@@ -48,7 +48,8 @@
 		return m
 	})
 	decMode = sync.OnceValue(func() cbor.DecMode {
-		m, err := cbor.DecOptions{MaxArrayElements: view.MaxSenders + 16, MaxMapPairs: 64, MaxNestedLevels: 12, DupMapKey: cbor.DupMapKeyEnforcedAPF}.DecMode()
+		m, err := cbor.DecOptions{MaxArrayElements: view.MaxSenders + 16, MaxMapPairs: 64, MaxNestedLevels: 12,
+			DupMapKey: cbor.DupMapKeyEnforcedAPF}.DecMode()
 		if err != nil {
 			panic(err)
 		}
@@ -56,33 +57,34 @@
 	})
 )
 
-// keys are what packets are sealed with, the first, and opened with, all.
+// keys are the shared secrets of the senders. The first authenticates outgoing packets; each is
+// accepted for incoming ones.
 type keys [][]byte
 
-// Bounds of a key file.
+// Limits of a key file.
 const (
 	maxKeys   = 8
-	leastKey  = 16 // characters
+	minKeyLen = 16 // bytes
 	maxKeyLen = 512
 )
 
-// ReadKeys reads a file with a key on each line; empty lines and those that begin
-// with # do not count. The first is used for what is sent, all for what comes.
+// ReadKeys reads a file with one key per line. Empty lines and lines that begin with # are ignored.
+// The first key is used for outgoing packets, all are accepted for incoming ones.
 func ReadKeys(path string) ([][]byte, error) {
-	f, err := os.Open(path)
+	file, err := os.Open(path)
 	if err != nil {
 		return nil, err
 	}
-	defer f.Close()
+	defer file.Close()
 	var out [][]byte
 	line := 0
-	for s := bufio.NewScanner(io.LimitReader(f, 64<<10)); s.Scan(); {
+	for lines := bufio.NewScanner(io.LimitReader(file, 64<<10)); lines.Scan(); {
 		line++
-		text := strings.TrimSpace(s.Text())
+		text := strings.TrimSpace(lines.Text())
 		switch {
 		case text == "" || strings.HasPrefix(text, "#"):
-		case len(text) < leastKey || len(text) > maxKeyLen:
-			return nil, fmt.Errorf("%s:%d: a key has %d to %d characters", path, line, leastKey, maxKeyLen)
+		case len(text) < minKeyLen || len(text) > maxKeyLen:
+			return nil, fmt.Errorf("%s:%d: a key has %d to %d characters", path, line, minKeyLen, maxKeyLen)
 		case len(out) == maxKeys:
 			return nil, fmt.Errorf("%s:%d: over %d keys", path, line, maxKeys)
 		default:
@@ -95,167 +97,172 @@
 	return out, nil
 }
 
-func seal(key, payload []byte) []byte {
-	h := hmac.New(sha256.New, key)
-	h.Write(payload)
-	return h.Sum(nil)[:sealSize]
+// payloadMAC returns the truncated HMAC of a payload.
+func payloadMAC(key, payload []byte) []byte {
+	mac := hmac.New(sha256.New, key)
+	mac.Write(payload)
+	return mac.Sum(nil)[:macSize]
 }
 
-// pack makes a packet.
-func (k keys) pack(v any) ([]byte, error) { return k.packAs(magic, v) }
+// packView encodes a message of the view, or of a probe, as a packet.
+func (k keys) packView(v any) ([]byte, error) { return k.packWithMagic(viewMagic, v) }
 
-// packAs makes a packet with a magic number, which counts in the seal of all but
-// those of the view.
-func (k keys) packAs(kind string, v any) ([]byte, error) {
+// packWithMagic encodes a message as a packet with a magic number. The MAC covers the magic number,
+// except for packets of the view.
+func (k keys) packWithMagic(magic string, v any) ([]byte, error) {
 	payload, err := encMode().Marshal(v)
 	if err != nil {
 		return nil, err
 	}
-	if len(payload)+headSize > maxPacket {
+	if len(payload)+headerSize > maxPacket {
 		return nil, errOversize
 	}
 	var key []byte
 	if len(k) > 0 {
 		key = k[0]
 	}
-	return append(append([]byte(kind), sealAs(kind, key, payload)...), payload...), nil
+	return append(append([]byte(magic), packetMAC(magic, key, payload)...), payload...), nil
 }
 
-func sealAs(kind string, key, payload []byte) []byte {
-	if kind == magic {
-		return seal(key, payload)
+// packetMAC returns the MAC of a packet; see packWithMagic.
+func packetMAC(magic string, key, payload []byte) []byte {
+	if magic == viewMagic {
+		return payloadMAC(key, payload)
 	}
-	return seal(key, append([]byte(kind), payload...))
+	return payloadMAC(key, append([]byte(magic), payload...))
 }
 
-// kindOf is the magic number of a packet; empty for none.
-func kindOf(b []byte) string {
-	if len(b) >= headSize {
-		if kind := string(b[:len(magic)]); kind == magic || kind == lore {
-			return kind
+// magicOf returns the magic number of a packet; empty if it has none.
+func magicOf(packet []byte) string {
+	if len(packet) >= headerSize {
+		if magic := string(packet[:len(viewMagic)]); magic == viewMagic || magic == factsMagic {
+			return magic
 		}
 	}
 	return ""
 }
 
-// unpack reads a packet of the view, or of a probe, into v.
-func (k keys) unpack(b []byte, v any) error {
-	if len(b) <= maxPacket && kindOf(b) != magic {
-		return errForeign
+// unpackView decodes a packet of the view, or of a probe, into v.
+func (k keys) unpackView(packet []byte, v any) error {
+	if len(packet) <= maxPacket && magicOf(packet) != viewMagic {
+		return errNotPacket
 	}
-	return k.open(b, v)
+	return k.unpack(packet, v)
 }
 
-// open reads a packet of either kind into v.
-func (k keys) open(b []byte, v any) error {
-	kind := kindOf(b)
+// unpack decodes a packet of either kind into v.
+func (k keys) unpack(packet []byte, v any) error {
+	magic := magicOf(packet)
 	switch {
-	case len(b) > maxPacket:
+	case len(packet) > maxPacket:
 		return errOversize
-	case kind == "":
-		return errForeign
+	case magic == "":
+		return errNotPacket
 	}
-	payload, sealed := b[headSize:], b[len(magic):headSize]
-	good := len(k) == 0 && hmac.Equal(sealAs(kind, nil, payload), sealed)
+	payload, mac := packet[headerSize:], packet[len(viewMagic):headerSize]
+	authentic := len(k) == 0 && hmac.Equal(packetMAC(magic, nil, payload), mac)
 	for _, key := range k {
-		good = good || hmac.Equal(sealAs(kind, key, payload), sealed)
+		authentic = authentic || hmac.Equal(packetMAC(magic, key, payload), mac)
 	}
-	if !good {
+	if !authentic {
 		return errKey
 	}
 	if err := decMode().Unmarshal(payload, v); err != nil {
-		return errGarbage
+		return errMalformed
 	}
 	return nil
 }
 
-// ask is what a probe sends on its stream, and answer what comes back.
-type ask struct {
+// probeRequest asks whether an incarnation of a sender still runs.
+type probeRequest struct {
 	Nonce uint64 `cbor:"1,keyasint"`
-	ID    uint64 `cbor:"2,keyasint"` // the life that is asked for
+	ID    uint64 `cbor:"2,keyasint"` // of the incarnation in question
 }
 
-type answer struct {
+// probeResponse answers a probeRequest.
+type probeResponse struct {
 	Nonce uint64 `cbor:"1,keyasint"`
-	ID    uint64 `cbor:"2,keyasint"` // the life that is there
-	Over  bool   `cbor:"3,keyasint"` // that life has not run for so long that it will not go on
+	ID    uint64 `cbor:"2,keyasint"` // of the incarnation at this address; 0 for none
+	Ended bool   `cbor:"3,keyasint"` // the incarnation has not run for two leases and will not send again
 }
 
-const maxAsk = 256 // bytes of either
+// maxProbeFrame limits the size of a request or a response, in bytes.
+const maxProbeFrame = 256
 
-// writeFrame writes a packet with its length.
+// writeFrame writes a packet preceded by its length.
 func writeFrame(w io.Writer, k keys, v any) error {
-	b, err := k.pack(v)
+	packet, err := k.packView(v)
 	if err != nil {
 		return err
 	}
-	_, err = w.Write(append(binary.BigEndian.AppendUint16(nil, uint16(len(b))), b...))
+	_, err = w.Write(append(binary.BigEndian.AppendUint16(nil, uint16(len(packet))), packet...))
 	return err
 }
 
-// readFrame reads a packet behind its length.
+// readFrame reads a packet preceded by its length.
 func readFrame(r io.Reader, k keys, v any) error {
-	var head [2]byte
-	if _, err := io.ReadFull(r, head[:]); err != nil {
+	var length [2]byte
+	if _, err := io.ReadFull(r, length[:]); err != nil {
 		return err
 	}
-	n := binary.BigEndian.Uint16(head[:])
-	if n > maxAsk {
+	n := binary.BigEndian.Uint16(length[:])
+	if n > maxProbeFrame {
 		return errOversize
 	}
-	b := make([]byte, n)
-	if _, err := io.ReadFull(r, b); err != nil {
+	packet := make([]byte, n)
+	if _, err := io.ReadFull(r, packet); err != nil {
 		return err
 	}
-	return k.unpack(b, v)
+	return k.unpackView(packet, v)
 }
 
-// keyring keeps the keys of a file, which may change.
+// keyring holds the keys of a file and reloads them when it changes.
 type keyring struct {
-	path string
-	log  *slog.Logger
-	mu   sync.Mutex
-	keys keys
-	text []byte
-	seen time.Time
-	bad  bool // the file could not be read, and that has been said
+	path          string
+	log           *slog.Logger
+	mu            sync.Mutex
+	keys          keys
+	contents      []byte
+	checkedAt     time.Time
+	failureLogged bool // the last read failed and was logged
 }
 
-const rereadKeys = time.Second
+// keyFileCheckInterval is the minimum time between two checks of the key file.
+const keyFileCheckInterval = time.Second
 
-// get is the keys as they are now; a file that can't be read leaves the old ones.
-func (r *keyring) get() keys {
+// current returns the current keys. If the file cannot be read, the previous keys stay valid.
+func (r *keyring) current() keys {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.path == "" || time.Since(r.seen) < rereadKeys {
+	if r.path == "" || time.Since(r.checkedAt) < keyFileCheckInterval {
 		return r.keys
 	}
-	r.seen = time.Now()
-	text, err := os.ReadFile(r.path)
-	if err == nil && bytes.Equal(text, r.text) {
+	r.checkedAt = time.Now()
+	contents, err := os.ReadFile(r.path)
+	if err == nil && bytes.Equal(contents, r.contents) {
 		return r.keys
 	}
 	next, err := ReadKeys(r.path)
 	switch {
-	case err != nil && !r.bad:
-		r.bad = true
-		r.log.Error("cluster: the old keys stand", "err", err)
+	case err != nil && !r.failureLogged:
+		r.failureLogged = true
+		r.log.Error("cluster: the key file can't be read; the old keys stay in use", "err", err)
 	case err == nil:
 		if r.keys != nil {
-			r.log.Info("cluster: new keys", "keys", len(next))
+			r.log.Info("cluster: keys reloaded", "keys", len(next))
 		}
-		r.text, r.keys, r.bad = text, next, false
+		r.contents, r.keys, r.failureLogged = contents, next, false
 	}
 	return r.keys
 }
 
-// newKeyring reads a file of keys; an empty path is for none.
+// newKeyring reads a key file; with an empty path there are no keys.
 func newKeyring(path string, log *slog.Logger) (*keyring, error) {
 	r := &keyring{path: path, log: log}
 	if path == "" {
 		return r, nil
 	}
 	_, err := ReadKeys(path)
-	r.get()
+	r.current()
 	return r, err
 }
--- a/internal/cluster/probe.go
+++ b/internal/cluster/probe.go
@@ -9,52 +9,54 @@
 	"cometrack/internal/view"
 )
 
-// probe asks at an address whether a life goes on.
-func (c *Cluster) probe(p view.Probe) {
-	tell := func(found view.End) {
-		go c.within(func() { c.follow(c.machine.HandleProbe(c.opts.now(), p, found)) })
+// startProbe asks an address whether an incarnation still runs, and passes the result to the view.
+func (c *Cluster) startProbe(p view.Probe) {
+	report := func(found view.End) {
+		go c.runInLoop(func() { c.apply(c.machine.HandleProbe(c.opts.now(), p, found)) })
 	}
 	select {
-	case c.asks <- struct{}{}:
+	case c.probeSlots <- struct{}{}:
 	default:
-		tell(view.NotEnded)
+		report(view.NotEnded)
 		return
 	}
 	go func() {
-		found := c.askAt(p)
-		<-c.asks
-		tell(found)
+		found := c.probeAddress(p)
+		<-c.probeSlots
+		report(found)
 	}()
 }
 
-func (c *Cluster) askAt(p view.Probe) view.End {
+// probeAddress sends a probe. Without a conclusive response the result is [view.NotEnded].
+func (c *Cluster) probeAddress(p view.Probe) view.End {
 	host, _, _ := net.SplitHostPort(c.opts.Listen)
-	d := net.Dialer{Timeout: askTime}
+	dialer := net.Dialer{Timeout: probeTimeout}
 	if ip := net.ParseIP(host); ip != nil && !ip.IsUnspecified() {
-		d.LocalAddr = &net.TCPAddr{IP: ip}
+		dialer.LocalAddr = &net.TCPAddr{IP: ip}
 	}
-	conn, err := c.opts.dial(&d, p.Addr)
-	if isRefused(err) {
+	conn, err := c.opts.dial(&dialer, p.Addr)
+	if isConnectionRefused(err) {
 		return view.ConnectionRefused
 	}
 	if err != nil {
 		return view.NotEnded
 	}
 	defer conn.Close()
-	conn.SetDeadline(time.Now().Add(askTime))
-	ring := c.ring.get()
-	q, a := ask{Nonce: rand.Uint64(), ID: p.ID}, answer{}
-	if writeFrame(conn, ring, q) != nil || readFrame(conn, ring, &a) != nil || a.Nonce != q.Nonce {
+	conn.SetDeadline(time.Now().Add(probeTimeout))
+	currentKeys := c.keyring.current()
+	request, response := probeRequest{Nonce: rand.Uint64(), ID: p.ID}, probeResponse{}
+	if writeFrame(conn, currentKeys, request) != nil || readFrame(conn, currentKeys, &response) != nil ||
+		response.Nonce != request.Nonce {
 		return view.NotEnded
 	}
-	if a.ID == p.ID && a.Over {
+	if response.ID == p.ID && response.Ended {
 		return view.Fenced
 	}
 	return view.NotEnded
 }
 
-// exe is the path of this program.
-func exe() string {
+// executablePath returns the path of this program.
+func executablePath() string {
 	path, err := os.Executable()
 	if err != nil {
 		return os.Args[0]
--- a/internal/cluster/rig.go
+++ b/internal/cluster/rig.go
@@ -5,26 +5,26 @@
 	"time"
 )
 
-// Hooks is what a test rig puts between a sender and the machine, to run many senders
-// in a process: each with a clock of its own, and with faults and counts at its
-// sockets. A member that is nil leaves what the kernel gives.
+// Hooks replace the clock and the sockets of a sender in tests that run many senders in one process:
+// each with its own clock, and with faults and counters at its sockets. A nil field selects the
+// implementation of the kernel.
 type Hooks struct {
-	// Now is the sender's clock.
+	// Now reads the sender's clock.
 	Now func() time.Duration
-	// WrapUDP wraps the socket of datagrams, once it is open.
+	// WrapUDP wraps the UDP socket after it was opened.
 	WrapUDP func(*net.UDPConn) DatagramConn
-	// Dial opens the stream of a probe.
+	// Dial opens the TCP connection of a probe.
 	Dial func(d *net.Dialer, addr string) (net.Conn, error)
 }
 
-// DatagramConn is the socket of datagrams, as [net.UDPConn] has it.
+// DatagramConn is the part of [net.UDPConn] that a sender uses.
 type DatagramConn interface {
 	ReadFromUDP(b []byte) (int, *net.UDPAddr, error)
 	WriteToUDP(b []byte, to *net.UDPAddr) (int, error)
 	Close() error
 }
 
-// now is the time on this sender's clock.
+// now returns the time on the sender's clock.
 func (o *Options) now() time.Duration {
 	if o.Hooks != nil && o.Hooks.Now != nil {
 		return o.Hooks.Now()
@@ -32,6 +32,7 @@
 	return now()
 }
 
+// datagrams returns the UDP socket, wrapped by the hook if there is one.
 func (o *Options) datagrams(udp *net.UDPConn) DatagramConn {
 	if o.Hooks != nil && o.Hooks.WrapUDP != nil {
 		return o.Hooks.WrapUDP(udp)
@@ -39,6 +40,7 @@
 	return udp
 }
 
+// dial opens the TCP connection of a probe.
 func (o *Options) dial(d *net.Dialer, addr string) (net.Conn, error) {
 	if o.Hooks != nil && o.Hooks.Dial != nil {
 		return o.Hooks.Dial(d, addr)
@@ -46,11 +48,11 @@
 	return d.Dial("tcp", addr)
 }
 
-// PacketSize is how many bytes a message of the view takes in a datagram.
+// PacketSize returns the size of a message of the view as a packet, in bytes.
 func PacketSize(message any) (int, error) {
-	b, err := encMode().Marshal(message)
-	return len(b) + headSize, err
+	payload, err := encMode().Marshal(message)
+	return len(payload) + headerSize, err
 }
 
-// IsFactsPacket says whether a packet is one of facts; else it is one of the view.
-func IsFactsPacket(b []byte) bool { return kindOf(b) == lore }
+// IsFactsPacket reports whether a packet carries facts; otherwise it belongs to the view.
+func IsFactsPacket(packet []byte) bool { return magicOf(packet) == factsMagic }
