--- a/internal/sink/fan/fan.go
+++ b/internal/sink/fan/fan.go
@@ -1,5 +1,5 @@
-// Package fan is an end sink that tells several others, and confirms what all of
-// them have confirmed.
+// Package fan is an end sink that passes ends to several others, and confirms an end once all of them
+// have confirmed it.
 package fan
 
 import (
@@ -9,41 +9,43 @@
 	"cometrack/internal/message"
 )
 
-// Sink is one of those that are told.
+// Sink is an end sink that a Fan passes ends to.
 type Sink interface {
 	Add(m *message.Message, e message.End)
 	Run(ctx context.Context, confirm func(ids []string))
 }
 
-// Fan tells each of its sinks. With none, ends are confirmed at once.
+// Fan passes each end to all of its sinks. Without sinks, ends are confirmed at once.
 type Fan struct {
-	sinks   []Sink
-	observe []func(m *message.Message, e message.End)
-	wake    chan struct{}
-	mu      sync.Mutex
-	left    map[string]int // sinks that have yet to confirm, by id
-	done    []string       // with no sinks: ids to confirm
+	sinks       []Sink
+	observers   []func(m *message.Message, e message.End)
+	wake        chan struct{} // receives a value when confirmable has entries
+	mu          sync.Mutex
+	unconfirmed map[string]int // number of sinks that have not confirmed, by message ID
+	confirmable []string       // without sinks: IDs to confirm
 }
 
-// New makes a fan.
+// New returns a Fan with the given sinks.
 func New(sinks ...Sink) *Fan {
-	return &Fan{sinks: sinks, left: map[string]int{}, wake: make(chan struct{}, 1)}
+	return &Fan{sinks: sinks, unconfirmed: map[string]int{}, wake: make(chan struct{}, 1)}
 }
 
-// Observe has f called with each end; nobody waits for what it does. f must not
-// block, and sees an end again that was not confirmed before a restart.
-func (x *Fan) Observe(f func(m *message.Message, e message.End)) { x.observe = append(x.observe, f) }
+// Observe registers a function that is called with each end; it takes no part in the confirmation. f
+// must not block. It sees an end again that was not confirmed before a restart.
+func (x *Fan) Observe(f func(m *message.Message, e message.End)) {
+	x.observers = append(x.observers, f)
+}
 
-// Add tells all of an end.
+// Add passes an end to all sinks and observers.
 func (x *Fan) Add(m *message.Message, e message.End) {
-	for _, f := range x.observe {
+	for _, f := range x.observers {
 		f(m, e)
 	}
 	x.mu.Lock()
 	if len(x.sinks) == 0 {
-		x.done = append(x.done, e.ID)
+		x.confirmable = append(x.confirmable, e.ID)
 	} else {
-		x.left[e.ID] = len(x.sinks)
+		x.unconfirmed[e.ID] = len(x.sinks)
 	}
 	x.mu.Unlock()
 	for _, s := range x.sinks {
@@ -57,7 +59,7 @@
 	}
 }
 
-// Run runs the sinks until ctx is over.
+// Run runs the sinks until ctx is done.
 func (x *Fan) Run(ctx context.Context, confirm func(ids []string)) {
 	var wg sync.WaitGroup
 	for _, s := range x.sinks {
@@ -70,30 +72,30 @@
 			return
 		case <-x.wake:
 			x.mu.Lock()
-			done := x.done
-			x.done = nil
+			ids := x.confirmable
+			x.confirmable = nil
 			x.mu.Unlock()
-			confirm(done)
+			confirm(ids)
 		}
 	}
 }
 
-// confirmed counts what one sink has confirmed.
+// confirmed counts the confirmations of one sink, and confirms the IDs that all sinks have confirmed.
 func (x *Fan) confirmed(ids []string, confirm func(ids []string)) {
-	var all []string
+	var complete []string
 	x.mu.Lock()
 	for _, id := range ids {
-		if n, ok := x.left[id]; !ok {
+		if n, ok := x.unconfirmed[id]; !ok {
 			continue
 		} else if n > 1 {
-			x.left[id] = n - 1
+			x.unconfirmed[id] = n - 1
 			continue
 		}
-		delete(x.left, id)
-		all = append(all, id)
+		delete(x.unconfirmed, id)
+		complete = append(complete, id)
 	}
 	x.mu.Unlock()
-	if len(all) > 0 {
-		confirm(all)
+	if len(complete) > 0 {
+		confirm(complete)
 	}
 }
--- a/internal/sink/jsonl/jsonl.go
+++ b/internal/sink/jsonl/jsonl.go
@@ -1,5 +1,4 @@
-// Package jsonl is the end sink that writes each end as a line of JSON to a file
-// that is rotated.
+// Package jsonl is the end sink that writes each notice as a line of JSON to a rotated file.
 package jsonl
 
 import (
@@ -14,44 +13,44 @@
 )
 
 const (
-	batch = 512             // lines written in one go
-	pause = 1 * time.Second // after a write that failed
+	maxBatch   = 512             // notices per write
+	retryDelay = 1 * time.Second // after a failed write
 )
 
-// Options set a file up.
+// Options configure a file.
 type Options struct {
 	Path       string
-	MaxMB      int // of one file
-	MaxBackups int // older files
-	MaxQueued  int // ends that wait; the oldest is given up above it
+	MaxMB      int // size of one file
+	MaxBackups int // rotated files to keep
+	MaxQueued  int // queued notices; beyond it the oldest is dropped
 	Log        *slog.Logger
 }
 
-// Sink writes ends in their order. A line is confirmed once it has been written;
-// one that was written in part, because the disk was full, is written again whole.
+// Sink writes notices in order. A notice is confirmed after it was written. One that was written in
+// part, for example to a full disk, is written again completely.
 type Sink struct {
 	opts  Options
 	queue *sink.Queue
 	file  *lumberjack.Logger
 }
 
-// New makes a sink; the file is opened with the first line.
+// New returns a sink. The file is opened with the first write.
 func New(opts Options) *Sink {
 	return &Sink{opts: opts, queue: sink.NewQueue(opts.MaxQueued, opts.Log),
 		file: &lumberjack.Logger{Filename: opts.Path, MaxSize: opts.MaxMB, MaxBackups: opts.MaxBackups}}
 }
 
-// Add queues an end.
+// Add queues the notice of an end. It never blocks.
 func (s *Sink) Add(m *message.Message, e message.End) { s.queue.Add(sink.NewNotice(m, e)) }
 
-// Run writes what waits until ctx is over.
+// Run writes queued notices until ctx is done.
 func (s *Sink) Run(ctx context.Context, confirm func(ids []string)) {
 	defer s.file.Close()
 	go s.queue.ConfirmDropped(ctx, confirm)
-	broken := false // the last write may have left part of a line
+	partial := false // the last write may have left part of a line
 	for {
-		lines := s.queue.Take(batch)
-		if len(lines) == 0 {
+		notices := s.queue.Take(maxBatch)
+		if len(notices) == 0 {
 			select {
 			case <-ctx.Done():
 				return
@@ -61,24 +60,24 @@
 		}
 		var text []byte
 		var ids []string
-		for _, l := range lines {
-			text = append(append(text, l.JSON()...), '\n')
-			ids = append(ids, l.ID)
+		for _, notice := range notices {
+			text = append(append(text, notice.JSON()...), '\n')
+			ids = append(ids, notice.ID)
 		}
 		for {
-			out := text
-			if broken {
-				out = append([]byte{'\n'}, text...)
+			data := text
+			if partial {
+				data = append([]byte{'\n'}, text...)
 			}
-			_, err := s.file.Write(out)
-			if broken = err != nil; !broken {
+			_, err := s.file.Write(data)
+			if partial = err != nil; !partial {
 				break
 			}
-			s.opts.Log.Error("end file", "path", s.opts.Path, "err", err)
+			s.opts.Log.Error("end file: write failed", "path", s.opts.Path, "err", err)
 			select {
 			case <-ctx.Done():
 				return
-			case <-time.After(pause):
+			case <-time.After(retryDelay):
 			}
 		}
 		confirm(ids)
--- a/internal/sink/jsonl/jsonl_test.go
+++ b/internal/sink/jsonl/jsonl_test.go
@@ -15,18 +15,21 @@
 	"cometrack/internal/sink"
 )
 
-// Ends are written whole, in order, and confirmed after that; files are rotated and the oldest go.
-func TestRotated(t *testing.T) {
+// Notices are written completely, in order, and confirmed afterwards. Files are rotated and the oldest
+// removed.
+func TestRotation(t *testing.T) {
 	dir := t.TempDir()
-	s := New(Options{Path: filepath.Join(dir, "ends.jsonl"), MaxMB: 1, MaxBackups: 2, MaxQueued: 1 << 20, Log: slog.New(slog.DiscardHandler)})
+	s := New(Options{Path: filepath.Join(dir, "ends.jsonl"), MaxMB: 1, MaxBackups: 2, MaxQueued: 1 << 20,
+		Log: slog.New(slog.DiscardHandler)})
 	confirmed := make(chan []string, 1024)
 	go s.Run(t.Context(), func(ids []string) { confirmed <- ids })
-	const many = 20_000
+	const count = 20_000
 	partner := strings.Repeat("p", 120)
-	for i := range many {
-		s.Add(&message.Message{Partner: partner, Class: "c"}, message.End{ID: fmt.Sprintf("%06d", i), State: message.Delivered, Tries: 1})
+	for i := range count {
+		s.Add(&message.Message{Partner: partner, Class: "c"},
+			message.End{ID: fmt.Sprintf("%06d", i), State: message.Delivered, Tries: 1})
 	}
-	for n := 0; n < many; {
+	for n := 0; n < count; {
 		select {
 		case ids := <-confirmed:
 			for _, id := range ids {
@@ -40,9 +43,9 @@
 		}
 	}
 	var list []string
-	for stop := time.Now().Add(20 * time.Second); len(list) != 3; { // old files are dropped in the background
+	for deadline := time.Now().Add(20 * time.Second); len(list) != 3; { // old files are removed in the background
 		var err error
-		if list, err = filepath.Glob(dir + "/*"); err != nil || time.Now().After(stop) {
+		if list, err = filepath.Glob(dir + "/*"); err != nil || time.Now().After(deadline) {
 			t.Fatalf("files %v, %v", list, err)
 		}
 	}
@@ -56,26 +59,28 @@
 		if info, _ := f.Stat(); info.Size() > 1<<20 {
 			t.Errorf("%s holds %d bytes", path, info.Size())
 		}
-		for sc := bufio.NewScanner(f); sc.Scan(); {
-			var l sink.Notice
-			if err := json.Unmarshal(sc.Bytes(), &l); err != nil || l.Partner != partner {
-				t.Fatalf("%q: %v", sc.Text(), err)
+		for lines := bufio.NewScanner(f); lines.Scan(); {
+			var notice sink.Notice
+			if err := json.Unmarshal(lines.Bytes(), &notice); err != nil || notice.Partner != partner {
+				t.Fatalf("%q: %v", lines.Text(), err)
 			}
-			last = max(last, l.ID)
+			last = max(last, notice.ID)
 		}
 	}
-	if last != fmt.Sprintf("%06d", many-1) {
+	if last != fmt.Sprintf("%06d", count-1) {
 		t.Errorf("the last line is %s", last)
 	}
 }
 
-// A path that can't be written confirms nothing, and Add goes on; once it can, all is written.
+// Guards against confirming notices that were not written, and against an Add that blocks, while the path
+// cannot be written. Once it can, all queued notices are written.
 func TestUnwritable(t *testing.T) {
-	dir := filepath.Join(t.TempDir(), "ends") // a file stands where the folder must be
+	dir := filepath.Join(t.TempDir(), "ends") // a file in place of the folder
 	if err := os.WriteFile(dir, nil, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	s := New(Options{Path: filepath.Join(dir, "ends.jsonl"), MaxMB: 1, MaxBackups: 2, MaxQueued: 100, Log: slog.New(slog.DiscardHandler)})
+	s := New(Options{Path: filepath.Join(dir, "ends.jsonl"), MaxMB: 1, MaxBackups: 2, MaxQueued: 100,
+		Log: slog.New(slog.DiscardHandler)})
 	confirmed := make(chan []string, 256)
 	go s.Run(t.Context(), func(ids []string) { confirmed <- ids })
 	for i := range 10 {
@@ -84,15 +89,15 @@
 	if len(confirmed) != 0 {
 		t.Fatal("confirmed what was not written")
 	}
-	for i := 10; i < 500; i++ { // far above the bound, and what one write takes: the oldest are given up, and are owed no more
+	for i := 10; i < 500; i++ { // far above the limit plus one write: the oldest are dropped and confirmed
 		s.Add(&message.Message{}, message.End{ID: fmt.Sprint(i)})
 	}
-	for given := 0; given < 300; {
+	for dropped := 0; dropped < 300; {
 		select {
 		case ids := <-confirmed:
-			given += len(ids)
+			dropped += len(ids)
 		case <-time.After(20 * time.Second):
-			t.Fatalf("%d of those given up are confirmed", given)
+			t.Fatalf("%d dropped notices are confirmed, want 300", dropped)
 		}
 	}
 	if err := os.Remove(dir); err != nil {
--- a/internal/sink/notices/doc.go
+++ b/internal/sink/notices/doc.go
@@ -1,3 +1,3 @@
-// Package notices is the end sink that posts to the platform how messages ended,
-// until it has confirmed.
+// Package notices is the end sink that posts to the platform how messages ended and repeats each notice
+// until it is confirmed.
 package notices
--- a/internal/sink/notices/notices.go
+++ b/internal/sink/notices/notices.go
@@ -15,45 +15,45 @@
 )
 
 const (
-	noticeTime  = time.Second            // for one answer
-	firstTime   = 200 * time.Millisecond // for the first: ends are due 0.3 s after their time, and an answer comes at once if it comes
-	noticeFirst = 25 * time.Millisecond
-	noticeMost  = 400 * time.Millisecond
-	noticeBatch = 256
-	noticeConns = 4 // connections at a time, the spare one not counted: one that does not come up holds up no other post
+	requestTimeout      = time.Second            // for one request
+	firstRequestTimeout = 200 * time.Millisecond // for the first: notices are due within 0.3 s, answers usually come at once
+	minRetryDelay       = 25 * time.Millisecond
+	maxRetryDelay       = 400 * time.Millisecond
+	maxBatch            = 256
+	maxConns            = 4 // besides the spare one; a connection that is slow to open must not block other posts
 )
 
-// line is what the platform reads.
-type line struct {
+// notice is a line of the request body.
+type notice struct {
 	ID      string `json:"id"`
 	State   string `json:"state"` // failed or returned
 	AfterMS int64  `json:"after_ms,omitempty"`
 }
 
-// Sink tells the platform how messages ended, until it has heard.
+// Sink posts to the platform how messages ended until the platform confirms.
 type Sink struct {
-	client *http.Client
-	dialer *dialer
-	log    *slog.Logger
-	wake   chan struct{}
-	mu     sync.Mutex
-	queue  []line
-	url    string
-	stop   context.CancelFunc // of the post that is out
+	client     *http.Client
+	dialer     *dialer
+	log        *slog.Logger
+	wake       chan struct{} // receives a value when a notice was added
+	mu         sync.Mutex
+	queue      []notice
+	url        string
+	cancelPost context.CancelFunc // cancels the post in progress
 }
 
-// New makes a sink that posts to addr.
+// New returns a sink that posts to addr.
 func New(addr string, log *slog.Logger) *Sink {
 	d := newDialer(addr)
-	return &Sink{url: noticeURL(addr), log: log, wake: make(chan struct{}, 1), dialer: d,
+	return &Sink{url: outcomesURL(addr), log: log, wake: make(chan struct{}, 1), dialer: d,
 		client: &http.Client{Transport: &http.Transport{DialContext: d.DialContext,
-			MaxIdleConnsPerHost: 1, MaxConnsPerHost: noticeConns, IdleConnTimeout: 5 * time.Second}}}
+			MaxIdleConnsPerHost: 1, MaxConnsPerHost: maxConns, IdleConnTimeout: 5 * time.Second}}}
 }
 
-// Add queues a notice; it never waits.
+// Add queues a notice. It never blocks.
 func (n *Sink) Add(_ *message.Message, e message.End) {
 	n.mu.Lock()
-	n.queue = append(n.queue, line{e.ID, e.State, e.AfterMS})
+	n.queue = append(n.queue, notice{e.ID, e.State, e.AfterMS})
 	n.mu.Unlock()
 	select {
 	case n.wake <- struct{}{}:
@@ -61,35 +61,38 @@
 	}
 }
 
-// SetAddress turns to another address. What the old one has not confirmed goes to the new one at once.
+// SetAddress changes the address. Notices that the old address has not confirmed go to the new one at
+// once.
 func (n *Sink) SetAddress(addr string) {
 	n.mu.Lock()
-	if n.url == noticeURL(addr) {
+	if n.url == outcomesURL(addr) {
 		n.mu.Unlock()
 		return
 	}
-	n.url = noticeURL(addr)
-	if n.stop != nil {
-		n.stop()
+	n.url = outcomesURL(addr)
+	if n.cancelPost != nil {
+		n.cancelPost()
 	}
 	n.mu.Unlock()
-	n.dialer.move(addr)
+	n.dialer.setAddress(addr)
 	n.client.CloseIdleConnections()
 }
 
-func noticeURL(addr string) string { return "http://" + addr + "/v1/outcomes" }
+// outcomesURL returns the URL for notices at an address.
+func outcomesURL(addr string) string { return "http://" + addr + "/v1/outcomes" }
 
+// address returns the current URL.
 func (n *Sink) address() string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.url
 }
 
-// Run sends what waits, as one batch at a time.
+// Run posts queued notices, one batch at a time, until ctx is done.
 func (n *Sink) Run(ctx context.Context, confirm func(ids []string)) {
-	go n.dialer.keep(ctx)
+	go n.dialer.maintainSpare(ctx)
 	for {
-		batch := n.more(nil)
+		batch := n.fillBatch(nil)
 		if len(batch) == 0 {
 			select {
 			case <-ctx.Done():
@@ -98,10 +101,10 @@
 			}
 			continue
 		}
-		within := firstTime
-		for pause := noticeFirst; ; pause, within = min(2*pause, noticeMost), min(2*within, noticeTime) {
+		timeout := firstRequestTimeout
+		for delay := minRetryDelay; ; delay, timeout = min(2*delay, maxRetryDelay), min(2*timeout, requestTimeout) {
 			url := n.address()
-			status, err := n.post(ctx, batch, within)
+			status, err := n.post(ctx, batch, timeout)
 			if err == nil && status == http.StatusNoContent {
 				confirm(idsOf(batch))
 				break
@@ -110,76 +113,78 @@
 				return
 			}
 			if n.address() != url {
-				pause = noticeFirst / 2
+				delay = minRetryDelay / 2
 				continue
 			}
-			n.log.Warn("notice", "lines", len(batch), "status", status, "err", err)
+			n.log.Warn("notices not confirmed", "lines", len(batch), "status", status, "err", err)
 			if status == http.StatusBadRequest {
-				// It will never be read as it is: one line that is at fault must not hold up the others.
-				if n.oneByOne(ctx, batch, confirm) {
+				// Repeating the batch is useless, and one invalid notice must not block the others.
+				if n.postSingly(ctx, batch, confirm) {
 					break
 				}
 			}
 			select {
 			case <-ctx.Done():
 				return
-			case <-time.After(pause):
+			case <-time.After(delay):
 			}
-			batch = n.more(batch)
+			batch = n.fillBatch(batch)
 		}
 	}
 }
 
-// oneByOne sends the lines of a batch that can't be read singly and gives up those that are at fault.
-func (n *Sink) oneByOne(ctx context.Context, batch []line, confirm func(ids []string)) bool {
-	for _, x := range batch {
-		status, err := n.post(ctx, []line{x}, noticeTime)
+// postSingly posts the notices of a rejected batch one by one and drops the invalid ones. It reports
+// whether all were handled.
+func (n *Sink) postSingly(ctx context.Context, batch []notice, confirm func(ids []string)) bool {
+	for _, single := range batch {
+		status, err := n.post(ctx, []notice{single}, requestTimeout)
 		if err != nil || status != http.StatusNoContent && status != http.StatusBadRequest {
 			return false
 		}
 		if status == http.StatusBadRequest {
-			n.log.Error("notice can't be read", "id", x.ID)
+			n.log.Error("notice rejected as invalid, dropped", "id", single.ID)
 		}
 	}
 	confirm(idsOf(batch))
 	return true
 }
 
-func idsOf(batch []line) []string {
+// idsOf returns the message IDs of a batch.
+func idsOf(batch []notice) []string {
 	ids := make([]string, len(batch))
-	for i, x := range batch {
-		ids[i] = x.ID
+	for i, entry := range batch {
+		ids[i] = entry.ID
 	}
 	return ids
 }
 
-// more adds what waits to a batch.
-func (n *Sink) more(batch []line) []line {
+// fillBatch adds queued notices to a batch, up to maxBatch.
+func (n *Sink) fillBatch(batch []notice) []notice {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	k := min(len(n.queue), noticeBatch-len(batch))
-	batch = append(batch, n.queue[:k]...)
-	n.queue = n.queue[k:]
+	count := min(len(n.queue), maxBatch-len(batch))
+	batch = append(batch, n.queue[:count]...)
+	n.queue = n.queue[count:]
 	return batch
 }
 
-// post sends a batch and waits for its answer. One that does not come may have been heard: telling an end again does no
-// harm.
-func (n *Sink) post(ctx context.Context, batch []line, within time.Duration) (int, error) {
-	var b bytes.Buffer
-	enc := json.NewEncoder(&b)
-	for _, x := range batch {
-		if err := enc.Encode(x); err != nil {
+// post posts a batch and returns the status. If there is no response, the batch may have been received;
+// repeating a notice does no harm.
+func (n *Sink) post(ctx context.Context, batch []notice, timeout time.Duration) (int, error) {
+	var body bytes.Buffer
+	encoder := json.NewEncoder(&body)
+	for _, entry := range batch {
+		if err := encoder.Encode(entry); err != nil {
 			return 0, err
 		}
 	}
-	ctx, cancel := context.WithTimeout(ctx, within)
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	n.mu.Lock()
 	url := n.url
-	n.stop = cancel
+	n.cancelPost = cancel
 	n.mu.Unlock()
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url, &b)
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url, &body)
 	if err != nil {
 		return 0, err
 	}
--- a/internal/sink/notices/notices_test.go
+++ b/internal/sink/notices/notices_test.go
@@ -15,9 +15,9 @@
 	"cometrack/internal/standin/byhand"
 )
 
-// An answer that does not come holds up no end beyond the time in which it is due: what was told, and what has come
-// meanwhile, is told on another connection.
-func TestAnswerThatDoesNotCome(t *testing.T) {
+// Guards against notices that are late because the platform does not answer a post: the same notices and
+// those that were added since are posted on another connection within the time in which they are due.
+func TestMissingResponse(t *testing.T) {
 	type post struct {
 		at   time.Time
 		body string
@@ -35,31 +35,31 @@
 		}
 	}))
 	defer srv.Close()
-	n := New(strings.TrimPrefix(srv.URL, "http://"), slog.New(slog.DiscardHandler))
+	sink := New(strings.TrimPrefix(srv.URL, "http://"), slog.New(slog.DiscardHandler))
 	confirmed := make(chan []string, 16)
-	go n.Run(t.Context(), func(ids []string) { confirmed <- ids })
-	n.Add(nil, message.End{ID: "a", State: message.Failed})
+	go sink.Run(t.Context(), func(ids []string) { confirmed <- ids })
+	sink.Add(nil, message.End{ID: "a", State: message.Failed})
 	first := byhand.Await(t, posts, "post")
-	n.Add(nil, message.End{ID: "b", State: message.Returned})
+	sink.Add(nil, message.End{ID: "b", State: message.Returned})
 	again := byhand.Await(t, posts, "post again")
 	const due = 300 * time.Millisecond
 	if gap := again.at.Sub(first.at); gap > due {
-		t.Errorf("told again after %v, due within %v", gap, due)
+		t.Errorf("posted again after %v, due within %v", gap, due)
 	}
 	if !strings.Contains(again.body, `"a"`) {
-		t.Errorf("told again: %s", again.body)
+		t.Errorf("the second post lacks the first notice: %s", again.body)
 	}
-	heard := map[string]bool{}
-	for len(heard) < 2 {
+	confirmedIDs := map[string]bool{}
+	for len(confirmedIDs) < 2 {
 		for _, id := range byhand.Await(t, confirmed, "confirmation") {
-			heard[id] = true
+			confirmedIDs[id] = true
 		}
 	}
 }
 
-// Guards against an end that is told late because the connection for it comes up late, the first after a start too: one
-// is made before it is needed, and another when that is taken or discovery moves.
-func TestConnectionIsThereBeforeItIsNeeded(t *testing.T) {
+// Guards against notices that are late because a connection is slow to open, including the first one
+// after a start: one is opened in advance, and another after it was used or the address changed.
+func TestSpareConnection(t *testing.T) {
 	posts := make(chan string, 16)
 	serve := func() *httptest.Server {
 		srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -72,22 +72,22 @@
 		return srv
 	}
 	first, second := serve(), serve()
-	n := New(strings.TrimPrefix(first.URL, "http://"), slog.New(slog.DiscardHandler))
-	n.client.Transport.(*http.Transport).DialContext = func(ctx context.Context, _, addr string) (net.Conn, error) {
-		if conn := n.dialer.take(addr); conn != nil {
+	sink := New(strings.TrimPrefix(first.URL, "http://"), slog.New(slog.DiscardHandler))
+	sink.client.Transport.(*http.Transport).DialContext = func(ctx context.Context, _, addr string) (net.Conn, error) {
+		if conn := sink.dialer.takeSpare(addr); conn != nil {
 			return conn, nil
 		}
-		<-ctx.Done() // any other connection comes up late
+		<-ctx.Done() // every other connection is slow to open
 		return nil, ctx.Err()
 	}
-	go n.Run(t.Context(), func([]string) {})
+	go sink.Run(t.Context(), func([]string) {})
 	for _, id := range []string{"a", "b", "c"} {
-		n.Add(nil, message.End{ID: id, State: message.Failed})
-		for body := ""; !strings.Contains(body, id); { // what is not confirmed yet is told again
+		sink.Add(nil, message.End{ID: id, State: message.Failed})
+		for body := ""; !strings.Contains(body, id); { // unconfirmed notices are repeated
 			body = byhand.Await(t, posts, "post")
 		}
 		if id == "b" {
-			n.SetAddress(strings.TrimPrefix(second.URL, "http://"))
+			sink.SetAddress(strings.TrimPrefix(second.URL, "http://"))
 		}
 	}
 }
--- a/internal/sink/notices/spare.go
+++ b/internal/sink/notices/spare.go
@@ -10,42 +10,45 @@
 )
 
 const (
-	spareLook   = time.Second      // between looks at whether the spare connection is still there
-	sparePause  = time.Second      // after one that could not be made or did not last, doubled each time
-	spareLonger = 32 * time.Second // the longest of these pauses
-	spareLasts  = 5 * time.Second  // one that lasts for so long has lasted
+	spareCheckInterval = time.Second      // between checks that the spare connection is still open
+	minSpareDelay      = time.Second      // after a spare connection that failed or was closed early; doubled each time
+	maxSpareDelay      = 32 * time.Second // limit of that delay
+	spareStableAge     = 5 * time.Second  // age at which a spare connection resets the delay
 )
 
-// dialer makes connections, and keeps one in advance: an end is due so soon that a connection which comes up late would
-// make it late.
+// dialer opens connections and keeps a spare one open in advance. A notice is due so soon that a
+// connection which is slow to open would make it late.
 type dialer struct {
 	dial func(ctx context.Context, addr string) (net.Conn, error)
 
-	mu     sync.Mutex
-	addr   string // where the spare one leads to
-	spare  net.Conn
-	made   time.Time     // when it was made
-	wanted chan struct{} // has an entry if a spare one is wanted at once
+	mu          sync.Mutex
+	addr        string // target of the spare connection
+	spare       net.Conn
+	spareMadeAt time.Time     // when the spare connection was opened
+	refill      chan struct{} // holds a value if a spare connection is needed at once
 }
 
+// newDialer returns a dialer that requests a spare connection to addr.
 func newDialer(addr string) *dialer {
-	d := net.Dialer{Timeout: noticeTime}
-	out := &dialer{addr: addr, wanted: make(chan struct{}, 1),
-		dial: func(ctx context.Context, addr string) (net.Conn, error) { return d.DialContext(ctx, "tcp", addr) }}
-	out.want()
-	return out
+	netDialer := net.Dialer{Timeout: requestTimeout}
+	spareDialer := &dialer{addr: addr, refill: make(chan struct{}, 1),
+		dial: func(ctx context.Context, addr string) (net.Conn, error) {
+			return netDialer.DialContext(ctx, "tcp", addr)
+		}}
+	spareDialer.requestSpare()
+	return spareDialer
 }
 
-// DialContext gives the spare connection, or makes one.
+// DialContext returns the spare connection or opens a new one.
 func (d *dialer) DialContext(ctx context.Context, _, addr string) (net.Conn, error) {
-	if conn := d.take(addr); conn != nil {
+	if conn := d.takeSpare(addr); conn != nil {
 		return conn, nil
 	}
 	return d.dial(ctx, addr)
 }
 
-// take gives the spare connection if it leads to an address and is still good.
-func (d *dialer) take(addr string) net.Conn {
+// takeSpare returns the spare connection if it leads to addr and is still usable, and nil otherwise.
+func (d *dialer) takeSpare(addr string) net.Conn {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.addr != addr || d.spare == nil {
@@ -53,16 +56,16 @@
 	}
 	conn := d.spare
 	d.spare = nil
-	d.want()
-	if !good(conn) {
+	d.requestSpare()
+	if !isUnused(conn) {
 		conn.Close()
 		return nil
 	}
 	return conn
 }
 
-// move closes the spare connection, and has one made to another address.
-func (d *dialer) move(addr string) {
+// setAddress closes the spare connection and requests one to another address.
+func (d *dialer) setAddress(addr string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.spare != nil {
@@ -70,66 +73,68 @@
 		d.spare = nil
 	}
 	d.addr = addr
-	d.want()
+	d.requestSpare()
 }
 
-// want has a spare connection made at once.
-func (d *dialer) want() {
+// requestSpare makes maintainSpare open a spare connection at once.
+func (d *dialer) requestSpare() {
 	select {
-	case d.wanted <- struct{}{}:
+	case d.refill <- struct{}{}:
 	default:
 	}
 }
 
-// keep sees to it that there is a spare connection, until ctx is over.
-func (d *dialer) keep(ctx context.Context) {
-	defer d.move("")
-	pause := sparePause
+// maintainSpare keeps a spare connection open until ctx is done.
+func (d *dialer) maintainSpare(ctx context.Context) {
+	defer d.setAddress("")
+	delay := minSpareDelay
 	for {
-		wanted := d.wait(ctx, spareLook)
+		requested := d.waitForRequest(ctx, spareCheckInterval)
 		if ctx.Err() != nil {
 			return
 		}
-		switch age, there := d.check(); {
-		case there && age >= spareLasts:
-			pause = sparePause
-		case there:
+		switch age, exists := d.checkSpare(); {
+		case exists && age >= spareStableAge:
+			delay = minSpareDelay
+		case exists:
 		default:
-			if !wanted {
-				d.wait(ctx, pause)
-				pause = min(2*pause, spareLonger)
+			if !requested {
+				d.waitForRequest(ctx, delay)
+				delay = min(2*delay, maxSpareDelay)
 			}
-			d.fill(ctx)
+			d.dialSpare(ctx)
 		}
 	}
 }
 
-// wait waits for a while, or until a spare connection is wanted: true for that.
-func (d *dialer) wait(ctx context.Context, most time.Duration) bool {
-	late := time.NewTimer(most)
-	defer late.Stop()
+// waitForRequest waits up to a timeout for a request of a spare connection and reports whether there was
+// one.
+func (d *dialer) waitForRequest(ctx context.Context, timeout time.Duration) bool {
+	timer := time.NewTimer(timeout)
+	defer timer.Stop()
 	select {
-	case <-d.wanted:
+	case <-d.refill:
 		return true
-	case <-late.C:
+	case <-timer.C:
 	case <-ctx.Done():
 	}
 	return false
 }
 
-// check says how old the spare connection is, and whether there is one. One that the other end has closed is dropped.
-func (d *dialer) check() (age time.Duration, there bool) {
+// checkSpare returns the age of the spare connection and whether it exists. It closes a connection that
+// the platform closed.
+func (d *dialer) checkSpare() (age time.Duration, exists bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.spare != nil && !good(d.spare) {
+	if d.spare != nil && !isUnused(d.spare) {
 		d.spare.Close()
 		d.spare = nil
 	}
-	return time.Since(d.made), d.spare != nil
+	return time.Since(d.spareMadeAt), d.spare != nil
 }
 
-// fill makes a spare connection.
-func (d *dialer) fill(ctx context.Context) {
+// dialSpare opens a spare connection.
+func (d *dialer) dialSpare(ctx context.Context) {
 	d.mu.Lock()
 	addr := d.addr
 	d.mu.Unlock()
@@ -143,11 +148,11 @@
 		conn.Close()
 		return
 	}
-	d.spare, d.made = conn, time.Now()
+	d.spare, d.spareMadeAt = conn, time.Now()
 }
 
-// good says whether the other end has a connection open, and has not begun to talk on it.
-func good(conn net.Conn) bool {
+// isUnused reports whether the peer keeps a connection open and has sent nothing on it.
+func isUnused(conn net.Conn) bool {
 	alive, data := netutil.Peek(conn)
 	return alive && !data
 }
--- a/internal/sink/queue.go
+++ b/internal/sink/queue.go
@@ -1,4 +1,4 @@
-// Package sink holds what end sinks share.
+// Package sink holds the notice format and the queue that the end sinks share.
 package sink
 
 import (
@@ -11,7 +11,7 @@
 	"cometrack/internal/message"
 )
 
-// Notice is an end as the outside is told of it.
+// Notice tells the client's side how a message ended. It is written as JSON.
 type Notice struct {
 	ID           string    `json:"id"`
 	State        string    `json:"state"`
@@ -19,62 +19,63 @@
 	Class        string    `json:"class"`
 	Tenant       string    `json:"tenant,omitempty"`
 	Attempts     int       `json:"tries"`
-	RetryAfterMS int64     `json:"retry_after_ms,omitempty"` // returned: when to come again
+	RetryAfterMS int64     `json:"retry_after_ms,omitempty"` // returned messages: when to submit again
 	EndedAt      time.Time `json:"over"`
 }
 
-// NewNotice puts an end and its message together.
+// NewNotice makes the notice of a message and its end.
 func NewNotice(m *message.Message, e message.End) Notice {
 	return Notice{ID: e.ID, State: e.State, Partner: m.Partner, Class: m.Class, Tenant: m.Tenant, Attempts: e.Tries,
 		RetryAfterMS: e.AfterMS, EndedAt: time.UnixMicro(e.At).UTC()}
 }
 
-// JSON is the line as text.
-func (l Notice) JSON() []byte {
-	b, err := json.Marshal(l)
-	if err != nil { // there is nothing in it that can't be written
+// JSON returns the notice as JSON.
+func (n Notice) JSON() []byte {
+	text, err := json.Marshal(n)
+	if err != nil { // no field can fail to encode
 		panic(err)
 	}
-	return b
+	return text
 }
 
-// Queue holds ends that wait to be told, up to a bound. Above it the oldest is
-// given up: it counts as told, and the log says so.
+// Queue holds notices to be sent, up to a limit. Beyond it the oldest is dropped, which counts as
+// confirmed, and the drop is logged.
 type Queue struct {
-	most       int
+	limit      int
 	log        *slog.Logger
-	Ready      chan struct{} // gets a value when there is something new
-	gaveUp     chan struct{} // gets a value when something was given up
+	Ready      chan struct{} // receives a value when a notice was added
+	hasDropped chan struct{} // receives a value when a notice was dropped
 	mu         sync.Mutex
-	lines      []Notice
-	droppedIDs []string
-	dropped    int
+	notices    []Notice
+	droppedIDs []string // dropped and not yet confirmed
+	dropped    int      // since the start
 }
 
-// NewQueue makes a queue for so many ends.
-func NewQueue(most int, log *slog.Logger) *Queue {
-	return &Queue{most: max(most, 1), log: log, Ready: make(chan struct{}, 1), gaveUp: make(chan struct{}, 1)}
+// NewQueue makes a queue with a limit of at least 1.
+func NewQueue(limit int, log *slog.Logger) *Queue {
+	return &Queue{limit: max(limit, 1), log: log, Ready: make(chan struct{}, 1), hasDropped: make(chan struct{}, 1)}
 }
 
-// Add queues an end; it never waits.
-func (q *Queue) Add(l Notice) {
+// Add queues a notice. It never blocks.
+func (q *Queue) Add(notice Notice) {
 	q.mu.Lock()
-	q.lines = append(q.lines, l)
-	if len(q.lines) > q.most {
-		q.droppedIDs = append(q.droppedIDs, q.lines[0].ID)
-		q.lines = q.lines[1:]
-		if q.dropped++; q.dropped&(q.dropped-1) == 0 { // at powers of two: a flood must not fill the log
-			q.log.Error("end sink: too many ends wait, the oldest is given up", "given_up", q.dropped)
+	q.notices = append(q.notices, notice)
+	if len(q.notices) > q.limit {
+		q.droppedIDs = append(q.droppedIDs, q.notices[0].ID)
+		q.notices = q.notices[1:]
+		if q.dropped++; q.dropped&(q.dropped-1) == 0 { // powers of two only: a flood must not fill the log
+			q.log.Error("end sink: queue full, oldest end dropped", "given_up", q.dropped)
 		}
 	}
-	full := len(q.droppedIDs) > 0
+	overflowed := len(q.droppedIDs) > 0
 	q.mu.Unlock()
 	signal(q.Ready)
-	if full {
-		signal(q.gaveUp)
+	if overflowed {
+		signal(q.hasDropped)
 	}
 }
 
+// signal sends a value unless one is pending.
 func signal(ch chan<- struct{}) {
 	select {
 	case ch <- struct{}{}:
@@ -82,14 +83,14 @@
 	}
 }
 
-// ConfirmDropped confirms what is given up until ctx is over, also while whoever
-// takes the ends is stuck: else they would stay owed, and fill the journal.
+// ConfirmDropped confirms dropped notices until ctx is done, even while the receiver of the notices is
+// stuck. Otherwise they would stay unconfirmed and fill the journal.
 func (q *Queue) ConfirmDropped(ctx context.Context, confirm func(ids []string)) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-q.gaveUp:
+		case <-q.hasDropped:
 		}
 		q.mu.Lock()
 		ids := q.droppedIDs
@@ -101,19 +102,19 @@
 	}
 }
 
-// Take returns up to n ends, the oldest first.
-func (q *Queue) Take(n int) (lines []Notice) {
+// Take removes and returns up to n notices, oldest first.
+func (q *Queue) Take(n int) (notices []Notice) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	n = min(n, len(q.lines))
-	lines = append(lines, q.lines[:n]...)
-	if q.lines = q.lines[n:]; len(q.lines) == 0 {
-		q.lines = nil
+	n = min(n, len(q.notices))
+	notices = append(notices, q.notices[:n]...)
+	if q.notices = q.notices[n:]; len(q.notices) == 0 {
+		q.notices = nil
 	}
-	return lines
+	return notices
 }
 
-// Dropped is the number of ends given up.
+// Dropped returns the number of dropped notices.
 func (q *Queue) Dropped() int {
 	q.mu.Lock()
 	defer q.mu.Unlock()
--- a/internal/sink/webhook/webhook_test.go
+++ b/internal/sink/webhook/webhook_test.go
@@ -18,7 +18,7 @@
 	"cometrack/internal/standin/byhand"
 )
 
-// The example of the Standard Webhooks specification, "Signature scheme".
+// The signature matches the example of the Standard Webhooks specification, "Signature scheme".
 func TestSign(t *testing.T) {
 	key, err := base64.StdEncoding.DecodeString("MfKQ9r8GKYqrTwjUPD8ILPZIo2LaLaSw")
 	if err != nil {
@@ -30,19 +30,21 @@
 	}
 }
 
-// post is a request that a test answers.
+// post is a received request. The test sends its status.
 type post struct {
 	id, at, signature string
 	body              []byte
 	status            chan int
 }
 
+// receiver starts a server and returns its URL and the received requests.
 func receiver(t *testing.T) (string, chan post) {
 	t.Helper()
 	posts := make(chan post, 64)
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
-		p := post{r.Header.Get("Webhook-Id"), r.Header.Get("Webhook-Timestamp"), r.Header.Get("Webhook-Signature"), body, make(chan int, 1)}
+		p := post{r.Header.Get("Webhook-Id"), r.Header.Get("Webhook-Timestamp"), r.Header.Get("Webhook-Signature"),
+			body, make(chan int, 1)}
 		posts <- p
 		select {
 		case status := <-p.status:
@@ -57,23 +59,27 @@
 	return srv.URL, posts
 }
 
-func newSink(url string, parallel, waiting int) *Sink {
-	s := New(Options{URL: url, Key: []byte("0123456789abcdef0123456789abcdef"), Timeout: byhand.Patience, Parallel: parallel, MaxQueued: waiting,
-		Log: slog.New(slog.DiscardHandler)})
+// newSink returns a sink that retries without delay.
+func newSink(url string, parallel, maxQueued int) *Sink {
+	s := New(Options{URL: url, Key: []byte("0123456789abcdef0123456789abcdef"), Timeout: byhand.Patience,
+		Parallel: parallel, MaxQueued: maxQueued, Log: slog.New(slog.DiscardHandler)})
 	s.pause = func(context.Context, time.Duration) {}
 	return s
 }
 
+// add adds a returned message to a sink.
 func add(s *Sink, id string) {
-	s.Add(&message.Message{ID: id, Partner: "p", Class: "c", Tenant: "t"}, message.End{ID: id, State: message.Returned, AfterMS: 5, Tries: 2, At: 1e15})
+	s.Add(&message.Message{ID: id, Partner: "p", Class: "c", Tenant: "t"},
+		message.End{ID: id, State: message.Returned, AfterMS: 5, Tries: 2, At: 1e15})
 }
 
-// An end is posted, signed and the same each time, until it is answered with 2xx; nothing else confirms it.
-func TestUntilHeard(t *testing.T) {
+// A notice is posted with the same body and a valid signature until the response is 2xx. No other status
+// confirms it.
+func TestRetriedUntilSuccess(t *testing.T) {
 	url, posts := receiver(t)
 	s := newSink(url, 1, 10)
-	heard := make(chan []string, 1)
-	go s.Run(t.Context(), func(ids []string) { heard <- ids })
+	confirmed := make(chan []string, 1)
+	go s.Run(t.Context(), func(ids []string) { confirmed <- ids })
 	add(s, "a")
 	var first []byte
 	for _, status := range []int{500, 404, 302, 429, 204} {
@@ -84,23 +90,24 @@
 		if p.id != "a" || p.signature != Sign(s.opts.Key, p.id, p.at, p.body) || string(p.body) != string(first) {
 			t.Errorf("posted %s %s %s", p.id, p.signature, p.body)
 		}
-		if len(heard) != 0 {
-			t.Error("confirmed before it was heard")
+		if len(confirmed) != 0 {
+			t.Error("confirmed before a 2xx response")
 		}
 		p.status <- status
 	}
-	if got := fmt.Sprint(byhand.Await(t, heard, "confirmation")); got != "[a]" {
+	if got := fmt.Sprint(byhand.Await(t, confirmed, "confirmation")); got != "[a]" {
 		t.Errorf("confirmed %s", got)
 	}
-	var l sink.Notice
-	if err := json.Unmarshal(first, &l); err != nil || l.ID != "a" || l.State != message.Returned || l.RetryAfterMS != 5 || l.Attempts != 2 || l.Partner != "p" {
-		t.Errorf("%s: %+v, %v", first, l, err)
+	var notice sink.Notice
+	if err := json.Unmarshal(first, &notice); err != nil || notice.ID != "a" ||
+		notice.State != message.Returned || notice.RetryAfterMS != 5 || notice.Attempts != 2 || notice.Partner != "p" {
+		t.Errorf("%s: %+v, %v", first, notice, err)
 	}
 }
 
-// A receiver that answers nothing holds up no more than its places; above the bound the oldest that wait are given
-// up, which counts as heard, and Add never waits.
-func TestBound(t *testing.T) {
+// Guards against a silent receiver that blocks Add or the confirmation: it occupies the parallel
+// requests only, and beyond the limit the oldest queued notices are dropped and confirmed.
+func TestQueueLimit(t *testing.T) {
 	url, posts := receiver(t)
 	s := newSink(url, 2, 5)
 	var confirmed atomic.Int64
@@ -111,10 +118,11 @@
 	for i := 2; i < 20; i++ {
 		add(s, fmt.Sprint("m", i))
 	}
-	if got := s.queue.Dropped(); got < 12 || got > 13 { // one may be held by the loop that waits for a place
-		t.Errorf("%d given up", got)
+	if got := s.queue.Dropped(); got < 12 || got > 13 { // the loop may hold one
+		t.Errorf("%d dropped, want 12 or 13", got)
 	}
-	byhand.Until(t, "confirmation of those given up, while the receiver is still silent", func() bool { return confirmed.Load() >= 12 })
+	byhand.Until(t, "confirmation of the dropped notices while the receiver is silent",
+		func() bool { return confirmed.Load() >= 12 })
 	one.status <- 200
 	two.status <- 200
 	for i := range 5 {
--- a/internal/soak/points.go
+++ b/internal/soak/points.go
@@ -74,7 +74,7 @@
 	{faultbuild.Point{Name: "call: outcome there, not posted", File: coreAttempt, Before: "		took := time.Since(startedAt)"}, byTraffic},
 	{faultbuild.Point{Name: "outcome: taken, not noted", File: coreAttempt, Before: "	c.traceOutcome(ev)"}, byTraffic},
 	{faultbuild.Point{Name: "outcome: delivered, not finished", File: coreAttempt, Before: "	c.traceEnd(id, p, message.Delivered)"}, byTraffic},
-	{faultbuild.Point{Name: "notice: about to be posted", File: notices, Before: "			status, err := n.post(ctx, batch, within)"}, byTraffic},
+	{faultbuild.Point{Name: "notice: about to be posted", File: notices, Before: "			status, err := n.post(ctx, batch, timeout)"}, byTraffic},
 	{faultbuild.Point{Name: "notice: answered, not confirmed", File: notices, Before: "				confirm(idsOf(batch))\n				break"}, byTraffic},
 	{faultbuild.Point{Name: "notice: confirmed, not recorded", File: coreLoop, Before: "		now := c.clock.Now()\n		for _, id := range ev.ids {"}, byTraffic},
 	{faultbuild.Point{Name: "list: about to be asked for", File: following, Before: "	calling, cancel := context.WithCancel(ctx)"}, byTraffic},
