--- a/internal/cluster/packet.go
+++ b/internal/cluster/packet.go
@@ -39,6 +39,7 @@
 	errProbeAborted = errors.New("probe that broke off")
 )
 
+// The CBOR modes; decoding limits the size and the nesting of untrusted messages.
 var (
 	encMode = sync.OnceValue(func() cbor.EncMode {
 		m, err := cbor.EncOptions{}.EncMode()
