--- a/internal/cluster/rig.go
+++ b/internal/cluster/rig.go
@@ -5,52 +5,54 @@
 	"time"
 )
 
-// Rig is what a test rig puts between a sender and the machine, to run many senders
-// in a process: each with a clock of its own, and with faults and counts at its
-// sockets. A member that is nil leaves what the kernel gives.
-type Rig struct {
-	// Now is the sender's clock.
+// Hooks replace the clock and the sockets of a sender in tests that run many senders in one process:
+// each with its own clock, and with faults and counters at its sockets. A nil field selects the
+// implementation of the kernel.
+type Hooks struct {
+	// Now reads the sender's clock.
 	Now func() time.Duration
-	// Datagrams wraps the socket of datagrams, once it is open.
-	Datagrams func(*net.UDPConn) Datagrams
-	// Dial opens the stream of a probe.
+	// WrapUDP wraps the UDP socket after it was opened.
+	WrapUDP func(*net.UDPConn) DatagramConn
+	// Dial opens the TCP connection of a probe.
 	Dial func(d *net.Dialer, addr string) (net.Conn, error)
 }
 
-// Datagrams is the socket of datagrams, as [net.UDPConn] has it.
-type Datagrams interface {
+// DatagramConn is the part of [net.UDPConn] that a sender uses.
+type DatagramConn interface {
 	ReadFromUDP(b []byte) (int, *net.UDPAddr, error)
 	WriteToUDP(b []byte, to *net.UDPAddr) (int, error)
 	Close() error
 }
 
-// now is the time on this sender's clock.
+// now returns the time on the sender's clock.
 func (o *Options) now() time.Duration {
-	if o.Rig != nil && o.Rig.Now != nil {
-		return o.Rig.Now()
+	if o.Hooks != nil && o.Hooks.Now != nil {
+		return o.Hooks.Now()
 	}
 	return now()
 }
 
-func (o *Options) datagrams(udp *net.UDPConn) Datagrams {
-	if o.Rig != nil && o.Rig.Datagrams != nil {
-		return o.Rig.Datagrams(udp)
+// datagrams returns the UDP socket, wrapped by the hook if there is one.
+func (o *Options) datagrams(udp *net.UDPConn) DatagramConn {
+	if o.Hooks != nil && o.Hooks.WrapUDP != nil {
+		return o.Hooks.WrapUDP(udp)
 	}
 	return udp
 }
 
+// dial opens the TCP connection of a probe.
 func (o *Options) dial(d *net.Dialer, addr string) (net.Conn, error) {
-	if o.Rig != nil && o.Rig.Dial != nil {
-		return o.Rig.Dial(d, addr)
+	if o.Hooks != nil && o.Hooks.Dial != nil {
+		return o.Hooks.Dial(d, addr)
 	}
 	return d.Dial("tcp", addr)
 }
 
-// PacketSize is how many bytes a message of the view takes in a datagram.
+// PacketSize returns the size of a message of the view as a packet, in bytes.
 func PacketSize(message any) (int, error) {
-	b, err := encMode().Marshal(message)
-	return len(b) + headSize, err
+	payload, err := encMode().Marshal(message)
+	return len(payload) + headerSize, err
 }
 
-// IsLore says whether a packet is one of facts; else it is one of the view.
-func IsLore(b []byte) bool { return kindOf(b) == lore }
+// IsFactsPacket reports whether a packet carries facts; otherwise it belongs to the view.
+func IsFactsPacket(packet []byte) bool { return magicOf(packet) == factsMagic }
