--- a/internal/backlog/spill/spill.go
+++ b/internal/backlog/spill/spill.go
@@ -25,11 +25,11 @@
 // Journal is the message journal, as far as it records which messages have left the
 // backlog.
 type Journal interface {
-	// Gone reports whether the message with a sequence number is no longer spilled.
+	// HasLeftBacklog reports whether the message with a sequence number is no longer spilled.
 	HasLeftBacklog(seq uint64) bool
-	// MostBehind returns the largest sequence number in the journal.
+	// MaxBacklogSeq returns the largest sequence number in the journal.
 	MaxBacklogSeq() uint64
-	// KeepPassed drops the records of sequence numbers in ranges for which lives is false:
+	// PruneLeftBacklog drops the records of sequence numbers in ranges for which lives is false:
 	// no segment has them any more.
 	PruneLeftBacklog(lives func(first, last uint64) bool)
 }
--- a/internal/core/seams.go
+++ b/internal/core/seams.go
@@ -149,16 +149,16 @@
 	Waits() map[string]int64
 	AddTerms(t journal.Terms) (n int64, rec *journal.Record, err error)
 	Terms(n int64) *journal.Terms
-	// HoldTerms keeps the terms whose numbers list returns, which messages outside the store refer to.
+	// SetTermsInUse keeps the terms whose numbers list returns, which messages outside the store refer to.
 	SetTermsInUse(list func() []int64)
-	// Gone reports whether the message with a sequence number has left the backlog. MostBehind returns the largest
+	// HasLeftBacklog reports whether the message with a sequence number has left the backlog. MaxBacklogSeq returns the largest
 	// known sequence number.
 	HasLeftBacklog(seq uint64) bool
 	MaxBacklogSeq() uint64
-	// KeepPassed drops the records of sequence numbers of which the backlog holds nothing any more.
+	// PruneLeftBacklog drops the records of sequence numbers of which the backlog holds nothing any more.
 	PruneLeftBacklog(lives func(first, last uint64) bool)
 	Partners() map[string]*journal.Partner
-	// Forget drops ended messages whose retention has expired by now, a time of Clock.
+	// DropExpired drops ended messages whose retention has expired by now, a time of Clock.
 	DropExpired(now int64)
 	// Clock returns the clock of all times in the store.
 	Clock() *clock.Clock
--- a/internal/journal/journal_test.go
+++ b/internal/journal/journal_test.go
@@ -112,7 +112,7 @@
 	}
 	saved := j.ended.bytes
 	j = reopen(t, j, fs)
-	// A forgotten message may come back from a segment that is still there, see Batch.Forget; it counts for nothing in
+	// A forgotten message may come back from a segment that is still there, see Batch.DeleteWeak; it counts for nothing in
 	// the store.
 	back := j.Ended("m2000")
 	if n := len(j.ended.byID); n < 100 || n > 8000 || j.ended.bytes != saved || j.Ended("m9999") == nil ||
