--- a/internal/daemon/platform.go
+++ b/internal/daemon/platform.go
@@ -65,13 +65,13 @@
 	p.source = platform.New(platform.Options{Addr: cfg.Discovery, Known: cfg.Known, Poll: pollSettings(set), Seed: cfg.Seed, Log: log})
 	conf := core.Config{Name: cfg.Name, Settings: set, Seed: cfg.Seed, Zones: cfg.Deploy.Zones}
 	if cfg.Known.Generation != 0 || len(cfg.Known.Instances) > 0 {
-		known := cfg.Known.List()
+		known := cfg.Known.EndpointList()
 		known.Complete = true
 		conf.CachedEndpoints = &known
 	}
 	transport := httptransport.New(span(cfg.Deploy.ConnectTimeout), span(set.ConnIdle),
 		httptransport.Limits{Open: share.calls, Idle: share.idle, PerEndpoint: set.Slots})
-	transport.Reports = cfg.Deploy.Reports
+	transport.LoadMetrics = cfg.Deploy.Reports
 	p.core, err = core.New(conf, core.Dependencies{Store: kept, Source: p.source, Sink: p.sink, Log: log, Transport: transport, Lifecycle: life, Monitor: monitor,
 		Takeover: from, ReopenStore: func() (core.Store, error) { return open() }})
 	if err != nil {
@@ -90,7 +90,7 @@
 
 // pollSettings are what the settings say of discovery.
 func pollSettings(set logic.Settings) poll.Settings {
-	return poll.Settings{Senders: set.Senders, AskWithin: span(set.ListRetryWithin), Agent: !set.ListOnRequest}
+	return poll.Settings{Senders: set.Senders, ListRetryWithin: span(set.ListRetryWithin), Agent: !set.ListOnRequest}
 }
 
 func span(t logic.Micros) time.Duration { return time.Duration(t) * time.Microsecond }
@@ -153,8 +153,8 @@
 		p.keep()
 		p.log.Info("reload: settings", "classes", len(cfg.Deploy.Settings.Classes), "attempts", cfg.Deploy.Settings.MaxTries)
 		p.sink.Move(cfg.Discovery)
-		p.source.Retune(pollSettings(cfg.Deploy.Settings))
-		if p.source.Move(cfg.Discovery) {
+		p.source.UpdateSettings(pollSettings(cfg.Deploy.Settings))
+		if p.source.SetAddress(cfg.Discovery) {
 			p.log.Info("reload: discovery moves", "to", cfg.Discovery)
 		} else {
 			p.log.Info("reload: same discovery", "addr", cfg.Discovery)
--- a/internal/daemon/standalone.go
+++ b/internal/daemon/standalone.go
@@ -87,7 +87,7 @@
 	share := shareOut(descriptors(f.Limits.Descriptors, log), f.Limits.Slots, files, consoleFiles(f.Console.Listen))
 	transport := httptransport.New(time.Duration(f.Transport.HTTP.ConnectTimeout), time.Duration(f.Transport.HTTP.Idle),
 		httptransport.Limits{Open: share.calls, Idle: share.idle, PerEndpoint: f.Limits.Slots})
-	transport.Source, transport.RetryAfter = net.ParseIP(f.Transport.HTTP.Source), true
+	transport.SourceIP, transport.UseRetryAfter = net.ParseIP(f.Transport.HTTP.Source), true
 	var stream *httpfront.Stream
 	var sinks []fan.Sink
 	if h := f.Front.HTTP; h != nil {
--- a/internal/soak/plant.go
+++ b/internal/soak/plant.go
@@ -63,7 +63,7 @@
 		{File: "internal/source/platform/list.go", Old: "			e.State = logic.Draining", New: "			e.State = logic.Ready"},
 	}, Faults: aboutLists},
 	{Name: "list one generation old", Changes: []faultbuild.Change{
-		{File: "internal/source/platform/follow.go", Old: "	f.tell(core.EndpointUpdate{List: r.list.List(),", New: "	r.list, planted = planted, r.list\n	f.tell(core.News{List: r.list.List(),"},
+		{File: "internal/source/platform/follow.go", Old: "	f.tell(core.EndpointUpdate{List: r.list.EndpointList(),", New: "	r.list, planted = planted, r.list\n	f.tell(core.EndpointUpdate{List: r.list.EndpointList(),"},
 		{File: "internal/source/platform/follow.go", Old: "// now is the time as", New: "var planted List\n\n// now is the time as"},
 	}, Faults: aboutLists},
 }
--- a/internal/source/platform/call.go
+++ b/internal/source/platform/call.go
@@ -32,7 +32,7 @@
 // listURL is what a request asks of discovery at an address.
 func listURL(addr string, r poll.Request) string {
 	url := "http://" + addr + "/discovery/hosts"
-	if r.Whole {
+	if r.Complete {
 		return url
 	}
 	return fmt.Sprintf("%s?from=%d&hold_ms=%d", url, r.Since, r.Hold.Milliseconds())
--- a/internal/source/platform/follow.go
+++ b/internal/source/platform/follow.go
@@ -58,7 +58,7 @@
 		for _, r := range f.poller.Tick(now) {
 			f.begin(ctx, r, now)
 		}
-		if next := f.poller.Due(); next < poll.Never {
+		if next := f.poller.NextTick(); next < poll.Never {
 			due.Reset(next - now)
 		} else {
 			due.Stop()
@@ -68,12 +68,12 @@
 			return
 		case <-due.C:
 		case settings := <-f.tune:
-			f.poller.Retune(settings)
+			f.poller.UpdateSettings(settings)
 		case s := <-f.steps:
 			if s.answering {
-				f.poller.Answering(f.now(), s.id)
+				f.poller.ResponseStarted(f.now(), s.id)
 			} else {
-				f.poller.Sent(s.id)
+				f.poller.RequestSent(s.id)
 			}
 		case r := <-f.results:
 			f.take(r)
@@ -85,7 +85,7 @@
 func (f *follower) begin(ctx context.Context, r poll.Request, now time.Duration) {
 	calling, cancel := context.WithCancel(ctx)
 	f.calls[r.ID] = cancel
-	f.log.Debug("discovery: asked", "call", r.ID, "whole", r.Whole, "since", r.Since, "hold", r.Hold, "out", len(f.calls))
+	f.log.Debug("discovery: asked", "call", r.ID, "whole", r.Complete, "since", r.Since, "hold", r.Hold, "out", len(f.calls))
 	go func() {
 		came := func(answering bool) {
 			select {
@@ -109,17 +109,17 @@
 
 // take hands on what a call has brought.
 func (f *follower) take(r result) {
-	if !f.poller.Out(r.request.ID) {
+	if !f.poller.InFlight(r.request.ID) {
 		return // given up for the answer of another
 	}
 	f.end(r.request.ID)
 	now := f.now()
 	if r.err != nil {
-		f.poller.Failed(now, r.request.ID)
+		f.poller.CallFailed(now, r.request.ID)
 		f.failed(r, r.err, now)
 		return
 	}
-	giveUp, err := f.poller.Answered(now, r.request.ID, poll.Answer{Generation: r.list.Generation, Whole: r.list.Reset, Entries: len(r.list.Instances)})
+	giveUp, err := f.poller.ResponseReceived(now, r.request.ID, poll.Response{Generation: r.list.Generation, Complete: r.list.Reset, Entries: len(r.list.Instances)})
 	if err != nil {
 		f.failed(r, err, now)
 		return
@@ -128,7 +128,7 @@
 		f.end(id)
 	}
 	f.answered(r, len(giveUp), now)
-	f.tell(core.EndpointUpdate{List: r.list.List(), Version: r.list.Generation, Epoch: f.epoch})
+	f.tell(core.EndpointUpdate{List: r.list.EndpointList(), Version: r.list.Generation, Epoch: f.epoch})
 }
 
 // failed logs a failure; while discovery goes on failing, most of them quietly.
@@ -142,7 +142,7 @@
 	}
 	_, failures := f.poller.Checking()
 	f.log.Log(context.Background(), level, "discovery", "err", err, "call", r.request.ID, "took", (now - r.began).Round(time.Millisecond), "out", len(f.calls),
-		"failures", failures, "since", (now - f.failing).Round(time.Millisecond), "next", (f.poller.Due() - now).Round(time.Millisecond))
+		"failures", failures, "since", (now - f.failing).Round(time.Millisecond), "next", (f.poller.NextTick() - now).Round(time.Millisecond))
 }
 
 // answered logs an answer, and that discovery is back if it was not there.
--- a/internal/source/platform/list.go
+++ b/internal/source/platform/list.go
@@ -25,8 +25,8 @@
 	Weight    float64 `json:"weight"`
 }
 
-// List is the answer in the core's terms.
-func (l List) List() core.EndpointList {
+// EndpointList is the answer in the core's terms.
+func (l List) EndpointList() core.EndpointList {
 	out := core.EndpointList{Complete: l.Reset, Endpoints: make([]core.Endpoint, len(l.Instances))}
 	for i, in := range l.Instances {
 		e := core.Endpoint{Name: in.ID, Addr: in.HostPort, Zone: in.Zone, Kind: in.Kind,
--- a/internal/source/platform/orders_test.go
+++ b/internal/source/platform/orders_test.go
@@ -31,7 +31,7 @@
 	{"70 senders", poll.Settings{Senders: 70}, toldAfter, 2},
 	{"300 senders", poll.Settings{Senders: 300}, toldAfter, 2},
 	{"900 senders", poll.Settings{Senders: 900}, toldAfter, 2},
-	{"held after 0.4 s", poll.Settings{Senders: 300, AskWithin: 400 * time.Millisecond}, 4 * 400 * time.Millisecond, 3},
+	{"held after 0.4 s", poll.Settings{Senders: 300, ListRetryWithin: 400 * time.Millisecond}, 4 * 400 * time.Millisecond, 3},
 	{"an agent", poll.Settings{Senders: 300, Agent: true}, toldAfter, 3},
 }
 
@@ -120,7 +120,7 @@
 		if o.known { // the watch is out at the old address
 			synctest.Wait()
 		}
-		s.source.Move("agent:2")
+		s.source.SetAddress("agent:2")
 	}
 	select {
 	case <-s.news:
--- a/internal/source/platform/poll/pace.go
+++ b/internal/source/platform/poll/pace.go
@@ -60,7 +60,7 @@
 	if burst > fastInterval {
 		p.checkHold = slowHold
 	}
-	if within := s.AskWithin; within > 0 { // a change counts as told after four times that
+	if within := s.ListRetryWithin; within > 0 { // a change counts as told after four times that
 		p.fast, p.slow = min(p.fast, within), min(p.slow, within)
 		p.checkHold, p.overdue = min(p.checkHold, max(within/4, minCheckHold)), min(p.overdue, max(within/4, minCheckHold))
 	}
--- a/internal/source/platform/poll/play/pauses.go
+++ b/internal/source/platform/poll/play/pauses.go
@@ -28,17 +28,17 @@
 	early      float64
 }
 
-// NewPauses makes an asker that makes one call at a time.
-func NewPauses(_ int, seed uint64) Asker {
+// NewSequential makes an asker that makes one call at a time.
+func NewSequential(_ int, seed uint64) Client {
 	return &pauses{rng: rand.New(rand.NewPCG(seed, 0)), generation: 1, early: pauseFirst}
 }
 
 // NewPoller makes an asker that decides as the program does.
-func NewPoller(senders int, seed uint64) Asker {
-	return poll.New(poll.Settings{Senders: senders, AskWithin: 10 * time.Second}, true, 1, seed, 0)
+func NewPoller(senders int, seed uint64) Client {
+	return poll.New(poll.Settings{Senders: senders, ListRetryWithin: 10 * time.Second}, true, 1, seed, 0)
 }
 
-func (p *pauses) Due() time.Duration {
+func (p *pauses) NextTick() time.Duration {
 	if p.out {
 		return poll.Never
 	}
@@ -58,9 +58,9 @@
 	return []poll.Request{{ID: p.id, Since: p.generation, Hold: hold, Limit: hold + slack}}
 }
 
-func (p *pauses) Sent(int) {}
+func (p *pauses) RequestSent(int) {}
 
-func (p *pauses) Failed(now time.Duration, _ int) {
+func (p *pauses) CallFailed(now time.Duration, _ int) {
 	from := now // a watch that was open until now
 	if p.failed {
 		from = p.began
@@ -70,7 +70,7 @@
 	p.early = pauseLater
 }
 
-func (p *pauses) Answered(now time.Duration, _ int, a poll.Answer) ([]int, error) {
+func (p *pauses) ResponseReceived(now time.Duration, _ int, a poll.Response) ([]int, error) {
 	p.out, p.failed, p.early, p.due, p.generation = false, false, pauseFirst, now, a.Generation
 	return nil, nil
 }
--- a/internal/source/platform/poll/play/play.go
+++ b/internal/source/platform/poll/play/play.go
@@ -11,29 +11,29 @@
 	"cometrack/internal/virtual"
 )
 
-// Asker decides about the calls of one sender, as [poll.Poller] does.
-type Asker interface {
-	Due() time.Duration
+// Client decides about the calls of one sender, as [poll.Poller] does.
+type Client interface {
+	NextTick() time.Duration
 	Tick(now time.Duration) []poll.Request
-	Sent(id int)
-	Failed(now time.Duration, id int)
-	Answered(now time.Duration, id int, a poll.Answer) (giveUp []int, err error)
+	RequestSent(id int)
+	CallFailed(now time.Duration, id int)
+	ResponseReceived(now time.Duration, id int, a poll.Response) (giveUp []int, err error)
 }
 
-// Trouble is what discovery suffers for a while. While it is down or crowded, calls end with 503.
-type Trouble struct {
-	Down  bool
-	Turn  time.Duration // it works through calls in turn, each for so long; 0 for all at once
-	Fails float64       // part of the calls that are refused at once
+// Fault is what discovery suffers for a while. While it is down or crowded, calls end with 503.
+type Fault struct {
+	Down         bool
+	ServiceTime  time.Duration // it works through calls in turn, each for so long; 0 for all at once
+	FailureRatio float64       // part of the calls that are refused at once
 }
 
 // Options set a play up.
 type Options struct {
-	Senders int
-	Seed    uint64
-	Trouble Trouble
-	Lasts   time.Duration // from 30 s on
-	New     func(senders int, seed uint64) Asker
+	Senders       int
+	Seed          uint64
+	Fault         Fault
+	FaultDuration time.Duration // from 30 s on
+	NewClient     func(senders int, seed uint64) Client
 }
 
 const (
@@ -47,35 +47,35 @@
 
 // Result is what came of a play.
 type Result struct {
-	Calls      int // while the trouble lasts
-	BusiestAt  int // calls in the busiest second of the trouble
-	BusiestEnd int // the same in the 10 s after it
-	MeanEnd    float64
-	Late       int             // changes that were in hand at a sender later than 6 s
-	Changes    int             // changes at senders
-	InHand     []time.Duration // from the moment when a change could be had, sorted
+	Calls           int // while the trouble lasts
+	PeakDuringFault int // calls in the busiest second of the trouble
+	PeakAfterFault  int // the same in the 10 s after it
+	MeanAfterFault  float64
+	LateChanges     int             // changes that were in hand at a sender later than 6 s
+	Changes         int             // changes at senders
+	Delays          []time.Duration // from the moment when a change could be had, sorted
 }
 
 // Quantile is a quantile of the times to a change in hand.
 func (r Result) Quantile(q float64) time.Duration {
-	return r.InHand[int(q*float64(len(r.InHand)-1))]
+	return r.Delays[int(q*float64(len(r.Delays)-1))]
 }
 
 // Run plays.
 func Run(o Options) Result {
 	p := &fleet{Options: o, rng: rand.New(rand.NewPCG(o.Seed, 5)), seconds: map[int]int{}}
 	for i := range o.Senders {
-		s := &sender{fleet: p, asker: o.New(o.Senders, o.Seed*1000+uint64(i)), calls: map[int]*call{}, generation: 1}
+		s := &sender{fleet: p, asker: o.NewClient(o.Senders, o.Seed*1000+uint64(i)), calls: map[int]*call{}, generation: 1}
 		p.senders = append(p.senders, s)
 		p.clock.After(time.Duration(p.rng.Float64()*float64(startSpread)), s.step)
 	}
 	p.generation = 1
-	p.clock.After(begins, func() { p.set(o.Trouble) })
-	p.clock.After(begins+o.Lasts, func() { p.set(Trouble{}) })
-	for at := begins + changeEvery/2; at < begins+o.Lasts+after/2; at += changeEvery {
+	p.clock.After(begins, func() { p.set(o.Fault) })
+	p.clock.After(begins+o.FaultDuration, func() { p.set(Fault{}) })
+	for at := begins + changeEvery/2; at < begins+o.FaultDuration+after/2; at += changeEvery {
 		p.clock.After(at, p.change)
 	}
-	p.clock.Run(begins + o.Lasts + after)
+	p.clock.Run(begins + o.FaultDuration + after)
 	return p.result()
 }
 
@@ -85,7 +85,7 @@
 	clock      virtual.Clock
 	rng        *rand.Rand
 	senders    []*sender
-	now        Trouble
+	now        Fault
 	generation int64
 	had        []time.Duration // when each generation from the second on could be had
 	queue      []*call
@@ -98,7 +98,7 @@
 // sender is one of the fleet.
 type sender struct {
 	fleet      *fleet
-	asker      Asker
+	asker      Client
 	calls      map[int]*call
 	generation int64
 	wake       int // counts the alarms that were set; only the last one counts
@@ -113,7 +113,7 @@
 }
 
 // set puts discovery in trouble, or in none. Watches end as it goes down.
-func (p *fleet) set(t Trouble) {
+func (p *fleet) set(t Fault) {
 	p.now = t
 	if !t.Down {
 		for i := range p.had {
@@ -149,7 +149,7 @@
 	for _, r := range s.asker.Tick(s.fleet.clock.Now) {
 		c := &call{Request: r, sender: s}
 		s.calls[r.ID] = c
-		s.asker.Sent(r.ID)
+		s.asker.RequestSent(r.ID)
 		s.fleet.clock.After(travel, func() { s.fleet.arrive(c) })
 		s.fleet.clock.After(r.Limit, func() { s.over(c, nil) })
 	}
@@ -159,7 +159,7 @@
 // arm sets the alarm for what is due next.
 func (s *sender) arm() {
 	s.wake++
-	own, due := s.wake, s.asker.Due()
+	own, due := s.wake, s.asker.NextTick()
 	if due == poll.Never {
 		return
 	}
@@ -171,15 +171,15 @@
 }
 
 // over tells a sender what became of a call; nil for a failure.
-func (s *sender) over(c *call, a *poll.Answer) {
+func (s *sender) over(c *call, a *poll.Response) {
 	if c.over {
 		return
 	}
 	c.over = true
 	now := s.fleet.clock.Now
 	if a == nil {
-		s.asker.Failed(now, c.ID)
-	} else if giveUp, err := s.asker.Answered(now, c.ID, *a); err == nil {
+		s.asker.CallFailed(now, c.ID)
+	} else if giveUp, err := s.asker.ResponseReceived(now, c.ID, *a); err == nil {
 		for _, id := range giveUp {
 			s.calls[id].over = true
 		}
@@ -193,20 +193,20 @@
 func (s *sender) heard(generation int64) {
 	for ; s.generation < generation; s.generation++ {
 		took := s.fleet.clock.Now - s.fleet.had[s.generation-1]
-		s.fleet.out.InHand = append(s.fleet.out.InHand, took)
+		s.fleet.out.Delays = append(s.fleet.out.Delays, took)
 	}
 }
 
 // arrive has a call come to discovery.
 func (p *fleet) arrive(c *call) {
 	p.seconds[int(p.clock.Now/time.Second)]++
-	if p.clock.Now >= begins && p.clock.Now < begins+p.Lasts {
+	if p.clock.Now >= begins && p.clock.Now < begins+p.FaultDuration {
 		p.out.Calls++
 	}
 	switch c.came = p.clock.Now; {
-	case p.now.Down || p.rng.Float64() < p.now.Fails:
+	case p.now.Down || p.rng.Float64() < p.now.FailureRatio:
 		p.refuse(c)
-	case p.now.Turn > 0:
+	case p.now.ServiceTime > 0:
 		p.queue = append(p.queue, c)
 		p.clock.After(queueLimit, func() {
 			if i := slices.Index(p.queue, c); i >= 0 {
@@ -227,7 +227,7 @@
 	}
 	next := p.queue[0]
 	p.queue, p.working = p.queue[1:], true
-	p.clock.After(max(p.now.Turn, time.Microsecond), func() {
+	p.clock.After(max(p.now.ServiceTime, time.Microsecond), func() {
 		p.working = false
 		p.serve(next)
 		p.work()
@@ -236,7 +236,7 @@
 
 // serve answers a call, or holds it until there is news or its time is over.
 func (p *fleet) serve(c *call) {
-	if c.Whole || c.Since < p.generation {
+	if c.Complete || c.Since < p.generation {
 		p.answer(c)
 		return
 	}
@@ -250,7 +250,7 @@
 }
 
 func (p *fleet) answer(c *call) {
-	a := poll.Answer{Generation: p.generation, Whole: c.Whole, Entries: int(p.generation - c.Since)}
+	a := poll.Response{Generation: p.generation, Complete: c.Complete, Entries: int(p.generation - c.Since)}
 	p.clock.After(travel, func() { c.sender.over(c, &a) })
 }
 
@@ -261,23 +261,23 @@
 	for _, s := range p.senders {
 		s.heard(p.generation)
 	}
-	slices.Sort(p.out.InHand)
+	slices.Sort(p.out.Delays)
 	const told = 6 * time.Second
-	for _, d := range p.out.InHand {
+	for _, d := range p.out.Delays {
 		if d > told {
-			p.out.Late++
+			p.out.LateChanges++
 		}
 	}
-	p.out.Changes = len(p.out.InHand)
+	p.out.Changes = len(p.out.Delays)
 	const endSeconds = 10
-	end := int((begins + p.Lasts) / time.Second)
+	end := int((begins + p.FaultDuration) / time.Second)
 	for s, n := range p.seconds {
 		switch {
 		case s >= int(begins/time.Second) && s < end:
-			p.out.BusiestAt = max(p.out.BusiestAt, n)
+			p.out.PeakDuringFault = max(p.out.PeakDuringFault, n)
 		case s >= end && s < end+endSeconds:
-			p.out.BusiestEnd = max(p.out.BusiestEnd, n)
-			p.out.MeanEnd += float64(n) / endSeconds
+			p.out.PeakAfterFault = max(p.out.PeakAfterFault, n)
+			p.out.MeanAfterFault += float64(n) / endSeconds
 		}
 	}
 	return p.out
--- a/internal/source/platform/poll/poll.go
+++ b/internal/source/platform/poll/poll.go
@@ -9,31 +9,31 @@
 
 // Settings are what a deployment says of its discovery.
 type Settings struct {
-	Senders   int           // that ask it
-	AskWithin time.Duration // for which a list holds without a watch, four times as long after a failure; 0 for no such rule
-	Agent     bool          // it is an agent on this machine, which answers at once and at no cost, or is silent
+	Senders         int           // that ask it
+	ListRetryWithin time.Duration // for which a list holds without a watch, four times as long after a failure; 0 for no such rule
+	Agent           bool          // it is an agent on this machine, which answers at once and at no cost, or is silent
 }
 
 // Request is a call for the list.
 type Request struct {
-	ID    int
-	Whole bool          // the whole list is asked for
-	Since int64         // else what is newer than this generation
-	Hold  time.Duration // for which the answer may wait for something newer
-	Limit time.Duration // after which the call is given up
+	ID       int
+	Complete bool          // the whole list is asked for
+	Since    int64         // else what is newer than this generation
+	Hold     time.Duration // for which the answer may wait for something newer
+	Limit    time.Duration // after which the call is given up
 }
 
-// Answer is what is read of an answer.
-type Answer struct {
+// Response is what is read of an answer.
+type Response struct {
 	Generation int64
-	Whole      bool // it is the whole list
+	Complete   bool // it is the whole list
 	Entries    int
 }
 
 // Errors of answers that are no news of the list.
 var (
-	ErrEmpty = errors.New("no list: an answer without generation and endpoints")
-	ErrOlder = errors.New("no list: changes of an older generation")
+	ErrEmptyList       = errors.New("no list: an answer without generation and endpoints")
+	ErrStaleGeneration = errors.New("no list: changes of an older generation")
 )
 
 // Never is later than any time.
@@ -90,21 +90,21 @@
 // New makes a poller that asks for the first time at now. Without a known list the whole one is asked for.
 func New(settings Settings, known bool, generation int64, seed uint64, now time.Duration) *Poller {
 	p := &Poller{rng: rand.New(rand.NewPCG(seed, 0)), known: known, generation: generation, open: map[int]call{}, due: now, lastCheck: -Never}
-	p.Retune(settings)
+	p.UpdateSettings(settings)
 	if !known {
 		p.doubt(now, rampSteps)
 	}
 	return p
 }
 
-// Retune takes up other settings.
-func (p *Poller) Retune(settings Settings) {
+// UpdateSettings takes up other settings.
+func (p *Poller) UpdateSettings(settings Settings) {
 	p.settings, p.pace = settings, paceOf(settings)
 	p.interval = min(max(p.interval, p.pace.fast), p.pace.slow)
 }
 
-// Due is when Tick has something to do, if nothing happens before.
-func (p *Poller) Due() time.Duration {
+// NextTick is when Tick has something to do, if nothing happens before.
+func (p *Poller) NextTick() time.Duration {
 	if len(p.open) >= maxOpen {
 		return Never
 	}
@@ -113,7 +113,7 @@
 
 // Tick returns the calls to be made now.
 func (p *Poller) Tick(now time.Duration) []Request {
-	if now < p.Due() {
+	if now < p.NextTick() {
 		return nil
 	}
 	if p.state == following && len(p.open) > 0 { // the watch is overdue, or its connection does not come up
@@ -125,7 +125,7 @@
 // begin makes a watch or a check, as the state has it.
 func (p *Poller) begin(now time.Duration) Request {
 	p.lastID++
-	c := call{Request: Request{ID: p.lastID, Whole: !p.known, Since: p.generation}, began: now}
+	c := call{Request: Request{ID: p.lastID, Complete: !p.known, Since: p.generation}, began: now}
 	if p.state == following {
 		c.watch, c.Hold = true, p.pace.watchHold
 		c.Limit = c.Hold + p.pace.watchGrace
@@ -141,8 +141,8 @@
 	return c.Request
 }
 
-// Sent tells that a request has been written: its connection is up. From then on it may be held.
-func (p *Poller) Sent(id int) {
+// RequestSent tells that a request has been written: its connection is up. From then on it may be held.
+func (p *Poller) RequestSent(id int) {
 	c, out := p.open[id]
 	if !out {
 		return
@@ -157,8 +157,8 @@
 	}
 }
 
-// Answering tells that an answer has begun. The rest of it should be there at once.
-func (p *Poller) Answering(now time.Duration, id int) {
+// ResponseStarted tells that an answer has begun. The rest of it should be there at once.
+func (p *Poller) ResponseStarted(now time.Duration, id int) {
 	c, out := p.open[id]
 	if !out {
 		return
@@ -178,8 +178,8 @@
 	p.state, p.failures, p.due, p.ramp = checking, 0, first, ramp
 }
 
-// Failed tells that a call has failed, or was given up at its limit.
-func (p *Poller) Failed(now time.Duration, id int) {
+// CallFailed tells that a call has failed, or was given up at its limit.
+func (p *Poller) CallFailed(now time.Duration, id int) {
 	c, out := p.open[id]
 	if !out {
 		return
@@ -201,15 +201,15 @@
 	}
 }
 
-// Answered tells that a call was answered. It returns the calls that are to be given up, as they have nothing more to
+// ResponseReceived tells that a call was answered. It returns the calls that are to be given up, as they have nothing more to
 // tell, or an error if the answer is of no use: then the call has failed.
-func (p *Poller) Answered(now time.Duration, id int, a Answer) (giveUp []int, err error) {
+func (p *Poller) ResponseReceived(now time.Duration, id int, a Response) (giveUp []int, err error) {
 	c, out := p.open[id]
 	if !out {
 		return nil, nil
 	}
 	if err := p.check(a); err != nil {
-		p.Failed(now, id)
+		p.CallFailed(now, id)
 		return nil, err
 	}
 	delete(p.open, id)
@@ -219,7 +219,7 @@
 	clear(p.open)
 	nothingNew := p.known && a.Generation == p.generation
 	switch took := now - c.began; {
-	case c.Whole:
+	case c.Complete:
 		p.lateness = took
 	case nothingNew:
 		p.lateness = max(took-c.Hold, 0)
@@ -236,20 +236,20 @@
 }
 
 // check says what is wrong with an answer. After changes of an older list than ours the whole one is asked for.
-func (p *Poller) check(a Answer) error {
+func (p *Poller) check(a Response) error {
 	switch {
-	case a.Whole:
+	case a.Complete:
 	case p.known && a.Generation < p.generation:
 		p.known = false
-		return fmt.Errorf("%w: %d, after %d", ErrOlder, a.Generation, p.generation)
+		return fmt.Errorf("%w: %d, after %d", ErrStaleGeneration, a.Generation, p.generation)
 	case !p.known && a.Generation == 0 && a.Entries == 0:
-		return ErrEmpty
+		return ErrEmptyList
 	}
 	return nil
 }
 
-// Out says whether a call has no outcome yet.
-func (p *Poller) Out(id int) bool {
+// InFlight says whether a call has no outcome yet.
+func (p *Poller) InFlight(id int) bool {
 	_, out := p.open[id]
 	return out
 }
--- a/internal/source/platform/poll/poll_test.go
+++ b/internal/source/platform/poll/poll_test.go
@@ -12,15 +12,15 @@
 	now := time.Duration(0)
 	for generation := range int64(3) {
 		watch := p.Tick(now)[0]
-		p.Sent(watch.ID)
+		p.RequestSent(watch.ID)
 		now += 10 * time.Second
-		if _, err := p.Answered(now, watch.ID, Answer{Generation: generation + 2, Entries: 1}); err != nil {
+		if _, err := p.ResponseReceived(now, watch.ID, Response{Generation: generation + 2, Entries: 1}); err != nil {
 			t.Fatal(err)
 		}
 	}
 	last := p.Tick(now)[0]
-	p.Sent(last.ID)
-	if over := p.Due() - now - last.Hold; over > overdueAfter {
+	p.RequestSent(last.ID)
+	if over := p.NextTick() - now - last.Hold; over > overdueAfter {
 		t.Errorf("the next watch is taken for broken %v after its hold", over)
 	}
 }
@@ -34,8 +34,8 @@
 	} {
 		p := New(Settings{Senders: 1}, true, 1, 1, 0)
 		watch := p.Tick(0)[0]
-		p.Sent(watch.ID)
-		if _, err := p.Answered(x.took, watch.ID, Answer{Generation: 1}); err != nil {
+		p.RequestSent(watch.ID)
+		if _, err := p.ResponseReceived(x.took, watch.ID, Response{Generation: 1}); err != nil {
 			t.Fatal(err)
 		}
 		if got := p.patience(0); got != x.want {
--- a/internal/source/platform/source.go
+++ b/internal/source/platform/source.go
@@ -70,9 +70,9 @@
 	}()
 }
 
-// Move turns to another address at once. The list there is asked for whole, since its generations need not follow on
+// SetAddress turns to another address at once. The list there is asked for whole, since its generations need not follow on
 // from those of the old one. It says whether the address is another.
-func (s *Source) Move(addr string) bool {
+func (s *Source) SetAddress(addr string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.addr == addr {
@@ -88,8 +88,8 @@
 	return true
 }
 
-// Retune takes up other settings.
-func (s *Source) Retune(settings poll.Settings) {
+// UpdateSettings takes up other settings.
+func (s *Source) UpdateSettings(settings poll.Settings) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.settings = settings
--- a/internal/transport/http/batch_test.go
+++ b/internal/transport/http/batch_test.go
@@ -89,7 +89,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			e, c := byhand.NewEndpoint(t), testCaller()
-			c.Reports = []string{"x0", "x1"}
+			c.LoadMetrics = []string{"x0", "x1"}
 			got := goBatch(t.Context(), c, newBatch(e.Addr(), 3, "\x00body"))
 			in := byhand.Await(t, e.Calls, "call")
 			if s := ids(t, in, "\x00body"); s != "m0 m1 m2" {
--- a/internal/transport/http/calls.go
+++ b/internal/transport/http/calls.go
@@ -51,17 +51,17 @@
 // twice, and it knows whether the last byte was written: that tells what never
 // ran from what may have run. net/http's transport does neither.
 type Transport struct {
-	// Reports names the values of the load reports that answers may carry, in the
+	// LoadMetrics names the values of the load reports that answers may carry, in the
 	// order of [core.Result.Load]; empty if there are none. It is set before use.
-	Reports []string
+	LoadMetrics []string
 
-	// Source is the address of this machine that connections come from; nil for the
+	// SourceIP is the address of this machine that connections come from; nil for the
 	// kernel's choice. It is set before use.
-	Source net.IP
+	SourceIP net.IP
 
-	// RetryAfter says that Retry-After (RFC 9110, section 10.2.3) on 429 and 503 tells a
+	// UseRetryAfter says that Retry-After (RFC 9110, section 10.2.3) on 429 and 503 tells a
 	// wait, where X-Come-Back-Ms does not. It is set before use.
-	RetryAfter bool
+	UseRetryAfter bool
 
 	dialer   net.Dialer
 	linger   time.Duration
@@ -140,7 +140,7 @@
 	}
 	in.written()
 	conn.limit.N = maxAnswer
-	r, keep := readAnswer(conn.r, limit, c.Reports, c.RetryAfter, in.body)
+	r, keep := readAnswer(conn.r, limit, c.LoadMetrics, c.UseRetryAfter, in.body)
 	if r.Outcome == logic.ConnectionBroken && !conn.since.IsZero() {
 		c.mu.Lock()
 		c.brokeAt = time.Now()
@@ -252,8 +252,8 @@
 // from is the dialer for connections from the set source.
 func (c *Transport) from() *net.Dialer {
 	d := c.dialer
-	if c.Source != nil {
-		d.LocalAddr = &net.TCPAddr{IP: c.Source}
+	if c.SourceIP != nil {
+		d.LocalAddr = &net.TCPAddr{IP: c.SourceIP}
 		d.Control = func(_, _ string, raw syscall.RawConn) error { // else a port is used up for each connection, whomever it is to
 			return raw.Control(func(fd uintptr) { syscall.SetsockoptInt(int(fd), syscall.IPPROTO_IP, bindNoPort, 1) })
 		}
