--- a/internal/transport/http/answer.go
+++ b/internal/transport/http/answer.go
@@ -21,94 +21,97 @@
 )
 
 const (
-	maxAnswer = 64 << 10              // head and body of an answer, with interim ones ahead
-	headTime  = time.Second           // for the rest of an answer that matters, once it has begun
-	tailTime  = 50 * time.Millisecond // for what does not; a connection that is slower is not used again
+	maxResponseBytes = 64 << 10              // head and body of a response, including interim ones
+	responseTimeout  = time.Second           // for the rest of a response whose content matters, once it has begun
+	drainTimeout     = 50 * time.Millisecond // for a rest whose content doesn't; a slower connection is not reused
 )
 
-// errSpoilt says that an answer can't be read.
-var errSpoilt = errors.New("spoilt answer")
+// errInvalidResponse marks a response that can't be parsed.
+var errInvalidResponse = errors.New("invalid response")
 
-// readAnswer reads the answer to a call that was written, and says whether the
-// connection can carry another. net/http's reader would not do: the first line
-// counts even where the rest of the head can't be read, and lengths that leave a
-// doubt are no lengths. With a body, a 200 counts only if it has come whole.
-func readAnswer(r *bufio.Reader, limit *cutoff, reports []string, later bool, body *bytes.Buffer) (core.Result, bool) {
+// readResponse reads the response to a call and reports whether the connection can be
+// reused. It doesn't use net/http's reader, because the status line counts even if the
+// rest of the head is invalid, and an ambiguous length must be rejected. With a body, a
+// 200 counts only if it is complete.
+func readResponse(r *bufio.Reader, timer *callTimer, loadMetrics []string, useRetryAfter bool,
+	body *bytes.Buffer) (core.Result, bool) {
 	for {
-		limit.wait(0)
+		timer.limitRead(0)
 		if _, err := r.Peek(1); err != nil {
 			if !isTimeout(err) {
-				return limit.broken(err), false
+				return timer.readFailure(err), false
 			}
-			given := limit.outcome()
-			limit.giveUp()
+			outcome := timer.abortOutcome()
+			timer.abandon()
 			if _, err := r.Peek(1); err != nil {
-				return core.Result{Outcome: given}, false
+				return core.Result{Outcome: outcome}, false
 			}
 		}
-		limit.wait(headTime)
+		timer.limitRead(responseTimeout)
 		status, err := readStatus(r)
-		if status == http.StatusOK && body == nil { // true whatever follows
-			limit.wait(tailTime)
-			header, keep, tail := readRest(r, status, io.Discard)
-			return core.Result{Outcome: logic.Completed, Load: readReport(header, reports)}, err == nil && tail == nil && keep
+		if status == http.StatusOK && body == nil { // delivered, whatever follows
+			timer.limitRead(drainTimeout)
+			header, keep, tailErr := readHeadAndBody(r, status, io.Discard)
+			return core.Result{Outcome: logic.Completed, Load: parseLoadMetrics(header, loadMetrics)},
+				err == nil && tailErr == nil && keep
 		}
 		if err != nil {
-			return limit.broken(err), false
+			return timer.readFailure(err), false
 		}
 		if status/100 == 1 && status != http.StatusSwitchingProtocols {
 			if _, err := readHeader(r); err != nil {
-				return limit.broken(err), false
+				return timer.readFailure(err), false
 			}
-			continue // an interim answer; the outcome is yet to come
+			continue // an interim response; the final one follows
 		}
 		var to io.Writer = io.Discard
 		if body != nil {
 			to = body
 		}
-		header, keep, err := readRest(r, status, to)
+		header, keep, err := readHeadAndBody(r, status, to)
 		if err != nil && status != http.StatusInternalServerError {
-			out := limit.broken(err)
-			if status == http.StatusTooManyRequests { // the wait is told, whatever became of the rest
-				out.RequestedWait = toldWait(header)
+			out := timer.readFailure(err)
+			if status == http.StatusTooManyRequests { // the requested wait counts even if the rest is missing
+				out.RequestedWait = requestedWait(header)
 			}
 			return out, false
 		}
-		out := outcomeOf(status, header)
+		out := resultOf(status, header)
 		if body != nil {
-			out = outcomeOfBatch(status, header)
+			out = batchResultOf(status, header)
 		}
-		if later && out.Outcome == logic.Overloaded && out.RequestedWait == 0 && (status == http.StatusTooManyRequests || status == http.StatusServiceUnavailable) {
+		if useRetryAfter && out.Outcome == logic.Overloaded && out.RequestedWait == 0 &&
+			(status == http.StatusTooManyRequests || status == http.StatusServiceUnavailable) {
 			out.RequestedWait = retryAfter(header, time.Now())
 		}
-		out.Load = readReport(header, reports)
+		out.Load = parseLoadMetrics(header, loadMetrics)
 		return out, keep && err == nil
 	}
 }
 
-// broken is the outcome of an answer that did not come whole.
-func (l *cutoff) broken(err error) core.Result {
+// readFailure returns the result of a response that is incomplete or invalid.
+func (l *callTimer) readFailure(err error) core.Result {
 	switch {
-	case l.over():
-		return core.Result{Outcome: l.outcome()}
-	case errors.Is(err, errSpoilt), isTimeout(err):
+	case l.aborted():
+		return core.Result{Outcome: l.abortOutcome()}
+	case errors.Is(err, errInvalidResponse), isTimeout(err):
 		return core.Result{Outcome: logic.InvalidResponse}
 	}
 	return core.Result{Outcome: logic.ConnectionBroken}
 }
 
-// readStatus reads the first line of an answer. The status is there as soon as it
-// can be read, also if the line does not end.
+// readStatus reads the status line of a response. The status is returned, together with
+// any error, as soon as it can be parsed, even if the line does not end.
 func readStatus(r *bufio.Reader) (int, error) {
 	line, err := r.ReadSlice('\n')
 	if errors.Is(err, bufio.ErrBufferFull) {
-		err = errSpoilt
+		err = errInvalidResponse
 	}
 	text := string(line)
-	if len(text) < 13 || !strings.HasPrefix(text, "HTTP/1.") || !digits(text[7:8]) || text[8] != ' ' ||
-		!digits(text[9:12]) || !strings.ContainsAny(text[12:13], " \r\n") {
+	if len(text) < 13 || !strings.HasPrefix(text, "HTTP/1.") || !isDigits(text[7:8]) || text[8] != ' ' ||
+		!isDigits(text[9:12]) || !strings.ContainsAny(text[12:13], " \r\n") {
 		if err == nil {
-			err = fmt.Errorf("%w: first line %.40q", errSpoilt, text)
+			err = fmt.Errorf("%w: status line %.40q", errInvalidResponse, text)
 		}
 		return 0, err
 	}
@@ -116,26 +119,28 @@
 	return status, err
 }
 
-func digits(s string) bool {
+// isDigits reports whether s consists of decimal digits and is not empty.
+func isDigits(s string) bool {
 	return s != "" && strings.Trim(s, "0123456789") == ""
 }
 
+// readHeader reads header fields up to the empty line.
 func readHeader(r *bufio.Reader) (http.Header, error) {
 	header, err := textproto.NewReader(r).ReadMIMEHeader()
-	return http.Header(header), spoilt(err)
+	return http.Header(header), markInvalid(err)
 }
 
-// spoilt marks an error as one of what was read, unless it comes from the connection itself.
-func spoilt(err error) error {
+// markInvalid marks an error as an invalid response, unless it comes from the connection itself.
+func markInvalid(err error) error {
 	var n net.Error
 	if err == nil || errors.As(err, &n) || errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) {
 		return err
 	}
-	return fmt.Errorf("%w: %w", errSpoilt, err)
+	return fmt.Errorf("%w: %w", errInvalidResponse, err)
 }
 
-// readRest reads head and body, and says whether the connection can be used again.
-func readRest(r *bufio.Reader, status int, body io.Writer) (http.Header, bool, error) {
+// readHeadAndBody reads the header fields and the body, and reports whether the connection can be reused.
+func readHeadAndBody(r *bufio.Reader, status int, body io.Writer) (http.Header, bool, error) {
 	header, err := readHeader(r)
 	if err != nil {
 		return header, false, err
@@ -144,27 +149,27 @@
 	keep := !strings.EqualFold(header.Get("Connection"), "close")
 	switch {
 	case len(lengths)+len(codings) > 1:
-		return header, false, fmt.Errorf("%w: more than one length", errSpoilt)
+		return header, false, fmt.Errorf("%w: more than one length", errInvalidResponse)
 	case status == http.StatusNoContent || status == http.StatusNotModified:
 	case len(lengths) == 1:
 		n, err := strconv.ParseInt(lengths[0], 10, 64)
-		if err != nil || !digits(lengths[0]) || n > maxAnswer {
-			return header, false, fmt.Errorf("%w: length %.40q", errSpoilt, lengths[0])
+		if err != nil || !isDigits(lengths[0]) || n > maxResponseBytes {
+			return header, false, fmt.Errorf("%w: length %.40q", errInvalidResponse, lengths[0])
 		}
 		if _, err := io.CopyN(body, r, n); err != nil {
 			return header, false, err
 		}
 	case len(codings) == 1:
 		if !strings.EqualFold(codings[0], "chunked") {
-			return header, false, fmt.Errorf("%w: coding %.40q", errSpoilt, codings[0])
+			return header, false, fmt.Errorf("%w: transfer coding %.40q", errInvalidResponse, codings[0])
 		}
 		if _, err := io.Copy(body, httputil.NewChunkedReader(r)); err != nil {
-			return header, false, spoilt(err)
+			return header, false, markInvalid(err)
 		}
 		if _, err := readHeader(r); err != nil { // trailers
 			return header, false, err
 		}
-	default: // the body ends with the connection
+	default: // the body ends when the connection is closed
 		keep = false
 		if _, err := io.Copy(body, r); err != nil {
 			return header, false, err
@@ -173,13 +178,13 @@
 	return header, keep && r.Buffered() == 0, nil
 }
 
-// retryAfter is the wait that Retry-After tells, in seconds or as a date; 0 for none.
-// A date is taken by the clock of the answer's own Date, if there is one.
+// retryAfter returns the wait that Retry-After requests, in seconds or as a date; 0 for none.
+// A date is taken relative to the response's Date header, if there is one.
 func retryAfter(header http.Header, now time.Time) time.Duration {
 	text := strings.TrimSpace(header.Get("Retry-After"))
-	if digits(text) {
+	if isDigits(text) {
 		s, err := strconv.ParseInt(text, 10, 64)
-		if err != nil { // more than there are numbers for
+		if err != nil { // the number is too large
 			return core.MaxRequestedTime
 		}
 		return time.Duration(min(s, int64(core.MaxRequestedTime/time.Second))) * time.Second
@@ -194,11 +199,11 @@
 	return min(max(at.Sub(now), 0), core.MaxRequestedTime)
 }
 
-// outcomeOf reads an answer that came whole.
-func outcomeOf(status int, header http.Header) core.Result {
+// resultOf returns the result of a complete response to a call with one message.
+func resultOf(status int, header http.Header) core.Result {
 	switch status {
 	case http.StatusTooManyRequests:
-		return core.Result{Outcome: logic.Overloaded, RequestedWait: toldWait(header)}
+		return core.Result{Outcome: logic.Overloaded, RequestedWait: requestedWait(header)}
 	case http.StatusServiceUnavailable:
 		if header.Get("X-Line-Busy") == "1" {
 			return core.Result{Outcome: logic.NotSent}
@@ -212,8 +217,8 @@
 	return core.Result{Outcome: logic.Errored}
 }
 
-// toldWait is the wait that an answer tells; 0 for none.
-func toldWait(header http.Header) time.Duration {
+// requestedWait returns the wait that X-Come-Back-Ms requests; 0 for none.
+func requestedWait(header http.Header) time.Duration {
 	ms, err := strconv.ParseInt(header.Get("X-Come-Back-Ms"), 10, 64)
 	if err != nil || ms < 0 {
 		return 0
@@ -221,16 +226,16 @@
 	return time.Duration(min(ms, core.MaxRequestedTime.Milliseconds())) * time.Millisecond
 }
 
-// readReport is the load report that an answer brings, its values in the order of
-// names; nil if there is none or it can't be read whole.
-func readReport(header http.Header, names []string) []float64 {
+// parseLoadMetrics returns the values of the response's load report in the order of
+// names; nil if there is no report or it is incomplete or invalid.
+func parseLoadMetrics(header http.Header, names []string) []float64 {
 	text := header.Get("Endpoint-Load-Metrics")
 	if len(names) == 0 || text == "" {
 		return nil
 	}
 	out, seen := make([]float64, len(names)), make([]bool, len(names))
-	for part := range strings.SplitSeq(text, ",") {
-		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
+	for field := range strings.SplitSeq(text, ",") {
+		name, value, _ := strings.Cut(strings.TrimSpace(field), "=")
 		i := slices.Index(names, name)
 		if i < 0 {
 			continue
@@ -247,6 +252,7 @@
 	return out
 }
 
+// isTimeout reports whether err is a network timeout.
 func isTimeout(err error) bool {
 	var t net.Error
 	return errors.As(err, &t) && t.Timeout()
--- a/internal/transport/http/answer_test.go
+++ b/internal/transport/http/answer_test.go
@@ -18,8 +18,8 @@
 
 func newReader(s string) *bufio.Reader { return bufio.NewReader(strings.NewReader(s)) }
 
-// spoilt are answers that can't be read and leave the connection open.
-var spoiltAnswers = map[string]string{
+// invalidResponses can't be parsed and leave the connection open.
+var invalidResponses = map[string]string{
 	"noise":               "\x00\x17\x03 noise\r\n\r\n",
 	"no version":          "HELLO 200 OK\r\n\r\n",
 	"no status":           "HTTP/1.1 \r\n\r\n",
@@ -35,41 +35,42 @@
 	"other coding":        "HTTP/1.1 503 x\r\nTransfer-Encoding: gzip\r\n\r\nabc",
 	"bad chunk":           "HTTP/1.1 410 x\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n",
 	"3 GB":                "HTTP/1.1 503 x\r\nContent-Length: 3000000000\r\n\r\nabc",
-	"endless body":        "HTTP/1.1 503 x\r\nConnection: close\r\n\r\n" + strings.Repeat("x", 2*maxAnswer),
-	"endless interim":     strings.Repeat("HTTP/1.1 102 x\r\n\r\n", maxAnswer/10),
+	"endless body":        "HTTP/1.1 503 x\r\nConnection: close\r\n\r\n" + strings.Repeat("x", 2*maxResponseBytes),
+	"endless interim":     strings.Repeat("HTTP/1.1 102 x\r\n\r\n", maxResponseBytes/10),
 	"interim, then noise": "HTTP/1.1 100 Continue\r\n\r\nnoise\r\n\r\n",
 }
 
-// An answer that can't be read has run: it is neither a refusal nor an outage, and its connection ends.
-func TestSpoiltAnswers(t *testing.T) {
-	for name, text := range spoiltAnswers {
+// A call with an invalid response may have run: the response must not be read as a refusal or an outage, and the connection
+// is closed.
+func TestInvalidResponses(t *testing.T) {
+	for name, text := range invalidResponses {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			e, c := byhand.NewEndpoint(t), testCaller()
-			got := goDo(t.Context(), c, newCall(e.Addr(), "hello", byhand.Patience))
+			e, c := byhand.NewEndpoint(t), newTestTransport()
+			got := startAttempt(t.Context(), c, newAttempt(e.Addr(), "hello", byhand.Patience))
 			in := byhand.Await(t, e.Calls, "call")
 			io.WriteString(in.Conn, text)
 			if r := byhand.Await(t, got, "result"); r.Outcome != logic.InvalidResponse || r.MessageEnded {
-				t.Errorf("got %+v, want Spoilt", r)
+				t.Errorf("got %+v, want InvalidResponse", r)
 			}
 			in.AwaitEnd(t)
 			in.Done <- false
-			if c.open != 0 {
-				t.Errorf("%d connections on the books", c.open)
+			if c.openCount != 0 {
+				t.Errorf("%d connections counted as open", c.openCount)
 			}
 		})
 	}
 }
 
-// A first line that says 200 is a delivery, whatever follows; the connection is of no further use.
-func TestSpoiltDelivery(t *testing.T) {
+// A status line with 200 is a delivery even if the rest of the response is invalid; the connection is not reused.
+func TestDeliveredDespiteInvalidRest(t *testing.T) {
 	for name, rest := range map[string]string{"noise": "\x01\x02\r\n\r\n", "no end": "A: b\r\n", "short": "Content-Length: 5\r\n\r\nab",
 		"3 GB": "Content-Length: 3000000000\r\n\r\n" + strings.Repeat("x", 1<<16), "negative": "Content-Length: -1\r\n\r\n",
 		"two": "Content-Length: 0\r\nContent-Length: 0\r\n\r\n", "second copy": "Content-Length: 0\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			e, c := byhand.NewEndpoint(t), testCaller()
-			got := goDo(t.Context(), c, newCall(e.Addr(), "hello", byhand.Patience))
+			e, c := byhand.NewEndpoint(t), newTestTransport()
+			got := startAttempt(t.Context(), c, newAttempt(e.Addr(), "hello", byhand.Patience))
 			in := byhand.Await(t, e.Calls, "call")
 			go io.WriteString(in.Conn, "HTTP/1.1 200 OK\r\n"+rest)
 			if r := byhand.Await(t, got, "result"); r.Outcome != logic.Completed {
@@ -81,44 +82,44 @@
 	}
 }
 
-// A second answer behind the first must never answer the next call: on a connection whose answer has just come the
-// next one is not made, and one with something on it is closed.
-func TestSurplusAnswer(t *testing.T) {
-	e, c := byhand.NewEndpoint(t), testCaller()
-	c.settle = time.Hour
-	got := goDo(t.Context(), c, newCall(e.Addr(), "hello", byhand.Patience))
+// An unrequested second response must never be taken for the response to the next call: a connection is not reused
+// right after a response, and one with unread bytes is closed.
+func TestUnrequestedResponse(t *testing.T) {
+	e, c := byhand.NewEndpoint(t), newTestTransport()
+	c.reuseDelay = time.Hour
+	got := startAttempt(t.Context(), c, newAttempt(e.Addr(), "hello", byhand.Patience))
 	first := byhand.Await(t, e.Calls, "call")
 	first.Reply(200)
 	byhand.Await(t, got, "result")
-	got = goDo(t.Context(), c, newCall(e.Addr(), "hello", byhand.Patience))
+	got = startAttempt(t.Context(), c, newAttempt(e.Addr(), "hello", byhand.Patience))
 	second := byhand.Await(t, e.Calls, "call")
 	if second.Conn == first.Conn {
-		t.Fatal("the next call came before what is behind the answer could show")
+		t.Fatal("the connection was reused before an unrequested response could be detected")
 	}
 	io.WriteString(first.Conn, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 	second.Reply(500)
 	if r := byhand.Await(t, got, "result"); r.Outcome != logic.Errored {
 		t.Errorf("got %+v, want Errored", r)
 	}
-	byhand.Until(t, "surplus", func() bool {
+	byhand.Until(t, "unrequested response", func() bool {
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		return !c.good(c.idle[1][0])
+		return !c.reusable(c.idle[1][0])
 	})
-	c.settle = 0
-	got = goDo(t.Context(), c, newCall(e.Addr(), "hello", byhand.Patience))
+	c.reuseDelay = 0
+	got = startAttempt(t.Context(), c, newAttempt(e.Addr(), "hello", byhand.Patience))
 	third := byhand.Await(t, e.Calls, "call")
 	if third.Conn == first.Conn {
-		t.Error("a call on a connection with an answer on it")
+		t.Error("a call on a connection with an unrequested response")
 	}
 	third.Reply(429)
 	if r := byhand.Await(t, got, "result"); r.Outcome != logic.Overloaded {
-		t.Errorf("got %+v, want Full", r)
+		t.Errorf("got %+v, want Overloaded", r)
 	}
 }
 
-// After an interim answer the call keeps its own deadline, and can still be cancelled.
-func TestAfterInterim(t *testing.T) {
+// After an interim response the call keeps its own deadline and can still be cancelled.
+func TestDeadlineAndCancelAfterInterimResponse(t *testing.T) {
 	for _, x := range []struct {
 		name string
 		time time.Duration
@@ -126,7 +127,7 @@
 		want logic.Outcome
 	}{
 		{"late", byhand.Patience, func(_ func(), in *byhand.InCall) {
-			time.Sleep(headTime + headTime/4) // the time that the rest of a head has
+			time.Sleep(responseTimeout + responseTimeout/4) // longer than the limit for the rest of a head
 			in.Reply(200)
 		}, logic.Completed},
 		{"cancelled", byhand.Patience, func(cancel func(), in *byhand.InCall) { cancel(); in.AwaitEnd(t); in.Reset() }, logic.Cancelled},
@@ -134,10 +135,10 @@
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			t.Parallel()
-			e, c := byhand.NewEndpoint(t), testCaller()
+			e, c := byhand.NewEndpoint(t), newTestTransport()
 			ctx, cancel := context.WithCancel(t.Context())
 			defer cancel()
-			got := goDo(ctx, c, newCall(e.Addr(), "hello", x.time))
+			got := startAttempt(ctx, c, newAttempt(e.Addr(), "hello", x.time))
 			in := byhand.Await(t, e.Calls, "call")
 			io.WriteString(in.Conn, "HTTP/1.1 102 Processing\r\nA: b\r\n\r\n")
 			x.end(cancel, in)
@@ -148,35 +149,35 @@
 	}
 }
 
-// A call for which this process has no descriptor was never sent, and says nothing of the endpoint; an idle
-// connection makes room.
+// A call without a free descriptor is never sent and is a local failure, not one of the endpoint; an idle connection
+// is closed to make room.
 func TestNoDescriptors(t *testing.T) {
 	e, c := byhand.NewEndpoint(t), New(time.Second, time.Hour, Limits{Open: 1, Idle: 1, PerEndpoint: 4})
-	got := goDo(t.Context(), c, newCall(e.Addr(), "hello", byhand.Patience))
+	got := startAttempt(t.Context(), c, newAttempt(e.Addr(), "hello", byhand.Patience))
 	in := byhand.Await(t, e.Calls, "call")
-	if r := c.Attempt(t.Context(), newCall(e.Addr(), "hello", byhand.Patience)); r.Outcome != logic.NotSent || !r.LocalFailure {
-		t.Errorf("got %+v, want Moot for a local cause", r)
+	if r := c.Attempt(t.Context(), newAttempt(e.Addr(), "hello", byhand.Patience)); r.Outcome != logic.NotSent || !r.LocalFailure {
+		t.Errorf("got %+v, want NotSent for a local cause", r)
 	}
 	in.Reply(200)
 	byhand.Await(t, got, "result")
 	other := byhand.NewEndpoint(t)
-	call := newCall(other.Addr(), "hello", byhand.Patience)
+	call := newAttempt(other.Addr(), "hello", byhand.Patience)
 	call.Endpoint = 2
-	got = goDo(t.Context(), c, call)
+	got = startAttempt(t.Context(), c, call)
 	byhand.Await(t, other.Calls, "call where an idle connection made room").Reply(200)
 	byhand.Await(t, got, "result")
 	c.CloseIdle(2)
 	c.dialer.Control = func(_, _ string, _ syscall.RawConn) error { return syscall.EMFILE }
-	if r := c.Attempt(t.Context(), newCall(e.Addr(), "hello", byhand.Patience)); r.Outcome != logic.NotSent || !r.LocalFailure {
-		t.Errorf("got %+v, want Moot for a local cause", r)
+	if r := c.Attempt(t.Context(), newAttempt(e.Addr(), "hello", byhand.Patience)); r.Outcome != logic.NotSent || !r.LocalFailure {
+		t.Errorf("got %+v, want NotSent for a local cause", r)
 	}
-	if c.open != 0 || c.count != 0 {
-		t.Errorf("%d connections, %d idle on the books", c.open, c.count)
+	if c.openCount != 0 || c.idleCount != 0 {
+		t.Errorf("%d connections open, %d idle", c.openCount, c.idleCount)
 	}
 }
 
-func FuzzReadAnswer(f *testing.F) {
-	for _, text := range spoiltAnswers {
+func FuzzReadResponse(f *testing.F) {
+	for _, text := range invalidResponses {
 		if len(text) < 1000 {
 			f.Add(text)
 		}
@@ -186,25 +187,25 @@
 		conn, peer := net.Pipe()
 		defer conn.Close()
 		defer peer.Close()
-		r, keep := readAnswer(newReader(in), &cutoff{conn: conn, by: time.Now().Add(byhand.Patience)}, nil, false, nil)
+		r, keep := readResponse(newReader(in), &callTimer{conn: conn, deadline: time.Now().Add(byhand.Patience)}, nil, false, nil)
 		if r.Outcome == logic.Completed && !(strings.Contains(in, "HTTP/1.") && strings.Contains(in, " 200")) {
-			t.Errorf("%q is read as a delivery", in)
+			t.Errorf("%q was read as a delivery", in)
 		}
 		if keep && r.Outcome == logic.InvalidResponse {
-			t.Errorf("%q: the connection is kept", in)
+			t.Errorf("%q: the connection was kept", in)
 		}
 	})
 }
 
-// While kept connections break under calls, a call that a reset would end for good goes over a new one.
-func TestFragileKeepsOffBreakingConnections(t *testing.T) {
-	e, c := byhand.NewEndpoint(t), testCaller()
-	c.settle = 0
-	call := func(fragile bool, end func(*byhand.InCall)) (*byhand.InCall, core.Result) {
+// After a reused connection broke, unrepeatable calls use new connections, because a reset would end them for good.
+func TestUnrepeatableAvoidsReuseAfterBrokenConnection(t *testing.T) {
+	e, c := byhand.NewEndpoint(t), newTestTransport()
+	c.reuseDelay = 0
+	call := func(unrepeatable bool, end func(*byhand.InCall)) (*byhand.InCall, core.Result) {
 		t.Helper()
-		in := newCall(e.Addr(), "hello", byhand.Patience)
-		in.Unrepeatable = fragile
-		got := goDo(t.Context(), c, in)
+		in := newAttempt(e.Addr(), "hello", byhand.Patience)
+		in.Unrepeatable = unrepeatable
+		got := startAttempt(t.Context(), c, in)
 		out := byhand.Await(t, e.Calls, "call")
 		end(out)
 		return out, byhand.Await(t, got, "result")
@@ -212,42 +213,42 @@
 	answered := func(in *byhand.InCall) { in.Reply(200) }
 	first, _ := call(true, answered)
 	if second, _ := call(true, answered); second.Conn != first.Conn {
-		t.Error("kept connections are not used while none breaks")
+		t.Error("idle connections are not reused although none broke")
 	}
 	if _, r := call(false, (*byhand.InCall).Reset); r.Outcome != logic.ConnectionBroken {
-		t.Errorf("got %+v, want Severed", r)
+		t.Errorf("got %+v, want ConnectionBroken", r)
 	}
 	third, _ := call(false, answered)
 	if fourth, _ := call(true, answered); fourth.Conn == third.Conn {
-		t.Error("a fragile call over a kept connection while those break")
+		t.Error("an unrepeatable call on a reused connection after one broke")
 	}
 }
 
-// Retry-After tells a wait on 429 and 503, where it is heeded and nothing else does; a date is taken by the clock that
-// the answer shows.
+// Retry-After requests a wait on 429 and 503 if it is enabled and X-Come-Back-Ms is absent; a date is relative to the
+// response's Date.
 func TestRetryAfter(t *testing.T) {
 	const day = "Tue, 01 Dec 2026 10:00:0"
 	for name, x := range map[string]struct {
 		status, head string
-		heeded       bool
+		enabled      bool
 		want         time.Duration
 	}{
 		"seconds":            {"429", "Retry-After: 3", true, 3 * time.Second},
 		"on 503":             {"503", "Retry-After: 2", true, 2 * time.Second},
-		"not heeded":         {"429", "Retry-After: 3", false, 0},
+		"not enabled":        {"429", "Retry-After: 3", false, 0},
 		"on 500":             {"500", "Retry-After: 3", true, 0},
 		"a date":             {"429", "Date: " + day + "1 GMT\r\nRetry-After: " + day + "5 GMT", true, 4 * time.Second},
-		"a date gone by":     {"429", "Date: " + day + "5 GMT\r\nRetry-After: " + day + "1 GMT", true, 0},
-		"the other goes":     {"429", "X-Come-Back-Ms: 250\r\nRetry-After: 3", true, 250 * time.Millisecond},
+		"a date in the past": {"429", "Date: " + day + "5 GMT\r\nRetry-After: " + day + "1 GMT", true, 0},
+		"X-Come-Back-Ms too": {"429", "X-Come-Back-Ms: 250\r\nRetry-After: 3", true, 250 * time.Millisecond},
 		"negative":           {"429", "Retry-After: -3", true, 0},
 		"no number":          {"429", "Retry-After: soon", true, 0},
 		"a year":             {"429", "Retry-After: 31536000", true, core.MaxRequestedTime},
-		"no number for that": {"429", "Retry-After: 99999999999999999999", true, core.MaxRequestedTime},
+		"out of range":       {"429", "Retry-After: 99999999999999999999", true, core.MaxRequestedTime},
 	} {
 		text := "HTTP/1.1 " + x.status + " x\r\n" + x.head + "\r\nContent-Length: 0\r\n\r\n"
 		a, b := net.Pipe()
-		limit := &cutoff{conn: a, by: time.Now().Add(time.Minute)}
-		if r, _ := readAnswer(newReader(text), limit, nil, x.heeded, nil); r.RequestedWait != x.want {
+		timer := &callTimer{conn: a, deadline: time.Now().Add(time.Minute)}
+		if r, _ := readResponse(newReader(text), timer, nil, x.enabled, nil); r.RequestedWait != x.want {
 			t.Errorf("%s: %v, want %v", name, r.RequestedWait, x.want)
 		}
 		a.Close()
@@ -255,35 +256,35 @@
 	}
 }
 
-// What an answer has told counts however it goes on: a wait binds from when it is written, also if the rest is cut off or
-// spoilt, or if the call is called off between two parts of its answer. The pipe hands on each part before the next step.
-func TestWaitOfAnAnswerThatBreaks(t *testing.T) {
-	const told = "X-Come-Back-Ms: 700\r\n"
+// A requested wait counts once it has been read, even if the rest of the response is missing or invalid, or if the call
+// is cancelled between two parts of it. The pipe delivers each part before the next step.
+func TestRequestedWaitOfIncompleteResponse(t *testing.T) {
+	const wait = "X-Come-Back-Ms: 700\r\n"
 	for _, x := range []struct {
 		name, first, rest string
-		cancel            bool // between the two
+		cancel            bool // between first and rest
 		want              core.Result
 	}{
-		{"cut off in the body", "HTTP/1.1 429 x\r\n", told + "Content-Length: 9\r\n\r\nab", false, core.Result{Outcome: logic.ConnectionBroken, RequestedWait: 700 * time.Millisecond}},
-		{"cut off in the head", "HTTP/1.1 429 x\r\n", told, false, core.Result{Outcome: logic.ConnectionBroken, RequestedWait: 700 * time.Millisecond}},
-		{"bad length", "HTTP/1.1 429 x\r\n", told + "Content-Length: -9\r\n\r\n", false, core.Result{Outcome: logic.InvalidResponse, RequestedWait: 700 * time.Millisecond}},
-		{"called off after the first line", "HTTP/1.1 429 x\r\n", told + "Content-Length: 0\r\n\r\n", true, core.Result{Outcome: logic.Overloaded, RequestedWait: 700 * time.Millisecond}},
-		{"called off in the first line", "HTTP/1.1 4", "29 x\r\n" + told + "Content-Length: 0\r\n\r\n", true, core.Result{Outcome: logic.Overloaded, RequestedWait: 700 * time.Millisecond}},
-		{"called off, and a delivery", "HTTP/1.1 2", "00 x\r\nContent-Length: 0\r\n\r\n", true, core.Result{Outcome: logic.Completed}},
-		{"called off, then cut off", "HTTP/1.1 2", "", true, core.Result{Outcome: logic.Cancelled}},
+		{"cut off in the body", "HTTP/1.1 429 x\r\n", wait + "Content-Length: 9\r\n\r\nab", false, core.Result{Outcome: logic.ConnectionBroken, RequestedWait: 700 * time.Millisecond}},
+		{"cut off in the head", "HTTP/1.1 429 x\r\n", wait, false, core.Result{Outcome: logic.ConnectionBroken, RequestedWait: 700 * time.Millisecond}},
+		{"bad length", "HTTP/1.1 429 x\r\n", wait + "Content-Length: -9\r\n\r\n", false, core.Result{Outcome: logic.InvalidResponse, RequestedWait: 700 * time.Millisecond}},
+		{"cancelled after the first line", "HTTP/1.1 429 x\r\n", wait + "Content-Length: 0\r\n\r\n", true, core.Result{Outcome: logic.Overloaded, RequestedWait: 700 * time.Millisecond}},
+		{"cancelled in the first line", "HTTP/1.1 4", "29 x\r\n" + wait + "Content-Length: 0\r\n\r\n", true, core.Result{Outcome: logic.Overloaded, RequestedWait: 700 * time.Millisecond}},
+		{"cancelled, and a delivery", "HTTP/1.1 2", "00 x\r\nContent-Length: 0\r\n\r\n", true, core.Result{Outcome: logic.Completed}},
+		{"cancelled, then cut off", "HTTP/1.1 2", "", true, core.Result{Outcome: logic.Cancelled}},
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			here, there := net.Pipe()
 			defer here.Close()
-			limit := &cutoff{conn: here, by: time.Now().Add(byhand.Patience), linger: byhand.Patience}
+			timer := &callTimer{conn: here, deadline: time.Now().Add(byhand.Patience), linger: byhand.Patience}
 			got := make(chan core.Result, 1)
 			go func() {
-				r, _ := readAnswer(bufio.NewReader(here), limit, nil, false, nil)
+				r, _ := readResponse(bufio.NewReader(here), timer, nil, false, nil)
 				got <- r
 			}()
 			io.WriteString(there, x.first) // returns once it has been read
 			if x.cancel {
-				limit.cancel()
+				timer.cancel()
 			}
 			go func() {
 				io.WriteString(there, x.rest)
--- a/internal/transport/http/batch_test.go
+++ b/internal/transport/http/batch_test.go
@@ -18,27 +18,28 @@
 	"cometrack/logic"
 )
 
-// newBatch is attempts of messages m0, m1, ... with a body each.
+// newBatch returns attempts of the messages m0, m1, ..., all with the same body.
 func newBatch(addr string, n int, body string) []*core.Attempt {
 	var out []*core.Attempt
 	for i := range n {
-		a := newCall(addr, body, byhand.Patience)
+		a := newAttempt(addr, body, byhand.Patience)
 		a.Message = &message.Message{ID: fmt.Sprint("m", i), Key: "k<\"", Body: []byte(body)}
 		out = append(out, a)
 	}
 	return out
 }
 
-func goBatch(ctx context.Context, c *Transport, call []*core.Attempt) <-chan []core.Result {
+// startBatch makes a batch call in the background.
+func startBatch(ctx context.Context, c *Transport, call []*core.Attempt) <-chan []core.Result {
 	ch := make(chan []core.Result, 1)
 	go func() { ch <- c.Batch(ctx, call) }()
 	return ch
 }
 
-// ids are those that a call with several brings, whose bodies must be as given.
-func ids(t *testing.T, in *byhand.InCall, body string) string {
+// batchIDs returns the IDs of the messages in a batch request, after checking their bodies and keys.
+func batchIDs(t *testing.T, in *byhand.InCall, body string) string {
 	t.Helper()
-	var list []item
+	var list []batchItem
 	if err := json.Unmarshal([]byte(in.Body), &list); err != nil || in.Req.URL.Path != "/inbox/bulk" {
 		t.Fatalf("%s: %v", in.Req.URL.Path, err)
 	}
@@ -52,8 +53,8 @@
 	return strings.Join(out, " ")
 }
 
-// Each message of a call has the end that the answer gives it and no better: what an answer leaves open may have run.
-func TestBatchAnswers(t *testing.T) {
+// Each message of a batch gets the outcome that the response gives it; one that the response leaves open may have run.
+func TestBatchResponses(t *testing.T) {
 	result := func(o logic.Outcome) core.Result { return core.Result{Outcome: o} }
 	all := func(r core.Result) []core.Result { return []core.Result{r, r, r} }
 	const ok = "HTTP/1.1 200 OK\r\n"
@@ -67,35 +68,35 @@
 	}
 	wait := 300 * time.Millisecond
 	for name, x := range map[string]struct {
-		answer string
-		want   []core.Result
+		response string
+		want     []core.Result
 	}{
-		"each its own": {list("", "done", "failed", "busy"), []core.Result{result(logic.Completed), result(logic.Errored), result(logic.Overloaded)}},
-		"over": {list("", "void", "used_up", "done"),
+		"different states": {list("", "done", "failed", "busy"), []core.Result{result(logic.Completed), result(logic.Errored), result(logic.Overloaded)}},
+		"ended": {list("", "void", "used_up", "done"),
 			[]core.Result{{Outcome: logic.NotSent, MessageEnded: true}, result(logic.NotSent), result(logic.Completed)}},
-		"a wait and a report": {list("X-Come-Back-Ms: 300\r\nEndpoint-Load-Metrics: x1=25,x0=0.5\r\n", "done", "done", "busy"), []core.Result{
+		"requested wait and load report": {list("X-Come-Back-Ms: 300\r\nEndpoint-Load-Metrics: x1=25,x0=0.5\r\n", "done", "done", "busy"), []core.Result{
 			{Outcome: logic.Completed, RequestedWait: wait, Load: []float64{0.5, 25}}, {Outcome: logic.Completed, RequestedWait: wait, Load: []float64{0.5, 25}},
 			{Outcome: logic.Overloaded, RequestedWait: wait, Load: []float64{0.5, 25}}}},
-		"one left out":   {list("", "done", "done"), []core.Result{result(logic.Completed), result(logic.Completed), result(logic.InvalidResponse)}},
-		"unknown word":   {list("", "done", "perhaps", "done"), []core.Result{result(logic.Completed), result(logic.InvalidResponse), result(logic.Completed)}},
-		"no list":        {ok + "Content-Length: 2\r\n\r\n{}", all(result(logic.InvalidResponse))},
-		"cut short":      {ok + "Content-Length: 40\r\n\r\n[{\"id\":\"m0\",\"state\":\"done\"}", all(result(logic.InvalidResponse))},
-		"two words":      {ok + "Content-Length: 52\r\n\r\n" + `[{"id":"m0","state":"done"},{"id":"m0","state":"?"}]`, all(result(logic.InvalidResponse))},
-		"refused":        {"HTTP/1.1 429 x\r\nX-Come-Back-Ms: 300\r\nContent-Length: 0\r\n\r\n", all(core.Result{Outcome: logic.Overloaded, RequestedWait: wait})},
-		"error":          {"HTTP/1.1 500 x\r\nContent-Length: 0\r\n\r\n", all(result(logic.Errored))},
-		"too many":       {"HTTP/1.1 413 x\r\nContent-Length: 0\r\n\r\n", all(result(logic.Overloaded))},
-		"not understood": {"HTTP/1.1 400 x\r\nContent-Length: 0\r\n\r\n", all(result(logic.Overloaded))},
+		"one missing":   {list("", "done", "done"), []core.Result{result(logic.Completed), result(logic.Completed), result(logic.InvalidResponse)}},
+		"unknown state": {list("", "done", "perhaps", "done"), []core.Result{result(logic.Completed), result(logic.InvalidResponse), result(logic.Completed)}},
+		"no list":       {ok + "Content-Length: 2\r\n\r\n{}", all(result(logic.InvalidResponse))},
+		"cut short":     {ok + "Content-Length: 40\r\n\r\n[{\"id\":\"m0\",\"state\":\"done\"}", all(result(logic.InvalidResponse))},
+		"two states":    {ok + "Content-Length: 52\r\n\r\n" + `[{"id":"m0","state":"done"},{"id":"m0","state":"?"}]`, all(result(logic.InvalidResponse))},
+		"refused":       {"HTTP/1.1 429 x\r\nX-Come-Back-Ms: 300\r\nContent-Length: 0\r\n\r\n", all(core.Result{Outcome: logic.Overloaded, RequestedWait: wait})},
+		"error":         {"HTTP/1.1 500 x\r\nContent-Length: 0\r\n\r\n", all(result(logic.Errored))},
+		"too many":      {"HTTP/1.1 413 x\r\nContent-Length: 0\r\n\r\n", all(result(logic.Overloaded))},
+		"bad request":   {"HTTP/1.1 400 x\r\nContent-Length: 0\r\n\r\n", all(result(logic.Overloaded))},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			e, c := byhand.NewEndpoint(t), testCaller()
+			e, c := byhand.NewEndpoint(t), newTestTransport()
 			c.LoadMetrics = []string{"x0", "x1"}
-			got := goBatch(t.Context(), c, newBatch(e.Addr(), 3, "\x00body"))
+			got := startBatch(t.Context(), c, newBatch(e.Addr(), 3, "\x00body"))
 			in := byhand.Await(t, e.Calls, "call")
-			if s := ids(t, in, "\x00body"); s != "m0 m1 m2" {
+			if s := batchIDs(t, in, "\x00body"); s != "m0 m1 m2" {
 				t.Errorf("call with %s", s)
 			}
-			in.Conn.Write([]byte(x.answer))
+			in.Conn.Write([]byte(x.response))
 			if r := byhand.Await(t, got, "results"); !reflect.DeepEqual(r, x.want) {
 				t.Errorf("got %+v, want %+v", r, x.want)
 			}
@@ -104,14 +105,14 @@
 	}
 }
 
-// A message that may not begin is left out of the call; with none left there is none.
+// An attempt that may not begin is left out of the call; no call is made without any.
 func TestBatchHeld(t *testing.T) {
-	e, c := byhand.NewEndpoint(t), testCaller()
+	e, c := byhand.NewEndpoint(t), newTestTransport()
 	call := newBatch(e.Addr(), 3, "b")
 	call[1].Withhold(permit.WaitRequested)
-	got := goBatch(t.Context(), c, call)
+	got := startBatch(t.Context(), c, call)
 	in := byhand.Await(t, e.Calls, "call")
-	if s := ids(t, in, "b"); s != "m0 m2" {
+	if s := batchIDs(t, in, "b"); s != "m0 m2" {
 		t.Errorf("call with %s", s)
 	}
 	in.Reply(503)
@@ -122,33 +123,33 @@
 	call = newBatch(e.Addr(), 2, "b")
 	call[0].Withhold(permit.WaitRequested)
 	call[1].Withhold(permit.WaitRequested)
-	if r := byhand.Await(t, goBatch(t.Context(), c, call), "results"); r[0].Outcome != logic.NotSent || r[1].Outcome != logic.NotSent {
+	if r := byhand.Await(t, startBatch(t.Context(), c, call), "results"); r[0].Outcome != logic.NotSent || r[1].Outcome != logic.NotSent {
 		t.Errorf("got %+v", r)
 	}
 	e.None(t)
 }
 
-// Bodies that do not fit into one call go in the next, on the same slot, and not at all after a refusal.
+// Bodies that exceed one call go in the next call on the same slot, and are not sent after a refusal.
 func TestBatchTooLarge(t *testing.T) {
-	e, c := byhand.NewEndpoint(t), testCaller()
+	e, c := byhand.NewEndpoint(t), newTestTransport()
 	body := strings.Repeat("x", 16<<10)
 	for _, second := range []string{"done", "wait", "full"} {
-		got := goBatch(t.Context(), c, newBatch(e.Addr(), 5, body))
+		got := startBatch(t.Context(), c, newBatch(e.Addr(), 5, body))
 		in := byhand.Await(t, e.Calls, "first call")
-		if s := ids(t, in, body); s != "m0 m1" || len(in.Body) > maxBatch {
+		if s := batchIDs(t, in, body); s != "m0 m1" || len(in.Body) > maxBatchBytes {
 			t.Errorf("first call with %s, %d bytes", s, len(in.Body))
 		}
 		reply := func(in *byhand.InCall, head, first, second string) {
-			answer := fmt.Sprintf(`[{"id":%q,"state":"done"},{"id":%q,"state":"done"}]`, first, second)
-			fmt.Fprintf(in.Conn, "HTTP/1.1 200 OK\r\n%sContent-Length: %d\r\n\r\n%s", head, len(answer), answer)
+			response := fmt.Sprintf(`[{"id":%q,"state":"done"},{"id":%q,"state":"done"}]`, first, second)
+			fmt.Fprintf(in.Conn, "HTTP/1.1 200 OK\r\n%sContent-Length: %d\r\n\r\n%s", head, len(response), response)
 			in.Done <- true
 		}
 		reply(in, "", "m0", "m1")
 		in = byhand.Await(t, e.Calls, "second call")
 		if ms, _ := strconv.Atoi(in.Req.Header.Get("X-Expires-In-Ms")); ms >= int(byhand.Patience.Milliseconds()) {
-			t.Errorf("the second call has %d ms, as much as the first", ms)
+			t.Errorf("the second call allows %d ms, as much as the first", ms)
 		}
-		if s := ids(t, in, body); s != "m2 m3" {
+		if s := batchIDs(t, in, body); s != "m2 m3" {
 			t.Errorf("second call with %s", s)
 		}
 		want := slices.Repeat([]logic.Outcome{logic.Completed}, 5)
@@ -171,36 +172,36 @@
 	}
 }
 
-// A report counts whole or not at all: half of one would be taken for a limit of nothing.
-func TestReadReport(t *testing.T) {
+// An incomplete load report is ignored, since the missing value would be taken for a limit of 0.
+func TestParseLoadMetrics(t *testing.T) {
 	for text, want := range map[string][]float64{"x0=0.4,x1=25": {0.4, 25}, " x1=0 , x0=1,other=7": {1, 0}, "x0=0.4": nil, "x0=0.4,x1=": nil,
 		"x0=0.4,x1=-3": nil, "x0=NaN,x1=1": nil, "x0=1,x1=1e999": nil, "x0=1,x0=2,x1=3": nil, "noise": nil, "": nil} {
 		header := map[string][]string{"Endpoint-Load-Metrics": {text}}
-		if got := readReport(header, []string{"x0", "x1"}); !reflect.DeepEqual(got, want) {
+		if got := parseLoadMetrics(header, []string{"x0", "x1"}); !reflect.DeepEqual(got, want) {
 			t.Errorf("%q: got %v, want %v", text, got, want)
 		}
-		if readReport(header, nil) != nil {
-			t.Errorf("%q is read where no reports are told of", text)
+		if parseLoadMetrics(header, nil) != nil {
+			t.Errorf("%q was parsed although no load metrics are configured", text)
 		}
 	}
 }
 
-// One answer speaks for all messages of a call, so it is late once the first of them has run out of time: what it says
-// then counts for none.
-func TestBatchHasTheLeastTime(t *testing.T) {
-	e, c := byhand.NewEndpoint(t), testCaller()
+// One response covers all messages of a batch, so the call has the shortest of their timeouts; a later response counts
+// for none of them.
+func TestBatchHasShortestTimeout(t *testing.T) {
+	e, c := byhand.NewEndpoint(t), newTestTransport()
 	c.linger = time.Millisecond
 	call := newBatch(e.Addr(), 2, "b")
 	call[1].Timeout = 50 * time.Millisecond
-	got := goBatch(t.Context(), c, call)
+	got := startBatch(t.Context(), c, call)
 	in := byhand.Await(t, e.Calls, "call")
 	if ms, _ := strconv.Atoi(in.Req.Header.Get("X-Expires-In-Ms")); ms < 1 || ms > 50 {
-		t.Errorf("the call says that it waits %d ms", ms)
+		t.Errorf("the call allows %d ms", ms)
 	}
 	in.AwaitEnd(t)
 	for _, r := range byhand.Await(t, got, "results") {
 		if r.Outcome != logic.TimedOut {
-			t.Errorf("got %+v, want Overdue", r)
+			t.Errorf("got %+v, want TimedOut", r)
 		}
 	}
 }
--- a/internal/transport/http/calls.go
+++ b/internal/transport/http/calls.go
@@ -21,209 +21,214 @@
 )
 
 const (
-	lingerTime = 50 * time.Millisecond  // for the endpoint to see that a call is given up
-	idleMargin = 500 * time.Millisecond // a connection is not used this close to the end of its idle time
-	settleTime = 20 * time.Millisecond  // after an answer, for what comes behind it to show
-	brokeTime  = 5 * time.Second        // after a kept connection broke, fragile calls make new ones
-	probeTime  = 1500 * time.Millisecond
+	closeLinger      = 50 * time.Millisecond  // time for the endpoint to notice that a call is abandoned
+	idleMargin       = 500 * time.Millisecond // a connection is not reused this close to its idle timeout
+	reuseDelay       = 20 * time.Millisecond  // between a response and reuse, for unrequested bytes to show
+	brokenConnWindow = 5 * time.Second        // after a reused connection broke, unrepeatable calls dial new ones
+	probeTimeout     = 1500 * time.Millisecond
 )
 
-// idleConn is a connection with no call on it.
-type idleConn struct {
+// persistentConn is a connection to an endpoint that carries one call at a time and is idle between calls.
+type persistentConn struct {
 	net.Conn
-	r     *bufio.Reader
-	limit *io.LimitedReader
-	addr  string
-	since time.Time // when it became idle; zero if it never was
+	reader    *bufio.Reader
+	limit     *io.LimitedReader
+	addr      string
+	idleSince time.Time // when it last became idle; zero if it never was
 }
 
-// errNoRoom says that this process has no descriptor to spare for a call.
-var errNoRoom = errors.New("no room for another connection")
+// errConnLimit reports that the limit of open connections is reached and no idle one can be closed.
+var errConnLimit = errors.New("limit of open connections reached")
 
-// Limits bound the connections to endpoints.
+// Limits bounds the number of connections to endpoints.
 type Limits struct {
-	Open        int // connections, idle ones counted
-	Idle        int // connections without a call
-	PerEndpoint int // of these to one endpoint
+	Open        int // connections, including idle ones
+	Idle        int // connections that carry no call
+	PerEndpoint int // idle connections to one endpoint; at least 1
 }
 
-// Transport makes calls over connections that it keeps. It never sends anything
-// twice, and it knows whether the last byte was written: that tells what never
-// ran from what may have run. net/http's transport does neither.
+// Transport makes calls over persistent connections. It never resends a request, and
+// it records whether the last byte was written, which separates attempts that never
+// ran from attempts that may have run. net/http's transport does neither.
 type Transport struct {
-	// LoadMetrics names the values of the load reports that answers may carry, in the
-	// order of [core.Result.Load]; empty if there are none. It is set before use.
+	// LoadMetrics names the values of the load reports that responses may carry, in the
+	// order of [core.Result.Load]; empty if there are none. It is set before first use.
 	LoadMetrics []string
 
-	// SourceIP is the address of this machine that connections come from; nil for the
-	// kernel's choice. It is set before use.
+	// SourceIP is the local address of outgoing connections; nil lets the kernel choose.
+	// It is set before first use.
 	SourceIP net.IP
 
-	// UseRetryAfter says that Retry-After (RFC 9110, section 10.2.3) on 429 and 503 tells a
-	// wait, where X-Come-Back-Ms does not. It is set before use.
+	// UseRetryAfter makes Retry-After (RFC 9110, section 10.2.3) on 429 and 503 a requested
+	// wait if X-Come-Back-Ms names none. It is set before first use.
 	UseRetryAfter bool
 
-	dialer   net.Dialer
-	linger   time.Duration
-	settle   time.Duration
-	idleTime time.Duration
-	most     Limits
-	mu       sync.Mutex
-	idle     map[logic.EndpointID][]*idleConn
-	count    int       // idle connections
-	open     int       // connections, those that are being made too
-	brokeAt  time.Time // when a kept connection last broke under a call
+	dialer       net.Dialer
+	linger       time.Duration
+	reuseDelay   time.Duration
+	idleTimeout  time.Duration
+	limits       Limits
+	mu           sync.Mutex
+	idle         map[logic.EndpointID][]*persistentConn
+	idleCount    int       // idle connections
+	openCount    int       // connections, including those being established
+	lastBrokenAt time.Time // when a reused connection last broke during a call
 }
 
-// New makes a transport. A connection must come up within connectTime and is not
-// used again once it has been idle for idleTime.
-func New(connectTime, idleTime time.Duration, most Limits) *Transport {
-	most.PerEndpoint = max(most.PerEndpoint, 1)
-	return &Transport{dialer: net.Dialer{Timeout: connectTime}, linger: lingerTime, settle: settleTime, idleTime: idleTime,
-		most: most, idle: map[logic.EndpointID][]*idleConn{}}
+// New returns a transport. A connection must be established within connectTimeout and is
+// not reused once it has been idle for idleTimeout.
+func New(connectTimeout, idleTimeout time.Duration, limits Limits) *Transport {
+	limits.PerEndpoint = max(limits.PerEndpoint, 1)
+	return &Transport{dialer: net.Dialer{Timeout: connectTimeout}, linger: closeLinger, reuseDelay: reuseDelay,
+		idleTimeout: idleTimeout, limits: limits, idle: map[logic.EndpointID][]*persistentConn{}}
 }
 
-// Attempt makes a call that hands a message to an endpoint.
+// Attempt makes a call that delivers a message to an endpoint.
 func (c *Transport) Attempt(ctx context.Context, a *core.Attempt) core.Result {
 	return c.single(ctx, a, a.Timeout)
 }
 
-func (c *Transport) single(ctx context.Context, a *core.Attempt, giveUp time.Duration) core.Result {
-	head := &core.Attempt{Endpoint: a.Endpoint, Addr: a.Addr, Unrepeatable: a.Unrepeatable, Timeout: giveUp}
-	return c.do(ctx, request{Attempt: head, begin: a.Begin, written: a.MarkWritten, reason: a.Reason, write: func(b []byte, left time.Duration) []byte {
-		return appendDeliver(b, a.Message, a.Addr, left)
-	}})
+// single makes a call with one message that times out after timeout.
+func (c *Transport) single(ctx context.Context, a *core.Attempt, timeout time.Duration) core.Result {
+	head := &core.Attempt{Endpoint: a.Endpoint, Addr: a.Addr, Unrepeatable: a.Unrepeatable, Timeout: timeout}
+	return c.roundTrip(ctx, request{Attempt: head, begin: a.Begin, written: a.MarkWritten, denialReason: a.Reason,
+		appendTo: func(b []byte, remaining time.Duration) []byte {
+			return appendDeliver(b, a.Message, a.Addr, remaining)
+		}})
 }
 
-// Probe asks an endpoint whether it is well.
+// Probe makes a health check call to an endpoint.
 func (c *Transport) Probe(ctx context.Context, ep logic.EndpointID, addr string) logic.Outcome {
-	a := &core.Attempt{Endpoint: ep, Addr: addr, Timeout: probeTime}
-	return c.do(ctx, request{Attempt: a, begin: a.Begin, written: a.MarkWritten, reason: a.Reason, write: func(b []byte, _ time.Duration) []byte { return appendProbe(b, addr) }}).Outcome
+	a := &core.Attempt{Endpoint: ep, Addr: addr, Timeout: probeTimeout}
+	return c.roundTrip(ctx, request{Attempt: a, begin: a.Begin, written: a.MarkWritten, denialReason: a.Reason,
+		appendTo: func(b []byte, _ time.Duration) []byte { return appendProbe(b, addr) }}).Outcome
 }
 
-// request is one call. Its attempt says where to, for how long and how carefully.
+// request describes one call. Its attempt holds the endpoint, the timeout and whether the call may be repeated.
+// appendTo gets the time that remains for the response.
 type request struct {
 	*core.Attempt
-	begin   func() bool                               // right before the first byte; whether it may go out
-	reason  func() permit.Reason                      // why it may not
-	write   func(b []byte, left time.Duration) []byte // appends the request, whose answer is waited for so long; called after begin
-	written func()                                    // right after the last byte
-	body    *bytes.Buffer                             // for that of the answer; nil if it means nothing
-}
-
-// do makes a call. When ctx is cancelled it is called off.
-func (c *Transport) do(ctx context.Context, in request) core.Result {
-	deadline := time.Now().Add(in.Timeout)
-	conn, err := c.connect(ctx, in.Attempt, deadline)
-	if !in.begin() {
-		if err == nil && !c.putBack(in.Endpoint, conn) {
-			c.drop(conn)
+	begin        func() bool                                    // before the first byte; reports whether to send
+	denialReason func() permit.Reason                           // why begin denied it
+	appendTo     func(b []byte, remaining time.Duration) []byte // appends the request; called after begin
+	written      func()                                         // right after the last byte
+	body         *bytes.Buffer                                  // receives the response body; nil ignores it
+}
+
+// roundTrip makes a call. Cancelling ctx cancels it.
+func (c *Transport) roundTrip(ctx context.Context, req request) core.Result {
+	deadline := time.Now().Add(req.Timeout)
+	conn, err := c.connect(ctx, req.Attempt, deadline)
+	if !req.begin() {
+		if err == nil && !c.returnIdle(req.Endpoint, conn) {
+			c.discard(conn)
 		}
-		if err != nil && !ownFault(err) && in.reason() == permit.Cancelled { // the endpoint did not take it until then
-			return core.Result{Outcome: logic.ConnectionRefused}
+		if err != nil && !isLocalError(err) && req.denialReason() == permit.Cancelled {
+			return core.Result{Outcome: logic.ConnectionRefused} // not accepted by the endpoint before the cancel
 		}
 		return core.Result{Outcome: logic.NotSent}
 	}
 	if err != nil {
-		if ownFault(err) {
+		if isLocalError(err) {
 			return core.Result{Outcome: logic.NotSent, LocalFailure: true}
 		}
 		return core.Result{Outcome: logic.ConnectionRefused}
 	}
-	limit := &cutoff{conn: conn, by: deadline, linger: c.linger}
-	stop := context.AfterFunc(ctx, limit.cancel)
-	limit.wait(0)
-	if err := send(conn, in, time.Until(deadline)); err != nil {
+	timer := &callTimer{conn: conn, deadline: deadline, linger: c.linger}
+	stop := context.AfterFunc(ctx, timer.cancel)
+	timer.limitRead(0)
+	if err := send(conn, req, time.Until(deadline)); err != nil {
 		stop()
-		c.drop(conn)
-		return core.Result{Outcome: logic.ConnectionRefused} // its last byte was not written
+		c.discard(conn)
+		return core.Result{Outcome: logic.ConnectionRefused} // the last byte was not written, so it never ran
 	}
-	in.written()
-	conn.limit.N = maxAnswer
-	r, keep := readAnswer(conn.r, limit, c.LoadMetrics, c.UseRetryAfter, in.body)
-	if r.Outcome == logic.ConnectionBroken && !conn.since.IsZero() {
+	req.written()
+	conn.limit.N = maxResponseBytes
+	r, keep := readResponse(conn.reader, timer, c.LoadMetrics, c.UseRetryAfter, req.body)
+	if r.Outcome == logic.ConnectionBroken && !conn.idleSince.IsZero() {
 		c.mu.Lock()
-		c.brokeAt = time.Now()
+		c.lastBrokenAt = time.Now()
 		c.mu.Unlock()
 	}
 	if conn.limit.N <= 0 && r.Outcome != logic.Completed {
-		r = core.Result{Outcome: logic.InvalidResponse} // it goes on for ever, say
+		r = core.Result{Outcome: logic.InvalidResponse} // longer than the limit
 	}
-	if !stop() || !keep || limit.over() || !c.put(in.Endpoint, conn) {
-		c.drop(conn)
+	if !stop() || !keep || timer.aborted() || !c.keepIdle(req.Endpoint, conn) {
+		c.discard(conn)
 	}
 	return r
 }
 
-// send writes a request in one go.
-func send(conn net.Conn, in request, left time.Duration) error {
-	buf := requests.Get().(*[]byte)
-	b := in.write((*buf)[:0], left)
+// send writes a request with one call of Write.
+func send(conn net.Conn, req request, remaining time.Duration) error {
+	buf := requestBuffers.Get().(*[]byte)
+	b := req.appendTo((*buf)[:0], remaining)
 	_, err := conn.Write(b)
-	if *buf = b; cap(b) <= keepRequest {
-		requests.Put(buf)
+	if *buf = b; cap(b) <= maxPooledBuffer {
+		requestBuffers.Put(buf)
 	}
 	return err
 }
 
-// cutoff bounds the time of a call. The call's own deadline and a cancel hold until
-// it has ended, whatever has come of an answer by then.
-type cutoff struct {
-	conn   net.Conn
-	by     time.Time
-	linger time.Duration
-	mu     sync.Mutex
-	off    bool // cancelled
-	comes  bool // the answer has begun to come
-	given  bool // given up: no more than the linger time is left
+// callTimer sets the read deadlines of a call. The call's own deadline and a cancel
+// apply until the call has ended, however much of the response has been read.
+type callTimer struct {
+	conn       net.Conn
+	deadline   time.Time
+	linger     time.Duration
+	mu         sync.Mutex
+	cancelled  bool
+	responding bool // the response has begun to arrive
+	abandoned  bool // the write side is closed and at most the linger time remains
 }
 
-func (l *cutoff) cancel() {
+// cancel cancels the call.
+func (l *callTimer) cancel() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.off = true; !l.given {
-		l.conn.SetDeadline(l.cancelled())
+	if l.cancelled = true; !l.abandoned {
+		l.conn.SetDeadline(l.cancelDeadline())
 	}
 }
 
-// cancelled is until when a call that is called off is read: an answer that has begun
-// counts, if the rest of it comes in a moment, for it may tell a wait.
-func (l *cutoff) cancelled() time.Time {
-	if l.comes {
+// cancelDeadline returns the read deadline of a cancelled call. A response that has begun
+// counts if the rest arrives within the linger time, since it may carry a requested wait.
+func (l *callTimer) cancelDeadline() time.Time {
+	if l.responding {
 		return time.Now().Add(l.linger)
 	}
 	return time.Now().Add(-time.Second)
 }
 
-// wait gives what comes next so much time at most, or if 0 all that the call has.
-func (l *cutoff) wait(d time.Duration) {
+// limitRead sets the deadline of the next reads to d from now, or to the call's own deadline if d is 0.
+func (l *callTimer) limitRead(d time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.comes = l.comes || d > 0
+	l.responding = l.responding || d > 0
 	switch at := time.Now().Add(d); {
-	case l.given:
-	case l.off:
-		l.conn.SetDeadline(l.cancelled())
-	case d == 0 || at.After(l.by.Add(l.linger)):
+	case l.abandoned:
+	case l.cancelled:
+		l.conn.SetDeadline(l.cancelDeadline())
+	case d == 0 || at.After(l.deadline.Add(l.linger)):
 		if d > 0 {
-			l.conn.SetDeadline(l.by.Add(l.linger))
+			l.conn.SetDeadline(l.deadline.Add(l.linger))
 			return
 		}
-		l.conn.SetDeadline(l.by)
+		l.conn.SetDeadline(l.deadline)
 	default:
 		l.conn.SetDeadline(at)
 	}
 }
 
-// giveUp tells the endpoint that the call is given up, by the end of our sending, and
-// leaves it a moment to see that: a next call must not meet this one. An answer that is
-// on its way counts.
-func (l *cutoff) giveUp() {
+// abandon gives the call up: it closes the write side to signal that to the endpoint and
+// allows the linger time for it, so that the next attempt doesn't overlap with this one.
+// A response that arrives meanwhile counts.
+func (l *callTimer) abandon() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.given = true
+	l.abandoned = true
 	var conn net.Conn = l.conn
-	if c, ok := conn.(*idleConn); ok {
+	if c, ok := conn.(*persistentConn); ok {
 		conn = c.Conn
 	}
 	if t, ok := conn.(*net.TCPConn); ok {
@@ -232,116 +237,123 @@
 	l.conn.SetDeadline(time.Now().Add(l.linger))
 }
 
-// outcome is that of a call without an answer in time.
-func (l *cutoff) outcome() logic.Outcome {
+// abortOutcome returns the outcome of a call without a response in time.
+func (l *callTimer) abortOutcome() logic.Outcome {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.off {
+	if l.cancelled {
 		return logic.Cancelled
 	}
 	return logic.TimedOut
 }
 
-// over says whether the connection may be of no more use: it is given up, or a cancel may touch it yet.
-func (l *cutoff) over() bool {
+// aborted reports whether the connection can't be reused, because the call was abandoned or a cancel may still
+// change its deadline.
+func (l *callTimer) aborted() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.given || l.off
+	return l.abandoned || l.cancelled
 }
 
-// from is the dialer for connections from the set source.
-func (c *Transport) from() *net.Dialer {
+// newDialer returns the dialer for connections from SourceIP.
+func (c *Transport) newDialer() *net.Dialer {
 	d := c.dialer
 	if c.SourceIP != nil {
 		d.LocalAddr = &net.TCPAddr{IP: c.SourceIP}
-		d.Control = func(_, _ string, raw syscall.RawConn) error { // else a port is used up for each connection, whomever it is to
+		// Without this option each connection uses up a local port, whatever its destination.
+		d.Control = func(_, _ string, raw syscall.RawConn) error {
 			return raw.Control(func(fd uintptr) { syscall.SetsockoptInt(int(fd), syscall.IPPROTO_IP, bindNoPort, 1) })
 		}
 	}
 	return &d
 }
 
-// bindNoPort is IP_BIND_ADDRESS_NO_PORT of ip(7).
+// bindNoPort is the socket option IP_BIND_ADDRESS_NO_PORT, see ip(7).
 const bindNoPort = 24
 
-// connect takes a kept connection or makes one.
-func (c *Transport) connect(ctx context.Context, in *core.Attempt, deadline time.Time) (*idleConn, error) {
-	if conn := c.take(in); conn != nil {
+// connect returns an idle connection or dials a new one.
+func (c *Transport) connect(ctx context.Context, attempt *core.Attempt, deadline time.Time) (*persistentConn, error) {
+	if conn := c.takeIdle(attempt); conn != nil {
 		return conn, nil
 	}
 	if !c.reserve() {
-		return nil, errNoRoom
+		return nil, errConnLimit
 	}
 	ctx, cancel := context.WithDeadline(ctx, deadline)
 	defer cancel()
-	conn, err := c.from().DialContext(ctx, "tcp", in.Addr)
+	conn, err := c.newDialer().DialContext(ctx, "tcp", attempt.Addr)
 	if err != nil {
 		c.unreserve()
 		return nil, err
 	}
 	limit := &io.LimitedReader{R: conn}
-	return &idleConn{Conn: conn, r: bufio.NewReader(limit), limit: limit, addr: in.Addr}, nil
+	return &persistentConn{Conn: conn, reader: bufio.NewReader(limit), limit: limit, addr: attempt.Addr}, nil
 }
 
-// ownFault says whether a connection failed for want of something at this end, which tells nothing of the endpoint.
-func ownFault(err error) bool {
-	for _, own := range []error{errNoRoom, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL} {
-		if errors.Is(err, own) {
+// isLocalError reports whether a connection failed for lack of a local resource, which indicates nothing about the
+// endpoint.
+func isLocalError(err error) bool {
+	for _, local := range []error{errConnLimit, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM,
+		syscall.EADDRNOTAVAIL} {
+		if errors.Is(err, local) {
 			return true
 		}
 	}
 	return false
 }
 
-// reserve takes a place for a connection; an idle one makes room for it.
+// reserve counts a new connection against the limit, closing the oldest idle one if needed. It reports whether there is
+// room.
 func (c *Transport) reserve() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.open >= c.most.Open && !c.closeOldest() {
+	if c.openCount >= c.limits.Open && !c.closeOldest() {
 		return false
 	}
-	c.open++
+	c.openCount++
 	return true
 }
 
+// unreserve gives back what reserve counted.
 func (c *Transport) unreserve() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.open--
+	c.openCount--
 }
 
-// drop closes a connection that carries a call.
-func (c *Transport) drop(conn *idleConn) {
+// discard closes a connection that is not in the list of idle ones.
+func (c *Transport) discard(conn *persistentConn) {
 	conn.Close()
 	c.unreserve()
 }
 
-// The rest is about idle connections. What is named close… is called under the lock.
-
-func (c *Transport) closeIdle(conn *idleConn) {
+// closeIdle closes an idle connection, which the caller removes from its list. c.mu must be held.
+func (c *Transport) closeIdle(conn *persistentConn) {
 	conn.Close()
-	c.count--
-	c.open--
+	c.idleCount--
+	c.openCount--
 }
 
+// closeOldest closes the connection that has been idle for longest and reports whether there was one. c.mu must be
+// held.
 func (c *Transport) closeOldest() bool {
 	var from logic.EndpointID
-	var oldest *idleConn
+	var oldest *persistentConn
 	for ep, list := range c.idle {
-		if oldest == nil || list[0].since.Before(oldest.since) {
+		if oldest == nil || list[0].idleSince.Before(oldest.idleSince) {
 			from, oldest = ep, list[0]
 		}
 	}
 	if oldest == nil {
 		return false
 	}
-	c.keep(from, c.idle[from][1:])
+	c.setIdle(from, c.idle[from][1:])
 	c.closeIdle(oldest)
 	return true
 }
 
-// keep sets the idle connections to ep, in the order in which they became idle.
-func (c *Transport) keep(ep logic.EndpointID, list []*idleConn) {
+// setIdle sets the idle connections to ep, ordered by the time at which they became idle. c.mu must be held.
+func (c *Transport) setIdle(ep logic.EndpointID, list []*persistentConn) {
 	if len(list) == 0 {
 		delete(c.idle, ep)
 	} else {
@@ -349,25 +361,25 @@
 	}
 }
 
-// take returns the kept connection to ep that was used last, if it is still good. One
-// whose last answer came just now is left: more may be on its way behind that.
-func (c *Transport) take(in *core.Attempt) *idleConn {
+// takeIdle returns the most recently used connection to the endpoint that is still reusable, or nil. It skips one
+// whose last response arrived less than the reuse delay ago, since unrequested bytes may follow.
+func (c *Transport) takeIdle(attempt *core.Attempt) *persistentConn {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	ep, addr := in.Endpoint, in.Addr
-	if in.Unrepeatable && time.Since(c.brokeAt) < brokeTime {
+	ep, addr := attempt.Endpoint, attempt.Addr
+	if attempt.Unrepeatable && time.Since(c.lastBrokenAt) < brokenConnWindow {
 		return nil
 	}
 	list := slices.Clone(c.idle[ep])
-	defer func() { c.keep(ep, list) }()
+	defer func() { c.setIdle(ep, list) }()
 	for i := len(list) - 1; i >= 0; i-- {
 		conn := list[i]
-		if time.Since(conn.since) < c.settle {
+		if time.Since(conn.idleSince) < c.reuseDelay {
 			continue
 		}
 		list = slices.Delete(list, i, i+1)
-		if conn.addr == addr && c.good(conn) {
-			c.count--
+		if conn.addr == addr && c.reusable(conn) {
+			c.idleCount--
 			return conn
 		}
 		c.closeIdle(conn)
@@ -375,43 +387,45 @@
 	return nil
 }
 
-// good says whether a kept connection may carry a call: neither about to be closed
-// for its age nor closed already, nor with an answer on it that nobody asked for.
-func (c *Transport) good(conn *idleConn) bool {
-	margin := max(min(idleMargin, c.idleTime/4), permit.MinRemaining) // the process may be held up before it writes
-	if time.Since(conn.since) > c.idleTime-margin {
+// reusable reports whether an idle connection may carry a call: it is not close to its
+// idle timeout, not closed by the endpoint, and has no unrequested response on it.
+func (c *Transport) reusable(conn *persistentConn) bool {
+	margin := max(min(idleMargin, c.idleTimeout/4), permit.MinRemaining) // the process may be paused before it writes
+	if time.Since(conn.idleSince) > c.idleTimeout-margin {
 		return false
 	}
 	alive, data := netutil.Peek(conn.Conn)
 	return alive && !data
 }
 
-// put keeps a connection for the next call; false if there is no room.
-func (c *Transport) put(ep logic.EndpointID, conn *idleConn) bool {
-	conn.since = time.Now()
-	return c.putBack(ep, conn)
+// keepIdle keeps a connection for the next call and reports whether there was room.
+func (c *Transport) keepIdle(ep logic.EndpointID, conn *persistentConn) bool {
+	conn.idleSince = time.Now()
+	return c.returnIdle(ep, conn)
 }
 
-// putBack keeps a connection on which no call was made after all: it has been idle for as
-// long as before, to its endpoint too. It is false if there is no room.
-func (c *Transport) putBack(ep logic.EndpointID, conn *idleConn) bool {
+// returnIdle keeps a connection that carried no call and reports whether there was room. Its
+// idle time goes on, as it does at the endpoint, which received nothing.
+func (c *Transport) returnIdle(ep logic.EndpointID, conn *persistentConn) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	list := c.idle[ep]
-	if len(list) >= c.most.PerEndpoint || c.count >= c.most.Idle {
+	if len(list) >= c.limits.PerEndpoint || c.idleCount >= c.limits.Idle {
 		return false
 	}
-	if conn.since.IsZero() { // new
-		conn.since = time.Now()
+	if conn.idleSince.IsZero() { // new
+		conn.idleSince = time.Now()
 	}
 	conn.SetDeadline(time.Time{})
-	at, _ := slices.BinarySearchFunc(list, conn.since, func(x *idleConn, since time.Time) int { return x.since.Compare(since) })
+	at, _ := slices.BinarySearchFunc(list, conn.idleSince, func(x *persistentConn, since time.Time) int {
+		return x.idleSince.Compare(since)
+	})
 	c.idle[ep] = slices.Insert(list, at, conn)
-	c.count++
+	c.idleCount++
 	return true
 }
 
-// CloseIdle closes the kept connections to ep.
+// CloseIdle closes the idle connections to ep.
 func (c *Transport) CloseIdle(ep logic.EndpointID) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -421,27 +435,27 @@
 	delete(c.idle, ep)
 }
 
-// CloseStale closes kept connections that are no good any more.
+// CloseStale closes idle connections that are no longer reusable.
 func (c *Transport) CloseStale() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for ep, list := range c.idle {
-		var kept []*idleConn
+		var kept []*persistentConn
 		for _, conn := range list {
-			if c.good(conn) {
+			if c.reusable(conn) {
 				kept = append(kept, conn)
 			} else {
 				c.closeIdle(conn)
 			}
 		}
-		c.keep(ep, kept)
+		c.setIdle(ep, kept)
 	}
 }
 
-// appendDeliver appends the request that hands m to an endpoint. It is written by
-// hand: building and writing net/http's took a seventh of the processor time of an
-// attempt. Ids and keys have been checked to be visible ASCII.
-func appendDeliver(b []byte, m *message.Message, addr string, giveUp time.Duration) []byte {
+// appendDeliver appends the request that delivers m to an endpoint. It doesn't use
+// net/http, whose building and writing of the request took a seventh of the CPU time of
+// an attempt. IDs and keys have been validated as visible ASCII.
+func appendDeliver(b []byte, m *message.Message, addr string, timeout time.Duration) []byte {
 	b = append(b, "POST /inbox HTTP/1.1\r\nHost: "...)
 	b = append(b, addr...)
 	b = append(b, "\r\nX-Trace-Id: "...)
@@ -451,22 +465,22 @@
 		b = append(b, m.Key...)
 	}
 	b = append(b, "\r\nX-Expires-In-Ms: "...)
-	b = strconv.AppendInt(b, max(giveUp.Milliseconds(), 1), 10)
+	b = strconv.AppendInt(b, max(timeout.Milliseconds(), 1), 10)
 	b = append(b, "\r\nContent-Length: "...)
 	b = strconv.AppendInt(b, int64(len(m.Body)), 10)
 	b = append(b, "\r\n\r\n"...)
 	return append(b, m.Body...)
 }
 
-// appendProbe appends the request that asks an endpoint whether it is well.
+// appendProbe appends the health check request to an endpoint.
 func appendProbe(b []byte, addr string) []byte {
 	b = append(b, "GET /alive HTTP/1.1\r\nHost: "...)
 	b = append(b, addr...)
 	return append(b, "\r\n\r\n"...)
 }
 
-// requests keeps buffers for the next requests.
-var requests = sync.Pool{New: func() any { return new([]byte) }}
+// requestBuffers holds buffers for requests.
+var requestBuffers = sync.Pool{New: func() any { return new([]byte) }}
 
-// keepRequest is the largest buffer that is kept.
-const keepRequest = 8 << 10
+// maxPooledBuffer is the largest buffer in bytes that goes back to requestBuffers.
+const maxPooledBuffer = 8 << 10
--- a/internal/transport/http/calls_test.go
+++ b/internal/transport/http/calls_test.go
@@ -18,25 +18,25 @@
 	"cometrack/logic"
 )
 
-func newCall(addr, body string, giveUp time.Duration) *core.Attempt {
-	return &core.Attempt{Message: &message.Message{ID: "m1", Key: "k1", Body: []byte(body)}, Endpoint: 1, Addr: addr, Timeout: giveUp}
+func newAttempt(addr, body string, timeout time.Duration) *core.Attempt {
+	return &core.Attempt{Message: &message.Message{ID: "m1", Key: "k1", Body: []byte(body)}, Endpoint: 1, Addr: addr, Timeout: timeout}
 }
 
-func testCaller() *Transport {
+func newTestTransport() *Transport {
 	return New(time.Second, 10*time.Second, Limits{Open: 16, Idle: 16, PerEndpoint: 4})
 }
 
-// goDo makes a call in the background.
-func goDo(ctx context.Context, c *Transport, in *core.Attempt) <-chan core.Result {
+// startAttempt makes a call in the background.
+func startAttempt(ctx context.Context, c *Transport, in *core.Attempt) <-chan core.Result {
 	ch := make(chan core.Result, 1)
 	go func() { ch <- c.Attempt(ctx, in) }()
 	return ch
 }
 
-// An answer that is read as the wrong outcome resends what may have run, or gives up what never ran.
-func TestAnswers(t *testing.T) {
-	e, c := byhand.NewEndpoint(t), testCaller()
-	c.settle = 0
+// A response read as the wrong outcome would repeat a message that may have run, or give up one that never ran.
+func TestResponses(t *testing.T) {
+	e, c := byhand.NewEndpoint(t), newTestTransport()
+	c.reuseDelay = 0
 	for _, x := range []struct {
 		status  int
 		headers []string
@@ -53,7 +53,7 @@
 		{504, nil, core.Result{Outcome: logic.NotSent}},
 		{410, nil, core.Result{Outcome: logic.NotSent, MessageEnded: true}},
 	} {
-		got := goDo(t.Context(), c, newCall(e.Addr(), "hello", byhand.Patience))
+		got := startAttempt(t.Context(), c, newAttempt(e.Addr(), "hello", byhand.Patience))
 		in := byhand.Await(t, e.Calls, "call")
 		left, err := strconv.Atoi(in.Req.Header.Get("X-Expires-In-Ms"))
 		if in.Body != "hello" || in.ID() != "m1" || in.Req.Header.Get("Idempotency-Key") != "k1" || err != nil ||
@@ -70,7 +70,7 @@
 	}
 }
 
-// A break before the last byte proves that the call never ran; nothing may be taken for more than it is.
+// A call whose connection breaks before the last byte is written never ran.
 func TestBreakBeforeLastByte(t *testing.T) {
 	small := func(_, _ string, raw syscall.RawConn) error {
 		return raw.Control(func(fd uintptr) {
@@ -84,10 +84,10 @@
 		t.Fatal(err)
 	}
 	defer ln.Close()
-	c := testCaller()
+	c := newTestTransport()
 	c.dialer.Control = small
 	// Far more than both buffers hold, so that the last byte cannot have been written.
-	got := goDo(t.Context(), c, newCall(ln.Addr().String(), strings.Repeat("x", 8<<20), byhand.Patience))
+	got := startAttempt(t.Context(), c, newAttempt(ln.Addr().String(), strings.Repeat("x", 8<<20), byhand.Patience))
 	conn, err := ln.Accept()
 	if err != nil {
 		t.Fatal(err)
@@ -98,45 +98,45 @@
 	conn.(*net.TCPConn).SetLinger(0)
 	conn.Close()
 	if r := byhand.Await(t, got, "result"); r.Outcome != logic.ConnectionRefused {
-		t.Errorf("got %+v, want RefusedConn", r)
+		t.Errorf("got %+v, want ConnectionRefused", r)
 	}
 }
 
-// After the last byte it may have run, however the connection ends.
+// A call whose connection ends after the last byte was written may have run.
 func TestBreakAfterLastByte(t *testing.T) {
-	e, c := byhand.NewEndpoint(t), testCaller()
-	got := goDo(t.Context(), c, newCall(e.Addr(), "hello", byhand.Patience))
+	e, c := byhand.NewEndpoint(t), newTestTransport()
+	got := startAttempt(t.Context(), c, newAttempt(e.Addr(), "hello", byhand.Patience))
 	byhand.Await(t, e.Calls, "call").Reset()
 	if r := byhand.Await(t, got, "result"); r.Outcome != logic.ConnectionBroken {
-		t.Errorf("reset: got %+v, want Severed", r)
+		t.Errorf("reset: got %+v, want ConnectionBroken", r)
 	}
-	got = goDo(t.Context(), c, newCall(e.Addr(), "hello", byhand.Patience))
+	got = startAttempt(t.Context(), c, newAttempt(e.Addr(), "hello", byhand.Patience))
 	in := byhand.Await(t, e.Calls, "call")
 	io.WriteString(in.Conn, "HTTP/1.1 2")
 	in.Conn.Close()
 	in.Done <- false
 	if r := byhand.Await(t, got, "result"); r.Outcome != logic.ConnectionBroken {
-		t.Errorf("half an answer: got %+v, want Severed", r)
+		t.Errorf("half a response: got %+v, want ConnectionBroken", r)
 	}
 }
 
-// A port that nobody listens on.
+// A call to a port without a listener never ran.
 func TestConnectionRefused(t *testing.T) {
-	e, c := byhand.NewEndpoint(t), testCaller()
+	e, c := byhand.NewEndpoint(t), newTestTransport()
 	e.Ln.Close()
-	if r := c.Attempt(t.Context(), newCall(e.Addr(), "hello", byhand.Patience)); r.Outcome != logic.ConnectionRefused {
-		t.Errorf("got %+v, want RefusedConn", r)
+	if r := c.Attempt(t.Context(), newAttempt(e.Addr(), "hello", byhand.Patience)); r.Outcome != logic.ConnectionRefused {
+		t.Errorf("got %+v, want ConnectionRefused", r)
 	}
 }
 
-// A connection that the endpoint has closed, or that is about to be closed for its age, would turn the next call
-// into a reset, which an unsafe message does not survive.
+// A connection that the endpoint has closed, or is about to close after its idle timeout, must not be reused: the next
+// call would be reset, and an unsafe message can't be repeated.
 func TestStaleConnection(t *testing.T) {
 	e, c := byhand.NewEndpoint(t), New(time.Second, time.Hour, Limits{Open: 16, Idle: 16, PerEndpoint: 4})
-	c.settle = 0
+	c.reuseDelay = 0
 	call := func(end func(*byhand.InCall)) {
 		t.Helper()
-		got := goDo(t.Context(), c, newCall(e.Addr(), "hello", byhand.Patience))
+		got := startAttempt(t.Context(), c, newAttempt(e.Addr(), "hello", byhand.Patience))
 		end(byhand.Await(t, e.Calls, "call"))
 		if r := byhand.Await(t, got, "result"); r.Outcome != logic.Completed {
 			t.Fatalf("got %+v, want Completed", r)
@@ -146,107 +146,108 @@
 	byhand.Until(t, "end of the connection", func() bool {
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		return len(c.idle[1]) == 0 || !c.good(c.idle[1][0])
+		return len(c.idle[1]) == 0 || !c.reusable(c.idle[1][0])
 	})
 	call(func(in *byhand.InCall) { in.Reply(200) })
 	if n := len(e.Conns); n != 2 {
 		t.Fatalf("%d connections, want a second after the first was closed", n)
 	}
 	c.mu.Lock()
-	c.idle[1][0].since = time.Now().Add(200*time.Millisecond - time.Hour)
+	c.idle[1][0].idleSince = time.Now().Add(200*time.Millisecond - time.Hour)
 	c.mu.Unlock()
 	call(func(in *byhand.InCall) { in.Reply(200) })
 	if n := len(e.Conns); n != 3 {
-		t.Fatalf("%d connections, want a third after the second grew old", n)
+		t.Fatalf("%d connections, want a third after the second reached its idle timeout", n)
 	}
 	c.mu.Lock()
-	c.idle[1][0].since = time.Now().Add(-2 * time.Hour)
+	c.idle[1][0].idleSince = time.Now().Add(-2 * time.Hour)
 	c.mu.Unlock()
 	c.CloseStale()
-	if c.count != 0 || len(c.idle) != 0 {
-		t.Errorf("an old connection is kept after a sweep")
+	if c.idleCount != 0 || len(c.idle) != 0 {
+		t.Errorf("a stale connection is kept after CloseStale")
 	}
 }
 
-// A call that is given up must be over for the endpoint too before its outcome is told: the next attempt would be
-// a second copy.
-func TestGiveUp(t *testing.T) {
-	e, c := byhand.NewEndpoint(t), testCaller()
-	c.linger = 2 * byhand.Patience // only the endpoint's own end of the call can cut it short
+// An abandoned call must have ended at the endpoint before its outcome is reported; otherwise the next attempt would
+// overlap with it.
+func TestAbandonedCall(t *testing.T) {
+	e, c := byhand.NewEndpoint(t), newTestTransport()
+	c.linger = 2 * byhand.Patience // only the endpoint can end the call earlier
 	ctx, cancel := context.WithCancel(t.Context())
-	got := goDo(ctx, c, newCall(e.Addr(), "hello", byhand.Patience))
+	got := startAttempt(ctx, c, newAttempt(e.Addr(), "hello", byhand.Patience))
 	in := byhand.Await(t, e.Calls, "call")
 	cancel()
 	in.AwaitEnd(t)
 	in.Reset()
 	if r := byhand.Await(t, got, "result"); r.Outcome != logic.Cancelled {
-		t.Errorf("cancelled: got %+v, want Recalled", r)
+		t.Errorf("cancelled: got %+v, want Cancelled", r)
 	}
-	got = goDo(t.Context(), c, newCall(e.Addr(), "hello", 30*time.Millisecond))
+	got = startAttempt(t.Context(), c, newAttempt(e.Addr(), "hello", 30*time.Millisecond))
 	in = byhand.Await(t, e.Calls, "call")
 	in.AwaitEnd(t)
 	in.Reset()
 	if r := byhand.Await(t, got, "result"); r.Outcome != logic.TimedOut {
-		t.Errorf("timed out: got %+v, want Overdue", r)
+		t.Errorf("timed out: got %+v, want TimedOut", r)
 	}
 	ctx, cancel = context.WithCancel(t.Context())
-	got = goDo(ctx, c, newCall(e.Addr(), "hello", byhand.Patience))
+	got = startAttempt(ctx, c, newAttempt(e.Addr(), "hello", byhand.Patience))
 	in = byhand.Await(t, e.Calls, "call")
 	cancel()
 	in.AwaitEnd(t)
 	in.Reply(200)
 	if r := byhand.Await(t, got, "result"); r.Outcome != logic.Completed {
-		t.Errorf("answered while it was given up: got %+v, want Completed", r)
+		t.Errorf("response while it was abandoned: got %+v, want Completed", r)
 	}
 	c.linger = time.Millisecond // an endpoint that does not react
-	got = goDo(t.Context(), c, newCall(e.Addr(), "hello", 30*time.Millisecond))
+	got = startAttempt(t.Context(), c, newAttempt(e.Addr(), "hello", 30*time.Millisecond))
 	in = byhand.Await(t, e.Calls, "call")
 	if r := byhand.Await(t, got, "result"); r.Outcome != logic.TimedOut {
-		t.Errorf("silent: got %+v, want Overdue", r)
+		t.Errorf("silent: got %+v, want TimedOut", r)
 	}
 	in.AwaitEnd(t)
-	if c.count != 0 {
-		t.Errorf("%d connections kept after calls that were given up", c.count)
+	if c.idleCount != 0 {
+		t.Errorf("%d connections kept after abandoned calls", c.idleCount)
 	}
 }
 
-// A call that still connects when it is called off has not run.
-func TestGiveUpWhileConnecting(t *testing.T) {
-	e, c := byhand.NewEndpoint(t), testCaller()
+// A call that is cancelled while it connects has not run.
+func TestCancelledWhileConnecting(t *testing.T) {
+	e, c := byhand.NewEndpoint(t), newTestTransport()
 	ctx, cancel := context.WithCancel(t.Context())
 	c.dialer.Control = func(_, _ string, _ syscall.RawConn) error { cancel(); return nil }
-	if r := c.Attempt(ctx, newCall(e.Addr(), "hello", byhand.Patience)); r.Outcome != logic.ConnectionRefused {
-		t.Errorf("got %+v, want RefusedConn", r)
+	if r := c.Attempt(ctx, newAttempt(e.Addr(), "hello", byhand.Patience)); r.Outcome != logic.ConnectionRefused {
+		t.Errorf("got %+v, want ConnectionRefused", r)
 	}
 	e.None(t)
 }
 
-// A wait or a drain that becomes known while a call connects binds it: it must not be written afterwards.
-func TestHeldWhileConnecting(t *testing.T) {
-	e, c := byhand.NewEndpoint(t), testCaller()
-	in := newCall(e.Addr(), "hello", byhand.Patience)
+// A requested wait or a drain that arrives while a call connects applies to it: the request must not be written.
+func TestWithheldWhileConnecting(t *testing.T) {
+	e, c := byhand.NewEndpoint(t), newTestTransport()
+	in := newAttempt(e.Addr(), "hello", byhand.Patience)
 	c.dialer.Control = func(_, _ string, _ syscall.RawConn) error {
 		in.Withhold(permit.WaitRequested)
 		return nil
 	}
 	if r := c.Attempt(t.Context(), in); r.Outcome != logic.NotSent {
-		t.Errorf("got %+v, want Moot", r)
+		t.Errorf("got %+v, want NotSent", r)
 	}
 	e.None(t)
 }
 
-// Connecting takes time: a repeat that would be written after the destination has forgotten its key is not made.
-func TestWriteBy(t *testing.T) {
-	e, c := byhand.NewEndpoint(t), testCaller()
-	in := newCall(e.Addr(), "hello", byhand.Patience)
+// A repeat that would be written after the destination has dropped its idempotency key, because connecting took long,
+// is not sent.
+func TestExpiredAttemptNotWritten(t *testing.T) {
+	e, c := byhand.NewEndpoint(t), newTestTransport()
+	in := newAttempt(e.Addr(), "hello", byhand.Patience)
 	in.Expires = time.Now().Add(-time.Millisecond)
 	if r := c.Attempt(t.Context(), in); r.Outcome != logic.NotSent {
-		t.Errorf("got %+v, want Moot", r)
+		t.Errorf("got %+v, want NotSent", r)
 	}
 	e.None(t)
 }
 
-// A kept connection is not used when the process, held up for as long as it may be, would write to it after its idle time.
+// An idle connection is not reused if a pause of the process could delay the write beyond the idle timeout.
 func TestIdleConnectionOutlastsStall(t *testing.T) {
 	e := byhand.NewEndpoint(t)
 	for _, x := range []struct {
@@ -256,14 +257,14 @@
 		c := New(time.Second, x.idle, Limits{Open: 8, Idle: 8, PerEndpoint: 8})
 		var conns []net.Conn
 		for range 2 {
-			got := goDo(t.Context(), c, newCall(e.Addr(), "hello", byhand.Patience))
+			got := startAttempt(t.Context(), c, newAttempt(e.Addr(), "hello", byhand.Patience))
 			in := byhand.Await(t, e.Calls, "call")
 			conns = append(conns, in.Conn)
 			in.Reply(200)
 			byhand.Await(t, got, "result")
 			c.mu.Lock()
-			for _, conn := range c.idle[newCall(e.Addr(), "", 0).Endpoint] {
-				conn.since = conn.since.Add(-x.rest)
+			for _, conn := range c.idle[newAttempt(e.Addr(), "", 0).Endpoint] {
+				conn.idleSince = conn.idleSince.Add(-x.rest)
 			}
 			c.mu.Unlock()
 		}
@@ -273,28 +274,28 @@
 	}
 }
 
-// An endpoint is told for how long the answer is waited for from now on: connecting takes its part.
-func TestExpiryCountsFromTheWrite(t *testing.T) {
-	const connecting, giveUp = 300 * time.Millisecond, 2 * time.Second
-	e, c := byhand.NewEndpoint(t), testCaller()
+// X-Expires-In-Ms is the time that remains when the request is written: the time to connect is subtracted.
+func TestExpiryCountsFromWrite(t *testing.T) {
+	const connecting, timeout = 300 * time.Millisecond, 2 * time.Second
+	e, c := byhand.NewEndpoint(t), newTestTransport()
 	c.dialer.Control = func(_, _ string, _ syscall.RawConn) error {
 		time.Sleep(connecting)
 		return nil
 	}
-	got := goDo(t.Context(), c, newCall(e.Addr(), "hello", giveUp))
+	got := startAttempt(t.Context(), c, newAttempt(e.Addr(), "hello", timeout))
 	in := byhand.Await(t, e.Calls, "call")
 	ms, err := strconv.Atoi(in.Req.Header.Get("X-Expires-In-Ms"))
-	if most := giveUp - connecting; err != nil || time.Duration(ms)*time.Millisecond > most {
-		t.Errorf("%d ms, of %v at most: %v", ms, most, err)
+	if limit := timeout - connecting; err != nil || time.Duration(ms)*time.Millisecond > limit {
+		t.Errorf("%d ms, want at most %v: %v", ms, limit, err)
 	}
 	in.Reply(200)
 	byhand.Await(t, got, "result")
 }
 
-// An interim answer is not the outcome.
-func TestInterimAnswer(t *testing.T) {
-	e, c := byhand.NewEndpoint(t), testCaller()
-	got := goDo(t.Context(), c, newCall(e.Addr(), "hello", byhand.Patience))
+// An interim response is not the outcome.
+func TestInterimResponse(t *testing.T) {
+	e, c := byhand.NewEndpoint(t), newTestTransport()
+	got := startAttempt(t.Context(), c, newAttempt(e.Addr(), "hello", byhand.Patience))
 	in := byhand.Await(t, e.Calls, "call")
 	io.WriteString(in.Conn, "HTTP/1.1 102 Processing\r\n\r\n")
 	in.Reply(200)
@@ -303,16 +304,16 @@
 	}
 }
 
-// An endpoint that takes the address of one that has gone starts with connections of its own, and those of the old
-// one are given back.
+// An endpoint at the address of a removed one gets new connections, and those of the old one are closed and no longer
+// counted.
 func TestNewEndpointAtOldAddress(t *testing.T) {
-	e, c := byhand.NewEndpoint(t), testCaller()
-	c.settle = 0
+	e, c := byhand.NewEndpoint(t), newTestTransport()
+	c.reuseDelay = 0
 	call := func(ep logic.EndpointID) *byhand.InCall {
 		t.Helper()
-		in := newCall(e.Addr(), "hello", byhand.Patience)
+		in := newAttempt(e.Addr(), "hello", byhand.Patience)
 		in.Endpoint = ep
-		got := goDo(t.Context(), c, in)
+		got := startAttempt(t.Context(), c, in)
 		out := byhand.Await(t, e.Calls, "call")
 		out.Reply(200)
 		byhand.Await(t, got, "result")
@@ -320,30 +321,30 @@
 	}
 	first := call(1)
 	if second := call(2); second.Conn == first.Conn {
-		t.Error("the new endpoint is called over a connection of the old one")
+		t.Error("the new endpoint is called on a connection of the old one")
 	}
 	c.CloseIdle(1)
-	if c.count != 1 || c.open != 1 {
-		t.Errorf("%d idle, %d open", c.count, c.open)
+	if c.idleCount != 1 || c.openCount != 1 {
+		t.Errorf("%d idle, %d open", c.idleCount, c.openCount)
 	}
 }
 
-// A kept connection that was taken for an attempt which was withheld counted as used, and the next request was written
-// to it after its endpoint had closed it: it has been idle for as long as before.
+// An idle connection that was taken for a withheld attempt keeps its idle time. If it counted as used, the next request
+// could be written after the endpoint had closed it.
 func TestWithheldAttemptLeavesIdleTime(t *testing.T) {
-	e, c := byhand.NewEndpoint(t), testCaller()
-	c.settle = 0
-	got := goDo(t.Context(), c, newCall(e.Addr(), "hello", byhand.Patience))
+	e, c := byhand.NewEndpoint(t), newTestTransport()
+	c.reuseDelay = 0
+	got := startAttempt(t.Context(), c, newAttempt(e.Addr(), "hello", byhand.Patience))
 	byhand.Await(t, e.Calls, "call").Reply(200)
 	byhand.Await(t, got, "result")
 	since := time.Now().Add(-5 * time.Second)
-	c.idle[1][0].since = since
-	withheld := newCall(e.Addr(), "hello", byhand.Patience)
+	c.idle[1][0].idleSince = since
+	withheld := newAttempt(e.Addr(), "hello", byhand.Patience)
 	withheld.Withhold(permit.WaitRequested)
 	if r := c.Attempt(t.Context(), withheld); r.Outcome != logic.NotSent {
-		t.Fatalf("a withheld attempt ends as %+v", r)
+		t.Fatalf("the withheld attempt has the result %+v", r)
 	}
-	if list := c.idle[1]; len(list) != 1 || !list[0].since.Equal(since) {
-		t.Errorf("%d connections are kept, idle for %v", len(list), time.Since(list[0].since))
+	if list := c.idle[1]; len(list) != 1 || !list[0].idleSince.Equal(since) {
+		t.Errorf("%d idle connections, idle for %v", len(list), time.Since(list[0].idleSince))
 	}
 }
--- a/internal/transport/http/doc.go
+++ b/internal/transport/http/doc.go
@@ -1,5 +1,5 @@
-// Package httptransport makes attempts as HTTP/1.1 calls over connections that it
-// keeps. It never sends anything twice, and it knows whether the last byte was
-// written: that tells what never ran from what may have run. net/http's transport
-// does neither.
+// Package httptransport makes attempts as HTTP/1.1 calls over persistent
+// connections. It never resends a request, and it records whether the last byte of
+// a request was written, which separates attempts that never ran from attempts that
+// may have run. net/http's transport does neither.
 package httptransport
