--- a/internal/transport/http/batch.go
+++ b/internal/transport/http/batch.go
@@ -68,9 +68,7 @@
 			results = c.batch(ctx, rest[:n], remaining)
 		}
 		out, rest = append(out, results...), rest[n:]
-		if slices.ContainsFunc(results, func(r core.Result) bool {
-			return r.Outcome != logic.Completed || r.RequestedWait > 0
-		}) {
+		if slices.ContainsFunc(results, func(r core.Result) bool { return r.Outcome != logic.Completed || r.RequestedWait > 0 }) {
 			for range rest { // let the caller decide again after a failure or a requested wait
 				out = append(out, core.Result{Outcome: logic.NotSent})
 			}
@@ -81,10 +79,10 @@
 }
 
 // batch makes one call with all attempts that may begin.
-func (c *Transport) batch(ctx context.Context, call []*core.Attempt, timeout time.Duration) []core.Result {
+func (c *Transport) batch(ctx context.Context, call []*core.Attempt, remaining time.Duration) []core.Result {
 	// The call has the shortest timeout of its messages: one response covers all of them, and it is late if it arrives
 	// after the timeout of any.
-	head := &core.Attempt{Endpoint: call[0].Endpoint, Addr: call[0].Addr, Timeout: timeout}
+	head := &core.Attempt{Endpoint: call[0].Endpoint, Addr: call[0].Addr, Timeout: remaining}
 	for _, a := range call {
 		head.Unrepeatable = head.Unrepeatable || a.Unrepeatable
 	}
--- a/internal/transport/http/calls.go
+++ b/internal/transport/http/calls.go
@@ -23,7 +23,7 @@
 const (
 	closeLinger      = 50 * time.Millisecond  // time for the endpoint to notice that a call is abandoned
 	idleMargin       = 500 * time.Millisecond // a connection is not reused this close to its idle timeout
-	reuseDelay       = 20 * time.Millisecond  // between a response and reuse, for unrequested bytes to show
+	minReuseDelay    = 20 * time.Millisecond  // between a response and reuse, for unrequested bytes to show
 	brokenConnWindow = 5 * time.Second        // after a reused connection broke, unrepeatable calls dial new ones
 	probeTimeout     = 1500 * time.Millisecond
 )
@@ -79,7 +79,7 @@
 // not reused once it has been idle for idleTimeout.
 func New(connectTimeout, idleTimeout time.Duration, limits Limits) *Transport {
 	limits.PerEndpoint = max(limits.PerEndpoint, 1)
-	return &Transport{dialer: net.Dialer{Timeout: connectTimeout}, linger: closeLinger, reuseDelay: reuseDelay,
+	return &Transport{dialer: net.Dialer{Timeout: connectTimeout}, linger: closeLinger, reuseDelay: minReuseDelay,
 		idleTimeout: idleTimeout, limits: limits, idle: map[logic.EndpointID][]*persistentConn{}}
 }
 
@@ -417,9 +417,7 @@
 		conn.idleSince = time.Now()
 	}
 	conn.SetDeadline(time.Time{})
-	at, _ := slices.BinarySearchFunc(list, conn.idleSince, func(x *persistentConn, since time.Time) int {
-		return x.idleSince.Compare(since)
-	})
+	at, _ := slices.BinarySearchFunc(list, conn.idleSince, func(x *persistentConn, idleSince time.Time) int { return x.idleSince.Compare(idleSince) })
 	c.idle[ep] = slices.Insert(list, at, conn)
 	c.idleCount++
 	return true
--- a/internal/transport/http/calls_test.go
+++ b/internal/transport/http/calls_test.go
@@ -337,14 +337,14 @@
 	got := startAttempt(t.Context(), c, newAttempt(e.Addr(), "hello", byhand.Patience))
 	byhand.Await(t, e.Calls, "call").Reply(200)
 	byhand.Await(t, got, "result")
-	since := time.Now().Add(-5 * time.Second)
-	c.idle[1][0].idleSince = since
+	idleSince := time.Now().Add(-5 * time.Second)
+	c.idle[1][0].idleSince = idleSince
 	withheld := newAttempt(e.Addr(), "hello", byhand.Patience)
 	withheld.Withhold(permit.WaitRequested)
 	if r := c.Attempt(t.Context(), withheld); r.Outcome != logic.NotSent {
 		t.Fatalf("the withheld attempt has the result %+v", r)
 	}
-	if list := c.idle[1]; len(list) != 1 || !list[0].idleSince.Equal(since) {
+	if list := c.idle[1]; len(list) != 1 || !list[0].idleSince.Equal(idleSince) {
 		t.Errorf("%d idle connections, idle for %v", len(list), time.Since(list[0].idleSince))
 	}
 }
