--- a/internal/source/platform/poll/play/pauses.go
+++ b/internal/source/platform/poll/play/pauses.go
@@ -7,70 +7,70 @@
 	"cometrack/internal/source/platform/poll"
 )
 
-// Pauses of the program up to f16a241, to compare with.
+// Settings of the earlier strategy, which the program used up to commit f16a241, for comparison.
 const (
-	pauseMost  = 5400 * time.Millisecond
-	pauseFirst = 0.4 // part of it that chance takes off the first pause
-	pauseLater = 0.05
-	retryHold  = 4 * time.Second // of the watch after a failure
-	watchHold  = 20 * time.Second
-	slack      = time.Second
+	maxPause         = 5400 * time.Millisecond
+	firstPauseJitter = 0.4 // largest fraction that is subtracted at random from the first pause
+	laterPauseJitter = 0.05
+	retryHold        = 4 * time.Second // hold of the watch after a failure
+	watchHold        = 20 * time.Second
+	holdGrace        = time.Second
 )
 
-// pauses asks by one call at a time, with a pause after each that fails.
-type pauses struct {
-	rng        *rand.Rand
-	generation int64
-	id         int
-	out        bool
-	failed     bool
-	due, began time.Duration
-	early      float64
+// sequential makes one call at a time, with a pause after each failure.
+type sequential struct {
+	rng                   *rand.Rand
+	generation            int64
+	lastID                int
+	inFlight              bool
+	failed                bool
+	nextCallAt, startedAt time.Duration
+	jitter                float64
 }
 
-// NewSequential makes an asker that makes one call at a time.
+// NewSequential returns a client that makes one call at a time.
 func NewSequential(_ int, seed uint64) Client {
-	return &pauses{rng: rand.New(rand.NewPCG(seed, 0)), generation: 1, early: pauseFirst}
+	return &sequential{rng: rand.New(rand.NewPCG(seed, 0)), generation: 1, jitter: firstPauseJitter}
 }
 
-// NewPoller makes an asker that decides as the program does.
+// NewPoller returns the client that the program uses.
 func NewPoller(senders int, seed uint64) Client {
 	return poll.New(poll.Settings{Senders: senders, ListRetryWithin: 10 * time.Second}, true, 1, seed, 0)
 }
 
-func (p *pauses) NextTick() time.Duration {
-	if p.out {
+func (p *sequential) NextTick() time.Duration {
+	if p.inFlight {
 		return poll.Never
 	}
-	return p.due
+	return p.nextCallAt
 }
 
-func (p *pauses) Tick(now time.Duration) []poll.Request {
-	if p.out || now < p.due {
+func (p *sequential) Tick(now time.Duration) []poll.Request {
+	if p.inFlight || now < p.nextCallAt {
 		return nil
 	}
 	hold := watchHold
 	if p.failed {
 		hold = retryHold
 	}
-	p.id++
-	p.out, p.began = true, now
-	return []poll.Request{{ID: p.id, Since: p.generation, Hold: hold, Limit: hold + slack}}
+	p.lastID++
+	p.inFlight, p.startedAt = true, now
+	return []poll.Request{{ID: p.lastID, Since: p.generation, Hold: hold, Limit: hold + holdGrace}}
 }
 
-func (p *pauses) RequestSent(int) {}
+func (p *sequential) RequestSent(int) {}
 
-func (p *pauses) CallFailed(now time.Duration, _ int) {
-	from := now // a watch that was open until now
+func (p *sequential) CallFailed(now time.Duration, _ int) {
+	from := now // a watch that was in flight until now
 	if p.failed {
-		from = p.began
+		from = p.startedAt
 	}
-	p.out, p.failed = false, true
-	p.due = max(now, from+time.Duration((1-p.early*p.rng.Float64())*float64(pauseMost)))
-	p.early = pauseLater
+	p.inFlight, p.failed = false, true
+	p.nextCallAt = max(now, from+time.Duration((1-p.jitter*p.rng.Float64())*float64(maxPause)))
+	p.jitter = laterPauseJitter
 }
 
-func (p *pauses) ResponseReceived(now time.Duration, _ int, a poll.Response) ([]int, error) {
-	p.out, p.failed, p.early, p.due, p.generation = false, false, pauseFirst, now, a.Generation
+func (p *sequential) ResponseReceived(now time.Duration, _ int, a poll.Response) ([]int, error) {
+	p.inFlight, p.failed, p.jitter, p.nextCallAt, p.generation = false, false, firstPauseJitter, now, a.Generation
 	return nil, nil
 }
--- a/internal/source/platform/poll/play/play.go
+++ b/internal/source/platform/poll/play/play.go
@@ -1,5 +1,5 @@
-// Package play has a fleet of senders ask one discovery for the list, in virtual time: what calls they make while it is
-// in trouble, and how long a change takes to be in hand.
+// Package play simulates a fleet of senders that follow the list of one discovery, in virtual time. It counts the calls
+// during a fault of discovery, and measures how long a change takes to reach the senders.
 package play
 
 import (
@@ -11,274 +11,278 @@
 	"cometrack/internal/virtual"
 )
 
-// Client decides about the calls of one sender, as [poll.Poller] does.
+// Client decides on the calls of one sender, as [poll.Poller] does.
 type Client interface {
 	NextTick() time.Duration
 	Tick(now time.Duration) []poll.Request
 	RequestSent(id int)
 	CallFailed(now time.Duration, id int)
-	ResponseReceived(now time.Duration, id int, a poll.Response) (giveUp []int, err error)
+	ResponseReceived(now time.Duration, id int, a poll.Response) (abandoned []int, err error)
 }
 
-// Fault is what discovery suffers for a while. While it is down or crowded, calls end with 503.
+// Fault is a fault of discovery. While discovery is down or overloaded, calls end with 503.
 type Fault struct {
 	Down         bool
-	ServiceTime  time.Duration // it works through calls in turn, each for so long; 0 for all at once
-	FailureRatio float64       // part of the calls that are refused at once
+	ServiceTime  time.Duration // time to serve a call, one at a time; 0 serves all at once
+	FailureRatio float64       // fraction of the calls refused at once
 }
 
-// Options set a play up.
+// Options configure a simulation.
 type Options struct {
 	Senders       int
 	Seed          uint64
 	Fault         Fault
-	FaultDuration time.Duration // from 30 s on
+	FaultDuration time.Duration // of the fault, which starts after 30 s
 	NewClient     func(senders int, seed uint64) Client
 }
 
 const (
-	travel      = 5 * time.Millisecond // one way
-	queueLimit  = 3 * time.Second      // a call that waits longer is refused
-	begins      = 30 * time.Second
-	after       = 30 * time.Second // is still played once the trouble is over
-	changeEvery = 5 * time.Second
-	startSpread = 20 * time.Second // watches begin at different times
+	networkDelay   = 5 * time.Millisecond // in each direction
+	queueTimeout   = 3 * time.Second      // a call that waits longer in the queue is refused
+	faultStart     = 30 * time.Second
+	recoveryTime   = 30 * time.Second // simulated time after the end of the fault
+	changeInterval = 5 * time.Second
+	startSpread    = 20 * time.Second // the first watches start at random times within it
 )
 
-// Result is what came of a play.
+// Result holds the measurements of a simulation.
 type Result struct {
-	Calls           int // while the trouble lasts
-	PeakDuringFault int // calls in the busiest second of the trouble
-	PeakAfterFault  int // the same in the 10 s after it
+	Calls           int // during the fault
+	PeakDuringFault int // calls in the busiest second of the fault
+	PeakAfterFault  int // calls in the busiest second of the 10 s after the fault
 	MeanAfterFault  float64
-	LateChanges     int             // changes that were in hand at a sender later than 6 s
-	Changes         int             // changes at senders
-	Delays          []time.Duration // from the moment when a change could be had, sorted
+	LateChanges     int             // changes that reached a sender after more than 6 s
+	Changes         int             // changes, counted for each sender
+	Delays          []time.Duration // from when a change was available until a sender had it, sorted
 }
 
-// Quantile is a quantile of the times to a change in hand.
+// Quantile returns the quantile q, from 0 to 1, of Delays.
 func (r Result) Quantile(q float64) time.Duration {
 	return r.Delays[int(q*float64(len(r.Delays)-1))]
 }
 
-// Run plays.
+// Run runs a simulation.
 func Run(o Options) Result {
-	p := &fleet{Options: o, rng: rand.New(rand.NewPCG(o.Seed, 5)), seconds: map[int]int{}}
+	p := &simulation{Options: o, rng: rand.New(rand.NewPCG(o.Seed, 5)), callsPerSecond: map[int]int{}}
 	for i := range o.Senders {
-		s := &sender{fleet: p, asker: o.NewClient(o.Senders, o.Seed*1000+uint64(i)), calls: map[int]*call{}, generation: 1}
+		s := &sender{sim: p, client: o.NewClient(o.Senders, o.Seed*1000+uint64(i)), calls: map[int]*call{}, generation: 1}
 		p.senders = append(p.senders, s)
 		p.clock.After(time.Duration(p.rng.Float64()*float64(startSpread)), s.step)
 	}
 	p.generation = 1
-	p.clock.After(begins, func() { p.set(o.Fault) })
-	p.clock.After(begins+o.FaultDuration, func() { p.set(Fault{}) })
-	for at := begins + changeEvery/2; at < begins+o.FaultDuration+after/2; at += changeEvery {
-		p.clock.After(at, p.change)
+	p.clock.After(faultStart, func() { p.setFault(o.Fault) })
+	p.clock.After(faultStart+o.FaultDuration, func() { p.setFault(Fault{}) })
+	for at := faultStart + changeInterval/2; at < faultStart+o.FaultDuration+recoveryTime/2; at += changeInterval {
+		p.clock.After(at, p.publishChange)
 	}
-	p.clock.Run(begins + o.FaultDuration + after)
+	p.clock.Run(faultStart + o.FaultDuration + recoveryTime)
 	return p.result()
 }
 
-// fleet is the play's state: discovery, and the senders.
-type fleet struct {
+// simulation is the state of a simulation: discovery and the senders.
+type simulation struct {
 	Options
-	clock      virtual.Clock
-	rng        *rand.Rand
-	senders    []*sender
-	now        Fault
-	generation int64
-	had        []time.Duration // when each generation from the second on could be had
-	queue      []*call
-	working    bool
-	waiting    []*call // watches that are held
-	seconds    map[int]int
-	out        Result
+	clock          virtual.Clock
+	rng            *rand.Rand
+	senders        []*sender
+	fault          Fault
+	generation     int64
+	availableAt    []time.Duration // when each generation from the second on became available
+	queue          []*call
+	serving        bool
+	heldWatches    []*call // in order of arrival
+	callsPerSecond map[int]int
+	counts         Result
 }
 
-// sender is one of the fleet.
+// sender is one sender of the fleet.
 type sender struct {
-	fleet      *fleet
-	asker      Client
+	sim        *simulation
+	client     Client
 	calls      map[int]*call
 	generation int64
-	wake       int // counts the alarms that were set; only the last one counts
+	alarms     int // number of alarms set; only the last one applies
 }
 
-// call is a request on its way.
+// call is a call that a sender has made.
 type call struct {
 	poll.Request
-	sender *sender
-	came   time.Duration
-	over   bool
+	sender    *sender
+	arrivedAt time.Duration
+	ended     bool
 }
 
-// set puts discovery in trouble, or in none. Watches end as it goes down.
-func (p *fleet) set(t Fault) {
-	p.now = t
+// setFault puts discovery into a fault, or out of it. Held and queued calls fail when it goes down.
+func (p *simulation) setFault(t Fault) {
+	p.fault = t
 	if !t.Down {
-		for i := range p.had {
-			p.had[i] = max(p.had[i], min(p.clock.Now, p.had[i]+time.Hour))
-			if p.had[i] == poll.Never {
-				p.had[i] = p.clock.Now
+		for i := range p.availableAt {
+			p.availableAt[i] = max(p.availableAt[i], min(p.clock.Now, p.availableAt[i]+time.Hour))
+			if p.availableAt[i] == poll.Never {
+				p.availableAt[i] = p.clock.Now
 			}
 		}
 		return
 	}
-	for _, c := range slices.Concat(p.waiting, p.queue) {
+	for _, c := range slices.Concat(p.heldWatches, p.queue) {
 		p.refuse(c)
 	}
-	p.waiting, p.queue = nil, nil
+	p.heldWatches, p.queue = nil, nil
 }
 
-// change makes the list newer, and answers the watches.
-func (p *fleet) change() {
+// publishChange adds a generation and answers the held watches.
+func (p *simulation) publishChange() {
 	p.generation++
-	if p.now.Down {
-		p.had = append(p.had, poll.Never)
+	if p.fault.Down {
+		p.availableAt = append(p.availableAt, poll.Never)
 		return
 	}
-	p.had = append(p.had, p.clock.Now)
-	for _, c := range p.waiting {
-		p.answer(c)
+	p.availableAt = append(p.availableAt, p.clock.Now)
+	for _, c := range p.heldWatches {
+		p.respond(c)
 	}
-	p.waiting = nil
+	p.heldWatches = nil
 }
 
-// step has a sender do what is due.
+// step makes the calls that are due.
 func (s *sender) step() {
-	for _, r := range s.asker.Tick(s.fleet.clock.Now) {
+	for _, r := range s.client.Tick(s.sim.clock.Now) {
 		c := &call{Request: r, sender: s}
 		s.calls[r.ID] = c
-		s.asker.RequestSent(r.ID)
-		s.fleet.clock.After(travel, func() { s.fleet.arrive(c) })
-		s.fleet.clock.After(r.Limit, func() { s.over(c, nil) })
+		s.client.RequestSent(r.ID)
+		s.sim.clock.After(networkDelay, func() { s.sim.arrive(c) })
+		s.sim.clock.After(r.Limit, func() { s.endCall(c, nil) })
 	}
-	s.arm()
+	s.setAlarm()
 }
 
-// arm sets the alarm for what is due next.
-func (s *sender) arm() {
-	s.wake++
-	own, due := s.wake, s.asker.NextTick()
+// setAlarm schedules the next step.
+func (s *sender) setAlarm() {
+	s.alarms++
+	number, due := s.alarms, s.client.NextTick()
 	if due == poll.Never {
 		return
 	}
-	s.fleet.clock.After(max(due-s.fleet.clock.Now, 0), func() {
-		if own == s.wake {
+	s.sim.clock.After(max(due-s.sim.clock.Now, 0), func() {
+		if number == s.alarms {
 			s.step()
 		}
 	})
 }
 
-// over tells a sender what became of a call; nil for a failure.
-func (s *sender) over(c *call, a *poll.Response) {
-	if c.over {
+// endCall reports the response of a call to the client; nil for a failure.
+func (s *sender) endCall(c *call, a *poll.Response) {
+	if c.ended {
 		return
 	}
-	c.over = true
-	now := s.fleet.clock.Now
+	c.ended = true
+	now := s.sim.clock.Now
 	if a == nil {
-		s.asker.CallFailed(now, c.ID)
-	} else if giveUp, err := s.asker.ResponseReceived(now, c.ID, *a); err == nil {
-		for _, id := range giveUp {
-			s.calls[id].over = true
+		s.client.CallFailed(now, c.ID)
+	} else if abandoned, err := s.client.ResponseReceived(now, c.ID, *a); err == nil {
+		for _, id := range abandoned {
+			s.calls[id].ended = true
 		}
-		s.heard(a.Generation)
+		s.noteGeneration(a.Generation)
 	}
 	delete(s.calls, c.ID)
 	s.step()
 }
 
-// heard notes the changes that are in hand now.
-func (s *sender) heard(generation int64) {
+// noteGeneration records the delays of the changes up to a generation.
+func (s *sender) noteGeneration(generation int64) {
 	for ; s.generation < generation; s.generation++ {
-		took := s.fleet.clock.Now - s.fleet.had[s.generation-1]
-		s.fleet.out.Delays = append(s.fleet.out.Delays, took)
+		took := s.sim.clock.Now - s.sim.availableAt[s.generation-1]
+		s.sim.counts.Delays = append(s.sim.counts.Delays, took)
 	}
 }
 
-// arrive has a call come to discovery.
-func (p *fleet) arrive(c *call) {
-	p.seconds[int(p.clock.Now/time.Second)]++
-	if p.clock.Now >= begins && p.clock.Now < begins+p.FaultDuration {
-		p.out.Calls++
+// arrive handles the arrival of a call at discovery.
+func (p *simulation) arrive(c *call) {
+	p.callsPerSecond[int(p.clock.Now/time.Second)]++
+	if p.clock.Now >= faultStart && p.clock.Now < faultStart+p.FaultDuration {
+		p.counts.Calls++
 	}
-	switch c.came = p.clock.Now; {
-	case p.now.Down || p.rng.Float64() < p.now.FailureRatio:
+	switch c.arrivedAt = p.clock.Now; {
+	case p.fault.Down || p.rng.Float64() < p.fault.FailureRatio:
 		p.refuse(c)
-	case p.now.ServiceTime > 0:
+	case p.fault.ServiceTime > 0:
 		p.queue = append(p.queue, c)
-		p.clock.After(queueLimit, func() {
+		p.clock.After(queueTimeout, func() {
 			if i := slices.Index(p.queue, c); i >= 0 {
 				p.queue = slices.Delete(p.queue, i, i+1)
 				p.refuse(c)
 			}
 		})
-		p.work()
+		p.serveNext()
 	default:
 		p.serve(c)
 	}
 }
 
-// work works on the next call of the queue, also if its sender has given it up.
-func (p *fleet) work() {
-	if p.working || len(p.queue) == 0 {
+// serveNext serves the next call of the queue, even if its sender has abandoned it.
+func (p *simulation) serveNext() {
+	if p.serving || len(p.queue) == 0 {
 		return
 	}
 	next := p.queue[0]
-	p.queue, p.working = p.queue[1:], true
-	p.clock.After(max(p.now.ServiceTime, time.Microsecond), func() {
-		p.working = false
+	p.queue, p.serving = p.queue[1:], true
+	p.clock.After(max(p.fault.ServiceTime, time.Microsecond), func() {
+		p.serving = false
 		p.serve(next)
-		p.work()
+		p.serveNext()
 	})
 }
 
-// serve answers a call, or holds it until there is news or its time is over.
-func (p *fleet) serve(c *call) {
+// serve answers a call, or holds it until there is a change or its hold has passed.
+func (p *simulation) serve(c *call) {
 	if c.Complete || c.Since < p.generation {
-		p.answer(c)
+		p.respond(c)
 		return
 	}
-	p.waiting = append(p.waiting, c)
+	p.heldWatches = append(p.heldWatches, c)
 	p.clock.After(c.Hold, func() {
-		if i := slices.Index(p.waiting, c); i >= 0 {
-			p.waiting = slices.Delete(p.waiting, i, i+1)
-			p.answer(c)
+		if i := slices.Index(p.heldWatches, c); i >= 0 {
+			p.heldWatches = slices.Delete(p.heldWatches, i, i+1)
+			p.respond(c)
 		}
 	})
 }
 
-func (p *fleet) answer(c *call) {
+// respond answers a call after the network delay.
+func (p *simulation) respond(c *call) {
 	a := poll.Response{Generation: p.generation, Complete: c.Complete, Entries: int(p.generation - c.Since)}
-	p.clock.After(travel, func() { c.sender.over(c, &a) })
+	p.clock.After(networkDelay, func() { c.sender.endCall(c, &a) })
 }
 
-func (p *fleet) refuse(c *call) { p.clock.After(travel, func() { c.sender.over(c, nil) }) }
+// refuse fails a call after the network delay.
+func (p *simulation) refuse(c *call) {
+	p.clock.After(networkDelay, func() { c.sender.endCall(c, nil) })
+}
 
-// result counts what came of the play. A change that a sender never heard of counts as in hand at the end.
-func (p *fleet) result() Result {
+// result evaluates the simulation. A change that never reached a sender counts as received at the end.
+func (p *simulation) result() Result {
 	for _, s := range p.senders {
-		s.heard(p.generation)
+		s.noteGeneration(p.generation)
 	}
-	slices.Sort(p.out.Delays)
-	const told = 6 * time.Second
-	for _, d := range p.out.Delays {
-		if d > told {
-			p.out.LateChanges++
+	slices.Sort(p.counts.Delays)
+	const maxDelay = 6 * time.Second
+	for _, d := range p.counts.Delays {
+		if d > maxDelay {
+			p.counts.LateChanges++
 		}
 	}
-	p.out.Changes = len(p.out.Delays)
+	p.counts.Changes = len(p.counts.Delays)
 	const endSeconds = 10
-	end := int((begins + p.FaultDuration) / time.Second)
-	for s, n := range p.seconds {
+	end := int((faultStart + p.FaultDuration) / time.Second)
+	for s, n := range p.callsPerSecond {
 		switch {
-		case s >= int(begins/time.Second) && s < end:
-			p.out.PeakDuringFault = max(p.out.PeakDuringFault, n)
+		case s >= int(faultStart/time.Second) && s < end:
+			p.counts.PeakDuringFault = max(p.counts.PeakDuringFault, n)
 		case s >= end && s < end+endSeconds:
-			p.out.PeakAfterFault = max(p.out.PeakAfterFault, n)
-			p.out.MeanAfterFault += float64(n) / endSeconds
+			p.counts.PeakAfterFault = max(p.counts.PeakAfterFault, n)
+			p.counts.MeanAfterFault += float64(n) / endSeconds
 		}
 	}
-	return p.out
+	return p.counts
 }
