--- a/internal/source/static/static.go
+++ b/internal/source/static/static.go
@@ -1,4 +1,4 @@
-// Package static is the source for endpoints that a configuration names.
+// Package static is the source of endpoints that a configuration lists.
 package static
 
 import (
@@ -8,50 +8,50 @@
 	"cometrack/internal/core"
 )
 
-// Source tells one list until it is given another.
+// Source publishes one list until it is replaced.
 type Source struct {
 	mu      sync.Mutex
 	list    core.EndpointList
 	version int
-	tell    func(core.EndpointUpdate)
+	publish func(core.EndpointUpdate)
 }
 
-// New makes a source of a whole list.
+// New returns a source of a complete list.
 func New(list core.EndpointList) *Source { return &Source{list: list, version: 1} }
 
-// Watch tells the list, and each that follows.
-func (s *Source) Watch(_ context.Context, tell func(core.EndpointUpdate)) {
+// Watch passes the list, and each one that replaces it, to publish. Further calls of Watch do nothing.
+func (s *Source) Watch(_ context.Context, publish func(core.EndpointUpdate)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.tell == nil {
-		s.tell = tell
-		s.news()
+	if s.publish == nil {
+		s.publish = publish
+		s.notify()
 	}
 }
 
-// Set puts another whole list in the place of the one before.
+// Set replaces the list with another complete one.
 func (s *Source) Set(list core.EndpointList) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.list = list
 	s.version++
-	s.news()
+	s.notify()
 }
 
-// news tells the list; in a goroutine of its own, since the core may be busy with
-// the call that brought it here.
-func (s *Source) news() {
-	if s.tell != nil {
-		go s.tell(core.EndpointUpdate{List: s.list, Epoch: s.version})
+// notify publishes the list, in a goroutine of its own since the core may be in the call
+// that led here. s.mu must be held.
+func (s *Source) notify() {
+	if s.publish != nil {
+		go s.publish(core.EndpointUpdate{List: s.list, Epoch: s.version})
 	}
 }
 
-// AcceptUpdate says whether no list has followed the one that was told.
-func (s *Source) AcceptUpdate(n core.EndpointUpdate) bool {
+// AcceptUpdate reports whether the published list is still the current one.
+func (s *Source) AcceptUpdate(u core.EndpointUpdate) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return n.Epoch == s.version
+	return u.Epoch == s.version
 }
 
-// Version is 0: a list of a file has no generation.
+// Version returns 0, since a list from a file has no generation.
 func (s *Source) Version() int64 { return 0 }
