--- a/internal/soak/plant.go
+++ b/internal/soak/plant.go
@@ -54,8 +54,8 @@
 		{File: "internal/transport/http/answer.go", Old: "	return time.Duration(min(ms, core.MaxRequestedTime.Milliseconds())) * time.Millisecond", New: "	return 0"},
 	}, Faults: []string{"endpoint"}},
 	{Name: "one try within the time of a list", Changes: []faultbuild.Change{
-		{File: pacing, Old: "	minInterval  = 300 * time.Millisecond", New: "	minInterval  = 5400 * time.Millisecond"},
-		{File: pacing, Old: "	fastInterval = 1200 * time.Millisecond", New: "	fastInterval = 5400 * time.Millisecond"},
+		{File: pacing, Old: "	minInterval    = 300 * time.Millisecond", New: "	minInterval    = 5400 * time.Millisecond"},
+		{File: pacing, Old: "	fastInterval   = 1200 * time.Millisecond", New: "	fastInterval   = 5400 * time.Millisecond"},
 
 		{File: pacing, Old: "	leastGuess = 500 * time.Millisecond", New: "	leastGuess = 5400 * time.Millisecond"},
 	}, Faults: aboutLists},
@@ -63,8 +63,8 @@
 		{File: "internal/source/platform/list.go", Old: "			e.State = logic.Draining", New: "			e.State = logic.Ready"},
 	}, Faults: aboutLists},
 	{Name: "list one generation old", Changes: []faultbuild.Change{
-		{File: "internal/source/platform/follow.go", Old: "	f.tell(core.EndpointUpdate{List: r.list.EndpointList(),", New: "	r.list, planted = planted, r.list\n	f.tell(core.EndpointUpdate{List: r.list.EndpointList(),"},
-		{File: "internal/source/platform/follow.go", Old: "// now is the time as", New: "var planted List\n\n// now is the time as"},
+		{File: "internal/source/platform/follow.go", Old: "	f.publish(core.EndpointUpdate{List: r.list.EndpointList(),", New: "	r.list, planted = planted, r.list\n	f.publish(core.EndpointUpdate{List: r.list.EndpointList(),"},
+		{File: "internal/source/platform/follow.go", Old: "// now returns the time on", New: "var planted List\n\n// now returns the time on"},
 	}, Faults: aboutLists},
 }
 
--- a/internal/source/platform/call.go
+++ b/internal/source/platform/call.go
@@ -15,21 +15,21 @@
 )
 
 const (
-	dialTime = 2 * time.Second       // for a connection
-	restTime = 2 * time.Second       // for the rest of an answer that has begun
-	tailTime = 50 * time.Millisecond // for what comes behind a list that has come whole
-	idleTime = 30 * time.Second      // for which a connection without a call is kept
-	maxList  = 4 << 20               // bytes that are read of an answer
-	maxConns = 6                     // connections to discovery; see otherSockets of the daemon
+	dialTimeout      = 2 * time.Second       // to establish a connection
+	responseTimeout  = 2 * time.Second       // for the rest of a response that has begun
+	drainTimeout     = 50 * time.Millisecond // for what follows a complete list
+	idleTimeout      = 30 * time.Second      // after which an idle connection is closed
+	maxResponseBytes = 4 << 20               // bytes read of a response
+	maxConns         = 6                     // connections to discovery; see otherSockets of the daemon
 )
 
-// newClient makes the client for calls to discovery. One connection is kept; calls beside each other have their own.
+// newClient returns the client for calls to discovery. It keeps one idle connection; concurrent calls have their own.
 func newClient() *http.Client {
-	return &http.Client{Transport: &http.Transport{DialContext: (&net.Dialer{Timeout: dialTime}).DialContext,
-		MaxIdleConnsPerHost: 1, MaxConnsPerHost: maxConns, IdleConnTimeout: idleTime}}
+	return &http.Client{Transport: &http.Transport{DialContext: (&net.Dialer{Timeout: dialTimeout}).DialContext,
+		MaxIdleConnsPerHost: 1, MaxConnsPerHost: maxConns, IdleConnTimeout: idleTimeout}}
 }
 
-// listURL is what a request asks of discovery at an address.
+// listURL returns the URL of a request to discovery at an address.
 func listURL(addr string, r poll.Request) string {
 	url := "http://" + addr + "/discovery/hosts"
 	if r.Complete {
@@ -38,14 +38,17 @@
 	return fmt.Sprintf("%s?from=%d&hold_ms=%d", url, r.Since, r.Hold.Milliseconds())
 }
 
-// fetch makes one call, and tells as its request is written and as its answer begins. It returns as soon as the list has come whole, whatever of the answer is still to come.
-func fetch(ctx context.Context, client *http.Client, url string, limit time.Duration, came func(answering bool)) (List, error) {
+// fetch makes one call that takes at most timeout. It calls onProgress when the request has been written, and again
+// with responding set when the response begins. It returns soon after the list is complete, without waiting for the
+// end of the response.
+func fetch(ctx context.Context, client *http.Client, url string, timeout time.Duration,
+	onProgress func(responding bool)) (List, error) {
 	var list List
-	ctx, cancel := context.WithTimeout(ctx, limit)
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	trace := &httptrace.ClientTrace{
-		WroteRequest:         func(httptrace.WroteRequestInfo) { came(false) },
-		GotFirstResponseByte: func() { came(true) },
+		WroteRequest:         func(httptrace.WroteRequestInfo) { onProgress(false) },
+		GotFirstResponseByte: func() { onProgress(true) },
 	}
 	req, err := http.NewRequestWithContext(httptrace.WithClientTrace(ctx, trace), http.MethodGet, url, nil)
 	if err != nil {
@@ -57,20 +60,20 @@
 	}
 	defer resp.Body.Close()
 	var stalled atomic.Bool
-	rest := time.AfterFunc(restTime, func() { stalled.Store(true); cancel() })
-	defer rest.Stop()
+	restTimer := time.AfterFunc(responseTimeout, func() { stalled.Store(true); cancel() })
+	defer restTimer.Stop()
 	if resp.StatusCode != http.StatusOK {
-		io.Copy(io.Discard, io.LimitReader(resp.Body, maxList))
+		io.Copy(io.Discard, io.LimitReader(resp.Body, maxResponseBytes))
 		return list, fmt.Errorf("discovery answered %s", resp.Status)
 	}
-	if err := json.NewDecoder(io.LimitReader(resp.Body, maxList)).Decode(&list); err != nil {
+	if err := json.NewDecoder(io.LimitReader(resp.Body, maxResponseBytes)).Decode(&list); err != nil {
 		if stalled.Load() {
 			err = context.DeadlineExceeded
 		}
 		return list, fmt.Errorf("read list: %w", err)
 	}
-	if rest.Reset(tailTime) {
-		io.Copy(io.Discard, io.LimitReader(resp.Body, maxList))
+	if restTimer.Reset(drainTimeout) {
+		io.Copy(io.Discard, io.LimitReader(resp.Body, maxResponseBytes))
 	}
 	return list, nil
 }
--- a/internal/source/platform/crowded_test.go
+++ b/internal/source/platform/crowded_test.go
@@ -6,11 +6,11 @@
 	"testing/synctest"
 )
 
-// Guards against a change that is not in hand in time in a large fleet whose discovery is crowded: the watch waits in its
+// Guards against a change that arrives late in a large fleet whose discovery is overloaded: the watch waits in its
 // queue and is refused, and one check after it is refused too.
 func TestInHandInTimeThoughDiscoveryIsCrowded(t *testing.T) {
-	named := func(name string) fate {
-		return fates[slices.IndexFunc(fates, func(f fate) bool { return f.name == name })]
+	named := func(name string) fault {
+		return faults[slices.IndexFunc(faults, func(f fault) bool { return f.name == name })]
 	}
 	large := 0
 	for i, d := range deployments {
@@ -18,17 +18,17 @@
 			large = i
 		}
 	}
-	const orders = 100
+	const scenarios = 100
 	late := 0
-	for seed := range uint64(orders) {
-		o := order{deployment: large, known: true, fates: []fate{named("503 after 3 s"), named("503")}, seed: seed}
+	for seed := range uint64(scenarios) {
+		o := scenario{deployment: large, haveList: true, faults: []fault{named("503 after 3 s"), named("503")}, seed: seed}
 		synctest.Test(t, func(t *testing.T) {
-			if took, _ := playOrder(t, o); took > o.within() {
+			if took, _ := runScenario(t, o); took > o.bound() {
 				late++
 			}
 		})
 	}
 	if late > 0 {
-		t.Errorf("%d of %d changes are in hand too late", late, orders)
+		t.Errorf("%d of %d changes arrived too late", late, scenarios)
 	}
 }
--- a/internal/source/platform/doc.go
+++ b/internal/source/platform/doc.go
@@ -1,2 +1,2 @@
-// Package platform is the source that follows the platform's discovery service.
+// Package platform is the source of endpoints that follows the platform's discovery service.
 package platform
--- a/internal/source/platform/follow.go
+++ b/internal/source/platform/follow.go
@@ -10,53 +10,53 @@
 	"cometrack/internal/source/platform/poll"
 )
 
-// quietWarnings is how often a failure of discovery is logged as a warning while it lasts; the others are at level debug.
-const quietWarnings = 5 * time.Second
+// warnInterval is the least time between two warnings while discovery fails; other failures are logged at level debug.
+const warnInterval = 5 * time.Second
 
-// follower makes the calls for the list at one address that a [poll.Poller] decides on, and tells what they bring.
+// follower makes the calls for the list at one address that a [poll.Poller] decides on, and publishes the results.
 type follower struct {
-	poller *poll.Poller
-	client *http.Client
-	addr   string
-	epoch  int
-	tell   func(core.EndpointUpdate)
-	log    *slog.Logger
+	poller  *poll.Poller
+	client  *http.Client
+	addr    string
+	epoch   int
+	publish func(core.EndpointUpdate)
+	log     *slog.Logger
 
-	origin  time.Time // of the poller's times
-	calls   map[int]context.CancelFunc
-	steps   chan step
-	results chan result
-	tune    chan poll.Settings
+	origin      time.Time // zero of the poller's times
+	cancels     map[int]context.CancelFunc
+	progress    chan callProgress
+	results     chan callResult
+	newSettings chan poll.Settings
 
-	failing  time.Duration // when the first check failed since the last answer
-	lastWarn time.Duration
+	failingSince time.Duration // when the first call failed since the last response; 0 if none did
+	lastWarn     time.Duration
 }
 
-// result is how a call ended.
-type result struct {
-	request poll.Request
-	began   time.Duration
-	list    List
-	err     error
+// callResult is the result of a call.
+type callResult struct {
+	request   poll.Request
+	startedAt time.Duration
+	list      List
+	err       error
 }
 
-// step is how far a call has come: its request is written, or its answer has begun.
-type step struct {
-	id        int
-	answering bool
+// callProgress reports that the request of a call has been written, or that its response has begun.
+type callProgress struct {
+	id         int
+	responding bool
 }
 
-// now is the time as the poller has it.
+// now returns the time on the poller's clock.
 func (f *follower) now() time.Duration { return time.Since(f.origin) }
 
-// run makes calls until ctx is over.
+// run makes calls until ctx ends.
 func (f *follower) run(ctx context.Context) {
 	due := time.NewTimer(0)
 	defer due.Stop()
 	for {
 		now := f.now()
 		for _, r := range f.poller.Tick(now) {
-			f.begin(ctx, r, now)
+			f.startCall(ctx, r, now)
 		}
 		if next := f.poller.NextTick(); next < poll.Never {
 			due.Reset(next - now)
@@ -67,91 +67,91 @@
 		case <-ctx.Done():
 			return
 		case <-due.C:
-		case settings := <-f.tune:
+		case settings := <-f.newSettings:
 			f.poller.UpdateSettings(settings)
-		case s := <-f.steps:
-			if s.answering {
+		case s := <-f.progress:
+			if s.responding {
 				f.poller.ResponseStarted(f.now(), s.id)
 			} else {
 				f.poller.RequestSent(s.id)
 			}
 		case r := <-f.results:
-			f.take(r)
+			f.handleResult(r)
 		}
 	}
 }
 
-// begin makes a call beside those that are out.
-func (f *follower) begin(ctx context.Context, r poll.Request, now time.Duration) {
-	calling, cancel := context.WithCancel(ctx)
-	f.calls[r.ID] = cancel
-	f.log.Debug("discovery: asked", "call", r.ID, "whole", r.Complete, "since", r.Since, "hold", r.Hold, "out", len(f.calls))
+// startCall starts a call in a goroutine.
+func (f *follower) startCall(ctx context.Context, r poll.Request, now time.Duration) {
+	callCtx, cancel := context.WithCancel(ctx)
+	f.cancels[r.ID] = cancel
+	f.log.Debug("discovery: call started", "call", r.ID, "whole", r.Complete, "since", r.Since, "hold", r.Hold, "out", len(f.cancels))
 	go func() {
-		came := func(answering bool) {
+		onProgress := func(responding bool) {
 			select {
-			case f.steps <- step{r.ID, answering}:
-			case <-calling.Done():
+			case f.progress <- callProgress{r.ID, responding}:
+			case <-callCtx.Done():
 			}
 		}
-		list, err := fetch(calling, f.client, listURL(f.addr, r), r.Limit, came)
+		list, err := fetch(callCtx, f.client, listURL(f.addr, r), r.Limit, onProgress)
 		select {
-		case f.results <- result{r, now, list, err}:
-		case <-calling.Done():
+		case f.results <- callResult{r, now, list, err}:
+		case <-callCtx.Done():
 		}
 	}()
 }
 
-// end forgets a call.
-func (f *follower) end(id int) {
-	f.calls[id]()
-	delete(f.calls, id)
+// endCall cancels a call and removes it.
+func (f *follower) endCall(id int) {
+	f.cancels[id]()
+	delete(f.cancels, id)
 }
 
-// take hands on what a call has brought.
-func (f *follower) take(r result) {
+// handleResult passes the result of a call to the poller and publishes a list.
+func (f *follower) handleResult(r callResult) {
 	if !f.poller.InFlight(r.request.ID) {
-		return // given up for the answer of another
+		return // abandoned because another call was answered
 	}
-	f.end(r.request.ID)
+	f.endCall(r.request.ID)
 	now := f.now()
 	if r.err != nil {
 		f.poller.CallFailed(now, r.request.ID)
-		f.failed(r, r.err, now)
+		f.logFailure(r, r.err, now)
 		return
 	}
-	giveUp, err := f.poller.ResponseReceived(now, r.request.ID, poll.Response{Generation: r.list.Generation, Complete: r.list.Reset, Entries: len(r.list.Instances)})
+	abandoned, err := f.poller.ResponseReceived(now, r.request.ID, poll.Response{Generation: r.list.Generation, Complete: r.list.Reset, Entries: len(r.list.Instances)})
 	if err != nil {
-		f.failed(r, err, now)
+		f.logFailure(r, err, now)
 		return
 	}
-	for _, id := range giveUp {
-		f.end(id)
+	for _, id := range abandoned {
+		f.endCall(id)
 	}
-	f.answered(r, len(giveUp), now)
-	f.tell(core.EndpointUpdate{List: r.list.EndpointList(), Version: r.list.Generation, Epoch: f.epoch})
+	f.logResponse(r, len(abandoned), now)
+	f.publish(core.EndpointUpdate{List: r.list.EndpointList(), Version: r.list.Generation, Epoch: f.epoch})
 }
 
-// failed logs a failure; while discovery goes on failing, most of them quietly.
-func (f *follower) failed(r result, err error, now time.Duration) {
+// logFailure logs a failure, as a warning if it is the first or warnInterval has passed since the last warning.
+func (f *follower) logFailure(r callResult, err error, now time.Duration) {
 	level := slog.LevelDebug
-	if f.failing == 0 || now-f.lastWarn >= quietWarnings {
+	if f.failingSince == 0 || now-f.lastWarn >= warnInterval {
 		level, f.lastWarn = slog.LevelWarn, now
 	}
-	if f.failing == 0 {
-		f.failing = max(now, 1)
+	if f.failingSince == 0 {
+		f.failingSince = max(now, 1)
 	}
 	_, failures := f.poller.Checking()
-	f.log.Log(context.Background(), level, "discovery", "err", err, "call", r.request.ID, "took", (now - r.began).Round(time.Millisecond), "out", len(f.calls),
-		"failures", failures, "since", (now - f.failing).Round(time.Millisecond), "next", (f.poller.NextTick() - now).Round(time.Millisecond))
+	f.log.Log(context.Background(), level, "discovery", "err", err, "call", r.request.ID, "took", (now - r.startedAt).Round(time.Millisecond), "out", len(f.cancels),
+		"failures", failures, "since", (now - f.failingSince).Round(time.Millisecond), "next", (f.poller.NextTick() - now).Round(time.Millisecond))
 }
 
-// answered logs an answer, and that discovery is back if it was not there.
-func (f *follower) answered(r result, givenUp int, now time.Duration) {
-	level, text := slog.LevelDebug, "discovery: answered"
-	if f.failing > 0 {
+// logResponse logs a response, at level info if discovery failed before.
+func (f *follower) logResponse(r callResult, abandoned int, now time.Duration) {
+	level, text := slog.LevelDebug, "discovery: response received"
+	if f.failingSince > 0 {
 		level, text = slog.LevelInfo, "discovery answers again"
 	}
-	f.log.Log(context.Background(), level, text, "call", r.request.ID, "took", (now - r.began).Round(time.Millisecond), "given up", givenUp,
-		"generation", r.list.Generation, "whole", r.list.Reset, "entries", len(r.list.Instances), "after", (now - f.failing).Round(time.Millisecond))
-	f.failing = 0
+	f.log.Log(context.Background(), level, text, "call", r.request.ID, "took", (now - r.startedAt).Round(time.Millisecond), "given up", abandoned,
+		"generation", r.list.Generation, "whole", r.list.Reset, "entries", len(r.list.Instances), "after", (now - f.failingSince).Round(time.Millisecond))
+	f.failingSince = 0
 }
--- a/internal/source/platform/list.go
+++ b/internal/source/platform/list.go
@@ -7,14 +7,14 @@
 	"cometrack/logic"
 )
 
-// List is discovery's answer.
+// List is a response of discovery.
 type List struct {
 	Generation int64      `json:"generation"`
-	Reset      bool       `json:"reset"` // the whole list
+	Reset      bool       `json:"reset"` // the list is complete, not a set of changes
 	Instances  []Instance `json:"instances"`
 }
 
-// Instance is one endpoint of the list.
+// Instance is one endpoint in a list.
 type Instance struct {
 	ID        string  `json:"instanceId"`
 	HostPort  string  `json:"hostPort"`
@@ -25,7 +25,7 @@
 	Weight    float64 `json:"weight"`
 }
 
-// EndpointList is the answer in the core's terms.
+// EndpointList converts the list to the core's type.
 func (l List) EndpointList() core.EndpointList {
 	out := core.EndpointList{Complete: l.Reset, Endpoints: make([]core.Endpoint, len(l.Instances))}
 	for i, in := range l.Instances {
@@ -36,7 +36,7 @@
 			e.State = logic.Ready
 		case "removed":
 			e.State = logic.Gone
-		default: // a state that is not known is no invitation to send
+		default: // nothing new is sent to an endpoint in an unknown state
 			e.State = logic.Draining
 		}
 		out.Endpoints[i] = e
--- a/internal/source/platform/orders_test.go
+++ b/internal/source/platform/orders_test.go
@@ -11,119 +11,119 @@
 	"cometrack/internal/source/platform/poll"
 )
 
-// The bounds of the pages: a change counts as told so long after discovery had it and could be reached, after SIGHUP
-// named its address, and after the hold of a watch that fell silent.
+// Documented bounds on the delay of a change: after discovery had it and was reachable, after SIGHUP changed the
+// address, and after the hold of a watch that got no response.
 const (
-	toldAfter       = 6 * time.Second
-	toldAfterMove   = 4 * time.Second
-	toldAfterSilent = 2 * time.Second
+	maxDelay             = 6 * time.Second
+	maxDelayAfterMove    = 4 * time.Second
+	maxDelayAfterSilence = 2 * time.Second
 )
 
-// deployments are those that are played.
+// deployments are the simulated deployments.
 var deployments = []struct {
-	name     string
-	settings poll.Settings
-	told     time.Duration
-	failing  int // checks that may fail; fewer where many senders share one discovery, which more checks would hold down
+	name         string
+	settings     poll.Settings
+	allowedDelay time.Duration
+	failing      int // checks that may fail; fewer in large fleets, whose checks would keep discovery overloaded
 }{
-	{"alone", poll.Settings{Senders: 1}, toldAfter, 3},
-	{"12 senders", poll.Settings{Senders: 12}, toldAfter, 3},
-	{"70 senders", poll.Settings{Senders: 70}, toldAfter, 2},
-	{"300 senders", poll.Settings{Senders: 300}, toldAfter, 2},
-	{"900 senders", poll.Settings{Senders: 900}, toldAfter, 2},
-	{"held after 0.4 s", poll.Settings{Senders: 300, ListRetryWithin: 400 * time.Millisecond}, 4 * 400 * time.Millisecond, 3},
-	{"an agent", poll.Settings{Senders: 300, Agent: true}, toldAfter, 3},
+	{"alone", poll.Settings{Senders: 1}, maxDelay, 3},
+	{"12 senders", poll.Settings{Senders: 12}, maxDelay, 3},
+	{"70 senders", poll.Settings{Senders: 70}, maxDelay, 2},
+	{"300 senders", poll.Settings{Senders: 300}, maxDelay, 2},
+	{"900 senders", poll.Settings{Senders: 900}, maxDelay, 2},
+	{"list valid for 0.4 s", poll.Settings{Senders: 300, ListRetryWithin: 400 * time.Millisecond}, 4 * 400 * time.Millisecond, 3},
+	{"an agent", poll.Settings{Senders: 300, Agent: true}, maxDelay, 3},
 }
 
-// order is the fates of calls in a row: of the one that is out as the list changes, if there is one, and of those after it.
-type order struct {
-	deployment int
-	known      bool // there is a list before, so that the first call is a watch
-	moved      bool // discovery moves in the moment of the change
-	fates      []fate
-	seed       uint64
+// scenario is the faults of consecutive calls, starting with the one in flight when the list changes, if there is one.
+type scenario struct {
+	deployment     int
+	haveList       bool // there is a list at the start, so that the first call is a watch
+	addressChanges bool // the address of discovery changes together with the list
+	faults         []fault
+	seed           uint64
 }
 
-func (o order) String() string {
+func (o scenario) String() string {
 	var names []string
-	for _, f := range o.fates {
+	for _, f := range o.faults {
 		names = append(names, f.name)
 	}
-	return fmt.Sprintf("%s, seed %d, known %v, moved %v: %s", deployments[o.deployment].name, o.seed, o.known, o.moved, strings.Join(names, ", "))
+	return fmt.Sprintf("%s, seed %d, known %v, moved %v: %s", deployments[o.deployment].name, o.seed, o.haveList, o.addressChanges, strings.Join(names, ", "))
 }
 
-// within is how long after the change the list has to be in hand.
-func (o order) within() time.Duration {
+// bound returns the longest allowed delay of the change.
+func (o scenario) bound() time.Duration {
 	d := deployments[o.deployment]
 	switch {
-	case o.moved:
-		return toldAfterMove
-	case !o.known:
-		return d.told
-	case o.fates[0].silent && !d.settings.Agent:
-		return 20*time.Second + toldAfterSilent
+	case o.addressChanges:
+		return maxDelayAfterMove
+	case !o.haveList:
+		return d.allowedDelay
+	case o.faults[0].silent && !d.settings.Agent:
+		return 20*time.Second + maxDelayAfterSilence
 	}
-	return o.fates[0].held + d.told
+	return o.faults[0].heldFor + d.allowedDelay
 }
 
-// draw draws an order. In the shorter time after a silent watch one check fewer fails, and none where many senders see
-// that discovery is crowded: more checks would hold it down.
-func draw(seed uint64) order {
+// randomScenario returns a random scenario. In the shorter time after a silent watch one check fewer fails, and none if
+// many senders see that discovery is overloaded: more checks would keep it overloaded.
+func randomScenario(seed uint64) scenario {
 	rng := rand.New(rand.NewPCG(seed, 9))
-	o := order{deployment: rng.IntN(len(deployments)), known: rng.IntN(2) == 0, moved: rng.IntN(4) == 0, seed: seed}
+	o := scenario{deployment: rng.IntN(len(deployments)), haveList: rng.IntN(2) == 0, addressChanges: rng.IntN(4) == 0, seed: seed}
 	failing := deployments[o.deployment].failing
-	if o.known && !o.moved {
+	if o.haveList && !o.addressChanges {
 		failing++ // the watch
 	}
 	for range failing {
-		o.fates = append(o.fates, fates[rng.IntN(len(fates))])
+		o.faults = append(o.faults, faults[rng.IntN(len(faults))])
 	}
-	crowded := o.known && !o.moved && o.fates[0].held > 0 && deployments[o.deployment].failing < 3
+	overloaded := o.haveList && !o.addressChanges && o.faults[0].heldFor > 0 && deployments[o.deployment].failing < 3
 	switch {
-	case crowded:
-		o.fates = o.fates[:1]
-	case o.within() > 20*time.Second:
-		o.fates = o.fates[:failing-1]
+	case overloaded:
+		o.faults = o.faults[:1]
+	case o.bound() > 20*time.Second:
+		o.faults = o.faults[:failing-1]
 	}
 	return o
 }
 
-// Guards against a change that is not in hand in time because single calls for the list fail: whatever fates they meet,
-// in any order, the list is in hand in time if the call after them is answered.
-func TestInHandInTimeInEveryOrder(t *testing.T) {
-	const orders = 3000
+// Guards against a change that arrives late because calls for the list fail: whatever the faults and their order, the
+// list arrives in time if the call after them is answered.
+func TestChangeReceivedInTimeDespiteFaults(t *testing.T) {
+	const scenarios = 3000
 	longest := map[string]time.Duration{}
-	for seed := range uint64(orders) {
-		o := draw(seed)
+	for seed := range uint64(scenarios) {
+		o := randomScenario(seed)
 		synctest.Test(t, func(t *testing.T) {
-			took, calls := playOrder(t, o)
-			if took > o.within() {
-				t.Errorf("%v: in hand after %v; want %v; calls at %v", o, took, o.within(), calls)
+			took, calls := runScenario(t, o)
+			if took > o.bound() {
+				t.Errorf("%v: change received after %v; want %v; calls at %v", o, took, o.bound(), calls)
 			}
 			name := deployments[o.deployment].name
-			longest[name] = max(longest[name], took*time.Duration(100)/o.within())
+			longest[name] = max(longest[name], took*time.Duration(100)/o.bound())
 		})
 	}
-	t.Logf("%d orders; the longest time, in hundredths of its bound: %v", orders, longest)
+	t.Logf("%d scenarios; the longest delay, in percent of its bound: %v", scenarios, longest)
 }
 
-// playOrder changes the list in the moment in which the first call comes, and returns how long after that it is in hand.
-func playOrder(t *testing.T, o order) (took time.Duration, calls []time.Duration) {
+// runScenario changes the list when the first call arrives, and returns the delay until the source has it.
+func runScenario(t *testing.T, o scenario) (took time.Duration, calls []time.Duration) {
 	known := List{}
-	if o.known {
+	if o.haveList {
 		known.Generation = 5
 	}
-	s := newStage(t, known, deployments[o.deployment].settings, o.seed, o.fates)
+	s := newDiscovery(t, known, deployments[o.deployment].settings, o.seed, o.faults)
 	changed := time.Now()
 	s.follow(t)
-	if o.moved {
-		if o.known { // the watch is out at the old address
+	if o.addressChanges {
+		if o.haveList { // wait until the watch is in flight to the old address
 			synctest.Wait()
 		}
 		s.source.SetAddress("agent:2")
 	}
 	select {
-	case <-s.news:
+	case <-s.updates:
 		took = time.Since(changed)
 	case <-time.After(time.Minute):
 		took = time.Minute
--- a/internal/source/platform/poll/pace.go
+++ b/internal/source/platform/poll/pace.go
@@ -3,89 +3,89 @@
 import "time"
 
 const (
-	// fleetRate is the checks a second that all senders make together, as far as the bounds of an interval allow.
-	fleetRate    = 12
-	burstRate    = 50 // the same to begin with
-	minInterval  = 300 * time.Millisecond
-	fastInterval = 1200 * time.Millisecond // at most, to begin with: three checks within the 6 s after which a change counts as told
-	slowInterval = 5400 * time.Millisecond // at most, once checks go on failing: an overbooked discovery is held down by more
-	growth       = 1.4                     // of the interval, with each check that fails
-	queued       = 500 * time.Millisecond  // a call that takes so long waits for others: discovery is crowded
+	// fleetCheckRate is the number of checks per second of all senders together, within the bounds of the interval.
+	fleetCheckRate = 12
+	fleetBurstRate = 50 // the same for the first checks, before the interval grows
+	minInterval    = 300 * time.Millisecond
+	fastInterval   = 1200 * time.Millisecond // bound of the first interval: 3 checks fit in the 6 s for a change
+	slowInterval   = 5400 * time.Millisecond // bound of later ones: more checks keep an overloaded discovery down
+	intervalGrowth = 1.4                     // factor of the interval for each failed check
+	minQueueTime   = 500 * time.Millisecond  // a failed call that took this long was queued: overload
 
-	crowdedWithin = 5 * time.Second // a watch that fails later was held, and has not waited for others
+	maxQueueTime = 5 * time.Second // a watch that fails later was held by discovery, not queued
 
-	minCheckHold = 100 * time.Millisecond
-	fastHold     = time.Second             // of a check in a small fleet
-	slowHold     = 2 * time.Second         // and in a large one: two that are silent leave time for a third within the 6 s
-	checkLimit   = 5500 * time.Millisecond // an answer that takes longer comes too late
-	lateRatio    = 2                       // of the time a call is given beyond its hold to the lateness of the last answer
-	mostPatience = time.Second             // of that time
-	maxOpen      = 5                       // calls out at a time, a watch that is overdue among them
+	minCheckHold     = 100 * time.Millisecond
+	fastHold         = time.Second             // of a check in a small fleet
+	slowHold         = 2 * time.Second         // in a large fleet: after 2 unanswered checks a third fits in the 6 s
+	checkTimeout     = 5500 * time.Millisecond // a later response is too late for the 6 s
+	latenessFactor   = 2                       // extra hedge delay relative to the lateness of the last response
+	maxLatenessDelay = time.Second             // bound of that extra delay
+	maxInFlight      = 5                       // calls at a time, including an overdue watch
 
-	watchHold    = 20 * time.Second
-	watchGrace   = 2 * time.Second        // after the hold of a watch, what it missed counts as told
-	overdueAfter = 250 * time.Millisecond // after its hold a watch is taken for broken
-	emptyPause   = 100 * time.Millisecond // between watches that are answered at once with nothing new; more than 200 ms would end the watch
+	watchHold          = 20 * time.Second
+	watchGrace         = 2 * time.Second        // after the hold of a watch, for a change that it missed to arrive
+	overdueAfter       = 250 * time.Millisecond // after its hold a watch counts as broken
+	emptyWatchInterval = 100 * time.Millisecond // between watches answered at once; over 200 ms would end the watch
 
-	agentInterval   = 200 * time.Millisecond
-	agentHold       = time.Second // a call costs nothing, and the agent may fall silent at any time
-	agentCheckHold  = 250 * time.Millisecond
-	agentCheckLimit = 2 * time.Second
+	agentInterval     = 200 * time.Millisecond
+	agentHold         = time.Second // short, because a call costs nothing and the agent may fall silent at any time
+	agentCheckHold    = 250 * time.Millisecond
+	agentCheckTimeout = 2 * time.Second
 
-	rampSteps = 2    // checks before the full interval, each delay half of the next
-	jitter    = 0.25 // part of an interval that chance takes off
+	rampSteps = 2    // checks before the full interval, each at half the delay of the next
+	jitter    = 0.25 // fraction of an interval that is subtracted at most, at random
 )
 
-// pace is how fast calls follow each other at a deployment.
-type pace struct {
-	fast       time.Duration // from one check that fails to the next, to begin with
-	slow       time.Duration // the same once checks go on failing, or discovery is crowded
-	checkHold  time.Duration
-	checkLimit time.Duration
-	overdue    time.Duration // after its hold a call is taken for lost
-	watchHold  time.Duration
-	watchGrace time.Duration
+// timing holds the intervals and timeouts of calls for a deployment.
+type timing struct {
+	initialInterval time.Duration // between failed checks, at first
+	maxInterval     time.Duration // between failed checks, after repeated failures or if discovery is overloaded
+	checkHold       time.Duration
+	checkTimeout    time.Duration
+	overdueDelay    time.Duration // time after its hold when a call counts as lost
+	watchHold       time.Duration
+	watchGrace      time.Duration
 }
 
-// paceOf is the pace by a deployment's settings.
-func paceOf(s Settings) pace {
+// timingFor returns the timing for a deployment's settings.
+func timingFor(s Settings) timing {
 	if s.Agent {
-		return pace{fast: agentInterval, slow: agentInterval, checkHold: agentCheckHold, checkLimit: agentCheckLimit, overdue: overdueAfter,
+		return timing{initialInterval: agentInterval, maxInterval: agentInterval, checkHold: agentCheckHold, checkTimeout: agentCheckTimeout, overdueDelay: overdueAfter,
 			watchHold: agentHold, watchGrace: agentHold}
 	}
-	budget := max(time.Duration(s.Senders)*time.Second/fleetRate, minInterval)
-	burst := max(time.Duration(s.Senders)*time.Second/burstRate, minInterval)
-	p := pace{fast: min(burst, fastInterval), slow: min(budget, slowInterval), checkHold: fastHold, checkLimit: checkLimit,
-		overdue: overdueAfter, watchHold: watchHold, watchGrace: watchGrace}
+	budget := max(time.Duration(s.Senders)*time.Second/fleetCheckRate, minInterval)
+	burst := max(time.Duration(s.Senders)*time.Second/fleetBurstRate, minInterval)
+	p := timing{initialInterval: min(burst, fastInterval), maxInterval: min(budget, slowInterval), checkHold: fastHold, checkTimeout: checkTimeout,
+		overdueDelay: overdueAfter, watchHold: watchHold, watchGrace: watchGrace}
 	if burst > fastInterval {
 		p.checkHold = slowHold
 	}
-	if within := s.ListRetryWithin; within > 0 { // a change counts as told after four times that
-		p.fast, p.slow = min(p.fast, within), min(p.slow, within)
-		p.checkHold, p.overdue = min(p.checkHold, max(within/4, minCheckHold)), min(p.overdue, max(within/4, minCheckHold))
+	if within := s.ListRetryWithin; within > 0 { // a change must arrive within four times that
+		p.initialInterval, p.maxInterval = min(p.initialInterval, within), min(p.maxInterval, within)
+		p.checkHold, p.overdueDelay = min(p.checkHold, max(within/4, minCheckHold)), min(p.overdueDelay, max(within/4, minCheckHold))
 	}
 	return p
 }
 
-// slowDown notes a check or the beginning of a watch that has failed after a time.
-func (p *Poller) slowDown(took time.Duration) {
-	if p.interval = min(time.Duration(growth*float64(p.interval)), p.pace.slow); took >= queued {
-		p.interval = p.pace.slow
+// backOff lengthens the interval after a check, or the beginning of a watch, that failed after took.
+func (p *Poller) backOff(took time.Duration) {
+	if p.interval = min(time.Duration(intervalGrowth*float64(p.interval)), p.timing.maxInterval); took >= minQueueTime {
+		p.interval = p.timing.maxInterval
 	}
 }
 
-// speedUp notes a check that was answered.
-func (p *Poller) speedUp() { p.interval = p.pace.fast }
+// resetInterval restores the initial interval after an answered check.
+func (p *Poller) resetInterval() { p.interval = p.timing.initialInterval }
 
-// checkHold is how long the next check may wait for news.
-func (p *Poller) checkHold() time.Duration { return max(p.pace.checkHold>>p.ramp, minCheckHold) }
+// checkHold returns how long discovery may hold the next check until there is a change.
+func (p *Poller) checkHold() time.Duration { return max(p.timing.checkHold>>p.rampLeft, minCheckHold) }
 
-// patience is how long after the beginning of a call with a hold another one is made beside it.
-func (p *Poller) patience(hold time.Duration) time.Duration {
-	return hold + max(p.pace.overdue, min(lateRatio*p.lateness, mostPatience))
+// hedgeDelay returns the time after the start of a call with the given hold at which another call is made in parallel.
+func (p *Poller) hedgeDelay(hold time.Duration) time.Duration {
+	return hold + max(p.timing.overdueDelay, min(latenessFactor*p.lateness, maxLatenessDelay))
 }
 
-// spread keeps senders from asking in step.
-func (p *Poller) spread(d time.Duration) time.Duration {
+// addJitter shortens an interval at random so that senders don't call in step.
+func (p *Poller) addJitter(d time.Duration) time.Duration {
 	return time.Duration(float64(d) * (1 - jitter*p.rng.Float64()))
 }
--- a/internal/source/platform/poll/poll.go
+++ b/internal/source/platform/poll/poll.go
@@ -7,252 +7,255 @@
 	"time"
 )
 
-// Settings are what a deployment says of its discovery.
+// Settings describe the discovery of a deployment.
 type Settings struct {
-	Senders         int           // that ask it
-	ListRetryWithin time.Duration // for which a list holds without a watch, four times as long after a failure; 0 for no such rule
-	Agent           bool          // it is an agent on this machine, which answers at once and at no cost, or is silent
+	Senders         int           // that share discovery
+	ListRetryWithin time.Duration // a list is valid this long without a watch, 4 times after a failure; 0: no limit
+	Agent           bool          // discovery is a local agent: it responds at once and at no cost, or not at all
 }
 
-// Request is a call for the list.
+// Request describes a call for the list.
 type Request struct {
 	ID       int
-	Complete bool          // the whole list is asked for
-	Since    int64         // else what is newer than this generation
-	Hold     time.Duration // for which the answer may wait for something newer
-	Limit    time.Duration // after which the call is given up
+	Complete bool          // requests the complete list
+	Since    int64         // otherwise, requests changes after this generation
+	Hold     time.Duration // time for which discovery may wait for a change
+	Limit    time.Duration // timeout of the call
 }
 
-// Response is what is read of an answer.
+// Response summarizes a response of discovery.
 type Response struct {
 	Generation int64
-	Complete   bool // it is the whole list
+	Complete   bool // it holds the complete list
 	Entries    int
 }
 
-// Errors of answers that are no news of the list.
+// Errors of responses that can't be used.
 var (
-	ErrEmptyList       = errors.New("no list: an answer without generation and endpoints")
+	ErrEmptyList       = errors.New("no list: response without generation and endpoints")
 	ErrStaleGeneration = errors.New("no list: changes of an older generation")
 )
 
-// Never is later than any time.
+// Never is later than any other time.
 const Never = time.Duration(1<<63 - 1)
 
-// state is what is known of the list.
-type state int
+// pollState says whether the list is known to be current.
+type pollState int
 
 const (
-	following state = iota // a watch is out, or about to be, and discovery has answered the call before
-	checking               // whether the list still holds is not known
+	watching pollState = iota // a watch is in flight or due, and discovery answered the previous call
+	checking                  // the list may be out of date
 )
 
-// call is a request that has no outcome yet.
-type call struct {
+// openCall is a call without an outcome.
+type openCall struct {
 	Request
-	began     time.Duration
-	watch     bool
-	shift     int // how often the delay to the next check is halved
-	sent      bool
-	answering time.Duration // when the answer has begun; 0 if it has not
+	startedAt    time.Duration
+	watch        bool
+	shift        int // number of times the delay to the next check is halved
+	sent         bool
+	respondingAt time.Duration // when the response began; 0 if it hasn't
 }
 
-// waited is how long discovery has had the call and not begun to answer.
-func (c call) waited(now time.Duration) time.Duration {
+// waitedFor returns the time from the start of the call to the start of its response, or to now without one; 0 if the
+// request was not written.
+func (c openCall) waitedFor(now time.Duration) time.Duration {
 	switch {
 	case !c.sent:
 		return 0
-	case c.answering > 0:
-		return c.answering - c.began
+	case c.respondingAt > 0:
+		return c.respondingAt - c.startedAt
 	}
-	return now - c.began
+	return now - c.startedAt
 }
 
-// Poller decides about the calls for the list at one address. Times count from any moment that stays the same.
+// Poller decides on the calls for the list at one address. All times count from one arbitrary origin.
 type Poller struct {
 	settings Settings
-	pace     pace
+	timing   timing
 	rng      *rand.Rand
 
-	state      state
-	known      bool // there is a list, of this generation
-	generation int64
-	open       map[int]call
-	lastID     int
-	due        time.Duration // of the next call
-	lastCheck  time.Duration // when the last check began
-	interval   time.Duration // from one check that fails to the next
-	ramp       int           // how often the next check's delay is still halved
-	failures   int           // of checks, since the last answer
-	lateness   time.Duration // of the last answer of which it is known
+	state       pollState
+	haveList    bool // a list of the generation below is present
+	generation  int64
+	inFlight    map[int]openCall
+	lastID      int
+	nextCallAt  time.Duration // if no event comes before
+	lastCheckAt time.Duration // when the last check started
+	interval    time.Duration // between failed checks
+	rampLeft    int           // number of times the next check's delay is halved
+	failures    int           // of checks since the last response
+	lateness    time.Duration // of the last response for which it is known
 }
 
-// New makes a poller that asks for the first time at now. Without a known list the whole one is asked for.
+// New returns a poller whose first call is due at now. known reports whether a list of the given generation is present;
+// without one the complete list is requested.
 func New(settings Settings, known bool, generation int64, seed uint64, now time.Duration) *Poller {
-	p := &Poller{rng: rand.New(rand.NewPCG(seed, 0)), known: known, generation: generation, open: map[int]call{}, due: now, lastCheck: -Never}
+	p := &Poller{rng: rand.New(rand.NewPCG(seed, 0)), haveList: known, generation: generation, inFlight: map[int]openCall{}, nextCallAt: now, lastCheckAt: -Never}
 	p.UpdateSettings(settings)
 	if !known {
-		p.doubt(now, rampSteps)
+		p.startChecking(now, rampSteps)
 	}
 	return p
 }
 
-// UpdateSettings takes up other settings.
+// UpdateSettings applies other settings.
 func (p *Poller) UpdateSettings(settings Settings) {
-	p.settings, p.pace = settings, paceOf(settings)
-	p.interval = min(max(p.interval, p.pace.fast), p.pace.slow)
+	p.settings, p.timing = settings, timingFor(settings)
+	p.interval = min(max(p.interval, p.timing.initialInterval), p.timing.maxInterval)
 }
 
-// NextTick is when Tick has something to do, if nothing happens before.
+// NextTick returns the time at which Tick has a call to make if no event comes before, or Never.
 func (p *Poller) NextTick() time.Duration {
-	if len(p.open) >= maxOpen {
+	if len(p.inFlight) >= maxInFlight {
 		return Never
 	}
-	return p.due
+	return p.nextCallAt
 }
 
-// Tick returns the calls to be made now.
+// Tick returns the calls to make now.
 func (p *Poller) Tick(now time.Duration) []Request {
 	if now < p.NextTick() {
 		return nil
 	}
-	if p.state == following && len(p.open) > 0 { // the watch is overdue, or its connection does not come up
-		p.doubt(now, rampSteps)
+	if p.state == watching && len(p.inFlight) > 0 { // the watch is overdue, or its connection is not established
+		p.startChecking(now, rampSteps)
 	}
-	return []Request{p.begin(now)}
+	return []Request{p.startCall(now)}
 }
 
-// begin makes a watch or a check, as the state has it.
-func (p *Poller) begin(now time.Duration) Request {
+// startCall adds a watch or a check, depending on the state.
+func (p *Poller) startCall(now time.Duration) Request {
 	p.lastID++
-	c := call{Request: Request{ID: p.lastID, Complete: !p.known, Since: p.generation}, began: now}
-	if p.state == following {
-		c.watch, c.Hold = true, p.pace.watchHold
-		c.Limit = c.Hold + p.pace.watchGrace
-		p.due = now + p.patience(0)
+	c := openCall{Request: Request{ID: p.lastID, Complete: !p.haveList, Since: p.generation}, startedAt: now}
+	if p.state == watching {
+		c.watch, c.Hold = true, p.timing.watchHold
+		c.Limit = c.Hold + p.timing.watchGrace
+		p.nextCallAt = now + p.hedgeDelay(0)
 	} else {
-		c.Hold, c.Limit = p.checkHold(), p.pace.checkLimit
-		c.shift = p.ramp
-		p.ramp = max(p.ramp-1, 0)
-		p.lastCheck = now
-		p.due = now + max(p.patience(0), p.interval>>c.shift)
+		c.Hold, c.Limit = p.checkHold(), p.timing.checkTimeout
+		c.shift = p.rampLeft
+		p.rampLeft = max(p.rampLeft-1, 0)
+		p.lastCheckAt = now
+		p.nextCallAt = now + max(p.hedgeDelay(0), p.interval>>c.shift)
 	}
-	p.open[c.ID] = c
+	p.inFlight[c.ID] = c
 	return c.Request
 }
 
-// RequestSent tells that a request has been written: its connection is up. From then on it may be held.
+// RequestSent records that a request has been written on an established connection. Discovery may hold it from then on.
 func (p *Poller) RequestSent(id int) {
-	c, out := p.open[id]
-	if !out {
+	c, found := p.inFlight[id]
+	if !found {
 		return
 	}
 	c.sent = true
-	p.open[id] = c
+	p.inFlight[id] = c
 	switch {
-	case c.watch && p.state == following: // what it misses counts as told soon after its hold
-		p.due = c.began + c.Hold + p.pace.overdue
-	case !c.watch && c.began == p.lastCheck:
-		p.due = c.began + p.patience(c.Hold)
+	case c.watch && p.state == watching: // a change must arrive soon after its hold
+		p.nextCallAt = c.startedAt + c.Hold + p.timing.overdueDelay
+	case !c.watch && c.startedAt == p.lastCheckAt:
+		p.nextCallAt = c.startedAt + p.hedgeDelay(c.Hold)
 	}
 }
 
-// ResponseStarted tells that an answer has begun. The rest of it should be there at once.
+// ResponseStarted records that a response has begun. The rest of it is expected at once.
 func (p *Poller) ResponseStarted(now time.Duration, id int) {
-	c, out := p.open[id]
-	if !out {
+	c, found := p.inFlight[id]
+	if !found {
 		return
 	}
-	c.answering = now
-	p.open[id] = c
+	c.respondingAt = now
+	p.inFlight[id] = c
 	switch {
-	case c.watch && p.state == following:
-		p.due = now + p.patience(0)
-	case !c.watch && c.began == p.lastCheck:
-		p.due = max(now+p.patience(0), c.began+p.interval>>c.shift)
+	case c.watch && p.state == watching:
+		p.nextCallAt = now + p.hedgeDelay(0)
+	case !c.watch && c.startedAt == p.lastCheckAt:
+		p.nextCallAt = max(now+p.hedgeDelay(0), c.startedAt+p.interval>>c.shift)
 	}
 }
 
-// doubt begins checking. The first checks follow each other faster, as ramp says.
-func (p *Poller) doubt(first time.Duration, ramp int) {
-	p.state, p.failures, p.due, p.ramp = checking, 0, first, ramp
+// startChecking begins checking with a first check at the given time. The delays of the first ramp checks are shorter.
+func (p *Poller) startChecking(first time.Duration, ramp int) {
+	p.state, p.failures, p.nextCallAt, p.rampLeft = checking, 0, first, ramp
 }
 
-// CallFailed tells that a call has failed, or was given up at its limit.
+// CallFailed records that a call failed or reached its timeout.
 func (p *Poller) CallFailed(now time.Duration, id int) {
-	c, out := p.open[id]
-	if !out {
+	c, found := p.inFlight[id]
+	if !found {
 		return
 	}
-	delete(p.open, id)
+	delete(p.inFlight, id)
 	switch {
-	case p.state == following: // its one call: all senders may see this at once, so they spread out
-		if took := c.waited(now); took >= queued && took < crowdedWithin {
-			p.slowDown(took)
+	case p.state == watching: // the only call: all senders may see this at once, so add jitter
+		if took := c.waitedFor(now); took >= minQueueTime && took < maxQueueTime {
+			p.backOff(took)
 		}
 		spread := time.Duration(p.rng.Float64() * float64(p.interval))
-		p.doubt(max(now+spread, p.lastCheck+p.interval/2), 0)
+		p.startChecking(max(now+spread, p.lastCheckAt+p.interval/2), 0)
 	case !c.watch:
 		p.failures++
-		p.slowDown(c.waited(now))
-		if c.began == p.lastCheck { // else another is out, and the next one comes by its time
-			p.due = c.began + p.spread(p.interval>>c.shift)
+		p.backOff(c.waitedFor(now))
+		if c.startedAt == p.lastCheckAt { // otherwise a later check is in flight and sets the time of the next
+			p.nextCallAt = c.startedAt + p.addJitter(p.interval>>c.shift)
 		}
 	}
 }
 
-// ResponseReceived tells that a call was answered. It returns the calls that are to be given up, as they have nothing more to
-// tell, or an error if the answer is of no use: then the call has failed.
-func (p *Poller) ResponseReceived(now time.Duration, id int, a Response) (giveUp []int, err error) {
-	c, out := p.open[id]
-	if !out {
+// ResponseReceived records that a call was answered. It returns the IDs of the other calls, which are to be abandoned,
+// or an error if the response can't be used; the call has failed then.
+func (p *Poller) ResponseReceived(now time.Duration, id int, r Response) (abandoned []int, err error) {
+	c, found := p.inFlight[id]
+	if !found {
 		return nil, nil
 	}
-	if err := p.check(a); err != nil {
+	if err := p.validate(r); err != nil {
 		p.CallFailed(now, id)
 		return nil, err
 	}
-	delete(p.open, id)
-	for other := range p.open {
-		giveUp = append(giveUp, other)
+	delete(p.inFlight, id)
+	for other := range p.inFlight {
+		abandoned = append(abandoned, other)
 	}
-	clear(p.open)
-	nothingNew := p.known && a.Generation == p.generation
-	switch took := now - c.began; {
+	clear(p.inFlight)
+	unchanged := p.haveList && r.Generation == p.generation
+	switch took := now - c.startedAt; {
 	case c.Complete:
 		p.lateness = took
-	case nothingNew:
+	case unchanged:
 		p.lateness = max(took-c.Hold, 0)
-	default: // it has waited for its news, or for its turn
+	default: // it waited for a change or in a queue, so its lateness is unknown
 	}
-	p.known, p.generation, p.state, p.failures, p.due = true, a.Generation, following, 0, now
+	p.haveList, p.generation, p.state, p.failures, p.nextCallAt = true, r.Generation, watching, 0, now
 	if !c.watch {
-		p.speedUp()
+		p.resetInterval()
 	}
-	if c.watch && (nothingNew || a.Entries == 0) {
-		p.due = max(now, c.began+emptyPause)
+	if c.watch && (unchanged || r.Entries == 0) {
+		p.nextCallAt = max(now, c.startedAt+emptyWatchInterval)
 	}
-	return giveUp, nil
+	return abandoned, nil
 }
 
-// check says what is wrong with an answer. After changes of an older list than ours the whole one is asked for.
-func (p *Poller) check(a Response) error {
+// validate returns an error for a response that can't be used. After changes of an older generation than the known one
+// the complete list is requested.
+func (p *Poller) validate(r Response) error {
 	switch {
-	case a.Complete:
-	case p.known && a.Generation < p.generation:
-		p.known = false
-		return fmt.Errorf("%w: %d, after %d", ErrStaleGeneration, a.Generation, p.generation)
-	case !p.known && a.Generation == 0 && a.Entries == 0:
+	case r.Complete:
+	case p.haveList && r.Generation < p.generation:
+		p.haveList = false
+		return fmt.Errorf("%w: %d, after %d", ErrStaleGeneration, r.Generation, p.generation)
+	case !p.haveList && r.Generation == 0 && r.Entries == 0:
 		return ErrEmptyList
 	}
 	return nil
 }
 
-// InFlight says whether a call has no outcome yet.
+// InFlight reports whether a call has no outcome yet.
 func (p *Poller) InFlight(id int) bool {
-	_, out := p.open[id]
-	return out
+	_, found := p.inFlight[id]
+	return found
 }
 
-// Checking says whether it is not known if the list still holds, and how many checks have failed meanwhile.
+// Checking reports whether the list may be out of date, and how many checks have failed since the last response.
 func (p *Poller) Checking() (bool, int) { return p.state == checking, p.failures }
--- a/internal/source/platform/poll/poll_test.go
+++ b/internal/source/platform/poll/poll_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// Guards against a watch that is not taken for broken in time: that the one before it waited long for its news does not
-// make discovery a slow one.
-func TestNewsAfterALongHoldIsNotLate(t *testing.T) {
+// Guards against a watch that counts as broken too late: a previous watch that was held long until a change must not
+// count as a late response.
+func TestChangeAfterLongHoldIsNotLate(t *testing.T) {
 	p := New(Settings{Senders: 300}, true, 1, 1, 0)
 	now := time.Duration(0)
 	for generation := range int64(3) {
@@ -20,17 +20,17 @@
 	}
 	last := p.Tick(now)[0]
 	p.RequestSent(last.ID)
-	if over := p.NextTick() - now - last.Hold; over > overdueAfter {
-		t.Errorf("the next watch is taken for broken %v after its hold", over)
+	if delay := p.NextTick() - now - last.Hold; delay > overdueAfter {
+		t.Errorf("the next watch counts as broken %v after its hold", delay)
 	}
 }
 
-// A discovery that answers late is given more time for a check, but not so much that no other fits.
-func TestPatienceFollowsTheLastAnswer(t *testing.T) {
+// The hedge delay grows with the lateness of the last response, but stays short enough for another check to fit.
+func TestHedgeDelayFollowsLastResponse(t *testing.T) {
 	for _, x := range []struct{ took, want time.Duration }{
 		{20 * time.Second, overdueAfter},
 		{20*time.Second + 200*time.Millisecond, 400 * time.Millisecond},
-		{22 * time.Second, mostPatience},
+		{22 * time.Second, maxLatenessDelay},
 	} {
 		p := New(Settings{Senders: 1}, true, 1, 1, 0)
 		watch := p.Tick(0)[0]
@@ -38,8 +38,8 @@
 		if _, err := p.ResponseReceived(x.took, watch.ID, Response{Generation: 1}); err != nil {
 			t.Fatal(err)
 		}
-		if got := p.patience(0); got != x.want {
-			t.Errorf("after an answer to a watch after %v: %v, want %v", x.took, got, x.want)
+		if got := p.hedgeDelay(0); got != x.want {
+			t.Errorf("watch answered after %v: hedge delay %v, want %v", x.took, got, x.want)
 		}
 	}
 }
--- a/internal/source/platform/source.go
+++ b/internal/source/platform/source.go
@@ -11,16 +11,16 @@
 	"cometrack/internal/source/platform/poll"
 )
 
-// Options set a source up.
+// Options configure a source.
 type Options struct {
-	Addr  string // of discovery
-	Known List   // that the core has already; the zero value if it has none
+	Addr  string // host and port of discovery
+	Known List   // the list that the core already has; the zero value if none
 	Poll  poll.Settings
 	Seed  uint64
 	Log   *slog.Logger
 }
 
-// Source follows the list of endpoints at discovery, from the first Watch on.
+// Source follows the list of endpoints at discovery, starting with the first Watch.
 type Source struct {
 	client *http.Client
 	log    *slog.Logger
@@ -29,66 +29,69 @@
 	mu         sync.Mutex
 	settings   poll.Settings
 	addr       string
-	epoch      int   // counts the addresses
+	epoch      int   // number of address changes
 	generation int64 // of the list that the core has
-	known      bool  // there is such a list, of the address that holds
-	running    *run
+	haveList   bool  // the core has a list from the current address
+	running    *activeRun
 }
 
-// run is a follower at work.
-type run struct {
-	ctx  context.Context // of the one who watches
-	tell func(core.EndpointUpdate)
-	stop context.CancelFunc
-	tune chan poll.Settings // the last settings that it has not taken up yet
+// activeRun is a running follower.
+type activeRun struct {
+	ctx         context.Context // of the caller of Watch
+	publish     func(core.EndpointUpdate)
+	stop        context.CancelFunc
+	newSettings chan poll.Settings // the latest settings, if the follower hasn't applied them yet
 }
 
-// New makes a source.
+// New returns a source. It makes no calls before Watch.
 func New(o Options) *Source {
 	return &Source{client: newClient(), log: o.Log, seed: o.Seed, settings: o.Poll, addr: o.Addr,
-		generation: o.Known.Generation, known: o.Known.Generation != 0 || len(o.Known.Instances) > 0}
+		generation: o.Known.Generation, haveList: o.Known.Generation != 0 || len(o.Known.Instances) > 0}
 }
 
-// Watch begins to follow the list, unless it is followed already.
-func (s *Source) Watch(ctx context.Context, tell func(core.EndpointUpdate)) {
+// Watch follows the list and passes updates to publish until ctx ends. It does nothing while a previous Watch is
+// active.
+func (s *Source) Watch(ctx context.Context, publish func(core.EndpointUpdate)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.running == nil || s.running.ctx.Err() != nil {
-		s.follow(ctx, tell)
+		s.startFollower(ctx, publish)
 	}
 }
 
-// follow starts a follower at the address that holds.
-func (s *Source) follow(ctx context.Context, tell func(core.EndpointUpdate)) {
-	following, stop := context.WithCancel(ctx)
-	s.running = &run{ctx: ctx, tell: tell, stop: stop, tune: make(chan poll.Settings, 1)}
-	f := &follower{poller: poll.New(s.settings, s.known, s.generation, s.seed+uint64(s.epoch), 0), client: s.client, addr: s.addr, epoch: s.epoch,
-		tell: tell, log: s.log, origin: time.Now(), calls: map[int]context.CancelFunc{}, steps: make(chan step), results: make(chan result), tune: s.running.tune}
+// startFollower starts a follower at the current address. s.mu must be held.
+func (s *Source) startFollower(ctx context.Context, publish func(core.EndpointUpdate)) {
+	runCtx, stop := context.WithCancel(ctx)
+	s.running = &activeRun{ctx: ctx, publish: publish, stop: stop, newSettings: make(chan poll.Settings, 1)}
+	f := &follower{poller: poll.New(s.settings, s.haveList, s.generation, s.seed+uint64(s.epoch), 0), client: s.client,
+		addr: s.addr, epoch: s.epoch,
+		publish: publish, log: s.log, origin: time.Now(), cancels: map[int]context.CancelFunc{},
+		progress: make(chan callProgress), results: make(chan callResult), newSettings: s.running.newSettings}
 	go func() {
 		defer stop()
-		f.run(following)
+		f.run(runCtx)
 	}()
 }
 
-// SetAddress turns to another address at once. The list there is asked for whole, since its generations need not follow on
-// from those of the old one. It says whether the address is another.
+// SetAddress switches to another address of discovery at once and reports whether the address changed. The complete
+// list is requested there, since its generations need not continue those of the old address.
 func (s *Source) SetAddress(addr string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.addr == addr {
 		return false
 	}
-	s.addr, s.known = addr, false
+	s.addr, s.haveList = addr, false
 	s.epoch++
 	if s.running != nil {
 		s.running.stop()
 		s.client.CloseIdleConnections()
-		s.follow(s.running.ctx, s.running.tell)
+		s.startFollower(s.running.ctx, s.running.publish)
 	}
 	return true
 }
 
-// UpdateSettings takes up other settings.
+// UpdateSettings changes the settings of the running and of later followers.
 func (s *Source) UpdateSettings(settings poll.Settings) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -96,26 +99,26 @@
 	if s.running == nil {
 		return
 	}
-	select { // these take the place of those that wait
-	case <-s.running.tune:
+	select { // replaces settings that have not been applied yet
+	case <-s.running.newSettings:
 	default:
 	}
-	s.running.tune <- settings
+	s.running.newSettings <- settings
 }
 
-// AcceptUpdate notes what a call has brought, and says whether it is news: a call to an address left behind has nothing to
-// tell.
-func (s *Source) AcceptUpdate(n core.EndpointUpdate) bool {
+// AcceptUpdate records the generation of an update and reports whether the update counts: one from a previous address
+// doesn't.
+func (s *Source) AcceptUpdate(u core.EndpointUpdate) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if n.Epoch != s.epoch {
+	if u.Epoch != s.epoch {
 		return false
 	}
-	s.generation, s.known = n.Version, true
+	s.generation, s.haveList = u.Version, true
 	return true
 }
 
-// Version is the generation of the list that the core has.
+// Version returns the generation of the list that the core has.
 func (s *Source) Version() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
