--- a/internal/source/platform/poll/play/pauses.go
+++ b/internal/source/platform/poll/play/pauses.go
@@ -10,8 +10,8 @@
 // Settings of the earlier strategy, which the program used up to commit f16a241, for comparison.
 const (
 	maxPause         = 5400 * time.Millisecond
-	firstPauseJitter = 0.4 // largest fraction that is subtracted at random from the first pause
-	laterPauseJitter = 0.05
+	firstPauseJitter = 0.4             // largest fraction that is subtracted at random from the first pause
+	laterPauseJitter = 0.05            // the same for later pauses
 	retryHold        = 4 * time.Second // hold of the watch after a failure
 	watchHold        = 20 * time.Second
 	holdGrace        = time.Second
--- a/internal/source/platform/poll/play/play.go
+++ b/internal/source/platform/poll/play/play.go
@@ -20,7 +20,7 @@
 	ResponseReceived(now time.Duration, id int, a poll.Response) (abandoned []int, err error)
 }
 
-// Fault is a fault of discovery. While discovery is down or overloaded, calls end with 503.
+// Fault describes a fault of discovery. While discovery is down or overloaded, calls end with 503.
 type Fault struct {
 	Down         bool
 	ServiceTime  time.Duration // time to serve a call, one at a time; 0 serves all at once
@@ -32,7 +32,7 @@
 	Senders       int
 	Seed          uint64
 	Fault         Fault
-	FaultDuration time.Duration // of the fault, which starts after 30 s
+	FaultDuration time.Duration // the fault starts after 30 s
 	NewClient     func(senders int, seed uint64) Client
 }
 
@@ -61,7 +61,7 @@
 	return r.Delays[int(q*float64(len(r.Delays)-1))]
 }
 
-// Run runs a simulation.
+// Run simulates a fleet and returns the measurements.
 func Run(o Options) Result {
 	p := &simulation{Options: o, rng: rand.New(rand.NewPCG(o.Seed, 5)), callsPerSecond: map[int]int{}}
 	for i := range o.Senders {
--- a/internal/transport/http/batch_test.go
+++ b/internal/transport/http/batch_test.go
@@ -46,7 +46,7 @@
 	var out []string
 	for _, x := range list {
 		if string(x.Body) != body || x.Key != "k<\"" {
-			t.Errorf("%s went out changed", x.ID)
+			t.Errorf("%s was sent changed", x.ID)
 		}
 		out = append(out, x.ID)
 	}
@@ -106,7 +106,7 @@
 }
 
 // An attempt that may not begin is left out of the call; no call is made without any.
-func TestBatchHeld(t *testing.T) {
+func TestBatchWithheld(t *testing.T) {
 	e, c := byhand.NewEndpoint(t), newTestTransport()
 	call := newBatch(e.Addr(), 3, "b")
 	call[1].Withhold(permit.WaitRequested)
--- a/internal/transport/http/calls_test.go
+++ b/internal/transport/http/calls_test.go
@@ -58,7 +58,7 @@
 		left, err := strconv.Atoi(in.Req.Header.Get("X-Expires-In-Ms"))
 		if in.Body != "hello" || in.ID() != "m1" || in.Req.Header.Get("Idempotency-Key") != "k1" || err != nil ||
 			left > 20000 || left < 19000 || in.Req.URL.Path != "/inbox" { // counted from the write
-			t.Fatalf("request went out changed: %+v %q", in.Req, in.Body)
+			t.Fatalf("request was sent changed: %+v %q", in.Req, in.Body)
 		}
 		in.Reply(x.status, x.headers...)
 		if r := byhand.Await(t, got, "result"); !reflect.DeepEqual(r, x.want) {
