--- a/internal/daemon/platform.go
+++ b/internal/daemon/platform.go
@@ -82,8 +82,8 @@
 	if memory <= 0 {
 		memory = defaultMemory
 	}
-	p.front = resp.New(p.core, resp.Options{Listen: cfg.Listen, Connections: share.clients, Ending: share.ending,
-		Memory: int64(memory * (1 << 20) / largeShare), Numbers: true, Monitor: monitor,
+	p.front = resp.New(p.core, resp.Options{Listen: cfg.Listen, MaxConnections: share.clients, MaxLingering: share.ending,
+		LargeRequestBytes: int64(memory * (1 << 20) / largeShare), NumericPartners: true, Monitor: monitor,
 		Ready: func() bool { return life.Behavior().Ready }, Log: log})
 	return p, nil
 }
--- a/internal/daemon/standalone.go
+++ b/internal/daemon/standalone.go
@@ -138,12 +138,12 @@
 	memory := int64(f.Limits.MemoryMB) << 20 / largeShare / int64(n)
 	if h := f.Front.HTTP; h != nil {
 		s.http = httpfront.New(s.core.NewFrontLimiter(n), httpfront.Options{Listen: h.Listen, Certificate: h.Certificate, Key: h.Key,
-			Connections: (share.clients + share.ending) / n, Memory: memory, LongPolls: h.LongPolls, Streams: h.Streams,
-			MaxWait: time.Duration(h.MaxWait), Tenant: tenant, Stream: stream, Defaults: s.core.Deadline, Log: s.log})
+			MaxConnections: (share.clients + share.ending) / n, LargeBodyBytes: memory, MaxLongPolls: h.LongPolls, MaxStreams: h.Streams,
+			MaxWait: time.Duration(h.MaxWait), Tenant: tenant, Stream: stream, DefaultDeadline: s.core.Deadline, Log: s.log})
 		s.fronts = append(s.fronts, s.http)
 	}
 	if r := f.Front.RESP; r != nil {
-		s.resp = resp.New(s.core.NewFrontLimiter(n), resp.Options{Listen: r.Listen, Connections: share.clients / n, Ending: share.ending / n, Memory: memory, Monitor: s.monitor,
+		s.resp = resp.New(s.core.NewFrontLimiter(n), resp.Options{Listen: r.Listen, MaxConnections: share.clients / n, MaxLingering: share.ending / n, LargeRequestBytes: memory, Monitor: s.monitor,
 			Tenant: tenant,
 			Ready:  func() bool { return s.life.Behavior().Ready }, Log: s.log})
 		s.fronts = append(s.fronts, s.resp)
@@ -214,7 +214,7 @@
 		return
 	}
 	if s.http != nil {
-		if err := s.http.RereadCertificate(); err != nil {
+		if err := s.http.ReloadCertificate(); err != nil {
 			s.log.Error("reload: the old certificate stands", "err", err)
 		}
 	}
--- a/internal/daemon/standalone_test.go
+++ b/internal/daemon/standalone_test.go
@@ -391,7 +391,7 @@
 			got <- s
 		}()
 	}
-	byhand.Until(t, "thousand that wait", func() bool { return a.http.Waiting() >= many })
+	byhand.Until(t, "thousand that wait", func() bool { return a.http.LongPolls() >= many })
 	if s := respState(t, c, "a"); s != "sending" {
 		t.Errorf("meanwhile the other port says %q", s)
 	}
--- a/internal/front/http/front.go
+++ b/internal/front/http/front.go
@@ -47,22 +47,22 @@
 
 // Options set a front up.
 type Options struct {
-	Listen      string
-	Certificate string // PEM files; empty for no TLS
-	Key         string
-	Connections int   // at once; the idlest makes room for a new one
-	Memory      int64 // bytes that large bodies may hold until their requests are answered
-	LongPolls   int   // at once
-	Streams     int   // of ends, at once
-	MaxWait     time.Duration
-	Stream      *Stream
+	Listen         string
+	Certificate    string // PEM files; empty for no TLS
+	Key            string
+	MaxConnections int   // at once; the idlest makes room for a new one
+	LargeBodyBytes int64 // bytes that large bodies may hold until their requests are answered
+	MaxLongPolls   int   // at once
+	MaxStreams     int   // of ends, at once
+	MaxWait        time.Duration
+	Stream         *Stream
 	// Tenant returns the tenant that a token stands for. If it is nil, anybody may
 	// submit and read for any tenant.
 	Tenant func(token string) (tenant string, ok bool)
-	// Defaults returns how long messages of a class may be delivered where the
+	// DefaultDeadline returns how long messages of a class may be delivered where the
 	// client does not say.
-	Defaults func(class string) (time.Duration, bool)
-	Log      *slog.Logger
+	DefaultDeadline func(class string) (time.Duration, bool)
+	Log             *slog.Logger
 }
 
 // Front serves HTTP.
@@ -93,9 +93,9 @@
 // New makes a front for a core.
 func New(c Core, opts Options) *Front {
 	f := &Front{core: c, opts: opts, log: opts.Log, closing: make(chan struct{}),
-		large: make(chan struct{}, max(int(opts.Memory/(message.MaxBody+smallBody)), 8)),
-		polls: make(chan struct{}, max(opts.LongPolls, 1)), streams: make(chan struct{}, max(opts.Streams, 1)),
-		certTime: certTime, places: places{most: max(opts.Connections, 1), conns: map[net.Conn]place{}}}
+		large: make(chan struct{}, max(int(opts.LargeBodyBytes/(message.MaxBody+smallBody)), 8)),
+		polls: make(chan struct{}, max(opts.MaxLongPolls, 1)), streams: make(chan struct{}, max(opts.MaxStreams, 1)),
+		certTime: certTime, places: places{most: max(opts.MaxConnections, 1), conns: map[net.Conn]place{}}}
 	var protocols http.Protocols
 	protocols.SetHTTP1(true)
 	protocols.SetHTTP2(true)
@@ -135,7 +135,7 @@
 
 // Listen opens the listener.
 func (f *Front) Listen() error {
-	if err := f.RereadCertificate(); err != nil {
+	if err := f.ReloadCertificate(); err != nil {
 		return err
 	}
 	if f.ln != nil {
@@ -168,7 +168,7 @@
 		case <-tick.C:
 		}
 		if now := stamp(); now != seen {
-			if err := f.RereadCertificate(); err != nil {
+			if err := f.ReloadCertificate(); err != nil {
 				f.log.Error("http front: the old certificate stands", "err", err)
 				continue // a pair that is half replaced is looked at again
 			}
@@ -178,8 +178,8 @@
 	}
 }
 
-// RereadCertificate reads certificate and key anew. On an error the old ones stand.
-func (f *Front) RereadCertificate() error {
+// ReloadCertificate reads certificate and key anew. On an error the old ones stand.
+func (f *Front) ReloadCertificate() error {
 	if f.opts.Certificate == "" {
 		return nil
 	}
@@ -194,7 +194,7 @@
 // AdoptListener gives the front a listener that another process has listened on, if it is at
 // the front's address.
 func (f *Front) AdoptListener(ln net.Listener) bool {
-	if !netutil.Serves(f.opts.Listen, ln.Addr()) {
+	if !netutil.MatchesAddr(f.opts.Listen, ln.Addr()) {
 		return false
 	}
 	f.ln = ln
@@ -207,8 +207,8 @@
 // Addr is where the front listens.
 func (f *Front) Addr() net.Addr { return f.ln.Addr() }
 
-// Waiting is the number of long-polls that wait.
-func (f *Front) Waiting() int { return len(f.polls) }
+// LongPolls is the number of long-polls that wait.
+func (f *Front) LongPolls() int { return len(f.polls) }
 
 // Serve takes clients until CloseListener.
 func (f *Front) Serve() {
--- a/internal/front/http/front_test.go
+++ b/internal/front/http/front_test.go
@@ -69,8 +69,8 @@
 
 func newFront(t *testing.T, s *scripted, with ...func(*Options)) (*Front, string) {
 	t.Helper()
-	opts := Options{Listen: "127.0.0.1:0", Connections: 64, LongPolls: 4, Streams: 4, MaxWait: time.Minute, Stream: NewStream(8),
-		Defaults: func(string) (time.Duration, bool) { return time.Minute, true }, Log: slog.New(slog.DiscardHandler)}
+	opts := Options{Listen: "127.0.0.1:0", MaxConnections: 64, MaxLongPolls: 4, MaxStreams: 4, MaxWait: time.Minute, Stream: NewStream(8),
+		DefaultDeadline: func(string) (time.Duration, bool) { return time.Minute, true }, Log: slog.New(slog.DiscardHandler)}
 	for _, f := range with {
 		f(&opts)
 	}
@@ -392,7 +392,7 @@
 
 // The stream goes on after the last event seen; what the window has lost, or another process told, is a gap.
 func TestStream(t *testing.T) {
-	f, base := newFront(t, &scripted{}, func(o *Options) { o.Streams = 16 })
+	f, base := newFront(t, &scripted{}, func(o *Options) { o.MaxStreams = 16 })
 	add := func(from, to int) {
 		for i := from; i < to; i++ {
 			f.opts.Stream.Add(&message.Message{Partner: "p", Class: "c"}, message.End{ID: fmt.Sprint("m", i), State: message.Delivered, Tries: 1})
@@ -488,7 +488,7 @@
 // Connections that say nothing make room for new ones; busy ones do not.
 func TestConnections(t *testing.T) {
 	s := &scripted{state: core.State{Name: core.StateSending}, wait: make(chan struct{})}
-	f, base := newFront(t, s, func(o *Options) { o.Connections = 3 })
+	f, base := newFront(t, s, func(o *Options) { o.MaxConnections = 3 })
 	polled := make(chan error, 1)
 	go func() {
 		resp, err := (&http.Client{Transport: &http.Transport{}}).Get(base + "/v1/messages/a?wait=1m")
--- a/internal/front/http/messages.go
+++ b/internal/front/http/messages.go
@@ -91,7 +91,7 @@
 		}
 		hold = t.Sub(now)
 	default:
-		hold, _ = f.opts.Defaults(m.Class) // an unknown class is found below
+		hold, _ = f.opts.DefaultDeadline(m.Class) // an unknown class is found below
 	}
 	m.Deadline = f.core.Clock().At(now) + hold.Microseconds()
 	if err := f.core.Check(m, hold); err != nil {
--- a/internal/front/http/places.go
+++ b/internal/front/http/places.go
@@ -51,10 +51,10 @@
 func (p *places) evict() bool {
 	list, conns := make([]net.Conn, 0, len(p.conns)), make([]room.Conn, 0, len(p.conns))
 	for c, x := range p.conns {
-		list, conns = append(list, c), append(conns, room.Conn{Since: x.since, Busy: x.busy, Answered: x.done})
+		list, conns = append(list, c), append(conns, room.Conn{IdleSince: x.since, Busy: x.busy, Answered: x.done})
 	}
 	for len(list) > 0 {
-		i := room.Pick(conns, p.most)
+		i := room.PickVictim(conns, p.most)
 		if i < 0 {
 			return false
 		}
--- a/internal/front/http/shutdown_test.go
+++ b/internal/front/http/shutdown_test.go
@@ -83,8 +83,8 @@
 // A connection that waited to be accepted was reset with its request as the listener closed: it is served.
 func TestDrainAcceptsWhoWaits(t *testing.T) {
 	c := &later{asked: make(chan chan<- core.SubmitResponse, 1)}
-	f := New(c, Options{Listen: "127.0.0.1:0", Connections: 4, Stream: NewStream(1), Log: slog.New(slog.DiscardHandler),
-		Defaults: func(string) (time.Duration, bool) { return time.Minute, true }})
+	f := New(c, Options{Listen: "127.0.0.1:0", MaxConnections: 4, Stream: NewStream(1), Log: slog.New(slog.DiscardHandler),
+		DefaultDeadline: func(string) (time.Duration, bool) { return time.Minute, true }})
 	if err := f.Listen(); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/front/http/tls_test.go
+++ b/internal/front/http/tls_test.go
@@ -56,7 +56,7 @@
 		os.WriteFile(dir+"/key.pem", keyPEM, 0o600)
 	}
 	write()
-	f := New(&scripted{}, Options{Listen: "127.0.0.1:0", Connections: 64, Certificate: dir + "/cert.pem", Key: dir + "/key.pem",
+	f := New(&scripted{}, Options{Listen: "127.0.0.1:0", MaxConnections: 64, Certificate: dir + "/cert.pem", Key: dir + "/key.pem",
 		Log: slog.New(slog.DiscardHandler)})
 	f.certTime = 5 * time.Millisecond
 	if err := f.Listen(); err != nil {
@@ -84,7 +84,7 @@
 	second := first
 	byhand.Until(t, "new certificate", func() bool { second, _ = get(); return second != first })
 	os.WriteFile(dir+"/cert.pem", []byte("-----BEGIN"), 0o600)
-	if err := f.RereadCertificate(); err == nil {
+	if err := f.ReloadCertificate(); err == nil {
 		t.Error("no error for half a certificate")
 	}
 	if third, _ := get(); third != second {
--- a/internal/front/resp/clients.go
+++ b/internal/front/resp/clients.go
@@ -36,12 +36,12 @@
 
 // Options set a front up.
 type Options struct {
-	Listen      string // address
-	Connections int    // at once that clients may ask on; the idlest makes room for a new one
-	Ending      int    // beside them, that are ended and read on until their clients end them; 1 at least
-	Memory      int64  // bytes that large requests may hold until they are answered
-	// Numbers says that partners are named by numbers, as on the platform.
-	Numbers bool
+	Listen            string // address
+	MaxConnections    int    // at once that clients may ask on; the idlest makes room for a new one
+	MaxLingering      int    // beside them, that are ended and read on until their clients end them; 1 at least
+	LargeRequestBytes int64  // bytes that large requests may hold until they are answered
+	// NumericPartners says that partners are named by numbers, as on the platform.
+	NumericPartners bool
 	// Tenant returns the tenant that a token stands for. If it is nil, anybody may
 	// submit for any tenant.
 	Tenant func(token string) (tenant string, ok bool)
@@ -60,7 +60,7 @@
 	ln       net.Listener
 	large    chan struct{} // a place for each large request that is not answered
 	mu       sync.Mutex
-	places   room.Places
+	places   room.Limits
 	sessions map[*session]struct{}
 	ending   int               // of them, those that end
 	closing  bool              // no new connection is taken, and old ones end
@@ -75,8 +75,8 @@
 // New makes a front for a core.
 func New(c Core, opts Options) *Front {
 	return &Front{core: c, opts: opts, log: opts.Log, sessions: map[*session]struct{}{},
-		places: room.Places{Live: opts.Connections, Ending: max(opts.Ending, 1)},
-		large:  make(chan struct{}, max(int(opts.Memory/largeRequest), 8))}
+		places: room.Limits{Active: opts.MaxConnections, Lingering: max(opts.MaxLingering, 1)},
+		large:  make(chan struct{}, max(int(opts.LargeRequestBytes/largeRequest), 8))}
 }
 
 // Listen opens the listener.
@@ -90,7 +90,7 @@
 // AdoptListener gives the front a listener that another process has listened on, if it is at
 // the front's address.
 func (c *Front) AdoptListener(ln net.Listener) bool {
-	if !netutil.Serves(c.opts.Listen, ln.Addr()) {
+	if !netutil.MatchesAddr(c.opts.Listen, ln.Addr()) {
 		return false
 	}
 	c.ln = ln
@@ -154,14 +154,14 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for made := true; made && !c.closing; {
-		switch c.places.Next(len(c.sessions)-c.ending, c.ending) {
+		switch c.places.NextAction(len(c.sessions)-c.ending, c.ending) {
 		case room.Admit:
 			c.sessions[s] = struct{}{}
 			c.wg.Add(1)
 			return true
-		case room.End:
+		case room.CloseIdle:
 			made = c.end()
-		case room.Cut:
+		case room.AbortLingering:
 			made = c.cut()
 		}
 	}
@@ -199,10 +199,10 @@
 	for s := range c.sessions {
 		if !s.left.IsZero() {
 			may := permit.Abort(permit.Connection{Unanswered: s.open}) // a request that is being read may be whole by now
-			list, conns = append(list, s), append(conns, room.Conn{Since: s.left, Answered: true, Busy: may != permit.Granted})
+			list, conns = append(list, s), append(conns, room.Conn{IdleSince: s.left, Answered: true, Busy: may != permit.Granted})
 		}
 	}
-	i := room.Pick(conns, c.places.Live)
+	i := room.PickVictim(conns, c.places.Active)
 	if i < 0 {
 		return false
 	}
@@ -224,10 +224,10 @@
 			continue // it ends already, or is owed an answer
 		}
 		list = append(list, s)
-		conns = append(conns, room.Conn{Since: s.since, Answered: s.served, Begun: s.begun, Heard: s.opened.Add(time.Duration(s.heard.Load()))})
+		conns = append(conns, room.Conn{IdleSince: s.since, Answered: s.served, Partial: s.begun, LastRead: s.opened.Add(time.Duration(s.heard.Load()))})
 	}
 	for len(list) > 0 {
-		i := room.Pick(conns, c.opts.Connections)
+		i := room.PickVictim(conns, c.opts.MaxConnections)
 		if i < 0 {
 			return nil
 		}
--- a/internal/front/resp/commands.go
+++ b/internal/front/resp/commands.go
@@ -243,7 +243,7 @@
 			m.Deadline = c.core.Clock().At(now) + hold.Microseconds()
 		case "dest":
 			m.Partner = value
-			if c.opts.Numbers {
+			if c.opts.NumericPartners {
 				n, err := strconv.ParseInt(value, 10, 64)
 				if err != nil || n < 0 {
 					return nil, 0, errors.New("bad destination")
--- a/internal/front/resp/crossing_test.go
+++ b/internal/front/resp/crossing_test.go
@@ -117,7 +117,7 @@
 			t.Run(name+map[bool]string{true: ", its answer held back"}[held], func(t *testing.T) {
 				t.Parallel()
 				taken := &counting{}
-				f, l := serveCrossing(t, taken, Options{Connections: 1})
+				f, l := serveCrossing(t, taken, Options{MaxConnections: 1})
 				come, crossing := make(chan *client, 1), make(chan bool, 1)
 				l.before <- func(conn net.Conn) {
 					c := <-come
@@ -192,7 +192,7 @@
 // closed, and new clients are served all the same.
 func TestEndingIsBounded(t *testing.T) {
 	const live, ending = 3, 2
-	f := serve(t, Options{Connections: live, Ending: ending})
+	f := serve(t, Options{MaxConnections: live, MaxLingering: ending})
 	all := rest(t, f, live+ending+4)
 	f.mu.Lock()
 	if n := len(f.sessions); n > live+ending || f.ending > ending {
@@ -240,7 +240,7 @@
 // it, not only when it has rested for long.
 func TestAnswerCrossesDrain(t *testing.T) {
 	later := later{yes{}, make(chan chan<- core.SubmitResponse, 1)}
-	f, _ := serveCrossing(t, later, Options{Connections: 2})
+	f, _ := serveCrossing(t, later, Options{MaxConnections: 2})
 	c := dial(t, f)
 	io.WriteString(c.conn, putLate)
 	answer := byhand.Await(t, later.asked, "message")
@@ -265,7 +265,7 @@
 
 // What a client sends on and on after the end is read up to a bound.
 func TestEndingReadsNotMuch(t *testing.T) {
-	f := serve(t, Options{Connections: 1})
+	f := serve(t, Options{MaxConnections: 1})
 	c := rest(t, f, 1)[0]
 	rest(t, f, 1) // the first one makes room
 	if got := c.ended(); got != "" {
@@ -286,7 +286,7 @@
 // A half-sent request whose connection makes room gets no error, which would be its answer: it is sent anew. One that is
 // whole by then is answered.
 func TestHalfSentMakesRoom(t *testing.T) {
-	f := serve(t, Options{Connections: 1})
+	f := serve(t, Options{MaxConnections: 1})
 	half := dial(t, f)
 	io.WriteString(half.conn, "*1\r\n$4\r\nPI")
 	byhand.Until(t, "request at the front", func() bool {
@@ -308,7 +308,7 @@
 // A request that has come by the time that its connection's goroutine sees that it has to end is served, and the
 // connection is live again.
 func TestRequestComesInTime(t *testing.T) {
-	f, l := serveCrossing(t, &counting{}, Options{Connections: 1})
+	f, l := serveCrossing(t, &counting{}, Options{MaxConnections: 1})
 	c := dial(t, f)
 	conn := byhand.Await(t, l.accepted, "connection")
 	if got := c.do("PING"); got != "+PONG" {
@@ -348,7 +348,7 @@
 // Requests that were read together with one that is served as the process ends are answered too.
 func TestReadAsTheProcessEnds(t *testing.T) {
 	var f *Front
-	f, _ = serveCrossing(t, lastMoment{f: &f}, Options{Connections: 1})
+	f, _ = serveCrossing(t, lastMoment{f: &f}, Options{MaxConnections: 1})
 	c := dial(t, f)
 	const requests = 3
 	io.WriteString(c.conn, strings.Repeat(putLate, requests))
@@ -381,7 +381,7 @@
 // the answer.
 func TestEndWaitsForAnswers(t *testing.T) {
 	asked := make(chan chan<- core.SubmitResponse, 1)
-	f, _ := serveCrossing(t, later{asked: asked}, Options{Connections: 1})
+	f, _ := serveCrossing(t, later{asked: asked}, Options{MaxConnections: 1})
 	c := dial(t, f)
 	io.WriteString(c.conn, putLate)
 	answer := byhand.Await(t, asked, "request")
@@ -419,7 +419,7 @@
 // by then is turned away, and nothing more is read.
 func TestNothingIsReadAsTheProcessEnds(t *testing.T) {
 	b := &busy{asked: make(chan struct{}, 2), goOn: make(chan struct{})}
-	f, _ := serveCrossing(t, b, Options{Connections: 1})
+	f, _ := serveCrossing(t, b, Options{MaxConnections: 1})
 	c := dial(t, f)
 	half := len(putLate) / 2
 	io.WriteString(c.conn, putLate+putLate[:half])
@@ -444,7 +444,7 @@
 
 // Requests that were read together with the one on which a connection ends for its errors got no answer.
 func TestTooManyErrorsAnswersAllThatWasRead(t *testing.T) {
-	f, _ := serveCrossing(t, yes{}, Options{Connections: 1})
+	f, _ := serveCrossing(t, yes{}, Options{MaxConnections: 1})
 	c := dial(t, f)
 	for i := range maxErrors - 1 {
 		if got := c.do("NONSENSE"); !strings.HasPrefix(got, "-ERR") {
--- a/internal/front/resp/front_test.go
+++ b/internal/front/resp/front_test.go
@@ -42,8 +42,8 @@
 func serve(t *testing.T, opts Options) *Front {
 	t.Helper()
 	opts.Listen, opts.Log = "127.0.0.1:0", slog.New(slog.DiscardHandler)
-	if opts.Connections == 0 {
-		opts.Connections = 100
+	if opts.MaxConnections == 0 {
+		opts.MaxConnections = 100
 	}
 	f := New(yes{}, opts)
 	if err := f.Listen(); err != nil {
@@ -104,7 +104,7 @@
 // Connections that asked once and stay must not keep new clients out: the idlest makes room. One with a request
 // under way never does.
 func TestFullOfClients(t *testing.T) {
-	f := serve(t, Options{Connections: 3})
+	f := serve(t, Options{MaxConnections: 3})
 	first, second, half := dial(t, f), dial(t, f), dial(t, f)
 	for _, c := range []*client{first, second} {
 		if got := c.do("PING"); got != "+PONG" {
@@ -308,7 +308,7 @@
 		silent int // of eight, the first to come
 		gone   int // which of the eight makes room
 	}{{1, 1}, {6, 6}, {7, 0}, {8, 0}} {
-		f := serve(t, Options{Connections: 8})
+		f := serve(t, Options{MaxConnections: 8})
 		var all []*client
 		for i := range 8 {
 			all = append(all, dial(t, f))
--- a/internal/front/room/room.go
+++ b/internal/front/room/room.go
@@ -7,42 +7,42 @@
 // silentPart of all places may be held by connections that have sent nothing.
 const silentPart = 0.75
 
-// Places are those of a front, a descriptor each.
-type Places struct {
-	Live int // of connections that clients may ask on
-	// Ending are further ones, of connections that the front has ended and that are
+// Limits are those of a front, a descriptor each.
+type Limits struct {
+	Active int // of connections that clients may ask on
+	// Lingering are further ones, of connections that the front has ended and that are
 	// read on until their clients end them too; 1 at least.
-	Ending int
+	Lingering int
 }
 
-// Step is what comes next when a client has connected.
-type Step int
+// Action is what comes next when a client has connected.
+type Action int
 
-// The steps. After [End] and [Cut], the next one has to be asked for.
+// The steps. After [CloseIdle] and [AbortLingering], the next one has to be asked for.
 const (
-	Admit Step = iota // it has its place
-	End               // one that is live has to end
-	Cut               // one that is ending is closed at once
+	Admit          Action = iota // it has its place
+	CloseIdle                    // one that is live has to end
+	AbortLingering               // one that is ending is closed at once
 )
 
-// Next says what comes next for one more connection, with so many there.
-func (p Places) Next(live, ending int) Step {
+// NextAction says what comes next for one more connection, with so many there.
+func (p Limits) NextAction(live, ending int) Action {
 	switch {
-	case live >= p.Live:
-		return End
-	case live+ending >= p.Live+max(p.Ending, 1):
-		return Cut
+	case live >= p.Active:
+		return CloseIdle
+	case live+ending >= p.Active+max(p.Lingering, 1):
+		return AbortLingering
 	}
 	return Admit
 }
 
 // Conn is what is known of a connection.
 type Conn struct {
-	Since    time.Time // it was opened, or had its last answer
-	Heard    time.Time // of the last byte of a request that has begun to come
-	Answered bool      // it has had an answer
-	Begun    bool      // a request has begun to come and is not whole
-	Busy     bool      // a whole request is under way
+	IdleSince time.Time // it was opened, or had its last answer
+	LastRead  time.Time // of the last byte of a request that has begun to come
+	Answered  bool      // it has had an answer
+	Partial   bool      // a request has begun to come and is not whole
+	Busy      bool      // a whole request is under way
 }
 
 // class is the order in which connections go; the least first.
@@ -59,7 +59,7 @@
 	switch {
 	case c.Busy:
 		return kept
-	case c.Begun:
+	case c.Partial:
 		return begun
 	case c.Answered:
 		return resting
@@ -69,16 +69,16 @@
 
 // waits is since when it has done nothing.
 func (c *Conn) waits() time.Time {
-	if c.Begun && c.Heard.After(c.Since) {
-		return c.Heard
+	if c.Partial && c.LastRead.After(c.IdleSince) {
+		return c.LastRead
 	}
-	return c.Since
+	return c.IdleSince
 }
 
-// Pick returns the place of the one that makes room among conns, of which there may
+// PickVictim returns the place of the one that makes room among conns, of which there may
 // be most at once; -1 if none may go. Among those that are alike it is the one that has done nothing for
 // longest.
-func Pick(conns []Conn, most int) int {
+func PickVictim(conns []Conn, most int) int {
 	n := 0
 	for i := range conns {
 		if conns[i].class() == silent {
--- a/internal/netutil/accept.go
+++ b/internal/netutil/accept.go
@@ -17,30 +17,30 @@
 const (
 	// ListenerClosed: no more connections come.
 	ListenerClosed AcceptFailure = iota
-	// ConnectionLost: the connection at hand, or the call, was aborted; others wait.
-	ConnectionLost
+	// ConnectionAborted: the connection at hand, or the call, was aborted; others wait.
+	ConnectionAborted
 	// NoDescriptor: this process may open no more; closing one helps.
 	NoDescriptor
-	// SystemShort: the system is short of descriptors or buffers for a moment. Closing
+	// SystemExhausted: the system is short of descriptors or buffers for a moment. Closing
 	// connections of one's own may not help, and would cut off clients.
-	SystemShort
+	SystemExhausted
 )
 
 var acceptFailureNames = [...]string{"listener closed", "connection lost", "no descriptor", "system short"}
 
 func (f AcceptFailure) String() string { return acceptFailureNames[f] }
 
-// ClassifyAccept tells what an error of Accept means.
-func ClassifyAccept(err error) AcceptFailure {
+// ClassifyAcceptError tells what an error of Accept means.
+func ClassifyAcceptError(err error) AcceptFailure {
 	switch {
 	case errors.Is(err, net.ErrClosed):
 		return ListenerClosed
 	case errors.Is(err, syscall.EMFILE):
 		return NoDescriptor
 	case errors.Is(err, syscall.ENFILE), errors.Is(err, syscall.ENOBUFS), errors.Is(err, syscall.ENOMEM):
-		return SystemShort
+		return SystemExhausted
 	}
-	return ConnectionLost
+	return ConnectionAborted
 }
 
 const (
@@ -63,7 +63,7 @@
 	switch f {
 	case NoDescriptor:
 		return acceptPause, true
-	case SystemShort:
+	case SystemExhausted:
 		if b.since.IsZero() {
 			b.since = now
 		}
@@ -133,7 +133,7 @@
 			}
 			continue
 		}
-		failure := ClassifyAccept(err)
+		failure := ClassifyAcceptError(err)
 		if failure == ListenerClosed {
 			return nil, err
 		}
--- a/internal/netutil/accept_test.go
+++ b/internal/netutil/accept_test.go
@@ -12,16 +12,16 @@
 // client its connection.
 func TestAcceptFailures(t *testing.T) {
 	for errno, want := range map[syscall.Errno]AcceptFailure{
-		syscall.EMFILE: NoDescriptor, syscall.ENFILE: SystemShort, syscall.ENOBUFS: SystemShort, syscall.ENOMEM: SystemShort,
-		syscall.ECONNABORTED: ConnectionLost, syscall.EINTR: ConnectionLost, syscall.EPROTO: ConnectionLost, syscall.EPERM: ConnectionLost,
-		syscall.ENETDOWN: ConnectionLost, syscall.EHOSTUNREACH: ConnectionLost, syscall.ETIMEDOUT: ConnectionLost,
+		syscall.EMFILE: NoDescriptor, syscall.ENFILE: SystemExhausted, syscall.ENOBUFS: SystemExhausted, syscall.ENOMEM: SystemExhausted,
+		syscall.ECONNABORTED: ConnectionAborted, syscall.EINTR: ConnectionAborted, syscall.EPROTO: ConnectionAborted, syscall.EPERM: ConnectionAborted,
+		syscall.ENETDOWN: ConnectionAborted, syscall.EHOSTUNREACH: ConnectionAborted, syscall.ETIMEDOUT: ConnectionAborted,
 	} {
 		err := fmt.Errorf("accept: %w", &net.OpError{Op: "accept", Err: errno})
-		if got := ClassifyAccept(err); got != want {
+		if got := ClassifyAcceptError(err); got != want {
 			t.Errorf("%v is %v, want %v", errno, got, want)
 		}
 	}
-	if got := ClassifyAccept(&net.OpError{Op: "accept", Err: net.ErrClosed}); got != ListenerClosed {
+	if got := ClassifyAcceptError(&net.OpError{Op: "accept", Err: net.ErrClosed}); got != ListenerClosed {
 		t.Errorf("a closed listener is %v", got)
 	}
 }
@@ -29,7 +29,7 @@
 func TestAcceptBackoff(t *testing.T) {
 	var b acceptBackoff
 	at := time.Now()
-	if pause, release := b.failed(ConnectionLost, at); pause == 0 || pause >= acceptPause || release {
+	if pause, release := b.failed(ConnectionAborted, at); pause == 0 || pause >= acceptPause || release {
 		t.Errorf("after a lost connection: %v, %v", pause, release)
 	}
 	if pause, release := b.failed(NoDescriptor, at); pause == 0 || !release {
@@ -39,12 +39,12 @@
 		after time.Duration
 		want  bool
 	}{{0, false}, {shortFor - 1, false}, {shortFor, true}} {
-		if _, release := b.failed(SystemShort, at.Add(x.after)); release != x.want {
+		if _, release := b.failed(SystemExhausted, at.Add(x.after)); release != x.want {
 			t.Errorf("short for %v: release %v", x.after, release)
 		}
 	}
 	b.accepted()
-	if _, release := b.failed(SystemShort, at.Add(time.Hour)); release {
+	if _, release := b.failed(SystemExhausted, at.Add(time.Hour)); release {
 		t.Error("a new shortage counts from the one before")
 	}
 }
@@ -87,7 +87,7 @@
 		t.Errorf("%d descriptors were given back, want that for EMFILE", released)
 	}
 	ln.Close()
-	if _, err := a.Accept(); ClassifyAccept(err) != ListenerClosed {
+	if _, err := a.Accept(); ClassifyAcceptError(err) != ListenerClosed {
 		t.Errorf("after the end: %v", err)
 	}
 }
--- a/internal/netutil/listen.go
+++ b/internal/netutil/listen.go
@@ -2,9 +2,9 @@
 
 import "net"
 
-// Serves says whether a listener at an address is the one that a configuration
+// MatchesAddr says whether a listener at an address is the one that a configuration
 // names as host:port. Port 0 is any.
-func Serves(configured string, addr net.Addr) bool {
+func MatchesAddr(configured string, addr net.Addr) bool {
 	at, ok := addr.(*net.TCPAddr)
 	if !ok {
 		return false
--- a/internal/netutil/listen_test.go
+++ b/internal/netutil/listen_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func TestServes(t *testing.T) {
+func TestMatchesAddr(t *testing.T) {
 	for _, c := range []struct {
 		configured, at string
 		want           bool
@@ -18,11 +18,11 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if got := Serves(c.configured, at); got != c.want {
+		if got := MatchesAddr(c.configured, at); got != c.want {
 			t.Errorf("%s at %s: %v", c.configured, c.at, got)
 		}
 	}
-	if Serves("127.0.0.1:80", &net.UnixAddr{Name: "x"}) {
+	if MatchesAddr("127.0.0.1:80", &net.UnixAddr{Name: "x"}) {
 		t.Error("a Unix socket serves a TCP address")
 	}
 }
