--- a/internal/front/resp/clients.go
+++ b/internal/front/resp/clients.go
@@ -18,15 +18,15 @@
 )
 
 const (
-	// lastAnswers is for the answers to what was read before the process ends, though it
-	// is held up meanwhile.
-	lastAnswers  = permit.MaxStall + 100*time.Millisecond
-	maxPipelined = 16 // requests of one connection that wait for their answers
-	smallRequest = 4 << 10
-	largeRequest = message.MaxBody + smallRequest
+	// finalResponseTimeout is how long Shutdown waits, after the front has stopped reading, for the responses to
+	// requests that were read before. It exceeds the longest stall of the process that the rules allow for.
+	finalResponseTimeout = permit.MaxStall + 100*time.Millisecond
+	maxPipelined         = 16 // queued responses of one connection
+	smallRequestBytes    = 4 << 10
+	maxRequestBytes      = message.MaxBody + smallRequestBytes
 )
 
-// Core is what the front hands requests to. [core.Core] is one.
+// Core accepts messages and returns their states. [core.Core] implements it.
 type Core interface {
 	Clock() *clock.Clock
 	Check(m *message.Message, hold time.Duration) error
@@ -34,52 +34,51 @@
 	State(ctx context.Context, id string, wait bool) (core.State, error)
 }
 
-// Options set a front up.
+// Options configure a front.
 type Options struct {
-	Listen            string // address
-	MaxConnections    int    // at once that clients may ask on; the idlest makes room for a new one
-	MaxLingering      int    // beside them, that are ended and read on until their clients end them; 1 at least
-	LargeRequestBytes int64  // bytes that large requests may hold until they are answered
-	// NumericPartners says that partners are named by numbers, as on the platform.
+	Listen            string // TCP address, host:port
+	MaxConnections    int    // active connections at once; the idlest one is closed to make room for a new one
+	MaxLingering      int    // further connections that the front has closed and their clients have not; at least 1
+	LargeRequestBytes int64  // memory for large requests that have no response yet, in bytes
+	// NumericPartners requires partner names to be numbers, as they are on the platform.
 	NumericPartners bool
-	// Tenant returns the tenant that a token stands for. If it is nil, anybody may
-	// submit for any tenant.
+	// Tenant returns the tenant of a token. If it is nil, clients need no token and may submit for any tenant.
 	Tenant func(token string) (tenant string, ok bool)
-	// Ready says what PING answers; nil for yes.
+	// Ready reports whether PING is answered positively; nil for always.
 	Ready   func() bool
-	Monitor *permit.Monitor // counts connections that end with a request unanswered; nil for none
+	Monitor *permit.Monitor // counts connections closed with a request unanswered; nil for none
 	Log     *slog.Logger
 }
 
-// Front serves the RESP2 side: it accepts connections within the process's means
-// and closes the idlest to make room for new ones.
+// Front serves clients that speak RESP2. The number of connections is bounded; the idlest one is closed to make room
+// for a new one.
 type Front struct {
-	core     Core
-	opts     Options
-	log      *slog.Logger
-	ln       net.Listener
-	large    chan struct{} // a place for each large request that is not answered
-	mu       sync.Mutex
-	places   room.Limits
-	sessions map[*session]struct{}
-	ending   int               // of them, those that end
-	closing  bool              // no new connection is taken, and old ones end
-	retiring bool              // connections end between requests
-	leaving  bool              // and soon, if a request has begun to come
-	over     atomic.Bool       // the process ends: nothing more is read
-	acceptor *netutil.Acceptor // nil before Serve
-	accepted chan struct{}     // closed when no connection is accepted any more; nil before any is
-	wg       sync.WaitGroup
+	core           Core
+	opts           Options
+	log            *slog.Logger
+	ln             net.Listener
+	largeSlots     chan struct{} // holds an element for each large request that has no response yet
+	mu             sync.Mutex
+	limits         room.Limits
+	sessions       map[*session]struct{}
+	lingering      int               // the sessions that linger
+	shuttingDown   bool              // no connection is admitted, and existing ones are closed
+	draining       bool              // connections are closed between requests
+	shortDeadlines bool              // a request that is arriving gets drainTimeout at most
+	readingStopped atomic.Bool       // the process ends: nothing more is read from connections
+	acceptor       *netutil.Acceptor // nil before Serve
+	acceptDone     chan struct{}     // closed when Serve has stopped accepting; nil before Serve
+	wg             sync.WaitGroup
 }
 
-// New makes a front for a core.
+// New returns a front that submits messages to c.
 func New(c Core, opts Options) *Front {
 	return &Front{core: c, opts: opts, log: opts.Log, sessions: map[*session]struct{}{},
-		places: room.Limits{Active: opts.MaxConnections, Lingering: max(opts.MaxLingering, 1)},
-		large:  make(chan struct{}, max(int(opts.LargeRequestBytes/largeRequest), 8))}
+		limits:     room.Limits{Active: opts.MaxConnections, Lingering: max(opts.MaxLingering, 1)},
+		largeSlots: make(chan struct{}, max(int(opts.LargeRequestBytes/maxRequestBytes), 8))}
 }
 
-// Listen opens the listener.
+// Listen opens the listener unless the front has adopted one.
 func (c *Front) Listen() (err error) {
 	if c.ln == nil {
 		c.ln, err = net.Listen("tcp", c.opts.Listen)
@@ -87,7 +86,7 @@
 	return err
 }
 
-// AdoptListener gives the front a listener that another process has listened on, if it is at
+// AdoptListener makes the front use a listener inherited from another process. It reports whether the listener has
 // the front's address.
 func (c *Front) AdoptListener(ln net.Listener) bool {
 	if !netutil.MatchesAddr(c.opts.Listen, ln.Addr()) {
@@ -97,134 +96,135 @@
 	return true
 }
 
-// Listener is what the front listens on.
+// Listener returns the front's listener.
 func (c *Front) Listener() net.Listener { return c.ln }
 
-// Addr is where the front listens.
+// Addr returns the address of the listener.
 func (c *Front) Addr() net.Addr { return c.ln.Addr() }
 
-// CloseListener ends the taking of new clients, but for those that wait to be accepted
-// already.
+// CloseListener stops accepting connections once those that are queued in the listener have been accepted.
 func (c *Front) CloseListener() {
 	c.mu.Lock()
-	accept := c.acceptor
+	acceptor := c.acceptor
 	c.mu.Unlock()
-	if accept == nil {
+	if acceptor == nil {
 		c.ln.Close()
 		return
 	}
-	accept.Drain()
+	acceptor.Drain()
 }
 
 // Serve accepts connections until the listener is closed.
 func (c *Front) Serve() {
-	ln, accepted := c.ln, make(chan struct{})
+	ln, done := c.ln, make(chan struct{})
 	c.mu.Lock()
-	c.accepted = accepted
+	c.acceptDone = done
 	c.mu.Unlock()
-	defer close(accepted)
-	accept := &netutil.Acceptor{Listener: ln, Log: c.log, Release: c.releaseOne}
+	defer close(done)
+	acceptor := &netutil.Acceptor{Listener: ln, Log: c.log, Release: c.releaseDescriptor}
 	c.mu.Lock()
-	c.acceptor = accept
+	c.acceptor = acceptor
 	c.mu.Unlock()
 	for {
-		conn, err := accept.Accept()
+		conn, err := acceptor.Accept()
 		if err != nil {
 			return
 		}
-		s := &session{c: c, conn: conn, opened: time.Now()}
-		s.since = s.opened
+		s := &session{front: c, conn: conn, openedAt: time.Now()}
+		s.idleSince = s.openedAt
 		if !c.admit(s) {
 			conn.Close()
 			continue
 		}
 		go func() {
 			defer c.wg.Done()
-			s.handle()
+			s.serve()
 			conn.Close()
 			c.remove(s)
-			s.traceClosed()
+			s.logClosed()
 		}()
 	}
 }
 
-// admit takes a connection on, once others have made room for it where package room
-// says so; false if none can.
+// admit registers a new connection after closing others as far as package room asks for it. It reports whether there
+// was room; there is none while the front shuts down.
 func (c *Front) admit(s *session) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for made := true; made && !c.closing; {
-		switch c.places.NextAction(len(c.sessions)-c.ending, c.ending) {
+	for closed := true; closed && !c.shuttingDown; {
+		switch c.limits.NextAction(len(c.sessions)-c.lingering, c.lingering) {
 		case room.Admit:
 			c.sessions[s] = struct{}{}
 			c.wg.Add(1)
 			return true
 		case room.CloseIdle:
-			made = c.end()
+			closed = c.closeIdle()
 		case room.AbortLingering:
-			made = c.cut()
+			closed = c.abortLingering()
 		}
 	}
 	return false
 }
 
-// releaseOne has a descriptor given back, when there is none for a new connection.
-func (c *Front) releaseOne() {
+// releaseDescriptor frees a file descriptor when there is none for a new connection.
+func (c *Front) releaseDescriptor() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.cut() {
-		c.end()
+	if !c.abortLingering() {
+		c.closeIdle()
 	}
 }
 
-// end has the idlest connection end; false if a request is under way on each. Its own
-// goroutine ends it, unless a request has come by then. It is called under the lock.
-func (c *Front) end() bool {
-	s := c.idlest()
+// closeIdle asks the goroutine of the idlest connection to close it, and reports whether there was one without a
+// pending request. A request that has arrived by then keeps the connection open. The caller holds the lock.
+func (c *Front) closeIdle() bool {
+	s := c.pickIdle()
 	if s == nil {
 		return false
 	}
-	s.leave()
+	s.startLingering()
 	s.conn.SetReadDeadline(time.Now()) // wakes its reader
 	return true
 }
 
-// cut closes the connection that has been ending for longest, whatever its client
-// does; false if none ends that owes no answer. It is called under the lock.
-func (c *Front) cut() bool {
-	if c.ending == 0 {
+// abortLingering closes the connection that has lingered longest, without waiting for its client. It reports whether
+// there was one; those with pending requests are kept. The caller holds the lock.
+func (c *Front) abortLingering() bool {
+	if c.lingering == 0 {
 		return false
 	}
-	list, conns := make([]*session, 0, c.ending), make([]room.Conn, 0, c.ending)
+	list, conns := make([]*session, 0, c.lingering), make([]room.Conn, 0, c.lingering)
 	for s := range c.sessions {
-		if !s.left.IsZero() {
-			may := permit.Abort(permit.Connection{Unanswered: s.open}) // a request that is being read may be whole by now
-			list, conns = append(list, s), append(conns, room.Conn{IdleSince: s.left, Answered: true, Busy: may != permit.Granted})
+		if !s.lingeringSince.IsZero() {
+			// A request that is being read counts as pending, for it may be complete by now.
+			reason := permit.Abort(permit.Connection{Unanswered: s.pending})
+			list, conns = append(list, s),
+				append(conns, room.Conn{IdleSince: s.lingeringSince, Answered: true, Busy: reason != permit.Granted})
 		}
 	}
-	i := room.PickVictim(conns, c.places.Active)
+	i := room.PickVictim(conns, c.limits.Active)
 	if i < 0 {
 		return false
 	}
 	s := list[i]
-	s.cut = true
+	s.aborted = true
 	delete(c.sessions, s)
-	c.ending--
+	c.lingering--
 	s.conn.Close()
 	return true
 }
 
-// idlest picks the live connection that is missed least, by what package room says;
-// nil if none may go. One on which a request has come that its reader has not seen
-// yet is not idle. It is called under the lock.
-func (c *Front) idlest() *session {
+// pickIdle returns the active connection that package room picks to be closed; nil if there is none. A connection
+// with received bytes that its reader has not read yet is not idle. The caller holds the lock.
+func (c *Front) pickIdle() *session {
 	list, conns := make([]*session, 0, len(c.sessions)), make([]room.Conn, 0, len(c.sessions))
 	for s := range c.sessions {
-		if !s.left.IsZero() || s.buffered || s.open > 1 || s.open == 1 && !s.begun {
-			continue // it ends already, or is owed an answer
+		if !s.lingeringSince.IsZero() || s.buffered || s.pending > 1 || s.pending == 1 && !s.partial {
+			continue // it lingers already, or has a complete request without a response
 		}
 		list = append(list, s)
-		conns = append(conns, room.Conn{IdleSince: s.since, Answered: s.served, Partial: s.begun, LastRead: s.opened.Add(time.Duration(s.heard.Load()))})
+		conns = append(conns, room.Conn{IdleSince: s.idleSince, Answered: s.served, Partial: s.partial,
+			LastRead: s.openedAt.Add(time.Duration(s.lastRead.Load()))})
 	}
 	for len(list) > 0 {
 		i := room.PickVictim(conns, c.opts.MaxConnections)
@@ -239,62 +239,63 @@
 	return nil
 }
 
+// remove forgets a closed connection.
 func (c *Front) remove(s *session) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if _, ok := c.sessions[s]; ok && !s.left.IsZero() {
-		c.ending--
+	if _, ok := c.sessions[s]; ok && !s.lingeringSince.IsZero() {
+		c.lingering--
 	}
 	delete(c.sessions, s)
 }
 
-// DisableKeepAlives has connections closed between requests, or no longer.
-func (c *Front) DisableKeepAlives(on bool) {
+// DisableKeepAlives sets whether connections are closed between requests.
+func (c *Front) DisableKeepAlives(disable bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.closing || c.retiring == on {
+	if c.shuttingDown || c.draining == disable {
 		return
 	}
-	if c.retiring = on; on {
+	if c.draining = disable; disable {
 		c.wakeReaders()
 	}
 }
 
-// wakeReaders wakes the readers, which look for a request that has begun to come. It is
-// called under the lock.
+// wakeReaders shortens the read deadlines of all connections to those of a drain. A reader whose deadline passes still
+// serves a request that has begun to arrive. The caller holds the lock.
 func (c *Front) wakeReaders() {
 	for s := range c.sessions {
 		at := time.Now()
-		by := s.opened.Add(firstRetired)
+		firstBy := s.openedAt.Add(drainFirstTimeout)
 		switch {
-		case s.shut:
-			at = at.Add(lastRequest)
-		case s.open > 0 && !c.leaving: // it may have come in part, and has its time
+		case s.writeClosed:
+			at = at.Add(drainTimeout)
+		case s.pending > 0 && !c.shortDeadlines: // a request may be arriving and keeps its deadline
 			continue
-		case s.open > 0:
-			at = at.Add(lastRequest)
-		case !c.leaving && !s.served && by.After(at):
-			at = by
+		case s.pending > 0:
+			at = at.Add(drainTimeout)
+		case !c.shortDeadlines && !s.served && firstBy.After(at):
+			at = firstBy
 		}
 		s.conn.SetReadDeadline(at)
 	}
 }
 
-// Shutdown closes each connection once no request is under way on it, and returns
-// when all are closed. Once ctx is over nothing more is read, and it returns as soon
-// as all that has been read is answered.
-func (c *Front) Shutdown(ctx context.Context, hurry bool) {
+// Shutdown closes each connection when it has no pending request, and returns when all are closed. With
+// shortDeadlines, requests that are arriving get a short time to be complete. Once ctx is done nothing more is read,
+// and Shutdown returns when every request that was read has its response, or after a bounded time.
+func (c *Front) Shutdown(ctx context.Context, shortDeadlines bool) {
 	c.mu.Lock()
-	accepted := c.accepted
+	acceptDone := c.acceptDone
 	c.mu.Unlock()
-	if accepted != nil { // what has been accepted is served
+	if acceptDone != nil { // serve every connection that was accepted
 		select {
-		case <-accepted:
+		case <-acceptDone:
 		case <-ctx.Done():
 		}
 	}
 	c.mu.Lock()
-	c.closing, c.retiring, c.leaving = true, true, hurry
+	c.shuttingDown, c.draining, c.shortDeadlines = true, true, shortDeadlines
 	c.wakeReaders()
 	c.mu.Unlock()
 	done := make(chan struct{})
@@ -304,43 +305,44 @@
 		return
 	case <-ctx.Done():
 	}
-	// Clients that never paused are here yet. What has been read is answered; nothing more is.
-	c.over.Store(true)
+	// The remaining clients have sent requests without a pause. Finish those that were read, and read no more.
+	c.readingStopped.Store(true)
 	c.mu.Lock()
 	for s := range c.sessions {
 		at := time.Now()
-		if s.shut {
-			at = at.Add(lingerLast)
+		if s.writeClosed {
+			at = at.Add(finalLingerTimeout)
 		}
 		s.conn.SetReadDeadline(at)
 	}
 	c.mu.Unlock()
 	select {
 	case <-done:
-	case <-time.After(lastAnswers):
-		c.traceUnanswered()
+	case <-time.After(finalResponseTimeout):
+		c.reportUnanswered()
 	}
 }
 
-// traceUnanswered counts the requests that were read and get no answer, since the
+// reportUnanswered counts a violation for each connection with complete requests that get no response because the
 // process ends.
-func (c *Front) traceUnanswered() {
+func (c *Front) reportUnanswered() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for s := range c.sessions {
-		unanswered := s.open
-		if s.begun {
+		unanswered := s.pending
+		if s.partial {
 			unanswered--
 		}
 		if unanswered > 0 {
-			c.opts.Monitor.CountViolation(permit.ClosedUnanswered, s.conn.RemoteAddr().String(), "requests", unanswered, "reason", string(closedOver))
+			c.opts.Monitor.CountViolation(permit.ClosedUnanswered, s.conn.RemoteAddr().String(),
+				"requests", unanswered, "reason", string(closedProcessEnds))
 		}
 	}
 }
 
-// ends says whether connections are about to end.
-func (c *Front) ends() bool {
+// isDraining reports whether connections are closed between requests.
+func (c *Front) isDraining() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.retiring
+	return c.draining
 }
--- a/internal/front/resp/commands.go
+++ b/internal/front/resp/commands.go
@@ -13,156 +13,157 @@
 )
 
 const (
-	answerOK       = "+OK\r\n"
-	answerFailed   = "-ERR failed\r\n"
-	answerUnknown  = "-ERR unknown destination\r\n"
-	answerConflict = "-ERR id belongs to another message\r\n"
-	answerStopped  = "-BUSY\r\n"
-	answerNotReady = "-LAMEDUCK this sender takes no new clients\r\n"
-	answerNoAuth   = "-NOAUTH token required\r\n"
+	responseOK             = "+OK\r\n"
+	responseFailed         = "-ERR failed\r\n"
+	responseUnknownPartner = "-ERR unknown destination\r\n"
+	responseConflict       = "-ERR id belongs to another message\r\n"
+	responseStopped        = "-BUSY\r\n"
+	responseNotReady       = "-LAMEDUCK this sender takes no new clients\r\n"
+	responseNoAuth         = "-NOAUTH token required\r\n"
 )
 
-// lineOf is the answer to a message that was handed in, as a line.
-func lineOf(a core.SubmitResponse) string {
-	switch a.Status {
+// formatResult encodes the response to a submitted message.
+func formatResult(result core.SubmitResponse) string {
+	switch result.Status {
 	case core.Accepted:
-		return answerOK
+		return responseOK
 	case core.Busy:
-		return busyLine(a.RetryAfter)
+		return formatBusy(result.RetryAfter)
 	case core.UnknownPartner:
-		return answerUnknown
+		return responseUnknownPartner
 	case core.Conflict:
-		return answerConflict
+		return responseConflict
 	case core.Stopped:
-		return answerStopped
+		return responseStopped
 	}
-	return answerFailed
+	return responseFailed
 }
 
-func busyLine(after time.Duration) string {
-	if after <= 0 {
+// formatBusy encodes a rejection, with the time until a retry in whole milliseconds, rounded up, if there is one.
+func formatBusy(retryAfter time.Duration) string {
+	if retryAfter <= 0 {
 		return "-BUSY\r\n"
 	}
-	return fmt.Sprintf("-BUSY %d\r\n", (after+time.Millisecond-1)/time.Millisecond)
+	return fmt.Sprintf("-BUSY %d\r\n", (retryAfter+time.Millisecond-1)/time.Millisecond)
 }
 
-func errLine(text string) answer { return answer{line: "-ERR " + text + "\r\n"} }
+func errorResponse(text string) response { return response{text: "-ERR " + text + "\r\n"} }
 
-// answer carries a request out.
-func (s *session) answer(args [][]byte) answer {
+// execute executes a request and returns its response.
+func (s *session) execute(args [][]byte) response {
 	cmd := strings.ToUpper(string(args[0]))
-	if s.c.opts.Tenant != nil && !s.authed && strings.HasPrefix(cmd, "MSG.") {
-		return answer{line: answerNoAuth}
+	if s.front.opts.Tenant != nil && !s.authenticated && strings.HasPrefix(cmd, "MSG.") {
+		return response{text: responseNoAuth}
 	}
 	switch cmd {
 	case "PING":
 		switch {
-		case s.c.opts.Ready != nil && !s.c.opts.Ready():
-			return answer{line: answerNotReady}
+		case s.front.opts.Ready != nil && !s.front.opts.Ready():
+			return response{text: responseNotReady}
 		case len(args) == 1:
-			return answer{line: "+PONG\r\n"}
-		case len(args) == 2 && len(args[1]) <= smallRequest:
-			return answer{line: fmt.Sprintf("$%d\r\n%s\r\n", len(args[1]), args[1])}
+			return response{text: "+PONG\r\n"}
+		case len(args) == 2 && len(args[1]) <= smallRequestBytes:
+			return response{text: fmt.Sprintf("$%d\r\n%s\r\n", len(args[1]), args[1])}
 		}
-		return errLine("PING takes one short argument at most")
+		return errorResponse("PING takes one short argument at most")
 	case "MSG.PUT":
-		m, hold, err := s.c.parsePut(args[1:], time.Now())
-		if err == nil && s.authed {
-			err = s.own(m)
+		m, timeLeft, err := s.front.parsePut(args[1:], time.Now())
+		if err == nil && s.authenticated {
+			err = s.bindTenant(m)
 		}
 		if err == nil {
-			err = s.c.core.Check(m, hold)
+			err = s.front.core.Check(m, timeLeft)
 		}
 		if err != nil {
-			return errLine(err.Error())
+			return errorResponse(err.Error())
 		}
-		later := make(chan core.SubmitResponse, 1)
-		s.c.core.Submit(m, later)
-		return answer{later: later}
+		result := make(chan core.SubmitResponse, 1)
+		s.front.core.Submit(m, result)
+		return response{result: result}
 	case "MSG.STATE":
 		if len(args) != 2 || len(args[1]) == 0 || len(args[1]) > message.MaxName {
-			return errLine("MSG.STATE takes an id")
+			return errorResponse("MSG.STATE takes an id")
 		}
-		id, bound, tenant := string(args[1]), s.authed, s.tenant
-		return answer{ask: func() string { return s.c.state(id, bound, tenant) }}
+		id, bound, tenant := string(args[1]), s.authenticated, s.tenant
+		return response{compute: func() string { return s.front.state(id, bound, tenant) }}
 	}
-	return s.greet(cmd, args[1:])
+	return s.connectionCommand(cmd, args[1:])
 }
 
-// greet answers what client libraries send on connecting.
-func (s *session) greet(cmd string, args [][]byte) answer {
+// connectionCommand executes the commands that client libraries send when they connect.
+func (s *session) connectionCommand(cmd string, args [][]byte) response {
 	switch cmd {
 	case "HELLO":
 		return s.hello(args)
 	case "AUTH":
 		if len(args) != 1 && len(args) != 2 {
-			return errLine("AUTH takes a token")
+			return errorResponse("AUTH takes a token")
 		}
-		return s.auth(string(args[len(args)-1]), answerOK)
+		return s.auth(string(args[len(args)-1]), responseOK)
 	case "CLIENT":
 		if len(args) > 0 {
 			switch strings.ToUpper(string(args[0])) {
 			case "SETINFO", "SETNAME":
-				return answer{line: answerOK}
+				return response{text: responseOK}
 			case "GETNAME":
-				return answer{line: "$-1\r\n"}
+				return response{text: "$-1\r\n"}
 			}
 		}
-		return errLine("unknown subcommand of CLIENT")
+		return errorResponse("unknown subcommand of CLIENT")
 	case "COMMAND":
-		return answer{line: "*0\r\n"}
+		return response{text: "*0\r\n"}
 	case "SELECT":
 		if len(args) == 1 && string(args[0]) == "0" {
-			return answer{line: answerOK}
+			return response{text: responseOK}
 		}
-		return errLine("there is database 0 only")
+		return errorResponse("there is database 0 only")
 	case "QUIT":
-		return answer{line: answerOK, last: true}
+		return response{text: responseOK, closeAfter: true}
 	}
-	return errLine("unknown command")
+	return errorResponse("unknown command")
 }
 
-// hello answers HELLO [2 [AUTH user token] [SETNAME name]]. RESP3 is not spoken,
-// and clients fall back when told so.
-func (s *session) hello(args [][]byte) answer {
+// hello executes HELLO [2 [AUTH user token] [SETNAME name]]. RESP3 is not supported; clients fall back to RESP2 on
+// the NOPROTO error.
+func (s *session) hello(args [][]byte) response {
 	const text = "*6\r\n$6\r\nserver\r\n$9\r\ncometrack\r\n$5\r\nproto\r\n:2\r\n$4\r\nrole\r\n$6\r\nmaster\r\n"
 	if len(args) > 0 && string(args[0]) != "2" {
-		return answer{line: "-NOPROTO only protocol version 2 is spoken\r\n"}
+		return response{text: "-NOPROTO only protocol version 2 is spoken\r\n"}
 	}
 	for i := 1; i < len(args); i++ {
 		switch strings.ToUpper(string(args[i])) {
 		case "AUTH":
 			if i+2 >= len(args) {
-				return errLine("AUTH takes a user and a token")
+				return errorResponse("AUTH takes a user and a token")
 			}
-			if a := s.auth(string(args[i+2]), ""); a.line != "" {
+			if a := s.auth(string(args[i+2]), ""); a.text != "" {
 				return a
 			}
 			i += 2
 		case "SETNAME":
 			i++
 		default:
-			return errLine("unknown option of HELLO")
+			return errorResponse("unknown option of HELLO")
 		}
 	}
-	return answer{line: text}
+	return response{text: text}
 }
 
-// auth takes a token and answers ok if it stands for a tenant.
-func (s *session) auth(token, ok string) answer {
-	if s.c.opts.Tenant == nil {
-		return errLine("no token is set for this listener")
+// auth authenticates the connection by a token. Its response is ok if the token is valid.
+func (s *session) auth(token, ok string) response {
+	if s.front.opts.Tenant == nil {
+		return errorResponse("no token is set for this listener")
 	}
-	tenant, known := s.c.opts.Tenant(token)
+	tenant, known := s.front.opts.Tenant(token)
 	if !known {
-		return answer{line: "-WRONGPASS unknown token\r\n"}
+		return response{text: "-WRONGPASS unknown token\r\n"}
 	}
-	s.tenant, s.authed = tenant, true
-	return answer{line: ok}
+	s.tenant, s.authenticated = tenant, true
+	return response{text: ok}
 }
 
-// own binds a message to the tenant of the session's token.
-func (s *session) own(m *message.Message) error {
+// bindTenant sets the tenant of a message to that of the session's token, and rejects any other.
+func (s *session) bindTenant(m *message.Message) error {
 	if m.Tenant == "" {
 		m.Tenant = s.tenant
 	}
@@ -172,12 +173,12 @@
 	return nil
 }
 
-// state answers MSG.STATE: an array of names and values, empty if nothing is known
-// of the message. Bound to a tenant, it tells nothing of others' messages.
+// state executes MSG.STATE: it encodes an array of names and values, which is empty if the message is unknown. If
+// bound, the messages of other tenants are unknown too.
 func (c *Front) state(id string, bound bool, tenant string) string {
 	st, err := c.core.State(context.Background(), id, false)
 	if err != nil {
-		return answerStopped
+		return responseStopped
 	}
 	if st.Name == "" || bound && st.Tenant != tenant {
 		return "*0\r\n"
@@ -206,8 +207,7 @@
 	return fmt.Sprintf("*%d\r\n%s", n, b.String())
 }
 
-// parsePut reads the arguments of MSG.PUT, and how long the message may be
-// delivered.
+// parsePut parses the arguments of MSG.PUT. It returns the message and the time left until its deadline.
 func (c *Front) parsePut(args [][]byte, now time.Time) (*message.Message, time.Duration, error) {
 	if len(args) != 4 {
 		return nil, 0, errors.New("MSG.PUT wants a key, an id, a list of names and values, and a body")
@@ -216,7 +216,7 @@
 	if key := string(args[0]); strings.Trim(key, "0") != "" {
 		m.Order = key
 	}
-	var hold time.Duration
+	var timeLeft time.Duration
 	seen := map[string]bool{}
 	for _, pair := range strings.Split(string(args[2]), ",") {
 		name, value, ok := strings.Cut(pair, "=")
@@ -239,8 +239,8 @@
 			if err != nil || ms < 0 || ms > core.MaxRequestedTime.Milliseconds() {
 				return nil, 0, errors.New("bad time")
 			}
-			hold = time.Duration(ms) * time.Millisecond
-			m.Deadline = c.core.Clock().At(now) + hold.Microseconds()
+			timeLeft = time.Duration(ms) * time.Millisecond
+			m.Deadline = c.core.Clock().At(now) + timeLeft.Microseconds()
 		case "dest":
 			m.Partner = value
 			if c.opts.NumericPartners {
@@ -255,5 +255,5 @@
 	if !seen["d"] || !seen["dest"] {
 		return nil, 0, errors.New("d and dest must be given")
 	}
-	return m, hold, nil
+	return m, timeLeft, nil
 }
--- a/internal/front/resp/doc.go
+++ b/internal/front/resp/doc.go
@@ -1,3 +1,3 @@
-// Package resp is the front for clients that speak RESP2. Its reader takes no
-// memory by the client's word before it has checked it.
+// Package resp is the front for clients that speak RESP2. Lengths that a client sends are checked before memory is
+// allocated for them.
 package resp
--- a/internal/front/resp/front_test.go
+++ b/internal/front/resp/front_test.go
@@ -19,18 +19,18 @@
 	"cometrack/internal/standin/byhand"
 )
 
-// yes takes every message on.
-type yes struct{}
+// acceptingCore takes every message on.
+type acceptingCore struct{}
 
-func (yes) Check(*message.Message, time.Duration) error { return nil }
+func (acceptingCore) Check(*message.Message, time.Duration) error { return nil }
 
-func (yes) Clock() *clock.Clock { now := time.Now(); return clock.New(now.UnixMicro(), now) }
+func (acceptingCore) Clock() *clock.Clock { now := time.Now(); return clock.New(now.UnixMicro(), now) }
 
-func (yes) Submit(_ *message.Message, answer chan<- core.SubmitResponse) {
+func (acceptingCore) Submit(_ *message.Message, answer chan<- core.SubmitResponse) {
 	answer <- core.SubmitResponse{}
 }
 
-func (yes) State(_ context.Context, id string, _ bool) (core.State, error) {
+func (acceptingCore) State(_ context.Context, id string, _ bool) (core.State, error) {
 	if id == "known" {
 		return core.State{ID: id, Name: message.Returned, Tenant: "acme", Partner: "p", Class: "c", Attempts: 2,
 			RetryAfter: 1500 * time.Millisecond, EndedAt: time.UnixMilli(1)}, nil
@@ -45,7 +45,7 @@
 	if opts.MaxConnections == 0 {
 		opts.MaxConnections = 100
 	}
-	f := New(yes{}, opts)
+	f := New(acceptingCore{}, opts)
 	if err := f.Listen(); err != nil {
 		t.Fatal(err)
 	}
@@ -72,7 +72,7 @@
 	return &client{t, conn, bufio.NewReader(conn)}
 }
 
-func (c *client) line() string {
+func (c *client) readLine() string {
 	c.t.Helper()
 	s, err := c.r.ReadString('\n')
 	if errors.Is(err, context.DeadlineExceeded) {
@@ -87,11 +87,11 @@
 	for _, a := range args {
 		fmt.Fprintf(c.conn, "$%d\r\n%s\r\n", len(a), a)
 	}
-	return c.line()
+	return c.readLine()
 }
 
-// ended reads until the front closes the connection.
-func (c *client) ended() string {
+// readToEOF reads until the front closes the connection.
+func (c *client) readToEOF() string {
 	c.t.Helper()
 	b, err := io.ReadAll(c.r)
 	var n net.Error
@@ -103,14 +103,14 @@
 
 // Connections that asked once and stay must not keep new clients out: the idlest makes room. One with a request
 // under way never does.
-func TestFullOfClients(t *testing.T) {
+func TestIdlestMakesRoom(t *testing.T) {
 	f := serve(t, Options{MaxConnections: 3})
 	first, second, half := dial(t, f), dial(t, f), dial(t, f)
 	for _, c := range []*client{first, second} {
 		if got := c.do("PING"); got != "+PONG" {
 			t.Fatal(got)
 		}
-		settle(t, f) // its answer is on its way before the front holds it for answered
+		waitIdle(t, f) // its answer is on its way before the front holds it for answered
 	}
 	io.WriteString(half.conn, "*1\r\n$4\r\nPI")
 	byhand.Until(t, "request at the front", func() bool {
@@ -118,7 +118,7 @@
 		defer f.mu.Unlock()
 		begun := 0
 		for s := range f.sessions {
-			begun += s.open
+			begun += s.pending
 		}
 		return begun == 1
 	})
@@ -126,14 +126,14 @@
 	if got := fourth.do("PING"); got != "+PONG" {
 		t.Errorf("a new client gets %q", got)
 	}
-	if got := first.ended(); got != "" {
+	if got := first.readToEOF(); got != "" {
 		t.Errorf("the idlest got %q", got)
 	}
 	if got := second.do("PING"); got != "+PONG" {
 		t.Errorf("one that is less idle gets %q", got)
 	}
 	io.WriteString(half.conn, "NG\r\n")
-	if got := half.line(); got != "+PONG" {
+	if got := half.readLine(); got != "+PONG" {
 		t.Errorf("a request under way gets %q", got)
 	}
 }
@@ -141,38 +141,38 @@
 // What large requests hold is bounded over all connections.
 func TestLargeRequestsBounded(t *testing.T) {
 	f := serve(t, Options{})
-	for range cap(f.large) {
-		f.large <- struct{}{}
+	for range cap(f.largeSlots) {
+		f.largeSlots <- struct{}{}
 	}
-	if got := dial(t, f).do("PING", strings.Repeat("x", 2*smallRequest)); !strings.HasPrefix(got, "-BUSY") {
+	if got := dial(t, f).do("PING", strings.Repeat("x", 2*smallRequestBytes)); !strings.HasPrefix(got, "-BUSY") {
 		t.Errorf("got %q", got)
 	}
-	for range cap(f.large) {
-		<-f.large
+	for range cap(f.largeSlots) {
+		<-f.largeSlots
 	}
-	for range 2 * cap(f.large) { // each gives its place back
+	for range 2 * cap(f.largeSlots) { // each gives its place back
 		d := dial(t, f)
 		if got := d.do("MSG.PUT", "0", "id", "c=safe,d=9000,dest=99", strings.Repeat("x", maxBulk)); got != "+OK" {
 			t.Fatalf("got %q", got)
 		}
 		d.conn.Close()
 	}
-	for stop := time.Now().Add(byhand.Patience); len(f.large) > 0; {
+	for stop := time.Now().Add(byhand.Patience); len(f.largeSlots) > 0; {
 		if time.Now().After(stop) {
-			t.Fatalf("%d places are not given back", len(f.large))
+			t.Fatalf("%d places are not given back", len(f.largeSlots))
 		}
 	}
 }
 
 // A request that came just before the sender closes its connections is answered: its client counts on that.
-func TestRequestCrossesShutdown(t *testing.T) {
+func TestRequestBeforeShutdown(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer ln.Close()
-	f := New(yes{}, Options{Log: slog.New(slog.DiscardHandler)})
-	f.ln, f.closing, f.retiring, f.leaving = ln, true, true, true
+	f := New(acceptingCore{}, Options{Log: slog.New(slog.DiscardHandler)})
+	f.ln, f.shuttingDown, f.draining, f.shortDeadlines = ln, true, true, true
 	c := dial(t, f)
 	conn, err := ln.Accept()
 	if err != nil {
@@ -188,12 +188,12 @@
 			t.Fatal("the request does not come")
 		}
 	}
-	(&session{c: f, conn: conn, opened: time.Now()}).handle()
+	(&session{front: f, conn: conn, openedAt: time.Now()}).serve()
 	conn.Close()
-	if got := c.line(); got != "+PONG" {
+	if got := c.readLine(); got != "+PONG" {
 		t.Errorf("got %q", got)
 	}
-	if got := c.line(); got != "" {
+	if got := c.readLine(); got != "" {
 		t.Errorf("the connection goes on with %q", got)
 	}
 }
@@ -202,22 +202,22 @@
 	f.Add("*1\r\n$4\r\nPING\r\n")
 	f.Add("*5\r\n$7\r\nMSG.PUT\r\n$1\r\n0\r\n$1\r\na\r\n$20\r\nc=safe,d=9000,dest=1\r\n$3\r\n\r\n\x00\r\n")
 	f.Fuzz(func(t *testing.T, in string) {
-		args, err := readCommand(bufio.NewReader(strings.NewReader(in)), func() error { return errNoPlace })
+		args, err := readCommand(bufio.NewReader(strings.NewReader(in)), func() error { return errNoLargeSlot })
 		sum := 0
 		for _, a := range args {
 			sum += len(a)
 		}
-		if sum > smallRequest || err == nil && len(args) == 0 {
+		if sum > smallRequestBytes || err == nil && len(args) == 0 {
 			t.Errorf("%q: %d arguments, %d bytes", in, len(args), sum)
 		}
-		if err != nil && !errors.Is(err, errProtocol) && !errors.Is(err, errNoPlace) && !errors.Is(err, io.EOF) && !errors.Is(err, io.ErrUnexpectedEOF) {
+		if err != nil && !errors.Is(err, errProtocol) && !errors.Is(err, errNoLargeSlot) && !errors.Is(err, io.EOF) && !errors.Is(err, io.ErrUnexpectedEOF) {
 			t.Errorf("%q: %v", in, err)
 		}
 	})
 }
 
 // Client libraries greet a server before they use it: what they send must not end their connection.
-func TestGreetings(t *testing.T) {
+func TestConnectionCommands(t *testing.T) {
 	c := dial(t, serve(t, Options{}))
 	for _, x := range [][]string{{"-NOPROTO", "HELLO", "3"}, {"-NOPROTO", "HELLO", "3", "SETNAME", "x"}, {"+OK", "CLIENT", "SETINFO", "LIB-NAME", "x"},
 		{"+OK", "CLIENT", "SETNAME", "x"}, {"$-1", "CLIENT", "GETNAME"}, {"-ERR", "CLIENT", "KILL"}, {"-ERR", "CLIENT"}, {"*0", "COMMAND", "DOCS"},
@@ -226,7 +226,7 @@
 			t.Errorf("%q: got %q", x[1:], got)
 		}
 	}
-	if rest := c.ended(); rest != "" {
+	if rest := c.readToEOF(); rest != "" {
 		t.Errorf("after QUIT: %q", rest)
 	}
 }
@@ -247,8 +247,8 @@
 	for range 6 {
 		var pair [2]string
 		for i := range pair {
-			c.line()
-			pair[i] = c.line()
+			c.readLine()
+			pair[i] = c.readLine()
 		}
 		said[pair[0]] = pair[1]
 	}
@@ -292,7 +292,7 @@
 		t.Errorf("got %q", got)
 	}
 	for range 11 { // the rest of that answer
-		if d.line() == "master" {
+		if d.readLine() == "master" {
 			break
 		}
 	}
@@ -303,7 +303,7 @@
 
 // One that has said nothing yet is about to ask: it is kept before one that has had an answer, unless such ones
 // have taken most places.
-func TestSilentClientsAreKept(t *testing.T) {
+func TestSilentClients(t *testing.T) {
 	for _, x := range []struct {
 		silent int // of eight, the first to come
 		gone   int // which of the eight makes room
@@ -321,7 +321,7 @@
 				if got := all[i].do("PING"); got != "+PONG" {
 					t.Fatal(got)
 				}
-				settle(t, f)
+				waitIdle(t, f)
 			}
 		}
 		if got := dial(t, f).do("PING"); got != "+PONG" {
@@ -329,7 +329,7 @@
 		}
 		for i, c := range all {
 			if i == x.gone {
-				if got := c.ended(); got != "" {
+				if got := c.readToEOF(); got != "" {
 					t.Errorf("with %d silent clients, client %d got %q", x.silent, i, got)
 				}
 			} else if got := c.do("PING"); got != "+PONG" {
--- a/internal/front/resp/resp.go
+++ b/internal/front/resp/resp.go
@@ -10,20 +10,19 @@
 	"cometrack/internal/message"
 )
 
-// Bounds of a request. A longer one is a protocol error.
+// Bounds of a request. A request beyond them is a protocol error.
 const (
-	maxArgs = 16
-	maxBulk = message.MaxBody
-	maxLine = 64 // length lines
+	maxArgs       = 16
+	maxBulk       = message.MaxBody
+	maxLengthLine = 64 // bytes of a line with a length
 )
 
-// errProtocol marks what is not a RESP2 request; the connection cannot go on.
+// errProtocol reports input that is not a RESP2 request. The connection can't be resynchronized after it.
 var errProtocol = errors.New("protocol error")
 
-// readCommand reads one request: an array of bulk strings. All lengths are
-// checked before memory is taken for them; large is asked once before a request
-// takes more than a small one's.
-func readCommand(r *bufio.Reader, large func() error) ([][]byte, error) {
+// readCommand reads one request, an array of bulk strings. It checks each length before it allocates memory, and
+// calls admitLarge once before it reads more than smallRequestBytes.
+func readCommand(r *bufio.Reader, admitLarge func() error) ([][]byte, error) {
 	n, err := readLength(r, '*', maxArgs)
 	if err != nil {
 		return nil, err
@@ -32,24 +31,24 @@
 		return nil, fmt.Errorf("%w: empty request", errProtocol)
 	}
 	args := make([][]byte, n)
-	sum, asked := 0, false
+	sum, admitted := 0, false
 	for i := range args {
 		size, err := readLength(r, '$', maxBulk)
 		if err != nil {
-			return nil, unexpected(err)
+			return nil, unexpectedEOF(err)
 		}
-		if sum += size; sum > largeRequest {
-			return nil, fmt.Errorf("%w: request over %d", errProtocol, largeRequest)
+		if sum += size; sum > maxRequestBytes {
+			return nil, fmt.Errorf("%w: request over %d", errProtocol, maxRequestBytes)
 		}
-		if sum > smallRequest && !asked {
-			asked = true
-			if err := large(); err != nil {
+		if sum > smallRequestBytes && !admitted {
+			admitted = true
+			if err := admitLarge(); err != nil {
 				return nil, err
 			}
 		}
 		b := make([]byte, size+2)
 		if _, err := io.ReadFull(r, b); err != nil {
-			return nil, unexpected(err)
+			return nil, unexpectedEOF(err)
 		}
 		if b[size] != '\r' || b[size+1] != '\n' {
 			return nil, fmt.Errorf("%w: bulk string without its end", errProtocol)
@@ -59,13 +58,14 @@
 	return args, nil
 }
 
-func readLength(r *bufio.Reader, mark byte, most int) (int, error) {
+// readLength reads a line with a length: prefix, decimal digits and CRLF.
+func readLength(r *bufio.Reader, prefix byte, maxLength int) (int, error) {
 	var line []byte
 	for {
 		c, err := r.ReadByte()
 		if err != nil {
 			if len(line) > 0 {
-				err = unexpected(err)
+				err = unexpectedEOF(err)
 			}
 			return 0, err
 		}
@@ -73,25 +73,25 @@
 		if c == '\n' {
 			break
 		}
-		if len(line) >= maxLine {
+		if len(line) >= maxLengthLine {
 			return 0, fmt.Errorf("%w: length line too long", errProtocol)
 		}
 	}
-	if len(line) < 4 || line[0] != mark || line[len(line)-2] != '\r' {
-		return 0, fmt.Errorf("%w: want a line of %q and a length", errProtocol, mark)
+	if len(line) < 4 || line[0] != prefix || line[len(line)-2] != '\r' {
+		return 0, fmt.Errorf("%w: want a line of %q and a length", errProtocol, prefix)
 	}
 	n, err := strconv.ParseUint(string(line[1:len(line)-2]), 10, 31)
 	if err != nil {
 		return 0, fmt.Errorf("%w: bad length", errProtocol)
 	}
-	if n > uint64(most) {
-		return 0, fmt.Errorf("%w: length over %d", errProtocol, most)
+	if n > uint64(maxLength) {
+		return 0, fmt.Errorf("%w: length over %d", errProtocol, maxLength)
 	}
 	return int(n), nil
 }
 
-// unexpected turns the end of the input into one inside a request.
-func unexpected(err error) error {
+// unexpectedEOF returns err with io.EOF replaced by io.ErrUnexpectedEOF, for input that ends inside a request.
+func unexpectedEOF(err error) error {
 	if err == io.EOF {
 		return io.ErrUnexpectedEOF
 	}
--- a/internal/front/resp/session.go
+++ b/internal/front/resp/session.go
@@ -17,338 +17,354 @@
 )
 
 const (
-	firstRequest = 2300 * time.Millisecond // for the first request to have come whole
-	requestTime  = 2 * time.Second         // for a later one, once it has begun
-	idleClient   = 4 * time.Second         // between requests
-	answerTime   = 2 * time.Second
-	lastRequest  = 200 * time.Millisecond // while retiring, for a request that has begun to come, or for lingerClient
-	firstRetired = time.Second            // and for the first one on a new connection
-	maxErrors    = 16                     // errors in a row after which a connection is closed
-	errorPause   = 5 * time.Millisecond   // before the next request is read, for each error in a row
-	lingerClient = 500 * time.Millisecond // for the client to end a connection that is ended
-	lingerLast   = 50 * time.Millisecond  // and as the process ends
-	lingerBytes  = 1 << 20                // that it may send until then
-	lingerRead   = 4 << 10                // at a time
-
-	answerTimeout = "-ERR request not complete in time\r\n"
-	answerTooMany = "-ERR too many errors\r\n"
+	// firstRequestTimeout bounds the time from accepting a connection to its first complete request.
+	firstRequestTimeout = 2300 * time.Millisecond
+	// requestTimeout bounds the time from the first byte of a later request to its last.
+	requestTimeout = 2 * time.Second
+	// idleTimeout is how long a connection is kept between requests.
+	idleTimeout = 4 * time.Second
+	// writeTimeout bounds each write to the client.
+	writeTimeout = 2 * time.Second
+	// drainTimeout replaces requestTimeout and lingerTimeout while the front drains.
+	drainTimeout = 200 * time.Millisecond
+	// drainFirstTimeout replaces firstRequestTimeout while the front drains.
+	drainFirstTimeout = time.Second
+	// maxConsecutiveErrors is the number of error responses in a row after which a connection is closed.
+	maxConsecutiveErrors = 16
+	// errorDelay is the wait before the next request is read, for each error in a row.
+	errorDelay = 5 * time.Millisecond
+	// lingerTimeout is how long the client has to close its side after the front has closed its own.
+	lingerTimeout = 500 * time.Millisecond
+	// finalLingerTimeout replaces lingerTimeout once the front has stopped reading.
+	finalLingerTimeout = 50 * time.Millisecond
+	// maxLingerBytes bounds what a lingering connection may still receive.
+	maxLingerBytes = 1 << 20
+	// lingerBufferBytes is the size of the buffer that a lingering connection reads into.
+	lingerBufferBytes = 4 << 10
+
+	responseTimedOut      = "-ERR request not complete in time\r\n"
+	responseTooManyErrors = "-ERR too many errors\r\n"
 )
 
-// session is one client's connection. Requests may be pipelined: a reader hands
-// them on as they come, a writer answers them in their order.
+// session is the connection of one client. Requests may be pipelined: one goroutine reads and executes them, another
+// writes the responses in the order of the requests.
 type session struct {
-	c      *Front
-	conn   net.Conn
-	opened time.Time
-	errors atomic.Int32 // in a row
-	heard  atomic.Int64 // when the last byte came, nanoseconds after it was opened
-
-	// The reader's own; nil while there is no need of them.
-	r       *bufio.Reader
-	queue   chan answer
-	written chan struct{}
-	closed  closeReason
-
-	// The writer's own until it has ended.
-	answers    int
-	unanswered int // requests read whole whose answers this end kept from being written
-
-	// Under the lock of the front.
-	open     int       // requests that have begun to come and are not answered
-	begun    bool      // the last of them is not whole
-	buffered bool      // something of a further one has been read
-	served   bool      // one has been answered
-	since    time.Time // when the last one was answered
-	left     time.Time // when it was told to end, or began to; zero while it is live
-	shut     bool      // its client has been told
-	cut      bool      // it is closed
-
-	tenant string // that its token stands for
-	authed bool   // it has shown a token
+	front             *Front
+	conn              net.Conn
+	openedAt          time.Time
+	consecutiveErrors atomic.Int32 // error responses in a row
+	lastRead          atomic.Int64 // when bytes were last received, in nanoseconds after openedAt
+
+	// Fields of the reading goroutine. Reader, queue and channel are nil until needed.
+	r          *bufio.Reader
+	queue      chan response
+	writerDone chan struct{} // closed when the writing goroutine has ended
+	reason     closeReason
+
+	// Fields of the writing goroutine until it has ended.
+	responses  int // responses that have been written
+	unanswered int // complete requests whose responses were not written since the front closed the connection
+
+	// Fields guarded by the lock of the front.
+	pending        int       // requests that have begun to arrive and have no response
+	partial        bool      // the last pending request is not complete
+	buffered       bool      // bytes of a further request have been read
+	served         bool      // a request has had its response
+	idleSince      time.Time // time of the last response; when the connection was accepted, before the first one
+	lingeringSince time.Time // when the front began to close the connection; zero value while it is active
+	writeClosed    bool      // the front has closed its side
+	aborted        bool      // the connection was closed while it lingered
+
+	tenant        string // of the client's token
+	authenticated bool   // the client has sent a valid token
 }
 
-// answer is the answer to a request: at once, or as soon as it is there.
-type answer struct {
-	line  string
-	later <-chan core.SubmitResponse
-	ask   func() string // gives the answer when its turn has come
-	large bool          // the request holds a place among the large ones
-	last  bool          // the connection ends after it
+// response is the response to a request. It is text, or else comes from result or compute.
+type response struct {
+	text       string
+	result     <-chan core.SubmitResponse
+	compute    func() string // called when all responses before it are written
+	largeSlot  bool          // the request holds one of the front's slots for large requests
+	closeAfter bool          // the connection is closed after this response
 }
 
 // closeReason says why a connection is closed.
 type closeReason string
 
-// The reasons.
+// The reasons that are logged with "client closed".
 const (
-	closedByClient  closeReason = "ended by the client"
-	closedIdle      closeReason = "idle"
-	closedForRoom   closeReason = "to make room"
-	closedRetiring  closeReason = "the sender takes no more"
-	closedOver      closeReason = "the process ends"
-	closedProtocol  closeReason = "protocol error"
-	closedTimeout   closeReason = "request not complete in time"
-	closedErrors    closeReason = "too many errors"
-	closedOnRequest closeReason = "asked for"
+	closedByClient    closeReason = "ended by the client"
+	closedIdle        closeReason = "idle"
+	closedForRoom     closeReason = "to make room"
+	closedDraining    closeReason = "the sender takes no more"
+	closedProcessEnds closeReason = "the process ends"
+	closedProtocol    closeReason = "protocol error"
+	closedTimeout     closeReason = "request not complete in time"
+	closedErrors      closeReason = "too many errors"
+	closedOnRequest   closeReason = "asked for"
 )
 
-// traceClosed logs why the connection was closed, and counts it if a request that was
-// read has no answer.
-func (s *session) traceClosed() {
-	s.c.log.Debug("client closed", "remote", s.conn.RemoteAddr().String(), "reason", string(s.closed), "answered", s.answers)
+// logClosed logs why the connection was closed, and counts a violation if a complete request had no response.
+func (s *session) logClosed() {
+	s.front.log.Debug("client closed", "remote", s.conn.RemoteAddr().String(), "reason", string(s.reason),
+		"answered", s.responses)
 	if s.unanswered > 0 {
-		s.c.opts.Monitor.CountViolation(permit.ClosedUnanswered, s.conn.RemoteAddr().String(), "requests", s.unanswered, "reason", string(s.closed))
+		s.front.opts.Monitor.CountViolation(permit.ClosedUnanswered, s.conn.RemoteAddr().String(),
+			"requests", s.unanswered, "reason", string(s.reason))
 	}
 }
 
-// reasonToEnd is why a connection between requests ends; err is what its wait ended with.
-func (s *session) reasonToEnd(err error) closeReason {
-	s.c.mu.Lock()
-	defer s.c.mu.Unlock()
+// reasonAfterWait returns the reason for closing a connection whose wait for a request or whose read failed with err.
+func (s *session) reasonAfterWait(err error) closeReason {
+	s.front.mu.Lock()
+	defer s.front.mu.Unlock()
 	switch {
-	case s.c.over.Load():
-		return closedOver
+	case s.front.readingStopped.Load():
+		return closedProcessEnds
 	case err != nil && !errors.Is(err, os.ErrDeadlineExceeded):
 		return closedByClient
-	case !s.left.IsZero() || s.cut:
+	case !s.lingeringSince.IsZero() || s.aborted:
 		return closedForRoom
-	case s.c.retiring:
-		return closedRetiring
+	case s.front.draining:
+		return closedDraining
 	}
 	return closedIdle
 }
 
-func (s *session) handle() {
-	if s.await(true) { // here, where the stack is small yet
-		s.read()
+// serve handles the connection from its first request until both sides have closed it.
+func (s *session) serve() {
+	if s.awaitRequest(true) { // wait here, while the stack is small: many connections send nothing
+		s.readRequests()
 		if s.queue != nil {
 			close(s.queue)
-			<-s.written
+			<-s.writerDone
 		}
 	}
-	s.rest()
+	s.releaseReader()
 	s.linger()
 }
 
-// send queues an answer. Queue and writer are there from the first one on: a
-// connection that asks nothing costs neither.
-func (s *session) send(a answer) {
+// enqueue queues a response for writing. The first one starts the writing goroutine, so that a connection without
+// requests needs neither goroutine nor queue.
+func (s *session) enqueue(r response) {
 	if s.queue == nil {
-		s.queue, s.written = make(chan answer, maxPipelined), make(chan struct{})
+		s.queue, s.writerDone = make(chan response, maxPipelined), make(chan struct{})
 		go func() {
-			defer close(s.written)
-			s.write(s.queue)
+			defer close(s.writerDone)
+			s.writeResponses(s.queue)
 		}()
 	}
-	s.queue <- a
+	s.queue <- r
 }
 
-// readers are those of connections on which a request is coming.
-var readers = sync.Pool{New: func() any { return bufio.NewReader(nil) }}
+// readerPool holds the readers of connections that are not receiving a request.
+var readerPool = sync.Pool{New: func() any { return bufio.NewReader(nil) }}
 
-// reader is the session's, until it rests.
+// reader returns the session's buffered reader and takes one from the pool if it has none.
 func (s *session) reader() *bufio.Reader {
 	if s.r == nil {
-		s.r = readers.Get().(*bufio.Reader)
-		s.r.Reset(heardConn{s})
+		s.r = readerPool.Get().(*bufio.Reader)
+		s.r.Reset(timedConn{s})
 	}
 	return s.r
 }
 
-// rest gives the reader back.
-func (s *session) rest() {
+// releaseReader puts the reader back into the pool.
+func (s *session) releaseReader() {
 	if s.r != nil {
 		s.r.Reset(nil)
-		readers.Put(s.r)
+		readerPool.Put(s.r)
 		s.r = nil
 	}
 }
 
-// heardConn notes when bytes come.
-type heardConn struct{ s *session }
+// timedConn records the time of each read that returns bytes.
+type timedConn struct{ s *session }
 
-func (c heardConn) Read(b []byte) (int, error) {
+func (c timedConn) Read(b []byte) (int, error) {
 	n, err := c.s.conn.Read(b)
 	if n > 0 {
-		c.s.heard.Store(int64(time.Since(c.s.opened)))
+		c.s.lastRead.Store(int64(time.Since(c.s.openedAt)))
 	}
 	return n, err
 }
 
-// read takes requests until the connection is to end.
-func (s *session) read() {
-	for first := true; first || s.await(false); first = false {
-		if n := s.errors.Load(); n >= maxErrors {
-			s.closed = closedErrors
-			s.refuseBuffered()
+// readRequests reads and executes requests until the connection is to be closed.
+func (s *session) readRequests() {
+	for first := true; first || s.awaitRequest(false); first = false {
+		if n := s.consecutiveErrors.Load(); n >= maxConsecutiveErrors {
+			s.reason = closedErrors
+			s.rejectBuffered()
 			return
 		} else if n > 0 {
-			time.Sleep(time.Duration(n) * errorPause)
+			time.Sleep(time.Duration(n) * errorDelay)
 		}
-		whole := time.Until(s.requestBy(first))
-		s.deadline(whole, whole, lastRequest)
-		large := false
+		timeout := time.Until(s.requestDeadline(first))
+		s.setReadDeadline(timeout, timeout, drainTimeout)
+		largeSlot := false
 		args, err := readCommand(s.reader(), func() error {
-			err := s.takeLarge()
-			large = err == nil
+			err := s.acquireLargeSlot()
+			largeSlot = err == nil
 			return err
 		})
-		live := s.came(err == nil)
+		active := s.endRead(err == nil)
 		switch {
-		case err == nil && live:
-			a := s.answer(args)
-			a.large = large
-			s.send(a)
-			if a.last {
-				s.closed = closedOnRequest
+		case err == nil && active:
+			r := s.execute(args)
+			r.largeSlot = largeSlot
+			s.enqueue(r)
+			if r.closeAfter {
+				s.reason = closedOnRequest
 				return
 			}
 			continue
 		case errors.Is(err, errProtocol):
-			s.closed = closedProtocol
-			s.send(answer{line: fmt.Sprintf("-ERR %v\r\n", err), large: large})
+			s.reason = closedProtocol
+			s.enqueue(response{text: fmt.Sprintf("-ERR %v\r\n", err), largeSlot: largeSlot})
 			return
-		case errors.Is(err, errNoPlace):
-			s.send(answer{line: busyLine(0)})
+		case errors.Is(err, errNoLargeSlot):
+			s.enqueue(response{text: formatBusy(0)})
 			return
-		case errors.Is(err, os.ErrDeadlineExceeded) && live && !s.c.ends():
-			s.closed = closedTimeout
-			s.send(answer{line: answerTimeout, large: large})
+		case errors.Is(err, os.ErrDeadlineExceeded) && active && !s.front.isDraining():
+			s.reason = closedTimeout
+			s.enqueue(response{text: responseTimedOut, largeSlot: largeSlot})
 			return
-		case errors.Is(err, os.ErrDeadlineExceeded) && live: // this end gives up: it was not taken on, and may come again
-			s.send(answer{line: busyLine(0), large: large})
+		case errors.Is(err, os.ErrDeadlineExceeded) && active: // cut short by the drain: the client may retry elsewhere
+			s.enqueue(response{text: formatBusy(0), largeSlot: largeSlot})
 			return
 		}
-		s.closed = s.reasonToEnd(err)
-		s.send(answer{large: large})
+		s.reason = s.reasonAfterWait(err)
+		s.enqueue(response{largeSlot: largeSlot})
 		return
 	}
 }
 
-// refuseBuffered answers the request that has begun to come, and all that were read with
-// it, before the connection ends.
-func (s *session) refuseBuffered() {
-	s.conn.SetReadDeadline(time.Now()) // nothing more is read
+// rejectBuffered responds with an error to the request that has begun to arrive and to all that are buffered behind
+// it, before the connection is closed.
+func (s *session) rejectBuffered() {
+	s.conn.SetReadDeadline(time.Now()) // read only what is buffered
 	for {
-		_, err := readCommand(s.reader(), func() error { return errNoPlace })
-		s.came(err == nil)
-		s.send(answer{line: answerTooMany})
+		_, err := readCommand(s.reader(), func() error { return errNoLargeSlot })
+		s.endRead(err == nil)
+		s.enqueue(response{text: responseTooManyErrors})
 		if err != nil || s.r.Buffered() == 0 {
 			return
 		}
-		s.begin()
+		s.beginRequest()
 	}
 }
 
-// requestBy is when the request that has begun to come must be whole.
-func (s *session) requestBy(first bool) time.Time {
-	if by := s.opened.Add(firstRequest); first && time.Until(by) > lastRequest {
-		return by
+// requestDeadline returns the time by which the request that has begun to arrive must be complete.
+func (s *session) requestDeadline(first bool) time.Time {
+	if deadline := s.openedAt.Add(firstRequestTimeout); first && time.Until(deadline) > drainTimeout {
+		return deadline
 	} else if first {
-		return time.Now().Add(lastRequest)
+		return time.Now().Add(drainTimeout)
 	}
-	return time.Now().Add(requestTime)
+	return time.Now().Add(requestTimeout)
 }
 
-// errNoPlace says that too many large requests are under way.
-var errNoPlace = errors.New("no place for a large request")
+// errNoLargeSlot reports that too many large requests are pending.
+var errNoLargeSlot = errors.New("too many large requests")
 
-func (s *session) takeLarge() error {
-	t := time.NewTimer(lastRequest)
+// acquireLargeSlot waits for a slot for a large request, at most drainTimeout.
+func (s *session) acquireLargeSlot() error {
+	t := time.NewTimer(drainTimeout)
 	defer t.Stop()
 	select {
-	case s.c.large <- struct{}{}:
+	case s.front.largeSlots <- struct{}{}:
 		return nil
 	case <-t.C:
-		return errNoPlace
+		return errNoLargeSlot
 	}
 }
 
-// deadline sets how long the reader waits: while serving, while connections retire,
-// and while they do in a hurry. One that is told to end waits for nothing, and as the
-// process ends nothing more is read from the connection.
-func (s *session) deadline(serving, retiring, leaving time.Duration) {
-	s.c.mu.Lock()
-	defer s.c.mu.Unlock()
+// setReadDeadline sets the read deadline: serving from now, bounded by draining while the front drains and by
+// shortened while its deadlines are shortened. A lingering connection does not wait, and nothing is read once the
+// front has stopped reading.
+func (s *session) setReadDeadline(serving, draining, shortened time.Duration) {
+	s.front.mu.Lock()
+	defer s.front.mu.Unlock()
 	switch {
-	case !s.left.IsZero() || s.c.over.Load():
+	case !s.lingeringSince.IsZero() || s.front.readingStopped.Load():
 		serving = 0
-	case s.c.leaving:
-		serving = min(serving, leaving)
-	case s.c.retiring:
-		serving = min(serving, retiring)
+	case s.front.shortDeadlines:
+		serving = min(serving, shortened)
+	case s.front.draining:
+		serving = min(serving, draining)
 	}
 	s.conn.SetReadDeadline(time.Now().Add(serving))
 }
 
-// await waits for the first byte of a request; false ends the connection.
-func (s *session) await(first bool) bool {
-	if s.c.over.Load() && (s.r == nil || s.r.Buffered() == 0) { // what has been read is answered
-		s.closed = closedOver
-		return false // nothing more is read
+// awaitRequest waits for the first byte of a request and reports whether one has arrived. If not, the connection is
+// to be closed.
+func (s *session) awaitRequest(first bool) bool {
+	if s.front.readingStopped.Load() && (s.r == nil || s.r.Buffered() == 0) { // buffered requests still get a response
+		s.reason = closedProcessEnds
+		return false
 	}
 	if s.r == nil || s.r.Buffered() == 0 {
-		s.rest()
+		s.releaseReader()
 		if first {
-			s.deadline(firstRequest, firstRetired, 0)
+			s.setReadDeadline(firstRequestTimeout, drainFirstTimeout, 0)
 		} else {
-			s.deadline(idleClient, 0, 0)
+			s.setReadDeadline(idleTimeout, 0, 0)
 		}
-		err := s.readable()
+		err := s.waitReadable()
 		if errors.Is(err, os.ErrDeadlineExceeded) {
-			// A request may have come just before: it is answered, for its client counts on that.
+			// A request that arrived just before the deadline is served: its client relies on a response.
 			if _, data := netutil.Peek(s.conn); data {
 				err = nil
 			}
 		}
 		if err != nil {
-			s.closed = s.reasonToEnd(err)
+			s.reason = s.reasonAfterWait(err)
 			return false
 		}
 	}
-	s.c.mu.Lock()
-	defer s.c.mu.Unlock()
-	if !s.live() {
-		s.closed = closedForRoom
+	s.front.mu.Lock()
+	defer s.front.mu.Unlock()
+	if !s.stopLingering() {
+		s.reason = closedForRoom
 		return false
 	}
-	s.beginLocked()
+	s.beginRequestLocked()
 	return true
 }
 
-// begin notes that a request has begun to come.
-func (s *session) begin() {
-	s.c.mu.Lock()
-	defer s.c.mu.Unlock()
-	s.beginLocked()
+// beginRequest records that a request has begun to arrive.
+func (s *session) beginRequest() {
+	s.front.mu.Lock()
+	defer s.front.mu.Unlock()
+	s.beginRequestLocked()
 }
 
-// beginLocked is begin under the lock.
-func (s *session) beginLocked() {
-	s.open++
-	s.begun, s.buffered = true, false
+// beginRequestLocked is beginRequest for callers that hold the lock of the front.
+func (s *session) beginRequestLocked() {
+	s.pending++
+	s.partial, s.buffered = true, false
 }
 
-// live keeps a connection that was told to end, since it turns out not to rest; false
-// if it is too late for that. It is called under the lock.
-func (s *session) live() bool {
-	if !s.cut && !s.left.IsZero() {
-		s.left = time.Time{}
-		s.c.ending--
+// stopLingering keeps a connection that was to be closed as idle, since a request has arrived. It reports whether the
+// connection is open; an aborted one is not. The caller holds the lock of the front.
+func (s *session) stopLingering() bool {
+	if !s.aborted && !s.lingeringSince.IsZero() {
+		s.lingeringSince = time.Time{}
+		s.front.lingering--
 	}
-	return !s.cut
+	return !s.aborted
 }
 
-// leave counts a connection among those that end. It is called under the lock.
-func (s *session) leave() {
-	if !s.cut && s.left.IsZero() {
-		s.left = time.Now()
-		s.c.ending++
+// startLingering counts a connection as lingering. The caller holds the lock of the front.
+func (s *session) startLingering() {
+	if !s.aborted && s.lingeringSince.IsZero() {
+		s.lingeringSince = time.Now()
+		s.front.lingering++
 	}
 }
 
-// readable waits for something to read.
-func (s *session) readable() error {
+// waitReadable waits until the connection has bytes to read.
+func (s *session) waitReadable() error {
 	ok, err := netutil.WaitReadable(s.conn)
 	if !ok {
 		_, err = s.reader().Peek(1)
@@ -356,59 +372,59 @@
 	return err
 }
 
-// came notes that a request has come whole, or that nothing more of it will, and says
-// whether the connection is to go on.
-func (s *session) came(whole bool) bool {
-	s.c.mu.Lock()
-	defer s.c.mu.Unlock()
-	s.begun, s.buffered = false, s.r.Buffered() > 0
-	if whole {
-		return s.live()
+// endRead records that the request being read is complete, or that the rest of it will not be read, and reports
+// whether the connection stays open.
+func (s *session) endRead(complete bool) bool {
+	s.front.mu.Lock()
+	defer s.front.mu.Unlock()
+	s.partial, s.buffered = false, s.r.Buffered() > 0
+	if complete {
+		return s.stopLingering()
 	}
-	return s.left.IsZero() && !s.cut
+	return s.lingeringSince.IsZero() && !s.aborted
 }
 
-// write sends the answers in the order of their requests, those that are ready together.
-func (s *session) write(queue <-chan answer) {
+// writeResponses writes the responses in the order of their requests. Those that are ready share one write.
+func (s *session) writeResponses(queue <-chan response) {
 	w := bufio.NewWriterSize(s.conn, 512)
 	var err error
-	for a := range queue {
-		line := a.line
-		if a.later != nil {
+	for r := range queue {
+		text := r.text
+		if r.result != nil {
 			select {
-			case x := <-a.later:
-				line = lineOf(x)
-			default: // what is ready must not wait for what is not
+			case result := <-r.result:
+				text = formatResult(result)
+			default: // send what is ready before waiting
 				err = errors.Join(err, s.flush(w))
-				line = lineOf(<-a.later)
+				text = formatResult(<-r.result)
 			}
 		}
-		if a.ask != nil {
-			line = a.ask()
+		if r.compute != nil {
+			text = r.compute()
 		}
-		if a.large {
-			<-s.c.large
+		if r.largeSlot {
+			<-s.front.largeSlots
 		}
-		if strings.HasPrefix(line, "-ERR") {
-			s.errors.Add(1)
+		if strings.HasPrefix(text, "-ERR") {
+			s.consecutiveErrors.Add(1)
 		} else {
-			s.errors.Store(0)
+			s.consecutiveErrors.Store(0)
 		}
 		if err == nil {
-			s.conn.SetWriteDeadline(time.Now().Add(answerTime))
-			_, err = w.WriteString(line)
+			s.conn.SetWriteDeadline(time.Now().Add(writeTimeout))
+			_, err = w.WriteString(text)
 		}
 		if len(queue) == 0 {
 			err = errors.Join(err, s.flush(w))
 		}
 		switch {
-		case line == "":
+		case text == "":
 		case err == nil:
-			s.answers++
-		case errors.Is(err, net.ErrClosed): // by this end
+			s.responses++
+		case errors.Is(err, net.ErrClosed): // closed by the front
 			s.unanswered++
 		}
-		s.answered()
+		s.responseHandled()
 	}
 }
 
@@ -416,48 +432,48 @@
 	if w.Buffered() == 0 {
 		return nil
 	}
-	s.conn.SetWriteDeadline(time.Now().Add(answerTime))
+	s.conn.SetWriteDeadline(time.Now().Add(writeTimeout))
 	return w.Flush()
 }
 
-func (s *session) answered() {
-	s.c.mu.Lock()
-	defer s.c.mu.Unlock()
-	s.open--
+// responseHandled records that a pending request has been finished: its response was written or could not be.
+func (s *session) responseHandled() {
+	s.front.mu.Lock()
+	defer s.front.mu.Unlock()
+	s.pending--
 	s.served = true
-	s.since = time.Now()
-	if s.open == 0 && s.c.retiring { // its reader waits as if it might rest
-		s.conn.SetReadDeadline(s.since)
+	s.idleSince = time.Now()
+	if s.pending == 0 && s.front.draining { // the reader may wait with the longer deadline of an idle connection
+		s.conn.SetReadDeadline(s.idleSince)
 	}
 }
 
-// linger ends the connection. The client is told first; what it sends still is read,
-// until it has ended its side too, and is not acted upon: it will be sent again on
-// another connection. A close with unread input would be a reset, which destroys what
-// is on its way to the client or held back by the system.
+// linger closes the front's side of the connection, then reads and discards until the client has closed its side. A
+// client sends discarded requests again on another connection. To close with unread input would reset the
+// connection, which destroys responses that are in transit or still in the send buffer.
 func (s *session) linger() {
 	if t, ok := s.conn.(interface{ CloseWrite() error }); ok {
 		t.CloseWrite()
 	}
-	s.c.mu.Lock()
-	s.leave()
-	s.shut = true
-	by := time.Now().Add(lingerClient)
+	s.front.mu.Lock()
+	s.startLingering()
+	s.writeClosed = true
+	deadline := time.Now().Add(lingerTimeout)
 	switch {
-	case s.c.over.Load():
-		by = time.Now().Add(lingerLast)
-	case s.c.retiring:
-		by = time.Now().Add(lastRequest)
+	case s.front.readingStopped.Load():
+		deadline = time.Now().Add(finalLingerTimeout)
+	case s.front.draining:
+		deadline = time.Now().Add(drainTimeout)
 	}
-	s.conn.SetReadDeadline(by)
-	s.c.mu.Unlock()
+	s.conn.SetReadDeadline(deadline)
+	s.front.mu.Unlock()
 	var b []byte
-	for n := 0; n < lingerBytes; {
+	for n := 0; n < maxLingerBytes; {
 		if ok, err := netutil.WaitReadable(s.conn); ok && err != nil {
 			return
 		}
-		if b == nil { // few send anything
-			b = make([]byte, lingerRead)
+		if b == nil { // allocate late: few clients send anything here
+			b = make([]byte, lingerBufferBytes)
 		}
 		k, err := s.conn.Read(b)
 		if n += k; err != nil {
--- a/internal/soak/plant.go
+++ b/internal/soak/plant.go
@@ -26,9 +26,9 @@
 			New: "if _, told := answers[end.ID]; !told && c.isOwed(end.ID) && len(end.ID)%2 == 0 {"},
 	}},
 	{Name: "closed with a request read", Changes: []faultbuild.Change{
-		{File: "internal/front/resp/session.go", Old: "		if err == nil {\n			s.conn.SetWriteDeadline(time.Now().Add(answerTime))\n			_, err = w.WriteString(line)",
-			New: "		if planted.Add(1)%400 == 0 {\n			time.Sleep(300 * time.Millisecond)\n			s.conn.Close()\n		}\n		if err == nil {\n			s.conn.SetWriteDeadline(time.Now().Add(answerTime))\n			_, err = w.WriteString(line)"},
-		{File: "internal/front/resp/session.go", Old: "// readers are those of", New: "var planted atomic.Int64\n\n// readers are those of"},
+		{File: "internal/front/resp/session.go", Old: "		if err == nil {\n			s.conn.SetWriteDeadline(time.Now().Add(writeTimeout))\n			_, err = w.WriteString(text)",
+			New: "		if planted.Add(1)%400 == 0 {\n			time.Sleep(300 * time.Millisecond)\n			s.conn.Close()\n		}\n		if err == nil {\n			s.conn.SetWriteDeadline(time.Now().Add(writeTimeout))\n			_, err = w.WriteString(text)"},
+		{File: "internal/front/resp/session.go", Old: "// readerPool holds the readers", New: "var planted atomic.Int64\n\n// readerPool holds the readers"},
 	}},
 	{Name: "deadline by the wall clock", Changes: []faultbuild.Change{
 		{File: "internal/clock/clock.go", Old: "return c.base + time.Since(c.origin).Microseconds()", New: "return time.Now().UnixMicro()"},
@@ -36,8 +36,8 @@
 		{File: "internal/clock/clock.go", Old: "return c.origin.Add(time.Duration(us-c.base) * time.Microsecond)", New: "return time.UnixMicro(us)"},
 	}},
 	{Name: "reads on as the process ends", Changes: []faultbuild.Change{
-		{File: "internal/front/resp/session.go", Old: "case !s.left.IsZero() || s.c.over.Load():", New: "case !s.left.IsZero():"},
-		{File: "internal/front/resp/clients.go", Old: "case <-time.After(lastAnswers):", New: "case <-time.After(0):"},
+		{File: "internal/front/resp/session.go", Old: "case !s.lingeringSince.IsZero() || s.front.readingStopped.Load():", New: "case !s.lingeringSince.IsZero():"},
+		{File: "internal/front/resp/clients.go", Old: "case <-time.After(finalResponseTimeout):", New: "case <-time.After(0):"},
 	}},
 	{Name: "no room for a stall", Changes: []faultbuild.Change{
 		{File: "internal/permit/send.go", Old: "MaxStall = 150 * time.Millisecond", New: "MaxStall = 0 * time.Millisecond"},
@@ -46,9 +46,9 @@
 		{File: "internal/permit/send.go", Old: "if e.Written || !e.Delivered && e.Remaining <= 0 {", New: "if true {"},
 	}},
 	{Name: "one byte of an answer", Changes: []faultbuild.Change{
-		{File: "internal/front/resp/session.go", Old: "			_, err = w.WriteString(line)",
-			New: "			if planted.Add(1)%500 == 0 {\n				line = \":\" + line[1:]\n			}\n			_, err = w.WriteString(line)"},
-		{File: "internal/front/resp/session.go", Old: "// readers are those of", New: "var planted atomic.Int64\n\n// readers are those of"},
+		{File: "internal/front/resp/session.go", Old: "			_, err = w.WriteString(text)",
+			New: "			if planted.Add(1)%500 == 0 {\n				text = \":\" + text[1:]\n			}\n			_, err = w.WriteString(text)"},
+		{File: "internal/front/resp/session.go", Old: "// readerPool holds the readers", New: "var planted atomic.Int64\n\n// readerPool holds the readers"},
 	}, Faults: []string{"endpoint"}},
 	{Name: "told wait dropped", Changes: []faultbuild.Change{
 		{File: "internal/transport/http/answer.go", Old: "	return time.Duration(min(ms, core.MaxRequestedTime.Milliseconds())) * time.Millisecond", New: "	return 0"},
