--- a/internal/front/resp/crossing_test.go
+++ b/internal/front/resp/crossing_test.go
@@ -19,7 +19,7 @@
 	"cometrack/internal/standin/byhand"
 )
 
-// countingCore takes every message on and counts them.
+// countingCore accepts every message and counts them.
 type countingCore struct {
 	acceptingCore
 	mu sync.Mutex
@@ -39,8 +39,8 @@
 	return c.n
 }
 
-// hookedConn is a front's side of a connection. Before the front ends it in any way,
-// something else happens once.
+// hookedConn is a front's side of a connection. It calls beforeClose once, before the front first closes it or its
+// write side.
 type hookedConn struct {
 	*net.TCPConn
 	once        *sync.Once
@@ -57,11 +57,11 @@
 	return c.TCPConn.CloseWrite()
 }
 
-// hookedListener hands a front such connections.
+// hookedListener accepts hooked connections.
 type hookedListener struct {
 	net.Listener
 	accepted    chan *net.TCPConn
-	beforeClose chan func(net.Conn) // for the next connection; none if it is empty
+	beforeClose chan func(net.Conn) // hooks for the connections to come; none while it is empty
 }
 
 func (l hookedListener) Accept() (net.Conn, error) {
@@ -78,7 +78,7 @@
 	return hookedConn{conn.(*net.TCPConn), new(sync.Once), before}, nil
 }
 
-// serveHooked starts a front whose connections are such.
+// serveHooked starts a front with a hooked listener.
 func serveHooked(t *testing.T, c Core, opts Options) (*Front, hookedListener) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -89,7 +89,7 @@
 	opts.Listen, opts.Log = "127.0.0.1:0", slog.New(slog.DiscardHandler)
 	f, l := New(c, opts), hookedListener{ln, make(chan *net.TCPConn, 16), make(chan func(net.Conn), 16)}
 	if !f.AdoptListener(l) {
-		t.Fatal("the front does not take the listener")
+		t.Fatal("the front did not adopt the listener")
 	}
 	go f.Serve()
 	return f, l
@@ -97,14 +97,14 @@
 
 const putRequest = "*5\r\n$7\r\nMSG.PUT\r\n$1\r\n0\r\n$4\r\nlate\r\n$20\r\nc=safe,d=9000,dest=1\r\n$1\r\nx\r\n"
 
-// A request that comes after the front has looked at a resting connection and before it ends that: its client hears
-// an orderly end with all answers before it, so that it sends the request anew, and the request is not acted upon.
-// The answer before it may be held back by the system still.
+// Guards against a reset, a lost response and an executed request when a request arrives between the front's last look
+// at an idle connection and its close. The client must read every response that is due and an orderly end of the
+// stream, so that it sends the request again elsewhere. The last response may still be in the send buffer.
 func TestRequestDuringClose(t *testing.T) {
 	for name, end := range map[string]func(t *testing.T, f *Front){
 		"to make room": func(t *testing.T, f *Front) {
 			if got := dial(t, f).do("PING"); got != "+PONG" {
-				t.Errorf("the new client gets %q", got)
+				t.Errorf("the new client got %q", got)
 			}
 		},
 		"at a drain": func(t *testing.T, f *Front) { f.DisableKeepAlives(true) },
@@ -113,26 +113,26 @@
 			go f.Shutdown(t.Context(), true)
 		},
 	} {
-		for _, held := range []bool{false, true} {
-			t.Run(name+map[bool]string{true: ", its answer held back"}[held], func(t *testing.T) {
+		for _, corked := range []bool{false, true} {
+			t.Run(name+map[bool]string{true: ", response in the send buffer"}[corked], func(t *testing.T) {
 				t.Parallel()
-				taken := &countingCore{}
-				f, l := serveHooked(t, taken, Options{MaxConnections: 1})
-				come, crossing := make(chan *client, 1), make(chan bool, 1)
+				counter := &countingCore{}
+				f, l := serveHooked(t, counter, Options{MaxConnections: 1})
+				connected, sent := make(chan *client, 1), make(chan bool, 1)
 				l.beforeClose <- func(conn net.Conn) {
-					c := <-come
+					c := <-connected
 					io.WriteString(c.conn, putRequest)
 					byhand.Until(t, "request at the front", func() bool { _, data := netutil.Peek(conn); return data })
-					crossing <- true
+					sent <- true
 				}
 				c := dial(t, f)
 				conn := byhand.Await(t, l.accepted, "connection")
-				if held {
+				if corked {
 					raw, _ := conn.SyscallConn()
 					raw.Control(func(fd uintptr) { syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, syscall.TCP_CORK, 1) })
 				}
 				io.WriteString(c.conn, "*1\r\n$4\r\nPING\r\n")
-				byhand.Until(t, "answer", func() bool {
+				byhand.Until(t, "response", func() bool {
 					f.mu.Lock()
 					defer f.mu.Unlock()
 					for s := range f.sessions {
@@ -140,11 +140,11 @@
 					}
 					return false
 				})
-				come <- c
+				connected <- c
 				end(t, f)
-				byhand.Await(t, crossing, "crossing")
+				byhand.Await(t, sent, "request before the close")
 				if got, err := io.ReadAll(c.r); err != nil || string(got) != "+PONG\r\n" {
-					t.Errorf("the client reads %q, %v", got, err)
+					t.Errorf("the client read %q, %v", got, err)
 				}
 				c.conn.Close()
 				byhand.Until(t, "end of the connection", func() bool {
@@ -152,18 +152,18 @@
 					defer f.mu.Unlock()
 					return f.lingering == 0
 				})
-				if n := taken.accepted(); n != 0 {
-					t.Errorf("%d messages were taken on after the end", n)
+				if n := counter.accepted(); n != 0 {
+					t.Errorf("%d messages were accepted after the close", n)
 				}
 			})
 		}
 	}
 }
 
-// waitIdle waits until the front knows of no request that it has not answered.
+// waitIdle waits until the front has no pending request.
 func waitIdle(t *testing.T, f *Front) {
 	t.Helper()
-	byhand.Until(t, "rest", func() bool {
+	byhand.Until(t, "idle front", func() bool {
 		f.mu.Lock()
 		defer f.mu.Unlock()
 		for s := range f.sessions {
@@ -175,7 +175,7 @@
 	})
 }
 
-// idleClients has so many clients ask once and stay.
+// idleClients connects n clients that send one request each and stay connected.
 func idleClients(t *testing.T, f *Front, n int) (all []*client) {
 	t.Helper()
 	for range n {
@@ -188,45 +188,45 @@
 	return all
 }
 
-// Connections that are ended and not closed by their clients are bounded beside those that are live: the longest so is
-// closed, and new clients are served all the same.
+// Guards against an unbounded number of connections that the front has closed and their clients have not. The one
+// that has lingered longest is closed, and new clients are served.
 func TestLingeringConnectionsBounded(t *testing.T) {
-	const live, ending = 3, 2
-	f := serve(t, Options{MaxConnections: live, MaxLingering: ending})
-	all := idleClients(t, f, live+ending+4)
+	const active, lingering = 3, 2
+	f := serve(t, Options{MaxConnections: active, MaxLingering: lingering})
+	all := idleClients(t, f, active+lingering+4)
 	f.mu.Lock()
-	if n := len(f.sessions); n > live+ending || f.lingering > ending {
-		t.Errorf("%d connections, %d of them ending", n, f.lingering)
+	if n := len(f.sessions); n > active+lingering || f.lingering > lingering {
+		t.Errorf("%d connections, %d of them lingering", n, f.lingering)
 	}
 	f.mu.Unlock()
 	for i, c := range all {
-		if i < len(all)-live {
+		if i < len(all)-active {
 			if got := c.readToEOF(); got != "" {
 				t.Errorf("client %d got %q", i, got)
 			}
 		} else if got := c.do("PING"); got != "+PONG" {
-			t.Errorf("client %d gets %q", i, got)
+			t.Errorf("client %d, still active, got %q", i, got)
 		}
 	}
 }
 
-// A client that never ends its side is waited for a while, and less when the process ends.
+// Guards against a shutdown that waits too long for clients that never close their side.
 func TestShutdownDuration(t *testing.T) {
-	for name, hurry := range map[string]bool{"at a handover": false, "at the end of the process": true} {
+	for name, shortDeadlines := range map[string]bool{"at a handover": false, "at the end of the process": true} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			f := serve(t, Options{})
 			all := idleClients(t, f, 20)
 			ctx, stop := context.WithTimeout(t.Context(), byhand.Patience)
 			defer stop()
-			at := time.Now()
+			start := time.Now()
 			f.CloseListener()
-			f.Shutdown(ctx, hurry)
-			took, most := time.Since(at), core.LifecycleTimes.StopTimeout-core.LifecycleTimes.DrainGrace
-			if took > most {
-				t.Errorf("ended after %v, and has %v", took, most)
+			f.Shutdown(ctx, shortDeadlines)
+			took, limit := time.Since(start), core.LifecycleTimes.StopTimeout-core.LifecycleTimes.DrainGrace
+			if took > limit {
+				t.Errorf("shutdown took %v, limit %v", took, limit)
 			}
-			t.Logf("ended after %v", took)
+			t.Logf("shutdown took %v", took)
 			for _, c := range all {
 				if got := c.readToEOF(); got != "" {
 					t.Errorf("a client got %q", got)
@@ -236,26 +236,26 @@
 	}
 }
 
-// An answer that is on its way as connections begin to be closed between requests: its connection is closed right after
-// it, not only when it has rested for long.
+// Guards against a connection that stays open until its idle timeout when the front began to drain while a response was
+// pending. It must be closed right after the response.
 func TestResponseDuringDrain(t *testing.T) {
-	later := deferredCore{acceptingCore{}, make(chan chan<- core.SubmitResponse, 1)}
-	f, _ := serveHooked(t, later, Options{MaxConnections: 2})
+	deferred := deferredCore{acceptingCore{}, make(chan chan<- core.SubmitResponse, 1)}
+	f, _ := serveHooked(t, deferred, Options{MaxConnections: 2})
 	c := dial(t, f)
 	io.WriteString(c.conn, putRequest)
-	answer := byhand.Await(t, later.submitted, "message")
+	answer := byhand.Await(t, deferred.submitted, "message")
 	f.DisableKeepAlives(true)
-	at := time.Now()
+	start := time.Now()
 	answer <- core.SubmitResponse{}
 	if got := c.readToEOF(); got != "+OK\r\n" {
 		t.Errorf("got %q", got)
 	}
-	if took := time.Since(at); took >= idleTimeout {
-		t.Errorf("it is kept for %v", took)
+	if took := time.Since(start); took >= idleTimeout {
+		t.Errorf("the connection was closed only after %v", took)
 	}
 }
 
-// deferredCore has messages answered by the test.
+// deferredCore leaves the responses to submitted messages to the test.
 type deferredCore struct {
 	acceptingCore
 	submitted chan chan<- core.SubmitResponse
@@ -265,11 +265,11 @@
 	l.submitted <- answer
 }
 
-// What a client sends on and on after the end is read up to a bound.
+// Guards against a lingering connection whose client never stops sending: only maxLingerBytes are read.
 func TestLingeringReadBounded(t *testing.T) {
 	f := serve(t, Options{MaxConnections: 1})
 	c := idleClients(t, f, 1)[0]
-	idleClients(t, f, 1) // the first one makes room
+	idleClients(t, f, 1) // closes the first one to make room
 	if got := c.readToEOF(); got != "" {
 		t.Fatalf("got %q", got)
 	}
@@ -281,12 +281,12 @@
 		sent += n
 	}
 	if err == nil || errors.Is(err, context.DeadlineExceeded) || byhand.IsTimeout(err) {
-		t.Errorf("the front takes %d bytes: %v", sent, err)
+		t.Errorf("the front read %d bytes: %v", sent, err)
 	}
 }
 
-// A half-sent request whose connection makes room gets no error, which would be its answer: it is sent anew. One that is
-// whole by then is answered.
+// Guards against an error response to a partial request whose connection is closed to make room. The client would take
+// it for the response to its request and not send that again.
 func TestPartialRequestEvicted(t *testing.T) {
 	f := serve(t, Options{MaxConnections: 1})
 	half := dial(t, f)
@@ -300,15 +300,15 @@
 		return false
 	})
 	if got := dial(t, f).do("PING"); got != "+PONG" {
-		t.Errorf("a new client gets %q", got)
+		t.Errorf("a new client got %q", got)
 	}
 	if got := half.readToEOF(); got != "" {
-		t.Errorf("half-sent: %q", got)
+		t.Errorf("the client of the partial request got %q", got)
 	}
 }
 
-// A request that has come by the time that its connection's goroutine sees that it has to end is served, and the
-// connection is live again.
+// Guards against a lost request that arrives after its connection was picked to be closed and before its goroutine
+// notices. It is served, and the connection is active again.
 func TestRequestBeforeCloseTakesEffect(t *testing.T) {
 	f, l := serveHooked(t, &countingCore{}, Options{MaxConnections: 1})
 	c := dial(t, f)
@@ -317,7 +317,7 @@
 		t.Fatal(got)
 	}
 	waitIdle(t, f)
-	f.mu.Lock() // the front has looked, and the reader can't go on
+	f.mu.Lock() // keeps the reader from going on
 	var s *session
 	for s = range f.sessions {
 	}
@@ -331,12 +331,12 @@
 	}
 	f.mu.Lock()
 	if f.lingering != 0 || len(f.sessions) != 1 {
-		t.Errorf("%d connections, %d of them ending", len(f.sessions), f.lingering)
+		t.Errorf("%d connections, %d of them lingering", len(f.sessions), f.lingering)
 	}
 	f.mu.Unlock()
 }
 
-// stoppingCore takes every message on, and the process ends as it takes the first.
+// stoppingCore accepts every message, and has the front stop reading at the first one.
 type stoppingCore struct {
 	acceptingCore
 	front **Front
@@ -347,7 +347,8 @@
 	c.acceptingCore.Submit(m, answer)
 }
 
-// Requests that were read together with one that is served as the process ends are answered too.
+// Guards against lost pipelined requests: those that were read together with one that is being served when the front
+// stops reading get a response too.
 func TestPipelinedRequestsAtShutdown(t *testing.T) {
 	var f *Front
 	f, _ = serveHooked(t, stoppingCore{front: &f}, Options{MaxConnections: 1})
@@ -361,13 +362,13 @@
 	}
 }
 
-// waitReadingStopped tells when nothing more may be read from the front's connections.
+// waitReadingStopped waits until the front reads nothing more from its connections.
 func waitReadingStopped(t *testing.T, f *Front) {
 	t.Helper()
-	byhand.Until(t, "end of the process", f.readingStopped.Load)
+	byhand.Until(t, "end of reading", f.readingStopped.Load)
 }
 
-// shutdownNow has the front shut down by a context that is over, and tells when it has.
+// shutdownNow shuts the front down with a context that is done. The channel is closed when Shutdown has returned.
 func shutdownNow(f *Front) <-chan struct{} {
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
@@ -379,8 +380,8 @@
 	return done
 }
 
-// A request was read, and the process ended before its answer came, since it was held up for 0.15 s: the end waits for
-// the answer.
+// Guards against a connection closed before the response to a request that was read: a process that stalls for 0.15 s
+// used to end first. Shutdown waits for the response.
 func TestShutdownWaitsForResponses(t *testing.T) {
 	asked := make(chan chan<- core.SubmitResponse, 1)
 	f, _ := serveHooked(t, deferredCore{submitted: asked}, Options{MaxConnections: 1})
@@ -397,7 +398,7 @@
 	}
 	answer <- core.SubmitResponse{}
 	if got := c.readLine(); got != "+OK" {
-		t.Errorf("answer %q", got)
+		t.Errorf("response %q", got)
 	}
 	if got := c.readToEOF(); got != "" {
 		t.Errorf("more: %q", got)
@@ -405,7 +406,7 @@
 	<-done
 }
 
-// blockingCore holds its clients up, as a process does that is held up itself, until the test lets them go.
+// blockingCore blocks each submission until the test lets it proceed, like a stalled process.
 type blockingCore struct {
 	countingCore
 	submitted, proceed chan struct{}
@@ -417,8 +418,8 @@
 	b.countingCore.Submit(m, answer)
 }
 
-// The rest of a request was read while the process ended, and nobody waited for its answer: what has come only in part
-// by then is turned away, and nothing more is read.
+// Guards against a request whose last bytes are read after the front has stopped reading, when Shutdown no longer waits
+// for its response. A request that is partial by then is rejected as busy, and nothing more is read.
 func TestNoReadAfterShutdown(t *testing.T) {
 	b := &blockingCore{submitted: make(chan struct{}, 2), proceed: make(chan struct{})}
 	f, _ := serveHooked(t, b, Options{MaxConnections: 1})
@@ -431,20 +432,21 @@
 	waitReadingStopped(t, f)
 	close(b.proceed)
 	if got := c.readLine(); got != "+OK" {
-		t.Errorf("answer %q", got)
+		t.Errorf("response %q", got)
 	}
 	c.conn.SetReadDeadline(time.Now().Add(drainTimeout / 2))
 	if got, err := c.r.ReadString('\n'); err != nil || got != "-BUSY\r\n" {
-		t.Errorf("a request that has come in part gets %q, %v", got, err)
+		t.Errorf("the partial request got %q, %v", got, err)
 	}
 	io.WriteString(c.conn, putRequest[half:])
 	<-done
 	if n := b.accepted(); n != 1 {
-		t.Errorf("%d requests are acted upon", n)
+		t.Errorf("%d requests were executed", n)
 	}
 }
 
-// Requests that were read together with the one on which a connection ends for its errors got no answer.
+// Guards against requests without a response when a connection is closed for too many errors: those that were read
+// together with the last erroneous one must get an error too.
 func TestTooManyErrorsAnswersBuffered(t *testing.T) {
 	f, _ := serveHooked(t, acceptingCore{}, Options{MaxConnections: 1})
 	c := dial(t, f)
@@ -461,7 +463,7 @@
 		}
 	}
 	if got := c.readLine(); got+"\r\n" != responseTooManyErrors {
-		t.Errorf("the one that has come in part gets %q", got)
+		t.Errorf("the partial request got %q", got)
 	}
 	if got := c.readToEOF(); got != "" {
 		t.Errorf("more: %q", got)
--- a/internal/front/resp/front_test.go
+++ b/internal/front/resp/front_test.go
@@ -19,7 +19,7 @@
 	"cometrack/internal/standin/byhand"
 )
 
-// acceptingCore takes every message on.
+// acceptingCore accepts every message.
 type acceptingCore struct{}
 
 func (acceptingCore) Check(*message.Message, time.Duration) error { return nil }
@@ -38,7 +38,7 @@
 	return core.State{ID: id}, nil
 }
 
-// serve starts a front for yes.
+// serve starts a front with an accepting core.
 func serve(t *testing.T, opts Options) *Front {
 	t.Helper()
 	opts.Listen, opts.Log = "127.0.0.1:0", slog.New(slog.DiscardHandler)
@@ -54,7 +54,7 @@
 	return f
 }
 
-// client is a client's connection.
+// client is the client's side of a connection.
 type client struct {
 	t    *testing.T
 	conn net.Conn
@@ -72,6 +72,7 @@
 	return &client{t, conn, bufio.NewReader(conn)}
 }
 
+// readLine reads a line without its CRLF.
 func (c *client) readLine() string {
 	c.t.Helper()
 	s, err := c.r.ReadString('\n')
@@ -81,6 +82,7 @@
 	return strings.TrimRight(s, "\r\n")
 }
 
+// do sends a request and reads the first line of the response.
 func (c *client) do(args ...string) string {
 	c.t.Helper()
 	fmt.Fprintf(c.conn, "*%d\r\n", len(args))
@@ -90,7 +92,7 @@
 	return c.readLine()
 }
 
-// readToEOF reads until the front closes the connection.
+// readToEOF returns what is read until the front closes the connection.
 func (c *client) readToEOF() string {
 	c.t.Helper()
 	b, err := io.ReadAll(c.r)
@@ -101,8 +103,8 @@
 	return string(b)
 }
 
-// Connections that asked once and stay must not keep new clients out: the idlest makes room. One with a request
-// under way never does.
+// Guards against idle connections that keep new clients out: the idlest is closed to make room. One with a pending
+// request never is.
 func TestIdlestMakesRoom(t *testing.T) {
 	f := serve(t, Options{MaxConnections: 3})
 	first, second, half := dial(t, f), dial(t, f), dial(t, f)
@@ -110,35 +112,35 @@
 		if got := c.do("PING"); got != "+PONG" {
 			t.Fatal(got)
 		}
-		waitIdle(t, f) // its answer is on its way before the front holds it for answered
+		waitIdle(t, f) // the client may have the response before the front records it
 	}
 	io.WriteString(half.conn, "*1\r\n$4\r\nPI")
 	byhand.Until(t, "request at the front", func() bool {
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		begun := 0
+		pending := 0
 		for s := range f.sessions {
-			begun += s.pending
+			pending += s.pending
 		}
-		return begun == 1
+		return pending == 1
 	})
 	fourth := dial(t, f)
 	if got := fourth.do("PING"); got != "+PONG" {
-		t.Errorf("a new client gets %q", got)
+		t.Errorf("a new client got %q", got)
 	}
 	if got := first.readToEOF(); got != "" {
 		t.Errorf("the idlest got %q", got)
 	}
 	if got := second.do("PING"); got != "+PONG" {
-		t.Errorf("one that is less idle gets %q", got)
+		t.Errorf("the less idle client got %q", got)
 	}
 	io.WriteString(half.conn, "NG\r\n")
 	if got := half.readLine(); got != "+PONG" {
-		t.Errorf("a request under way gets %q", got)
+		t.Errorf("the pending request got %q", got)
 	}
 }
 
-// What large requests hold is bounded over all connections.
+// Guards against unbounded memory for large requests over all connections.
 func TestLargeRequestsBounded(t *testing.T) {
 	f := serve(t, Options{})
 	for range cap(f.largeSlots) {
@@ -150,7 +152,7 @@
 	for range cap(f.largeSlots) {
 		<-f.largeSlots
 	}
-	for range 2 * cap(f.largeSlots) { // each gives its place back
+	for range 2 * cap(f.largeSlots) { // each releases its slot
 		d := dial(t, f)
 		if got := d.do("MSG.PUT", "0", "id", "c=safe,d=9000,dest=99", strings.Repeat("x", maxBulk)); got != "+OK" {
 			t.Fatalf("got %q", got)
@@ -159,12 +161,13 @@
 	}
 	for stop := time.Now().Add(byhand.Patience); len(f.largeSlots) > 0; {
 		if time.Now().After(stop) {
-			t.Fatalf("%d places are not given back", len(f.largeSlots))
+			t.Fatalf("%d slots were not released", len(f.largeSlots))
 		}
 	}
 }
 
-// A request that came just before the sender closes its connections is answered: its client counts on that.
+// Guards against a request without a response that arrived just before the front closes its connections: its client
+// relies on a response.
 func TestRequestBeforeShutdown(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -185,7 +188,7 @@
 			break
 		}
 		if time.Now().After(stop) {
-			t.Fatal("the request does not come")
+			t.Fatal("the request did not arrive")
 		}
 	}
 	(&session{front: f, conn: conn, openedAt: time.Now()}).serve()
@@ -194,7 +197,7 @@
 		t.Errorf("got %q", got)
 	}
 	if got := c.readLine(); got != "" {
-		t.Errorf("the connection goes on with %q", got)
+		t.Errorf("after the response: %q", got)
 	}
 }
 
@@ -210,18 +213,22 @@
 		if sum > smallRequestBytes || err == nil && len(args) == 0 {
 			t.Errorf("%q: %d arguments, %d bytes", in, len(args), sum)
 		}
-		if err != nil && !errors.Is(err, errProtocol) && !errors.Is(err, errNoLargeSlot) && !errors.Is(err, io.EOF) && !errors.Is(err, io.ErrUnexpectedEOF) {
+		if err != nil && !errors.Is(err, errProtocol) && !errors.Is(err, errNoLargeSlot) &&
+			!errors.Is(err, io.EOF) && !errors.Is(err, io.ErrUnexpectedEOF) {
 			t.Errorf("%q: %v", in, err)
 		}
 	})
 }
 
-// Client libraries greet a server before they use it: what they send must not end their connection.
+// Guards against closing the connections of client libraries for the commands that they send on connecting.
 func TestConnectionCommands(t *testing.T) {
 	c := dial(t, serve(t, Options{}))
-	for _, x := range [][]string{{"-NOPROTO", "HELLO", "3"}, {"-NOPROTO", "HELLO", "3", "SETNAME", "x"}, {"+OK", "CLIENT", "SETINFO", "LIB-NAME", "x"},
-		{"+OK", "CLIENT", "SETNAME", "x"}, {"$-1", "CLIENT", "GETNAME"}, {"-ERR", "CLIENT", "KILL"}, {"-ERR", "CLIENT"}, {"*0", "COMMAND", "DOCS"},
-		{"+OK", "SELECT", "0"}, {"-ERR", "SELECT", "1"}, {"-ERR", "AUTH", "x"}, {"-ERR", "HELLO", "2", "AUTH", "x"}, {"+OK", "QUIT"}} {
+	for _, x := range [][]string{{"-NOPROTO", "HELLO", "3"}, {"-NOPROTO", "HELLO", "3", "SETNAME", "x"},
+		{"+OK", "CLIENT", "SETINFO", "LIB-NAME", "x"},
+		{"+OK", "CLIENT", "SETNAME", "x"}, {"$-1", "CLIENT", "GETNAME"}, {"-ERR", "CLIENT", "KILL"}, {"-ERR", "CLIENT"},
+		{"*0", "COMMAND", "DOCS"},
+		{"+OK", "SELECT", "0"}, {"-ERR", "SELECT", "1"}, {"-ERR", "AUTH", "x"},
+		{"-ERR", "HELLO", "2", "AUTH", "x"}, {"+OK", "QUIT"}} {
 		if got := c.do(x[1:]...); !strings.HasPrefix(got, x[0]) {
 			t.Errorf("%q: got %q", x[1:], got)
 		}
@@ -231,7 +238,7 @@
 	}
 }
 
-// The state of a message as names and values; nothing for one that is not known.
+// MSG.STATE returns names and values, and an empty array for an unknown message.
 func TestState(t *testing.T) {
 	c := dial(t, serve(t, Options{}))
 	if got := c.do("MSG.STATE", "other"); got != "*0" {
@@ -243,21 +250,22 @@
 	if got := c.do("MSG.STATE", "known"); got != "*12" {
 		t.Fatalf("got %q", got)
 	}
-	said := map[string]string{}
+	fields := map[string]string{}
 	for range 6 {
 		var pair [2]string
 		for i := range pair {
 			c.readLine()
 			pair[i] = c.readLine()
 		}
-		said[pair[0]] = pair[1]
+		fields[pair[0]] = pair[1]
 	}
-	if said["state"] != "returned" || said["after_ms"] != "1500" || said["tries"] != "2" || said["over"] != "1970-01-01T00:00:00.001Z" {
-		t.Errorf("said %q", said)
+	if fields["state"] != "returned" || fields["after_ms"] != "1500" || fields["tries"] != "2" ||
+		fields["over"] != "1970-01-01T00:00:00.001Z" {
+		t.Errorf("got %q", fields)
 	}
 }
 
-// A token is its tenant's: nobody submits without one, for another, or reads another's messages.
+// A client submits only with a token and only for the token's tenant, and reads only that tenant's messages.
 func TestTokens(t *testing.T) {
 	f := serve(t, Options{Tenant: func(token string) (string, bool) { return token[1:], token[0] == '!' }})
 	put := func(c *client, tenant string) string {
@@ -291,7 +299,7 @@
 	if got := d.do("HELLO", "2", "AUTH", "default", "!other"); got != "*6" {
 		t.Errorf("got %q", got)
 	}
-	for range 11 { // the rest of that answer
+	for range 11 { // the rest of that response
 		if d.readLine() == "master" {
 			break
 		}
@@ -301,12 +309,12 @@
 	}
 }
 
-// One that has said nothing yet is about to ask: it is kept before one that has had an answer, unless such ones
-// have taken most places.
+// Guards against closing new clients that are about to send their first request: a client that has had a response is
+// closed first, unless silent ones hold most connections.
 func TestSilentClients(t *testing.T) {
 	for _, x := range []struct {
-		silent int // of eight, the first to come
-		gone   int // which of the eight makes room
+		silent int // of eight clients, the first to connect
+		closed int // index of the client that is closed to make room
 	}{{1, 1}, {6, 6}, {7, 0}, {8, 0}} {
 		f := serve(t, Options{MaxConnections: 8})
 		var all []*client
@@ -325,15 +333,15 @@
 			}
 		}
 		if got := dial(t, f).do("PING"); got != "+PONG" {
-			t.Errorf("with %d silent clients a new one gets %q", x.silent, got)
+			t.Errorf("with %d silent clients a new one got %q", x.silent, got)
 		}
 		for i, c := range all {
-			if i == x.gone {
+			if i == x.closed {
 				if got := c.readToEOF(); got != "" {
 					t.Errorf("with %d silent clients, client %d got %q", x.silent, i, got)
 				}
 			} else if got := c.do("PING"); got != "+PONG" {
-				t.Errorf("with %d silent clients, client %d gets %q", x.silent, i, got)
+				t.Errorf("with %d silent clients, client %d, still active, got %q", x.silent, i, got)
 			}
 		}
 	}
--- a/internal/front/resp/resp_test.go
+++ b/internal/front/resp/resp_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// Lengths come from outside: none may take memory, time or the process before it is checked.
+// Guards against malformed requests and lengths that cost memory, time or a crash before they are checked.
 func TestReadCommandMalformed(t *testing.T) {
 	for _, in := range []string{
 		"PING\r\n", "*\r\n", "*0\r\n", "*-1\r\n", "*1000000000\r\n", "*99999999999999999999\r\n", "*1\n$4\r\nPING\r\n",
