--- a/internal/front/auth/auth.go
+++ b/internal/front/auth/auth.go
@@ -1,4 +1,4 @@
-// Package auth finds the tenant that a client's token stands for.
+// Package auth maps client tokens to tenants.
 package auth
 
 import (
@@ -8,32 +8,32 @@
 	"cometrack/internal/config"
 )
 
-// Tokens are those of all tenants.
+// Tokens holds the tokens of all tenants.
 type Tokens struct{ list []token }
 
 type token struct {
-	sum    [sha256.Size]byte
+	hash   [sha256.Size]byte
 	tenant string
 }
 
-// New takes the tokens of tenants.
+// New returns the tokens of the given tenants.
 func New(tenants []config.Tenant) *Tokens {
 	t := &Tokens{}
-	for _, x := range tenants {
-		for _, tok := range x.Tokens {
-			t.list = append(t.list, token{sha256.Sum256([]byte(tok)), x.Name})
+	for _, tenant := range tenants {
+		for _, text := range tenant.Tokens {
+			t.list = append(t.list, token{sha256.Sum256([]byte(text)), tenant.Name})
 		}
 	}
 	return t
 }
 
-// Tenant returns the tenant of a token. It looks at all of them whatever is shown,
-// so that the time it takes tells nothing.
-func (t *Tokens) Tenant(shown string) (tenant string, ok bool) {
-	sum := sha256.Sum256([]byte(shown))
+// Tenant returns the tenant of a token, and whether the token is known. It compares with all tokens in constant time,
+// so that its duration reveals nothing about them.
+func (t *Tokens) Tenant(text string) (tenant string, ok bool) {
+	hash := sha256.Sum256([]byte(text))
 	found := -1
 	for i := range t.list {
-		found = subtle.ConstantTimeSelect(subtle.ConstantTimeCompare(sum[:], t.list[i].sum[:]), i, found)
+		found = subtle.ConstantTimeSelect(subtle.ConstantTimeCompare(hash[:], t.list[i].hash[:]), i, found)
 	}
 	if found < 0 {
 		return "", false
--- a/internal/front/room/room.go
+++ b/internal/front/room/room.go
@@ -1,102 +1,102 @@
-// Package room decides what makes room for a new connection of a front when all
-// places are taken. It has no I/O and no clock.
+// Package room decides which connection a front closes to make room for a new one when it has reached its limits. It
+// does no I/O and reads no clock.
 package room
 
 import "time"
 
-// silentPart of all places may be held by connections that have sent nothing.
-const silentPart = 0.75
+// maxSilentFraction is the fraction of the active connections above which those that have sent nothing are closed
+// before idle ones.
+const maxSilentFraction = 0.75
 
-// Limits are those of a front, a descriptor each.
+// Limits bound the connections of a front. Each connection takes one file descriptor.
 type Limits struct {
-	Active int // of connections that clients may ask on
-	// Lingering are further ones, of connections that the front has ended and that are
-	// read on until their clients end them too; 1 at least.
+	Active int // connections that accept requests
+	// Lingering bounds the further connections that the front has closed and still reads from until their clients
+	// close them too; at least 1.
 	Lingering int
 }
 
-// Action is what comes next when a client has connected.
+// Action is the next thing to do for a client that has connected.
 type Action int
 
-// The steps. After [CloseIdle] and [AbortLingering], the next one has to be asked for.
+// The actions. After [CloseIdle] and [AbortLingering], the caller asks for the next one.
 const (
-	Admit          Action = iota // it has its place
-	CloseIdle                    // one that is live has to end
-	AbortLingering               // one that is ending is closed at once
+	Admit          Action = iota // serve the new connection
+	CloseIdle                    // close an active connection, which then lingers
+	AbortLingering               // close a lingering connection at once
 )
 
-// NextAction says what comes next for one more connection, with so many there.
-func (p Limits) NextAction(live, ending int) Action {
+// NextAction returns the next action for a new connection, given the numbers of active and lingering ones.
+func (p Limits) NextAction(active, lingering int) Action {
 	switch {
-	case live >= p.Active:
+	case active >= p.Active:
 		return CloseIdle
-	case live+ending >= p.Active+max(p.Lingering, 1):
+	case active+lingering >= p.Active+max(p.Lingering, 1):
 		return AbortLingering
 	}
 	return Admit
 }
 
-// Conn is what is known of a connection.
+// Conn is the state of a connection.
 type Conn struct {
-	IdleSince time.Time // it was opened, or had its last answer
-	LastRead  time.Time // of the last byte of a request that has begun to come
-	Answered  bool      // it has had an answer
-	Partial   bool      // a request has begun to come and is not whole
-	Busy      bool      // a whole request is under way
+	IdleSince time.Time // time of its last response, or of its start
+	LastRead  time.Time // time of the last byte of a partial request
+	Answered  bool      // it has had a response
+	Partial   bool      // a request has begun to arrive and is not complete
+	Busy      bool      // a complete request has no response yet
 }
 
-// class is the order in which connections go; the least first.
-type class int
+// priority is the order in which connections are closed, the lowest first.
+type priority int
 
 const (
-	resting class = iota // after an answer: it may be done with
-	silent               // it has sent nothing, and is about to
-	begun                // it has begun a request: it may be writing it yet
-	kept                 // it is owed an answer
+	idle      priority = iota // has had a response: the client may be done
+	silent                    // has sent nothing: the first request may be about to arrive
+	receiving                 // has sent a part of a request
+	protected                 // has a complete request without a response: never closed
 )
 
-func (c *Conn) class() class {
+func (c *Conn) priority() priority {
 	switch {
 	case c.Busy:
-		return kept
+		return protected
 	case c.Partial:
-		return begun
+		return receiving
 	case c.Answered:
-		return resting
+		return idle
 	}
 	return silent
 }
 
-// waits is since when it has done nothing.
-func (c *Conn) waits() time.Time {
+// lastActivity returns the time since which nothing has happened on the connection.
+func (c *Conn) lastActivity() time.Time {
 	if c.Partial && c.LastRead.After(c.IdleSince) {
 		return c.LastRead
 	}
 	return c.IdleSince
 }
 
-// PickVictim returns the place of the one that makes room among conns, of which there may
-// be most at once; -1 if none may go. Among those that are alike it is the one that has done nothing for
-// longest.
-func PickVictim(conns []Conn, most int) int {
+// PickVictim returns the index of the connection to be closed, given the limit of their number; -1 if each has a
+// pending request. Among those of the same priority it is the one without activity for longest.
+func PickVictim(conns []Conn, limit int) int {
 	n := 0
 	for i := range conns {
-		if conns[i].class() == silent {
+		if conns[i].priority() == silent {
 			n++
 		}
 	}
-	crowd := float64(n) > silentPart*float64(most)
-	best, bestClass := -1, kept
+	tooManySilent := float64(n) > maxSilentFraction*float64(limit)
+	best, bestPriority := -1, protected
 	for i := range conns {
-		c := conns[i].class()
-		if c == kept {
+		c := conns[i].priority()
+		if c == protected {
 			continue
 		}
-		if crowd && c == silent { // they go before those that rest
-			c = resting - 1
+		if tooManySilent && c == silent { // close them before idle ones
+			c = idle - 1
 		}
-		if best < 0 || c < bestClass || c == bestClass && conns[i].waits().Before(conns[best].waits()) {
-			best, bestClass = i, c
+		if best < 0 || c < bestPriority || c == bestPriority && conns[i].lastActivity().Before(conns[best].lastActivity()) {
+			best, bestPriority = i, c
 		}
 	}
 	return best
