--- a/internal/front/auth/auth_test.go
+++ b/internal/front/auth/auth_test.go
@@ -12,7 +12,8 @@
 		{Name: "b", Tokens: []string{"token-of-b-number-1"}}, {Name: "c"}})
 	for text, want := range map[string]string{"token-of-a-number-1": "a", "token-of-a-number-2": "a",
 		"token-of-b-number-1": "b",
-		"":                    "", "token-of-a-number-": "", "token-of-a-number-1 ": "", "token-of-a-number-12": "", "TOKEN-OF-A-NUMBER-1": ""} {
+		"":                    "", "token-of-a-number-": "", "token-of-a-number-1 ": "",
+		"token-of-a-number-12": "", "TOKEN-OF-A-NUMBER-1": ""} {
 		if got, ok := tokens.Tenant(text); got != want || ok != (want != "") {
 			t.Errorf("%q: %q, %v", text, got, ok)
 		}
--- a/internal/front/room/room_test.go
+++ b/internal/front/room/room_test.go
@@ -28,7 +28,8 @@
 		{"half are silent", []Conn{silent(2), idle(0), silent(1), begun(0, 0)}, 4, 1},
 		{"a partial request and a silent connection", []Conn{begun(0, 0), silent(9)}, 2, 1},
 		{"partial requests: the longest without a byte", []Conn{begun(0, 8), begun(5, 6), begun(3, 7), busy}, 4, 1},
-		{"partial request after a response", []Conn{{IdleSince: at(0), Answered: true, Partial: true, LastRead: at(9)}, begun(8, 8)}, 2, 1},
+		{"partial request after a response",
+			[]Conn{{IdleSince: at(0), Answered: true, Partial: true, LastRead: at(9)}, begun(8, 8)}, 2, 1},
 	} {
 		if got := PickVictim(c.conns, c.limit); got != c.want {
 			t.Errorf("%s: %d, want %d", c.name, got, c.want)
@@ -44,7 +45,8 @@
 		idle, free := 0, 0
 		for range rapid.IntRange(0, 20).Draw(t, "n") {
 			c := Conn{IdleSince: at(rapid.IntRange(0, 50).Draw(t, "since")), Answered: rapid.Bool().Draw(t, "answered"),
-				Partial: rapid.Bool().Draw(t, "begun"), Busy: rapid.Bool().Draw(t, "busy"), LastRead: at(rapid.IntRange(0, 50).Draw(t, "heard"))}
+				Partial: rapid.Bool().Draw(t, "partial"), Busy: rapid.Bool().Draw(t, "busy"),
+				LastRead: at(rapid.IntRange(0, 50).Draw(t, "last read"))}
 			if !c.Busy {
 				free++
 				if !c.Partial {
--- a/internal/netutil/accept.go
+++ b/internal/netutil/accept.go
@@ -10,27 +10,28 @@
 	"time"
 )
 
-// AcceptFailure is what a failed accept tells, see accept(2).
+// AcceptFailure is the kind of a failed accept, see accept(2).
 type AcceptFailure int
 
-// The failures.
+// The kinds of failures.
 const (
-	// ListenerClosed: no more connections come.
+	// ListenerClosed means that no more connections can be accepted.
 	ListenerClosed AcceptFailure = iota
-	// ConnectionAborted: the connection at hand, or the call, was aborted; others wait.
+	// ConnectionAborted means that one connection or the call was aborted. Others may be accepted.
 	ConnectionAborted
-	// NoDescriptor: this process may open no more; closing one helps.
+	// NoDescriptor means that this process has reached its limit of file descriptors. Closing one helps.
 	NoDescriptor
-	// SystemExhausted: the system is short of descriptors or buffers for a moment. Closing
-	// connections of one's own may not help, and would cut off clients.
+	// SystemExhausted means that the system has no descriptors or buffers left at the moment. Closing connections
+	// of this process may not help, and cuts clients off.
 	SystemExhausted
 )
 
 var acceptFailureNames = [...]string{"listener closed", "connection lost", "no descriptor", "system short"}
 
+// String returns the name of the failure, for logs.
 func (f AcceptFailure) String() string { return acceptFailureNames[f] }
 
-// ClassifyAcceptError tells what an error of Accept means.
+// ClassifyAcceptError returns the kind of failure that an error of Accept stands for.
 func ClassifyAcceptError(err error) AcceptFailure {
 	switch {
 	case errors.Is(err, net.ErrClosed):
@@ -44,91 +45,89 @@
 }
 
 const (
-	// acceptPause is the wait before another accept where one can't succeed at once.
+	// acceptPause is the wait before the next accept after a lack of descriptors or buffers.
 	acceptPause = 5 * time.Millisecond
-	// lostPause keeps errors that come again and again from using up a processor.
-	lostPause = time.Millisecond
-	// shortFor is how long the system may be short until descriptors of one's own are given
-	// back all the same.
-	shortFor = 100 * time.Millisecond
+	// abortedPause is the wait after an aborted connection, so that repeated errors don't take a whole processor.
+	abortedPause = time.Millisecond
+	// exhaustionTolerance is how long the system may be exhausted before this process closes connections of its
+	// own nevertheless.
+	exhaustionTolerance = 100 * time.Millisecond
 )
 
-// acceptBackoff decides what follows failed accepts of one listener. Its zero value is
-// ready for use.
-type acceptBackoff struct{ since time.Time }
+// acceptBackoff decides how to continue after failed accepts of one listener. Its zero value is ready for use.
+type acceptBackoff struct{ exhaustedSince time.Time }
 
-// failed tells how long to wait before the next accept, and whether to give back a
-// descriptor first.
-func (b *acceptBackoff) failed(f AcceptFailure, now time.Time) (pause time.Duration, release bool) {
+// onFailure returns how long to wait before the next accept, and whether to free a descriptor first.
+func (b *acceptBackoff) onFailure(f AcceptFailure, now time.Time) (pause time.Duration, release bool) {
 	switch f {
 	case NoDescriptor:
 		return acceptPause, true
 	case SystemExhausted:
-		if b.since.IsZero() {
-			b.since = now
+		if b.exhaustedSince.IsZero() {
+			b.exhaustedSince = now
 		}
-		return acceptPause, now.Sub(b.since) >= shortFor
+		return acceptPause, now.Sub(b.exhaustedSince) >= exhaustionTolerance
 	}
-	return lostPause, false
+	return abortedPause, false
 }
 
-// accepted notes that an accept has succeeded.
-func (b *acceptBackoff) accepted() { b.since = time.Time{} }
+// onSuccess records that an accept has succeeded.
+func (b *acceptBackoff) onSuccess() { b.exhaustedSince = time.Time{} }
 
-// Acceptor accepts the connections of one listener, whatever fails on the way.
+// Acceptor accepts the connections of one listener and retries after failures.
 type Acceptor struct {
 	net.Listener
 	Log     *slog.Logger // nil for none
-	Release func()       // gives a descriptor back; nil where there is none to give
+	Release func()       // frees a file descriptor; nil if there is none to free
 	backoff acceptBackoff
 
-	drains atomic.Int32 // looks at the queue that are left until the listener is closed; 0 while it is not to be
+	drainRounds atomic.Int32 // rounds left until a draining listener is closed; 0 if it does not drain
 }
 
 const (
-	// drainLooks and drainLook are how often, and for how long, a listener that is to be
-	// closed looks for connections that wait to be accepted: their requests may have come.
-	drainLooks = 2
-	drainLook  = 10 * time.Millisecond
+	// maxDrainRounds and drainRoundTime are how often, and how long each time, a listener that is to be closed
+	// accepts connections that are still queued: their requests may have arrived.
+	maxDrainRounds = 2
+	drainRoundTime = 10 * time.Millisecond
 )
 
-// deadliner is a listener whose accepts may be bounded, as those of package net are.
-type deadliner interface{ SetDeadline(time.Time) error }
+// deadlineListener is a listener whose Accept has a deadline, as those of package net do.
+type deadlineListener interface{ SetDeadline(time.Time) error }
 
-// Drain closes the listener once the connections are accepted that wait for it; what
-// Accept returns until then is good. It does not wait.
+// Drain closes the listener once the queued connections have been accepted. Until then Accept returns them. Drain
+// itself returns at once.
 func (a *Acceptor) Drain() {
-	d, ok := a.Listener.(deadliner)
-	if !ok || !a.drains.CompareAndSwap(0, drainLooks) {
+	d, ok := a.Listener.(deadlineListener)
+	if !ok || !a.drainRounds.CompareAndSwap(0, maxDrainRounds) {
 		a.Close()
 		return
 	}
-	if d.SetDeadline(time.Now().Add(drainLook)) != nil {
+	if d.SetDeadline(time.Now().Add(drainRoundTime)) != nil {
 		a.Close()
 	}
 }
 
-// drained says whether a listener that drains has looked for long enough, and if so
-// closes it.
-func (a *Acceptor) drained() bool {
-	if a.drains.Add(-1) > 0 {
-		a.Listener.(deadliner).SetDeadline(time.Now().Add(drainLook))
+// endDrainRound starts the next round of a draining listener, or closes the listener after the last one. It reports
+// whether the listener is closed.
+func (a *Acceptor) endDrainRound() bool {
+	if a.drainRounds.Add(-1) > 0 {
+		a.Listener.(deadlineListener).SetDeadline(time.Now().Add(drainRoundTime))
 		return false
 	}
 	a.Close()
 	return true
 }
 
-// Accept returns the next connection. Its only error is that the listener is closed.
+// Accept returns the next connection. It retries after failures, so its only error is a closed listener.
 func (a *Acceptor) Accept() (net.Conn, error) {
 	for {
 		conn, err := a.Listener.Accept()
 		if err == nil {
-			a.backoff.accepted()
+			a.backoff.onSuccess()
 			return conn, nil
 		}
-		if a.drains.Load() > 0 && errors.Is(err, os.ErrDeadlineExceeded) {
-			if a.drained() {
+		if a.drainRounds.Load() > 0 && errors.Is(err, os.ErrDeadlineExceeded) {
+			if a.endDrainRound() {
 				return nil, net.ErrClosed
 			}
 			continue
@@ -140,7 +139,7 @@
 		if a.Log != nil {
 			a.Log.Warn("accept", "addr", a.Addr().String(), "err", err, "failure", failure.String())
 		}
-		pause, release := a.backoff.failed(failure, time.Now())
+		pause, release := a.backoff.onFailure(failure, time.Now())
 		if release && a.Release != nil {
 			a.Release()
 		}
--- a/internal/netutil/accept_test.go
+++ b/internal/netutil/accept_test.go
@@ -8,12 +8,14 @@
 	"time"
 )
 
-// Each errno of accept(2): only a lack of this process's own descriptors, or a long one of the system's, costs another
-// client its connection.
+// Classifies each errno of accept(2). Other clients' connections are closed only if this process has no descriptor left,
+// or the system has been exhausted for long.
 func TestAcceptFailures(t *testing.T) {
 	for errno, want := range map[syscall.Errno]AcceptFailure{
-		syscall.EMFILE: NoDescriptor, syscall.ENFILE: SystemExhausted, syscall.ENOBUFS: SystemExhausted, syscall.ENOMEM: SystemExhausted,
-		syscall.ECONNABORTED: ConnectionAborted, syscall.EINTR: ConnectionAborted, syscall.EPROTO: ConnectionAborted, syscall.EPERM: ConnectionAborted,
+		syscall.EMFILE: NoDescriptor, syscall.ENFILE: SystemExhausted, syscall.ENOBUFS: SystemExhausted,
+		syscall.ENOMEM:       SystemExhausted,
+		syscall.ECONNABORTED: ConnectionAborted, syscall.EINTR: ConnectionAborted, syscall.EPROTO: ConnectionAborted,
+		syscall.EPERM:    ConnectionAborted,
 		syscall.ENETDOWN: ConnectionAborted, syscall.EHOSTUNREACH: ConnectionAborted, syscall.ETIMEDOUT: ConnectionAborted,
 	} {
 		err := fmt.Errorf("accept: %w", &net.OpError{Op: "accept", Err: errno})
@@ -29,27 +31,27 @@
 func TestAcceptBackoff(t *testing.T) {
 	var b acceptBackoff
 	at := time.Now()
-	if pause, release := b.failed(ConnectionAborted, at); pause == 0 || pause >= acceptPause || release {
+	if pause, release := b.onFailure(ConnectionAborted, at); pause == 0 || pause >= acceptPause || release {
 		t.Errorf("after a lost connection: %v, %v", pause, release)
 	}
-	if pause, release := b.failed(NoDescriptor, at); pause == 0 || !release {
+	if pause, release := b.onFailure(NoDescriptor, at); pause == 0 || !release {
 		t.Errorf("without descriptors: %v, %v", pause, release)
 	}
 	for _, x := range []struct {
 		after time.Duration
 		want  bool
-	}{{0, false}, {shortFor - 1, false}, {shortFor, true}} {
-		if _, release := b.failed(SystemExhausted, at.Add(x.after)); release != x.want {
-			t.Errorf("short for %v: release %v", x.after, release)
+	}{{0, false}, {exhaustionTolerance - 1, false}, {exhaustionTolerance, true}} {
+		if _, release := b.onFailure(SystemExhausted, at.Add(x.after)); release != x.want {
+			t.Errorf("exhausted for %v: release %v", x.after, release)
 		}
 	}
-	b.accepted()
-	if _, release := b.failed(SystemExhausted, at.Add(time.Hour)); release {
-		t.Error("a new shortage counts from the one before")
+	b.onSuccess()
+	if _, release := b.onFailure(SystemExhausted, at.Add(time.Hour)); release {
+		t.Error("a new exhaustion counts from the one before")
 	}
 }
 
-// failingListener fails as it is told before it accepts.
+// failingListener returns the given errors before it accepts.
 type failingListener struct {
 	net.Listener
 	errs []error
@@ -64,14 +66,15 @@
 	return l.Listener.Accept()
 }
 
-// Failures on the way cost no client its connection but where this process has no descriptor left.
-func TestAcceptorGoesOn(t *testing.T) {
+// Guards against connections closed or lost for a failed accept: only a lack of descriptors of this process frees one.
+func TestAcceptorRetries(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	released := 0
-	a := Acceptor{Listener: &failingListener{ln, []error{syscall.ECONNABORTED, syscall.ENFILE, syscall.EINTR, syscall.ENOBUFS, syscall.EMFILE}},
+	a := Acceptor{Listener: &failingListener{ln, []error{syscall.ECONNABORTED, syscall.ENFILE, syscall.EINTR,
+		syscall.ENOBUFS, syscall.EMFILE}},
 		Release: func() { released++ }}
 	client, err := net.Dial("tcp", ln.Addr().String())
 	if err != nil {
@@ -84,22 +87,23 @@
 	}
 	conn.Close()
 	if released != 1 {
-		t.Errorf("%d descriptors were given back, want that for EMFILE", released)
+		t.Errorf("%d descriptors were freed, want the one for EMFILE", released)
 	}
 	ln.Close()
 	if _, err := a.Accept(); ClassifyAcceptError(err) != ListenerClosed {
-		t.Errorf("after the end: %v", err)
+		t.Errorf("after the close: %v", err)
 	}
 }
 
-// Connections that were made before a listener is closed are accepted, though nobody has come to that yet.
-func TestDrainAcceptsWhoWaits(t *testing.T) {
+// Guards against a reset of connections that are established and queued, but not accepted, when the listener is to be
+// closed.
+func TestDrainAcceptsQueued(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	const waiting = 20
-	for range waiting {
+	const queued = 20
+	for range queued {
 		c, err := net.Dial("tcp", ln.Addr().String())
 		if err != nil {
 			t.Fatal(err)
@@ -116,11 +120,11 @@
 		}
 		conn.Close()
 	}
-	if n != waiting {
-		t.Errorf("%d of %d that waited were accepted", n, waiting)
+	if n != queued {
+		t.Errorf("%d of %d queued connections were accepted", n, queued)
 	}
 	if c, err := net.Dial("tcp", ln.Addr().String()); err == nil {
 		c.Close()
-		t.Error("the listener is open still")
+		t.Error("the listener is still open")
 	}
 }
--- a/internal/netutil/listen.go
+++ b/internal/netutil/listen.go
@@ -2,8 +2,8 @@
 
 import "net"
 
-// MatchesAddr says whether a listener at an address is the one that a configuration
-// names as host:port. Port 0 is any.
+// MatchesAddr reports whether the address of a listener is the one that a configuration names as host:port. Port 0
+// matches any port.
 func MatchesAddr(configured string, addr net.Addr) bool {
 	at, ok := addr.(*net.TCPAddr)
 	if !ok {
--- a/internal/netutil/peek.go
+++ b/internal/netutil/peek.go
@@ -1,4 +1,4 @@
-// Package netutil looks at connections in ways that package net does not offer.
+// Package netutil has operations on connections and listeners that package net does not offer.
 package netutil
 
 import (
@@ -7,8 +7,8 @@
 	"syscall"
 )
 
-// Peek looks at a connection without reading or waiting: whether the peer has it
-// open still, and whether something has come.
+// Peek inspects a connection without reading or waiting. It reports whether the peer still has it open, and whether
+// there are bytes to read.
 func Peek(conn net.Conn) (alive, data bool) {
 	sc, ok := conn.(syscall.Conn)
 	if !ok {
@@ -27,8 +27,7 @@
 	return alive && err == nil, data
 }
 
-// PeekInto looks at what has come on a connection, without reading or waiting, and
-// returns how many bytes of it are in b.
+// PeekInto copies received bytes of a connection into b without reading or waiting, and returns their number.
 func PeekInto(conn net.Conn, b []byte) (n int) {
 	sc, ok := conn.(syscall.Conn)
 	if !ok {
--- a/internal/netutil/readable.go
+++ b/internal/netutil/readable.go
@@ -7,10 +7,9 @@
 	"syscall"
 )
 
-// WaitReadable waits until a connection has something to read, without reading it
-// and without a buffer. It returns io.EOF when the peer has ended, and an error that
-// is [os.ErrDeadlineExceeded] when the read deadline has passed. ok is false for a
-// connection that can't be waited for that way.
+// WaitReadable waits until a connection has bytes to read, without reading them and without a buffer. It returns
+// [io.EOF] when the peer has closed its side, and an error that is [os.ErrDeadlineExceeded] when the read deadline has
+// passed. ok is false for a connection that does not support this wait.
 func WaitReadable(conn net.Conn) (ok bool, err error) {
 	sc, is := conn.(syscall.Conn)
 	if !is {
@@ -29,7 +28,7 @@
 			case errors.Is(err, syscall.EINTR):
 				continue
 			case errors.Is(err, syscall.EAGAIN):
-				return false // the poller wakes us
+				return false // wait for the poller
 			case err != nil:
 				found = err
 			case n == 0:
