--- a/internal/front/http/front.go
+++ b/internal/front/http/front.go
@@ -49,8 +49,8 @@
 // Core accepts messages and returns their states. [core.FrontLimiter] implements it.
 type Core interface {
 	Clock() *clock.Clock
-	Check(m *message.Message, hold time.Duration) error
-	Submit(m *message.Message, answer chan<- core.SubmitResponse)
+	Check(m *message.Message, timeLeft time.Duration) error
+	Submit(m *message.Message, result chan<- core.SubmitResponse)
 	State(ctx context.Context, id string, wait bool) (core.State, error)
 }
 
--- a/internal/front/http/front_test.go
+++ b/internal/front/http/front_test.go
@@ -29,14 +29,14 @@
 // fakeCore is a core whose responses a test sets.
 type fakeCore struct {
 	check     error
-	answer    core.SubmitResponse
+	response  core.SubmitResponse
 	state     core.State
 	submitted chan *message.Message
 	wait      chan struct{} // closed when a state that is waited for is available
 }
 
-func (s *fakeCore) Check(m *message.Message, hold time.Duration) error {
-	if hold < 0 {
+func (s *fakeCore) Check(m *message.Message, timeLeft time.Duration) error {
+	if timeLeft < 0 {
 		return &core.FieldError{Field: "deadline", Reason: "past"}
 	}
 	if !message.Plain(m.ID + m.Partner) {
@@ -48,11 +48,11 @@
 // Clock returns a clock that shows Unix time.
 func (s *fakeCore) Clock() *clock.Clock { now := time.Now(); return clock.New(now.UnixMicro(), now) }
 
-func (s *fakeCore) Submit(m *message.Message, answer chan<- core.SubmitResponse) {
+func (s *fakeCore) Submit(m *message.Message, result chan<- core.SubmitResponse) {
 	if s.submitted != nil {
 		s.submitted <- m
 	}
-	answer <- s.answer
+	result <- s.response
 }
 
 func (s *fakeCore) State(ctx context.Context, id string, wait bool) (core.State, error) {
@@ -69,7 +69,8 @@
 
 func newFront(t *testing.T, s *fakeCore, with ...func(*Options)) (*Front, string) {
 	t.Helper()
-	opts := Options{Listen: "127.0.0.1:0", MaxConnections: 64, MaxLongPolls: 4, MaxStreams: 4, MaxWait: time.Minute, Stream: NewStream(8),
+	opts := Options{Listen: "127.0.0.1:0", MaxConnections: 64, MaxLongPolls: 4, MaxStreams: 4,
+		MaxWait: time.Minute, Stream: NewStream(8),
 		DefaultDeadline: func(string) (time.Duration, bool) { return time.Minute, true }, Log: slog.New(slog.DiscardHandler)}
 	for _, f := range with {
 		f(&opts)
@@ -114,7 +115,8 @@
 }
 
 // do makes a request and checks the response against the OpenAPI description.
-func do(t *testing.T, router routers.Router, method, url string, body io.Reader, headers ...string) (*http.Response, map[string]any) {
+func do(t *testing.T, router routers.Router, method, url string, body io.Reader,
+	headers ...string) (*http.Response, map[string]any) {
 	t.Helper()
 	req, err := http.NewRequest(method, url, body)
 	if err != nil {
@@ -139,7 +141,8 @@
 		}
 		in := &openapi3filter.RequestValidationInput{Request: req, PathParams: params, Route: route,
 			Options: &openapi3filter.Options{IncludeResponseStatus: true}}
-		out := &openapi3filter.ResponseValidationInput{RequestValidationInput: in, Status: resp.StatusCode, Header: resp.Header,
+		out := &openapi3filter.ResponseValidationInput{RequestValidationInput: in,
+			Status: resp.StatusCode, Header: resp.Header,
 			Options: &openapi3filter.Options{IncludeResponseStatus: true}}
 		if err := openapi3filter.ValidateResponse(t.Context(), out.SetBodyBytes(text)); err != nil {
 			t.Errorf("%s %s: response %d is not as described: %v\n%s", method, url, resp.StatusCode, err, text)
@@ -157,21 +160,26 @@
 	router := apiRouter(t, base)
 	const good = "/v1/messages?partner=p&class=c&id=a"
 	for _, x := range []struct {
-		answer core.SubmitResponse
-		check  error
-		status int
-		retry  string
+		response core.SubmitResponse
+		check    error
+		status   int
+		retry    string
 	}{
 		{core.SubmitResponse{}, nil, 202, ""}, {core.SubmitResponse{Duplicate: true}, nil, 202, ""},
-		{core.SubmitResponse{Status: core.Busy, RetryAfter: 1500 * time.Millisecond}, nil, 429, "2"}, {core.SubmitResponse{Status: core.Busy}, nil, 503, ""},
-		{core.SubmitResponse{Status: core.Failed}, nil, 422, ""}, {core.SubmitResponse{Status: core.UnknownPartner}, nil, 400, ""},
-		{core.SubmitResponse{Status: core.Conflict}, nil, 409, ""}, {core.SubmitResponse{Status: core.Stopped}, nil, 503, ""},
-		{core.SubmitResponse{}, &core.FieldError{Field: "class", Reason: "unknown class"}, 400, ""}, {core.SubmitResponse{}, errors.New("other"), 400, ""},
+		{core.SubmitResponse{Status: core.Busy, RetryAfter: 1500 * time.Millisecond}, nil, 429, "2"},
+		{core.SubmitResponse{Status: core.Busy}, nil, 503, ""},
+		{core.SubmitResponse{Status: core.Failed}, nil, 422, ""},
+		{core.SubmitResponse{Status: core.UnknownPartner}, nil, 400, ""},
+		{core.SubmitResponse{Status: core.Conflict}, nil, 409, ""},
+		{core.SubmitResponse{Status: core.Stopped}, nil, 503, ""},
+		{core.SubmitResponse{}, &core.FieldError{Field: "class", Reason: "unknown class"}, 400, ""},
+		{core.SubmitResponse{}, errors.New("other"), 400, ""},
 	} {
-		s.answer, s.check = x.answer, x.check
+		s.response, s.check = x.response, x.check
 		resp, fields := do(t, router, "POST", base+good, strings.NewReader("x"))
 		if resp.StatusCode != x.status || resp.Header.Get("Retry-After") != x.retry {
-			t.Errorf("%+v %v: status %d, Retry-After %q: %v", x.answer, x.check, resp.StatusCode, resp.Header.Get("Retry-After"), fields)
+			t.Errorf("%+v %v: status %d, Retry-After %q: %v", x.response, x.check, resp.StatusCode,
+				resp.Header.Get("Retry-After"), fields)
 		}
 		if x.status == 202 && resp.Header.Get("Location") != "/v1/messages/a" {
 			t.Errorf("Location %q", resp.Header.Get("Location"))
@@ -187,21 +195,27 @@
 	if resp, _ := do(t, router, "GET", base+"/v1/messages/a", nil); resp.StatusCode != 404 {
 		t.Errorf("unknown: %d", resp.StatusCode)
 	}
-	for _, st := range []core.State{{Name: core.StateAccepted, Partner: "p", Class: "c", AcceptedAt: time.Now(), Deadline: time.Now()},
-		{Name: core.StateSending, Attempts: 1, AcceptedAt: time.Now(), Deadline: time.Now()}, {Name: message.Delivered, Attempts: 2, EndedAt: time.Now()},
-		{Name: message.Returned, RetryAfter: time.Second, EndedAt: time.Now(), Tenant: "t"}, {Name: message.Failed, EndedAt: time.Now()}} {
+	for _, st := range []core.State{
+		{Name: core.StateAccepted, Partner: "p", Class: "c", AcceptedAt: time.Now(), Deadline: time.Now()},
+		{Name: core.StateSending, Attempts: 1, AcceptedAt: time.Now(), Deadline: time.Now()},
+		{Name: message.Delivered, Attempts: 2, EndedAt: time.Now()},
+		{Name: message.Returned, RetryAfter: time.Second, EndedAt: time.Now(), Tenant: "t"},
+		{Name: message.Failed, EndedAt: time.Now()}} {
 		s.state = st
-		if resp, fields := do(t, router, "GET", base+"/v1/messages/a", nil); resp.StatusCode != 200 || fields["state"] != st.Name {
+		if resp, fields := do(t, router, "GET", base+"/v1/messages/a", nil); resp.StatusCode != 200 ||
+			fields["state"] != st.Name {
 			t.Errorf("%+v: %d %v", st, resp.StatusCode, fields)
 		}
 	}
 	for _, wait := range []string{"x", "-1s", "2m", "5"} {
-		if resp, fields := do(t, router, "GET", base+"/v1/messages/a?wait="+wait, nil); resp.StatusCode != 400 || fields["field"] != "wait" {
+		if resp, fields := do(t, router, "GET", base+"/v1/messages/a?wait="+wait, nil); resp.StatusCode != 400 ||
+			fields["field"] != "wait" {
 			t.Errorf("wait=%s: %d %v", wait, resp.StatusCode, fields)
 		}
 	}
 	for path, status := range map[string]int{"/": 404, "/v1/messages/a/b": 404, "/v1/batch": 405, "/v1/messages": 405} {
-		if resp, fields := do(t, nil, "GET", base+path, nil); resp.StatusCode != status || fields["status"] != float64(status) {
+		if resp, fields := do(t, nil, "GET", base+path, nil); resp.StatusCode != status ||
+			fields["status"] != float64(status) {
 			t.Errorf("GET %s: %d %v", path, resp.StatusCode, fields)
 		}
 	}
@@ -212,10 +226,12 @@
 	s := &fakeCore{submitted: make(chan *message.Message, 1)}
 	_, base := newFront(t, s)
 	body := string([]byte{0, 1, 0xff, '\r', '\n'})
-	do(t, nil, "POST", base+"/v1/messages?partner=p%2Fq&class=c&key=k&order=o&tenant=t&left=90s", strings.NewReader(body), "Idempotency-Key", "idem")
+	do(t, nil, "POST", base+"/v1/messages?partner=p%2Fq&class=c&key=k&order=o&tenant=t&left=90s",
+		strings.NewReader(body), "Idempotency-Key", "idem")
 	m := <-s.submitted
 	left := time.Until(time.UnixMicro(m.Deadline))
-	if m.ID != "idem" || m.Partner != "p/q" || m.Class != "c" || m.Key != "k" || m.Order != "o" || m.Tenant != "t" || string(m.Body) != body ||
+	if m.ID != "idem" || m.Partner != "p/q" || m.Class != "c" || m.Key != "k" || m.Order != "o" ||
+		m.Tenant != "t" || string(m.Body) != body ||
 		left > 90*time.Second || left < 60*time.Second {
 		t.Errorf("%+v, left %v", m, left)
 	}
@@ -224,13 +240,17 @@
 	if m := <-s.submitted; time.Until(time.UnixMicro(m.Deadline)) > 40*time.Second || len(m.ID) != 32 {
 		t.Errorf("%+v", m)
 	}
-	for query, field := range map[string]string{"left=1s&deadline=" + by: "deadline", "left=soon": "left", "left=-1s": "deadline",
-		"deadline=tomorrow": "deadline", "deadline=2020-01-01T00:00:00Z": "deadline", "colour=red": "colour", "id=a&id=b": "id"} {
-		if resp, fields := do(t, nil, "POST", base+"/v1/messages?partner=p&class=c&"+query, nil); resp.StatusCode != 400 || fields["field"] != field {
+	for query, field := range map[string]string{"left=1s&deadline=" + by: "deadline", "left=soon": "left",
+		"left=-1s":          "deadline",
+		"deadline=tomorrow": "deadline", "deadline=2020-01-01T00:00:00Z": "deadline", "colour=red": "colour",
+		"id=a&id=b": "id"} {
+		if resp, fields := do(t, nil, "POST", base+"/v1/messages?partner=p&class=c&"+query, nil); resp.StatusCode != 400 ||
+			fields["field"] != field {
 			t.Errorf("%s: %d %v", query, resp.StatusCode, fields)
 		}
 	}
-	if resp, _ := do(t, nil, "POST", base+"/v1/messages?partner=p&class=c&id=a", nil, "Idempotency-Key", "b"); resp.StatusCode != 400 {
+	if resp, _ := do(t, nil, "POST", base+"/v1/messages?partner=p&class=c&id=a", nil,
+		"Idempotency-Key", "b"); resp.StatusCode != 400 {
 		t.Errorf("two ids: %d", resp.StatusCode)
 	}
 	if len(s.submitted) != 0 {
@@ -249,8 +269,10 @@
 		method, path, token string
 		status              int
 	}{
-		{"POST", "/v1/messages?partner=p&class=c", "", 401}, {"GET", "/v1/messages/a", "", 401}, {"POST", "/v1/batch", "", 401}, {"GET", "/v1/ends", "", 401},
-		{"GET", "/v1/messages/a", "Bearer ?acme", 401}, {"GET", "/v1/messages/a", "Basic !acme", 401}, {"GET", "/v1/messages/a", "Bearer ", 401},
+		{"POST", "/v1/messages?partner=p&class=c", "", 401}, {"GET", "/v1/messages/a", "", 401},
+		{"POST", "/v1/batch", "", 401}, {"GET", "/v1/ends", "", 401},
+		{"GET", "/v1/messages/a", "Bearer ?acme", 401}, {"GET", "/v1/messages/a", "Basic !acme", 401},
+		{"GET", "/v1/messages/a", "Bearer ", 401},
 		{"GET", "/v1/messages/a", "Bearer !acme", 200}, {"GET", "/v1/messages/a", "Bearer !other", 404},
 		{"GET", "/v1/messages/a?wait=1m", "Bearer !other", 404},
 		{"POST", "/v1/messages?partner=p&class=c&tenant=acme", "Bearer !other", 403},
@@ -279,8 +301,10 @@
 	s := &fakeCore{}
 	_, base := newFront(t, s)
 	lines := []string{`{"id":"a","partner":"p","class":"c","body":"x"}`, ``, `{"id":"b"`, `{"id":"c","colour":1}`,
-		`{"id":"d","partner":"p","class":"c","body_base64":"AAE="}`, `{"id":"e","body":"x","body_base64":"AAE="}`, `{"id":"f","body_base64":"?"}`,
-		`{"id":"g"} {"id":"h"}`, `{"id":"i","left":"never"}`, `{"id":"\ud800","partner":"p"}`, `{"id":"last","partner":"p","class":"c"}`}
+		`{"id":"d","partner":"p","class":"c","body_base64":"AAE="}`, `{"id":"e","body":"x","body_base64":"AAE="}`,
+		`{"id":"f","body_base64":"?"}`,
+		`{"id":"g"} {"id":"h"}`, `{"id":"i","left":"never"}`, `{"id":"\ud800","partner":"p"}`,
+		`{"id":"last","partner":"p","class":"c"}`}
 	resp, err := http.Post(base+"/v1/batch", "application/x-ndjson", strings.NewReader(strings.Join(lines, "\n")))
 	if err != nil {
 		t.Fatal(err)
@@ -301,7 +325,8 @@
 		t.Errorf("%d results", n)
 	}
 	s.submitted = make(chan *message.Message, 8)
-	half := dialRaw(t, base, "POST /v1/batch HTTP/1.1\r\nHost: x\r\nContent-Length: 1000\r\n\r\n"+lines[0]+"\n"+`{"id":"half","partner":"p","class":"c"}`)
+	half := dialRaw(t, base, "POST /v1/batch HTTP/1.1\r\nHost: x\r\nContent-Length: 1000\r\n\r\n"+
+		lines[0]+"\n"+`{"id":"half","partner":"p","class":"c"}`)
 	half.CloseWrite()
 	if text, _ := io.ReadAll(half); !bytes.Contains(text, []byte("did not come whole")) {
 		t.Errorf("response to half a batch: %q", text)
@@ -391,13 +416,14 @@
 	}
 }
 
-// The stream continues after the last event that the client has seen. Events that the window has dropped, or that another
-// process sent, are reported as a gap.
+// The stream continues after the last event that the client has seen. Events that the window has dropped, or that
+// another process sent, are reported as a gap.
 func TestStream(t *testing.T) {
 	f, base := newFront(t, &fakeCore{}, func(o *Options) { o.MaxStreams = 16 })
 	add := func(from, to int) {
 		for i := from; i < to; i++ {
-			f.opts.Stream.Add(&message.Message{Partner: "p", Class: "c"}, message.End{ID: fmt.Sprint("m", i), State: message.Delivered, Tries: 1})
+			f.opts.Stream.Add(&message.Message{Partner: "p", Class: "c"},
+				message.End{ID: fmt.Sprint("m", i), State: message.Delivered, Tries: 1})
 		}
 	}
 	add(0, 3)
@@ -436,7 +462,8 @@
 	for range cap(f.streams) {
 		followStream(t, base, "")
 	}
-	if resp, _ := do(t, router, "GET", base+"/v1/ends", nil); resp.StatusCode != 503 || resp.Header.Get("Retry-After") == "" {
+	if resp, _ := do(t, router, "GET", base+"/v1/ends", nil); resp.StatusCode != 503 ||
+		resp.Header.Get("Retry-After") == "" {
 		t.Errorf("one stream too many: %d", resp.StatusCode)
 	}
 	polls := make(chan int, cap(f.longPolls))
@@ -451,7 +478,7 @@
 			polls <- resp.StatusCode
 		}()
 	}
-	byhand.Until(t, "long-polls", func() bool { return len(f.longPolls) == cap(f.longPolls) })
+	byhand.Until(t, "long polls", func() bool { return len(f.longPolls) == cap(f.longPolls) })
 	if resp, _ := do(t, router, "GET", base+"/v1/messages/a?wait=1m", nil); resp.StatusCode != 503 {
 		t.Errorf("one long poll too many: %d", resp.StatusCode)
 	}
@@ -461,28 +488,33 @@
 	close(s.wait)
 	for range cap(f.longPolls) {
 		if got := <-polls; got != 200 {
-			t.Errorf("long-poll: %d", got)
+			t.Errorf("long poll: %d", got)
 		}
 	}
 	for range cap(f.largeSlots) {
 		f.largeSlots <- struct{}{}
 	}
-	if resp, _ := do(t, router, "POST", base+"/v1/messages?partner=p&class=c", strings.NewReader(strings.Repeat("x", smallBodyBytes+1))); resp.StatusCode != 503 {
+	if resp, _ := do(t, router, "POST", base+"/v1/messages?partner=p&class=c",
+		strings.NewReader(strings.Repeat("x", smallBodyBytes+1))); resp.StatusCode != 503 {
 		t.Errorf("one large body too many: %d", resp.StatusCode)
 	}
-	if resp, _ := do(t, router, "POST", base+"/v1/messages?partner=p&class=c", strings.NewReader("x")); resp.StatusCode != 202 {
+	if resp, _ := do(t, router, "POST", base+"/v1/messages?partner=p&class=c",
+		strings.NewReader("x")); resp.StatusCode != 202 {
 		t.Errorf("a small body meanwhile: %d", resp.StatusCode)
 	}
 	for range cap(f.largeSlots) {
 		<-f.largeSlots
 	}
-	if resp, _ := do(t, router, "POST", base+"/v1/messages?partner=p&class=c", strings.NewReader(strings.Repeat("x", message.MaxBody))); resp.StatusCode != 202 {
+	if resp, _ := do(t, router, "POST", base+"/v1/messages?partner=p&class=c",
+		strings.NewReader(strings.Repeat("x", message.MaxBody))); resp.StatusCode != 202 {
 		t.Errorf("a body of the maximum size: %d", resp.StatusCode)
 	}
-	if resp, _ := do(t, router, "POST", base+"/v1/messages?partner=p&class=c", strings.NewReader(strings.Repeat("x", message.MaxBody+1))); resp.StatusCode != 413 {
+	if resp, _ := do(t, router, "POST", base+"/v1/messages?partner=p&class=c",
+		strings.NewReader(strings.Repeat("x", message.MaxBody+1))); resp.StatusCode != 413 {
 		t.Errorf("one byte more: %d", resp.StatusCode)
 	}
-	if resp, _ := do(t, router, "POST", base+"/v1/messages?partner=p&class=c", io.MultiReader(strings.NewReader(strings.Repeat("x", message.MaxBody+1)))); resp.StatusCode != 413 {
+	if resp, _ := do(t, router, "POST", base+"/v1/messages?partner=p&class=c",
+		io.MultiReader(strings.NewReader(strings.Repeat("x", message.MaxBody+1)))); resp.StatusCode != 413 {
 		t.Errorf("one byte more, in chunks: %d", resp.StatusCode)
 	}
 }
@@ -499,7 +531,7 @@
 		}
 		polled <- err
 	}()
-	byhand.Until(t, "long-poll", func() bool { return len(f.longPolls) > 0 })
+	byhand.Until(t, "long poll", func() bool { return len(f.longPolls) > 0 })
 	var silent []*net.TCPConn
 	for range 10 {
 		silent = append(silent, dialRaw(t, base, ""))
@@ -519,7 +551,8 @@
 	}
 }
 
-// A client that does not read its stream is disconnected after a while. Guards against delaying other clients until then.
+// A client that does not read its stream is disconnected after a while. Guards against delaying other clients until
+// then.
 func TestSlowReader(t *testing.T) {
 	f, base := newFront(t, &fakeCore{}, func(o *Options) { o.Stream = NewStream(200_000) })
 	slow := dialRaw(t, base, "GET /v1/ends HTTP/1.1\r\nHost: x\r\n\r\n")
--- a/internal/front/http/messages.go
+++ b/internal/front/http/messages.go
@@ -143,9 +143,9 @@
 		rejection.write(w)
 		return
 	}
-	answer := make(chan core.SubmitResponse, 1)
-	f.core.Submit(&q.msg, answer)
-	if rejection := submitProblem(q.msg.ID, <-answer); rejection != nil {
+	result := make(chan core.SubmitResponse, 1)
+	f.core.Submit(&q.msg, result)
+	if rejection := submitProblem(q.msg.ID, <-result); rejection != nil {
 		rejection.write(w)
 		return
 	}
--- a/internal/front/http/places_test.go
+++ b/internal/front/http/places_test.go
@@ -9,7 +9,8 @@
 // A connection that has had a response is closed before one that has sent nothing yet, unless silent ones are most of
 // them; busy ones are never closed.
 func TestEviction(t *testing.T) {
-	for _, x := range []struct{ silent, busy, closed int }{{1, 0, 1}, {6, 0, 6}, {7, 0, 0}, {8, 0, 0}, {3, 5, 0}, {0, 8, -1}} {
+	for _, x := range []struct{ silent, busy, closed int }{{1, 0, 1}, {6, 0, 6}, {7, 0, 0}, {8, 0, 0},
+		{3, 5, 0}, {0, 8, -1}} {
 		p := &connections{limit: 8, conns: map[net.Conn]connectionState{}}
 		var all []net.Conn
 		for i := range 8 {
--- a/internal/front/http/shutdown_test.go
+++ b/internal/front/http/shutdown_test.go
@@ -23,8 +23,8 @@
 	submitted chan chan<- core.SubmitResponse
 }
 
-func (l *deferredCore) Submit(_ *message.Message, answer chan<- core.SubmitResponse) {
-	l.submitted <- answer
+func (l *deferredCore) Submit(_ *message.Message, result chan<- core.SubmitResponse) {
+	l.submitted <- result
 }
 
 // serveDeferred starts a front whose responses the test gives.
@@ -62,7 +62,7 @@
 func TestShutdownWaitsForResponses(t *testing.T) {
 	f, c := serveDeferred(t)
 	got := postRaw(t, f)
-	answer := byhand.Await(t, c.submitted, "request")
+	result := byhand.Await(t, c.submitted, "request")
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	done := make(chan struct{})
@@ -75,7 +75,7 @@
 		t.Error("the front is shut down with a request unanswered")
 	case <-time.After(permit.MaxStall):
 	}
-	answer <- core.SubmitResponse{Status: core.Stopped}
+	result <- core.SubmitResponse{Status: core.Stopped}
 	if line := byhand.Await(t, got, "response"); !strings.Contains(line, fmt.Sprint(http.StatusServiceUnavailable)) {
 		t.Errorf("response %q", line)
 	}
@@ -106,8 +106,8 @@
 	}()
 	close(f.ln.(gatedListener).proceed)
 	select {
-	case answer := <-c.submitted:
-		answer <- core.SubmitResponse{}
+	case result := <-c.submitted:
+		result <- core.SubmitResponse{}
 	case line := <-got:
 		t.Fatalf("the request ended with %q", line)
 	}
--- a/internal/front/http/tls_test.go
+++ b/internal/front/http/tls_test.go
@@ -31,7 +31,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	tmpl := &x509.Certificate{SerialNumber: serial, NotAfter: time.Now().Add(time.Hour), IPAddresses: []net.IP{net.IPv4(127, 0, 0, 1)}}
+	tmpl := &x509.Certificate{SerialNumber: serial, NotAfter: time.Now().Add(time.Hour),
+		IPAddresses: []net.IP{net.IPv4(127, 0, 0, 1)}}
 	der, err := x509.CreateCertificate(rand.Reader, tmpl, tmpl, &priv.PublicKey, priv)
 	if err != nil {
 		t.Fatal(err)
@@ -40,14 +41,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: der}), pem.EncodeToMemory(&pem.Block{Type: "EC PRIVATE KEY", Bytes: k})
+	return pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: der}),
+		pem.EncodeToMemory(&pem.Block{Type: "EC PRIVATE KEY", Bytes: k})
 }
 
 // insecureTLS accepts any certificate: the tests check which one is presented.
 func insecureTLS() *tls.Config { return &tls.Config{InsecureSkipVerify: true} }
 
-// Certificates are reloaded when their files change, and an invalid one leaves the old one in use. HTTP/2 works with and
-// without TLS.
+// Certificates are reloaded when their files change, and an invalid one leaves the old one in use. HTTP/2 works with
+// and without TLS.
 func TestTLS(t *testing.T) {
 	dir := t.TempDir()
 	write := func() {
@@ -56,8 +58,8 @@
 		os.WriteFile(dir+"/key.pem", keyPEM, 0o600)
 	}
 	write()
-	f := New(&fakeCore{}, Options{Listen: "127.0.0.1:0", MaxConnections: 64, Certificate: dir + "/cert.pem", Key: dir + "/key.pem",
-		Log: slog.New(slog.DiscardHandler)})
+	f := New(&fakeCore{}, Options{Listen: "127.0.0.1:0", MaxConnections: 64, Certificate: dir + "/cert.pem",
+		Key: dir + "/key.pem", Log: slog.New(slog.DiscardHandler)})
 	f.certificateCheckInterval = 5 * time.Millisecond
 	if err := f.Listen(); err != nil {
 		t.Fatal(err)
@@ -68,7 +70,8 @@
 	base = "https" + strings.TrimPrefix(base, "http")
 	get := func() (serial, proto string) {
 		t.Helper()
-		c := &http.Client{Transport: &http.Transport{TLSClientConfig: insecureTLS(), ForceAttemptHTTP2: true, DisableKeepAlives: true}}
+		c := &http.Client{Transport: &http.Transport{TLSClientConfig: insecureTLS(), ForceAttemptHTTP2: true,
+			DisableKeepAlives: true}}
 		resp, err := c.Get(base + "/openapi.json")
 		if err != nil {
 			t.Fatal(err)
--- a/internal/front/resp/crossing_test.go
+++ b/internal/front/resp/crossing_test.go
@@ -26,11 +26,11 @@
 	n  int
 }
 
-func (c *countingCore) Submit(m *message.Message, answer chan<- core.SubmitResponse) {
+func (c *countingCore) Submit(m *message.Message, result chan<- core.SubmitResponse) {
 	c.mu.Lock()
 	c.n++
 	c.mu.Unlock()
-	c.acceptingCore.Submit(m, answer)
+	c.acceptingCore.Submit(m, result)
 }
 
 func (c *countingCore) accepted() int {
@@ -243,10 +243,10 @@
 	f, _ := serveHooked(t, deferred, Options{MaxConnections: 2})
 	c := dial(t, f)
 	io.WriteString(c.conn, putRequest)
-	answer := byhand.Await(t, deferred.submitted, "message")
+	result := byhand.Await(t, deferred.submitted, "message")
 	f.DisableKeepAlives(true)
 	start := time.Now()
-	answer <- core.SubmitResponse{}
+	result <- core.SubmitResponse{}
 	if got := c.readToEOF(); got != "+OK\r\n" {
 		t.Errorf("got %q", got)
 	}
@@ -261,8 +261,8 @@
 	submitted chan chan<- core.SubmitResponse
 }
 
-func (l deferredCore) Submit(_ *message.Message, answer chan<- core.SubmitResponse) {
-	l.submitted <- answer
+func (l deferredCore) Submit(_ *message.Message, result chan<- core.SubmitResponse) {
+	l.submitted <- result
 }
 
 // Guards against a lingering connection whose client never stops sending: only maxLingerBytes are read.
@@ -342,9 +342,9 @@
 	front **Front
 }
 
-func (c stoppingCore) Submit(m *message.Message, answer chan<- core.SubmitResponse) {
+func (c stoppingCore) Submit(m *message.Message, result chan<- core.SubmitResponse) {
 	(*c.front).readingStopped.Store(true)
-	c.acceptingCore.Submit(m, answer)
+	c.acceptingCore.Submit(m, result)
 }
 
 // Guards against lost pipelined requests: those that were read together with one that is being served when the front
@@ -383,11 +383,11 @@
 // Guards against a connection closed before the response to a request that was read: a process that stalls for 0.15 s
 // used to end first. Shutdown waits for the response.
 func TestShutdownWaitsForResponses(t *testing.T) {
-	asked := make(chan chan<- core.SubmitResponse, 1)
-	f, _ := serveHooked(t, deferredCore{submitted: asked}, Options{MaxConnections: 1})
+	submitted := make(chan chan<- core.SubmitResponse, 1)
+	f, _ := serveHooked(t, deferredCore{submitted: submitted}, Options{MaxConnections: 1})
 	c := dial(t, f)
 	io.WriteString(c.conn, putRequest)
-	answer := byhand.Await(t, asked, "request")
+	result := byhand.Await(t, submitted, "request")
 	f.CloseListener()
 	done := shutdownNow(f)
 	waitReadingStopped(t, f)
@@ -396,7 +396,7 @@
 		t.Error("the front is shut down with a request unanswered")
 	case <-time.After(permit.MaxStall):
 	}
-	answer <- core.SubmitResponse{}
+	result <- core.SubmitResponse{}
 	if got := c.readLine(); got != "+OK" {
 		t.Errorf("response %q", got)
 	}
@@ -412,10 +412,10 @@
 	submitted, proceed chan struct{}
 }
 
-func (b *blockingCore) Submit(m *message.Message, answer chan<- core.SubmitResponse) {
+func (b *blockingCore) Submit(m *message.Message, result chan<- core.SubmitResponse) {
 	b.submitted <- struct{}{}
 	<-b.proceed
-	b.countingCore.Submit(m, answer)
+	b.countingCore.Submit(m, result)
 }
 
 // Guards against a request whose last bytes are read after the front has stopped reading, when Shutdown no longer waits
--- a/internal/front/resp/front_test.go
+++ b/internal/front/resp/front_test.go
@@ -26,8 +26,8 @@
 
 func (acceptingCore) Clock() *clock.Clock { now := time.Now(); return clock.New(now.UnixMicro(), now) }
 
-func (acceptingCore) Submit(_ *message.Message, answer chan<- core.SubmitResponse) {
-	answer <- core.SubmitResponse{}
+func (acceptingCore) Submit(_ *message.Message, result chan<- core.SubmitResponse) {
+	result <- core.SubmitResponse{}
 }
 
 func (acceptingCore) State(_ context.Context, id string, _ bool) (core.State, error) {
@@ -77,7 +77,7 @@
 	c.t.Helper()
 	s, err := c.r.ReadString('\n')
 	if errors.Is(err, context.DeadlineExceeded) {
-		c.t.Fatal("no answer")
+		c.t.Fatal("no response")
 	}
 	return strings.TrimRight(s, "\r\n")
 }
--- a/internal/front/room/room_test.go
+++ b/internal/front/room/room_test.go
@@ -44,7 +44,7 @@
 		var conns []Conn
 		idle, free := 0, 0
 		for range rapid.IntRange(0, 20).Draw(t, "n") {
-			c := Conn{IdleSince: at(rapid.IntRange(0, 50).Draw(t, "since")), Answered: rapid.Bool().Draw(t, "answered"),
+			c := Conn{IdleSince: at(rapid.IntRange(0, 50).Draw(t, "idle since")), Answered: rapid.Bool().Draw(t, "answered"),
 				Partial: rapid.Bool().Draw(t, "partial"), Busy: rapid.Bool().Draw(t, "busy"),
 				LastRead: at(rapid.IntRange(0, 50).Draw(t, "last read"))}
 			if !c.Busy {
@@ -67,8 +67,8 @@
 	})
 }
 
-// Over random sequences of connects and closes neither limit is exceeded, no connection is closed or aborted while there
-// is room, and making room takes a bounded number of actions.
+// Over random sequences of connects and closes neither limit is exceeded, no connection is closed or aborted while
+// there is room, and making room takes a bounded number of actions.
 func TestLimitsRandom(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := Limits{Active: rapid.IntRange(1, 6).Draw(t, "active"), Lingering: rapid.IntRange(0, 3).Draw(t, "lingering")}
--- a/internal/netutil/accept_test.go
+++ b/internal/netutil/accept_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// Classifies each errno of accept(2). Other clients' connections are closed only if this process has no descriptor left,
-// or the system has been exhausted for long.
+// Classifies each errno of accept(2). Other clients' connections are closed only if this process has no descriptor
+// left, or the system has been exhausted for long.
 func TestAcceptFailures(t *testing.T) {
 	for errno, want := range map[syscall.Errno]AcceptFailure{
 		syscall.EMFILE: NoDescriptor, syscall.ENFILE: SystemExhausted, syscall.ENOBUFS: SystemExhausted,
