--- a/internal/front/http/front.go
+++ b/internal/front/http/front.go
@@ -39,7 +39,7 @@
 	smallBodyBytes = 4 << 10
 	// largeSlotTimeout bounds the wait for a slot for a large body.
 	largeSlotTimeout = 200 * time.Millisecond
-	// certificateCheckInterval is the time between two checks of the certificate's files.
+	// certificateCheckInterval is the time between checks for changes of the certificate's files.
 	certificateCheckInterval = 5 * time.Second
 	// finalResponseTimeout is how long Shutdown waits, after its context is done, for the responses to requests that
 	// were read before. It exceeds the longest stall of the process that the rules allow for.
@@ -224,10 +224,10 @@
 
 // Serve serves clients until CloseListener or Shutdown.
 func (f *Front) Serve() {
-	limited, done := newListener(f.ln, &f.connections, f.log), make(chan struct{})
-	defer close(done)
+	limited, acceptDone := newListener(f.ln, &f.connections, f.log), make(chan struct{})
+	defer close(acceptDone)
 	f.mu.Lock()
-	f.acceptor, f.acceptDone = &limited.Acceptor, done
+	f.acceptor, f.acceptDone = &limited.Acceptor, acceptDone
 	f.mu.Unlock()
 	var ln net.Listener = limited
 	if f.opts.Certificate != "" {
@@ -246,13 +246,13 @@
 // CloseListener stops accepting connections once those that are queued in the listener have been accepted.
 func (f *Front) CloseListener() {
 	f.mu.Lock()
-	acceptor := f.acceptor
+	a := f.acceptor
 	f.mu.Unlock()
-	if acceptor == nil {
+	if a == nil {
 		f.ln.Close()
 		return
 	}
-	acceptor.Drain()
+	a.Drain()
 }
 
 // Shutdown ends long polls and streams, waits for other requests to finish, and closes their connections. Once ctx is
@@ -281,7 +281,7 @@
 // caller is the tenant that a request is bound to, if any.
 type caller struct {
 	tenant string
-	bound  bool
+	bound  bool // tokens are required; the caller has access to the messages of tenant only
 }
 
 // mayRead reports whether the caller may see messages of a tenant.
--- a/internal/front/http/places.go
+++ b/internal/front/http/places.go
@@ -29,38 +29,38 @@
 }
 
 // add registers a new connection, and reports whether there was room.
-func (p *connections) add(c net.Conn) bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if len(p.conns) >= p.limit && !p.evictIdlest() {
+func (cs *connections) add(c net.Conn) bool {
+	cs.mu.Lock()
+	defer cs.mu.Unlock()
+	if len(cs.conns) >= cs.limit && !cs.evictIdlest() {
 		return false
 	}
-	p.conns[c] = connectionState{idleSince: time.Now()}
+	cs.conns[c] = connectionState{idleSince: time.Now()}
 	return true
 }
 
 // releaseDescriptor closes the idlest connection, if one may be closed, to free its file descriptor.
-func (p *connections) releaseDescriptor() {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.evictIdlest()
+func (cs *connections) releaseDescriptor() {
+	cs.mu.Lock()
+	defer cs.mu.Unlock()
+	cs.evictIdlest()
 }
 
 // evictIdlest closes the idlest connection without a pending request or unread bytes, and reports whether there was
 // one. The caller holds the lock.
-func (p *connections) evictIdlest() bool {
-	list, conns := make([]net.Conn, 0, len(p.conns)), make([]room.Conn, 0, len(p.conns))
-	for c, x := range p.conns {
+func (cs *connections) evictIdlest() bool {
+	list, conns := make([]net.Conn, 0, len(cs.conns)), make([]room.Conn, 0, len(cs.conns))
+	for c, x := range cs.conns {
 		list, conns = append(list, c), append(conns, room.Conn{IdleSince: x.idleSince, Busy: x.busy, Answered: x.answered})
 	}
 	for len(list) > 0 {
-		i := room.PickVictim(conns, p.limit)
+		i := room.PickVictim(conns, cs.limit)
 		if i < 0 {
 			return false
 		}
 		_, unread := netutil.Peek(list[i])
 		if permit.Close(permit.Connection{Unread: unread}) == permit.Granted {
-			delete(p.conns, list[i])
+			delete(cs.conns, list[i])
 			list[i].Close()
 			return true
 		}
@@ -70,23 +70,23 @@
 }
 
 // trackState follows the states of the server's connections.
-func (p *connections) trackState(c net.Conn, state http.ConnState) {
+func (cs *connections) trackState(c net.Conn, state http.ConnState) {
 	type wrapped interface{ NetConn() net.Conn }
 	if w, ok := c.(wrapped); ok { // under TLS
 		c = w.NetConn()
 	}
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if _, ok := p.conns[c]; !ok {
+	cs.mu.Lock()
+	defer cs.mu.Unlock()
+	if _, ok := cs.conns[c]; !ok {
 		return
 	}
 	switch state {
 	case http.StateActive:
-		p.conns[c] = connectionState{idleSince: time.Now(), busy: true}
+		cs.conns[c] = connectionState{idleSince: time.Now(), busy: true}
 	case http.StateIdle:
-		p.conns[c] = connectionState{idleSince: time.Now(), answered: true}
+		cs.conns[c] = connectionState{idleSince: time.Now(), answered: true}
 	case http.StateClosed, http.StateHijacked:
-		delete(p.conns, c)
+		delete(cs.conns, c)
 	}
 }
 
@@ -97,8 +97,8 @@
 }
 
 // newListener returns a listener that frees a connection when descriptors run out.
-func newListener(ln net.Listener, p *connections, log *slog.Logger) *listener {
-	return &listener{netutil.Acceptor{Listener: ln, Log: log, Release: p.releaseDescriptor}, p}
+func newListener(ln net.Listener, cs *connections, log *slog.Logger) *listener {
+	return &listener{netutil.Acceptor{Listener: ln, Log: log, Release: cs.releaseDescriptor}, cs}
 }
 
 func (l *listener) Accept() (net.Conn, error) {
--- a/internal/front/resp/clients.go
+++ b/internal/front/resp/clients.go
@@ -105,28 +105,28 @@
 // CloseListener stops accepting connections once those that are queued in the listener have been accepted.
 func (c *Front) CloseListener() {
 	c.mu.Lock()
-	acceptor := c.acceptor
+	a := c.acceptor
 	c.mu.Unlock()
-	if acceptor == nil {
+	if a == nil {
 		c.ln.Close()
 		return
 	}
-	acceptor.Drain()
+	a.Drain()
 }
 
 // Serve accepts connections until the listener is closed.
 func (c *Front) Serve() {
-	ln, done := c.ln, make(chan struct{})
+	ln, acceptDone := c.ln, make(chan struct{})
 	c.mu.Lock()
-	c.acceptDone = done
+	c.acceptDone = acceptDone
 	c.mu.Unlock()
-	defer close(done)
-	acceptor := &netutil.Acceptor{Listener: ln, Log: c.log, Release: c.releaseDescriptor}
+	defer close(acceptDone)
+	a := &netutil.Acceptor{Listener: ln, Log: c.log, Release: c.releaseDescriptor}
 	c.mu.Lock()
-	c.acceptor = acceptor
+	c.acceptor = a
 	c.mu.Unlock()
 	for {
-		conn, err := acceptor.Accept()
+		conn, err := a.Accept()
 		if err != nil {
 			return
 		}
--- a/internal/front/resp/front_test.go
+++ b/internal/front/resp/front_test.go
@@ -118,11 +118,11 @@
 	byhand.Until(t, "request at the front", func() bool {
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		pending := 0
+		total := 0
 		for s := range f.sessions {
-			pending += s.pending
+			total += s.pending
 		}
-		return pending == 1
+		return total == 1
 	})
 	fourth := dial(t, f)
 	if got := fourth.do("PING"); got != "+PONG" {
--- a/internal/front/resp/session.go
+++ b/internal/front/resp/session.go
@@ -25,9 +25,11 @@
 	idleTimeout = 4 * time.Second
 	// writeTimeout bounds each write to the client.
 	writeTimeout = 2 * time.Second
-	// drainTimeout replaces requestTimeout and lingerTimeout while the front drains.
+	// drainTimeout replaces lingerTimeout while the front drains, and bounds the time for a request that is arriving
+	// when the shutdown has short deadlines. It also bounds the wait for a slot for a large request, and is the
+	// least time that a first request gets once it has begun to arrive.
 	drainTimeout = 200 * time.Millisecond
-	// drainFirstTimeout replaces firstRequestTimeout while the front drains.
+	// drainFirstTimeout bounds the wait for the first request of a connection while the front drains.
 	drainFirstTimeout = time.Second
 	// maxConsecutiveErrors is the number of error responses in a row after which a connection is closed.
 	maxConsecutiveErrors = 16
@@ -93,15 +95,15 @@
 
 // The reasons that are logged with "client closed".
 const (
-	closedByClient    closeReason = "ended by the client"
+	closedByClient    closeReason = "closed by the client"
 	closedIdle        closeReason = "idle"
 	closedForRoom     closeReason = "to make room"
-	closedDraining    closeReason = "the sender takes no more"
+	closedDraining    closeReason = "draining"
 	closedProcessEnds closeReason = "the process ends"
 	closedProtocol    closeReason = "protocol error"
 	closedTimeout     closeReason = "request not complete in time"
 	closedErrors      closeReason = "too many errors"
-	closedOnRequest   closeReason = "asked for"
+	closedOnRequest   closeReason = "client sent QUIT"
 )
 
 // logClosed logs why the connection was closed, and counts a violation if a complete request had no response.
@@ -392,8 +394,8 @@
 		text := r.text
 		if r.result != nil {
 			select {
-			case result := <-r.result:
-				text = formatResult(result)
+			case submitted := <-r.result:
+				text = formatResult(submitted)
 			default: // send what is ready before waiting
 				err = errors.Join(err, s.flush(w))
 				text = formatResult(<-r.result)
@@ -428,6 +430,7 @@
 	}
 }
 
+// flush writes the buffered responses to the connection.
 func (s *session) flush(w *bufio.Writer) error {
 	if w.Buffered() == 0 {
 		return nil
--- a/internal/front/room/room.go
+++ b/internal/front/room/room.go
@@ -27,11 +27,11 @@
 )
 
 // NextAction returns the next action for a new connection, given the numbers of active and lingering ones.
-func (p Limits) NextAction(active, lingering int) Action {
+func (l Limits) NextAction(active, lingering int) Action {
 	switch {
-	case active >= p.Active:
+	case active >= l.Active:
 		return CloseIdle
-	case active+lingering >= p.Active+max(p.Lingering, 1):
+	case active+lingering >= l.Active+max(l.Lingering, 1):
 		return AbortLingering
 	}
 	return Admit
@@ -88,15 +88,15 @@
 	tooManySilent := float64(n) > maxSilentFraction*float64(limit)
 	best, bestPriority := -1, protected
 	for i := range conns {
-		c := conns[i].priority()
-		if c == protected {
+		p := conns[i].priority()
+		if p == protected {
 			continue
 		}
-		if tooManySilent && c == silent { // close them before idle ones
-			c = idle - 1
+		if tooManySilent && p == silent { // close them before idle ones
+			p = idle - 1
 		}
-		if best < 0 || c < bestPriority || c == bestPriority && conns[i].lastActivity().Before(conns[best].lastActivity()) {
-			best, bestPriority = i, c
+		if best < 0 || p < bestPriority || p == bestPriority && conns[i].lastActivity().Before(conns[best].lastActivity()) {
+			best, bestPriority = i, p
 		}
 	}
 	return best
