--- a/internal/front/resp/front_test.go
+++ b/internal/front/resp/front_test.go
@@ -19,18 +19,18 @@
 	"cometrack/internal/standin/byhand"
 )
 
-// yes takes every message on.
-type yes struct{}
+// acceptingCore accepts every message.
+type acceptingCore struct{}
 
-func (yes) Check(*message.Message, time.Duration) error { return nil }
+func (acceptingCore) Check(*message.Message, time.Duration) error { return nil }
 
-func (yes) Clock() *clock.Clock { now := time.Now(); return clock.New(now.UnixMicro(), now) }
+func (acceptingCore) Clock() *clock.Clock { now := time.Now(); return clock.New(now.UnixMicro(), now) }
 
-func (yes) Submit(_ *message.Message, answer chan<- core.SubmitResponse) {
-	answer <- core.SubmitResponse{}
+func (acceptingCore) Submit(_ *message.Message, result chan<- core.SubmitResponse) {
+	result <- core.SubmitResponse{}
 }
 
-func (yes) State(_ context.Context, id string, _ bool) (core.State, error) {
+func (acceptingCore) State(_ context.Context, id string, _ bool) (core.State, error) {
 	if id == "known" {
 		return core.State{ID: id, Name: message.Returned, Tenant: "acme", Partner: "p", Class: "c", Attempts: 2,
 			RetryAfter: 1500 * time.Millisecond, EndedAt: time.UnixMilli(1)}, nil
@@ -38,14 +38,14 @@
 	return core.State{ID: id}, nil
 }
 
-// serve starts a front for yes.
+// serve starts a front with an accepting core.
 func serve(t *testing.T, opts Options) *Front {
 	t.Helper()
 	opts.Listen, opts.Log = "127.0.0.1:0", slog.New(slog.DiscardHandler)
-	if opts.Connections == 0 {
-		opts.Connections = 100
+	if opts.MaxConnections == 0 {
+		opts.MaxConnections = 100
 	}
-	f := New(yes{}, opts)
+	f := New(acceptingCore{}, opts)
 	if err := f.Listen(); err != nil {
 		t.Fatal(err)
 	}
@@ -54,7 +54,7 @@
 	return f
 }
 
-// client is a client's connection.
+// client is the client's side of a connection.
 type client struct {
 	t    *testing.T
 	conn net.Conn
@@ -72,26 +72,28 @@
 	return &client{t, conn, bufio.NewReader(conn)}
 }
 
-func (c *client) line() string {
+// readLine reads a line without its CRLF.
+func (c *client) readLine() string {
 	c.t.Helper()
 	s, err := c.r.ReadString('\n')
 	if errors.Is(err, context.DeadlineExceeded) {
-		c.t.Fatal("no answer")
+		c.t.Fatal("no response")
 	}
 	return strings.TrimRight(s, "\r\n")
 }
 
+// do sends a request and reads the first line of the response.
 func (c *client) do(args ...string) string {
 	c.t.Helper()
 	fmt.Fprintf(c.conn, "*%d\r\n", len(args))
 	for _, a := range args {
 		fmt.Fprintf(c.conn, "$%d\r\n%s\r\n", len(a), a)
 	}
-	return c.line()
+	return c.readLine()
 }
 
-// ended reads until the front closes the connection.
-func (c *client) ended() string {
+// readToEOF returns what is read until the front closes the connection.
+func (c *client) readToEOF() string {
 	c.t.Helper()
 	b, err := io.ReadAll(c.r)
 	var n net.Error
@@ -101,78 +103,79 @@
 	return string(b)
 }
 
-// Connections that asked once and stay must not keep new clients out: the idlest makes room. One with a request
-// under way never does.
-func TestFullOfClients(t *testing.T) {
-	f := serve(t, Options{Connections: 3})
+// Guards against idle connections that keep new clients out: the idlest is closed to make room. One with a pending
+// request never is.
+func TestIdlestMakesRoom(t *testing.T) {
+	f := serve(t, Options{MaxConnections: 3})
 	first, second, half := dial(t, f), dial(t, f), dial(t, f)
 	for _, c := range []*client{first, second} {
 		if got := c.do("PING"); got != "+PONG" {
 			t.Fatal(got)
 		}
-		settle(t, f) // its answer is on its way before the front holds it for answered
+		waitIdle(t, f) // the client may have the response before the front records it
 	}
 	io.WriteString(half.conn, "*1\r\n$4\r\nPI")
 	byhand.Until(t, "request at the front", func() bool {
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		begun := 0
+		total := 0
 		for s := range f.sessions {
-			begun += s.open
+			total += s.pending
 		}
-		return begun == 1
+		return total == 1
 	})
 	fourth := dial(t, f)
 	if got := fourth.do("PING"); got != "+PONG" {
-		t.Errorf("a new client gets %q", got)
+		t.Errorf("a new client got %q", got)
 	}
-	if got := first.ended(); got != "" {
+	if got := first.readToEOF(); got != "" {
 		t.Errorf("the idlest got %q", got)
 	}
 	if got := second.do("PING"); got != "+PONG" {
-		t.Errorf("one that is less idle gets %q", got)
+		t.Errorf("the less idle client got %q", got)
 	}
 	io.WriteString(half.conn, "NG\r\n")
-	if got := half.line(); got != "+PONG" {
-		t.Errorf("a request under way gets %q", got)
+	if got := half.readLine(); got != "+PONG" {
+		t.Errorf("the pending request got %q", got)
 	}
 }
 
-// What large requests hold is bounded over all connections.
+// Guards against unbounded memory for large requests over all connections.
 func TestLargeRequestsBounded(t *testing.T) {
 	f := serve(t, Options{})
-	for range cap(f.large) {
-		f.large <- struct{}{}
+	for range cap(f.largeSlots) {
+		f.largeSlots <- struct{}{}
 	}
-	if got := dial(t, f).do("PING", strings.Repeat("x", 2*smallRequest)); !strings.HasPrefix(got, "-BUSY") {
+	if got := dial(t, f).do("PING", strings.Repeat("x", 2*smallRequestBytes)); !strings.HasPrefix(got, "-BUSY") {
 		t.Errorf("got %q", got)
 	}
-	for range cap(f.large) {
-		<-f.large
+	for range cap(f.largeSlots) {
+		<-f.largeSlots
 	}
-	for range 2 * cap(f.large) { // each gives its place back
+	for range 2 * cap(f.largeSlots) { // each releases its slot
 		d := dial(t, f)
 		if got := d.do("MSG.PUT", "0", "id", "c=safe,d=9000,dest=99", strings.Repeat("x", maxBulk)); got != "+OK" {
 			t.Fatalf("got %q", got)
 		}
 		d.conn.Close()
 	}
-	for stop := time.Now().Add(byhand.Patience); len(f.large) > 0; {
+	for stop := time.Now().Add(byhand.Patience); len(f.largeSlots) > 0; {
 		if time.Now().After(stop) {
-			t.Fatalf("%d places are not given back", len(f.large))
+			t.Fatalf("%d slots were not released", len(f.largeSlots))
 		}
 	}
 }
 
-// A request that came just before the sender closes its connections is answered: its client counts on that.
-func TestRequestCrossesShutdown(t *testing.T) {
+// Guards against a request without a response that arrived just before the front closes its connections: its client
+// relies on a response.
+func TestRequestBeforeShutdown(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer ln.Close()
-	f := New(yes{}, Options{Log: slog.New(slog.DiscardHandler)})
-	f.ln, f.closing, f.retiring, f.leaving = ln, true, true, true
+	f := New(acceptingCore{}, Options{Log: slog.New(slog.DiscardHandler)})
+	f.ln, f.shuttingDown, f.draining, f.shortDeadlines = ln, true, true, true
 	c := dial(t, f)
 	conn, err := ln.Accept()
 	if err != nil {
@@ -185,16 +188,16 @@
 			break
 		}
 		if time.Now().After(stop) {
-			t.Fatal("the request does not come")
+			t.Fatal("the request did not arrive")
 		}
 	}
-	(&session{c: f, conn: conn, opened: time.Now()}).handle()
+	(&session{front: f, conn: conn, openedAt: time.Now()}).serve()
 	conn.Close()
-	if got := c.line(); got != "+PONG" {
+	if got := c.readLine(); got != "+PONG" {
 		t.Errorf("got %q", got)
 	}
-	if got := c.line(); got != "" {
-		t.Errorf("the connection goes on with %q", got)
+	if got := c.readLine(); got != "" {
+		t.Errorf("after the response: %q", got)
 	}
 }
 
@@ -202,36 +205,40 @@
 	f.Add("*1\r\n$4\r\nPING\r\n")
 	f.Add("*5\r\n$7\r\nMSG.PUT\r\n$1\r\n0\r\n$1\r\na\r\n$20\r\nc=safe,d=9000,dest=1\r\n$3\r\n\r\n\x00\r\n")
 	f.Fuzz(func(t *testing.T, in string) {
-		args, err := readCommand(bufio.NewReader(strings.NewReader(in)), func() error { return errNoPlace })
+		args, err := readCommand(bufio.NewReader(strings.NewReader(in)), func() error { return errNoLargeSlot })
 		sum := 0
 		for _, a := range args {
 			sum += len(a)
 		}
-		if sum > smallRequest || err == nil && len(args) == 0 {
+		if sum > smallRequestBytes || err == nil && len(args) == 0 {
 			t.Errorf("%q: %d arguments, %d bytes", in, len(args), sum)
 		}
-		if err != nil && !errors.Is(err, errProtocol) && !errors.Is(err, errNoPlace) && !errors.Is(err, io.EOF) && !errors.Is(err, io.ErrUnexpectedEOF) {
+		if err != nil && !errors.Is(err, errProtocol) && !errors.Is(err, errNoLargeSlot) &&
+			!errors.Is(err, io.EOF) && !errors.Is(err, io.ErrUnexpectedEOF) {
 			t.Errorf("%q: %v", in, err)
 		}
 	})
 }
 
-// Client libraries greet a server before they use it: what they send must not end their connection.
-func TestGreetings(t *testing.T) {
+// Guards against closing the connections of client libraries for the commands that they send on connecting.
+func TestConnectionCommands(t *testing.T) {
 	c := dial(t, serve(t, Options{}))
-	for _, x := range [][]string{{"-NOPROTO", "HELLO", "3"}, {"-NOPROTO", "HELLO", "3", "SETNAME", "x"}, {"+OK", "CLIENT", "SETINFO", "LIB-NAME", "x"},
-		{"+OK", "CLIENT", "SETNAME", "x"}, {"$-1", "CLIENT", "GETNAME"}, {"-ERR", "CLIENT", "KILL"}, {"-ERR", "CLIENT"}, {"*0", "COMMAND", "DOCS"},
-		{"+OK", "SELECT", "0"}, {"-ERR", "SELECT", "1"}, {"-ERR", "AUTH", "x"}, {"-ERR", "HELLO", "2", "AUTH", "x"}, {"+OK", "QUIT"}} {
+	for _, x := range [][]string{{"-NOPROTO", "HELLO", "3"}, {"-NOPROTO", "HELLO", "3", "SETNAME", "x"},
+		{"+OK", "CLIENT", "SETINFO", "LIB-NAME", "x"},
+		{"+OK", "CLIENT", "SETNAME", "x"}, {"$-1", "CLIENT", "GETNAME"}, {"-ERR", "CLIENT", "KILL"}, {"-ERR", "CLIENT"},
+		{"*0", "COMMAND", "DOCS"},
+		{"+OK", "SELECT", "0"}, {"-ERR", "SELECT", "1"}, {"-ERR", "AUTH", "x"},
+		{"-ERR", "HELLO", "2", "AUTH", "x"}, {"+OK", "QUIT"}} {
 		if got := c.do(x[1:]...); !strings.HasPrefix(got, x[0]) {
 			t.Errorf("%q: got %q", x[1:], got)
 		}
 	}
-	if rest := c.ended(); rest != "" {
+	if rest := c.readToEOF(); rest != "" {
 		t.Errorf("after QUIT: %q", rest)
 	}
 }
 
-// The state of a message as names and values; nothing for one that is not known.
+// MSG.STATE returns names and values, and an empty array for an unknown message.
 func TestState(t *testing.T) {
 	c := dial(t, serve(t, Options{}))
 	if got := c.do("MSG.STATE", "other"); got != "*0" {
@@ -243,21 +250,22 @@
 	if got := c.do("MSG.STATE", "known"); got != "*12" {
 		t.Fatalf("got %q", got)
 	}
-	said := map[string]string{}
+	fields := map[string]string{}
 	for range 6 {
 		var pair [2]string
 		for i := range pair {
-			c.line()
-			pair[i] = c.line()
+			c.readLine()
+			pair[i] = c.readLine()
 		}
-		said[pair[0]] = pair[1]
+		fields[pair[0]] = pair[1]
 	}
-	if said["state"] != "returned" || said["after_ms"] != "1500" || said["tries"] != "2" || said["over"] != "1970-01-01T00:00:00.001Z" {
-		t.Errorf("said %q", said)
+	if fields["state"] != "returned" || fields["after_ms"] != "1500" || fields["tries"] != "2" ||
+		fields["over"] != "1970-01-01T00:00:00.001Z" {
+		t.Errorf("got %q", fields)
 	}
 }
 
-// A token is its tenant's: nobody submits without one, for another, or reads another's messages.
+// A client submits only with a token and only for the token's tenant, and reads only that tenant's messages.
 func TestTokens(t *testing.T) {
 	f := serve(t, Options{Tenant: func(token string) (string, bool) { return token[1:], token[0] == '!' }})
 	put := func(c *client, tenant string) string {
@@ -291,8 +299,8 @@
 	if got := d.do("HELLO", "2", "AUTH", "default", "!other"); got != "*6" {
 		t.Errorf("got %q", got)
 	}
-	for range 11 { // the rest of that answer
-		if d.line() == "master" {
+	for range 11 { // the rest of that response
+		if d.readLine() == "master" {
 			break
 		}
 	}
@@ -301,14 +309,14 @@
 	}
 }
 
-// One that has said nothing yet is about to ask: it is kept before one that has had an answer, unless such ones
-// have taken most places.
-func TestSilentClientsAreKept(t *testing.T) {
+// Guards against closing new clients that are about to send their first request: a client that has had a response is
+// closed first, unless silent ones hold most connections.
+func TestSilentClients(t *testing.T) {
 	for _, x := range []struct {
-		silent int // of eight, the first to come
-		gone   int // which of the eight makes room
+		silent int // of eight clients, the first to connect
+		closed int // index of the client that is closed to make room
 	}{{1, 1}, {6, 6}, {7, 0}, {8, 0}} {
-		f := serve(t, Options{Connections: 8})
+		f := serve(t, Options{MaxConnections: 8})
 		var all []*client
 		for i := range 8 {
 			all = append(all, dial(t, f))
@@ -321,19 +329,19 @@
 				if got := all[i].do("PING"); got != "+PONG" {
 					t.Fatal(got)
 				}
-				settle(t, f)
+				waitIdle(t, f)
 			}
 		}
 		if got := dial(t, f).do("PING"); got != "+PONG" {
-			t.Errorf("with %d silent clients a new one gets %q", x.silent, got)
+			t.Errorf("with %d silent clients a new one got %q", x.silent, got)
 		}
 		for i, c := range all {
-			if i == x.gone {
-				if got := c.ended(); got != "" {
+			if i == x.closed {
+				if got := c.readToEOF(); got != "" {
 					t.Errorf("with %d silent clients, client %d got %q", x.silent, i, got)
 				}
 			} else if got := c.do("PING"); got != "+PONG" {
-				t.Errorf("with %d silent clients, client %d gets %q", x.silent, i, got)
+				t.Errorf("with %d silent clients, client %d, still active, got %q", x.silent, i, got)
 			}
 		}
 	}
