--- a/internal/clock/walltime_test.go
+++ b/internal/clock/walltime_test.go
@@ -20,7 +20,7 @@
 	"internal/core/relay.go":            "return time.UnixMicro(us)",                                                          // states, from another process
 	"internal/core/inherit.go":          "return t.UnixMicro()",                                                               // states, to another process
 	"internal/front/http/front.go":      "s[i] = fmt.Sprint(info.ModTime().UnixNano(), info.Size())",                          // detects a changed certificate file
-	"internal/front/http/messages.go":   "t = t.UTC() t, err := time.Parse(time.RFC3339, q.deadline)",                               // states; deadlines that clients give as dates
+	"internal/front/http/messages.go":   "t = t.UTC() t, err := time.Parse(time.RFC3339, q.deadline)",                         // states; deadlines that clients give as dates
 	"internal/front/resp/commands.go":   "add(t.name, t.at.UTC().Format(time.RFC3339Nano))",                                   // states
 	"internal/transport/http/answer.go": `at, err := http.ParseTime(text) if sent, err := http.ParseTime(header.Get("Date"))`, // Retry-After
 }
