--- a/internal/soak/points.go
+++ b/internal/soak/points.go
@@ -83,7 +83,7 @@
 	{faultbuild.Point{Name: "list: taken, module not told", File: coreLoop, Before: "	c.logList(ev, rows)"}, byTraffic},
 	{faultbuild.Point{Name: "list: read, not taken", File: coreLoop, Before: "	c.listReceived, c.weightShare = true, ev.List.Share"}, byTraffic},
 	{faultbuild.Point{Name: "sweep: about to forget", File: coreLoop, Before: "	c.store.DropExpired(c.clock.At(now))"}, byTraffic},
-	{faultbuild.Point{Name: "reload: read, not checked", File: startup, Before: "			err = p.cfg.CanFollow(cfg)"}, byReload},
+	{faultbuild.Point{Name: "reload: read, not checked", File: startup, Before: "			err = p.cfg.CheckReload(cfg)"}, byReload},
 	{faultbuild.Point{Name: "reload: settings follow, not kept", File: startup, Before: "		p.cfg = cfg\n		p.keep()"}, byReload},
 	{faultbuild.Point{Name: "reload: notices about to move", File: startup, Before: "		p.sink.Move(cfg.Discovery)"}, byReload},
 	{faultbuild.Point{Name: "handover: asked for, not begun", File: handingOver, Before: "		c.handoverRequest = &ev"}, byUpgrade},
