--- a/internal/load/compare.go
+++ b/internal/load/compare.go
@@ -9,40 +9,42 @@
 	"text/tabwriter"
 )
 
-// Difference is one figure of two sets of runs.
+// Difference is the difference of one figure between two sets of runs.
 type Difference struct {
 	Figure        string
 	Before, After float64 // medians
-	Noise         float64 // the larger spread of the two sets: what the figure moves by itself
+	Noise         float64 // the larger spread of the two sets: how much the figure varies without a change
 	Verdict       string
 }
 
-// The verdicts. A difference within the noise is none, and one run of a kind tells
-// nothing of the noise.
+// The verdicts. A difference within the noise is not significant, and the noise is unknown with
+// a single run on a side.
 const (
-	Better  = "better"
-	Worse   = "worse"
-	Same    = "within the noise"
-	Unknown = "unknown: one run tells nothing of the noise"
+	Better      = "better"
+	Worse       = "worse"
+	WithinNoise = "within the noise"
+	Unknown     = "unknown: one run does not show the noise"
 )
 
-// figures are what is compared; lower is better, but for those that count up.
+// figures are the compared figures. Lower is better unless higherIsBetter is set.
 var figures = []struct {
-	name string
-	up   bool
-	of   func(r *Report) (float64, bool)
+	name           string
+	higherIsBetter bool
+	of             func(r *Report) (float64, bool)
 }{
 	{"accepted p50, µs", false, func(r *Report) (float64, bool) { return latency(r.Accepted, func(s Summary) float64 { return s.P50 }) }},
 	{"accepted p99, µs", false, func(r *Report) (float64, bool) { return latency(r.Accepted, func(s Summary) float64 { return s.P99 }) }},
 	{"accepted p99.9, µs", false, func(r *Report) (float64, bool) { return latency(r.Accepted, func(s Summary) float64 { return s.P999 }) }},
-	{"delivered p50, µs", false, func(r *Report) (float64, bool) { return latency(r.Ended, func(s Summary) float64 { return s.P50 }) }},
-	{"delivered p99, µs", false, func(r *Report) (float64, bool) { return latency(r.Ended, func(s Summary) float64 { return s.P99 }) }},
-	{"delivered p99.9, µs", false, func(r *Report) (float64, bool) { return latency(r.Ended, func(s Summary) float64 { return s.P999 }) }},
+	{"delivered p50, µs", false, func(r *Report) (float64, bool) { return latency(r.Delivered, func(s Summary) float64 { return s.P50 }) }},
+	{"delivered p99, µs", false, func(r *Report) (float64, bool) { return latency(r.Delivered, func(s Summary) float64 { return s.P99 }) }},
+	{"delivered p99.9, µs", false, func(r *Report) (float64, bool) {
+		return latency(r.Delivered, func(s Summary) float64 { return s.P999 })
+	}},
 	{"accepted, % of due", true, func(r *Report) (float64, bool) { return share(r, r.Account.Accepted) }},
 	{"delivered, % of due", true, func(r *Report) (float64, bool) { return share(r, r.Account.Delivered) }},
 }
 
-// latency is that of all messages; false if there is none.
+// latency returns a figure of the summary of all messages. It returns false if there is none.
 func latency(list []Summary, of func(Summary) float64) (float64, bool) {
 	for _, s := range list {
 		if s.By == "all" {
@@ -52,16 +54,17 @@
 	return 0, false
 }
 
+// share returns n as a percentage of the messages that were due.
 func share(r *Report, n int) (float64, bool) {
 	due := r.Account.Sent + int(r.Dropped)
 	return 100 * float64(n) / float64(max(due, 1)), due > 0
 }
 
-// Compare holds runs of one program against runs of another. Runs that are not
-// valid, or of different scenarios, are an error.
+// Compare compares the runs of one program with those of another. It returns an error if a run
+// is not valid or the runs are of different scenarios.
 func Compare(before, after []*Report) ([]Difference, error) {
 	if len(before) == 0 || len(after) == 0 {
-		return nil, errors.New("there must be a run of each kind at least")
+		return nil, errors.New("there must be at least one run on each side")
 	}
 	first := before[0]
 	for _, r := range slices.Concat(before, after) {
@@ -86,8 +89,8 @@
 		case len(a) < 2 || len(b) < 2:
 			d.Verdict = Unknown
 		case math.Abs(change) <= d.Noise:
-			d.Verdict = Same
-		case change > 0 == f.up:
+			d.Verdict = WithinNoise
+		case change > 0 == f.higherIsBetter:
 			d.Verdict = Better
 		default:
 			d.Verdict = Worse
@@ -97,6 +100,7 @@
 	return out, nil
 }
 
+// values returns a figure of all reports in increasing order; false if a report lacks it.
 func values(list []*Report, of func(*Report) (float64, bool)) (out []float64, ok bool) {
 	for _, r := range list {
 		v, ok := of(r)
@@ -109,12 +113,14 @@
 	return out, true
 }
 
-// median and spread are of sorted values.
+// median returns the median of sorted values.
 func median(v []float64) float64 { return (v[(len(v)-1)/2] + v[len(v)/2]) / 2 }
+
+// spread returns the difference of the largest and the smallest of sorted values.
 func spread(v []float64) float64 { return v[len(v)-1] - v[0] }
 
-// Table writes differences for people.
-func Table(out io.Writer, list []Difference) error {
+// WriteTable writes the differences as a table for people.
+func WriteTable(out io.Writer, list []Difference) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "figure\tbefore\tafter\tnoise\tverdict")
 	for _, d := range list {
--- a/internal/load/compare_test.go
+++ b/internal/load/compare_test.go
@@ -10,7 +10,7 @@
 		Accepted: []Summary{{By: "all", P50: 100, P99: p99, P999: 3 * p99}, {By: "class", Name: "safe", P99: 1}}}
 }
 
-// A verdict is given only where the difference exceeds the noise of either side.
+// A difference counts as better or worse only if it exceeds the noise of both sides.
 func TestCompare(t *testing.T) {
 	set := func(p99 ...float64) (out []*Report) {
 		for _, x := range p99 {
@@ -24,8 +24,8 @@
 	}{
 		{set(1000, 1040, 1010), set(1300, 1320, 1280), Worse},
 		{set(1300, 1320, 1280), set(1000, 1040, 1010), Better},
-		{set(1000, 1040, 1010), set(1300, 1320, 900), Same},
-		{set(1000, 1400, 1010), set(1300, 1320, 1280), Same},
+		{set(1000, 1040, 1010), set(1300, 1320, 900), WithinNoise},
+		{set(1000, 1400, 1010), set(1300, 1320, 1280), WithinNoise},
 		{set(1000), set(5000, 5001), Unknown},
 	} {
 		list, err := Compare(x.before, x.after)
@@ -38,7 +38,7 @@
 			}
 		}
 		var b strings.Builder
-		if err := Table(&b, list); err != nil || !strings.Contains(b.String(), x.want) || len(list) != 5 {
+		if err := WriteTable(&b, list); err != nil || !strings.Contains(b.String(), x.want) || len(list) != 5 {
 			t.Errorf("%d figures, %s, %v", len(list), b.String(), err)
 		}
 	}
--- a/internal/load/drive/doc.go
+++ b/internal/load/drive/doc.go
@@ -1,3 +1,3 @@
-// Package drive plays a scenario of package load against a running daemon, at the
-// instants that the plan says whatever has been answered.
+// Package drive plays a scenario of package load against a running daemon. It submits each
+// message at its planned time, independent of earlier replies (open model).
 package drive
--- a/internal/load/drive/drive.go
+++ b/internal/load/drive/drive.go
@@ -14,88 +14,88 @@
 	"cometrack/internal/load"
 )
 
-// Options say what to play, and where.
+// Options are the scenario to play and the daemon's addresses.
 type Options struct {
-	Scenario    *load.Scenario
-	RESP, HTTP  string        // addresses of the fronts; ends come over the latter
-	Connections int           // of each front
-	Drain       time.Duration // how long after the last message ends are waited for
-	Run         string        // begins the ids of this run, so that two runs differ
-	// Progress is told of the run about once a second; nil for nobody.
+	Scenario     *load.Scenario
+	RESP, HTTP   string        // addresses of the fronts; ends arrive over HTTP
+	Connections  int           // number to each front
+	DrainTimeout time.Duration // how long to wait for replies and ends after the last message
+	RunID        string        // prefix of the ids of this run; it must differ between runs
+	// Progress is called about once a second if it is not nil.
 	Progress func(Progress)
 }
 
-// Progress is how a run stands.
+// Progress is the state of a run that has not ended.
 type Progress struct {
-	At                                time.Duration
+	Elapsed                           time.Duration
 	Sent, Accepted, Refused, InFlight int64
 }
 
-// Result is what a run has shown.
+// Result is the outcome of a run.
 type Result struct {
-	Recorder *load.Recorder
-	Account  load.Account
-	Faults   []load.Fault
-	Found    int // faults in all
-	Verdict  load.Verdict
-	// Dropped messages were due while as many as the scenario allows were unanswered.
-	// They were never handed in: the system had fallen behind for good.
-	Dropped int64
-	Took    time.Duration
-	Broken  int64 // connections that broke, of clients and of the stream of ends
+	Recorder   *load.Recorder
+	Account    load.Account
+	Faults     []load.Fault
+	FaultCount int // number of all faults
+	Verdict    load.Verdict
+	// Dropped is the number of messages that were due while as many as the scenario allows were
+	// unanswered. They were never submitted: the system had fallen behind.
+	Dropped           int64
+	Elapsed           time.Duration
+	BrokenConnections int64 // number of connections that broke, including streams of ends
 }
 
-// run is a run under way.
+// run is the state of a run.
 type run struct {
-	opts     Options
-	start    time.Time
-	mu       sync.Mutex // guards what follows
-	ledger   load.Ledger
-	due      []sent // by number, for ends
-	mine     *load.Recorder
-	inFlight atomic.Int64
-	counts   struct{ sent, accepted, refused, dropped, broken atomic.Int64 }
-	open     sync.WaitGroup // messages without an answer
+	opts        Options
+	start       time.Time
+	mu          sync.Mutex // guards ledger, submissions and recorder
+	ledger      load.Ledger
+	submissions []submission // by the number of the message
+	recorder    *load.Recorder
+	inFlight    atomic.Int64
+	counts      struct{ sent, accepted, refused, dropped, broken atomic.Int64 }
+	unanswered  sync.WaitGroup // counts messages without a reply
 }
 
-// sent is what an end needs to know of its message.
-type sent struct {
+// submission has the data of a message that are needed to record its end.
+type submission struct {
 	due time.Duration
 	key load.Key
 }
 
-// worker hands messages in over one front. It never makes the schedule wait.
+// worker submits messages over one front. It never delays the schedule.
 type worker interface {
-	put(m load.Message, k *load.Kind)
-	// close gives up what is not answered, and returns what was recorded.
+	submit(m load.Message, k *load.Kind)
+	// close abandons the messages without a reply and returns what was recorded.
 	close() *load.Recorder
 }
 
-// Run plays a scenario to its end, or until ctx is over; what was seen so far
-// counts then too.
+// Run plays a scenario to its end or until ctx is cancelled, and returns the result so far in
+// both cases. It returns an error if the options are not valid or a front can't be reached.
 func Run(ctx context.Context, opts Options) (*Result, error) {
 	if err := opts.check(); err != nil {
 		return nil, err
 	}
-	r := &run{opts: opts, mine: load.NewRecorder()}
-	fronts := map[string]worker{}
+	r := &run{opts: opts, recorder: load.NewRecorder()}
+	workers := map[string]worker{}
 	for _, k := range opts.Scenario.Mix {
-		if fronts[k.Front] != nil {
+		if workers[k.Front] != nil {
 			continue
 		}
 		w, err := r.worker(k.Front)
 		if err != nil {
 			return nil, err
 		}
-		fronts[k.Front] = w
+		workers[k.Front] = w
 	}
-	ends, stopEnds := context.WithCancel(context.Background())
-	var following sync.WaitGroup
-	defer following.Wait()
+	endsCtx, stopEnds := context.WithCancel(context.Background())
+	var background sync.WaitGroup
+	defer background.Wait()
 	defer stopEnds()
 	if opts.HTTP != "" {
 		ready := make(chan error, 1)
-		following.Go(func() { r.follow(ends, ready) })
+		background.Go(func() { r.follow(endsCtx, ready) })
 		if err := <-ready; err != nil {
 			return nil, fmt.Errorf("the stream of ends: %w", err)
 		}
@@ -103,23 +103,24 @@
 	r.start = time.Now()
 	stopped := make(chan struct{})
 	if opts.Progress != nil {
-		following.Go(func() { r.progress(stopped) })
+		background.Go(func() { r.progress(stopped) })
 	}
-	r.play(ctx, fronts)
+	r.play(ctx, workers)
 	r.settle(ctx)
 	close(stopped)
-	took := time.Since(r.start)
-	for _, w := range fronts {
+	elapsed := time.Since(r.start)
+	for _, w := range workers {
 		rec := w.close()
 		r.mu.Lock()
-		r.mine.Merge(rec)
+		r.recorder.Merge(rec)
 		r.mu.Unlock()
 	}
 	stopEnds()
-	following.Wait()
-	return r.result(took), nil
+	background.Wait()
+	return r.result(elapsed), nil
 }
 
+// check returns an error if the options are not valid.
 func (o *Options) check() error {
 	for i, k := range o.Scenario.Mix {
 		if k.Front == "resp" && o.RESP == "" || k.Front == "http" && o.HTTP == "" {
@@ -129,12 +130,13 @@
 	if o.Connections < 1 {
 		return errors.New("connections: must be at least 1")
 	}
-	if o.Run == "" || strings.Contains(o.Run, "-") {
+	if o.RunID == "" || strings.Contains(o.RunID, "-") {
 		return errors.New("run: must be a name without a hyphen")
 	}
 	return nil
 }
 
+// worker connects to a front.
 func (r *run) worker(front string) (worker, error) {
 	if front == "http" {
 		return newHTTP(r), nil
@@ -142,17 +144,17 @@
 	return newRESP(r)
 }
 
-// spin is how long before a message is due sleeping ends: timers are later than that
-// only on a machine that is held up.
-const spin = 2 * time.Millisecond
+// spinTime is how long before a message is due play stops sleeping and polls the clock. It
+// exceeds the usual lateness of timers, unless the machine is overloaded.
+const spinTime = 2 * time.Millisecond
 
-// play hands each message over when it is due.
-func (r *run) play(ctx context.Context, fronts map[string]worker) {
+// play submits each message when it is due.
+func (r *run) play(ctx context.Context, workers map[string]worker) {
 	plan := r.opts.Scenario.Plan()
 	for m, ok := plan.Next(); ok; m, ok = plan.Next() {
-		at := r.start.Add(m.Due)
-		if left := time.Until(at); left > spin {
-			t := time.NewTimer(left - spin)
+		due := r.start.Add(m.Due)
+		if remaining := time.Until(due); remaining > spinTime {
+			t := time.NewTimer(remaining - spinTime)
 			select {
 			case <-t.C:
 			case <-ctx.Done():
@@ -162,22 +164,23 @@
 		if ctx.Err() != nil {
 			return
 		}
-		for time.Now().Before(at) {
+		for time.Now().Before(due) {
 			runtime.Gosched()
 		}
 		k := &r.opts.Scenario.Mix[m.Kind]
 		r.mu.Lock()
-		w := r.mine.Window(m.Due)
+		w := r.recorder.Window(m.Due)
 		w.Due++
-		for len(r.due) <= m.N {
-			r.due = append(r.due, sent{})
+		for len(r.submissions) <= m.Number {
+			r.submissions = append(r.submissions, submission{})
 		}
-		r.due[m.N] = sent{m.Due, load.Key{Phase: m.Phase, Class: k.Class, Partner: m.Partner, Tenant: k.Tenant}}
+		r.submissions[m.Number] = submission{m.Due,
+			load.Key{Phase: m.Phase, Class: k.Class, Partner: m.Partner, Tenant: k.Tenant}}
 		n := r.inFlight.Add(1)
 		w.InFlight = max(w.InFlight, n)
 		dropped := n > int64(r.opts.Scenario.InFlight)
 		if !dropped {
-			r.ledger.Sent(m.N)
+			r.ledger.Sent(m.Number)
 		}
 		r.mu.Unlock()
 		if dropped {
@@ -186,30 +189,30 @@
 			continue
 		}
 		r.counts.sent.Add(1)
-		r.open.Add(1)
-		fronts[k.Front].put(m, k)
+		r.unanswered.Add(1)
+		workers[k.Front].submit(m, k)
 	}
 }
 
-// settle waits until all is answered and ended, for as long as ends are waited for.
+// settle waits until all messages have a reply and an end, for at most DrainTimeout.
 func (r *run) settle(ctx context.Context) {
-	by := time.NewTimer(r.opts.Drain)
-	defer by.Stop()
+	timeout := time.NewTimer(r.opts.DrainTimeout)
+	defer timeout.Stop()
 	answered := make(chan struct{})
-	go func() { r.open.Wait(); close(answered) }()
+	go func() { r.unanswered.Wait(); close(answered) }()
 	select {
 	case <-answered:
-	case <-by.C:
+	case <-timeout.C:
 		return
 	case <-ctx.Done():
 		return
 	}
 	tick := time.NewTicker(20 * time.Millisecond)
 	defer tick.Stop()
-	for r.opts.HTTP != "" && r.unended() > 0 {
+	for r.opts.HTTP != "" && r.openCount() > 0 {
 		select {
 		case <-tick.C:
-		case <-by.C:
+		case <-timeout.C:
 			return
 		case <-ctx.Done():
 			return
@@ -217,60 +220,63 @@
 	}
 }
 
-func (r *run) unended() int {
+// openCount returns the number of accepted messages without an end.
+func (r *run) openCount() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.ledger.Open()
+	return r.ledger.OpenCount()
 }
 
-// verdict is what a front has answered.
-type verdict int
+// answer is the reply of a front.
+type answer int
 
 const (
-	taken verdict = iota
-	turnedAway
-	silent // no answer: whether it was taken on is not known
+	accepted answer = iota
+	rejected
+	noAnswer // no reply: the message may have been accepted or not
 )
 
-// answered notes the answer to a message, in the recorder of whoever heard it.
-func (r *run) answered(rec *load.Recorder, m load.Message, k *load.Kind, v verdict) {
-	took := time.Since(r.start) - m.Due
+// answered records the reply to a message. rec is the recorder of the goroutine that read it.
+func (r *run) answered(rec *load.Recorder, m load.Message, k *load.Kind, reply answer) {
+	latency := time.Since(r.start) - m.Due
 	r.mu.Lock()
-	switch v {
-	case silent:
-		r.ledger.Unheard(m.N)
-		r.mine.Window(m.Due).Unanswered++
+	switch reply {
+	case noAnswer:
+		r.ledger.Unanswered(m.Number)
+		r.recorder.Window(m.Due).Unanswered++
 	default:
-		r.ledger.Answered(m.N, v == taken)
+		r.ledger.Answered(m.Number, reply == accepted)
 	}
-	if v == turnedAway {
-		r.mine.Window(m.Due).Refused++
+	if reply == rejected {
+		r.recorder.Window(m.Due).Refused++
 	}
 	r.mu.Unlock()
-	switch v {
-	case taken:
+	switch reply {
+	case accepted:
 		r.counts.accepted.Add(1)
-		rec.Accept(load.Key{Phase: m.Phase, Class: k.Class, Partner: m.Partner, Tenant: k.Tenant}, m.Due, took)
-	case turnedAway:
+		rec.RecordAcceptance(
+			load.Key{Phase: m.Phase, Class: k.Class, Partner: m.Partner, Tenant: k.Tenant}, m.Due, latency)
+	case rejected:
 		r.counts.refused.Add(1)
 	}
 	r.inFlight.Add(-1)
-	r.open.Done()
+	r.unanswered.Done()
 }
 
-func (r *run) id(n int) string { return r.opts.Run + "-" + strconv.Itoa(n) }
+// id returns the id of a message.
+func (r *run) id(n int) string { return r.opts.RunID + "-" + strconv.Itoa(n) }
 
-// number reads the number off an id of this run; false for another's.
+// number returns the number of a message by its id. It returns false for an id of another run.
 func (r *run) number(id string) (int, bool) {
-	rest, ok := strings.CutPrefix(id, r.opts.Run+"-")
+	digits, ok := strings.CutPrefix(id, r.opts.RunID+"-")
 	if !ok {
 		return 0, false
 	}
-	n, err := strconv.Atoi(rest)
+	n, err := strconv.Atoi(digits)
 	return n, err == nil && n >= 0
 }
 
-// ended notes the end of a message.
+// ended records the end of a message.
 func (r *run) ended(id string, e load.End) {
 	n, ok := r.number(id)
 	if !ok {
@@ -279,45 +285,49 @@
 	at := time.Since(r.start)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if n >= len(r.due) {
+	if n >= len(r.submissions) {
 		if n < 1<<30 {
-			r.ledger.End(n, e) // a fault
+			r.ledger.End(n, e) // which is a fault: it was never submitted
 		}
 		return
 	}
 	if !r.ledger.End(n, e) {
 		return
 	}
-	x := r.due[n]
+	x := r.submissions[n]
 	switch e {
 	case load.Delivered:
-		r.mine.Deliver(x.key, x.due, at-x.due)
+		r.recorder.RecordDelivery(x.key, x.due, at-x.due)
 	case load.Returned:
-		r.mine.Window(x.due).Returned++
+		r.recorder.Window(x.due).Returned++
 	case load.Failed:
-		r.mine.Window(x.due).Failed++
+		r.recorder.Window(x.due).Failed++
 	}
 }
 
+// progress reports the state of the run once a second until stopped is closed.
 func (r *run) progress(stopped <-chan struct{}) {
 	tick := time.NewTicker(time.Second)
 	defer tick.Stop()
 	for {
 		select {
 		case <-tick.C:
-			r.opts.Progress(Progress{time.Since(r.start), r.counts.sent.Load(), r.counts.accepted.Load(), r.counts.refused.Load(), r.inFlight.Load()})
+			r.opts.Progress(Progress{time.Since(r.start),
+				r.counts.sent.Load(), r.counts.accepted.Load(), r.counts.refused.Load(), r.inFlight.Load()})
 		case <-stopped:
 			return
 		}
 	}
 }
 
-func (r *run) result(took time.Duration) *Result {
+// result returns the result of a run that has ended.
+func (r *run) result(elapsed time.Duration) *Result {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	out := &Result{Recorder: r.mine, Dropped: r.counts.dropped.Load(), Broken: r.counts.broken.Load(), Took: took}
+	out := &Result{Recorder: r.recorder, Dropped: r.counts.dropped.Load(), BrokenConnections: r.counts.broken.Load(),
+		Elapsed: elapsed}
 	out.Account = r.ledger.Close(func(int) bool { return false })
-	out.Faults, out.Found = r.ledger.Faults, r.ledger.Found
-	out.Verdict = r.opts.Scenario.Judge(r.mine)
+	out.Faults, out.FaultCount = r.ledger.Faults, r.ledger.FaultCount
+	out.Verdict = r.opts.Scenario.CheckLateness(r.recorder)
 	return out
 }
--- a/internal/load/drive/drive_test.go
+++ b/internal/load/drive/drive_test.go
@@ -17,10 +17,10 @@
 	"cometrack/internal/load"
 )
 
-// front is a RESP2 front whose answers a test scripts.
+// front is a RESP2 front whose replies a test defines.
 type front struct {
 	net.Listener
-	answer func(n int, id string, w io.Writer) bool // of the n-th request; false ends the connection
+	answer func(n int, id string, w io.Writer) bool // replies to the n-th request; false closes the connection
 	mu     sync.Mutex
 	n      int
 }
@@ -50,7 +50,7 @@
 	r := bufio.NewReader(c)
 	for {
 		var args []string
-		for range 11 { // five arguments, each behind its length
+		for range 11 { // the number of arguments, then five arguments, each with its length
 			line, err := r.ReadString('\n')
 			if err != nil {
 				return
@@ -80,12 +80,12 @@
 
 func play(t *testing.T, s *load.Scenario, opts Options) *Result {
 	t.Helper()
-	opts.Scenario, opts.Run = s, "t"
+	opts.Scenario, opts.RunID = s, "t"
 	if opts.Connections == 0 {
 		opts.Connections = 1
 	}
-	if opts.Drain == 0 {
-		opts.Drain = 10 * time.Second
+	if opts.DrainTimeout == 0 {
+		opts.DrainTimeout = 10 * time.Second
 	}
 	r, err := Run(t.Context(), opts)
 	if err != nil {
@@ -94,9 +94,9 @@
 	return r
 }
 
-// A front that stands still for half a second: those due meanwhile wait evenly from
-// that down to nothing, and the report says so. A client that waits for answers
-// hands one message in meanwhile and reports one that was slow.
+// A front stops for half a second. The latencies of the messages due meanwhile are uniform
+// between that and 0, and the report must show them all. A generator that waited for replies
+// would submit one message meanwhile and report a single long latency (coordinated omission).
 func TestFreezeIsSeen(t *testing.T) {
 	const freeze = 500 * time.Millisecond
 	var once sync.Once
@@ -107,15 +107,15 @@
 		return ok(w)
 	})
 	r := play(t, scenario(t, "[[phase]]\nfor = \"1s\"\nrate = 1000"), Options{RESP: f.Addr().String()})
-	h := load.Sum(r.Recorder.Accepted, load.All, nil)[""]
-	if h.Count() != 1000 || r.Account.Accepted != 1000 || r.Found > 0 {
+	h := load.MergeByGroup(r.Recorder.Accepted, load.All, nil)[""]
+	if h.Count() != 1000 || r.Account.Accepted != 1000 || r.FaultCount > 0 {
 		t.Fatalf("%d latencies, %+v, %v", h.Count(), r.Account, r.Faults)
 	}
-	// Half of all are due in the freeze. A machine that is held up adds to each, so the
-	// formula is a bound from below, and from above with what the machine may add.
+	// Half of all messages are due in the freeze. A loaded machine adds to each latency, so the
+	// formula is a lower bound, and with an allowance for the machine an upper bound.
 	for _, q := range []float64{60, 75, 90, 99, 99.9} {
 		want := time.Duration(float64(freeze) * (q - 50) / 50)
-		if got := h.At(q); got < want-5*time.Millisecond || got > want+400*time.Millisecond {
+		if got := h.Percentile(q); got < want-5*time.Millisecond || got > want+400*time.Millisecond {
 			t.Errorf("%g%%: %v, want %v", q, got, want)
 		}
 	}
@@ -124,7 +124,7 @@
 	}
 }
 
-// Whatever a front does with requests, each message is accounted for.
+// Each message is counted once, whether the front accepts, rejects, ignores or breaks off.
 func TestAccounts(t *testing.T) {
 	for _, x := range []struct {
 		name   string
@@ -145,28 +145,28 @@
 		}},
 	} {
 		f := startFront(t, x.answer)
-		r := play(t, scenario(t, "[[phase]]\nfor = \"400ms\"\nrate = 100"), Options{RESP: f.Addr().String(), Drain: 300 * time.Millisecond})
-		if r.Account.Sent != 40 || !x.want(r.Account) || r.Found > 0 {
+		r := play(t, scenario(t, "[[phase]]\nfor = \"400ms\"\nrate = 100"), Options{RESP: f.Addr().String(), DrainTimeout: 300 * time.Millisecond})
+		if r.Account.Sent != 40 || !x.want(r.Account) || r.FaultCount > 0 {
 			t.Errorf("%s: %+v, faults %v", x.name, r.Account, r.Faults)
 		}
 	}
 }
 
-// The schedule never waits: beyond the bound of messages in flight they are counted
-// as the system's failure.
+// The schedule never waits: messages due above the limit of unanswered ones are dropped and
+// counted.
 func TestFallenBehind(t *testing.T) {
 	f := startFront(t, func(int, string, io.Writer) bool { return true })
-	r := play(t, scenario(t, "in_flight = 30\n[[phase]]\nfor = \"500ms\"\nrate = 200"), Options{RESP: f.Addr().String(), Drain: 50 * time.Millisecond})
+	r := play(t, scenario(t, "in_flight = 30\n[[phase]]\nfor = \"500ms\"\nrate = 200"), Options{RESP: f.Addr().String(), DrainTimeout: 50 * time.Millisecond})
 	if r.Dropped != 70 || r.Account.Sent != 30 || r.Recorder.Windows[0].Due != 100 {
 		t.Errorf("%d dropped, %+v, %+v", r.Dropped, r.Account, r.Recorder.Windows)
 	}
-	if took := r.Took; took > 5*time.Second {
+	if took := r.Elapsed; took > 5*time.Second {
 		t.Errorf("it took %v", took)
 	}
 }
 
-// Ends come over a stream that breaks and repeats itself: each counts once; another
-// one for the same message, or one for a message that never was, is a fault.
+// Ends arrive over a stream that breaks and repeats some of them: each counts once. A second,
+// different end of a message or an end of a message that was never submitted is a fault.
 func TestEnds(t *testing.T) {
 	for _, x := range []struct {
 		name   string
@@ -177,7 +177,7 @@
 		{"each once", []string{"t-0 delivered", "t-1 returned", "t-2 failed", "other-9 failed"}, load.Account{Sent: 3, Accepted: 3, Delivered: 1, Returned: 1, Failed: 1}, ""},
 		{"told again", []string{"t-0 delivered", "t-0 delivered", "t-1 delivered", "t-2 delivered"}, load.Account{Sent: 3, Accepted: 3, Delivered: 3}, ""},
 		{"two ends", []string{"t-0 delivered", "t-0 failed", "t-1 delivered", "t-2 delivered"}, load.Account{Sent: 3, Accepted: 3, Delivered: 3}, "after another end"},
-		{"a wrong id", []string{"t-7 delivered", "t-0 delivered", "t-1 delivered", "t-2 delivered"}, load.Account{Sent: 3, Accepted: 3, Delivered: 3}, "without having been handed in"},
+		{"a wrong id", []string{"t-7 delivered", "t-0 delivered", "t-1 delivered", "t-2 delivered"}, load.Account{Sent: 3, Accepted: 3, Delivered: 3}, "without having been submitted"},
 	} {
 		f := startFront(t, func(_ int, _ string, w io.Writer) bool { return ok(w) })
 		var mu sync.Mutex
@@ -203,26 +203,26 @@
 		r := play(t, scenario(t, "[[phase]]\nfor = \"30ms\"\nrate = 100"), Options{RESP: f.Addr().String(), HTTP: ends.Listener.Addr().String()})
 		ends.Close()
 		found := ""
-		if r.Found > 0 {
+		if r.FaultCount > 0 {
 			found = r.Faults[0].What
 		}
-		if r.Account != x.want || (x.fault == "") != (found == "") || !strings.Contains(found, x.fault) || r.Broken == 0 || resumed == 0 {
-			t.Errorf("%s: %+v, want %+v; faults %v; broke %d times, resumed %d times", x.name, r.Account, x.want, r.Faults, r.Broken, resumed)
+		if r.Account != x.want || (x.fault == "") != (found == "") || !strings.Contains(found, x.fault) || r.BrokenConnections == 0 || resumed == 0 {
+			t.Errorf("%s: %+v, want %+v; faults %v; broke %d times, resumed %d times", x.name, r.Account, x.want, r.Faults, r.BrokenConnections, resumed)
 		}
 	}
 }
 
-// The generator held up is not the system's lateness: the run is not valid.
-func TestHeldUp(t *testing.T) {
+// A run in which the generator itself was late is not valid, as its latencies are not the system's.
+func TestLateGenerator(t *testing.T) {
 	f := startFront(t, func(_ int, _ string, w io.Writer) bool { return ok(w) })
 	s := scenario(t, "[[phase]]\nfor = \"300ms\"\nrate = 100")
-	s.Late = load.Duration(time.Nanosecond) // no machine is as quick
+	s.Late = load.Duration(time.Nanosecond) // less than any machine achieves
 	if r := play(t, s, Options{RESP: f.Addr().String()}); r.Verdict.Valid || r.Account.Accepted != 30 {
 		t.Errorf("%+v, %+v", r.Verdict, r.Account)
 	}
 }
 
-// HTTP too, and an interrupt ends a run in order with what was seen.
+// An interrupt ends a run over HTTP early, with a result for the messages so far.
 func TestInterrupted(t *testing.T) {
 	var mu sync.Mutex
 	seen := 0
@@ -248,13 +248,13 @@
 	defer srv.Close()
 	s := scenario(t, "[[phase]]\nfor = \"1h\"\nrate = 500")
 	s.Mix[0].Front = "http"
-	r, err := Run(ctx, Options{Scenario: s, HTTP: srv.Listener.Addr().String(), Connections: 4, Drain: time.Minute, Run: "t"})
-	// What was under way at the interrupt may have no answer; all that was sent is accounted for.
+	r, err := Run(ctx, Options{Scenario: s, HTTP: srv.Listener.Addr().String(), Connections: 4, DrainTimeout: time.Minute, RunID: "t"})
+	// Messages in flight at the interrupt may have no reply; all that were sent are counted.
 	a := r.Account
-	if err != nil || a.Accepted == 0 || a.Accepted+a.Unknown != a.Sent || a.Sent < 20 || a.Sent > 5000 || r.Found > 0 {
+	if err != nil || a.Accepted == 0 || a.Accepted+a.Unknown != a.Sent || a.Sent < 20 || a.Sent > 5000 || r.FaultCount > 0 {
 		t.Errorf("%+v, %v", r, err)
 	}
-	if n := load.Sum(r.Recorder.Accepted, load.All, nil)[""].Count(); math.Abs(float64(n)-float64(r.Account.Accepted)) > 0 {
+	if n := load.MergeByGroup(r.Recorder.Accepted, load.All, nil)[""].Count(); math.Abs(float64(n)-float64(r.Account.Accepted)) > 0 {
 		t.Errorf("%d latencies of %d", n, r.Account.Accepted)
 	}
 }
--- a/internal/load/ledger.go
+++ b/internal/load/ledger.go
@@ -2,28 +2,28 @@
 
 import "fmt"
 
-// Fault is what must not have happened to a message.
+// Fault is something that must not happen to a message.
 type Fault struct {
-	N    int // of the message
+	N    int // number of the message
 	What string
 }
 
-// mostFaults are kept with their text; the others are counted.
-const mostFaults = 100
+// maxFaults is the maximum number of faults kept with their text. Further ones are only counted.
+const maxFaults = 100
 
-// What has become of a message, as its client knows it: bits of a byte, so that a
-// million messages take a megabyte.
+// State of a message as its client sees it: bits of a byte, so that a million messages take a
+// megabyte.
 const (
-	sent     byte = 1 << iota
-	accepted      // the daemon has taken it on
-	refused       // it has not
-	unheard       // no answer came: whether it was taken on is not known
+	sent       byte = 1 << iota
+	accepted        // the daemon has accepted it
+	refused         // the daemon has rejected it
+	unanswered      // no reply arrived: the daemon may have accepted it or not
 	ended
-	delivered // ended: it ran; else it did not, or that is not known
-	failed    // ended: whether it ran is not known
+	delivered // with ended: it ran
+	failed    // with ended: it may have run. With neither bit it was returned and did not run
 )
 
-// End is how a message ended.
+// End is the final state of a message.
 type End string
 
 // The ends.
@@ -33,14 +33,16 @@
 	Failed    End = "failed"
 )
 
-// Ledger accounts for each message: accepted and ended once, refused, or unknown.
+// Ledger tracks the state of each message and finds contradictions: each is accepted and ends
+// once, is rejected, or has no reply.
 type Ledger struct {
-	state  []byte
-	open   int // accepted and without an end
-	Faults []Fault
-	Found  int // faults in all
+	state      []byte
+	open       int // number of messages accepted and without an end
+	Faults     []Fault
+	FaultCount int // number of all faults
 }
 
+// at returns the state of a message.
 func (l *Ledger) at(n int) *byte {
 	for len(l.state) <= n {
 		l.state = append(l.state, make([]byte, max(1024, len(l.state)/2))...)
@@ -48,25 +50,26 @@
 	return &l.state[n]
 }
 
+// fault records a fault of a message.
 func (l *Ledger) fault(n int, format string, args ...any) {
-	if l.Found++; len(l.Faults) < mostFaults {
+	if l.FaultCount++; len(l.Faults) < maxFaults {
 		l.Faults = append(l.Faults, Fault{n, fmt.Sprintf(format, args...)})
 	}
 }
 
-// Sent notes that a message is handed in.
+// Sent records that a message is submitted.
 func (l *Ledger) Sent(n int) { *l.at(n) |= sent }
 
-// Answered notes the daemon's answer. It is a fault if there was one before, or the
-// message was never handed in.
-func (l *Ledger) Answered(n int, taken bool) {
+// Answered records the daemon's reply. It is a fault if there was one before, or the message
+// was never submitted.
+func (l *Ledger) Answered(n int, isAccepted bool) {
 	s := l.at(n)
 	switch {
 	case *s&sent == 0:
-		l.fault(n, "answered without having been handed in")
+		l.fault(n, "answered without having been submitted")
 	case *s&(accepted|refused) != 0:
 		l.fault(n, "answered twice")
-	case taken:
+	case isAccepted:
 		*s |= accepted
 		if *s&ended == 0 {
 			l.open++
@@ -78,15 +81,16 @@
 	}
 }
 
-// Unheard notes that no answer is to come any more.
-func (l *Ledger) Unheard(n int) {
+// Unanswered records that a message will get no reply.
+func (l *Ledger) Unanswered(n int) {
 	if s := l.at(n); *s&(accepted|refused) == 0 {
-		*s |= unheard
+		*s |= unanswered
 	}
 }
 
-// End notes an end and says whether it is news. The same end told again is none: a
-// stream that is resumed repeats. Another one is a fault, as is one of a message that was refused.
+// End records the end of a message and reports whether it is new. The same end again is no
+// fault, as a resumed stream repeats ends. A different end, or one of a message that was
+// rejected, is a fault.
 func (l *Ledger) End(n int, e End) bool {
 	bits := ended
 	switch e {
@@ -98,7 +102,7 @@
 	s := l.at(n)
 	switch {
 	case *s&sent == 0:
-		l.fault(n, "%s without having been handed in", e)
+		l.fault(n, "%s without having been submitted", e)
 	case *s&refused != 0:
 		l.fault(n, "%s after it was refused", e)
 	case *s&ended == 0:
@@ -113,26 +117,26 @@
 	return false
 }
 
-// Open is how many messages are accepted and have no end yet.
-func (l *Ledger) Open() int { return l.open }
+// OpenCount returns the number of messages that are accepted and have no end yet.
+func (l *Ledger) OpenCount() int { return l.open }
 
-// Ran says whether a message may have run at a partner: not if it was refused or
-// returned.
-func (l *Ledger) Ran(n int) (may, must bool) {
+// MayHaveRun reports whether a message may have run at a partner, which it must not if it was
+// rejected or returned, and whether it must have run, as it was reported delivered.
+func (l *Ledger) MayHaveRun(n int) (may, must bool) {
 	s := *l.at(n)
 	return s&sent != 0 && s&refused == 0 && (s&ended == 0 || s&(delivered|failed) != 0), s&delivered != 0
 }
 
-// Account is how many messages there are of each state.
+// Account is the number of messages in each state.
 type Account struct {
-	Sent, Accepted, Refused, Unknown int // Unknown: no answer came
+	Sent, Accepted, Refused, Unknown int // Unknown: no reply arrived
 	Delivered, Returned, Failed      int
-	Open                             int // accepted, and no end was told
+	Open                             int // accepted, and no end was reported
 }
 
-// Close adds up. Whatever was accepted and has no end by then is a fault if owed
-// says that its time is up.
-func (l *Ledger) Close(owed func(n int) bool) (a Account) {
+// Close returns the number of messages in each state. An accepted message without an end is a
+// fault if overdue reports that its end should have come.
+func (l *Ledger) Close(overdue func(n int) bool) (a Account) {
 	for n, s := range l.state {
 		if s&sent == 0 {
 			continue
@@ -155,7 +159,7 @@
 			a.Returned++
 		case s&accepted != 0:
 			a.Open++
-			if owed(n) {
+			if overdue(n) {
 				l.fault(n, "accepted, and never ended")
 			}
 		}
--- a/internal/load/page/doc.go
+++ b/internal/load/page/doc.go
@@ -1,3 +1,3 @@
-// Package page makes one HTML file of a report, with its plots in it: it opens
-// without a network.
+// Package page renders a load report as a self-contained HTML file with inline plots, which
+// needs no network.
 package page
--- a/internal/load/page/page.go
+++ b/internal/load/page/page.go
@@ -17,17 +17,19 @@
 	"cometrack/internal/load"
 )
 
+// Size of a plot.
 const width, height = 22 * vg.Centimeter, 9 * vg.Centimeter
 
+// colors are those of the lines of a plot, in their order.
 var colors = []color.Color{color.RGBA{0x1f, 0x77, 0xb4, 0xff}, color.RGBA{0xd6, 0x27, 0x28, 0xff}, color.RGBA{0x2c, 0xa0, 0x2c, 0xff}, color.RGBA{0x80, 0x80, 0x80, 0xff}}
 
-// line is one line of a plot.
+// line is one named line of a plot.
 type line struct {
 	name   string
 	points plotter.XYs
 }
 
-var text = template.Must(template.New("page").Parse(`<!DOCTYPE html>
+var pageTemplate = template.Must(template.New("page").Parse(`<!DOCTYPE html>
 <html lang="en"><meta charset="utf-8"><title>{{.Title}}</title>
 <style>body{font:15px sans-serif;margin:2em;max-width:70em}table{border-collapse:collapse}td,th{padding:2px 10px;text-align:right}
 th{border-bottom:1px solid #888}.bad{color:#b00;font-weight:bold}svg{max-width:100%;height:auto}</style>
@@ -45,13 +47,14 @@
 </html>
 `))
 
+// row is a row of the table of latencies.
 type row struct {
 	What string
 	S    load.Summary
-	MS   []string
+	MS   []string // mean, percentiles and maximum in milliseconds
 }
 
-// Write writes the page.
+// Write writes the report as an HTML page.
 func Write(out io.Writer, title string, r *load.Report) error {
 	data := struct {
 		Title  string
@@ -59,7 +62,7 @@
 		Plots  []template.HTML
 		Rows   []row
 	}{Title: title, Report: r}
-	add := func(what string, list []load.Summary) {
+	addRows := func(what string, list []load.Summary) {
 		for _, s := range list {
 			x := row{What: what, S: s}
 			for _, us := range []float64{s.Mean, s.P50, s.P90, s.P99, s.P999, s.Max} {
@@ -68,11 +71,11 @@
 			data.Rows = append(data.Rows, x)
 		}
 	}
-	add("accepted", r.Accepted)
-	add("delivered", r.Ended)
-	add("generator", []load.Summary{r.Lateness})
-	for _, p := range []func(*load.Report) (*plot.Plot, error){percentiles, rates, unanswered} {
-		chart, err := p(r)
+	addRows("accepted", r.Accepted)
+	addRows("delivered", r.Delivered)
+	addRows("generator", []load.Summary{r.Lateness})
+	for _, plotOf := range []func(*load.Report) (*plot.Plot, error){percentiles, rates, unanswered} {
+		chart, err := plotOf(r)
 		if err != nil {
 			return fmt.Errorf("page: %w", err)
 		}
@@ -82,9 +85,10 @@
 		}
 		data.Plots = append(data.Plots, svg)
 	}
-	return text.Execute(out, data)
+	return pageTemplate.Execute(out, data)
 }
 
+// svgOf renders a plot as an SVG element.
 func svgOf(p *plot.Plot) (template.HTML, error) {
 	c := vgsvg.New(width, height)
 	p.Draw(draw.New(c))
@@ -92,12 +96,13 @@
 	if _, err := c.WriteTo(&b); err != nil {
 		return "", err
 	}
-	if i := bytes.Index(b.Bytes(), []byte("<svg")); i > 0 { // without the head of a file of its own
+	if i := bytes.Index(b.Bytes(), []byte("<svg")); i > 0 { // without the XML declaration
 		b.Next(i)
 	}
-	return template.HTML(b.String()), nil // made by the library, of numbers and our own words
+	return template.HTML(b.String()), nil // safe: the library generates it from numbers and fixed texts only
 }
 
+// chart returns a plot of lines with a legend.
 func chart(title, x, y string, lines []line) (*plot.Plot, error) {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = title, x, y
@@ -118,26 +123,27 @@
 	return p, nil
 }
 
-// nines are the marks of the percentile axis, which counts in nines: each step to
-// the right is a tenth of the messages that are left.
-type nines struct{}
+// percentileTicks are the ticks of the percentile axis. Its scale is logarithmic in the
+// remaining part: with each unit a tenth of the remaining messages is left.
+type percentileTicks struct{}
 
-func (nines) Ticks(_, _ float64) (out []plot.Tick) {
+func (percentileTicks) Ticks(_, _ float64) (out []plot.Tick) {
 	for _, q := range []float64{0, 50, 90, 99, 99.9, 99.99} {
-		out = append(out, plot.Tick{Value: nine(q), Label: fmt.Sprintf("%g%%", q)})
+		out = append(out, plot.Tick{Value: percentileX(q), Label: fmt.Sprintf("%g%%", q)})
 	}
 	return out
 }
 
-func nine(percent float64) float64 { return -math.Log10(max(1-percent/100, 1e-5)) }
+// percentileX returns the position of a percentage on the percentile axis.
+func percentileX(percent float64) float64 { return -math.Log10(max(1-percent/100, 1e-5)) }
 
-// percentiles plots latencies by percentile, both axes by powers of ten.
+// percentiles plots latencies by percentile, with logarithmic axes.
 func percentiles(r *load.Report) (*plot.Plot, error) {
 	var lines []line
 	for _, c := range r.Curves {
 		l := line{name: c.Name}
 		for _, x := range c.Points {
-			l.points = append(l.points, plotter.XY{X: nine(x.Percent), Y: max(x.Micros, 1) / 1e3})
+			l.points = append(l.points, plotter.XY{X: percentileX(x.Percent), Y: max(x.Micros, 1) / 1e3})
 		}
 		lines = append(lines, l)
 	}
@@ -145,14 +151,14 @@
 	if err != nil {
 		return nil, err
 	}
-	p.X.Tick.Marker, p.X.Min, p.X.Max = nines{}, 0, 5
+	p.X.Tick.Marker, p.X.Min, p.X.Max = percentileTicks{}, 0, 5
 	if len(lines) > 0 {
 		p.Y.Scale, p.Y.Tick.Marker = plot.LogScale{}, plot.LogTicks{Prec: -1}
 	}
 	return p, nil
 }
 
-// series makes a line of a figure of each second.
+// series returns a line of a figure by second.
 func series(r *load.Report, name string, of func(w load.Window) float64) line {
 	l := line{name: name}
 	for i, w := range r.Windows {
@@ -161,7 +167,7 @@
 	return l
 }
 
-// rates plots what was wanted against what was served.
+// rates plots the messages due, accepted, delivered and not accepted in each second.
 func rates(r *load.Report) (*plot.Plot, error) {
 	return chart("Messages of each second", "due, s", "messages", []line{
 		series(r, "due", func(w load.Window) float64 { return float64(w.Due) }),
@@ -170,6 +176,7 @@
 		series(r, "delivered", func(w load.Window) float64 { return float64(w.Delivered) })})
 }
 
+// unanswered plots the unanswered messages and the longest latency of acceptance in each second.
 func unanswered(r *load.Report) (*plot.Plot, error) {
 	return chart("In flight, and the longest wait", "due, s", "messages; ms", []line{
 		series(r, "unanswered at once", func(w load.Window) float64 { return float64(w.InFlight) }),
--- a/internal/load/page/page_test.go
+++ b/internal/load/page/page_test.go
@@ -11,17 +11,17 @@
 	"cometrack/internal/load"
 )
 
-// The page is one file that asks for nothing else, says what must be said, and its
-// plots are sound; so is that of a run in which nothing came.
+// The page refers to no other file, escapes names and texts, shows the faults, and its plots are
+// well-formed XML; likewise for a run without messages.
 func TestPage(t *testing.T) {
 	s := &load.Scenario{Late: load.Duration(time.Microsecond), Phases: []load.Phase{{Name: "a<b"}, {Name: "c"}}}
 	r := load.NewRecorder()
 	for i := range 5000 {
 		due := time.Duration(i) * time.Millisecond
 		r.Window(due).Due++
-		r.Late.Add(time.Millisecond)
-		r.Accept(load.Key{Phase: i % 2, Class: "safe"}, due, time.Duration(i)*time.Microsecond)
-		r.Deliver(load.Key{Phase: i % 2, Class: "safe"}, due, time.Duration(2*i)*time.Microsecond)
+		r.Lateness.Add(time.Millisecond)
+		r.RecordAcceptance(load.Key{Phase: i % 2, Class: "safe"}, due, time.Duration(i)*time.Microsecond)
+		r.RecordDelivery(load.Key{Phase: i % 2, Class: "safe"}, due, time.Duration(2*i)*time.Microsecond)
 	}
 	full := s.Report(r, 5*time.Second)
 	full.Dropped, full.Faults = 7, []load.Fault{{N: 3, What: "ended <twice>"}}
@@ -55,7 +55,7 @@
 				if _, err := d.Token(); errors.Is(err, io.EOF) {
 					break
 				} else if err != nil {
-					t.Fatalf("%s: a plot is not sound: %v", what, err)
+					t.Fatalf("%s: a plot is not well-formed: %v", what, err)
 				}
 			}
 			rest = rest[j+6:]
--- a/internal/load/plan.go
+++ b/internal/load/plan.go
@@ -7,50 +7,50 @@
 
 // Message is one message of a plan.
 type Message struct {
-	N       int           // from 0, in the order in which they are due
-	Due     time.Duration // since the start of the run
-	Phase   int
-	Kind    int // of Scenario.Mix
-	Partner string
-	Order   int // order key, from 0; -1 for none
+	Number   int           // from 0, in the order in which they are due
+	Due      time.Duration // time since the start of the run
+	Phase    int
+	Kind     int // index in Scenario.Mix
+	Partner  string
+	OrderKey int // order key, from 0; -1 for none
 }
 
-// Plan gives the messages of a scenario in the order in which they are due. It
-// needs the same memory however many there are.
+// Plan generates the messages of a scenario in the order in which they are due. Its memory
+// does not grow with their number.
 type Plan struct {
-	s     *Scenario
-	rng   *rand.Rand
-	total float64 // of weights
-	n     int
-	phase int
-	start time.Duration // of the phase
-	curve curve
-	sum   float64 // of the curve's messages: where the next one lies
-	next  time.Duration
-	more  bool // next is one
-	burst time.Duration
-	left  int // of the burst at hand
+	s           *Scenario
+	rng         *rand.Rand
+	totalWeight float64
+	count       int // of messages generated
+	phase       int
+	start       time.Duration // of the phase
+	curve       curve
+	position    float64       // of the curve's next message: the integral of the rate up to it
+	next        time.Duration // when the curve's next message is due, since the start of the phase
+	hasNext     bool
+	nextBurst   time.Duration // since the start of the phase
+	burstLeft   int           // messages of the burst that are left
 }
 
-// Plan makes a plan of a scenario that Check has passed.
+// Plan returns the plan of a scenario that is valid by [Scenario.Check].
 func (s *Scenario) Plan() *Plan {
 	p := &Plan{s: s, rng: rand.New(rand.NewPCG(s.Seed, 0x10ad)), phase: -1}
 	for _, k := range s.Mix {
-		p.total += k.Weight
+		p.totalWeight += k.Weight
 	}
 	p.enter()
 	return p
 }
 
-// Span is how long the scenario lasts.
-func (s *Scenario) Span() (span time.Duration) {
+// TotalDuration returns the sum of the durations of all phases.
+func (s *Scenario) TotalDuration() (total time.Duration) {
 	for _, p := range s.Phases {
-		span += time.Duration(p.For)
+		total += time.Duration(p.For)
 	}
-	return span
+	return total
 }
 
-// enter begins the next phase; false if there is none.
+// enter begins the next phase. It returns false if there is none.
 func (p *Plan) enter() bool {
 	if p.phase >= 0 {
 		p.start += time.Duration(p.s.Phases[p.phase].For)
@@ -59,39 +59,39 @@
 		return false
 	}
 	ph := &p.s.Phases[p.phase]
-	p.curve, p.sum, p.burst, p.left = ph.curve(), 0, time.Duration(ph.Every), ph.Burst
+	p.curve, p.position, p.nextBurst, p.burstLeft = ph.curve(), 0, time.Duration(ph.Every), ph.Burst
 	p.draw()
 	return true
 }
 
-// draw finds the curve's next message.
+// draw computes when the curve's next message is due.
 func (p *Plan) draw() {
 	ph := &p.s.Phases[p.phase]
 	switch {
 	case ph.Spacing == Poisson:
-		p.sum += p.rng.ExpFloat64()
-	case p.sum == 0:
-		p.sum = 0.5 // half a gap at either end: phases join without a doubled gap
+		p.position += p.rng.ExpFloat64()
+	case p.position == 0:
+		p.position = 0.5 // half a gap at both ends of a phase, so that there is no double gap between phases
 	default:
-		p.sum++
+		p.position++
 	}
-	at := p.curve.at(p.sum)
-	p.next, p.more = time.Duration(at*float64(time.Second)), at < p.curve.span
+	due := p.curve.timeOf(p.position)
+	p.next, p.hasNext = time.Duration(due*float64(time.Second)), due < p.curve.span
 }
 
-// Next gives the next message; false at the end.
+// Next returns the next message. It returns false at the end of the plan.
 func (p *Plan) Next() (Message, bool) {
 	for p.phase < len(p.s.Phases) {
 		ph := &p.s.Phases[p.phase]
-		inBurst := ph.Burst > 0 && p.burst < time.Duration(ph.For)
+		inBurst := ph.Burst > 0 && p.nextBurst < time.Duration(ph.For)
 		switch {
-		case inBurst && (!p.more || p.burst <= p.next):
-			m := p.message(p.burst)
-			if p.left--; p.left == 0 {
-				p.burst, p.left = p.burst+time.Duration(ph.Every), ph.Burst
+		case inBurst && (!p.hasNext || p.nextBurst <= p.next):
+			m := p.message(p.nextBurst)
+			if p.burstLeft--; p.burstLeft == 0 {
+				p.nextBurst, p.burstLeft = p.nextBurst+time.Duration(ph.Every), ph.Burst
 			}
 			return m, true
-		case p.more:
+		case p.hasNext:
 			m := p.message(p.next)
 			p.draw()
 			return m, true
@@ -103,18 +103,19 @@
 	return Message{}, false
 }
 
-// message draws what a message is.
-func (p *Plan) message(at time.Duration) Message {
-	m := Message{N: p.n, Due: p.start + at, Phase: p.phase, Order: -1}
-	p.n++
-	x := p.rng.Float64() * p.total
+// message draws the kind, partner and order key of the message that is due at a time of the
+// phase.
+func (p *Plan) message(due time.Duration) Message {
+	m := Message{Number: p.count, Due: p.start + due, Phase: p.phase, OrderKey: -1}
+	p.count++
+	x := p.rng.Float64() * p.totalWeight
 	for m.Kind = 0; m.Kind < len(p.s.Mix)-1 && x >= p.s.Mix[m.Kind].Weight; m.Kind++ {
 		x -= p.s.Mix[m.Kind].Weight
 	}
 	k := &p.s.Mix[m.Kind]
 	m.Partner = k.Partners[p.rng.IntN(len(k.Partners))]
 	if k.Order > 0 {
-		m.Order = p.rng.IntN(k.Order)
+		m.OrderKey = p.rng.IntN(k.Order)
 	}
 	return m
 }
--- a/internal/load/record.go
+++ b/internal/load/record.go
@@ -8,20 +8,20 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Latencies are kept in microseconds up to this, to three digits. What lasts longer
-// counts as that long, and is counted apart.
+// Histograms hold latencies in microseconds up to maxLatency. A longer one counts as maxLatency
+// and in OutOfRange.
 const (
-	longest = int64(10 * time.Minute / time.Microsecond)
-	digits  = 3
+	maxLatency        = int64(10 * time.Minute / time.Microsecond)
+	significantDigits = 3
 )
 
-// Key is what latencies are told apart by.
+// Key has the properties by which latencies are recorded separately.
 type Key struct {
 	Phase                  int
 	Class, Partner, Tenant string
 }
 
-// Group is a part of a key to sum by.
+// Group is the property of a key by which histograms are merged.
 type Group int
 
 // The groups.
@@ -33,76 +33,80 @@
 	ByTenant
 )
 
-// Hist is a histogram of latencies.
-type Hist struct {
-	h    *hdrhistogram.Histogram
-	Over int64 // longer than can be told
+// Histogram is a histogram of latencies.
+type Histogram struct {
+	h          *hdrhistogram.Histogram
+	OutOfRange int64 // number of latencies over the maximum
 }
 
-func newHist() *Hist { return &Hist{h: hdrhistogram.New(1, longest, digits)} }
+func newHistogram() *Histogram {
+	return &Histogram{h: hdrhistogram.New(1, maxLatency, significantDigits)}
+}
 
-// Add notes a latency; one below a microsecond counts as one.
-func (h *Hist) Add(d time.Duration) {
+// Add records a latency. One below a microsecond counts as a microsecond.
+func (h *Histogram) Add(d time.Duration) {
 	us := max(int64(d/time.Microsecond), 1)
-	if us > longest {
-		us = longest
-		h.Over++
+	if us > maxLatency {
+		us = maxLatency
+		h.OutOfRange++
 	}
 	h.h.RecordValue(us) // within the range, so it can't fail
 }
 
-// Merge adds another one's counts: percentiles are those of both together.
-func (h *Hist) Merge(other *Hist) {
+// Merge adds the latencies of another histogram.
+func (h *Histogram) Merge(other *Histogram) {
 	h.h.Merge(other.h)
-	h.Over += other.Over
+	h.OutOfRange += other.OutOfRange
 }
 
-// Count is how many latencies there are.
-func (h *Hist) Count() int64 { return h.h.TotalCount() }
+// Count returns the number of latencies.
+func (h *Histogram) Count() int64 { return h.h.TotalCount() }
 
-// At is the latency that so many percent do not pass, to a thousandth; 0 if there
-// are none.
-func (h *Hist) At(percent float64) time.Duration {
+// Percentile returns the latency that the given percentage of all latencies does not exceed,
+// accurate to a thousandth; 0 if there are none.
+func (h *Histogram) Percentile(percent float64) time.Duration {
 	return time.Duration(h.h.ValueAtQuantile(percent)) * time.Microsecond
 }
 
-// Max is the longest one.
-func (h *Hist) Max() time.Duration { return time.Duration(h.h.Max()) * time.Microsecond }
+// Max returns the longest latency.
+func (h *Histogram) Max() time.Duration { return time.Duration(h.h.Max()) * time.Microsecond }
 
-// Mean is the mean.
-func (h *Hist) Mean() time.Duration { return time.Duration(h.h.Mean() * float64(time.Microsecond)) }
+// Mean returns the mean latency.
+func (h *Histogram) Mean() time.Duration {
+	return time.Duration(h.h.Mean() * float64(time.Microsecond))
+}
 
-// Window is what became of the messages that were due in one second.
+// Window counts the messages that were due in one second by their state.
 type Window struct {
 	Due, Accepted, Refused, Unanswered, Delivered, Returned, Failed int64
-	InFlight                                                        int64         // most at once
+	InFlight                                                        int64         // maximum at any time
 	Worst                                                           time.Duration // from due to acceptance
 }
 
-// Recorder holds latencies. Each worker has one of its own; they are merged at the
-// end.
+// Recorder holds the latencies of a run. Each worker has its own, and they are merged at the end.
 type Recorder struct {
-	Accepted map[Key]*Hist // from due to acceptance
-	Ended    map[Key]*Hist // from due to delivery
-	Late     *Hist         // from due to the first byte of the request: the generator's own
-	Windows  []Window      // by the second in which messages were due
+	Accepted  map[Key]*Histogram // from due to acceptance
+	Delivered map[Key]*Histogram // from due to delivery
+	Lateness  *Histogram         // of the generator: from due to the first byte of the request
+	Windows   []Window           // by the second in which messages were due
 }
 
-// NewRecorder makes one.
+// NewRecorder returns an empty recorder.
 func NewRecorder() *Recorder {
-	return &Recorder{Accepted: map[Key]*Hist{}, Ended: map[Key]*Hist{}, Late: newHist()}
+	return &Recorder{Accepted: map[Key]*Histogram{}, Delivered: map[Key]*Histogram{}, Lateness: newHistogram()}
 }
 
-func of(m map[Key]*Hist, k Key) *Hist {
+// histogramOf returns the histogram of a key and creates it if there is none.
+func histogramOf(m map[Key]*Histogram, k Key) *Histogram {
 	h := m[k]
 	if h == nil {
-		h = newHist()
+		h = newHistogram()
 		m[k] = h
 	}
 	return h
 }
 
-// Window is that of a message that is due then.
+// Window returns the window of a message that is due at a time of the run.
 func (r *Recorder) Window(due time.Duration) *Window {
 	i := int(due / time.Second)
 	for len(r.Windows) <= i {
@@ -111,40 +115,42 @@
 	return &r.Windows[i]
 }
 
-// Accept notes an acceptance so long after a message was due.
-func (r *Recorder) Accept(k Key, due, took time.Duration) {
-	of(r.Accepted, k).Add(took)
+// RecordAcceptance records that a message was accepted, and how long after it was due.
+func (r *Recorder) RecordAcceptance(k Key, due, latency time.Duration) {
+	histogramOf(r.Accepted, k).Add(latency)
 	w := r.Window(due)
 	w.Accepted++
-	w.Worst = max(w.Worst, took)
+	w.Worst = max(w.Worst, latency)
 }
 
-// Deliver notes a delivery so long after a message was due.
-func (r *Recorder) Deliver(k Key, due, took time.Duration) {
-	of(r.Ended, k).Add(took)
+// RecordDelivery records that a message was delivered, and how long after it was due.
+func (r *Recorder) RecordDelivery(k Key, due, latency time.Duration) {
+	histogramOf(r.Delivered, k).Add(latency)
 	r.Window(due).Delivered++
 }
 
-// Merge adds what another one holds.
+// Merge adds the content of another recorder.
 func (r *Recorder) Merge(other *Recorder) {
 	for k, h := range other.Accepted {
-		of(r.Accepted, k).Merge(h)
+		histogramOf(r.Accepted, k).Merge(h)
 	}
-	for k, h := range other.Ended {
-		of(r.Ended, k).Merge(h)
+	for k, h := range other.Delivered {
+		histogramOf(r.Delivered, k).Merge(h)
 	}
-	r.Late.Merge(other.Late)
+	r.Lateness.Merge(other.Lateness)
 	for i, x := range other.Windows {
 		w := r.Window(time.Duration(i) * time.Second)
-		w.Due, w.Accepted, w.Refused, w.Unanswered = w.Due+x.Due, w.Accepted+x.Accepted, w.Refused+x.Refused, w.Unanswered+x.Unanswered
+		w.Due, w.Accepted, w.Refused, w.Unanswered =
+			w.Due+x.Due, w.Accepted+x.Accepted, w.Refused+x.Refused, w.Unanswered+x.Unanswered
 		w.Delivered, w.Returned, w.Failed = w.Delivered+x.Delivered, w.Returned+x.Returned, w.Failed+x.Failed
 		w.InFlight, w.Worst = max(w.InFlight, x.InFlight), max(w.Worst, x.Worst)
 	}
 }
 
-// Sum merges the histograms of a group: one by its name, for all "".
-func Sum(m map[Key]*Hist, by Group, phase func(int) string) map[string]*Hist {
-	out := map[string]*Hist{}
+// MergeByGroup merges the histograms that have the same value of a property. The result has
+// them by that value, or under "" for [All]. phase returns the name of a phase.
+func MergeByGroup(m map[Key]*Histogram, by Group, phase func(int) string) map[string]*Histogram {
+	out := map[string]*Histogram{}
 	for k, h := range m {
 		name := ""
 		switch by {
@@ -158,31 +164,33 @@
 			name = k.Tenant
 		}
 		if out[name] == nil {
-			out[name] = newHist()
+			out[name] = newHistogram()
 		}
 		out[name].Merge(h)
 	}
 	return out
 }
 
-// Verdict says whether a run tells anything of the system.
+// Verdict says whether the figures of a run are valid.
 type Verdict struct {
-	Valid  bool
-	Reason string        // why not
-	Late   time.Duration // the generator's lateness at its 99.9th percentile
+	Valid    bool
+	Reason   string        // why it is not valid
+	Lateness time.Duration // the generator's lateness at its 99.9th percentile
 }
 
-// Judge judges a run by the generator's own lateness.
-func (s *Scenario) Judge(r *Recorder) Verdict {
-	v := Verdict{Valid: true, Late: r.Late.At(99.9)}
-	if bound := time.Duration(s.Late); v.Late > bound {
-		v.Valid, v.Reason = false, "the generator, not the system, was late: "+v.Late.String()+" at the 99.9th percentile, "+bound.String()+" at most"
+// CheckLateness returns whether a run is valid: the generator itself must not be late by more
+// than the scenario allows, or the latencies are not those of the system.
+func (s *Scenario) CheckLateness(r *Recorder) Verdict {
+	v := Verdict{Valid: true, Lateness: r.Lateness.Percentile(99.9)}
+	if bound := time.Duration(s.Late); v.Lateness > bound {
+		v.Valid, v.Reason = false, "the generator, not the system, was late: "+v.Lateness.String()+" at the 99.9th percentile, "+bound.String()+" at most"
 	}
 	return v
 }
 
-// Worst lists the windows with the longest waits for acceptance, the worst first.
-func (r *Recorder) Worst(n int) []int {
+// WorstWindows returns the numbers of the n windows with the longest latencies of acceptance,
+// longest first.
+func (r *Recorder) WorstWindows(n int) []int {
 	out := make([]int, len(r.Windows))
 	for i := range out {
 		out[i] = i
--- a/internal/load/rules.go
+++ b/internal/load/rules.go
@@ -7,138 +7,140 @@
 	"time"
 )
 
-// Call is one call as the partner that it came to saw it. Times are those of one
-// clock, since the start of the run.
+// Call is one call as its partner recorded it. All times are of one clock, since the start of
+// the run.
 type Call struct {
-	N        int           // of the message
-	Endpoint string        // where it came
-	At       time.Duration // when it had come whole
-	Until    time.Duration // when it was answered, or given up
-	Ran      bool          // it took effect
-	Wait     time.Duration // told with the answer, for the partner as a whole; 0 for none
+	Message       int           // number of the message
+	Endpoint      string        // that received the call
+	ReceivedAt    time.Duration // when it was received completely
+	AnsweredAt    time.Duration // when it was answered or abandoned
+	Ran           bool          // whether the message took effect
+	RequestedWait time.Duration // stated in the response, for the whole partner; 0 for none
 }
 
-// Handed is what the rules need to know of a message from its client's side.
-type Handed struct {
-	Unsafe   bool
-	Partner  string
-	Order    string        // order key; empty for none
-	Sent     time.Duration // when it was handed in
-	Accepted time.Duration // when its client knew that it was taken on; 0 if it never did
+// Submission is a message as its client recorded it.
+type Submission struct {
+	Unsafe      bool
+	Partner     string
+	OrderKey    string        // order key; empty for none
+	SubmittedAt time.Duration // when the client submitted it
+	AcceptedAt  time.Duration // when the client received the acceptance; 0 if never
 }
 
-// Rules judge what partners have seen.
+// Rules checks the calls that partners have recorded.
 type Rules struct {
-	// Grace is how long after a wait or a drain is told a call may still come: it may
-	// have been on its way.
-	Grace time.Duration
-	// Drained says when the sender was told that an endpoint drains.
-	Drained map[string]time.Duration
-	// DrainGrace is how long after that new calls may come.
+	// TransitTime is how long after a response with a requested wait a call may still arrive, as
+	// it may have been in transit.
+	TransitTime time.Duration
+	// DrainedAt is when the sender was notified that an endpoint drains, by endpoint.
+	DrainedAt map[string]time.Duration
+	// DrainGrace is how long after that new calls may arrive.
 	DrainGrace time.Duration
-	// Rate is the most calls of a partner in Window; 0 for no limit.
-	Rate   int
-	Window time.Duration
+	// MaxCalls is the maximum number of calls of a partner in RateWindow; 0 for no limit.
+	MaxCalls   int
+	RateWindow time.Duration
 }
 
-// Judge tells what the calls at one partner break: two attempts of a message out at
-// once, an unsafe one that ran twice, a call inside a told wait, one past a drain,
-// more than the rate, messages of one order key that ran out of order. The ledger says which
-// messages ran or did not by the word that their clients were given.
-func (r *Rules) Judge(partner string, calls []Call, handed func(n int) Handed, l *Ledger) (out []Fault) {
-	bad := func(n int, format string, args ...any) {
+// Check returns the violations among the calls at one partner: concurrent attempts of a
+// message, an unsafe message that ran twice, a call within a requested wait or to a drained
+// endpoint, calls above the rate, and messages of one order key that ran out of order. The
+// ledger has which messages ran according to what their clients were notified of.
+func (r *Rules) Check(partner string, calls []Call, submission func(n int) Submission, l *Ledger) (out []Fault) {
+	addFault := func(n int, format string, args ...any) {
 		out = append(out, Fault{n, partner + ": " + fmt.Sprintf(format, args...)})
 	}
 	calls = slices.Clone(calls)
-	slices.SortStableFunc(calls, func(a, b Call) int { return cmp.Compare(a.At, b.At) })
-	until, told := time.Duration(0), time.Duration(0) // of the wait that lasts longest
-	var answers []Call                                // with waits, by when they were told
+	slices.SortStableFunc(calls, func(a, b Call) int { return cmp.Compare(a.ReceivedAt, b.ReceivedAt) })
+	until, requestedAt := time.Duration(0), time.Duration(0) // of the requested wait that ends last
+	var withWait []Call                                      // in the order of the responses
 	for _, c := range calls {
-		if c.Wait > 0 {
-			answers = append(answers, c)
+		if c.RequestedWait > 0 {
+			withWait = append(withWait, c)
 		}
 	}
-	slices.SortStableFunc(answers, func(a, b Call) int { return cmp.Compare(a.Until, b.Until) })
-	busy, ran := map[int]time.Duration{}, map[int]int{}
+	slices.SortStableFunc(withWait, func(a, b Call) int { return cmp.Compare(a.AnsweredAt, b.AnsweredAt) })
+	inFlightUntil, ran := map[int]time.Duration{}, map[int]int{}
 	for i, c := range calls {
-		for len(answers) > 0 && answers[0].Until+r.Grace < c.At {
-			if end := answers[0].Until + answers[0].Wait; end > until {
-				until, told = end, answers[0].Until
+		for len(withWait) > 0 && withWait[0].AnsweredAt+r.TransitTime < c.ReceivedAt {
+			if end := withWait[0].AnsweredAt + withWait[0].RequestedWait; end > until {
+				until, requestedAt = end, withWait[0].AnsweredAt
 			}
-			answers = answers[1:]
+			withWait = withWait[1:]
 		}
-		m := handed(c.N)
+		m := submission(c.Message)
 		if m.Partner != partner {
-			bad(c.N, "a message of %q came here", m.Partner)
+			addFault(c.Message, "a message of %q arrived here", m.Partner)
 		}
-		if c.At < busy[c.N] {
-			bad(c.N, "two attempts were out at once")
+		if c.ReceivedAt < inFlightUntil[c.Message] {
+			addFault(c.Message, "two attempts were in flight at once")
 		}
-		busy[c.N] = max(busy[c.N], c.Until)
-		if c.At < until {
-			bad(c.N, "called %v after a wait of %v was told", c.At-told, until-told)
+		inFlightUntil[c.Message] = max(inFlightUntil[c.Message], c.AnsweredAt)
+		if c.ReceivedAt < until {
+			addFault(c.Message, "called %v after a wait of %v was requested", c.ReceivedAt-requestedAt, until-requestedAt)
 		}
-		if at, ok := r.Drained[c.Endpoint]; ok && c.At > at+r.DrainGrace {
-			bad(c.N, "called %v after %s was told to drain", c.At-at, c.Endpoint)
+		if at, ok := r.DrainedAt[c.Endpoint]; ok && c.ReceivedAt > at+r.DrainGrace {
+			addFault(c.Message, "called %v after %s began to drain", c.ReceivedAt-at, c.Endpoint)
 		}
-		if r.Rate > 0 && i >= r.Rate && c.At-calls[i-r.Rate].At < r.Window {
-			bad(c.N, "%d calls within %v, %d at most", r.Rate+1, c.At-calls[i-r.Rate].At, r.Rate)
+		if r.MaxCalls > 0 && i >= r.MaxCalls && c.ReceivedAt-calls[i-r.MaxCalls].ReceivedAt < r.RateWindow {
+			addFault(c.Message, "%d calls within %v, %d at most", r.MaxCalls+1,
+				c.ReceivedAt-calls[i-r.MaxCalls].ReceivedAt, r.MaxCalls)
 		}
 		if c.Ran {
-			if ran[c.N]++; ran[c.N] == 2 && m.Unsafe {
-				bad(c.N, "an unsafe message ran twice")
+			if ran[c.Message]++; ran[c.Message] == 2 && m.Unsafe {
+				addFault(c.Message, "an unsafe message ran twice")
 			}
 		}
 	}
 	for n := range ran {
-		if may, _ := l.Ran(n); !may {
-			bad(n, "ran, though its client was told that it did not")
+		if may, _ := l.MayHaveRun(n); !may {
+			addFault(n, "ran, though its client was notified that it did not")
 		}
 	}
-	return append(out, r.order(partner, calls, handed)...)
+	return append(out, r.checkOrder(partner, calls, submission)...)
 }
 
-// order finds messages that ran before an earlier one of their key did: one that its
-// client knew to be taken on before the later one was handed in. One that never ran
-// has no place.
-func (r *Rules) order(partner string, calls []Call, handed func(n int) Handed) (out []Fault) {
+// checkOrder finds messages that ran after a later one of their order key. A message is later
+// if its client submitted it after it had received the acceptance of the earlier one. Messages
+// that never ran do not count.
+func (r *Rules) checkOrder(partner string, calls []Call, submission func(n int) Submission) (out []Fault) {
 	type run struct {
 		n     int
 		first time.Duration
-		Handed
+		Submission
 	}
 	byKey, seen := map[string][]run{}, map[int]bool{}
 	for _, c := range calls {
-		if m := handed(c.N); c.Ran && m.Order != "" && !seen[c.N] {
-			seen[c.N] = true
-			byKey[m.Order] = append(byKey[m.Order], run{c.N, c.At, m})
+		if m := submission(c.Message); c.Ran && m.OrderKey != "" && !seen[c.Message] {
+			seen[c.Message] = true
+			byKey[m.OrderKey] = append(byKey[m.OrderKey], run{c.Message, c.ReceivedAt, m})
 		}
 	}
-	for key, runs := range byKey { // in the order in which they first ran
-		latest := time.Duration(0) // hand-in of those that have run
-		by := 0
+	for key, runs := range byKey { // runs are in the order in which they first ran
+		latest := time.Duration(0) // submission of a message that has run
+		latestMessage := 0
 		for _, x := range runs {
-			if x.Accepted > 0 && x.Accepted < latest {
-				out = append(out, Fault{x.n, fmt.Sprintf("%s: of key %s it ran after %d, which was handed in later", partner, key, by)})
+			if x.AcceptedAt > 0 && x.AcceptedAt < latest {
+				out = append(out, Fault{x.n, fmt.Sprintf("%s: of key %s it ran after %d, which was submitted later",
+					partner, key, latestMessage)})
 			}
-			if x.Sent > latest {
-				latest, by = x.Sent, x.n
+			if x.SubmittedAt > latest {
+				latest, latestMessage = x.SubmittedAt, x.n
 			}
 		}
 	}
 	return out
 }
 
-// RanNowhere finds messages whose clients were told that they were delivered and
-// that ran nowhere.
-func RanNowhere(l *Ledger, calls []Call, n int) (out []Fault) {
+// DeliveredWithoutRun returns a fault for each of the first n messages that was reported
+// delivered and ran at no partner.
+func DeliveredWithoutRun(l *Ledger, calls []Call, n int) (out []Fault) {
 	ran := map[int]bool{}
 	for _, c := range calls {
-		ran[c.N] = ran[c.N] || c.Ran
+		ran[c.Message] = ran[c.Message] || c.Ran
 	}
 	for i := range n {
-		if _, must := l.Ran(i); must && !ran[i] {
-			out = append(out, Fault{i, "delivered, and ran nowhere"})
+		if _, must := l.MayHaveRun(i); must && !ran[i] {
+			out = append(out, Fault{i, "reported delivered, but ran at no partner"})
 		}
 	}
 	return out
--- a/internal/load/rules_test.go
+++ b/internal/load/rules_test.go
@@ -10,18 +10,18 @@
 
 const ms = time.Millisecond
 
-// clean is a run in which nothing is broken: a partner with a rate, waits and a
-// drain, some messages tried again, some in order.
-func clean(seed uint64) (calls []Call, handed []Handed, l *Ledger) {
+// validRun returns a run without violations: a partner with a rate, requested waits and a
+// drain, with some messages retried and some in order.
+func validRun(seed uint64) (calls []Call, submissions []Submission, l *Ledger) {
 	rng := rand.New(rand.NewPCG(seed, 2))
 	l = &Ledger{}
 	at := time.Duration(0)
 	for n := range 200 {
-		m := Handed{Unsafe: n%3 == 0, Partner: "p", Sent: at + 1*ms, Accepted: at + 2*ms}
+		m := Submission{Unsafe: n%3 == 0, Partner: "p", SubmittedAt: at + 1*ms, AcceptedAt: at + 2*ms}
 		if n%4 == 0 {
-			m.Order = fmt.Sprint("k", n%8)
+			m.OrderKey = fmt.Sprint("k", n%8)
 		}
-		handed = append(handed, m)
+		submissions = append(submissions, m)
 		l.Sent(n)
 		l.Answered(n, true)
 		endpoint := "e1"
@@ -29,94 +29,94 @@
 			endpoint = "e2"
 		}
 		at += 100 * ms
-		if rng.IntN(4) == 0 { // refused with a wait, then again
+		if rng.IntN(4) == 0 { // rejected with a requested wait, then retried
 			wait := time.Duration(1+rng.IntN(400)) * ms
-			calls = append(calls, Call{N: n, Endpoint: endpoint, At: at, Until: at + 5*ms, Wait: wait})
+			calls = append(calls, Call{Message: n, Endpoint: endpoint, ReceivedAt: at, AnsweredAt: at + 5*ms, RequestedWait: wait})
 			at += 5*ms + wait + 100*ms
 		}
-		calls = append(calls, Call{N: n, Endpoint: endpoint, At: at, Until: at + 20*ms, Ran: true})
-		if !m.Unsafe && rng.IntN(4) == 0 { // no answer came; a repeat does no harm
+		calls = append(calls, Call{Message: n, Endpoint: endpoint, ReceivedAt: at, AnsweredAt: at + 20*ms, Ran: true})
+		if !m.Unsafe && rng.IntN(4) == 0 { // no response arrived; a safe or keyed message may run again
 			at += 120 * ms
-			calls = append(calls, Call{N: n, Endpoint: endpoint, At: at, Until: at + 20*ms, Ran: true})
+			calls = append(calls, Call{Message: n, Endpoint: endpoint, ReceivedAt: at, AnsweredAt: at + 20*ms, Ran: true})
 		}
 		l.End(n, Delivered)
 	}
-	return calls, handed, l
+	return calls, submissions, l
 }
 
-// In a clean run nothing is found; each breach that is planted is, and nothing else.
-func TestPlantedBreaches(t *testing.T) {
-	ran := func(calls []Call, handed []Handed, want func(c Call, m Handed) bool) int {
+// Check finds no violation in a valid run, and exactly the violation that is planted in it.
+func TestPlantedViolations(t *testing.T) {
+	ran := func(calls []Call, submissions []Submission, want func(c Call, m Submission) bool) int {
 		for i, c := range calls {
-			if c.Ran && i > 40 && want(c, handed[c.N]) {
+			if c.Ran && i > 40 && want(c, submissions[c.Message]) {
 				return i
 			}
 		}
 		return -1
 	}
-	for what, plant := range map[string]func(calls []Call, handed []Handed, l *Ledger) []Call{
-		"": func(calls []Call, _ []Handed, _ *Ledger) []Call { return calls },
-		"an unsafe message ran twice": func(calls []Call, handed []Handed, _ *Ledger) []Call {
-			c := calls[ran(calls, handed, func(_ Call, m Handed) bool { return m.Unsafe })]
-			c.At, c.Until = c.At+40*ms, c.At+41*ms
+	for what, plant := range map[string]func(calls []Call, submissions []Submission, l *Ledger) []Call{
+		"": func(calls []Call, _ []Submission, _ *Ledger) []Call { return calls },
+		"an unsafe message ran twice": func(calls []Call, submissions []Submission, _ *Ledger) []Call {
+			c := calls[ran(calls, submissions, func(_ Call, m Submission) bool { return m.Unsafe })]
+			c.ReceivedAt, c.AnsweredAt = c.ReceivedAt+40*ms, c.ReceivedAt+41*ms
 			return append(calls, c)
 		},
-		"two attempts were out": func(calls []Call, handed []Handed, _ *Ledger) []Call {
-			c := calls[ran(calls, handed, func(_ Call, m Handed) bool { return !m.Unsafe })]
-			c.At = c.Until - 1*ms
+		"two attempts were in flight": func(calls []Call, submissions []Submission, _ *Ledger) []Call {
+			c := calls[ran(calls, submissions, func(_ Call, m Submission) bool { return !m.Unsafe })]
+			c.ReceivedAt = c.AnsweredAt - 1*ms
 			return append(calls, c)
 		},
-		"after a wait of": func(calls []Call, handed []Handed, _ *Ledger) []Call {
+		"after a wait of": func(calls []Call, submissions []Submission, _ *Ledger) []Call {
 			for i, c := range calls {
-				if c.Wait > 100*ms { // the next call of this message is the one after the wait
-					calls[i+1].At = c.Until + c.Wait - 10*ms
+				if c.RequestedWait > 100*ms { // the next call of this message is the one after the wait
+					calls[i+1].ReceivedAt = c.AnsweredAt + c.RequestedWait - 10*ms
 					break
 				}
 			}
 			return calls
 		},
-		"told to drain": func(calls []Call, _ []Handed, _ *Ledger) []Call {
+		"began to drain": func(calls []Call, _ []Submission, _ *Ledger) []Call {
 			for i := range calls {
-				if calls[i].At > 9*time.Second {
+				if calls[i].ReceivedAt > 9*time.Second {
 					calls[i].Endpoint = "e1"
 					break
 				}
 			}
 			return calls
 		},
-		"which was handed in later": func(calls []Call, handed []Handed, _ *Ledger) []Call {
-			i := ran(calls, handed, func(c Call, m Handed) bool { return m.Order != "" })
+		"which was submitted later": func(calls []Call, submissions []Submission, _ *Ledger) []Call {
+			i := ran(calls, submissions, func(c Call, m Submission) bool { return m.OrderKey != "" })
 			for j := i + 1; ; j++ {
-				if calls[j].Ran && handed[calls[j].N].Order == handed[calls[i].N].Order && calls[j].N != calls[i].N {
-					calls[i].N, calls[j].N = calls[j].N, calls[i].N
+				if calls[j].Ran && submissions[calls[j].Message].OrderKey == submissions[calls[i].Message].OrderKey && calls[j].Message != calls[i].Message {
+					calls[i].Message, calls[j].Message = calls[j].Message, calls[i].Message
 					return calls[:j+1]
 				}
 			}
 		},
-		"calls within": func(calls []Call, handed []Handed, l *Ledger) []Call {
+		"calls within": func(calls []Call, submissions []Submission, l *Ledger) []Call {
 			for n := range 12 {
-				calls = append(calls, Call{N: 1000 + n, Endpoint: "e2", At: time.Hour + time.Duration(n)*ms, Until: time.Hour + time.Duration(n)*ms})
+				calls = append(calls, Call{Message: 1000 + n, Endpoint: "e2", ReceivedAt: time.Hour + time.Duration(n)*ms, AnsweredAt: time.Hour + time.Duration(n)*ms})
 			}
 			return calls
 		},
-		"its client was told that it did not": func(calls []Call, handed []Handed, l *Ledger) []Call {
+		"its client was notified that it did not": func(calls []Call, submissions []Submission, l *Ledger) []Call {
 			*l.at(7) = sent | accepted | ended
 			return calls
 		},
-		"came here": func(calls []Call, handed []Handed, _ *Ledger) []Call {
-			handed[9].Partner = "q"
+		"arrived here": func(calls []Call, submissions []Submission, _ *Ledger) []Call {
+			submissions[9].Partner = "q"
 			return calls
 		},
 	} {
 		for seed := range uint64(5) {
-			calls, handed, l := clean(seed)
-			calls = plant(calls, handed, l)
-			r := Rules{Grace: 50 * ms, Drained: map[string]time.Duration{"e1": 6 * time.Second}, DrainGrace: 2 * time.Second, Rate: 11, Window: time.Second}
-			found := r.Judge("p", calls, func(n int) Handed {
-				if n < len(handed) {
-					return handed[n]
+			calls, submissions, l := validRun(seed)
+			calls = plant(calls, submissions, l)
+			r := Rules{TransitTime: 50 * ms, DrainedAt: map[string]time.Duration{"e1": 6 * time.Second}, DrainGrace: 2 * time.Second, MaxCalls: 11, RateWindow: time.Second}
+			found := r.Check("p", calls, func(n int) Submission {
+				if n < len(submissions) {
+					return submissions[n]
 				}
-				return Handed{Partner: "p"}
+				return Submission{Partner: "p"}
 			}, l)
 			for _, f := range found {
 				if what == "" || !strings.Contains(f.What, what) {
@@ -128,11 +128,11 @@
 			}
 		}
 	}
-	calls, _, l := clean(1)
-	if found := RanNowhere(l, calls, 200); len(found) > 0 {
+	calls, _, l := validRun(1)
+	if found := DeliveredWithoutRun(l, calls, 200); len(found) > 0 {
 		t.Errorf("%v", found)
 	}
-	if found := RanNowhere(l, calls[:len(calls)-9], 200); len(found) == 0 {
+	if found := DeliveredWithoutRun(l, calls[:len(calls)-9], 200); len(found) == 0 {
 		t.Error("a delivery without a run was not found")
 	}
 }
--- a/internal/load/scenario.go
+++ b/internal/load/scenario.go
@@ -12,19 +12,19 @@
 
 // Bounds of a scenario.
 const (
-	MaxSpan  = 24 * time.Hour
-	MaxRate  = 1e6 // messages a second
-	MaxBurst = 1_000_000
-	MaxBody  = 64 << 10
+	MaxDuration = 24 * time.Hour // of a phase, and of a message's time to its deadline
+	MaxRate     = 1e6            // messages a second
+	MaxBurst    = 1_000_000      // messages
+	MaxBody     = 64 << 10       // bytes
 )
 
-// Duration is a span as text: "250ms", "2s".
+// Duration is a duration that the scenario has as text: "250ms", "2s".
 type Duration time.Duration
 
-// Seconds is the span in seconds.
+// Seconds returns the duration in seconds.
 func (d Duration) Seconds() float64 { return time.Duration(d).Seconds() }
 
-// UnmarshalText reads what [time.ParseDuration] reads.
+// UnmarshalText parses text in the format of [time.ParseDuration].
 func (d *Duration) UnmarshalText(text []byte) error {
 	v, err := time.ParseDuration(string(text))
 	if err != nil {
@@ -34,61 +34,61 @@
 	return nil
 }
 
-// Scenario is a program of load. The same scenario gives the same messages.
+// Scenario describes the load of a run. The same scenario gives the same messages.
 type Scenario struct {
 	Seed uint64 `toml:"seed"`
-	// InFlight is how many messages may wait for their acceptance at once. Reaching
-	// it fails the run: the schedule never waits.
+	// InFlight is the maximum number of messages without a reply. The schedule never waits:
+	// messages due above the limit are dropped, and the run fails.
 	InFlight int `toml:"in_flight"`
-	// Late is the bound of the generator's own lateness, at its 99.9th percentile. A
-	// run above it is not valid.
+	// Late is the maximum lateness of the load generator itself, at the 99.9th percentile. A run
+	// above it is not valid.
 	Late   Duration `toml:"late"`
 	Phases []Phase  `toml:"phase"`
 	Mix    []Kind   `toml:"mix"`
 }
 
-// Spacing says how messages lie within a phase's rate.
+// Spacing is the distribution of the gaps between messages at a phase's rate.
 type Spacing string
 
-// The spacings.
+// The spacings: equal gaps, or exponentially distributed ones (a Poisson process).
 const (
 	Even    Spacing = "even"
 	Poisson Spacing = "poisson"
 )
 
-// Phase is a stretch of a scenario.
+// Phase is a part of a scenario with one shape of the rate.
 type Phase struct {
 	Name    string   `toml:"name"`
 	Shape   Shape    `toml:"shape"`
 	Spacing Spacing  `toml:"spacing"`
 	For     Duration `toml:"for"`
-	Rate    float64  `toml:"rate"` // messages a second
-	To      float64  `toml:"to"`
-	Steps   int      `toml:"steps"`
-	Period  Duration `toml:"period"`
-	Burst   int      `toml:"burst"` // so many more at one instant ...
-	Every   Duration `toml:"every"` // ... this often, first after that time
+	Rate    float64  `toml:"rate"`   // messages a second
+	To      float64  `toml:"to"`     // messages a second; see the shapes
+	Steps   int      `toml:"steps"`  // number of rates of the shape step
+	Period  Duration `toml:"period"` // of the shape wave
+	Burst   int      `toml:"burst"`  // additional messages at one instant ...
+	Every   Duration `toml:"every"`  // ... with this period, the first after one period
 }
 
-// Kind is a kind of message, and how many of all are of it.
+// Kind is a kind of message with its part in the mix.
 type Kind struct {
-	Weight   float64  `toml:"weight"`
-	Front    string   `toml:"front"` // resp or http
+	Weight   float64  `toml:"weight"` // relative to the other kinds
+	Front    string   `toml:"front"`  // resp or http
 	Class    string   `toml:"class"`
 	Tenant   string   `toml:"tenant"`
-	Partners []string `toml:"partners"` // one of them, each as often as the others
-	Size     int      `toml:"size"`     // of a body, in bytes
-	Left     Duration `toml:"left"`     // how long it may be delivered; over HTTP 0 for the class's own
-	Order    int      `toml:"order"`    // order keys in use; 0 for messages without
+	Partners []string `toml:"partners"` // chosen uniformly
+	Size     int      `toml:"size"`     // of the body in bytes
+	Left     Duration `toml:"left"`     // time to the deadline; over HTTP 0 for that of the class
+	Order    int      `toml:"order"`    // number of order keys; 0 for messages without one
 }
 
-// FieldError says what is wrong with a field of a scenario.
+// FieldError is an invalid field of a scenario.
 type FieldError struct{ Field, Reason string }
 
 func (e *FieldError) Error() string { return fmt.Sprintf("%s: %s", e.Field, e.Reason) }
 
-// Parse reads a scenario. An error names the field, and the line where that is
-// known.
+// Parse reads a scenario and sets its defaults. An error names the field, and the line if that
+// is known.
 func Parse(text []byte) (*Scenario, error) {
 	s := &Scenario{}
 	err := toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields().Decode(s)
@@ -112,6 +112,7 @@
 	return s, nil
 }
 
+// defaults sets the fields that the scenario leaves out.
 func (s *Scenario) defaults() {
 	if s.InFlight == 0 {
 		s.InFlight = 10_000
@@ -142,7 +143,7 @@
 	}
 }
 
-// Check says what makes no sense: the first field at fault.
+// Check returns a [FieldError] for the first invalid field.
 func (s *Scenario) Check() error {
 	switch {
 	case s.InFlight < 1:
@@ -162,21 +163,22 @@
 		}
 		names[p.Name] = true
 		if err := p.check(); err != nil {
-			return within(fmt.Sprintf("phase[%d]", i), err)
+			return prefixField(fmt.Sprintf("phase[%d]", i), err)
 		}
 	}
 	for i := range s.Mix {
 		if err := s.Mix[i].check(); err != nil {
-			return within(fmt.Sprintf("mix[%d]", i), err)
+			return prefixField(fmt.Sprintf("mix[%d]", i), err)
 		}
 	}
 	return nil
 }
 
-func within(where string, err error) error {
-	var f *FieldError
-	if errors.As(err, &f) {
-		return &FieldError{where + "." + f.Field, f.Reason}
+// prefixField adds the path of the enclosing object to a [FieldError].
+func prefixField(path string, err error) error {
+	var fieldErr *FieldError
+	if errors.As(err, &fieldErr) {
+		return &FieldError{path + "." + fieldErr.Field, fieldErr.Reason}
 	}
 	return err
 }
@@ -193,8 +195,8 @@
 		return &FieldError{"partners", "there is none"}
 	case k.Size < 0 || k.Size > MaxBody:
 		return &FieldError{"size", fmt.Sprintf("not within 0 and %d bytes", MaxBody)}
-	case k.Left < 0 || time.Duration(k.Left) > MaxSpan:
-		return &FieldError{"left", fmt.Sprintf("not within 0 and %v", MaxSpan)}
+	case k.Left < 0 || time.Duration(k.Left) > MaxDuration:
+		return &FieldError{"left", fmt.Sprintf("not within 0 and %v", MaxDuration)}
 	case k.Left < Duration(time.Millisecond) && k.Front == "resp":
 		return &FieldError{"left", "must be given over RESP2"}
 	case k.Order < 0:
--- a/internal/load/shape.go
+++ b/internal/load/shape.go
@@ -6,33 +6,34 @@
 	"time"
 )
 
-// Shape says how the rate of a phase runs.
+// Shape is the course of the rate in a phase.
 type Shape string
 
 // The shapes.
 const (
-	Constant Shape = "constant" // Rate throughout
-	Ramp     Shape = "ramp"     // evenly from Rate to To
-	Step     Shape = "step"     // from Rate to To in Steps equal stretches
-	Wave     Shape = "wave"     // around Rate, by To up and down, once in Period
-	Spike    Shape = "spike"    // from Rate to To ever faster, then nothing, as before a deadline
+	Constant Shape = "constant" // Rate
+	Ramp     Shape = "ramp"     // linear from Rate to To
+	Step     Shape = "step"     // from Rate to To in Steps steps of equal length
+	Wave     Shape = "wave"     // a sine around Rate with amplitude To and period Period
+	Spike    Shape = "spike"    // exponential from Rate to To, then nothing, as before a deadline
 )
 
-// curve is a rate over a phase. Messages are due where its integral reaches given
-// values, so the same numbers give the same instants whatever is answered.
+// curve is the rate over a phase. Messages are due where its integral reaches given values, so
+// that the times do not depend on any reply.
 type curve struct {
 	shape    Shape
 	span     float64 // seconds
-	from, to float64 // messages a second
+	from, to float64 // messages a second, as in Shape
 	steps    float64
 	period   float64 // seconds
 }
 
+// curve returns the rate of the phase.
 func (p *Phase) curve() curve {
 	return curve{shape: p.Shape, span: p.For.Seconds(), from: p.Rate, to: p.To, steps: float64(p.Steps), period: p.Period.Seconds()}
 }
 
-// rate is the rate at a time within the phase.
+// rate returns the rate at a time of the phase, in messages a second.
 func (c curve) rate(t float64) float64 {
 	switch c.shape {
 	case Ramp:
@@ -47,17 +48,18 @@
 	return c.from
 }
 
+// step returns the number of the step at a time of the phase, from 0.
 func (c curve) step(t float64) float64 { return min(math.Floor(t/c.span*c.steps), c.steps-1) }
 
-// due is how many messages are due before t.
+// due returns the number of messages due before t: the integral of the rate.
 func (c curve) due(t float64) float64 {
 	switch c.shape {
 	case Ramp:
 		return c.from*t + (c.to-c.from)*t*t/(2*c.span)
 	case Step:
-		n, each := c.step(t), c.span/c.steps
+		n, length := c.step(t), c.span/c.steps
 		rise := (c.to - c.from) / (c.steps - 1)
-		return each*(n*c.from+rise*n*(n-1)/2) + (t-n*each)*(c.from+rise*n)
+		return length*(n*c.from+rise*n*(n-1)/2) + (t-n*length)*(c.from+rise*n)
 	case Wave:
 		w := 2 * math.Pi / c.period
 		return c.from*t + c.to/w*(1-math.Cos(w*t))
@@ -68,9 +70,9 @@
 	return c.from * t
 }
 
-// at is when so many messages are due: what due is undone by. It is the span's end
-// for more than the phase has.
-func (c curve) at(n float64) float64 {
+// timeOf returns the time at which n messages are due: the inverse of due. It is the end of
+// the phase if that has fewer.
+func (c curve) timeOf(n float64) float64 {
 	if n >= c.due(c.span) {
 		return c.span
 	}
@@ -81,7 +83,7 @@
 		k := math.Log(c.to / c.from)
 		return c.span / k * math.Log1p(n*k/(c.from*c.span))
 	}
-	low, high := 0.0, c.span // due grows with t: halve until a nanosecond is left
+	low, high := 0.0, c.span // due increases with t, so bisection finds the time
 	for high-low > 1e-10*max(1, c.span) {
 		if mid := (low + high) / 2; c.due(mid) < n {
 			low = mid
@@ -92,45 +94,45 @@
 	return high
 }
 
-// check says what makes no sense in a phase.
+// check returns a [FieldError] for the first invalid field of the phase.
 func (p *Phase) check() error {
-	bad := func(field, format string, args ...any) error {
+	invalid := func(field, format string, args ...any) error {
 		return &FieldError{field, fmt.Sprintf(format, args...)}
 	}
 	switch {
-	case p.For <= 0 || time.Duration(p.For) > MaxSpan:
-		return bad("for", "not within 0 and %v", MaxSpan)
+	case p.For <= 0 || time.Duration(p.For) > MaxDuration:
+		return invalid("for", "not within 0 and %v", MaxDuration)
 	case !(p.Rate > 0) || p.Rate > MaxRate:
-		return bad("rate", "not above 0 and at most %.0f messages a second", MaxRate)
+		return invalid("rate", "not above 0 and at most %.0f messages a second", MaxRate)
 	case p.Spacing != Even && p.Spacing != Poisson:
-		return bad("spacing", "%q is neither even nor poisson", p.Spacing)
+		return invalid("spacing", "%q is neither even nor poisson", p.Spacing)
 	case p.Burst < 0 || p.Burst > MaxBurst:
-		return bad("burst", "not within 0 and %d messages", MaxBurst)
+		return invalid("burst", "not within 0 and %d messages", MaxBurst)
 	case p.Burst > 0 && p.Every < Duration(time.Millisecond):
-		return bad("every", "less than a millisecond between two bursts")
+		return invalid("every", "less than a millisecond between two bursts")
 	}
 	switch p.Shape {
 	case Constant:
 	case Ramp, Spike:
 		if !(p.To > 0) || p.To > MaxRate || p.Shape == Spike && p.To <= p.Rate {
-			return bad("to", "no rate that a %s from %g may end at", p.Shape, p.Rate)
+			return invalid("to", "no rate that a %s from %g may end at", p.Shape, p.Rate)
 		}
 	case Step:
 		if !(p.To > 0) || p.To > MaxRate {
-			return bad("to", "no rate that steps from %g may end at", p.Rate)
+			return invalid("to", "no rate that steps from %g may end at", p.Rate)
 		}
 		if p.Steps < 2 || p.Steps > 1000 {
-			return bad("steps", "not within 2 and 1000")
+			return invalid("steps", "not within 2 and 1000")
 		}
 	case Wave:
 		if p.To < 0 || p.To > p.Rate {
-			return bad("to", "a wave goes up and down by at most its rate, %g", p.Rate)
+			return invalid("to", "a wave goes up and down by at most its rate, %g", p.Rate)
 		}
 		if p.Period < Duration(time.Millisecond) {
-			return bad("period", "less than a millisecond")
+			return invalid("period", "less than a millisecond")
 		}
 	default:
-		return bad("shape", "%q is none of constant, ramp, step, wave, spike", p.Shape)
+		return invalid("shape", "%q is none of constant, ramp, step, wave, spike", p.Shape)
 	}
 	return nil
 }
