--- a/internal/config/file.go
+++ b/internal/config/file.go
@@ -51,7 +51,7 @@
 	Descriptors  int      `toml:"descriptors"`   // file descriptors, divided between fronts and calls
 	DiskMB       int      `toml:"disk_mb"`       // size of the journal's folder in millions of bytes
 	OpenMessages int      `toml:"open_messages"` // pending limit: messages accepted and not yet ended
-	Window       int      `toml:"window"`        // messages of a partner in memory, the rest on disk; 0 keeps all in memory
+	Window       int      `toml:"window"`        // messages of a partner in memory; 0 for all, else the rest on disk
 	BacklogMB    int      `toml:"backlog_mb"`    // with a window: size of the backlog on disk in millions of bytes
 	Slots        int      `toml:"slots"`         // concurrent calls
 	Attempts     int      `toml:"attempts"`      // maximum attempts for one message
@@ -60,7 +60,7 @@
 	RetryAfter   Duration `toml:"retry_after"`   // longest retry delay sent to a client
 }
 
-// Store says how the journal stores messages.
+// Store configures how the journal stores messages.
 type Store struct {
 	Sync     string   `toml:"sync"`           // always, interval or never
 	Interval Duration `toml:"interval"`       // with sync = interval: time between two syncs
@@ -112,7 +112,7 @@
 type Cluster struct {
 	Listen    string   `toml:"listen"`    // address for datagrams and streams of peers
 	Advertise string   `toml:"advertise"` // address at which peers reach it; default: listen
-	Join      []string `toml:"join"`      // addresses of peers; one that can be reached is enough
+	Join      []string `toml:"join"`      // addresses of some peers
 	KeyFile   string   `toml:"key_file"`  // a key on each line: the first encrypts, all decrypt
 	Insecure  bool     `toml:"insecure"`  // may listen off loopback without a key
 	Lease     Duration `toml:"lease"`     // how long a share may be used without hearing from peers
--- a/internal/config/file_test.go
+++ b/internal/config/file_test.go
@@ -199,7 +199,7 @@
 }
 
 // Changed sections that a running daemon does not apply are reported.
-func TestChanged(t *testing.T) {
+func TestChangedSections(t *testing.T) {
 	a, err := Parse("f", []byte(minimal))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/load/drive/drive_test.go
+++ b/internal/load/drive/drive_test.go
@@ -175,7 +175,7 @@
 		fault  string
 	}{
 		{"each once", []string{"t-0 delivered", "t-1 returned", "t-2 failed", "other-9 failed"}, load.Account{Sent: 3, Accepted: 3, Delivered: 1, Returned: 1, Failed: 1}, ""},
-		{"told again", []string{"t-0 delivered", "t-0 delivered", "t-1 delivered", "t-2 delivered"}, load.Account{Sent: 3, Accepted: 3, Delivered: 3}, ""},
+		{"repeated end", []string{"t-0 delivered", "t-0 delivered", "t-1 delivered", "t-2 delivered"}, load.Account{Sent: 3, Accepted: 3, Delivered: 3}, ""},
 		{"two ends", []string{"t-0 delivered", "t-0 failed", "t-1 delivered", "t-2 delivered"}, load.Account{Sent: 3, Accepted: 3, Delivered: 3}, "after another end"},
 		{"a wrong id", []string{"t-7 delivered", "t-0 delivered", "t-1 delivered", "t-2 delivered"}, load.Account{Sent: 3, Accepted: 3, Delivered: 3}, "without having been submitted"},
 	} {
--- a/internal/load/record.go
+++ b/internal/load/record.go
@@ -171,7 +171,7 @@
 	return out
 }
 
-// Verdict says whether the figures of a run are valid.
+// Verdict is the validity of the figures of a run.
 type Verdict struct {
 	Valid    bool
 	Reason   string        // why it is not valid
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -29,8 +29,8 @@
 
 // Frame is one batch of events at one time.
 type Frame struct {
-	Clock logic.Micros
-	Seq   string
+	Clock logic.Micros // time of the events
+	Seq   string       // number of the frame, repeated in the reply
 	Items []Item
 }
 
