--- a/internal/standin/hollow/fleet.go
+++ b/internal/standin/hollow/fleet.go
@@ -131,7 +131,7 @@
 		}
 	}
 	return cluster.Options{Name: file.Name, Zone: file.Zone, Version: version, Listen: c.Listen, Advertise: c.Advertise, Join: c.Join, MaxSenders: file.Senders,
-		MinShareTotal: c.Least, Lease: time.Duration(c.Lease), Interval: time.Duration(c.Lease) / config.Ticks, MaxClockDrift: c.Drift, Dir: dir, ShareFacts: *c.Facts,
+		MinShareTotal: c.Least, Lease: time.Duration(c.Lease), Interval: time.Duration(c.Lease) / config.HeartbeatsPerLease, MaxClockDrift: c.Drift, Dir: dir, ShareFacts: *c.Facts,
 		Log: slog.New(slog.DiscardHandler), Hooks: f.wire.rig(i, clock(pace, offset))}, nil
 }
 
