--- a/internal/core/check.go
+++ b/internal/core/check.go
@@ -32,8 +32,8 @@
 	return toDuration(x.Deadline), true
 }
 
-// Check validates a message that may be delivered for hold from now on. It returns a *FieldError for the first invalid
-// field. Whether the partner is known is checked by [Core.Submit].
+// Check validates a message that may be delivered for validFor from now on. It returns a *FieldError for the first
+// invalid field. Whether the partner is known is checked by [Core.Submit].
 func (c *Core) Check(m *message.Message, validFor time.Duration) error {
 	fieldError := func(field, format string, args ...any) error {
 		return &FieldError{field, fmt.Sprintf(format, args...)}
