--- a/cmd/cometrack/commands.go
+++ b/cmd/cometrack/commands.go
@@ -102,13 +102,13 @@
 			}
 			defer console.Close()
 			daemon.Version = version
-			err = daemon.UntilTaken(log, func() error {
+			err = daemon.RetryTakeover(log, func() error {
 				d, err := daemon.NewStandalone(ctx, f, life, log)
 				if err != nil {
 					return err
 				}
-				console.Know(d.Cluster())
-				console.Report(d.Metrics())
+				console.SetCluster(d.Cluster())
+				console.SetMetrics(d.Metrics())
 				return d.Run(ctx, hup, func() (*config.File, error) { return config.Load(path) })
 			})
 			if err != nil {
--- a/cmd/cometrack/main.go
+++ b/cmd/cometrack/main.go
@@ -87,12 +87,12 @@
 		return err
 	}
 	defer console.Close()
-	return daemon.UntilTaken(log, func() error {
+	return daemon.RetryTakeover(log, func() error {
 		n, err := daemon.NewPlatform(ctx, cfg, life, log)
 		if err != nil {
 			return err
 		}
-		console.Report(n.Metrics())
+		console.SetMetrics(n.Metrics())
 		return n.Run(ctx, hup, config.LoadPlatform)
 	})
 }
--- a/internal/daemon/backlog.go
+++ b/internal/daemon/backlog.go
@@ -16,15 +16,13 @@
 	"cometrack/internal/vfs"
 )
 
-// backlogDir is the folder of the messages behind the windows, within the state
-// folder. Whoever has the journal has it.
+// backlogDir is the folder of the backlog within the state folder. The process that has the journal's lock owns it.
 const backlogDir = "backlog"
 
-// behind opens what is behind the windows of the partners. Without a window there is
-// none, unless an earlier process had one and has left messages behind it: then they
-// come into memory, as all others do.
-func behind(f *config.File, log *slog.Logger) func(core.Store, func(any, <-chan struct{})) (core.Backlog, error) {
-	return func(kept core.Store, tell func(any, <-chan struct{})) (core.Backlog, error) {
+// openBacklog returns a function that opens the backlog. If no window is configured, the function returns nil, unless
+// an earlier process left a backlog: the window is then unbounded, so that all its messages are refilled into memory.
+func openBacklog(f *config.File, log *slog.Logger) func(core.Store, func(any, <-chan struct{})) (core.Backlog, error) {
+	return func(store core.Store, post func(any, <-chan struct{})) (core.Backlog, error) {
 		path, window := filepath.Join(f.State, backlogDir), f.Limits.Window
 		if window == 0 {
 			if _, err := os.Stat(path); errors.Is(err, fs.ErrNotExist) {
@@ -36,13 +34,13 @@
 		if err != nil {
 			return nil, err
 		}
-		return spill.Open(dir, kept, spill.Options{Window: window, MaxBytes: int64(f.Limits.BacklogMB) * 1e6, Sync: f.Store.Mode(),
-			FlushInterval: time.Duration(f.Store.Interval), Log: log}, tell)
+		return spill.Open(dir, store, spill.Options{Window: window, MaxBytes: int64(f.Limits.BacklogMB) * 1e6,
+			Sync: f.Store.Mode(), FlushInterval: time.Duration(f.Store.Interval), Log: log}, post)
 	}
 }
 
-// backlogFiles is how many files it has open at most.
-func backlogFiles(f *config.File) int {
+// maxBacklogFiles returns the maximum number of files that the backlog keeps open.
+func maxBacklogFiles(f *config.File) int {
 	if f.Limits.Window == 0 {
 		return 0
 	}
--- a/internal/daemon/backlog_test.go
+++ b/internal/daemon/backlog_test.go
@@ -15,8 +15,8 @@
 	"cometrack/internal/standin/traffic"
 )
 
-// putAll hands messages in on one connection and fails unless each is taken on.
-func putAll(t *testing.T, addr string, ids []string, class string, ms int) {
+// submitAll hands messages in on one connection and fails unless each is taken on.
+func submitAll(t *testing.T, addr string, ids []string, class string, ms int) {
 	t.Helper()
 	c, err := traffic.DialRESP(addr)
 	if err != nil {
@@ -35,7 +35,7 @@
 	}
 }
 
-func ids(prefix string, n int) (out []string) {
+func numberedIDs(prefix string, n int) (out []string) {
 	for i := range n {
 		out = append(out, fmt.Sprint(prefix, i))
 	}
@@ -54,13 +54,13 @@
 	if err := os.WriteFile(config, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	x := startServing(t, config)
-	unsafe, safe, short := ids("u", 40), ids("s", 40), ids("x", 30)
-	putAll(t, x.resp, unsafe, "unsafe", 18_000)
-	putAll(t, x.resp, safe, "safe", 18_000)
+	x := startServe(t, config)
+	unsafe, safe, short := numberedIDs("u", 40), numberedIDs("s", 40), numberedIDs("x", 30)
+	submitAll(t, x.resp, unsafe, "unsafe", 18_000)
+	submitAll(t, x.resp, safe, "safe", 18_000)
 	again := func() {
 		t.Helper()
-		putAll(t, x.resp, unsafe[35:], "unsafe", 18_000)
+		submitAll(t, x.resp, unsafe[35:], "unsafe", 18_000)
 		if s := state(t, x.http, "s39", "0s"); s != "accepted" {
 			t.Errorf("behind the window a message is %q", s)
 		}
@@ -77,12 +77,12 @@
 		}
 	}
 	again()
-	putAll(t, x.resp, short, "safe", 700)
+	submitAll(t, x.resp, short, "safe", 700)
 	kill := func() {
 		t.Helper()
 		x.Signal(syscall.SIGKILL)
 		x.Wait()
-		x = startServing(t, config)
+		x = startServe(t, config)
 	}
 	over := func() (n int) {
 		list, _ := traffic.Ends(ended) // its last line may be cut short
@@ -97,7 +97,7 @@
 		}
 	}
 	for _, calls := range []int{10, 40} {
-		byhand.Until(t, "messages out of the backlog", func() bool { return ran(acme) > calls })
+		byhand.Until(t, "messages out of the backlog", func() bool { return executedCalls(acme) > calls })
 		kill()
 	}
 	for _, id := range append(append([]string{}, unsafe...), safe...) {
@@ -134,8 +134,8 @@
 	}
 }
 
-// ran counts the calls that took effect.
-func ran(p *partner.Partner) (n int) {
+// executedCalls counts the calls that took effect.
+func executedCalls(p *partner.Partner) (n int) {
 	for _, c := range p.Calls() {
 		if c.Ran {
 			n++
@@ -158,16 +158,16 @@
 		}
 	}
 	write(text)
-	x := startServing(t, config)
-	list := ids("u", 60)
-	putAll(t, x.resp, list, "unsafe", 18_000)
-	y := startServing(t, config)
+	x := startServe(t, config)
+	list := numberedIDs("u", 60)
+	submitAll(t, x.resp, list, "unsafe", 18_000)
+	y := startServe(t, config)
 	if err := x.Wait(); err != nil {
 		t.Errorf("the process that handed over ended with %v", err)
 	}
-	putAll(t, y.resp, list[40:], "unsafe", 18_000)
+	submitAll(t, y.resp, list[40:], "unsafe", 18_000)
 	write(strings.Replace(text, "window = 4", "window = 0", 1))
-	z := startServing(t, config)
+	z := startServe(t, config)
 	if err := y.Wait(); err != nil {
 		t.Errorf("the second process that handed over ended with %v", err)
 	}
--- a/internal/daemon/busyend_held_test.go
+++ b/internal/daemon/busyend_held_test.go
@@ -19,24 +19,24 @@
 	"cometrack/internal/standin/partner"
 )
 
-// neverResting is a client on whose one connection a request has always begun: each write brings the rest of one and
+// pipeliningClient is a client on whose one connection a request has always begun: each write brings the rest of one and
 // the first half of the next.
-type neverResting struct {
+type pipeliningClient struct {
 	net.Conn
 	ends     []int64 // of each request that was written whole, in bytes from the start of the connection
 	answers  []string
 	answered chan struct{} // closed with the first answer
-	sides    sync.WaitGroup
+	loops    sync.WaitGroup
 }
 
-func startNeverResting(t *testing.T, addr, name string, pace time.Duration) *neverResting {
+func startPipeliningClient(t *testing.T, addr, name string, pace time.Duration) *pipeliningClient {
 	conn, err := net.Dial("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := &neverResting{Conn: conn, answered: make(chan struct{})}
+	c := &pipeliningClient{Conn: conn, answered: make(chan struct{})}
 	over := make(chan struct{})
-	c.sides.Go(func() {
+	c.loops.Go(func() {
 		rest, written := "", int64(0)
 		for n := 0; ; n++ {
 			next := "*5\r\n$7\r\nMSG.PUT\r\n$4\r\n0000\r\n"
@@ -59,7 +59,7 @@
 			}
 		}
 	})
-	c.sides.Go(func() {
+	c.loops.Go(func() {
 		defer conn.Close()
 		defer close(over)
 		for r := bufio.NewReader(conn); ; {
@@ -76,7 +76,7 @@
 }
 
 // unanswered is how many of the requests have no answer that the sender had read whole before it ended the connection.
-func (c *neverResting) unanswered(traced []*faultbuild.Connection) (n int) {
+func (c *pipeliningClient) unanswered(traced []*faultbuild.Connection) (n int) {
 	for _, x := range traced {
 		if x.Port != c.LocalAddr().(*net.TCPAddr).Port {
 			continue
@@ -112,7 +112,7 @@
 		holdFor   = 135 * time.Millisecond  // with what the harness adds, up to 0.15 s
 		holds     = 0.004                   // for each reading of the clock, until the first
 	)
-	path, err := builtWithFaults()
+	path, err := faultProgramPath()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -134,10 +134,10 @@
 		if err := x.ready(); err != nil {
 			t.Fatal(err)
 		}
-		var list []*neverResting
+		var list []*pipeliningClient
 		for k := range clients {
-			c := startNeverResting(t, x.addr, fmt.Sprintf("m-%d-%d", i, k), pace)
-			closed(t, c.answered, "answer")
+			c := startPipeliningClient(t, x.addr, fmt.Sprintf("m-%d-%d", i, k), pace)
+			awaitClosed(t, c.answered, "answer")
 			list = append(list, c)
 		}
 		all.Go(func() {
@@ -167,7 +167,7 @@
 			}
 			answers, lost := 0, 0
 			for _, c := range list {
-				c.sides.Wait()
+				c.loops.Wait()
 				for _, line := range c.answers {
 					if !strings.HasPrefix(line, "+OK") && !strings.HasPrefix(line, "-BUSY") {
 						t.Errorf("answer %q", line)
--- a/internal/daemon/busyend_test.go
+++ b/internal/daemon/busyend_test.go
@@ -91,7 +91,7 @@
 	byhand.Until(t, "traffic", func() bool { return answered.Load() > conns })
 	from := time.Now()
 	x.term()
-	x.end()
+	x.awaitExit()
 	close(stop)
 	all.Wait()
 	t.Logf("%d requests, %d answers, ended after %v", asked.Load(), answered.Load(), time.Since(from))
--- a/internal/daemon/clients_test.go
+++ b/internal/daemon/clients_test.go
@@ -12,8 +12,8 @@
 	"cometrack/internal/standin/discovery"
 )
 
-// ended reads until the sender closes the connection.
-func (c *client) ended() string {
+// readUntilClosed reads until the sender closes the connection.
+func (c *client) readUntilClosed() string {
 	c.t.Helper()
 	b, err := io.ReadAll(c.r)
 	if byhand.IsTimeout(err) {
@@ -24,13 +24,13 @@
 
 // A client that says nothing, or half a request, would keep its place for good.
 func TestSilentClients(t *testing.T) {
-	n, _, _, _ := world(t, 1)
+	n, _, _, _ := startScenario(t, 1)
 	for name, said := range map[string]string{"nothing": "", "half a length": "*5", "half a request": "*5\r\n$7\r\nMSG.PUT\r\n$1\r\n0"} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			at, c := time.Now(), dial(t, n.addr)
 			io.WriteString(c.Conn, said)
-			got := c.ended()
+			got := c.readUntilClosed()
 			if d := time.Since(at); d < 2*time.Second || d > 3*time.Second {
 				t.Errorf("closed after %v", d)
 			}
@@ -43,7 +43,7 @@
 
 // Hundreds of requests at once are answered each, in order, and not at one a tick.
 func TestPipelined(t *testing.T) {
-	n, c, _, e := world(t, 1)
+	n, c, _, e := startScenario(t, 1)
 	go func() {
 		for in := range e[0].Calls {
 			in.Reply(200)
@@ -76,17 +76,17 @@
 // A client that sends at full speed what can't be read gets its error line all the same: a close with unread input
 // would destroy it.
 func TestErrorLineOutlivesClose(t *testing.T) {
-	n, _, _, _ := world(t, 1)
+	n, _, _, _ := startScenario(t, 1)
 	c := dial(t, n.addr)
 	io.WriteString(c.Conn, "*5\r\n$7\r\nMSG.PUT\r\n$60000000\r\n"+strings.Repeat("x", 500<<10))
-	if got := c.ended(); !strings.HasPrefix(got, "-ERR ") {
+	if got := c.readUntilClosed(); !strings.HasPrefix(got, "-ERR ") {
 		t.Errorf("got %q", got)
 	}
 }
 
 // The same again and again is turned away for good.
 func TestErrorsInARow(t *testing.T) {
-	n, c, _, _ := world(t, 1)
+	n, c, _, _ := startScenario(t, 1)
 	go func() {
 		for {
 			if _, err := io.WriteString(c.Conn, "*1\r\n$3\r\nBAD\r\n"); err != nil {
@@ -94,7 +94,7 @@
 			}
 		}
 	}()
-	got := c.ended()
+	got := c.readUntilClosed()
 	if k := strings.Count(got, "-ERR unknown command"); k < 16 || k > 32 {
 		t.Errorf("%d errors before the close", k)
 	}
@@ -106,11 +106,11 @@
 func TestUnknownDestination(t *testing.T) {
 	p, e := discovery.New(t), byhand.NewEndpoint(t)
 	p.Silent = true
-	n := startNode(t, p, t.TempDir(), platform.List{})
+	n := startSender(t, p, t.TempDir(), platform.List{})
 	c := dial(t, n.addr)
 	c.put("a", "safe", "-BUSY 1000")
 	p.Set(func() { p.Silent, p.List = false, platform.List{Generation: 1, Reset: true, Instances: instances(e)} })
-	taken(t, p, 1)
+	awaitListRequest(t, p, 1)
 	c.put("b", "safe", "+OK")
 	byhand.Await(t, e.Calls, "call").Reply(200)
 	if got := c.do("MSG.PUT", "0", "c", "c=safe,d=9000,dest=2", "x"); got != "-ERR unknown destination" {
@@ -125,8 +125,8 @@
 	for sockets := 128; sockets <= 4096; sockets *= 2 {
 		for _, slots := range []int{0, 6, 60, 300} {
 			const files = 18
-			s := shareOut(sockets, slots, files, 0)
-			if s.clients+s.ending+s.calls+otherSockets+files > sockets || s.idle > s.calls || s.clients*3 < sockets-otherSockets || s.ending < leastEnding {
+			s := divideDescriptors(sockets, slots, files, 0)
+			if s.clients+s.ending+s.calls+reservedDescriptors+files > sockets || s.idle > s.calls || s.clients*3 < sockets-reservedDescriptors || s.ending < minEnding {
 				t.Errorf("%d sockets, %d slots: %+v", sockets, slots, s)
 			}
 		}
--- a/internal/daemon/console.go
+++ b/internal/daemon/console.go
@@ -10,11 +10,11 @@
 	"cometrack/internal/permit"
 )
 
-// Console is the console of a daemon, which may have none: then its methods do nothing.
-type Console struct{ served *console.Console }
+// Console is the optional operator console of a daemon. If no console is configured, its methods do nothing.
+type Console struct{ server *console.Console }
 
-// OpenConsole serves a console at an address until it is closed; there is none without
-// an address.
+// OpenConsole starts a console at addr, which serves until it is closed. If addr is empty, the returned Console serves
+// nothing. The error is that of listening at addr.
 func OpenConsole(addr string, life *lifecycle.Controller, log *slog.Logger) (*Console, error) {
 	if addr == "" {
 		return &Console{}, nil
@@ -28,33 +28,34 @@
 	return &Console{c}, nil
 }
 
-// Know has the console answer for what is known of other senders; nil for nothing.
-func (c *Console) Know(x *cluster.Cluster) {
-	if c.served != nil && x != nil {
-		c.served.Know(x)
+// SetCluster makes the console serve the state of the cluster x. It does nothing if x is nil.
+func (c *Console) SetCluster(x *cluster.Cluster) {
+	if c.server != nil && x != nil {
+		c.server.Know(x)
 	}
 }
 
-// Report has the console tell what a sender has done and refused, and what must not be.
-func (c *Console) Report(metrics *core.Metrics, monitor *permit.Monitor) {
-	if c.served == nil {
+// SetMetrics makes the console serve the counters of a sender: its work, the actions that monitor denied, and the
+// violations that monitor found.
+func (c *Console) SetMetrics(metrics *core.Metrics, monitor *permit.Monitor) {
+	if c.server == nil {
 		return
 	}
-	c.served.Report(func() console.Metrics {
-		refused, violations := monitor.Counts()
-		return console.Metrics{Counts: metrics.Counts(), Refused: refused, Violations: violations}
+	c.server.Report(func() console.Metrics {
+		denied, violations := monitor.Counts()
+		return console.Metrics{Counts: metrics.Counts(), Refused: denied, Violations: violations}
 	})
 }
 
-// Close ends the console.
+// Close stops the console.
 func (c *Console) Close() {
-	if c.served != nil {
-		c.served.Close()
+	if c.server != nil {
+		c.server.Close()
 	}
 }
 
-// consoleFiles is how many descriptors the console at an address may hold.
-func consoleFiles(addr string) int {
+// consoleDescriptors returns the number of descriptors reserved for a console at addr.
+func consoleDescriptors(addr string) int {
 	if addr == "" {
 		return 0
 	}
--- a/internal/daemon/crowd_test.go
+++ b/internal/daemon/crowd_test.go
@@ -18,13 +18,13 @@
 	"cometrack/internal/standin/program"
 )
 
-// crowdSays is what idle clients say once they are there, in turn: nothing, a whole request, whose answer they rest
+// idleClientInputs is what idle clients say once they are there, in turn: nothing, a whole request, whose answer they rest
 // after, and the beginning of one.
-var crowdSays = []string{"", "*1\r\n$4\r\nPING\r\n", "*5\r\n$7\r\nMSG.PUT\r\n$1"}
+var idleClientInputs = []string{"", "*1\r\n$4\r\nPING\r\n", "*5\r\n$7\r\nMSG.PUT\r\n$1"}
 
-// crowd holds n idle connections to an address until the test is over; each that is closed comes again. gone is told
+// startIdleClients holds n idle connections to an address until the test is over; each that is closed comes again. gone is told
 // of each that is.
-func crowd(t *testing.T, addr string, n, kinds int) (gone chan struct{}) {
+func startIdleClients(t *testing.T, addr string, n, kinds int) (gone chan struct{}) {
 	gone = make(chan struct{}, 1<<16)
 	for i := range n {
 		go func() {
@@ -32,7 +32,7 @@
 				c, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", addr)
 				if err == nil {
 					stop := context.AfterFunc(t.Context(), func() { c.Close() })
-					io.WriteString(c, crowdSays[i%kinds])
+					io.WriteString(c, idleClientInputs[i%kinds])
 					io.Copy(io.Discard, c)
 					stop()
 					c.Close()
@@ -48,9 +48,9 @@
 	return gone
 }
 
-// served hands a message in through a crowd. A new connection may be shut unread then, and its client comes again, as a
-// client does; it has to be served within four such times.
-func served(t *testing.T, addr, id string) {
+// submitWithRetries hands a message in through a crowd. A new connection may be shut unread then, and its client comes again, as a
+// client does; it has to be submitWithRetries within four such times.
+func submitWithRetries(t *testing.T, addr, id string) {
 	t.Helper()
 	got := ""
 	for range 5 {
@@ -64,22 +64,22 @@
 	t.Fatalf("put %s: got %q, want +OK", id, got)
 }
 
-// door lets callers in to a server that stands in the test, or away, at one address.
-type door struct {
+// switchableServer lets callers in to a server that stands in the test, or away, at one address.
+type switchableServer struct {
 	t    *testing.T
 	addr string
 	to   http.Handler
 	srv  *http.Server
 }
 
-func newDoor(t *testing.T, to http.Handler) *door {
-	d := &door{t: t, addr: "127.0.0.1:0", to: to}
-	d.open()
-	t.Cleanup(d.shut)
+func newSwitchableServer(t *testing.T, to http.Handler) *switchableServer {
+	d := &switchableServer{t: t, addr: "127.0.0.1:0", to: to}
+	d.start()
+	t.Cleanup(d.stop)
 	return d
 }
 
-func (d *door) open() {
+func (d *switchableServer) start() {
 	ln, err := net.Listen("tcp", d.addr)
 	if err != nil {
 		d.t.Fatal(err)
@@ -88,15 +88,15 @@
 	go d.srv.Serve(ln)
 }
 
-// shut resets what is open and refuses what comes.
-func (d *door) shut() { d.srv.Close() }
+// stop resets what is open and refuses what comes.
+func (d *switchableServer) stop() { d.srv.Close() }
 
 // Idle clients hold all descriptors that they can get, and come again as they are closed, while discovery is away
 // and the only endpoint that was listed is gone. Discovery comes back: the list is asked for, on a connection that is
 // new, attempts go to the endpoint that only the new list has, also on a new one, and a client with a request is
 // served, as is the end of a message that fails.
 func TestCrowdWhileDiscoveryIsDown(t *testing.T) {
-	path, err := built()
+	path, err := programPath()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -105,7 +105,7 @@
 		t.Run(fmt.Sprintf("%d descriptors, %d kinds of clients", limit, x.kinds), func(t *testing.T) {
 			t.Parallel()
 			d, old, e, dir := discovery.New(t), byhand.NewEndpoint(t), byhand.NewEndpoint(t), t.TempDir()
-			door := newDoor(t, d.Srv.Config.Handler)
+			door := newSwitchableServer(t, d.Srv.Config.Handler)
 			known := platform.List{Generation: 1, Reset: true, Instances: instances(old)}
 			d.List, d.With = known, func(settings string) string { // it is to ask often
 				return strings.Replace(settings, `"rules":{`, `"rules":{"ask_every_s":0.3,`, 1)
@@ -123,11 +123,11 @@
 			}
 			t.Cleanup(func() { p.Cmd.Process.Kill() })
 			byhand.Await(t, d.Asked, "watch")
-			gone := crowd(t, p.Addrs[0], 2*limit, x.kinds)
+			gone := startIdleClients(t, p.Addrs[0], 2*limit, x.kinds)
 			for range limit {
 				byhand.Await(t, gone, "idle client that makes room")
 			}
-			door.shut()
+			door.stop()
 			if err := p.Says("msg=discovery"); err != nil {
 				t.Fatal(err)
 			}
@@ -141,21 +141,21 @@
 			if n := held(); n >= limit {
 				t.Errorf("%d descriptors, %d are allowed: none is left", n, limit)
 			}
-			served(t, p.Addrs[0], "held")
+			submitWithRetries(t, p.Addrs[0], "held")
 			for range limit {
 				byhand.Await(t, gone, "idle client that makes room")
 			}
 			d.Set(func() { d.List = platform.List{Generation: 2, Reset: true, Instances: instances(old, e)[1:]} })
-			door.open()
+			door.start()
 			back := time.Now()
-			taken(t, d, 2)
+			awaitListRequest(t, d, 2)
 			t.Logf("the list is there %v after discovery is back, %d descriptors", time.Since(back), held())
 			byhand.Await(t, e.Calls, "call").Reply(500)
 			if n := byhand.Await(t, d.Notices, "notice"); n.ID != "held" || n.State != "failed" {
 				t.Errorf("notice %+v", n)
 			}
 			for _, id := range []string{"a", "b", "c"} {
-				served(t, p.Addrs[0], id)
+				submitWithRetries(t, p.Addrs[0], id)
 				byhand.Await(t, e.Calls, "call").Reply(200)
 			}
 			t.Logf("served %v after discovery is back", time.Since(back))
--- a/internal/daemon/drain_test.go
+++ b/internal/daemon/drain_test.go
@@ -13,7 +13,7 @@
 // the half-sent and pipelined ones with all their answers; what is held is sent on; a message that comes all the
 // same is taken on; and the end of the drain is seen at once.
 func TestDrain(t *testing.T) {
-	n, c, _, e := world(t, 1)
+	n, c, _, e := startScenario(t, 1)
 	half, idle := dial(t, n.addr), dial(t, n.addr)
 	idle.do("PING")
 	c.put("held", "safe", "+OK")
@@ -62,7 +62,7 @@
 
 // SIGTERM under a drain: it ends as from service.
 func TestEndUnderDrain(t *testing.T) {
-	n, c, _, e := world(t, 1)
+	n, c, _, e := startScenario(t, 1)
 	c.put("held", "safe", "+OK")
 	in := byhand.Await(t, e[0].Calls, "call")
 	n.life.HandleEvent(lifecycle.DrainOn)
--- a/internal/daemon/failing_discovery_test.go
+++ b/internal/daemon/failing_discovery_test.go
@@ -13,8 +13,8 @@
 	"cometrack/internal/standin/fate"
 )
 
-// toldWithin is how long after discovery had a change and could be reached it counts as told, and the slack on sockets.
-const toldWithin = 6*time.Second + 50*time.Millisecond
+// listDelayLimit is how long after discovery had a change and could be reached it counts as told, and the slack on sockets.
+const listDelayLimit = 6*time.Second + 50*time.Millisecond
 
 // Guards against new work for an endpoint that drains because single calls for the list fail (incident of 2026-12-04).
 // Discovery is up and has the change; the watch and the three calls after it meet a fate, and the next is answered.
@@ -49,14 +49,14 @@
 			if x.moved {
 				proc.hup(configText(at, known))
 			}
-			for late := time.After(toldWithin); ; { // the watch from the new list on shows that it has been taken
+			for late := time.After(listDelayLimit); ; { // the watch from the new list on shows that it has been taken
 				select {
 				case q := <-at.Asked:
 					if !strings.HasPrefix(q, "from=2&") {
 						continue
 					}
 				case <-late:
-					t.Fatalf("the change is not in hand %v after discovery had it and could be reached", toldWithin)
+					t.Fatalf("the change is not in hand %v after discovery had it and could be reached", listDelayLimit)
 				}
 				break
 			}
@@ -68,7 +68,7 @@
 			}
 			left.None(t)
 			proc.term()
-			proc.end()
+			proc.awaitExit()
 		})
 	}
 }
--- a/internal/daemon/handover.go
+++ b/internal/daemon/handover.go
@@ -20,84 +20,89 @@
 )
 
 const (
-	askTime     = 10 * time.Second       // for a snapshot, once it has been asked for; the other process may be busy
-	askPause    = 50 * time.Millisecond  // between two attempts to become the owner
-	takenTime   = 2 * time.Second        // for a successor to say that it has taken a snapshot
-	fencePause  = 20 * time.Millisecond  // between two looks at the lock of one that was ended
-	fenceTime   = 5 * time.Second        // for the lock to come free
-	dyingTime   = core.LockReleaseTime   // for that of a process whose socket has broken
-	acceptRetry = 200 * time.Millisecond // after a failed accept
+	snapshotTimeout  = 10 * time.Second       // from the request to the snapshot; the predecessor may be busy
+	acquireInterval  = 50 * time.Millisecond  // between two attempts to acquire the journal; also the dial timeout
+	confirmTimeout   = 2 * time.Second        // for a successor to send its request, and to confirm a snapshot
+	lockPollInterval = 20 * time.Millisecond  // between two attempts to lock the journal
+	lockTimeout      = 5 * time.Second        // for the lock to be released, after confirmTimeout
+	exitTimeout      = core.LockReleaseTime   // for a process whose socket has broken to release the lock
+	acceptRetryDelay = 200 * time.Millisecond // after a failed accept
 )
 
-// acquire waits until this process may open the journal in dir: as the successor of the
-// process that has it, or because nobody has it. It returns what open has opened.
-func acquire[J any](ctx context.Context, dir string, open func() (J, error), log *slog.Logger) (kept J, in *core.Takeover, err error) {
-	said := false
+// acquire waits until this process may open the journal in dir, either as the successor of the process that has it, or
+// because no process has it. It returns the result of open, and the state of the predecessor, which is nil if there is
+// none.
+func acquire[J any](ctx context.Context, dir string, open func() (J, error), log *slog.Logger) (opened J,
+	takeover *core.Takeover, err error) {
+	logged := false
 	for {
-		in, err := ask(dir)
+		takeover, err := requestSnapshot(dir)
 		switch {
 		case err == nil:
-			if kept, err = open(); err == nil {
-				return kept, in, nil
+			if opened, err = open(); err == nil {
+				return opened, takeover, nil
 			}
-			in.Predecessor.Close()
-			closeAll(in.Listeners)
-		case errors.Is(err, errNobody):
-			if kept, err = open(); err == nil {
-				return kept, nil, nil
+			takeover.Predecessor.Close()
+			closeListeners(takeover.Listeners)
+		case errors.Is(err, errNoPredecessor):
+			if opened, err = open(); err == nil {
+				return opened, nil, nil
 			}
 		}
-		if err != nil && !errors.Is(err, vfs.ErrLocked) && !errors.Is(err, errNotNow) {
-			return kept, nil, err
+		if err != nil && !errors.Is(err, vfs.ErrLocked) && !errors.Is(err, errNotHandedOver) {
+			return opened, nil, err
 		}
-		if !said {
+		if !logged {
 			log.Info("another process has the journal; waiting for it", "reason", err)
-			said = true
+			logged = true
 		}
 		select {
 		case <-ctx.Done():
-			return kept, nil, fmt.Errorf("told to end while another process has the journal: %w", err)
-		case <-time.After(askPause):
+			return opened, nil, fmt.Errorf("stopped while another process has the journal: %w", err)
+		case <-time.After(acquireInterval):
 		}
 	}
 }
 
-// UntilTaken runs a daemon, made anew each time that a handover to it has broken off
-// before the process before it had heard that it decides.
-func UntilTaken(log *slog.Logger, run func() error) error {
+// RetryTakeover calls run, which makes and runs a daemon, again for as long as it fails with
+// [core.ErrPredecessorUnreachable]: the handover was aborted before the predecessor received the confirmation. It
+// returns the result of the last call.
+func RetryTakeover(log *slog.Logger, run func() error) error {
 	for {
 		err := run()
 		if !errors.Is(err, core.ErrPredecessorUnreachable) {
 			return err
 		}
-		log.Error("the handover is asked for again", "err", err)
+		log.Error("handover aborted; requesting it again", "err", err)
 	}
 }
 
 var (
-	errNobody = errors.New("nobody hands over")
-	errNotNow = errors.New("nothing is handed over now")
+	errNoPredecessor = errors.New("no process offers a handover")
+	errNotHandedOver = errors.New("the handover is not possible now")
 )
 
-// ask asks the process that has the journal in dir for its snapshot.
-func ask(dir string) (*core.Takeover, error) {
-	c, err := handover.Dial(dir, askPause)
+// requestSnapshot requests a handover from the process that has the journal in dir. The error wraps errNoPredecessor
+// or errNotHandedOver.
+func requestSnapshot(dir string) (*core.Takeover, error) {
+	c, err := handover.Dial(dir, acquireInterval)
 	if err != nil {
-		return nil, errNobody
+		return nil, errNoPredecessor
 	}
-	in, err := askOn(c)
+	takeover, err := receiveTakeover(c)
 	if err != nil {
 		c.Close()
-		return nil, fmt.Errorf("%w: %w", errNotNow, err)
+		return nil, fmt.Errorf("%w: %w", errNotHandedOver, err)
 	}
-	return in, nil
+	return takeover, nil
 }
 
-func askOn(c *handover.Conn) (*core.Takeover, error) {
+// receiveTakeover requests a handover over c and receives the snapshot and the listeners.
+func receiveTakeover(c *handover.Conn) (*core.Takeover, error) {
 	if err := c.Send(&handover.Ask{Format: handover.Format}); err != nil {
 		return nil, err
 	}
-	c.Within(time.Now().Add(askTime))
+	c.Within(time.Now().Add(snapshotTimeout))
 	m, files, err := c.Receive()
 	if err != nil {
 		return nil, err
@@ -110,62 +115,63 @@
 	switch m := m.(type) {
 	case *handover.Snapshot:
 		if m.Format != handover.Format || m.Listeners != len(files) {
-			return nil, fmt.Errorf("a snapshot of format %d with %d of %d listeners", m.Format, len(files), m.Listeners)
+			return nil, fmt.Errorf("snapshot has format %d and %d of %d listeners", m.Format, len(files), m.Listeners)
 		}
-		in := &core.Takeover{Snapshot: m, Predecessor: link{c}}
+		takeover := &core.Takeover{Snapshot: m, Predecessor: peerConn{c}}
 		for _, f := range files {
 			ln, err := net.FileListener(f)
 			if err != nil {
-				closeAll(in.Listeners)
+				closeListeners(takeover.Listeners)
 				return nil, err
 			}
-			in.Listeners = append(in.Listeners, ln)
+			takeover.Listeners = append(takeover.Listeners, ln)
 		}
 		c.Within(time.Time{})
-		return in, nil
+		return takeover, nil
 	case *handover.Refuse:
 		return nil, errors.New(m.Reason)
 	default:
-		return nil, fmt.Errorf("%T in the place of a snapshot", m)
+		return nil, fmt.Errorf("received %T instead of a snapshot", m)
 	}
 }
 
-func closeAll(list []net.Listener) {
+func closeListeners(list []net.Listener) {
 	for _, ln := range list {
 		ln.Close()
 	}
 }
 
-// link is a connection as the core uses it.
-type link struct{ *handover.Conn }
+// peerConn implements [core.Predecessor], and the link of [core.Successor], by a connection.
+type peerConn struct{ *handover.Conn }
 
-// ReceiveMessages tells what comes until the connection ends.
-func (l link) ReceiveMessages(tell func(m any), gone func(error)) {
+// ReceiveMessages passes received messages to handle until the connection ends, then calls closed with the error.
+func (p peerConn) ReceiveMessages(handle func(m any), closed func(error)) {
 	for {
-		m, files, err := l.Receive()
-		for _, f := range files { // none is due
+		m, files, err := p.Receive()
+		for _, f := range files { // none is expected after the snapshot
 			f.Close()
 		}
 		if err != nil {
-			gone(err)
+			closed(err)
 			return
 		}
-		tell(m)
+		handle(m)
 	}
 }
 
-// successor is a process that has asked.
+// successor implements [core.Successor] for a process that has requested a handover.
 type successor struct {
-	link
-	dir   string
-	log   *slog.Logger
-	given bool // it has been sent the snapshot, or may have been
+	peerConn
+	dir          string
+	log          *slog.Logger
+	snapshotSent bool // the snapshot has been sent, or may have been
 }
 
-// Transfer is [core.Successor.Transfer].
+// Transfer implements [core.Successor.Transfer]. It confirms the result by the reply of the successor or by the
+// journal's lock.
 func (h *successor) Transfer(snapshot *handover.Snapshot, listeners []net.Listener) (taken bool, err error) {
-	h.given = true
-	s := handover.Situation{}
+	h.snapshotSent = true
+	situation := handover.Situation{}
 	var files []int
 	for _, ln := range listeners {
 		fd, err := descriptor(ln)
@@ -175,13 +181,13 @@
 		files = append(files, fd)
 	}
 	if err = h.SendWith(snapshot, files); err != nil {
-		s.Gone = true
+		situation.Gone = true
 	}
-	by := time.Now().Add(takenTime)
+	confirmBy := time.Now().Add(confirmTimeout)
 	peer := h.Peer()
 	var brokenAt time.Time // when the lock was first found taken after the socket had broken
 	for {
-		switch v := handover.Decide(s); v {
+		switch verdict := handover.Decide(situation); verdict {
 		case handover.Relay:
 			h.Within(time.Time{})
 			return true, nil
@@ -189,51 +195,51 @@
 			h.Close()
 			return false, err
 		case handover.Wait:
-			h.Within(by)
-			m, _, rerr := h.Receive()
+			h.Within(confirmBy)
+			m, _, receiveErr := h.Receive()
 			switch m := m.(type) {
 			case *handover.Taken:
-				s.Taken = true
+				situation.Taken = true
 			case *handover.Refuse:
-				s.Gone, err = true, errors.New(m.Reason)
+				situation.Gone, err = true, errors.New(m.Reason)
 			default:
-				s.Late = errors.Is(rerr, os.ErrDeadlineExceeded)
-				s.Gone = !s.Late
-				if err = rerr; errors.Is(rerr, io.EOF) {
-					err = errors.New("the process that asked has gone")
+				situation.Late = errors.Is(receiveErr, os.ErrDeadlineExceeded)
+				situation.Gone = !situation.Late
+				if err = receiveErr; errors.Is(receiveErr, io.EOF) {
+					err = errors.New("the successor closed the connection")
 				}
 			}
 		case handover.TryLock:
-			s.Lock = h.tryLock()
-			if s.Lock != handover.Another {
+			situation.Lock = h.tryLock()
+			if situation.Lock != handover.Another {
 				continue
 			}
 			if brokenAt.IsZero() {
 				brokenAt = time.Now()
 			}
-			if s.Kept = s.Gone && time.Since(brokenAt) > dyingTime && !isEnding(peer); s.Kept {
-				h.log.Error("the process that asked has the journal, and its socket has broken; it decides", "err", err)
+			if situation.Kept = situation.Gone && time.Since(brokenAt) > exitTimeout && !isExiting(peer); situation.Kept {
+				h.log.Error("the successor has the journal, and its socket has broken; it decides from now on", "err", err)
 				h.Close()
 				continue
 			}
-			time.Sleep(fencePause)
+			time.Sleep(lockPollInterval)
 		case handover.Fence:
 			pid := h.Peer()
 			h.log.Error("the process that asked has the journal and says nothing; it is ended", "pid", pid)
 			if pid > 1 && pid != os.Getpid() {
 				syscall.Kill(pid, syscall.SIGKILL)
 			}
-			s.Gone, s.Late = true, false
+			situation.Gone, situation.Late = true, false
 		}
-		if time.Since(by) > fenceTime {
+		if time.Since(confirmBy) > lockTimeout {
 			return false, fmt.Errorf("another process has the journal: %w", err)
 		}
 	}
 }
 
-// isEnding says whether a process has ended or is about to: it has no memory left, but may
-// take its time to close its files, as on a slow disk.
-func isEnding(pid int) bool {
+// isExiting reports whether a process has exited or is exiting: it has no memory left, but may not have closed its
+// files yet, for example on a slow disk.
+func isExiting(pid int) bool {
 	if pid <= 0 { // not known
 		return false
 	}
@@ -241,8 +247,8 @@
 	return errors.Is(err, fs.ErrNotExist) || err == nil && strings.HasPrefix(string(sizes), "0 ")
 }
 
-// tryLock looks whether the journal's lock is free. A third process that takes it
-// right after is found by whoever opens the journal then.
+// tryLock reports whether the journal's lock is free, and releases it at once. If a third process takes the lock right
+// after that, opening the journal fails.
 func (h *successor) tryLock() handover.Lock {
 	fs, err := vfs.OpenDir(h.dir)
 	if err != nil {
@@ -256,8 +262,7 @@
 	return handover.Mine
 }
 
-// descriptor is the number of a listener's descriptor. It is good as long as the
-// listener is open.
+// descriptor returns the file descriptor of a listener, which is valid until the listener is closed.
 func descriptor(ln net.Listener) (n int, err error) {
 	sc, ok := ln.(syscall.Conn)
 	if !ok {
@@ -271,9 +276,8 @@
 	return n, err
 }
 
-// serveSuccessors waits for processes that ask, until one has taken over or ctx is over.
-// Without a socket nothing is handed over, and the next process starts from the
-// journal once this one has ended.
+// serveSuccessors handles requests for a handover until a successor has taken over or ctx is done. If it can't listen,
+// no handover is possible, and the next process starts from the journal once this one has exited.
 func serveSuccessors(ctx context.Context, dir string, c *core.Core, log *slog.Logger) {
 	l, err := handover.Listen(dir)
 	if err != nil {
@@ -290,7 +294,7 @@
 				return
 			}
 			log.Warn("handover: accept", "err", err)
-			time.Sleep(acceptRetry)
+			time.Sleep(acceptRetryDelay)
 			continue
 		}
 		if serveSuccessor(conn, dir, c, log) {
@@ -299,24 +303,24 @@
 	}
 }
 
-// serveSuccessor deals with one that asks, and says whether it has taken over.
+// serveSuccessor handles a connection that requests a handover, and reports whether the successor has taken over.
 func serveSuccessor(conn *handover.Conn, dir string, c *core.Core, log *slog.Logger) bool {
-	conn.Within(time.Now().Add(takenTime))
+	conn.Within(time.Now().Add(confirmTimeout))
 	m, _, err := conn.Receive()
-	asked, ok := m.(*handover.Ask)
+	request, ok := m.(*handover.Ask)
 	switch {
 	case err != nil || !ok:
 		conn.Close()
 		return false
-	case asked.Format != handover.Format:
-		err = fmt.Errorf("it asks for format %d; this process speaks %d", asked.Format, handover.Format)
+	case request.Format != handover.Format:
+		err = fmt.Errorf("it asks for format %d; this process speaks %d", request.Format, handover.Format)
 	default:
 		conn.Within(time.Time{})
-		h := &successor{link: link{conn}, dir: dir, log: log}
+		h := &successor{peerConn: peerConn{conn}, dir: dir, log: log}
 		if err = c.HandOver(h); err == nil {
 			return true
 		}
-		if h.given {
+		if h.snapshotSent {
 			conn.Close()
 			return false
 		}
--- a/internal/daemon/harness_test.go
+++ b/internal/daemon/harness_test.go
@@ -60,8 +60,8 @@
 	return b
 }
 
-// testNode is a sender under test, in this process.
-type testNode struct {
+// testSender is a sender under test, in this process.
+type testSender struct {
 	*Platform
 	dir  string
 	addr string
@@ -69,7 +69,7 @@
 	done chan error
 }
 
-func startNode(t *testing.T, p *discovery.Platform, dir string, known platform.List, with ...func(*Platform)) *testNode {
+func startSender(t *testing.T, p *discovery.Platform, dir string, known platform.List, with ...func(*Platform)) *testSender {
 	t.Helper()
 	cfg, err := config.ParsePlatform(configText(p, known))
 	if err != nil {
@@ -84,9 +84,9 @@
 		f(n)
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	x := &testNode{Platform: n, dir: dir, stop: stop, done: make(chan error, 1)}
+	x := &testSender{Platform: n, dir: dir, stop: stop, done: make(chan error, 1)}
 	go func() { x.done <- n.Run(ctx, nil, nil) }()
-	closed(t, n.core.Ready(), "ready sender")
+	awaitClosed(t, n.core.Ready(), "ready sender")
 	x.addr = n.front.Addr().String()
 	t.Cleanup(stop)
 	return x
@@ -152,14 +152,14 @@
 	}
 }
 
-// world is a sender with endpoints and a platform.
-func world(t *testing.T, endpoints int, with ...func(*Platform)) (*testNode, *client, *discovery.Platform, []*byhand.Endpoint) {
+// startScenario is a sender with endpoints and a platform.
+func startScenario(t *testing.T, endpoints int, with ...func(*Platform)) (*testSender, *client, *discovery.Platform, []*byhand.Endpoint) {
 	t.Helper()
-	return worldWith(t, discovery.New(t), endpoints, with...)
+	return startScenarioWith(t, discovery.New(t), endpoints, with...)
 }
 
-// worldWith is a world whose platform is given.
-func worldWith(t *testing.T, p *discovery.Platform, endpoints int, with ...func(*Platform)) (*testNode, *client, *discovery.Platform, []*byhand.Endpoint) {
+// startScenarioWith is a world whose platform is given.
+func startScenarioWith(t *testing.T, p *discovery.Platform, endpoints int, with ...func(*Platform)) (*testSender, *client, *discovery.Platform, []*byhand.Endpoint) {
 	t.Helper()
 	var eps []*byhand.Endpoint
 	for range endpoints {
@@ -167,12 +167,12 @@
 	}
 	known := platform.List{Generation: 1, Reset: true, Instances: instances(eps...)}
 	p.List = known
-	n := startNode(t, p, t.TempDir(), known, with...)
+	n := startSender(t, p, t.TempDir(), known, with...)
 	return n, dial(t, n.addr), p, eps
 }
 
-// closed waits until ch is closed.
-func closed(t *testing.T, ch <-chan struct{}, what string) {
+// awaitClosed waits until ch is awaitClosed.
+func awaitClosed(t *testing.T, ch <-chan struct{}, what string) {
 	t.Helper()
 	select {
 	case <-ch:
--- a/internal/daemon/heldup_test.go
+++ b/internal/daemon/heldup_test.go
@@ -16,9 +16,9 @@
 	"cometrack/internal/standin/partner"
 )
 
-// builtWithFaults is the path of the program with faults on command, built once for all tests.
-var builtWithFaults = sync.OnceValues(func() (string, error) {
-	path, err := built()
+// faultProgramPath is the path of the program with faults on command, built once for all tests.
+var faultProgramPath = sync.OnceValues(func() (string, error) {
+	path, err := programPath()
 	if err != nil {
 		return "", err
 	}
@@ -39,7 +39,7 @@
 		longest = 150 * time.Millisecond // that the process is held up
 		holds   = 0.06                   // for each write, while the messages go out
 	)
-	path, err := builtWithFaults()
+	path, err := faultProgramPath()
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/daemon/kill_test.go
+++ b/internal/daemon/kill_test.go
@@ -18,16 +18,16 @@
 	"cometrack/internal/standin/traffic"
 )
 
-// serving is the real program under `cometrack serve`.
-type serving struct {
+// serveProcess is the real program under `cometrack serve`.
+type serveProcess struct {
 	*program.Program
 	t          testing.TB
 	http, resp string
 }
 
-func startServing(t testing.TB, config string) *serving {
+func startServe(t testing.TB, config string) *serveProcess {
 	t.Helper()
-	path, err := built()
+	path, err := programPath()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -35,15 +35,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &serving{p, t, p.Addrs[0], p.Addrs[1]}
+	return &serveProcess{p, t, p.Addrs[0], p.Addrs[1]}
 }
 
 // put hands a message in over one port or the other; heard is false if no answer came.
-func (x *serving) put(c *http.Client, overHTTP bool, id, to, class string) (ok, heard bool) {
+func (x *serveProcess) put(c *http.Client, overHTTP bool, id, to, class string) (ok, heard bool) {
 	return traffic.Put(c, overHTTP, x.http, x.resp, id, to, class)
 }
 
-func (x *serving) says(part string) {
+func (x *serveProcess) says(part string) {
 	x.t.Helper()
 	if err := x.Says(part); err != nil {
 		x.t.Fatal(err)
@@ -65,7 +65,7 @@
 // unsafe message runs twice; and each message taken on has one end that agrees with them. `measure kill` does the same
 // hundreds of times over.
 func TestBothPortsThroughKills(t *testing.T) {
-	path, err := built()
+	path, err := programPath()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -94,7 +94,7 @@
 		}
 	}
 	write(text)
-	x := startServing(t, config)
+	x := startServe(t, config)
 	stop := make(chan struct{})
 	var wg sync.WaitGroup
 	var mu sync.Mutex
@@ -160,7 +160,7 @@
 	if err := os.WriteFile(config, []byte(fixPorts(t, traffic.File(filepath.Join(dir, "state"), "", p))), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	x := startServing(t, config)
+	x := startServe(t, config)
 	var wg sync.WaitGroup
 	var mu sync.Mutex
 	answered := map[string]bool{}
@@ -185,7 +185,7 @@
 		t.Errorf("ended with %v", err)
 	}
 	wg.Wait()
-	y := startServing(t, config)
+	y := startServe(t, config)
 	known := map[string]bool{}
 	for id, ok := range answered {
 		s, err := traffic.State(y.http, id, "15s")
--- a/internal/daemon/limits.go
+++ b/internal/daemon/limits.go
@@ -5,30 +5,31 @@
 	"syscall"
 )
 
-// The process's descriptors are shared out at the start, so that no side can take
-// those that another needs.
+// The descriptors of the process are divided at the start, so that no component can use up those that another one
+// needs.
 
 const (
-	otherSockets   = 20 // standard streams, listener, poller, discovery, notices
-	defaultSockets = 1024
-	endingPart     = 16 // one of so many places for clients is for connections that end
-	leastEnding    = 4
-	lingering      = 8 // calls that are given up and not closed yet, and probes
+	reservedDescriptors = 20 // standard streams, listener, poller, discovery, notices
+	defaultDescriptors  = 1024
+	endingDivisor       = 16 // 1/16 of the client connections is reserved for those that are ending
+	minEnding           = 4
+	lingeringCalls      = 8 // abandoned calls that are not closed yet, and probes
 )
 
-// shares says how many connections each side may hold.
-type shares struct {
+// connectionLimits are the maximum numbers of connections of each kind.
+type connectionLimits struct {
 	clients int
-	ending  int // of clients, beside those: ended, and not closed yet
-	calls   int // to endpoints, idle ones counted
+	ending  int // to clients, in addition to clients: ended, but not closed yet
+	calls   int // to endpoints, including idle ones
 	idle    int // to endpoints, without a call
 }
 
-// descriptors is how many the process may hold: as many as its configuration says (0: no word of it), but no more
-// than the system lets it. Shares of more would leave none, once clients fill theirs, for calls and discovery.
-func descriptors(configured int, log *slog.Logger) int {
+// descriptorLimit returns the number of descriptors that the process may open: the configured number (0: the default),
+// but no more than the system allows. Dividing more than that would leave none for calls and discovery once clients
+// use up theirs.
+func descriptorLimit(configured int, log *slog.Logger) int {
 	if configured <= 0 {
-		configured = defaultSockets
+		configured = defaultDescriptors
 	}
 	var system syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &system); err != nil || system.Cur >= uint64(configured) {
@@ -38,16 +39,16 @@
 	return int(system.Cur)
 }
 
-// shareOut gives calls what the slots can use, and some to keep, and the rest to clients;
-// clients need a third for requests, and as much again as room for those that say nothing.
-// The console keeps its own, and the journal has so many files open at most; they come off what calls may keep idle.
-func shareOut(sockets, slots, files, console int) shares {
-	rest := max(sockets-otherSockets-console, 16)
+// divideDescriptors gives calls as many descriptors as the slots can use, plus some for idle connections, and the rest
+// to clients. Clients need a third for requests, and as much again for connections that send nothing. The descriptors
+// of the console and the files of the journal are reserved; they reduce the number of idle connections to endpoints.
+func divideDescriptors(descriptors, slots, files, console int) connectionLimits {
+	rest := max(descriptors-reservedDescriptors-console, 16)
 	clients := rest / 2
-	if need := slots + lingering; rest-files-clients < need {
+	if need := slots + lingeringCalls; rest-files-clients < need {
 		clients = max(rest-files-need, rest*2/5)
 	}
 	calls := max(rest-clients-files, 1)
-	ending := max(clients/endingPart, leastEnding)
-	return shares{clients: clients - ending, ending: ending, calls: calls, idle: max(calls*2/3, 1)}
+	ending := max(clients/endingDivisor, minEnding)
+	return connectionLimits{clients: clients - ending, ending: ending, calls: calls, idle: max(calls*2/3, 1)}
 }
--- a/internal/daemon/others.go
+++ b/internal/daemon/others.go
@@ -12,14 +12,15 @@
 	"cometrack/internal/lifecycle"
 )
 
-// guardArgs are those with which this program is a guard.
+// guardArgs are the arguments that run this program as a guard.
 var guardArgs = []string{"guard"}
 
-// meet says how a sender meets the others.
-func meet(f *config.File, log *slog.Logger) cluster.Options {
+// clusterOptions returns the options of the cluster that a configuration describes.
+func clusterOptions(f *config.File, log *slog.Logger) cluster.Options {
 	c := f.Cluster
-	o := cluster.Options{Name: f.Name, Zone: f.Zone, Version: Version, Listen: c.Listen, Advertise: c.Advertise, Join: c.Join, KeyFile: c.KeyFile,
-		Seats: f.Senders, Least: c.Least, Lease: time.Duration(c.Lease), Every: time.Duration(c.Lease) / config.Ticks, Drift: c.Drift,
+	o := cluster.Options{Name: f.Name, Zone: f.Zone, Version: Version, Listen: c.Listen, Advertise: c.Advertise,
+		Join: c.Join, KeyFile: c.KeyFile, Seats: f.Senders, Least: c.Least, Lease: time.Duration(c.Lease),
+		Every: time.Duration(c.Lease) / config.Ticks, Drift: c.Drift,
 		Dir: f.State, Facts: *c.Facts, Log: log}
 	if *c.Guard {
 		o.Guard = guardArgs
@@ -27,49 +28,50 @@
 	return o
 }
 
-// Version is what this program tells other senders of itself.
+// Version is the program version that is published to the peers.
 var Version = "unknown"
 
-// Cluster is what the daemon knows of other senders; nil for nothing.
+// Cluster returns the daemon's membership in a cluster, or nil if no cluster is configured.
 func (s *Standalone) Cluster() *cluster.Cluster { return s.cluster }
 
-// part is which part of each rate and quota this daemon may use.
-func (s *Standalone) part() float64 {
+// currentShare returns the share of each rate and quota that this daemon may use.
+func (s *Standalone) currentShare() float64 {
 	if s.cluster == nil {
 		return s.file.Even()
 	}
 	return s.cluster.Share()
 }
 
-// observations is how the core hears of other senders, and they of it.
-type observations struct{ *cluster.Cluster }
+// clusterPeers implements [core.Peers] by a cluster.
+type clusterPeers struct{ *cluster.Cluster }
 
-// Publish has the others told.
-func (x observations) Publish(l core.Observation) {
-	if l.RequestedWait > 0 {
-		x.TellWait(l.Partner, l.Endpoint, l.RequestedWait)
+// Publish sends an observation to the peers.
+func (p clusterPeers) Publish(o core.Observation) {
+	if o.RequestedWait > 0 {
+		p.TellWait(o.Partner, o.Endpoint, o.RequestedWait)
 		return
 	}
-	x.TellHealth(l.Partner, l.Endpoint, l.Outage, l.CausalMark)
+	p.TellHealth(o.Partner, o.Endpoint, o.Outage, o.CausalMark)
 }
 
-// Receive hands on what the others tell.
-func (x observations) Receive(ctx context.Context, take func([]core.Observation)) {
-	x.Cluster.Hear(ctx, func(list []facts.Observation) {
+// Receive passes the observations of the peers to handle until ctx is done.
+func (p clusterPeers) Receive(ctx context.Context, handle func([]core.Observation)) {
+	p.Cluster.Hear(ctx, func(list []facts.Observation) {
 		out := make([]core.Observation, 0, len(list))
-		for _, l := range list {
-			out = append(out, core.Observation{Partner: l.Partner, Endpoint: l.Endpoint, RequestedWait: l.Remaining, Outage: l.OutageReported, Recovered: l.OutageEnded, TrialIntervalFactor: l.TrialSpacing, CausalMark: l.Mark})
+		for _, o := range list {
+			out = append(out, core.Observation{Partner: o.Partner, Endpoint: o.Endpoint, RequestedWait: o.Remaining,
+				Outage: o.OutageReported, Recovered: o.OutageEnded, TrialIntervalFactor: o.TrialSpacing, CausalMark: o.Mark})
 		}
-		take(out)
+		handle(out)
 	})
 }
 
-// depart tells the others when this process is to end, and leaves them to the
-// process that takes over from it.
-func (s *Standalone) depart(work context.Context) {
+// leaveCluster announces to the peers that this process is exiting, once it is. After a handover it only closes the
+// cluster: the successor takes its place there.
+func (s *Standalone) leaveCluster(work context.Context) {
 	for {
-		v, changed := s.life.Watch()
-		switch v.State {
+		behavior, changed := s.life.Watch()
+		switch behavior.State {
 		case lifecycle.HandedOver:
 			s.cluster.Close()
 			return
--- a/internal/daemon/platform.go
+++ b/internal/daemon/platform.go
@@ -21,15 +21,15 @@
 )
 
 const (
-	largeShare    = 8     // the part of the memory that large requests may take until they are answered
-	defaultMemory = 192   // MB
-	mostEnded     = 16384 // ends that are remembered until the message's own time is up
+	largeRequestDivisor = 8     // 1/8 of the memory may be used by large requests until they are answered
+	defaultMemoryMB     = 192   // of memory, if none is configured
+	maxEnded            = 16384 // ends of messages kept until the message's own deadline
 )
 
-// Platform is a sender as the platform runs it: RESP2 in, HTTP out, the list of
-// endpoints from discovery, ends told by notices.
+// Platform is a sender that the platform runs: it accepts messages by RESP2, delivers them by HTTP, gets the list of
+// endpoints from discovery, and reports ends by notices.
 type Platform struct {
-	cfg    *config.Platform // that holds; the loop of reloads changes it
+	cfg    *config.Platform // the current one; owned by followReloads once the core is ready
 	core   *core.Core
 	front  *resp.Front
 	source *platform.Source
@@ -40,73 +40,78 @@
 	monitor *permit.Monitor
 }
 
-// NewPlatform makes a sender and replays its journal. If another process has that,
-// it takes over from it, or waits for its end.
-func NewPlatform(ctx context.Context, cfg *config.Platform, life *lifecycle.Controller, log *slog.Logger) (*Platform, error) {
-	set := cfg.Deploy.Settings
-	log.Debug("settings", "set", set)
-	for _, x := range cfg.Known.Instances {
-		log.Debug("known", "ep", x.ID, "partner", x.Dest, "kind", x.Kind, "zone", x.Zone, "weight", x.Weight)
+// NewPlatform returns a sender that has replayed its journal. If another process has the journal, NewPlatform takes
+// over from it, or waits until it exits. It fails if ctx is done before that or the journal can't be opened.
+func NewPlatform(ctx context.Context, cfg *config.Platform, life *lifecycle.Controller,
+	log *slog.Logger) (*Platform, error) {
+	settings := cfg.Deploy.Settings
+	log.Debug("settings", "set", settings)
+	for _, instance := range cfg.Known.Instances {
+		log.Debug("known", "ep", instance.ID, "partner", instance.Dest, "kind", instance.Kind, "zone", instance.Zone,
+			"weight", instance.Weight)
 	}
 	open := func() (*journal.Journal, error) {
-		return journal.Open(cfg.StateDir, journal.Options{Disk: int64(cfg.Limits.DiskMB*1e6) - config.KeptRoom, MostEnded: mostEnded,
-			Sync: store.SyncNever, Log: log}) // what is written outlasts the process there, and the machine is not to be outlasted
+		return journal.Open(cfg.StateDir, journal.Options{Disk: int64(cfg.Limits.DiskMB*1e6) - config.KeptRoom,
+			MostEnded: maxEnded, Sync: store.SyncNever, Log: log}) // writes survive the process; they need not survive the machine
 	}
-	kept, from, err := acquire(ctx, cfg.StateDir, open, log)
+	opened, takeover, err := acquire(ctx, cfg.StateDir, open, log)
 	if err != nil {
 		return nil, err
 	}
-	share := shareOut(descriptors(cfg.Limits.Sockets, log), set.Slots, store.MostFiles(int64(cfg.Limits.DiskMB*1e6)-config.KeptRoom), consoleFiles(cfg.Console))
-	if from != nil {
-		cfg.Known.Generation = from.Snapshot.Version
+	limits := divideDescriptors(descriptorLimit(cfg.Limits.Sockets, log), settings.Slots,
+		store.MostFiles(int64(cfg.Limits.DiskMB*1e6)-config.KeptRoom), consoleDescriptors(cfg.Console))
+	if takeover != nil {
+		cfg.Known.Generation = takeover.Snapshot.Version
 	}
 	monitor := permit.NewMonitor(log)
 	p := &Platform{cfg: cfg, monitor: monitor, log: log, life: life, sink: notices.New(cfg.Discovery, log)}
-	p.source = platform.New(platform.Options{Addr: cfg.Discovery, Known: cfg.Known, Poll: pollSettings(set), Seed: cfg.Seed, Log: log})
-	conf := core.Config{Name: cfg.Name, Settings: set, Seed: cfg.Seed, Zones: cfg.Deploy.Zones}
+	p.source = platform.New(platform.Options{Addr: cfg.Discovery, Known: cfg.Known, Poll: pollSettings(settings),
+		Seed: cfg.Seed, Log: log})
+	conf := core.Config{Name: cfg.Name, Settings: settings, Seed: cfg.Seed, Zones: cfg.Deploy.Zones}
 	if cfg.Known.Generation != 0 || len(cfg.Known.Instances) > 0 {
 		known := cfg.Known.List()
 		known.Complete = true
 		conf.CachedEndpoints = &known
 	}
-	transport := httptransport.New(span(cfg.Deploy.ConnectTimeout), span(set.ConnIdle),
-		httptransport.Limits{Open: share.calls, Idle: share.idle, PerEndpoint: set.Slots})
+	transport := httptransport.New(duration(cfg.Deploy.ConnectTimeout), duration(settings.ConnIdle),
+		httptransport.Limits{Open: limits.calls, Idle: limits.idle, PerEndpoint: settings.Slots})
 	transport.Reports = cfg.Deploy.Reports
-	p.core, err = core.New(conf, core.Dependencies{Store: kept, Source: p.source, Sink: p.sink, Log: log, Transport: transport, Lifecycle: life, Monitor: monitor,
-		Takeover: from, ReopenStore: func() (core.Store, error) { return open() }})
+	p.core, err = core.New(conf, core.Dependencies{Store: opened, Source: p.source, Sink: p.sink, Log: log,
+		Transport: transport, Lifecycle: life, Monitor: monitor, Takeover: takeover,
+		ReopenStore: func() (core.Store, error) { return open() }})
 	if err != nil {
-		kept.Close()
+		opened.Close()
 		return nil, err
 	}
-	memory := cfg.Limits.MemoryMB
-	if memory <= 0 {
-		memory = defaultMemory
+	memoryMB := cfg.Limits.MemoryMB
+	if memoryMB <= 0 {
+		memoryMB = defaultMemoryMB
 	}
-	p.front = resp.New(p.core, resp.Options{Listen: cfg.Listen, Connections: share.clients, Ending: share.ending,
-		Memory: int64(memory * (1 << 20) / largeShare), Numbers: true, Monitor: monitor,
+	p.front = resp.New(p.core, resp.Options{Listen: cfg.Listen, Connections: limits.clients, Ending: limits.ending,
+		Memory: int64(memoryMB * (1 << 20) / largeRequestDivisor), Numbers: true, Monitor: monitor,
 		Ready: func() bool { return life.Behavior().Ready }, Log: log})
 	return p, nil
 }
 
-// pollSettings are what the settings say of discovery.
-func pollSettings(set logic.Settings) poll.Settings {
-	return poll.Settings{Senders: set.Senders, AskWithin: span(set.ListRetryWithin), Agent: !set.ListOnRequest}
+// pollSettings returns the settings of the discovery client.
+func pollSettings(settings logic.Settings) poll.Settings {
+	return poll.Settings{Senders: settings.Senders, AskWithin: duration(settings.ListRetryWithin),
+		Agent: !settings.ListOnRequest}
 }
 
-func span(t logic.Micros) time.Duration { return time.Duration(t) * time.Microsecond }
+func duration(t logic.Micros) time.Duration { return time.Duration(t) * time.Microsecond }
 
-// Metrics are what the sender counts.
+// Metrics returns the sender's counters.
 func (p *Platform) Metrics() (*core.Metrics, *permit.Monitor) { return p.core.Metrics(), p.monitor }
 
-// Run serves until ctx is cancelled, then shuts down in good order. At each signal
-// the configuration is read anew with load: its settings take the place of the old
-// ones, and discovery and notices move to the address that it names. What it says
-// of limits, name and addresses is for the next start.
+// Run serves until ctx is done, then shuts down gracefully. On each signal from reload it reads the configuration with
+// load, applies its settings, and uses its discovery address for the list and the notices. Limits, name and listen
+// addresses take effect at the next start.
 func (p *Platform) Run(ctx context.Context, reload <-chan os.Signal, load func() (*config.Platform, error)) error {
 	work, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
 	dir := p.cfg.StateDir
-	go p.reloads(work, reload, load)
+	go p.followReloads(work, reload, load)
 	go func() {
 		select {
 		case <-p.core.Ready():
@@ -117,21 +122,21 @@
 	return p.core.Run(ctx, p.front)
 }
 
-// keep keeps the configuration that holds for the next start.
-func (p *Platform) keep() {
+// saveConfig saves the current configuration, as a fallback for the next start.
+func (p *Platform) saveConfig() {
 	if err := p.cfg.Keep(); err != nil {
-		p.log.Warn("the configuration is not kept", "err", err)
+		p.log.Warn("saving the configuration failed", "err", err)
 	}
 }
 
-// reloads follows new configurations. One that can't be read changes nothing.
-func (p *Platform) reloads(ctx context.Context, signals <-chan os.Signal, load func() (*config.Platform, error)) {
-	select { // the listener's address is known, and the journal replayed
+// followReloads loads and applies the configuration on each signal. An invalid one changes nothing.
+func (p *Platform) followReloads(ctx context.Context, signals <-chan os.Signal, load func() (*config.Platform, error)) {
+	select { // wait until the listener's address is known and the journal is replayed
 	case <-p.core.Ready():
 	case <-ctx.Done():
 		return
 	}
-	p.keep()
+	p.saveConfig()
 	for {
 		select {
 		case <-ctx.Done():
@@ -150,14 +155,14 @@
 			continue
 		}
 		p.cfg = cfg
-		p.keep()
+		p.saveConfig()
 		p.log.Info("reload: settings", "classes", len(cfg.Deploy.Settings.Classes), "attempts", cfg.Deploy.Settings.MaxTries)
 		p.sink.Move(cfg.Discovery)
 		p.source.Retune(pollSettings(cfg.Deploy.Settings))
 		if p.source.Move(cfg.Discovery) {
-			p.log.Info("reload: discovery moves", "to", cfg.Discovery)
+			p.log.Info("reload: discovery address changed", "to", cfg.Discovery)
 		} else {
-			p.log.Info("reload: same discovery", "addr", cfg.Discovery)
+			p.log.Info("reload: discovery address unchanged", "addr", cfg.Discovery)
 		}
 	}
 }
--- a/internal/daemon/platform_test.go
+++ b/internal/daemon/platform_test.go
@@ -17,8 +17,8 @@
 	"cometrack/internal/standin/discovery"
 )
 
-// copied opens a copy of the journal of a sender that runs.
-func copied(t *testing.T, dir string) *journal.Journal {
+// openJournalCopy opens a copy of the journal of a sender that runs.
+func openJournalCopy(t *testing.T, dir string) *journal.Journal {
 	t.Helper()
 	to := t.TempDir()
 	list, err := os.ReadDir(dir)
@@ -47,8 +47,8 @@
 	return j
 }
 
-// owed lists what a stopped sender has left in its journal.
-func owed(t *testing.T, dir string) (ids []string) {
+// pendingIDs lists what a stopped sender has left in its journal.
+func pendingIDs(t *testing.T, dir string) (ids []string) {
 	t.Helper()
 	j, err := journal.Open(dir, journal.Options{Disk: 3e6})
 	if err != nil {
@@ -62,19 +62,19 @@
 }
 
 // stopClean shuts a sender down and checks that it owes nothing.
-func stopClean(t *testing.T, n *testNode) {
+func stopClean(t *testing.T, n *testSender) {
 	t.Helper()
 	n.stop()
 	if err := byhand.Await(t, n.done, "end of the sender"); err != nil {
 		t.Fatal(err)
 	}
-	if ids := owed(t, n.dir); ids != nil {
+	if ids := pendingIDs(t, n.dir); ids != nil {
 		t.Errorf("still owed: %v", ids)
 	}
 }
 
 func TestDeliver(t *testing.T) {
-	n, c, _, e := world(t, 1)
+	n, c, _, e := startScenario(t, 1)
 	if got := c.do("PING"); got != "+PONG" {
 		t.Fatalf("PING: %q", got)
 	}
@@ -89,7 +89,7 @@
 
 // A client may hand an id in once more when its connection was closed: that is one message, held or delivered.
 func TestSameIDTwice(t *testing.T) {
-	n, c, _, e := world(t, 1)
+	n, c, _, e := startScenario(t, 1)
 	c.send("MSG.PUT", "0", "a", "c=safe,t=acme,d=9000,k=key-a,dest=1", "body of a")
 	c2 := dial(t, n.addr)
 	c2.put("a", "safe", "+OK")
@@ -114,7 +114,7 @@
 
 // What the module gives up is answered at once, with the time to come again.
 func TestGivenUpAtOnce(t *testing.T) {
-	n, c, p, e := world(t, 1)
+	n, c, p, e := startScenario(t, 1)
 	c.putFor("late", "safe", 1, "-BUSY 2000")
 	c.put("b", "safe", "+OK")
 	byhand.Await(t, e[0].Calls, "call").Reply(200)
@@ -126,7 +126,7 @@
 
 // Told to wait, the sender sends nothing there, for any message, until the wait is over.
 func TestWaitIsHeeded(t *testing.T) {
-	n, c, _, e := world(t, 1)
+	n, c, _, e := startScenario(t, 1)
 	c.put("a", "safe", "+OK")
 	in := byhand.Await(t, e[0].Calls, "call")
 	const wait = 400 * time.Millisecond
@@ -148,7 +148,7 @@
 
 // Refusals prove that nothing ran: also an unsafe message is sent again, and returned once its attempts are used up.
 func TestNeverRan(t *testing.T) {
-	n, c, p, e := world(t, 1)
+	n, c, p, e := startScenario(t, 1)
 	c.put("full", "unsafe", "+OK")
 	byhand.Await(t, e[0].Calls, "call").Reply(503)
 	byhand.Await(t, e[0].Calls, "second call").Reply(200)
@@ -171,7 +171,7 @@
 
 // The endpoint says that the message is over: nothing is owed, not even a notice.
 func TestOver(t *testing.T) {
-	n, c, p, e := world(t, 1)
+	n, c, p, e := startScenario(t, 1)
 	c.put("a", "unsafe", "+OK")
 	byhand.Await(t, e[0].Calls, "call").Reply(410)
 	stopClean(t, n)
@@ -185,7 +185,7 @@
 func TestMayHaveRun(t *testing.T) {
 	for _, how := range []string{"500", "reset"} {
 		t.Run(how, func(t *testing.T) {
-			n, c, p, e := world(t, 1)
+			n, c, p, e := startScenario(t, 1)
 			end := func(in *byhand.InCall) {
 				if how == "500" {
 					in.Reply(500)
@@ -213,7 +213,7 @@
 
 // An endpoint that answers nothing: an unsafe message fails when its time is up, and the call is ended.
 func TestSilentUntilDeadline(t *testing.T) {
-	n, c, p, e := world(t, 1)
+	n, c, p, e := startScenario(t, 1)
 	c.putFor("u", "unsafe", 300, "+OK")
 	in := byhand.Await(t, e[0].Calls, "call")
 	if x := byhand.Await(t, p.Notices, "notice"); x != (discovery.Notice{ID: "u", State: "failed"}) {
@@ -226,7 +226,7 @@
 // A safe message is called off at an endpoint that hangs and goes to another; the first call must have ended for
 // the endpoint before the second begins, or there are two copies.
 func TestSilentGoesElsewhere(t *testing.T) {
-	n, c, _, e := world(t, 2)
+	n, c, _, e := startScenario(t, 2)
 	c.put("s", "safe", "+OK")
 	var first, second *byhand.InCall
 	next := e[1]
@@ -246,8 +246,8 @@
 	stopClean(t, n)
 }
 
-// taken waits until the sender has the list of a generation: it asks from there on.
-func taken(t *testing.T, p *discovery.Platform, generation int) {
+// awaitListRequest waits until the sender has the list of a generation: it asks from there on.
+func awaitListRequest(t *testing.T, p *discovery.Platform, generation int) {
 	t.Helper()
 	for !strings.HasPrefix(byhand.Await(t, p.Asked, "call for the list"), fmt.Sprintf("from=%d&", generation)) {
 	}
@@ -255,11 +255,11 @@
 
 // Nothing new goes to an endpoint that drains; an address may change under the same name.
 func TestDrainAndMove(t *testing.T) {
-	n, c, p, e := world(t, 2)
+	n, c, p, e := startScenario(t, 2)
 	list := instances(e...)
 	list[0].Lifecycle = "draining"
 	p.Set(func() { p.List = platform.List{Generation: 2, Instances: list[:1]} })
-	taken(t, p, 2)
+	awaitListRequest(t, p, 2)
 	for i := range 4 {
 		c.put(fmt.Sprint("m", i), "safe", "+OK")
 		byhand.Await(t, e[1].Calls, "call").Reply(200)
@@ -268,7 +268,7 @@
 	moved := byhand.NewEndpoint(t)
 	list[1].HostPort = moved.Addr()
 	p.Set(func() { p.List = platform.List{Generation: 3, Instances: list[1:]} })
-	taken(t, p, 3)
+	awaitListRequest(t, p, 3)
 	c.put("m", "safe", "+OK")
 	byhand.Await(t, moved.Calls, "call").Reply(200)
 	stopClean(t, n)
@@ -282,15 +282,15 @@
 		return strings.Replace(settings, `"rules":{`, `"rules":{"ask_every_s":0.3,`, 1)
 	}
 	e := byhand.NewEndpoint(t)
-	n := startNode(t, p, t.TempDir(), platform.List{Generation: 1, Reset: true, Instances: instances(e)})
+	n := startSender(t, p, t.TempDir(), platform.List{Generation: 1, Reset: true, Instances: instances(e)})
 	c := dial(t, n.addr)
 	c.put("a", "safe", "+OK")
 	byhand.Await(t, e.Calls, "call").Reply(200)
-	taken(t, p, 1)
-	taken(t, p, 1)
+	awaitListRequest(t, p, 1)
+	awaitListRequest(t, p, 1)
 	moved := byhand.NewEndpoint(t)
 	p.Set(func() { p.Down, p.List = false, platform.List{Generation: 2, Reset: true, Instances: instances(moved)} })
-	taken(t, p, 2)
+	awaitListRequest(t, p, 2)
 	c.put("b", "safe", "+OK")
 	byhand.Await(t, moved.Calls, "call").Reply(200)
 	stopClean(t, n)
@@ -300,7 +300,7 @@
 	p := discovery.New(t)
 	p.Silent = true
 	e := byhand.NewEndpoint(t)
-	n := startNode(t, p, t.TempDir(), platform.List{Generation: 1, Reset: true, Instances: instances(e)})
+	n := startSender(t, p, t.TempDir(), platform.List{Generation: 1, Reset: true, Instances: instances(e)})
 	byhand.Await(t, p.Asked, "call for the list")
 	dial(t, n.addr).put("a", "safe", "+OK")
 	byhand.Await(t, e.Calls, "call").Reply(200)
@@ -309,7 +309,7 @@
 
 // A notice counts once the platform has confirmed it, and is sent until then.
 func TestNoticesDown(t *testing.T) {
-	n, c, p, e := world(t, 1)
+	n, c, p, e := startScenario(t, 1)
 	p.Set(func() { p.Deaf = true })
 	c.put("u", "unsafe", "+OK")
 	byhand.Await(t, e[0].Calls, "call").Reply(500)
@@ -324,10 +324,10 @@
 
 // Whatever a client sends, it gets an error line and nobody else is hurt.
 func TestMalformedRequests(t *testing.T) {
-	n, c, p, e := world(t, 1)
-	taken(t, p, 1) // an unknown destination is one that discovery does not know
+	n, c, p, e := startScenario(t, 1)
+	awaitListRequest(t, p, 1) // an unknown destination is one that discovery does not know
 	p.Set(func() { p.List.Generation = 2 })
-	taken(t, p, 2)
+	awaitListRequest(t, p, 2)
 	const good = "c=safe,t=acme,d=9000,dest=1"
 	for i, args := range [][]string{
 		{"NONSENSE"}, {""}, {"MSG.PUT"}, {"MSG.PUT", "0", "a", good}, {"MSG.PUT", "0", "", good, "x"},
@@ -383,7 +383,7 @@
 	for _, class := range []string{"safe", "keyed", "unsafe"} {
 		t.Run(class, func(t *testing.T) {
 			t.Parallel()
-			n, c, p, e := world(t, 1)
+			n, c, p, e := startScenario(t, 1)
 			c.put("a", class, "+OK")
 			in := byhand.Await(t, e[0].Calls, "call")
 			key := in.Req.Header.Get("Idempotency-Key")
--- a/internal/daemon/process_test.go
+++ b/internal/daemon/process_test.go
@@ -16,8 +16,8 @@
 	"cometrack/internal/standin/program"
 )
 
-// built is the path of the program, which is built once for all tests.
-var built = sync.OnceValues(func() (string, error) {
+// programPath is the path of the program, which is programPath once for all tests.
+var programPath = sync.OnceValues(func() (string, error) {
 	dir, err := os.MkdirTemp("", "cometrack")
 	if err != nil {
 		return "", err
@@ -29,11 +29,11 @@
 })
 
 func TestMain(m *testing.M) {
-	if dir := os.Getenv(stallIn); dir != "" {
-		stall(dir)
+	if dir := os.Getenv(stallDirVariable); dir != "" {
+		stallHoldingLock(dir)
 	}
 	code := m.Run()
-	if path, err := built(); err == nil {
+	if path, err := programPath(); err == nil {
 		os.RemoveAll(filepath.Dir(path))
 	}
 	os.Exit(code)
@@ -69,7 +69,7 @@
 // launchProcess starts it at an address and does not wait.
 func launchProcess(t *testing.T, p *discovery.Platform, dir string, known platform.List, listen string) *process {
 	t.Helper()
-	path, err := built()
+	path, err := programPath()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -115,7 +115,7 @@
 // term sends SIGTERM; end checks that the program ends by itself.
 func (x *process) term() { x.Signal(syscall.SIGTERM) }
 
-func (x *process) end() {
+func (x *process) awaitExit() {
 	x.t.Helper()
 	if err := x.Wait(); err != nil {
 		x.t.Errorf("ended with %v", err)
@@ -149,9 +149,9 @@
 		t.Errorf("notice %+v", n)
 	}
 	x.term()
-	x.end()
+	x.awaitExit()
 	e.None(t)
-	if ids := owed(t, dir); ids != nil {
+	if ids := pendingIDs(t, dir); ids != nil {
 		t.Errorf("still owed: %v", ids)
 	}
 }
@@ -174,7 +174,7 @@
 		t.Errorf("notice %+v", n)
 	}
 	x.term()
-	x.end()
+	x.awaitExit()
 	e.None(t)
 }
 
@@ -197,7 +197,7 @@
 	}
 	over := time.Now().Add(600 * time.Millisecond)
 	byhand.Until(t, "outcomes in the journal", func() bool {
-		j := copied(t, dir)
+		j := openJournalCopy(t, dir)
 		defer j.Close()
 		failed, refused := j.Entry("failed"), j.Entry("refused")
 		return failed != nil && failed.End != nil && refused != nil && refused.Tries == 1 && !refused.Open
@@ -225,7 +225,7 @@
 		t.Errorf("notices: %v", ends)
 	}
 	x.term()
-	x.end()
+	x.awaitExit()
 	e.None(t)
 }
 
@@ -247,8 +247,8 @@
 				t.Errorf("got %q", got)
 			}
 			in.Reply(200)
-			x.end()
-			if ids := owed(t, dir); ids != nil {
+			x.awaitExit()
+			if ids := pendingIDs(t, dir); ids != nil {
 				t.Errorf("still owed: %v", ids)
 			}
 			if len(p.Notices) != 0 {
@@ -268,11 +268,11 @@
 	byhand.Await(t, e.Calls, "call")
 	at := time.Now()
 	x.term()
-	x.end()
+	x.awaitExit()
 	if d := time.Since(at); d > 6*time.Second {
 		t.Errorf("ended after %v", d)
 	}
-	if ids := owed(t, dir); len(ids) != 1 {
+	if ids := pendingIDs(t, dir); len(ids) != 1 {
 		t.Errorf("owed: %v", ids)
 	}
 	x = startProcess(t, p, dir, known)
--- a/internal/daemon/pushed_test.go
+++ b/internal/daemon/pushed_test.go
@@ -11,9 +11,9 @@
 	"cometrack/internal/standin/discovery"
 )
 
-// pushed turns settings into those of a deployment whose list comes by itself, with one slot and calls that
+// pushedSettings turns settings into those of a deployment whose list comes by itself, with one slot and calls that
 // carry three messages.
-func pushed(settings string) string {
+func pushedSettings(settings string) string {
 	return strings.NewReplacer(`"on_request"`, `"pushed"`, `"call_slots":6`, `"call_slots":1`, `"batch_by_kind":[1]`, `"batch_by_kind":[3]`,
 		`{"how":"off","names":[]}`, `{"how":"inline","names":["x0","x1"]}`).Replace(settings)
 }
@@ -22,8 +22,8 @@
 // after the agent was silent or away.
 func TestPushedList(t *testing.T) {
 	p := discovery.New(t)
-	p.With = pushed
-	n, _, _, e := worldWith(t, p, 2)
+	p.With = pushedSettings
+	n, _, _, e := startScenarioWith(t, p, 2)
 	asked := func(from string) {
 		t.Helper()
 		for !strings.HasPrefix(byhand.Await(t, p.Asked, "watch"), "from="+from+"&") {
@@ -68,8 +68,8 @@
 // What one step sends to one endpoint travels as one call on one slot, and each message has its own end by the answer.
 func TestBatchEndToEnd(t *testing.T) {
 	p := discovery.New(t)
-	p.With = pushed
-	n, c, _, e := worldWith(t, p, 1)
+	p.With = pushedSettings
+	n, c, _, e := startScenarioWith(t, p, 1)
 	c.put("a", "safe", "+OK")
 	first := byhand.Await(t, e[0].Calls, "call")
 	for _, x := range []string{"b unsafe", "c keyed", "d unsafe", "f safe"} {
--- a/internal/daemon/ready_test.go
+++ b/internal/daemon/ready_test.go
@@ -10,7 +10,7 @@
 // Processes that are killed at once and started again serve clients while discovery is still down: they wait neither for
 // its list nor for what becomes of the messages that they hold. `measure ready` does the same with twenty of them.
 func TestReadyAfterKill(t *testing.T) {
-	path, err := built()
+	path, err := programPath()
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/daemon/reload_test.go
+++ b/internal/daemon/reload_test.go
@@ -88,5 +88,5 @@
 		}
 	}
 	x.term()
-	x.end()
+	x.awaitExit()
 }
--- a/internal/daemon/room_test.go
+++ b/internal/daemon/room_test.go
@@ -21,7 +21,7 @@
 // answers, a message on a new connection is taken on and sent, and its journal is written; one that was begun before
 // the crowd came and is written to its end after it comes through too.
 func TestNoFreeDescriptor(t *testing.T) {
-	path, err := built()
+	path, err := programPath()
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/daemon/standalone.go
+++ b/internal/daemon/standalone.go
@@ -27,23 +27,25 @@
 	httptransport "cometrack/internal/transport/http"
 )
 
-// Standalone is a daemon as its own file sets it up.
+// Standalone is a daemon that its own configuration file describes.
 type Standalone struct {
 	core    *core.Core
-	cluster *cluster.Cluster // nil if it knows nothing of other senders
+	cluster *cluster.Cluster // nil if no cluster is configured
 	file    *config.File
 	source  *static.Source
-	http    *httpfront.Front // nil if it is not served
-	resp    *resp.Front      // nil if it is not served
+	http    *httpfront.Front // nil if not configured
+	resp    *resp.Front      // nil if not configured
 	fronts  []core.Front
 	life    *lifecycle.Controller
 	monitor *permit.Monitor
 	log     *slog.Logger
 }
 
-// NewStandalone makes a daemon and replays its journal. If another process has
-// that, it takes over from it, or waits for its end.
-func NewStandalone(ctx context.Context, f *config.File, life *lifecycle.Controller, log *slog.Logger) (*Standalone, error) {
+// NewStandalone returns a daemon that has replayed its journal. If another process has the journal, NewStandalone takes
+// over from it, or waits until it exits. It fails if ctx is done before that, if the journal or the cluster can't be
+// opened, or if the configuration can't be used.
+func NewStandalone(ctx context.Context, f *config.File, life *lifecycle.Controller,
+	log *slog.Logger) (*Standalone, error) {
 	if err := os.MkdirAll(f.State, 0o700); err != nil {
 		return nil, fmt.Errorf("state folder: %w", err)
 	}
@@ -52,41 +54,44 @@
 			KeepEnded: time.Duration(f.Limits.Remember), MostEnded: f.Limits.Remembered, Partners: true, Bodies: f.Store.Bodies,
 			Sync: f.Store.Mode(), Every: time.Duration(f.Store.Interval), Log: log})
 	}
-	kept, from, err := acquire(ctx, f.State, open, log)
+	opened, takeover, err := acquire(ctx, f.State, open, log)
 	if err != nil {
 		return nil, err
 	}
-	parts := core.Dependencies{Monitor: permit.NewMonitor(log), OpenBacklog: behind(f, log), Store: kept, Lifecycle: life, Takeover: from, ReopenStore: func() (core.Store, error) { return open() }, Log: log}
-	var others *cluster.Cluster
+	deps := core.Dependencies{Monitor: permit.NewMonitor(log), OpenBacklog: openBacklog(f, log), Store: opened,
+		Lifecycle: life, Takeover: takeover, ReopenStore: func() (core.Store, error) { return open() }, Log: log}
+	var peers *cluster.Cluster
 	if f.Cluster != nil {
-		if others, err = cluster.Open(meet(f, log)); err != nil {
-			kept.Close()
+		if peers, err = cluster.Open(clusterOptions(f, log)); err != nil {
+			opened.Close()
 			return nil, err
 		}
-		parts.AllowedShare = others.Allowed
+		deps.AllowedShare = peers.Allowed
 		if f.Shares() {
-			parts.Peers = observations{others}
+			deps.Peers = clusterPeers{peers}
 		}
 	}
-	s, err := assemble(f, others, parts)
+	s, err := assemble(f, peers, deps)
 	if err != nil {
-		if others != nil {
-			others.Close()
+		if peers != nil {
+			peers.Close()
 		}
-		kept.Close()
+		opened.Close()
 	}
 	return s, err
 }
 
-// assemble puts a daemon together from its file, and those parts that are there.
-func assemble(f *config.File, others *cluster.Cluster, parts core.Dependencies) (*Standalone, error) {
-	s := &Standalone{file: f, cluster: others, life: parts.Lifecycle, monitor: parts.Monitor, log: parts.Log}
-	list, log := f.List(s.part()), parts.Log
+// assemble makes a daemon from its file, its cluster (nil if there is none), and the dependencies that exist already,
+// to which it adds the others.
+func assemble(f *config.File, peers *cluster.Cluster, deps core.Dependencies) (*Standalone, error) {
+	s := &Standalone{file: f, cluster: peers, life: deps.Lifecycle, monitor: deps.Monitor, log: deps.Log}
+	list, log := f.List(s.currentShare()), deps.Log
 	s.source = static.New(list)
-	files := store.MostFiles(int64(f.Limits.DiskMB)*1e6) + backlogFiles(f)
-	share := shareOut(descriptors(f.Limits.Descriptors, log), f.Limits.Slots, files, consoleFiles(f.Console.Listen))
+	files := store.MostFiles(int64(f.Limits.DiskMB)*1e6) + maxBacklogFiles(f)
+	limits := divideDescriptors(descriptorLimit(f.Limits.Descriptors, log), f.Limits.Slots, files,
+		consoleDescriptors(f.Console.Listen))
 	transport := httptransport.New(time.Duration(f.Transport.HTTP.ConnectTimeout), time.Duration(f.Transport.HTTP.Idle),
-		httptransport.Limits{Open: share.calls, Idle: share.idle, PerEndpoint: f.Limits.Slots})
+		httptransport.Limits{Open: limits.calls, Idle: limits.idle, PerEndpoint: f.Limits.Slots})
 	transport.Source, transport.RetryAfter = net.ParseIP(f.Transport.HTTP.Source), true
 	var stream *httpfront.Stream
 	var sinks []fan.Sink
@@ -102,7 +107,8 @@
 			Parallel: w.Parallel, Waiting: w.Waiting, Log: log}))
 	}
 	if x := f.Sink.File; x != nil {
-		sinks = append(sinks, jsonl.New(jsonl.Options{Path: x.Path, MaxMB: x.MaxMB, Keep: x.Keep, Waiting: x.Waiting, Log: log}))
+		sinks = append(sinks, jsonl.New(jsonl.Options{Path: x.Path, MaxMB: x.MaxMB, Keep: x.Keep,
+			Waiting: x.Waiting, Log: log}))
 	}
 	sink := fan.New(sinks...)
 	if stream != nil {
@@ -110,24 +116,24 @@
 	}
 	var seed [8]byte
 	rand.Read(seed[:])
-	parts.Transport, parts.Source, parts.Sink = transport, s.source, sink
+	deps.Transport, deps.Source, deps.Sink = transport, s.source, sink
 	var err error
-	s.core, err = core.New(core.Config{Name: f.Name, Settings: f.Settings(), Seed: binary.LittleEndian.Uint64(seed[:]), Zones: f.Zones,
-		CachedEndpoints: &list, NotifyDelivered: true, PersistWaits: true}, parts)
+	s.core, err = core.New(core.Config{Name: f.Name, Settings: f.Settings(),
+		Seed: binary.LittleEndian.Uint64(seed[:]), Zones: f.Zones, CachedEndpoints: &list, NotifyDelivered: true, PersistWaits: true}, deps)
 	if err != nil {
 		return nil, err
 	}
-	s.serve(share, stream)
+	s.makeFronts(limits, stream)
 	return s, nil
 }
 
-// serve makes the fronts. Each has an even share of the connections, and of the
-// memory for large requests.
-func (s *Standalone) serve(share shares, stream *httpfront.Stream) {
+// makeFronts makes the configured fronts. Each gets an equal share of the client connections and of the memory for
+// large requests.
+func (s *Standalone) makeFronts(limits connectionLimits, stream *httpfront.Stream) {
 	f := s.file
 	n := 0
-	for _, on := range []bool{f.Front.RESP != nil, f.Front.HTTP != nil} {
-		if on {
+	for _, configured := range []bool{f.Front.RESP != nil, f.Front.HTTP != nil} {
+		if configured {
 			n++
 		}
 	}
@@ -135,37 +141,36 @@
 	if f.HasTokens() {
 		tenant = auth.New(f.Tenants).Tenant
 	}
-	memory := int64(f.Limits.MemoryMB) << 20 / largeShare / int64(n)
+	memory := int64(f.Limits.MemoryMB) << 20 / largeRequestDivisor / int64(n)
 	if h := f.Front.HTTP; h != nil {
-		s.http = httpfront.New(s.core.NewFrontLimiter(n), httpfront.Options{Listen: h.Listen, Certificate: h.Certificate, Key: h.Key,
-			Connections: (share.clients + share.ending) / n, Memory: memory, LongPolls: h.LongPolls, Streams: h.Streams,
+		s.http = httpfront.New(s.core.NewFrontLimiter(n), httpfront.Options{Listen: h.Listen,
+			Certificate: h.Certificate, Key: h.Key, Connections: (limits.clients + limits.ending) / n, Memory: memory, LongPolls: h.LongPolls, Streams: h.Streams,
 			MaxWait: time.Duration(h.MaxWait), Tenant: tenant, Stream: stream, Defaults: s.core.Deadline, Log: s.log})
 		s.fronts = append(s.fronts, s.http)
 	}
 	if r := f.Front.RESP; r != nil {
-		s.resp = resp.New(s.core.NewFrontLimiter(n), resp.Options{Listen: r.Listen, Connections: share.clients / n, Ending: share.ending / n, Memory: memory, Monitor: s.monitor,
-			Tenant: tenant,
-			Ready:  func() bool { return s.life.Behavior().Ready }, Log: s.log})
+		s.resp = resp.New(s.core.NewFrontLimiter(n), resp.Options{Listen: r.Listen, Connections: limits.clients / n,
+			Ending: limits.ending / n, Memory: memory, Monitor: s.monitor, Tenant: tenant,
+			Ready: func() bool { return s.life.Behavior().Ready }, Log: s.log})
 		s.fronts = append(s.fronts, s.resp)
 	}
 }
 
-// Metrics are what the daemon counts.
+// Metrics returns the daemon's counters.
 func (s *Standalone) Metrics() (*core.Metrics, *permit.Monitor) { return s.core.Metrics(), s.monitor }
 
-// Core is the daemon's core.
+// Core returns the daemon's core.
 func (s *Standalone) Core() *core.Core { return s.core }
 
-// HTTPAddr is where the HTTP front listens, once the core is ready.
+// HTTPAddr returns the address at which the HTTP front listens. It is valid once the core is ready.
 func (s *Standalone) HTTPAddr() string { return s.http.Addr().String() }
 
-// RESPAddr is where the RESP2 front listens, once the core is ready.
+// RESPAddr returns the address at which the RESP2 front listens. It is valid once the core is ready.
 func (s *Standalone) RESPAddr() string { return s.resp.Addr().String() }
 
-// Run serves until ctx is cancelled, then shuts down in good order. At each signal
-// the file is read anew with load: its partners, classes, rules, quotas and the
-// limits of messages take the place of the old ones, and certificates are reread.
-// A file with an error changes nothing.
+// Run serves until ctx is done, then shuts down gracefully. On each signal from reload it reads the file with load,
+// applies its partners, classes, rules, quotas and limits of messages, and rereads the certificates. A file with an
+// error changes nothing.
 func (s *Standalone) Run(ctx context.Context, reload <-chan os.Signal, load func() (*config.File, error)) error {
 	work, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
@@ -177,14 +182,14 @@
 		case <-work.Done():
 		}
 	}()
-	var parts <-chan struct{}
+	var shareChanged <-chan struct{}
 	if s.cluster != nil {
 		defer s.cluster.Close()
-		parts = s.cluster.Changed()
-		go s.depart(work)
+		shareChanged = s.cluster.Changed()
+		go s.leaveCluster(work)
 	}
 	go func() {
-		select { // settings go to a loop that runs
+		select { // settings can be applied once the core's loop runs
 		case <-s.core.Ready():
 		case <-work.Done():
 			return
@@ -195,14 +200,15 @@
 				return
 			case <-reload:
 				s.reload(load)
-			case <-parts:
-				s.source.Set(s.file.List(s.part()))
+			case <-shareChanged:
+				s.source.Set(s.file.List(s.currentShare()))
 			}
 		}
 	}()
 	return s.core.Run(ctx, s.fronts...)
 }
 
+// reload applies the configuration file that load returns. A file with an error changes nothing.
 func (s *Standalone) reload(load func() (*config.File, error)) {
 	f, err := load()
 	if err != nil {
@@ -218,24 +224,25 @@
 			s.log.Error("reload: the old certificate stands", "err", err)
 		}
 	}
-	s.source.Set(f.List(s.part()))
+	s.source.Set(f.List(s.currentShare()))
 	for _, name := range config.Changed(s.file, f) {
-		s.log.Warn("reload: this change is for the next start", "section", name)
+		s.log.Warn("reload: this change takes effect at the next start", "section", name)
 	}
-	now := map[string]bool{}
+	present := map[string]bool{}
 	for _, p := range f.Partners {
-		now[p.Name] = true
+		present[p.Name] = true
 	}
 	for _, p := range s.file.Partners {
-		if !now[p.Name] {
-			s.log.Warn("reload: a partner is gone; messages held for it are kept until their time is up", "partner", p.Name)
+		if !present[p.Name] {
+			s.log.Warn("reload: a partner was removed; its pending messages are kept until their deadlines", "partner", p.Name)
 		}
 	}
 	partners := len(f.Partners)
-	keep := *s.file
-	keep.Partners, keep.Classes, keep.Rules = f.Partners, f.Classes, f.Rules
-	keep.Limits.Attempts, keep.Limits.OpenMessages, keep.Limits.Slots = f.Limits.Attempts, f.Limits.OpenMessages, f.Limits.Slots
-	keep.Limits.RetryAfter = f.Limits.RetryAfter
-	s.file = &keep
+	applied := *s.file
+	applied.Partners, applied.Classes, applied.Rules = f.Partners, f.Classes, f.Rules
+	applied.Limits.Attempts, applied.Limits.OpenMessages, applied.Limits.Slots =
+		f.Limits.Attempts, f.Limits.OpenMessages, f.Limits.Slots
+	applied.Limits.RetryAfter = f.Limits.RetryAfter
+	s.file = &applied
 	s.log.Info("reload: partners follow the file", "partners", partners)
 }
--- a/internal/daemon/standalone_ops_test.go
+++ b/internal/daemon/standalone_ops_test.go
@@ -17,7 +17,7 @@
 // The daily work with a daemon of its own file, by its own commands: ready, drain, a new class by SIGHUP, and an
 // upgrade under both fronts with a message of the old class held.
 func TestStandaloneDay(t *testing.T) {
-	path, err := built()
+	path, err := programPath()
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/daemon/standalone_test.go
+++ b/internal/daemon/standalone_test.go
@@ -35,15 +35,15 @@
 	return p
 }
 
-// alone is a standalone daemon in this process.
-type alone struct {
+// testDaemon is a standalone daemon in this process.
+type testDaemon struct {
 	*Standalone
 	t    *testing.T
 	stop context.CancelFunc
 	done chan error
 }
 
-func startAlone(t *testing.T, text string) *alone {
+func startDaemon(t *testing.T, text string) *testDaemon {
 	t.Helper()
 	f, err := config.Parse("test.toml", []byte(text))
 	if err != nil {
@@ -54,14 +54,14 @@
 		t.Fatal(err)
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	a := &alone{Standalone: s, t: t, stop: stop, done: make(chan error, 1)}
+	a := &testDaemon{Standalone: s, t: t, stop: stop, done: make(chan error, 1)}
 	go func() { a.done <- s.Run(ctx, nil, nil) }()
 	t.Cleanup(stop)
-	closed(t, s.core.Ready(), "ready daemon")
+	awaitClosed(t, s.core.Ready(), "ready daemon")
 	return a
 }
 
-func (a *alone) halt() {
+func (a *testDaemon) stopAndWait() {
 	a.t.Helper()
 	a.stop()
 	if err := byhand.Await(a.t, a.done, "end of the daemon"); err != nil {
@@ -102,7 +102,7 @@
 // the other port says which, and what the partner saw agrees.
 func TestDisconnectAfterEveryByte(t *testing.T) {
 	p := startPartner(t, partner.Options{Name: "acme"})
-	a := startAlone(t, traffic.File(t.TempDir(), "", p))
+	a := startDaemon(t, traffic.File(t.TempDir(), "", p))
 	ports := map[string]string{"http": a.HTTPAddr(), "resp": a.RESPAddr()}
 	requests := map[string]func(id string) string{
 		"http": func(id string) string {
@@ -156,7 +156,7 @@
 		known[id] = s != ""
 	}
 	c.Conn.Close()
-	a.halt()
+	a.stopAndWait()
 	ran := map[string]int{}
 	for _, call := range p.Calls() {
 		ran[call.ID]++
@@ -171,7 +171,7 @@
 // The same id raced on both ports is one message; another one under its id is refused on both.
 func TestSameIDOnBothPorts(t *testing.T) {
 	p := startPartner(t, partner.Options{Name: "acme"})
-	a := startAlone(t, traffic.File(t.TempDir(), "", p))
+	a := startDaemon(t, traffic.File(t.TempDir(), "", p))
 	c := dial(t, a.RESPAddr())
 	post := func(id, body string) int {
 		resp, err := http.Post("http://"+a.HTTPAddr()+"/v1/messages?partner=acme&class=unsafe&left=20s&id="+id, "", strings.NewReader(body))
@@ -215,7 +215,7 @@
 		}
 	}
 	c.Conn.Close()
-	a.halt()
+	a.stopAndWait()
 	if n := len(p.Calls()); n != many {
 		t.Errorf("%d calls for %d messages", n, many)
 	}
@@ -229,7 +229,7 @@
 func TestFairness(t *testing.T) {
 	steady := startPartner(t, partner.Options{Name: "steady"})
 	stuck := startPartner(t, partner.Options{Name: "stuck", Phases: []partner.Phase{{Mode: partner.Dead, For: time.Hour}}})
-	a := startAlone(t, traffic.File(t.TempDir(), "[limits]\nopen_messages = 100\ndescriptors = 256\n", steady, stuck))
+	a := startDaemon(t, traffic.File(t.TempDir(), "[limits]\nopen_messages = 100\ndescriptors = 256\n", steady, stuck))
 	flood, stop := context.WithCancel(t.Context())
 	defer stop()
 	refused := make(chan int, 1<<16)
@@ -270,7 +270,7 @@
 // Client libraries work as they come.
 func TestGoRedis(t *testing.T) {
 	p := startPartner(t, partner.Options{Name: "acme"})
-	a := startAlone(t, traffic.File(t.TempDir(), "", p))
+	a := startDaemon(t, traffic.File(t.TempDir(), "", p))
 	c := redis.NewClient(&redis.Options{Addr: a.RESPAddr()})
 	defer c.Close()
 	if s, err := c.Ping(t.Context()).Result(); err != nil || s != "PONG" {
@@ -297,7 +297,7 @@
 	}
 	one, two, three := dead("one"), dead("two"), dead("three")
 	dir := t.TempDir()
-	a := startAlone(t, traffic.File(dir, "", one, two, three))
+	a := startDaemon(t, traffic.File(dir, "", one, two, three))
 	c := dial(t, a.RESPAddr())
 	for _, x := range [][2]string{{"one", "safe"}, {"two", "unsafe"}, {"three", "keyed"}, {"one", "keyed"}} {
 		if got := c.do("MSG.PUT", "0", x[0]+"-"+x[1], "c="+x[1]+",d=20000,k=k,dest="+x[0], "x"); got != "+OK" {
@@ -305,7 +305,7 @@
 		}
 	}
 	c.Conn.Close()
-	a.halt()
+	a.stopAndWait()
 	one.Set(partner.Well)
 	two.Set(partner.Well)
 	text := traffic.File(dir, "", two, one) // in another order, and three is gone
@@ -313,13 +313,13 @@
 	unsafe := strings.Index(text, "[[class]]\nname = \"unsafe\"")
 	partners := strings.Index(text, "[[partner]]")
 	text = text[:keyed] + text[partners:] + text[unsafe:partners] // the class keyed is gone, but for the message of it; unsafe comes last
-	a = startAlone(t, text)
+	a = startDaemon(t, text)
 	for id, want := range map[string]string{"one-safe": "delivered", "two-unsafe": "delivered", "three-keyed": "returned", "one-keyed": "delivered"} {
 		if got := state(t, a.HTTPAddr(), id, "19s"); got != want {
 			t.Errorf("%s is %q, want %s", id, got, want)
 		}
 	}
-	a.halt()
+	a.stopAndWait()
 	for _, p := range []*partner.Partner{one, two} {
 		for _, call := range p.Calls() {
 			if !strings.HasPrefix(call.ID, p.Name()+"-") {
@@ -343,7 +343,7 @@
 	sick := startPartner(t, partner.Options{Name: "sick", Phases: []partner.Phase{{Mode: partner.Sick, For: time.Hour}}})
 	dir := t.TempDir()
 	path := filepath.Join(dir, "ends.jsonl")
-	a := startAlone(t, traffic.File(dir, fmt.Sprintf("[sink.file]\npath = %q\n", path), p, sick))
+	a := startDaemon(t, traffic.File(dir, fmt.Sprintf("[sink.file]\npath = %q\n", path), p, sick))
 	c := dial(t, a.RESPAddr())
 	for _, to := range []string{"acme", "sick"} {
 		if got := c.do("MSG.PUT", "0", "to-"+to, "c=unsafe,d=20000,dest="+to, "x"); got != "+OK" {
@@ -352,7 +352,7 @@
 		state(t, a.HTTPAddr(), "to-"+to, "10s")
 	}
 	c.Conn.Close()
-	a.halt()
+	a.stopAndWait()
 	got := map[string]int{}
 	for _, l := range readEnds(t, path) {
 		got[l.ID+" "+l.State+" "+l.Partner]++
@@ -375,7 +375,7 @@
 func TestThousandLongPolls(t *testing.T) {
 	p := startPartner(t, partner.Options{Name: "acme"})
 	p.Set(partner.Hang)
-	a := startAlone(t, traffic.File(t.TempDir(), "[limits]\ndescriptors = 8192\n", p))
+	a := startDaemon(t, traffic.File(t.TempDir(), "[limits]\ndescriptors = 8192\n", p))
 	c := dial(t, a.RESPAddr())
 	if got := c.do("MSG.PUT", "0", "a", "c=safe,d=20000,dest=acme", "x"); got != "+OK" {
 		t.Fatal(got)
--- a/internal/daemon/untried_test.go
+++ b/internal/daemon/untried_test.go
@@ -11,7 +11,7 @@
 // What a restart finds taken on and untried is tried by the new process, half of it with little time left: after a kill and
 // after an ordered end, with a partner that is slow and one that the list names only a second after the start.
 func TestUntriedAfterRestart(t *testing.T) {
-	path, err := built()
+	path, err := programPath()
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/daemon/upgrade_kill_test.go
+++ b/internal/daemon/upgrade_kill_test.go
@@ -10,18 +10,18 @@
 	"cometrack/internal/standin/traffic"
 )
 
-// accounts are the clients' and the partner's, of a run.
-type accounts struct {
-	mu    sync.Mutex
-	taken map[string]bool // answered with +OK
-	calls map[string]int  // answered with 200
-	ended map[string]bool // by a notice
+// ledger are the clients' and the partner's, of a run.
+type ledger struct {
+	mu       sync.Mutex
+	accepted map[string]bool // answered with +OK
+	calls    map[string]int  // answered with 200
+	ended    map[string]bool // by a notice
 }
 
-func (a *accounts) settled() (missing []string) {
+func (a *ledger) unsettled() (missing []string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	for id := range a.taken {
+	for id := range a.accepted {
 		if a.calls[id] == 0 && !a.ended[id] {
 			missing = append(missing, id)
 		}
@@ -29,13 +29,13 @@
 	return missing
 }
 
-// serves waits until so many more messages are taken on.
-func (a *accounts) serves(t *testing.T, n int) {
+// awaitAccepted waits until so many more messages are taken on.
+func (a *ledger) awaitAccepted(t *testing.T, n int) {
 	t.Helper()
 	count := func() int {
 		a.mu.Lock()
 		defer a.mu.Unlock()
-		return len(a.taken)
+		return len(a.accepted)
 	}
 	from := count()
 	byhand.Until(t, "messages that are taken on", func() bool { return count() >= from+n })
@@ -45,8 +45,8 @@
 // after it. One serves again each time, every message that was taken on has its end, and none that must not run
 // twice does.
 func TestUpgradeKills(t *testing.T) {
-	x := newPair(t)
-	addr, acc := x.old.addr, &accounts{taken: map[string]bool{}, calls: map[string]int{}, ended: map[string]bool{}}
+	x := startUpgradeScenario(t)
+	addr, acc := x.old.addr, &ledger{accepted: map[string]bool{}, calls: map[string]int{}, ended: map[string]bool{}}
 	stop := make(chan struct{})
 	var running sync.WaitGroup
 	running.Go(func() { // the partner and the platform
@@ -82,14 +82,14 @@
 			}
 			if traffic.PutRESP(addr, id, "1", class) == "+OK" {
 				acc.mu.Lock()
-				acc.taken[id] = true
+				acc.accepted[id] = true
 				acc.mu.Unlock()
 			}
 		}
 	})
 	cur := x.old
 	for i := range 16 {
-		acc.serves(t, 4)
+		acc.awaitAccepted(t, 4)
 		started := make(chan *process, 1)
 		next := launchProcess(t, x.p, x.dir, x.known, addr)
 		go func() {
@@ -130,14 +130,14 @@
 			}
 		}
 	}
-	acc.serves(t, 4)
+	acc.awaitAccepted(t, 4)
 	close(clients)
-	byhand.Until(t, "end of every message", func() bool { return len(acc.settled()) == 0 })
+	byhand.Until(t, "end of every message", func() bool { return len(acc.unsettled()) == 0 })
 	cur.term()
-	cur.end()
+	cur.awaitExit()
 	close(stop)
 	running.Wait()
-	if ids := owed(t, x.dir); ids != nil {
+	if ids := pendingIDs(t, x.dir); ids != nil {
 		t.Errorf("still owed: %v", ids)
 	}
 }
--- a/internal/daemon/upgrade_test.go
+++ b/internal/daemon/upgrade_test.go
@@ -17,14 +17,14 @@
 	"cometrack/internal/vfs"
 )
 
-// stallIn names the folder in which a copy of the test program takes over a journal's lock and says nothing more.
-const stallIn = "COMETRACK_TEST_STALL"
+// stallDirVariable names the folder in which a copy of the test program takes over a journal's lock and says nothing more.
+const stallDirVariable = "COMETRACK_TEST_STALL"
 
-// hangUp says that the copy breaks the connection first.
-const hangUp = "COMETRACK_TEST_HANG_UP"
+// stallDisconnectVariable says that the copy breaks the connection first.
+const stallDisconnectVariable = "COMETRACK_TEST_HANG_UP"
 
-// stall is a successor that hangs in the worst place: it has the lock and has not said so.
-func stall(dir string) {
+// stallHoldingLock is a successor that hangs in the worst place: it has the lock and has not said so.
+func stallHoldingLock(dir string) {
 	c, err := handover.Dial(dir, time.Second)
 	if err == nil {
 		err = c.Send(&handover.Ask{Format: handover.Format})
@@ -39,7 +39,7 @@
 		fmt.Fprintln(os.Stderr, "stall:", err)
 		os.Exit(1)
 	}
-	if os.Getenv(hangUp) != "" {
+	if os.Getenv(stallDisconnectVariable) != "" {
 		c.Close()
 	}
 	fmt.Fprintln(os.Stderr, "msg=ready")
@@ -50,14 +50,14 @@
 // requests read and calls out, which the new one took for ended: it stops deciding, calls off what it has out, turns
 // away what comes, and ends when it is told to.
 func TestUpgradeWhoseSocketBreaks(t *testing.T) {
-	x := newPair(t)
+	x := startUpgradeScenario(t)
 	c := dial(t, x.old.addr)
 	c.put("u", "unsafe", "+OK")
-	in := x.call("u")
+	in := x.awaitCall("u")
 	const late = "*5\r\n$7\r\nMSG.PUT\r\n$4\r\n0000\r\n$4\r\nlate\r\n$27\r\nc=safe,t=acme,d=9000,dest=1\r\n$1\r\nx\r\n"
 	io.WriteString(c.Conn, late[:len(late)/2]) // keeps the connection open
-	t.Setenv(hangUp, "yes")
-	runSelf(t, stallIn+"="+x.dir)
+	t.Setenv(stallDisconnectVariable, "yes")
+	runSelf(t, stallDirVariable+"="+x.dir)
 	x.old.says("it decides")
 	in.AwaitEnd(t)
 	io.WriteString(c.Conn, late[len(late)/2:])
@@ -65,24 +65,24 @@
 		t.Errorf("a request that comes then gets %q", got)
 	}
 	x.old.term()
-	x.old.end()
+	x.old.awaitExit()
 }
 
 // A successor that dies and takes its time to give the journal's lock back was taken for one that lives, and nobody
 // decided any more: a process that has ended, or is about to, is told from one that runs.
 func TestDyingProcessIsNotTakenForALivingOne(t *testing.T) {
-	if isEnding(os.Getpid()) {
+	if isExiting(os.Getpid()) {
 		t.Error("this process is taken for one that ends")
 	}
 	child := exec.Command("true")
 	if err := child.Start(); err != nil {
 		t.Fatal(err)
 	}
-	byhand.Until(t, "end of a process that nobody waits for", func() bool { return isEnding(child.Process.Pid) })
+	byhand.Until(t, "end of a process that nobody waits for", func() bool { return isExiting(child.Process.Pid) })
 	if err := child.Wait(); err != nil {
 		t.Fatal(err)
 	}
-	if !isEnding(child.Process.Pid) {
+	if !isExiting(child.Process.Pid) {
 		t.Error("a process that is gone is taken for one that runs")
 	}
 }
@@ -118,11 +118,11 @@
 	dial(t, x.addr).put("m", "safe", "+OK")
 	byhand.Await(t, e.Calls, "call").Reply(200)
 	x.term()
-	x.end()
+	x.awaitExit()
 }
 
-// pair is a sender that is going to be upgraded.
-type pair struct {
+// upgradeScenario is a sender that is going to be upgraded.
+type upgradeScenario struct {
 	t     *testing.T
 	p     *discovery.Platform
 	e     *byhand.Endpoint
@@ -131,9 +131,9 @@
 	old   *process
 }
 
-func newPair(t *testing.T) *pair {
+func startUpgradeScenario(t *testing.T) *upgradeScenario {
 	t.Helper()
-	x := &pair{t: t, p: discovery.New(t), e: byhand.NewEndpoint(t), dir: t.TempDir()}
+	x := &upgradeScenario{t: t, p: discovery.New(t), e: byhand.NewEndpoint(t), dir: t.TempDir()}
 	x.known = platform.List{Generation: 1, Reset: true, Instances: instances(x.e)}
 	x.p.List = x.known
 	x.old = startProcess(t, x.p, x.dir, x.known)
@@ -141,7 +141,7 @@
 }
 
 // upgrade starts the next process beside the one that serves, and waits until it does.
-func (x *pair) upgrade() *process {
+func (x *upgradeScenario) upgrade() *process {
 	x.t.Helper()
 	next := startProcess(x.t, x.p, x.dir, x.known)
 	if next.addr != x.old.addr {
@@ -150,7 +150,7 @@
 	return next
 }
 
-func (x *pair) call(id string) *byhand.InCall {
+func (x *upgradeScenario) awaitCall(id string) *byhand.InCall {
 	x.t.Helper()
 	in := byhand.Await(x.t, x.e.Calls, "call of "+id)
 	if in.ID() != id {
@@ -160,12 +160,12 @@
 }
 
 // finish stops a process and checks that nothing is owed, and nothing was sent that should not have been.
-func (x *pair) finish(n *process) {
+func (x *upgradeScenario) finish(n *process) {
 	x.t.Helper()
 	n.term()
-	n.end()
+	n.awaitExit()
 	x.e.None(x.t)
-	if ids := owed(x.t, x.dir); ids != nil {
+	if ids := pendingIDs(x.t, x.dir); ids != nil {
 		x.t.Errorf("still owed: %v", ids)
 	}
 }
@@ -173,15 +173,15 @@
 // Calls that are out stay out: their outcomes count, a told wait holds for the successor, what is held goes on, a
 // half-sent request is answered where it was begun, and the old process ends by itself.
 func TestUpgradeWithCallsOut(t *testing.T) {
-	x := newPair(t)
+	x := startUpgradeScenario(t)
 	c, half := dial(t, x.old.addr), dial(t, x.old.addr)
 	out := map[string]*byhand.InCall{}
 	for _, class := range []string{"safe", "keyed", "unsafe"} {
 		c.put("m-"+class, class, "+OK")
-		out[class] = x.call("m-" + class)
+		out[class] = x.awaitCall("m-" + class)
 	}
 	io.WriteString(half.Conn, "*5\r\n$7\r\nMSG.PUT\r\n$1\r\n0\r\n$4\r\nhalf\r\n")
-	half.arrived(c)
+	half.awaitReceived(c)
 	next := x.upgrade()
 	if got := c.line(); got != "" { // closed between requests
 		t.Errorf("kept: %q", got)
@@ -192,25 +192,25 @@
 	}
 	out["keyed"].Reply(200)
 	out["safe"].Reply(200)
-	x.call("half").Reply(200)
+	x.awaitCall("half").Reply(200)
 	told := time.Now()
 	const wait = 600 * time.Millisecond
 	out["unsafe"].Reply(429, "X-Come-Back-Ms: 600")
 	dial(t, next.addr).put("m-unsafe", "unsafe", "+OK") // the same message once more
-	in := x.call("m-unsafe")
+	in := x.awaitCall("m-unsafe")
 	if d := in.At.Sub(told); d < wait {
 		t.Errorf("sent again %v after a wait of %v was told", d, wait)
 	}
 	in.Reply(200)
-	x.old.end()
+	x.old.awaitExit()
 	x.finish(next)
 	if len(x.p.Notices) != 0 {
 		t.Errorf("notice %+v", <-x.p.Notices)
 	}
 }
 
-// arrived waits until what was sent on this connection has come: what was sent later on another has been answered.
-func (c *client) arrived(other *client) {
+// awaitReceived waits until what was sent on this connection has come: what was sent later on another has been answered.
+func (c *client) awaitReceived(other *client) {
 	c.t.Helper()
 	if got := other.do("PING"); got != "+PONG" {
 		c.t.Fatalf("PING: %q", got)
@@ -219,7 +219,7 @@
 
 // Both together keep to the slots of one: with all out at the old process, the successor waits for their outcomes.
 func TestUpgradeCountsSlots(t *testing.T) {
-	x := newPair(t)
+	x := startUpgradeScenario(t)
 	c := dial(t, x.old.addr)
 	var out []*byhand.InCall
 	for i := range 3 { // half of the six slots may go to one partner
@@ -236,40 +236,40 @@
 	byhand.Await(t, x.e.Calls, "call of the other").Reply(200)
 	out[1].Reply(200)
 	out[2].Reply(200)
-	x.old.end()
+	x.old.awaitExit()
 	x.finish(next)
 }
 
 // The old process is killed right after the step: its calls are in doubt, and only those.
 func TestUpgradeThenKillOld(t *testing.T) {
-	x := newPair(t)
+	x := startUpgradeScenario(t)
 	c := dial(t, x.old.addr)
 	c.put("u", "unsafe", "+OK")
-	x.call("u")
+	x.awaitCall("u")
 	c.put("s", "safe", "+OK")
-	x.call("s")
+	x.awaitCall("s")
 	next := x.upgrade()
 	x.old.kill()
 	if n := byhand.Await(t, x.p.Notices, "notice"); n != (discovery.Notice{ID: "u", State: "failed"}) {
 		t.Errorf("notice %+v", n)
 	}
-	x.call("s").Reply(200)
+	x.awaitCall("s").Reply(200)
 	x.finish(next)
 }
 
 // The successor is killed right after the step: the journal has all that was taken on, for the start after.
 func TestUpgradeThenKillHeir(t *testing.T) {
-	x := newPair(t)
+	x := startUpgradeScenario(t)
 	c := dial(t, x.old.addr)
 	c.put("s", "safe", "+OK")
-	x.call("s")
+	x.awaitCall("s")
 	next := x.upgrade()
 	dial(t, next.addr).put("more", "safe", "+OK")
-	more := x.call("more")
+	more := x.awaitCall("more")
 	next.kill()
 	more.Reset()
 	x.old.term()
-	x.old.end()
+	x.old.awaitExit()
 	last := startProcess(t, x.p, x.dir, x.known)
 	got := map[string]bool{}
 	for range 2 {
@@ -286,7 +286,7 @@
 // Processes that ask and come to nothing: one that goes away at each stage, one that says nothing, one of another
 // format, and one that hangs with the journal's lock. The old one serves on and has lost nothing.
 func TestUpgradeThatFails(t *testing.T) {
-	ask := func(t *testing.T, x *pair, format int, want any) *handover.Conn {
+	ask := func(t *testing.T, x *upgradeScenario, format int, want any) *handover.Conn {
 		t.Helper()
 		c, err := handover.Dial(x.dir, byhand.Patience)
 		if err != nil {
@@ -306,25 +306,25 @@
 		}
 		return c
 	}
-	for name, try := range map[string]func(t *testing.T, x *pair){
-		"goes before it asks": func(t *testing.T, x *pair) {
+	for name, try := range map[string]func(t *testing.T, x *upgradeScenario){
+		"goes before it asks": func(t *testing.T, x *upgradeScenario) {
 			c, err := handover.Dial(x.dir, byhand.Patience)
 			if err != nil {
 				t.Fatal(err)
 			}
 			c.Close()
 		},
-		"goes with the snapshot": func(t *testing.T, x *pair) {
+		"goes with the snapshot": func(t *testing.T, x *upgradeScenario) {
 			ask(t, x, handover.Format, &handover.Snapshot{}).Close()
 			x.old.says("not handed over")
 		},
-		"says nothing": func(t *testing.T, x *pair) {
+		"says nothing": func(t *testing.T, x *upgradeScenario) {
 			ask(t, x, handover.Format, &handover.Snapshot{})
 			x.old.says("not handed over")
 		},
-		"another format": func(t *testing.T, x *pair) { ask(t, x, 99, &handover.Refuse{}) },
-		"hangs with the lock": func(t *testing.T, x *pair) {
-			hung := runSelf(t, stallIn+"="+x.dir)
+		"another format": func(t *testing.T, x *upgradeScenario) { ask(t, x, 99, &handover.Refuse{}) },
+		"hangs with the lock": func(t *testing.T, x *upgradeScenario) {
+			hung := runSelf(t, stallDirVariable+"="+x.dir)
 			x.old.says("it is ended")
 			if err := hung.Wait(); err == nil || !strings.Contains(err.Error(), "killed") {
 				t.Errorf("it ended with %v", err)
@@ -334,20 +334,20 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			x := newPair(t)
+			x := startUpgradeScenario(t)
 			c := dial(t, x.old.addr)
 			c.put("u", "unsafe", "+OK")
-			in := x.call("u")
+			in := x.awaitCall("u")
 			try(t, x)
 			in.Reply(200)
 			c2 := dial(t, x.old.addr)
 			c2.put("after", "unsafe", "+OK")
-			x.call("after").Reply(200)
+			x.awaitCall("after").Reply(200)
 			c2.put("u", "unsafe", "+OK") // known still
 			next := x.upgrade()          // and the next one that asks takes over
 			dial(t, next.addr).put("last", "safe", "+OK")
-			x.call("last").Reply(200)
-			x.old.end()
+			x.awaitCall("last").Reply(200)
+			x.old.awaitExit()
 			x.finish(next)
 		})
 	}
@@ -356,7 +356,7 @@
 // Four upgrades in a row under load: every message that was taken on is delivered, none twice, and no connection
 // meets a closed door.
 func TestUpgradesUnderLoad(t *testing.T) {
-	x := newPair(t)
+	x := startUpgradeScenario(t)
 	addr, n := x.old.addr, 0
 	answered, stop, done := make(chan struct{}, 1), make(chan struct{}), make(chan int)
 	go func() {
@@ -390,7 +390,7 @@
 			put()
 			select {
 			case next = <-ready:
-				x.old.end()
+				x.old.awaitExit()
 				x.old = next
 			default:
 			}
@@ -398,12 +398,12 @@
 		put()
 	}
 	x.old.term()
-	x.old.end()
+	x.old.awaitExit()
 	close(stop)
 	if got := <-done; got != n {
 		t.Errorf("%d of %d messages were sent", got, n)
 	}
-	if ids := owed(t, x.dir); ids != nil {
+	if ids := pendingIDs(t, x.dir); ids != nil {
 		t.Errorf("still owed: %v", ids)
 	}
 }
--- a/internal/daemon/window_test.go
+++ b/internal/daemon/window_test.go
@@ -109,7 +109,7 @@
 				}
 			}
 			y.term()
-			y.end()
+			y.awaitExit()
 			all := calls("once")
 			for _, c := range all[1:] {
 				if late := c.At.Sub(over); late > slack {
--- a/internal/soak/points.go
+++ b/internal/soak/points.go
@@ -35,7 +35,7 @@
 
 // points are all of them, in the order in which a message and a process come by.
 var points = []point{
-	{faultbuild.Point{Name: "start: the journal is open", File: startup, Before: "	share := shareOut("}, byStart},
+	{faultbuild.Point{Name: "start: the journal is open", File: startup, Before: "	limits := divideDescriptors("}, byStart},
 	{faultbuild.Point{Name: "start: the store is read", File: "internal/journal/journal.go", Before: "	if err = j.load(); err == nil {"}, byStart},
 	{faultbuild.Point{Name: "start: the module has what was held", File: coreRun, Before: "	c.step(work)                       // what"}, byStart},
 	{faultbuild.Point{Name: "start: first step done", File: coreRun, Before: "	if !c.cfg.Settings.ListOnRequest { // the"}, byStart},
@@ -84,12 +84,12 @@
 	{faultbuild.Point{Name: "list: read, not taken", File: coreLoop, Before: "	c.listReceived, c.weightShare = true, ev.List.Share"}, byTraffic},
 	{faultbuild.Point{Name: "sweep: about to forget", File: coreLoop, Before: "	c.store.Forget(c.clock.At(now))"}, byTraffic},
 	{faultbuild.Point{Name: "reload: read, not checked", File: startup, Before: "			err = p.cfg.CanFollow(cfg)"}, byReload},
-	{faultbuild.Point{Name: "reload: settings follow, not kept", File: startup, Before: "		p.cfg = cfg\n		p.keep()"}, byReload},
+	{faultbuild.Point{Name: "reload: settings follow, not kept", File: startup, Before: "		p.cfg = cfg\n		p.saveConfig()"}, byReload},
 	{faultbuild.Point{Name: "reload: notices about to move", File: startup, Before: "		p.sink.Move(cfg.Discovery)"}, byReload},
 	{faultbuild.Point{Name: "handover: asked for, not begun", File: handingOver, Before: "		c.handoverRequest = &ev"}, byUpgrade},
 	{faultbuild.Point{Name: "handover: snapshot there, journal open", File: handingOver, Before: "	taken := false\n	c.closeBacklog()"}, byUpgrade},
 	{faultbuild.Point{Name: "handover: journal shut, nothing given", File: handingOver, Before: "		var listeners []net.Listener"}, byUpgrade},
-	{faultbuild.Point{Name: "handover: snapshot read, journal not opened", File: "internal/daemon/handover.go", Before: "			if kept, err = open(); err == nil {\n				return kept, in, nil"}, byUpgrade},
+	{faultbuild.Point{Name: "handover: snapshot read, journal not opened", File: "internal/daemon/handover.go", Before: "			if opened, err = open(); err == nil {\n				return opened, takeover, nil"}, byUpgrade},
 	{faultbuild.Point{Name: "handover: journal opened, not said", File: "internal/core/inherit.go", Before: "	c.log.Info(\"taken over\""}, byUpgrade},
 	{faultbuild.Point{Name: "handover: taken, not noted", File: handingOver, Before: "		c.lifecycle.HandleEvent(lifecycle.HandoverCompleted)"}, byUpgrade},
 	{faultbuild.Point{Name: "handover: about to relay", File: "internal/core/relay.go", Before: "	for !r.finished() {"}, byUpgrade},
