--- a/internal/daemon/backlog_test.go
+++ b/internal/daemon/backlog_test.go
@@ -15,7 +15,7 @@
 	"cometrack/internal/standin/traffic"
 )
 
-// submitAll hands messages in on one connection and fails unless each is taken on.
+// submitAll submits messages on one connection and fails unless each is accepted.
 func submitAll(t *testing.T, addr string, ids []string, class string, ms int) {
 	t.Helper()
 	c, err := traffic.DialRESP(addr)
@@ -42,15 +42,17 @@
 	return out
 }
 
-// The real process, with a window of four, is killed while messages lie behind it, while they come into it, and while
-// they end behind it. Each has one end; none runs twice; what is handed in again is known, also behind the window.
-func TestBehindTheWindowThroughKills(t *testing.T) {
+// The real process, with a window of four messages, is killed while messages are in the backlog, while they are
+// refilled, and while they end in the backlog. Each message has one end, and none that must not runs twice. A message
+// that is submitted again is recognized, also in the backlog.
+func TestBacklogThroughKills(t *testing.T) {
 	t.Parallel()
 	acme := startPartner(t, partner.Options{Name: "acme", Latency: 150 * time.Millisecond})
 	dir := t.TempDir()
 	ended := filepath.Join(dir, "ends")
 	config := filepath.Join(dir, "config.toml")
-	text := fixPorts(t, traffic.File(filepath.Join(dir, "state"), fmt.Sprintf("[limits]\nwindow = 4\n[sink.file]\npath = %q\n", ended), acme))
+	text := fixPorts(t, traffic.File(filepath.Join(dir, "state"),
+		fmt.Sprintf("[limits]\nwindow = 4\n[sink.file]\npath = %q\n", ended), acme))
 	if err := os.WriteFile(config, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
@@ -58,11 +60,11 @@
 	unsafe, safe, short := numberedIDs("u", 40), numberedIDs("s", 40), numberedIDs("x", 30)
 	submitAll(t, x.resp, unsafe, "unsafe", 18_000)
 	submitAll(t, x.resp, safe, "safe", 18_000)
-	again := func() {
+	resubmit := func() {
 		t.Helper()
 		submitAll(t, x.resp, unsafe[35:], "unsafe", 18_000)
 		if s := state(t, x.http, "s39", "0s"); s != "accepted" {
-			t.Errorf("behind the window a message is %q", s)
+			t.Errorf("a message in the backlog is %q", s)
 		}
 		c, err := traffic.DialRESP(x.resp)
 		if err != nil {
@@ -73,10 +75,10 @@
 			t.Fatal(err)
 		}
 		if line, _ := c.Answer(); !strings.HasPrefix(line, "-") || strings.HasPrefix(line, "-BUSY") {
-			t.Errorf("another message of an id behind the window: %q", line)
+			t.Errorf("another message with an id in the backlog: %q", line)
 		}
 	}
-	again()
+	resubmit()
 	submitAll(t, x.resp, short, "safe", 700)
 	kill := func() {
 		t.Helper()
@@ -84,20 +86,20 @@
 		x.Wait()
 		x = startServe(t, config)
 	}
-	over := func() (n int) {
-		list, _ := traffic.Ends(ended) // its last line may be cut short
+	endCount := func() (n int) {
+		list, _ := traffic.Ends(ended) // the last line may be incomplete
 		return len(list)
 	}
-	byhand.Until(t, "the first ends behind the window", func() bool { return over() > 0 })
+	byhand.Until(t, "the first ends in the backlog", func() bool { return endCount() > 0 })
 	kill()
-	again()
+	resubmit()
 	for _, id := range short {
 		if s := state(t, x.http, id, "10s"); s != message.Returned {
 			t.Errorf("%s is %q", id, s)
 		}
 	}
 	for _, calls := range []int{10, 40} {
-		byhand.Until(t, "messages out of the backlog", func() bool { return executedCalls(acme) > calls })
+		byhand.Until(t, "messages refilled from the backlog", func() bool { return executedCalls(acme) > calls })
 		kill()
 	}
 	for _, id := range append(append([]string{}, unsafe...), safe...) {
@@ -108,15 +110,15 @@
 	x.Signal(syscall.SIGTERM)
 	x.Wait()
 	list, _ := traffic.Ends(ended)
-	told := map[string]string{}
+	states := map[string]string{}
 	for _, l := range list {
-		if was := told[l.ID]; was != "" && was != l.State {
-			t.Errorf("%s is told as %s and as %s", l.ID, was, l.State)
+		if earlier := states[l.ID]; earlier != "" && earlier != l.State {
+			t.Errorf("%s is reported as %s and as %s", l.ID, earlier, l.State)
 		}
-		told[l.ID] = l.State
+		states[l.ID] = l.State
 	}
-	if len(told) != 110 {
-		t.Errorf("%d ends are told of 110", len(told))
+	if len(states) != 110 {
+		t.Errorf("%d of 110 ends are reported", len(states))
 	}
 	n := map[string]int{}
 	for _, c := range acme.Calls() {
@@ -124,7 +126,7 @@
 			n[c.ID]++
 		}
 		if c.InWait || c.Overlap {
-			t.Errorf("a call in a wait, or two at once: %+v", c)
+			t.Errorf("a call within a requested wait, or two attempts at once: %+v", c)
 		}
 	}
 	for id, k := range n {
@@ -144,8 +146,8 @@
 	return n
 }
 
-// An upgrade with messages behind the window hands them over, and a file without a window brings them into memory.
-func TestUpgradeWithMessagesBehindTheWindow(t *testing.T) {
+// An upgrade hands over the messages in the backlog. A configuration without a window refills them all into memory.
+func TestUpgradeWithBacklog(t *testing.T) {
 	t.Parallel()
 	acme := startPartner(t, partner.Options{Name: "acme", Latency: 100 * time.Millisecond})
 	dir := t.TempDir()
@@ -163,13 +165,13 @@
 	submitAll(t, x.resp, list, "unsafe", 18_000)
 	y := startServe(t, config)
 	if err := x.Wait(); err != nil {
-		t.Errorf("the process that handed over ended with %v", err)
+		t.Errorf("the first predecessor exited with %v", err)
 	}
 	submitAll(t, y.resp, list[40:], "unsafe", 18_000)
 	write(strings.Replace(text, "window = 4", "window = 0", 1))
 	z := startServe(t, config)
 	if err := y.Wait(); err != nil {
-		t.Errorf("the second process that handed over ended with %v", err)
+		t.Errorf("the second predecessor exited with %v", err)
 	}
 	for _, id := range list {
 		if s := state(t, z.http, id, "15s"); s != message.Delivered {
@@ -178,7 +180,7 @@
 	}
 	z.Signal(syscall.SIGTERM)
 	if err := z.Wait(); err != nil {
-		t.Errorf("ended with %v", err)
+		t.Errorf("exited with %v", err)
 	}
 	n := map[string]int{}
 	for _, c := range acme.Calls() {
--- a/internal/daemon/badinput_test.go
+++ b/internal/daemon/badinput_test.go
@@ -20,22 +20,22 @@
 	"cometrack/internal/standin/traffic"
 )
 
-var update = flag.Bool("update", false, "write docs/operate/bad-input.md anew")
+var update = flag.Bool("update", false, "rewrite docs/operate/bad-input.md")
 
 const badInputPage = "../../docs/operate/bad-input.md"
 
-// badInput is one kind of badInput input, sent as it stands.
+// badInput is one kind of invalid input, sent as it is.
 type badInput struct {
 	name       string
 	sent       string
-	closeAfter bool // the client ends its sending after that
+	closeAfter bool // the client closes its sending side after that
 }
 
 func httpSubmission(query, head, body string) string {
 	return "POST /v1/messages?" + query + " HTTP/1.1\r\nHost: x\r\n" + head + "\r\n" + body
 }
 
-// respCommand is a MSG.PUT request.
+// respCommand returns a RESP2 request.
 func respCommand(args ...string) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "*%d\r\n", len(args))
@@ -125,7 +125,7 @@
 	{"HELLO 3", respCommand("HELLO", "3"), false},
 }
 
-// sendAndDescribe sends bad input and tells the answer in a line.
+// sendAndDescribe sends the input and describes the answer in one line.
 func (b badInput) sendAndDescribe(t *testing.T, addr string, isHTTP bool) string {
 	conn, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -165,7 +165,7 @@
 	return out
 }
 
-// Every kind of bad input has a plain answer, none of it is taken on, and docs/operate/bad-input.md shows them all.
+// Each kind of invalid input has a clear answer, none of it is accepted, and docs/operate/bad-input.md lists them all.
 func TestBadInput(t *testing.T) {
 	p := startPartner(t, partner.Options{Name: "acme"})
 	a := startDaemon(t, traffic.File(t.TempDir(), "", p))
@@ -189,32 +189,32 @@
 		}
 	}
 	if s := state(t, a.HTTPAddr(), "bad", "0s"); s != "" {
-		t.Errorf("bad input was taken on: %s", s)
+		t.Errorf("invalid input was accepted: %s", s)
 	}
 	a.stopAndWait()
 	if calls := p.Calls(); len(calls) != 0 {
-		t.Errorf("the partner got %+v", calls)
+		t.Errorf("the partner received %+v", calls)
 	}
 	if *update {
 		if err := os.WriteFile(badInputPage, page.Bytes(), 0o644); err != nil {
 			t.Fatal(err)
 		}
 	}
-	want, err := os.ReadFile(badInputPage)
+	pageText, err := os.ReadFile(badInputPage)
 	if err != nil {
 		t.Fatal(err)
 	}
-	have, old := strings.Split(page.String(), "\n"), strings.Split(string(want), "\n")
-	for i := range max(len(have), len(old)) {
-		var x, y string
-		if i < len(have) {
-			x = have[i]
+	gotLines, wantLines := strings.Split(page.String(), "\n"), strings.Split(string(pageText), "\n")
+	for i := range max(len(gotLines), len(wantLines)) {
+		var got, want string
+		if i < len(gotLines) {
+			got = gotLines[i]
 		}
-		if i < len(old) {
-			y = old[i]
+		if i < len(wantLines) {
+			want = wantLines[i]
 		}
-		if x != y {
-			t.Errorf("the page says %q, the daemon %q", y, x)
+		if got != want {
+			t.Errorf("line of the page is %q, the daemon answers %q", want, got)
 		}
 	}
 }
--- a/internal/daemon/busyend_held_test.go
+++ b/internal/daemon/busyend_held_test.go
@@ -19,14 +19,14 @@
 	"cometrack/internal/standin/partner"
 )
 
-// pipeliningClient is a client on whose one connection a request has always begun: each write brings the rest of one and
-// the first half of the next.
+// pipeliningClient is a client that always has a request in progress on its one connection: each write contains the
+// rest of a request and the first half of the next.
 type pipeliningClient struct {
 	net.Conn
-	ends     []int64 // of each request that was written whole, in bytes from the start of the connection
+	ends     []int64 // end of each completely written request, in bytes from the start of the connection
 	answers  []string
-	answered chan struct{} // closed with the first answer
-	loops    sync.WaitGroup
+	answered chan struct{}  // closed with the first answer
+	loops    sync.WaitGroup // the writer and the reader
 }
 
 func startPipeliningClient(t *testing.T, addr, name string, pace time.Duration) *pipeliningClient {
@@ -35,7 +35,7 @@
 		t.Fatal(err)
 	}
 	c := &pipeliningClient{Conn: conn, answered: make(chan struct{})}
-	over := make(chan struct{})
+	readerDone := make(chan struct{})
 	c.loops.Go(func() {
 		rest, written := "", int64(0)
 		for n := 0; ; n++ {
@@ -53,7 +53,7 @@
 			written += int64(half)
 			rest = next[half:]
 			select {
-			case <-over:
+			case <-readerDone:
 				return
 			case <-time.After(pace):
 			}
@@ -61,7 +61,7 @@
 	})
 	c.loops.Go(func() {
 		defer conn.Close()
-		defer close(over)
+		defer close(readerDone)
 		for r := bufio.NewReader(conn); ; {
 			line, err := r.ReadString('\n')
 			if err != nil {
@@ -75,7 +75,7 @@
 	return c
 }
 
-// unanswered is how many of the requests have no answer that the sender had read whole before it ended the connection.
+// unanswered counts the requests without an answer that the sender had read completely before it ended the connection.
 func (c *pipeliningClient) unanswered(traced []*faultbuild.Connection) (n int) {
 	for _, x := range traced {
 		if x.Port != c.LocalAddr().(*net.TCPAddr).Port {
@@ -90,7 +90,7 @@
 	return n
 }
 
-// readAfter says whether something was read from a connection after a moment.
+// readAfter reports whether data was read from a connection after moment.
 func readAfter(traced []*faultbuild.Connection, moment time.Time) bool {
 	return slices.ContainsFunc(traced, func(c *faultbuild.Connection) bool {
 		n := len(c.Reads)
@@ -98,19 +98,19 @@
 	})
 }
 
-// A request that was read as the process ends got no answer: a sender that is told to end answers each one that it has
-// read before its connection ends, also if it is held up in its last moments.
+// Requests that were read while the process was exiting got no answer. After SIGTERM a sender must answer each request
+// that it has read before its connection ends, even if it is stalled shortly before it exits.
 func TestRequestReadIsAnsweredBeforeTheEnd(t *testing.T) {
 	const (
 		processes = 16
 		clients   = 8
 		pace      = 5 * time.Millisecond
-		early     = 3300 * time.Millisecond // from SIGTERM on, until half of the processes are held up over the end, at 3.4 s
-		last      = 3380 * time.Millisecond // until the others are held up, one after the other
+		early     = 3300 * time.Millisecond // after SIGTERM, until half of the processes are stalled past the end, at 3.4 s
+		last      = 3380 * time.Millisecond // until the others are stalled, one after the other
 		apart     = 5 * time.Millisecond
-		kill      = 3700 * time.Millisecond // SIGTERM to SIGKILL
-		holdFor   = 135 * time.Millisecond  // with what the harness adds, up to 0.15 s
-		holds     = 0.004                   // for each reading of the clock, until the first
+		kill      = 3700 * time.Millisecond // from SIGTERM to SIGKILL
+		stallTime = 135 * time.Millisecond  // up to 0.15 s with the overhead of the harness
+		stallRate = 0.004                   // probability of a stall at each reading of the clock, until the first stall
 	)
 	path, err := faultProgramPath()
 	if err != nil {
@@ -118,10 +118,11 @@
 	}
 	to := startPartner(t, partner.Options{Name: "1"})
 	var all sync.WaitGroup
-	var busy atomic.Int32 // processes that read to their last moments
+	var busy atomic.Int32 // processes that read requests until shortly before their exit
 	for i := range processes {
 		p := discovery.New(t)
-		p.List = platform.List{Generation: 1, Reset: true, Instances: []platform.Instance{{ID: "s-0", HostPort: to.Addr(), Zone: "a", Kind: "std",
+		p.List = platform.List{Generation: 1, Reset: true, Instances: []platform.Instance{{ID: "s-0",
+			HostPort: to.Addr(), Zone: "a", Kind: "std",
 			Dest: 1, Lifecycle: "up", Weight: 10000}}}
 		dir := t.TempDir()
 		controls, err := faultbuild.NewControls(filepath.Join(dir, "page"))
@@ -144,21 +145,21 @@
 			stop, resumed := make(chan struct{}), make(chan []time.Duration, 1)
 			go func() {
 				resumed <- faultbuild.Resume(x.Cmd.Process.Pid, func() time.Duration {
-					controls.SetHolds(0) // it is held up once
-					return holdFor
+					controls.SetHolds(0) // one stall only
+					return stallTime
 				}, stop)
 			}()
-			held := early
+			stallAfter := early
 			if i >= processes/2 {
-				held = last + time.Duration(i-processes/2)*apart
+				stallAfter = last + time.Duration(i-processes/2)*apart
 			}
 			from := time.Now()
 			x.term()
-			hold := time.AfterFunc(held, func() { controls.SetHolds(holds) })
-			late := time.AfterFunc(kill+2*to.Stall(), func() { x.Signal(syscall.SIGKILL) })
+			stallTimer := time.AfterFunc(stallAfter, func() { controls.SetHolds(stallRate) })
+			killTimer := time.AfterFunc(kill+2*to.Stall(), func() { x.Signal(syscall.SIGKILL) })
 			x.Wait()
-			hold.Stop()
-			late.Stop()
+			stallTimer.Stop()
+			killTimer.Stop()
 			took := time.Since(from)
 			close(stop)
 			traced, err := faultbuild.Connections(trace)
@@ -182,11 +183,12 @@
 			if readAfter(traced, from.Add(early)) {
 				busy.Add(1)
 			}
-			t.Logf("process %d: %d answers; held up for %v; ended after %v", i, answers, <-resumed, took)
+			t.Logf("process %d: %d answers; stalled for %v; exited after %v", i, answers, <-resumed, took)
 		})
 	}
 	all.Wait()
 	if n := busy.Load(); n < processes/2 {
-		t.Errorf("%d of %d processes read to their last moments: that proves nothing", n, processes)
+		t.Errorf("only %d of %d processes read requests until shortly before their exit: the test proves nothing",
+			n, processes)
 	}
 }
--- a/internal/daemon/busyend_test.go
+++ b/internal/daemon/busyend_test.go
@@ -16,23 +16,24 @@
 	"cometrack/internal/standin/partner"
 )
 
-// Clients that send one request behind the other and never wait for an answer, on connections that stay open, from
-// before SIGTERM until the process has gone: no request that came well before its connection ended goes without an
-// answer, and the process ends by itself in time.
+// Clients send requests without waiting for answers, on connections that stay open, from before SIGTERM until the
+// process has exited. Each request sent well before the end of its connection has an answer, and the process exits by
+// itself in time.
 func TestRequestsUpToTheEnd(t *testing.T) {
 	const (
 		conns   = 12
 		pace    = 3 * time.Millisecond
-		crosses = 150 * time.Millisecond // a request that is younger may have crossed the end of its connection
+		transit = 150 * time.Millisecond // a younger request may have been in transit at the end of its connection
 	)
 	to := startPartner(t, partner.Options{Name: "1"})
 	p := discovery.New(t)
-	known := platform.List{Generation: 1, Reset: true, Instances: []platform.Instance{{ID: "s-0", HostPort: to.Addr(), Zone: "a", Kind: "std",
+	known := platform.List{Generation: 1, Reset: true, Instances: []platform.Instance{{ID: "s-0",
+		HostPort: to.Addr(), Zone: "a", Kind: "std",
 		Dest: 1, Lifecycle: "up", Weight: 10000}}}
 	p.List = known
 	x := startProcess(t, p, t.TempDir(), known)
 	var all sync.WaitGroup
-	var asked, answered atomic.Int64
+	var requests, answered atomic.Int64
 	stop := make(chan struct{})
 	for i := range conns {
 		c, err := net.Dial("tcp", x.addr)
@@ -56,7 +57,7 @@
 				if _, err := c.Write([]byte(text)); err != nil {
 					return
 				}
-				asked.Add(1)
+				requests.Add(1)
 				select {
 				case <-stop:
 					return
@@ -81,8 +82,8 @@
 			mu.Lock()
 			defer mu.Unlock()
 			for k, at := range sent[min(n, len(sent)):] {
-				if age := ended.Sub(at); age > crosses+2*to.Stall() {
-					t.Errorf("request %d of connection %d had no answer %v later, as its connection ended", n+k, i, age)
+				if age := ended.Sub(at); age > transit+2*to.Stall() {
+					t.Errorf("request %d of connection %d had no answer %v later, at the end of its connection", n+k, i, age)
 					break
 				}
 			}
@@ -94,8 +95,8 @@
 	x.awaitExit()
 	close(stop)
 	all.Wait()
-	t.Logf("%d requests, %d answers, ended after %v", asked.Load(), answered.Load(), time.Since(from))
+	t.Logf("%d requests, %d answers, exited after %v", requests.Load(), answered.Load(), time.Since(from))
 	if took := time.Since(from); took > 3700*time.Millisecond {
-		t.Errorf("it ends %v after SIGTERM, and is killed after 3.7 s", took)
+		t.Errorf("the process exited %v after SIGTERM; it would be killed after 3.7 s", took)
 	}
 }
--- a/internal/daemon/clients_test.go
+++ b/internal/daemon/clients_test.go
@@ -22,26 +22,27 @@
 	return string(b)
 }
 
-// A client that says nothing, or half a request, would keep its place for good.
+// A client that sends nothing, or half a request, must not keep its connection forever.
 func TestSilentClients(t *testing.T) {
 	n, _, _, _ := startScenario(t, 1)
-	for name, said := range map[string]string{"nothing": "", "half a length": "*5", "half a request": "*5\r\n$7\r\nMSG.PUT\r\n$1\r\n0"} {
+	for name, input := range map[string]string{"nothing": "", "half a length": "*5",
+		"half a request": "*5\r\n$7\r\nMSG.PUT\r\n$1\r\n0"} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			at, c := time.Now(), dial(t, n.addr)
-			io.WriteString(c.Conn, said)
+			io.WriteString(c.Conn, input)
 			got := c.readUntilClosed()
 			if d := time.Since(at); d < 2*time.Second || d > 3*time.Second {
 				t.Errorf("closed after %v", d)
 			}
-			if said != "" && !strings.HasPrefix(got, "-ERR ") {
+			if input != "" && !strings.HasPrefix(got, "-ERR ") {
 				t.Errorf("got %q", got)
 			}
 		})
 	}
 }
 
-// Hundreds of requests at once are answered each, in order, and not at one a tick.
+// Hundreds of pipelined requests are all answered, in order, and more than one per tick.
 func TestPipelined(t *testing.T) {
 	n, c, _, e := startScenario(t, 1)
 	go func() {
@@ -55,7 +56,8 @@
 		switch {
 		case i%100 == 0:
 			id := fmt.Sprint("m-", i)
-			fmt.Fprintf(&b, "*5\r\n$7\r\nMSG.PUT\r\n$1\r\n0\r\n$%d\r\n%s\r\n$20\r\nc=safe,d=9000,dest=1\r\n$1\r\nx\r\n", len(id), id)
+			fmt.Fprintf(&b, "*5\r\n$7\r\nMSG.PUT\r\n$1\r\n0\r\n$%d\r\n%s\r\n$20\r\nc=safe,d=9000,dest=1\r\n$1\r\nx\r\n",
+				len(id), id)
 		default:
 			fmt.Fprintf(&b, "*2\r\n$4\r\nPING\r\n$3\r\n%03d\r\n", i)
 		}
@@ -73,8 +75,8 @@
 	stopClean(t, n)
 }
 
-// A client that sends at full speed what can't be read gets its error line all the same: a close with unread input
-// would destroy it.
+// A client that sends an invalid request at full speed must get the error line: closing a socket with unread input
+// would discard it.
 func TestErrorLineOutlivesClose(t *testing.T) {
 	n, _, _, _ := startScenario(t, 1)
 	c := dial(t, n.addr)
@@ -84,7 +86,7 @@
 	}
 }
 
-// The same again and again is turned away for good.
+// A client that goes on sending invalid requests is disconnected.
 func TestErrorsInARow(t *testing.T) {
 	n, c, _, _ := startScenario(t, 1)
 	go func() {
@@ -101,8 +103,8 @@
 	stopClean(t, n)
 }
 
-// A start with an empty list: nobody knows what there is, so clients are asked to come again; once discovery has
-// told, an unknown destination is an error.
+// With an empty list at the start the destinations are not known, so clients are asked to retry. Once discovery has
+// sent a list, an unknown destination is an error.
 func TestUnknownDestination(t *testing.T) {
 	p, e := discovery.New(t), byhand.NewEndpoint(t)
 	p.Silent = true
@@ -119,14 +121,14 @@
 	stopClean(t, n)
 }
 
-// Clients' connections and calls together stay within the descriptors; a call without one left says nothing of the
-// endpoint, and an idle connection makes room.
-func TestShares(t *testing.T) {
+// The connections of clients and the calls together stay within the descriptors, and each kind has its minimum.
+func TestDivideDescriptors(t *testing.T) {
 	for sockets := 128; sockets <= 4096; sockets *= 2 {
 		for _, slots := range []int{0, 6, 60, 300} {
 			const files = 18
 			s := divideDescriptors(sockets, slots, files, 0)
-			if s.clients+s.ending+s.calls+reservedDescriptors+files > sockets || s.idle > s.calls || s.clients*3 < sockets-reservedDescriptors || s.ending < minEnding {
+			if s.clients+s.ending+s.calls+reservedDescriptors+files > sockets || s.idle > s.calls ||
+				s.clients*3 < sockets-reservedDescriptors || s.ending < minEnding {
 				t.Errorf("%d sockets, %d slots: %+v", sockets, slots, s)
 			}
 		}
--- a/internal/daemon/crowd_test.go
+++ b/internal/daemon/crowd_test.go
@@ -18,12 +18,12 @@
 	"cometrack/internal/standin/program"
 )
 
-// idleClientInputs is what idle clients say once they are there, in turn: nothing, a whole request, whose answer they rest
-// after, and the beginning of one.
+// idleClientInputs are sent by idle clients once they are connected, in turn: nothing, a complete request, after whose
+// answer they stay idle, and the beginning of a request.
 var idleClientInputs = []string{"", "*1\r\n$4\r\nPING\r\n", "*5\r\n$7\r\nMSG.PUT\r\n$1"}
 
-// startIdleClients holds n idle connections to an address until the test is over; each that is closed comes again. gone is told
-// of each that is.
+// startIdleClients keeps n idle connections to an address open until the test ends. Each that is closed is reported on
+// gone and connects again.
 func startIdleClients(t *testing.T, addr string, n, kinds int) (gone chan struct{}) {
 	gone = make(chan struct{}, 1<<16)
 	for i := range n {
@@ -48,13 +48,14 @@
 	return gone
 }
 
-// submitWithRetries hands a message in through a crowd. A new connection may be shut unread then, and its client comes again, as a
-// client does; it has to be submitWithRetries within four such times.
+// submitWithRetries submits a message while idle clients compete for connections. The new connection may be closed
+// unread, and the client connects again; it must be served after at most four such closes.
 func submitWithRetries(t *testing.T, addr, id string) {
 	t.Helper()
 	got := ""
 	for range 5 {
-		if got = dial(t, addr).do("MSG.PUT", "0000", id, fmt.Sprintf("c=unsafe,t=acme,d=10000,k=key-%s,dest=1", id), "body of "+id); got == "+OK" {
+		if got = dial(t, addr).do("MSG.PUT", "0000", id,
+			fmt.Sprintf("c=unsafe,t=acme,d=10000,k=key-%s,dest=1", id), "body of "+id); got == "+OK" {
 			return
 		}
 		if got != "" {
@@ -64,7 +65,7 @@
 	t.Fatalf("put %s: got %q, want +OK", id, got)
 }
 
-// switchableServer lets callers in to a server that stands in the test, or away, at one address.
+// switchableServer is an HTTP server at one address that can be stopped and started again.
 type switchableServer struct {
 	t    *testing.T
 	addr string
@@ -88,13 +89,13 @@
 	go d.srv.Serve(ln)
 }
 
-// stop resets what is open and refuses what comes.
+// stop resets open connections and makes the address refuse new ones.
 func (d *switchableServer) stop() { d.srv.Close() }
 
-// Idle clients hold all descriptors that they can get, and come again as they are closed, while discovery is away
-// and the only endpoint that was listed is gone. Discovery comes back: the list is asked for, on a connection that is
-// new, attempts go to the endpoint that only the new list has, also on a new one, and a client with a request is
-// served, as is the end of a message that fails.
+// Idle clients hold all descriptors that they can get, and reconnect when they are closed, while discovery is down and
+// the only listed endpoint is gone. After discovery has recovered, the list is requested on a new connection, calls go
+// to the endpoint that only the new list has, also on a new connection, a client with a request is served, and the
+// notice of a failed message is sent.
 func TestCrowdWhileDiscoveryIsDown(t *testing.T) {
 	path, err := programPath()
 	if err != nil {
@@ -105,19 +106,20 @@
 		t.Run(fmt.Sprintf("%d descriptors, %d kinds of clients", limit, x.kinds), func(t *testing.T) {
 			t.Parallel()
 			d, old, e, dir := discovery.New(t), byhand.NewEndpoint(t), byhand.NewEndpoint(t), t.TempDir()
-			door := newSwitchableServer(t, d.Srv.Config.Handler)
+			server := newSwitchableServer(t, d.Srv.Config.Handler)
 			known := platform.List{Generation: 1, Reset: true, Instances: instances(old)}
-			d.List, d.With = known, func(settings string) string { // it is to ask often
+			d.List, d.With = known, func(settings string) string { // poll often
 				return strings.Replace(settings, `"rules":{`, `"rules":{"ask_every_s":0.3,`, 1)
 			}
-			known.Instances[0].HostPort = byhand.DeadAddr(t) // a port that is given back may become another test's
+			known.Instances[0].HostPort = byhand.DeadAddr(t) // a released port may be reused by another test
 			config := filepath.Join(dir, "config.json")
-			text := strings.Replace(string(configText(d, known)), strings.TrimPrefix(d.Srv.URL, "http://"), door.addr, 1)
+			text := strings.Replace(string(configText(d, known)), strings.TrimPrefix(d.Srv.URL, "http://"), server.addr, 1)
 			if err := os.WriteFile(config, []byte(text), 0o600); err != nil {
 				t.Fatal(err)
 			}
 			p, err := program.Start("/bin/sh", []string{"BALANCER_LISTEN=127.0.0.1:0", "BALANCER_CONFIG=" + config,
-				"BALANCER_DISCOVERY=" + door.addr, "BALANCER_STATE=" + filepath.Join(dir, "state")}, "-c", fmt.Sprintf("ulimit -n %d; exec %s", limit, path))
+				"BALANCER_DISCOVERY=" + server.addr, "BALANCER_STATE=" + filepath.Join(dir, "state")},
+				"-c", fmt.Sprintf("ulimit -n %d; exec %s", limit, path))
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -125,31 +127,32 @@
 			byhand.Await(t, d.Asked, "watch")
 			gone := startIdleClients(t, p.Addrs[0], 2*limit, x.kinds)
 			for range limit {
-				byhand.Await(t, gone, "idle client that makes room")
+				byhand.Await(t, gone, "closed idle client")
 			}
-			door.stop()
+			server.stop()
 			if err := p.Says("msg=discovery"); err != nil {
 				t.Fatal(err)
 			}
-			held := func() int {
+			openDescriptors := func() int {
 				fds, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", p.Cmd.Process.Pid))
 				if err != nil {
 					t.Fatal(err)
 				}
 				return len(fds)
 			}
-			if n := held(); n >= limit {
-				t.Errorf("%d descriptors, %d are allowed: none is left", n, limit)
+			if n := openDescriptors(); n >= limit {
+				t.Errorf("%d of %d descriptors are open: none is left", n, limit)
 			}
 			submitWithRetries(t, p.Addrs[0], "held")
 			for range limit {
-				byhand.Await(t, gone, "idle client that makes room")
+				byhand.Await(t, gone, "closed idle client")
 			}
 			d.Set(func() { d.List = platform.List{Generation: 2, Reset: true, Instances: instances(old, e)[1:]} })
-			door.start()
-			back := time.Now()
+			server.start()
+			recoveredAt := time.Now()
 			awaitListRequest(t, d, 2)
-			t.Logf("the list is there %v after discovery is back, %d descriptors", time.Since(back), held())
+			t.Logf("the list was received %v after discovery recovered, %d descriptors open",
+				time.Since(recoveredAt), openDescriptors())
 			byhand.Await(t, e.Calls, "call").Reply(500)
 			if n := byhand.Await(t, d.Notices, "notice"); n.ID != "held" || n.State != "failed" {
 				t.Errorf("notice %+v", n)
@@ -158,7 +161,7 @@
 				submitWithRetries(t, p.Addrs[0], id)
 				byhand.Await(t, e.Calls, "call").Reply(200)
 			}
-			t.Logf("served %v after discovery is back", time.Since(back))
+			t.Logf("all served %v after discovery recovered", time.Since(recoveredAt))
 		})
 	}
 }
--- a/internal/daemon/drain_test.go
+++ b/internal/daemon/drain_test.go
@@ -9,9 +9,9 @@
 	"cometrack/internal/standin/byhand"
 )
 
-// Out of service: PING says no at once; kept connections go on for a while and are then closed between requests,
-// the half-sent and pipelined ones with all their answers; what is held is sent on; a message that comes all the
-// same is taken on; and the end of the drain is seen at once.
+// A drain: PING reports it at once. Existing connections go on for a while and are closed between requests; requests
+// that were sent in part or pipelined are answered first. Pending messages are delivered, a message that is submitted
+// all the same is accepted, and the end of the drain takes effect at once.
 func TestDrain(t *testing.T) {
 	n, c, _, e := startScenario(t, 1)
 	half, idle := dial(t, n.addr), dial(t, n.addr)
@@ -20,12 +20,12 @@
 	in := byhand.Await(t, e[0].Calls, "call")
 	n.life.HandleEvent(lifecycle.DrainOn)
 	if got := c.do("PING"); got == "+PONG" {
-		t.Error("PING says yes")
+		t.Error("PING reports that the sender is in service")
 	}
 	c.put("late", "unsafe", "+OK")
 	byhand.Await(t, e[0].Calls, "call").Reply(200)
 	io.WriteString(half.Conn, "*1\r\n$4\r\nPING\r\n*1\r\n$4\r\nPI")
-	if got := idle.line(); got != "" { // the door is shut behind those that rest
+	if got := idle.line(); got != "" { // idle connections are closed
 		t.Errorf("idle: %q", got)
 	}
 	io.WriteString(half.Conn, "NG\r\n")
@@ -35,14 +35,14 @@
 		}
 	}
 	if got := c.line(); got != "" {
-		t.Errorf("kept: %q", got)
+		t.Errorf("the connection stays open: %q", got)
 	}
 	probe := dial(t, n.addr)
 	if got := probe.do("PING"); got == "+PONG" {
-		t.Error("PING says yes")
+		t.Error("PING reports that the sender is in service")
 	}
 	if got := probe.line(); got != "" {
-		t.Errorf("a new connection is kept: %q", got)
+		t.Errorf("a new connection stays open: %q", got)
 	}
 	late := dial(t, n.addr)
 	late.put("later", "safe", "+OK")
@@ -52,7 +52,7 @@
 	n.life.HandleEvent(lifecycle.DrainOn) // in quick succession
 	n.life.HandleEvent(lifecycle.DrainOff)
 	back := dial(t, n.addr)
-	for range 2 { // and connections are kept again
+	for range 2 { // connections stay open again
 		if got := back.do("PING"); got != "+PONG" {
 			t.Errorf("after the drain: %q", got)
 		}
@@ -60,14 +60,14 @@
 	stopClean(t, n)
 }
 
-// SIGTERM under a drain: it ends as from service.
+// SIGTERM during a drain: the sender exits as it does from service.
 func TestEndUnderDrain(t *testing.T) {
 	n, c, _, e := startScenario(t, 1)
 	c.put("held", "safe", "+OK")
 	in := byhand.Await(t, e[0].Calls, "call")
 	n.life.HandleEvent(lifecycle.DrainOn)
 	if got := c.line(); got != "" {
-		t.Errorf("kept: %q", got)
+		t.Errorf("the connection stays open: %q", got)
 	}
 	n.stop()
 	n.life.HandleEvent(lifecycle.DrainOff)
--- a/internal/daemon/failing_discovery_test.go
+++ b/internal/daemon/failing_discovery_test.go
@@ -13,16 +13,18 @@
 	"cometrack/internal/standin/fate"
 )
 
-// listDelayLimit is how long after discovery had a change and could be reached it counts as told, and the slack on sockets.
+// listDelayLimit is the time within which a change must be applied after discovery has it and is reachable: 6 s, plus
+// the tolerance for sockets.
 const listDelayLimit = 6*time.Second + 50*time.Millisecond
 
-// Guards against new work for an endpoint that drains because single calls for the list fail (incident of 2026-12-04).
-// Discovery is up and has the change; the watch and the three calls after it meet a fate, and the next is answered.
+// Guards against new calls to a draining endpoint because single requests for the list fail (incident of 2026-12-04).
+// Discovery is up and has the change; the watch and the three requests after it fail as the case says, and the next one
+// is answered.
 func TestDrainIsHeededThoughCallsForTheListFail(t *testing.T) {
 	second := time.Second
 	for _, x := range []struct {
 		name  string
-		moved bool // SIGHUP moves discovery in the moment of the change
+		moved bool // SIGHUP changes the address of discovery at the moment of the change
 		fates []fate.Fate
 	}{
 		{"503 at once", false, slices.Repeat([]fate.Fate{{Kind: fate.Unavailable}}, 4)},
@@ -40,27 +42,27 @@
 
 			after := platform.List{Generation: 2, Reset: true, Instances: instances(left, fresh)}
 			after.Instances[0].Lifecycle = "draining"
-			at := p
+			current := p
 			if x.moved {
-				at = discovery.New(t)
+				current = discovery.New(t)
 			}
 			changed := time.Now()
-			at.Set(func() { at.List, at.Fates = after, x.fates })
+			current.Set(func() { current.List, current.Fates = after, x.fates })
 			if x.moved {
-				proc.hup(configText(at, known))
+				proc.hup(configText(current, known))
 			}
-			for late := time.After(listDelayLimit); ; { // the watch from the new list on shows that it has been taken
+			for late := time.After(listDelayLimit); ; { // a request from the new generation on shows that the list was applied
 				select {
-				case q := <-at.Asked:
+				case q := <-current.Asked:
 					if !strings.HasPrefix(q, "from=2&") {
 						continue
 					}
 				case <-late:
-					t.Fatalf("the change is not in hand %v after discovery had it and could be reached", listDelayLimit)
+					t.Fatalf("the change is not applied %v after discovery had it and was reachable", listDelayLimit)
 				}
 				break
 			}
-			t.Logf("in hand %v after the change", time.Since(changed).Round(time.Millisecond))
+			t.Logf("applied %v after the change", time.Since(changed).Round(time.Millisecond))
 			c := dial(t, proc.addr)
 			for i := range 4 {
 				c.put(fmt.Sprint("m-", i), "safe", "+OK")
--- a/internal/daemon/harness_test.go
+++ b/internal/daemon/harness_test.go
@@ -20,7 +20,7 @@
 	"cometrack/internal/standin/discovery"
 )
 
-// instances lists endpoints of destination 1.
+// instances returns the list entries of endpoints, all of destination 1.
 func instances(eps ...*byhand.Endpoint) []platform.Instance {
 	var out []platform.Instance
 	for i, e := range eps {
@@ -30,7 +30,7 @@
 	return out
 }
 
-// settings are those of the tests: one class of each effect.
+// settings are the settings of the tests: one class of each effect.
 const settings = `{"balancers":1,"me":0,"zone":0,"zones":["a","b"],"tick_s":0.005,"membership_mode":"on_request",
 "weights":"nominal","over_share_worth":0.2,"machine_types":["std"],
 "classes":[
@@ -44,7 +44,7 @@
 "rules":{"cold_from":0.2,"drain_grace_s":2,"fall_multiple":2,"fall_s":3,"warm_after_s":14},
 "specifics":{"batch_by_kind":[1],"call_slots":6,"late":"halves","separate_routes":[false]}}`
 
-// configText is a configuration file.
+// configText returns the configuration file of a sender.
 func configText(p *discovery.Platform, known platform.List) []byte {
 	settings := settings
 	if p.With != nil {
@@ -60,7 +60,7 @@
 	return b
 }
 
-// testSender is a sender under test, in this process.
+// testSender is a sender under test that runs in this process.
 type testSender struct {
 	*Platform
 	dir  string
@@ -69,19 +69,21 @@
 	done chan error
 }
 
-func startSender(t *testing.T, p *discovery.Platform, dir string, known platform.List, with ...func(*Platform)) *testSender {
+func startSender(t *testing.T, p *discovery.Platform, dir string, known platform.List,
+	with ...func(*Platform)) *testSender {
 	t.Helper()
 	cfg, err := config.ParsePlatform(configText(p, known))
 	if err != nil {
 		t.Fatal(err)
 	}
 	cfg.StateDir = dir
-	n, err := NewPlatform(t.Context(), cfg, lifecycle.NewController(core.LifecycleTimes, slog.New(slog.DiscardHandler)), slog.New(slog.DiscardHandler))
+	n, err := NewPlatform(t.Context(), cfg,
+		lifecycle.NewController(core.LifecycleTimes, slog.New(slog.DiscardHandler)), slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, f := range with {
-		f(n)
+	for _, option := range with {
+		option(n)
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	x := &testSender{Platform: n, dir: dir, stop: stop, done: make(chan error, 1)}
@@ -92,7 +94,7 @@
 	return x
 }
 
-// client is a client's connection.
+// client is a client's RESP2 connection.
 type client struct {
 	t    *testing.T
 	Conn net.Conn
@@ -122,12 +124,12 @@
 	}
 }
 
-// line reads an answer; empty once the sender has closed the connection.
+// line reads a reply line. It is empty once the sender has closed the connection.
 func (c *client) line() string {
 	c.t.Helper()
 	s, err := c.r.ReadString('\n')
 	if byhand.IsTimeout(err) {
-		c.t.Fatal("no answer")
+		c.t.Fatal("no reply within the deadline")
 	}
 	return strings.TrimRight(s, "\r\n")
 }
@@ -138,7 +140,7 @@
 	return c.line()
 }
 
-// put hands a message in and checks the answer.
+// put submits a message and checks the reply.
 func (c *client) put(id, class, want string) {
 	c.t.Helper()
 	c.putFor(id, class, 10000, want)
@@ -152,14 +154,16 @@
 	}
 }
 
-// startScenario is a sender with endpoints and a platform.
-func startScenario(t *testing.T, endpoints int, with ...func(*Platform)) (*testSender, *client, *discovery.Platform, []*byhand.Endpoint) {
+// startScenario starts endpoints, a platform and a sender, and connects a client.
+func startScenario(t *testing.T, endpoints int,
+	with ...func(*Platform)) (*testSender, *client, *discovery.Platform, []*byhand.Endpoint) {
 	t.Helper()
 	return startScenarioWith(t, discovery.New(t), endpoints, with...)
 }
 
-// startScenarioWith is a world whose platform is given.
-func startScenarioWith(t *testing.T, p *discovery.Platform, endpoints int, with ...func(*Platform)) (*testSender, *client, *discovery.Platform, []*byhand.Endpoint) {
+// startScenarioWith is startScenario with a given platform.
+func startScenarioWith(t *testing.T, p *discovery.Platform, endpoints int,
+	with ...func(*Platform)) (*testSender, *client, *discovery.Platform, []*byhand.Endpoint) {
 	t.Helper()
 	var eps []*byhand.Endpoint
 	for range endpoints {
@@ -171,7 +175,7 @@
 	return n, dial(t, n.addr), p, eps
 }
 
-// awaitClosed waits until ch is awaitClosed.
+// awaitClosed waits until ch is closed.
 func awaitClosed(t *testing.T, ch <-chan struct{}, what string) {
 	t.Helper()
 	select {
--- a/internal/daemon/heldup_test.go
+++ b/internal/daemon/heldup_test.go
@@ -16,7 +16,7 @@
 	"cometrack/internal/standin/partner"
 )
 
-// faultProgramPath is the path of the program with faults on command, built once for all tests.
+// faultProgramPath returns the path of the program with fault injection, built once for all tests.
 var faultProgramPath = sync.OnceValues(func() (string, error) {
 	path, err := programPath()
 	if err != nil {
@@ -26,18 +26,18 @@
 	return path, faultbuild.Build(path, "../../cmd/cometrack")
 })
 
-// A process that is held up for up to 0.15 s between reading its clock and writing sends nothing to an endpoint after
-// the time of its message is up, and nothing after its notice. Messages wait for an endpoint that drains, and get it
-// back when they have 20 to 260 ms left: some go out with hardly more left than a hold takes.
+// A process that is stalled for up to 0.15 s between reading its clock and writing must send nothing to an endpoint
+// after the deadline of the message, and nothing after its notice. Messages wait for a draining endpoint, which comes
+// back when they have 20 to 260 ms left: some are sent with hardly more time left than a stall takes.
 func TestNothingGoesOutAfterItsTime(t *testing.T) {
 	const (
-		cycles  = 20
-		usual   = cycles // a destination that is up throughout, so that the sender knows how long calls take
-		each    = 30
-		wait    = 300 * time.Millisecond // of the messages for the endpoint
-		slack   = 50 * time.Millisecond  // that the rules give each time limit
-		longest = 150 * time.Millisecond // that the process is held up
-		holds   = 0.06                   // for each write, while the messages go out
+		cycles    = 20
+		usual     = cycles // a destination that is always up, from which the sender learns the latency of calls
+		each      = 30
+		wait      = 300 * time.Millisecond // of the messages, until the endpoint is up
+		slack     = 50 * time.Millisecond  // tolerance of each time limit
+		longest   = 150 * time.Millisecond // maximum stall of the process
+		stallRate = 0.06                   // probability of a stall at each write, while the messages are sent
 	)
 	path, err := faultProgramPath()
 	if err != nil {
@@ -53,14 +53,15 @@
 	p.With = func(s string) string {
 		return strings.NewReplacer(`"call_slots":6`, `"call_slots":64`, `"max_open":8`, `"max_open":256`).Replace(s)
 	}
-	list := func(generation int64, up int) platform.List { // a destination for each cycle, and the partner stands for all
+	list := func(generation int64, up int) platform.List { // a destination for each cycle, all served by one partner
 		l := platform.List{Generation: generation, Reset: true}
 		for i := range cycles + 1 {
 			lifecycle := "draining"
 			if i == up || i == usual {
 				lifecycle = "up"
 			}
-			l.Instances = append(l.Instances, platform.Instance{ID: fmt.Sprint("s-", i), HostPort: to.Addr(), Zone: "a", Kind: "std",
+			l.Instances = append(l.Instances, platform.Instance{ID: fmt.Sprint("s-", i), HostPort: to.Addr(),
+				Zone: "a", Kind: "std",
 				Dest: int64(i), Lifecycle: lifecycle, Weight: 10000})
 		}
 		return l
@@ -77,8 +78,8 @@
 		}, stop)
 	}()
 	notices := map[string]time.Time{}
-	var heard sync.WaitGroup
-	heard.Go(func() {
+	var noticeReader sync.WaitGroup
+	noticeReader.Go(func() {
 		for {
 			select {
 			case n := <-p.Notices:
@@ -88,11 +89,11 @@
 			}
 		}
 	})
-	ends := map[string]time.Time{} // the end of each message's time
+	deadlines := map[string]time.Time{} // by message id
 	c := dial(t, x.addr)
-	put := func(id string, hold time.Duration, dest int) {
-		ends[id] = time.Now().Add(hold)
-		c.send("MSG.PUT", "0000", id, fmt.Sprintf("c=safe,t=acme,d=%d,dest=%d", hold.Milliseconds(), dest), "body of "+id)
+	put := func(id string, timeout time.Duration, dest int) {
+		deadlines[id] = time.Now().Add(timeout)
+		c.send("MSG.PUT", "0000", id, fmt.Sprintf("c=safe,t=acme,d=%d,dest=%d", timeout.Milliseconds(), dest), "body of "+id)
 	}
 	for cycle := range cycles {
 		for i := range each {
@@ -108,35 +109,37 @@
 			c.line()
 		}
 		time.Sleep(time.Until(up))
-		controls.SetWriteHolds(holds)
+		controls.SetWriteHolds(stallRate)
 		p.Set(func() { p.List = list(int64(cycle+2), cycle) })
 		time.Sleep(time.Until(up.Add(longest)))
 		controls.SetWriteHolds(0)
 		time.Sleep(time.Until(up.Add(2 * longest)))
 	}
-	byhand.Until(t, "end of all", func() bool { return time.Since(ends[fmt.Sprintf("m-%d-%d", cycles-1, each-1)]) > time.Second })
+	byhand.Until(t, "deadline of the last message",
+		func() bool { return time.Since(deadlines[fmt.Sprintf("m-%d-%d", cycles-1, each-1)]) > time.Second })
 	close(stop)
-	heard.Wait()
-	late, calls, noise := 0, to.Calls(), to.Stall() // this machine may have shown the partner a call so late
+	noticeReader.Wait()
+	late, calls, noise := 0, to.Calls(), to.Stall() // the partner may see a call so much later on this machine
 	for _, call := range calls {
-		by, told := ends[call.ID], notices[call.ID]
+		deadline, noticeAt := deadlines[call.ID], notices[call.ID]
 		switch {
-		case call.At.After(by.Add(slack + noise)):
+		case call.At.After(deadline.Add(slack + noise)):
 			late++
-			t.Errorf("%s came %v after its time was up", call.ID, call.At.Sub(by))
-		case !told.IsZero() && call.At.After(told.Add(noise)):
+			t.Errorf("%s was received %v after its deadline", call.ID, call.At.Sub(deadline))
+		case !noticeAt.IsZero() && call.At.After(noticeAt.Add(noise)):
 			late++
-			t.Errorf("%s came %v after its notice", call.ID, call.At.Sub(told))
+			t.Errorf("%s was received %v after its notice", call.ID, call.At.Sub(noticeAt))
 		}
 	}
-	stood := <-resumed
+	stalls := <-resumed
 	for len(x.Said) > 0 {
 		if line := <-x.Said; strings.Contains(line, "violation") && noise < slack {
-			t.Errorf("the program itself says: %s", line)
+			t.Errorf("the program logged: %s", line)
 		}
 	}
-	t.Logf("%d messages, %d calls, %d of them late; held up %d times; noise %v", len(ends), len(calls), late, len(stood), noise)
-	if len(calls) < 2*cycles || len(stood) < cycles/4 {
-		t.Errorf("%d calls and %d holds prove nothing", len(calls), len(stood))
+	t.Logf("%d messages, %d calls, %d of them late; stalled %d times; noise %v",
+		len(deadlines), len(calls), late, len(stalls), noise)
+	if len(calls) < 2*cycles || len(stalls) < cycles/4 {
+		t.Errorf("%d calls and %d stalls are too few: the test proves nothing", len(calls), len(stalls))
 	}
 }
--- a/internal/daemon/kill_test.go
+++ b/internal/daemon/kill_test.go
@@ -18,7 +18,7 @@
 	"cometrack/internal/standin/traffic"
 )
 
-// serveProcess is the real program under `cometrack serve`.
+// serveProcess is the real program run as `cometrack serve`.
 type serveProcess struct {
 	*program.Program
 	t          testing.TB
@@ -38,19 +38,19 @@
 	return &serveProcess{p, t, p.Addrs[0], p.Addrs[1]}
 }
 
-// put hands a message in over one port or the other; heard is false if no answer came.
-func (x *serveProcess) put(c *http.Client, overHTTP bool, id, to, class string) (ok, heard bool) {
+// put submits a message over one of the ports. replied is false if there was no reply.
+func (x *serveProcess) put(c *http.Client, overHTTP bool, id, to, class string) (ok, replied bool) {
 	return traffic.Put(c, overHTTP, x.http, x.resp, id, to, class)
 }
 
-func (x *serveProcess) says(part string) {
+func (x *serveProcess) awaitLog(part string) {
 	x.t.Helper()
 	if err := x.Says(part); err != nil {
 		x.t.Fatal(err)
 	}
 }
 
-// fixPorts gives a file's fronts ports that are the same after a restart.
+// fixPorts gives the fronts of a configuration file fixed ports, which are the same after a restart.
 func fixPorts(t testing.TB, text string) string {
 	t.Helper()
 	text, err := traffic.FixPorts(text)
@@ -60,10 +60,10 @@
 	return text
 }
 
-// Both ports fed at once by 40 clients, over random partners with rates, told waits and outages, through a dozen kills.
-// By the partners' own records no rate is passed in any window, no call comes inside a wait, no two attempts are out, no
-// unsafe message runs twice; and each message taken on has one end that agrees with them. `measure kill` does the same
-// hundreds of times over.
+// 40 clients submit messages on both ports, to random partners with rate limits, requested waits and outages, while the
+// process is killed a dozen times. By the partners' records no rate is exceeded in any window, no call is made within a
+// requested wait, no two attempts of a message are in flight, and no unsafe message runs twice. Each accepted message
+// has one end, which agrees with the records. `measure kill` does the same hundreds of times.
 func TestBothPortsThroughKills(t *testing.T) {
 	path, err := programPath()
 	if err != nil {
@@ -80,9 +80,9 @@
 	}
 }
 
-// SIGHUP under load with a half-written file, a bad one and a good one: the bad ones change nothing and say why, the
-// good one moves a partner; nothing that was taken on is lost.
-func TestHangupUnderLoad(t *testing.T) {
+// SIGHUP under load with incomplete, invalid and valid files: the invalid ones change nothing and are logged, the valid
+// one changes the address of a partner. No accepted message is lost.
+func TestReloadUnderLoad(t *testing.T) {
 	old, fresh := startPartner(t, partner.Options{Name: "acme"}), startPartner(t, partner.Options{Name: "acme"})
 	dir := t.TempDir()
 	config := filepath.Join(dir, "config.toml")
@@ -98,7 +98,7 @@
 	stop := make(chan struct{})
 	var wg sync.WaitGroup
 	var mu sync.Mutex
-	var taken []string
+	var accepted []string
 	for k := range 8 {
 		wg.Go(func() {
 			c := &http.Client{Transport: &http.Transport{}, Timeout: byhand.Patience}
@@ -110,49 +110,51 @@
 				}
 				id := fmt.Sprintf("m-%d-%d", k, n)
 				if ok, _ := x.put(c, k%2 == 0, id, "acme", "unsafe"); !ok {
-					t.Errorf("%s was not taken on", id)
+					t.Errorf("%s was not accepted", id)
 					return
 				}
 				mu.Lock()
-				taken = append(taken, id)
+				accepted = append(accepted, id)
 				mu.Unlock()
 			}
 		})
 	}
-	for _, bad := range []string{text[:len(text)/2], text + "colour = \"red\"\n", strings.Replace(text, "endpoints = ", "endpoints = []\nx = ", 1), ""} {
+	for _, bad := range []string{text[:len(text)/2], text + "colour = \"red\"\n",
+		strings.Replace(text, "endpoints = ", "endpoints = []\nx = ", 1), ""} {
 		write(bad)
 		x.Signal(syscall.SIGHUP)
-		x.says("old configuration stands")
+		x.awaitLog("old configuration stands")
 	}
-	write(strings.ReplaceAll(text, old.Addr(), fresh.Addr()) + "[[partner]]\nname = \"more\"\nendpoints = [\"" + old.Addr() + "\"]\n")
+	write(strings.ReplaceAll(text, old.Addr(), fresh.Addr()) +
+		"[[partner]]\nname = \"more\"\nendpoints = [\"" + old.Addr() + "\"]\n")
 	x.Signal(syscall.SIGHUP)
-	x.says("partners follow the file")
+	x.awaitLog("partners follow the file")
 	byhand.Until(t, "call to the partner's new endpoint", func() bool { return len(fresh.Calls()) > 0 })
 	byhand.Until(t, "new partner", func() bool { return traffic.PutRESP(x.resp, "to-more", "more", "safe") == "+OK" })
 	close(stop)
 	wg.Wait()
-	for _, id := range taken {
+	for _, id := range accepted {
 		if s, err := traffic.State(x.http, id, "15s"); err != nil || s != "delivered" {
 			t.Errorf("%s is %q: %v", id, s, err)
 		}
 	}
 	x.Signal(syscall.SIGTERM)
 	if err := x.Wait(); err != nil {
-		t.Errorf("ended with %v", err)
+		t.Errorf("exited with %v", err)
 	}
 	ran := map[string]int{}
 	for _, c := range append(old.Calls(), fresh.Calls()...) {
 		ran[c.ID]++
 	}
-	for _, id := range taken {
+	for _, id := range accepted {
 		if ran[id] != 1 {
 			t.Errorf("%s ran %d times", id, ran[id])
 		}
 	}
 }
 
-// SIGTERM while submissions are under way: each has its answer or none, and after the restart the state says for each
-// whether it was taken; all that were are delivered once.
+// SIGTERM while messages are being submitted: each submission has its answer or none. After a restart the state shows
+// whether a message was accepted, and all that were are delivered once.
 func TestTermUnderLoad(t *testing.T) {
 	p := startPartner(t, partner.Options{Name: "acme", Latency: 20 * time.Millisecond})
 	dir := t.TempDir()
@@ -163,17 +165,17 @@
 	x := startServe(t, config)
 	var wg sync.WaitGroup
 	var mu sync.Mutex
-	answered := map[string]bool{}
+	accepted := map[string]bool{}
 	for k := range 16 {
 		wg.Go(func() {
 			c := &http.Client{Transport: &http.Transport{}, Timeout: byhand.Patience}
 			for n := 0; ; n++ {
 				id := fmt.Sprintf("m-%d-%d", k, n)
-				ok, heard := x.put(c, k%2 == 0, id, "acme", "unsafe")
+				ok, replied := x.put(c, k%2 == 0, id, "acme", "unsafe")
 				mu.Lock()
-				answered[id] = ok
+				accepted[id] = ok
 				mu.Unlock()
-				if !heard { // the daemon has gone
+				if !replied { // the daemon has exited
 					return
 				}
 			}
@@ -182,15 +184,15 @@
 	byhand.Until(t, "traffic", func() bool { return len(p.Calls()) >= 50 })
 	x.Signal(syscall.SIGTERM)
 	if err := x.Wait(); err != nil {
-		t.Errorf("ended with %v", err)
+		t.Errorf("exited with %v", err)
 	}
 	wg.Wait()
 	y := startServe(t, config)
 	known := map[string]bool{}
-	for id, ok := range answered {
+	for id, ok := range accepted {
 		s, err := traffic.State(y.http, id, "15s")
 		if err != nil || s != "" && s != "delivered" || s == "" && ok {
-			t.Errorf("%s, taken on %v, is %q: %v", id, ok, s, err)
+			t.Errorf("%s, accepted %v, is %q: %v", id, ok, s, err)
 		}
 		known[id] = s != ""
 	}
@@ -200,7 +202,7 @@
 	for _, c := range p.Calls() {
 		ran[c.ID]++
 	}
-	for id := range answered {
+	for id := range accepted {
 		if ran[id] > 1 || known[id] != (ran[id] == 1) {
 			t.Errorf("%s: known %v, ran %d times", id, known[id], ran[id])
 		}
--- a/internal/daemon/platform_test.go
+++ b/internal/daemon/platform_test.go
@@ -17,7 +17,7 @@
 	"cometrack/internal/standin/discovery"
 )
 
-// openJournalCopy opens a copy of the journal of a sender that runs.
+// openJournalCopy opens a copy of the journal of a running sender.
 func openJournalCopy(t *testing.T, dir string) *journal.Journal {
 	t.Helper()
 	to := t.TempDir()
@@ -26,11 +26,11 @@
 		t.Fatal(err)
 	}
 	for _, f := range list {
-		if f.IsDir() { // of the socket
+		if f.IsDir() { // the folder of the socket
 			continue
 		}
 		text, err := os.ReadFile(filepath.Join(dir, f.Name()))
-		if errors.Is(err, fs.ErrNotExist) { // compaction has taken it away
+		if errors.Is(err, fs.ErrNotExist) { // deleted by compaction
 			continue
 		}
 		if err == nil {
@@ -47,7 +47,7 @@
 	return j
 }
 
-// pendingIDs lists what a stopped sender has left in its journal.
+// pendingIDs returns the ids of the messages in the journal of a stopped sender.
 func pendingIDs(t *testing.T, dir string) (ids []string) {
 	t.Helper()
 	j, err := journal.Open(dir, journal.Options{Disk: 3e6})
@@ -61,7 +61,7 @@
 	return ids
 }
 
-// stopClean shuts a sender down and checks that it owes nothing.
+// stopClean stops a sender and checks that no message is pending.
 func stopClean(t *testing.T, n *testSender) {
 	t.Helper()
 	n.stop()
@@ -69,7 +69,7 @@
 		t.Fatal(err)
 	}
 	if ids := pendingIDs(t, n.dir); ids != nil {
-		t.Errorf("still owed: %v", ids)
+		t.Errorf("messages still pending: %v", ids)
 	}
 }
 
@@ -81,13 +81,14 @@
 	c.put("a", "keyed", "+OK")
 	in := byhand.Await(t, e[0].Calls, "call")
 	if in.Body != "body of a" || in.ID() != "a" || in.Req.Header.Get("Idempotency-Key") != "key-a" {
-		t.Errorf("went out changed: %v %q", in.Req.Header, in.Body)
+		t.Errorf("message was changed: %v %q", in.Req.Header, in.Body)
 	}
 	in.Reply(200)
 	stopClean(t, n)
 }
 
-// A client may hand an id in once more when its connection was closed: that is one message, held or delivered.
+// A client whose connection was closed may submit a message again. The sender treats it as the same message, whether it
+// is pending or delivered, and rejects another message with its id.
 func TestSameIDTwice(t *testing.T) {
 	n, c, _, e := startScenario(t, 1)
 	c.send("MSG.PUT", "0", "a", "c=safe,t=acme,d=9000,k=key-a,dest=1", "body of a")
@@ -112,33 +113,33 @@
 	stopClean(t, n)
 }
 
-// What the module gives up is answered at once, with the time to come again.
-func TestGivenUpAtOnce(t *testing.T) {
+// A message that can't meet its deadline is rejected at once, with a time after which to retry.
+func TestRejectedAtOnce(t *testing.T) {
 	n, c, p, e := startScenario(t, 1)
 	c.putFor("late", "safe", 1, "-BUSY 2000")
 	c.put("b", "safe", "+OK")
 	byhand.Await(t, e[0].Calls, "call").Reply(200)
 	stopClean(t, n)
 	if len(p.Notices) != 0 {
-		t.Errorf("a notice for a message that was never taken on: %v", <-p.Notices)
+		t.Errorf("notice for a message that was never accepted: %v", <-p.Notices)
 	}
 }
 
-// Told to wait, the sender sends nothing there, for any message, until the wait is over.
-func TestWaitIsHeeded(t *testing.T) {
+// After an endpoint requests a wait, the sender sends it no message until the wait is over.
+func TestRequestedWait(t *testing.T) {
 	n, c, _, e := startScenario(t, 1)
 	c.put("a", "safe", "+OK")
 	in := byhand.Await(t, e[0].Calls, "call")
 	const wait = 400 * time.Millisecond
-	told := time.Now()
+	requestedAt := time.Now()
 	in.Reply(429, "X-Come-Back-Ms: 400")
 	c.put("b", "safe", "+OK")
 	for range 2 {
 		in := byhand.Await(t, e[0].Calls, "call")
-		if in.At.Sub(told) < wait {
-			// b may have gone before the answer was read; that is excused for 100 ms.
-			if in.At.Sub(told) > 100*time.Millisecond {
-				t.Errorf("%s was sent %v after a wait of %v was told", in.ID(), in.At.Sub(told), wait)
+		if in.At.Sub(requestedAt) < wait {
+			// b may have been sent before the response was read; the test allows 100 ms for that.
+			if in.At.Sub(requestedAt) > 100*time.Millisecond {
+				t.Errorf("%s was sent %v after a wait of %v was requested", in.ID(), in.At.Sub(requestedAt), wait)
 			}
 		}
 		in.Reply(200)
@@ -146,8 +147,9 @@
 	stopClean(t, n)
 }
 
-// Refusals prove that nothing ran: also an unsafe message is sent again, and returned once its attempts are used up.
-func TestNeverRan(t *testing.T) {
+// Some rejections prove that the message did not run: then even an unsafe message is sent again, and is returned once
+// its attempts are exhausted.
+func TestProvablyNotRun(t *testing.T) {
 	n, c, p, e := startScenario(t, 1)
 	c.put("full", "unsafe", "+OK")
 	byhand.Await(t, e[0].Calls, "call").Reply(503)
@@ -169,8 +171,8 @@
 	e[0].None(t)
 }
 
-// The endpoint says that the message is over: nothing is owed, not even a notice.
-func TestOver(t *testing.T) {
+// An endpoint may answer that the message has ended: nothing is pending then, not even a notice.
+func TestMessageEndedByEndpoint(t *testing.T) {
 	n, c, p, e := startScenario(t, 1)
 	c.put("a", "unsafe", "+OK")
 	byhand.Await(t, e[0].Calls, "call").Reply(410)
@@ -181,13 +183,13 @@
 	}
 }
 
-// After an error or a reset it may have run: an unsafe message fails, others are sent again.
+// After an error or a reset the message may have run: an unsafe message fails, others are sent again.
 func TestMayHaveRun(t *testing.T) {
-	for _, how := range []string{"500", "reset"} {
-		t.Run(how, func(t *testing.T) {
+	for _, failure := range []string{"500", "reset"} {
+		t.Run(failure, func(t *testing.T) {
 			n, c, p, e := startScenario(t, 1)
 			end := func(in *byhand.InCall) {
-				if how == "500" {
+				if failure == "500" {
 					in.Reply(500)
 				} else {
 					in.Reset()
@@ -211,7 +213,7 @@
 	}
 }
 
-// An endpoint that answers nothing: an unsafe message fails when its time is up, and the call is ended.
+// An endpoint does not answer: an unsafe message fails at its deadline, and the call is closed.
 func TestSilentUntilDeadline(t *testing.T) {
 	n, c, p, e := startScenario(t, 1)
 	c.putFor("u", "unsafe", 300, "+OK")
@@ -223,9 +225,9 @@
 	stopClean(t, n)
 }
 
-// A safe message is called off at an endpoint that hangs and goes to another; the first call must have ended for
-// the endpoint before the second begins, or there are two copies.
-func TestSilentGoesElsewhere(t *testing.T) {
+// A safe message is cancelled at an endpoint that hangs and is sent to another one. The endpoint must see the end of
+// the first call before the second begins, or two attempts are in flight.
+func TestSilentCallIsCancelled(t *testing.T) {
 	n, c, _, e := startScenario(t, 2)
 	c.put("s", "safe", "+OK")
 	var first, second *byhand.InCall
@@ -246,14 +248,15 @@
 	stopClean(t, n)
 }
 
-// awaitListRequest waits until the sender has the list of a generation: it asks from there on.
+// awaitListRequest waits until the sender requests the changes since a generation, which shows that it has applied the
+// list of that generation.
 func awaitListRequest(t *testing.T, p *discovery.Platform, generation int) {
 	t.Helper()
 	for !strings.HasPrefix(byhand.Await(t, p.Asked, "call for the list"), fmt.Sprintf("from=%d&", generation)) {
 	}
 }
 
-// Nothing new goes to an endpoint that drains; an address may change under the same name.
+// No new call is sent to a draining endpoint. The address of an endpoint may change while its name stays.
 func TestDrainAndMove(t *testing.T) {
 	n, c, p, e := startScenario(t, 2)
 	list := instances(e...)
@@ -275,10 +278,10 @@
 	e[1].None(t)
 }
 
-// While discovery is down the last list serves, and the sender asks again until it hears.
+// While discovery is down, the sender uses the last list, and retries until it gets a new one.
 func TestDiscoveryDown(t *testing.T) {
 	p := discovery.New(t)
-	p.Down, p.With = true, func(settings string) string { // it is to ask often
+	p.Down, p.With = true, func(settings string) string { // poll often
 		return strings.Replace(settings, `"rules":{`, `"rules":{"ask_every_s":0.3,`, 1)
 	}
 	e := byhand.NewEndpoint(t)
@@ -307,7 +310,7 @@
 	stopClean(t, n)
 }
 
-// A notice counts once the platform has confirmed it, and is sent until then.
+// A notice is resent until the platform has confirmed it.
 func TestNoticesDown(t *testing.T) {
 	n, c, p, e := startScenario(t, 1)
 	p.Set(func() { p.Deaf = true })
@@ -322,7 +325,7 @@
 	stopClean(t, n)
 }
 
-// Whatever a client sends, it gets an error line and nobody else is hurt.
+// Whatever invalid input a client sends, it gets an error line and other clients are not affected.
 func TestMalformedRequests(t *testing.T) {
 	n, c, p, e := startScenario(t, 1)
 	awaitListRequest(t, p, 1) // an unknown destination is one that discovery does not know
@@ -342,7 +345,7 @@
 		{"MSG.PUT", "0", "a", "c=keyed,d=9000,dest=1", "x"}, {"MSG.PUT", "0", "a", good + ",d=9000", "x"},
 		{"MSG.PUT", "0", "a", "c=safe,d=9000000,dest=1", "x"}, {"MSG.PUT", "0", "a", "c=safe,d=9000,dest=77", "x"},
 	} {
-		if i%8 == 7 { // before there are too many errors on one connection
+		if i%8 == 7 { // the limit of errors on one connection is not reached
 			c = dial(t, n.addr)
 		}
 		if got := c.do(args...); !strings.HasPrefix(got, "-ERR ") {
@@ -359,27 +362,27 @@
 			t.Errorf("%q: got %q", raw, got)
 		}
 		if got := bad.line(); got != "" {
-			t.Errorf("%q: the connection goes on with %q", raw, got)
+			t.Errorf("%q: the connection stays open and sends %q", raw, got)
 		}
 	}
 	half := dial(t, n.addr)
 	half.Conn.Write([]byte("*5\r\n$7\r\nMSG"))
 	half.Conn.Close()
-	body := strings.Repeat("\x00\r\n", 1<<14) // bodies hold any bytes
+	body := strings.Repeat("\x00\r\n", 1<<14) // a body may contain any bytes
 	if got := c.do("MSG.PUT", "0", "a", good, body); got != "+OK" {
 		t.Errorf("got %q", got)
 	}
 	in := byhand.Await(t, e[0].Calls, "call")
 	if in.Body != body {
-		t.Errorf("body went out changed: %d bytes of %d", len(in.Body), len(body))
+		t.Errorf("body was changed: %d bytes of %d", len(in.Body), len(body))
 	}
 	in.Reply(200)
 	stopClean(t, n)
 }
 
-// A spoilt answer may have run: what may be repeated is sent again, at once and elsewhere too, what may not has
-// failed. What says 200 is over for every class.
-func TestSpoiltByEffect(t *testing.T) {
+// After an invalid response the message may have run: a message that may be repeated is sent again, an unsafe one has
+// failed. A response whose status is 200 ends messages of every class, even if the rest is invalid.
+func TestInvalidResponseByEffect(t *testing.T) {
 	for _, class := range []string{"safe", "keyed", "unsafe"} {
 		t.Run(class, func(t *testing.T) {
 			t.Parallel()
--- a/internal/daemon/process_test.go
+++ b/internal/daemon/process_test.go
@@ -16,7 +16,7 @@
 	"cometrack/internal/standin/program"
 )
 
-// programPath is the path of the program, which is programPath once for all tests.
+// programPath returns the path of the program, which is built once for all tests.
 var programPath = sync.OnceValues(func() (string, error) {
 	dir, err := os.MkdirTemp("", "cometrack")
 	if err != nil {
@@ -39,15 +39,15 @@
 	os.Exit(code)
 }
 
-// process is the real program as a sender of the platform.
+// process is the real program, run as a sender of the platform.
 type process struct {
 	*program.Program
 	t    *testing.T
 	addr string
-	conf string // its configuration file
+	conf string // path of the configuration file
 }
 
-// startProcess starts it with what the platform would tell it and waits until it is ready.
+// startProcess starts the program with the environment that the platform sets, and waits until it is ready.
 func startProcess(t *testing.T, p *discovery.Platform, dir string, known platform.List) *process {
 	t.Helper()
 	x := launchProcess(t, p, dir, known, "127.0.0.1:0")
@@ -57,7 +57,7 @@
 	return x
 }
 
-// ready waits until it serves.
+// ready waits until the process serves clients.
 func (x *process) ready() error {
 	err := x.Ready()
 	if err == nil {
@@ -66,7 +66,7 @@
 	return err
 }
 
-// launchProcess starts it at an address and does not wait.
+// launchProcess starts the program at an address and does not wait.
 func launchProcess(t *testing.T, p *discovery.Platform, dir string, known platform.List, listen string) *process {
 	t.Helper()
 	path, err := programPath()
@@ -76,15 +76,17 @@
 	return launchProgram(t, path, p, dir, known, listen)
 }
 
-// launchProgram is launchProcess for a given build of the program, with variables beside those of the platform.
-func launchProgram(t *testing.T, path string, p *discovery.Platform, dir string, known platform.List, listen string, env ...string) *process {
+// launchProgram is launchProcess for a given build of the program, with additional environment variables.
+func launchProgram(t *testing.T, path string, p *discovery.Platform, dir string, known platform.List, listen string,
+	env ...string) *process {
 	t.Helper()
 	config := filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(config, configText(p, known), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	x, err := program.Launch(path, append([]string{"BALANCER_NAME=n0", "BALANCER_LISTEN=" + listen,
-		"BALANCER_DISCOVERY=" + strings.TrimPrefix(p.Srv.URL, "http://"), "BALANCER_STATE=" + dir, "BALANCER_CONFIG=" + config}, env...))
+		"BALANCER_DISCOVERY=" + strings.TrimPrefix(p.Srv.URL, "http://"), "BALANCER_STATE=" + dir,
+		"BALANCER_CONFIG=" + config}, env...))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -92,7 +94,7 @@
 	return &process{x, t, "", config}
 }
 
-// runSelf runs this test program as another process with a variable set.
+// runSelf runs this test binary as another process, with an environment variable set.
 func runSelf(t *testing.T, env string) *program.Program {
 	t.Helper()
 	path, err := os.Executable()
@@ -112,18 +114,19 @@
 	x.Wait()
 }
 
-// term sends SIGTERM; end checks that the program ends by itself.
+// term sends SIGTERM.
 func (x *process) term() { x.Signal(syscall.SIGTERM) }
 
+// awaitExit checks that the program exits without an error.
 func (x *process) awaitExit() {
 	x.t.Helper()
 	if err := x.Wait(); err != nil {
-		x.t.Errorf("ended with %v", err)
+		x.t.Errorf("exited with %v", err)
 	}
 }
 
-// A crash with a call out: it may have run. Nothing is handed in again, so the sender itself must send it again
-// where that is harmless, and must not where it is not.
+// A crash with attempts in flight: they may have run. No client submits the messages again, so the sender must send
+// them again if that is harmless, and must not if it is not.
 func TestKillWithCallOut(t *testing.T) {
 	p, e, dir := discovery.New(t), byhand.NewEndpoint(t), t.TempDir()
 	known := platform.List{Generation: 1, Reset: true, Instances: instances(e)}
@@ -152,11 +155,11 @@
 	x.awaitExit()
 	e.None(t)
 	if ids := pendingIDs(t, dir); ids != nil {
-		t.Errorf("still owed: %v", ids)
+		t.Errorf("messages still pending: %v", ids)
 	}
 }
 
-// Attempts before a crash count: a message that brings the process down each time must not come for ever.
+// Attempts before a crash count: otherwise a message that crashes the process on each attempt would be retried forever.
 func TestKillCountsAttempts(t *testing.T) {
 	p, e, dir := discovery.New(t), byhand.NewEndpoint(t), t.TempDir()
 	known := platform.List{Generation: 1, Reset: true, Instances: instances(e)}
@@ -178,12 +181,13 @@
 	e.None(t)
 }
 
-// What was not sent, or refused, before a crash is sent after it, an unsafe message too; what ran out of time
-// meanwhile is returned, and a notice that nobody confirmed is sent again.
+// A message that was not sent, or was rejected, before a crash is sent after it, even an unsafe one. One that has
+// expired meanwhile is returned, and an unconfirmed notice is sent again.
 func TestKillWithoutCallOut(t *testing.T) {
 	p, e, dir := discovery.New(t), byhand.NewEndpoint(t), t.TempDir()
-	known := platform.List{Generation: 1, Reset: true, Instances: append(instances(e), platform.Instance{ID: "drains", HostPort: "127.0.0.1:1",
-		Zone: "a", Kind: "std", Dest: 2, Lifecycle: "draining"})}
+	known := platform.List{Generation: 1, Reset: true, Instances: append(instances(e), platform.Instance{ID: "drains",
+		HostPort: "127.0.0.1:1",
+		Zone:     "a", Kind: "std", Dest: 2, Lifecycle: "draining"})}
 	p.List, p.Deaf = known, true
 	x := startProcess(t, p, dir, known)
 	c := dial(t, x.addr)
@@ -195,16 +199,16 @@
 	if got := c.do("MSG.PUT", "0", "short", "c=unsafe,d=600,dest=2", "x"); got != "+OK" {
 		t.Fatalf("got %q", got)
 	}
-	over := time.Now().Add(600 * time.Millisecond)
+	expired := time.Now().Add(600 * time.Millisecond)
 	byhand.Until(t, "outcomes in the journal", func() bool {
 		j := openJournalCopy(t, dir)
 		defer j.Close()
 		failed, refused := j.Entry("failed"), j.Entry("refused")
 		return failed != nil && failed.End != nil && refused != nil && refused.Tries == 1 && !refused.Open
 	})
-	c.put("unsent", "unsafe", "+OK") // waits: the sender has been told to
+	c.put("unsent", "unsafe", "+OK") // waits, as the endpoint requested
 	x.kill()
-	time.Sleep(time.Until(over))
+	time.Sleep(time.Until(expired))
 	p.Set(func() { p.Deaf = false })
 	x = startProcess(t, p, dir, known)
 	got := map[string]bool{}
@@ -229,8 +233,8 @@
 	e.None(t)
 }
 
-// A planned restart: clients are served a while, connections are closed between requests, calls under way end and
-// are journalled, and the next start owes nothing.
+// A planned restart: clients are served for a while, connections are closed between requests, attempts in flight end
+// and are journalled, and no message is pending at the next start.
 func TestTermWithCallOut(t *testing.T) {
 	for _, class := range []string{"safe", "keyed", "unsafe"} {
 		t.Run(class, func(t *testing.T) {
@@ -249,7 +253,7 @@
 			in.Reply(200)
 			x.awaitExit()
 			if ids := pendingIDs(t, dir); ids != nil {
-				t.Errorf("still owed: %v", ids)
+				t.Errorf("messages still pending: %v", ids)
 			}
 			if len(p.Notices) != 0 {
 				t.Errorf("notice %+v", <-p.Notices)
@@ -258,7 +262,8 @@
 	}
 }
 
-// A call that does not end must not keep the program from ending in time; it stays in the journal as open.
+// A call without an answer must not keep the program from exiting in time. Its attempt stays in the journal as in
+// flight.
 func TestTermWithSilentCall(t *testing.T) {
 	p, e, dir := discovery.New(t), byhand.NewEndpoint(t), t.TempDir()
 	known := platform.List{Generation: 1, Reset: true, Instances: instances(e)}
@@ -270,10 +275,10 @@
 	x.term()
 	x.awaitExit()
 	if d := time.Since(at); d > 6*time.Second {
-		t.Errorf("ended after %v", d)
+		t.Errorf("exited after %v", d)
 	}
 	if ids := pendingIDs(t, dir); len(ids) != 1 {
-		t.Errorf("owed: %v", ids)
+		t.Errorf("pending messages: %v", ids)
 	}
 	x = startProcess(t, p, dir, known)
 	if n := byhand.Await(t, p.Notices, "notice"); n != (discovery.Notice{ID: "a", State: "failed"}) {
--- a/internal/daemon/pushed_test.go
+++ b/internal/daemon/pushed_test.go
@@ -11,20 +11,21 @@
 	"cometrack/internal/standin/discovery"
 )
 
-// pushedSettings turns settings into those of a deployment whose list comes by itself, with one slot and calls that
-// carry three messages.
+// pushedSettings turns settings into those of a deployment in which the list is pushed, with one slot and up to three
+// messages per call.
 func pushedSettings(settings string) string {
-	return strings.NewReplacer(`"on_request"`, `"pushed"`, `"call_slots":6`, `"call_slots":1`, `"batch_by_kind":[1]`, `"batch_by_kind":[3]`,
+	return strings.NewReplacer(`"on_request"`, `"pushed"`, `"call_slots":6`, `"call_slots":1`,
+		`"batch_by_kind":[1]`, `"batch_by_kind":[3]`,
 		`{"how":"off","names":[]}`, `{"how":"inline","names":["x0","x1"]}`).Replace(settings)
 }
 
-// Where the list is pushed nothing asks the module to ask for it: the sender follows its agent by itself, and goes on
-// after the agent was silent or away.
+// If the list is pushed, the scheduler never requests it: the sender follows its agent by itself, and goes on after the
+// agent was silent or down.
 func TestPushedList(t *testing.T) {
 	p := discovery.New(t)
 	p.With = pushedSettings
 	n, _, _, e := startScenarioWith(t, p, 2)
-	asked := func(from string) {
+	awaitWatch := func(from string) {
 		t.Helper()
 		for !strings.HasPrefix(byhand.Await(t, p.Asked, "watch"), "from="+from+"&") {
 		}
@@ -35,9 +36,9 @@
 			list.Instances[i].Lifecycle = s
 		}
 		p.Set(func() { p.List, p.Silent, p.Down = list, false, false })
-		asked(fmt.Sprint(generation)) // the next watch begins once the last has been told
+		awaitWatch(fmt.Sprint(generation)) // the next watch begins once the last list was passed on
 	}
-	asked("1")
+	awaitWatch("1")
 	for i, x := range []struct {
 		cut    func()
 		states []string
@@ -48,14 +49,14 @@
 		{func() { p.Down = true }, []string{"removed", "up"}, 1},
 	} {
 		p.Set(x.cut)
-		if p.Silent || p.Down { // whatever it has asked, it asks again
-			asked(fmt.Sprint(i + 1))
-			asked(fmt.Sprint(i + 1))
+		if p.Silent || p.Down { // the request in progress fails and is retried
+			awaitWatch(fmt.Sprint(i + 1))
+			awaitWatch(fmt.Sprint(i + 1))
 		}
 		change(int64(i+2), x.states...)
 		id := fmt.Sprint("m", i)
 		dial(t, n.addr).put(id, "safe", "+OK")
-		in := byhand.Await(t, e[x.to].Calls, "call where the list says")
+		in := byhand.Await(t, e[x.to].Calls, "call at the listed endpoint")
 		if in.ID() != id {
 			t.Errorf("call with %s, want %s", in.ID(), id)
 		}
@@ -65,7 +66,8 @@
 	stopClean(t, n)
 }
 
-// What one step sends to one endpoint travels as one call on one slot, and each message has its own end by the answer.
+// Messages that one step sends to one endpoint are carried by one call on one slot, and each has its own end according
+// to the response.
 func TestBatchEndToEnd(t *testing.T) {
 	p := discovery.New(t)
 	p.With = pushedSettings
@@ -76,26 +78,26 @@
 		id, class, _ := strings.Cut(x, " ")
 		c.put(id, class, "+OK")
 	}
-	e[0].None(t) // the one slot is taken
+	e[0].None(t) // the only slot is in use
 	first.Reply(200, "Endpoint-Load-Metrics: x0=0.9,x1=50")
-	in := byhand.Await(t, e[0].Calls, "call with several")
+	in := byhand.Await(t, e[0].Calls, "call with several messages")
 	var list []struct{ ID, Key, Body string }
 	if err := json.Unmarshal([]byte(in.Body), &list); err != nil || len(list) != 3 || in.Req.URL.Path != "/inbox/bulk" {
 		t.Fatalf("%s %s: %v", in.Req.URL.Path, in.Body, err)
 	}
 	left := map[string]bool{"b": true, "c": true, "d": true, "f": true}
-	var fates []string
+	var results []string
 	failed := 0
 	for _, x := range list {
 		delete(left, x.ID)
 		state := "done"
-		if x.ID == "b" || x.ID == "d" { // an unsafe one that may have run
+		if x.ID == "b" || x.ID == "d" { // an unsafe message that may have run
 			state = "failed"
 			failed++
 		}
-		fates = append(fates, fmt.Sprintf(`{"id":%q,"state":%q}`, x.ID, state))
+		results = append(results, fmt.Sprintf(`{"id":%q,"state":%q}`, x.ID, state))
 	}
-	answer := "[" + strings.Join(fates, ",") + "]"
+	answer := "[" + strings.Join(results, ",") + "]"
 	fmt.Fprintf(in.Conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(answer), answer)
 	in.Done <- true
 	for range failed {
@@ -103,7 +105,7 @@
 			t.Errorf("notice %+v", x)
 		}
 	}
-	in = byhand.Await(t, e[0].Calls, "call with the one left")
+	in = byhand.Await(t, e[0].Calls, "call with the remaining message")
 	if !left[in.ID()] {
 		t.Errorf("call with %s", in.ID())
 	}
--- a/internal/daemon/ready_test.go
+++ b/internal/daemon/ready_test.go
@@ -7,23 +7,24 @@
 	"cometrack/internal/standin/ready"
 )
 
-// Processes that are killed at once and started again serve clients while discovery is still down: they wait neither for
-// its list nor for what becomes of the messages that they hold. `measure ready` does the same with twenty of them.
+// Processes that are killed at the same time and restarted serve clients while discovery is still down: they wait
+// neither for its list nor for the outcomes of their pending messages. `measure ready` does the same with twenty
+// processes.
 func TestReadyAfterKill(t *testing.T) {
 	path, err := programPath()
 	if err != nil {
 		t.Fatal(err)
 	}
-	const most = 10 * time.Second // as the standing test has it
-	p := ready.Play{Program: path, Processes: 3, Held: 300, Down: 2 * most}
+	const maxStart = 10 * time.Second // the limit of the acceptance test
+	p := ready.Play{Program: path, Processes: 3, Held: 300, Down: 2 * maxStart}
 	starts, err := p.Run()
 	if err != nil {
 		t.Fatal(err)
 	}
 	for i, s := range starts {
 		t.Logf("%+v", s)
-		if s.Ready >= most || s.Held < p.Held/2 {
-			t.Errorf("process %d is ready after %v with %d held", i, s.Ready, s.Held)
+		if s.Ready >= maxStart || s.Held < p.Held/2 {
+			t.Errorf("process %d is ready after %v with %d pending messages", i, s.Ready, s.Held)
 		}
 	}
 }
--- a/internal/daemon/reload_test.go
+++ b/internal/daemon/reload_test.go
@@ -12,7 +12,7 @@
 	"cometrack/internal/standin/discovery"
 )
 
-// hup replaces the configuration and signals.
+// hup replaces the configuration file and sends SIGHUP.
 func (x *process) hup(text []byte) {
 	x.t.Helper()
 	if err := os.WriteFile(x.conf+".new", text, 0o600); err != nil {
@@ -24,16 +24,16 @@
 	x.Signal(syscall.SIGHUP)
 }
 
-// says waits for a line of the log.
-func (x *process) says(part string) {
+// awaitLog waits for a log line that contains part.
+func (x *process) awaitLog(part string) {
 	x.t.Helper()
 	if err := x.Says(part); err != nil {
 		x.t.Fatal(err)
 	}
 }
 
-// SIGHUP under load, with a file that can't be used and then a good one: messages go on, and discovery and notices
-// move, a batch that the old address has not confirmed too. The environment still names the old address.
+// SIGHUP under load, with unusable files and then a valid one: messages go on, and discovery and notices change to the
+// new address, including a batch that the old address has not confirmed. The environment still has the old address.
 func TestReload(t *testing.T) {
 	old, fresh, e, added := discovery.New(t), discovery.New(t), byhand.NewEndpoint(t), byhand.NewEndpoint(t)
 	known := platform.List{Generation: 5, Reset: true, Instances: instances(e)}
@@ -44,9 +44,10 @@
 	c.put("under-way", "safe", "+OK")
 	underWay := byhand.Await(t, e.Calls, "call")
 
-	for i, bad := range []string{"{", "{}", strings.Replace(string(configText(fresh, known)), `"discovery":"`, `"discovery":"no address `, 1)} {
+	for i, bad := range []string{"{", "{}",
+		strings.Replace(string(configText(fresh, known)), `"discovery":"`, `"discovery":"no address `, 1)} {
 		x.hup([]byte(strings.ReplaceAll(bad, "no address 127.0.0.1:", "no address ")))
-		x.says("old configuration stands")
+		x.awaitLog("old configuration stands")
 		id := fmt.Sprint("bad-", i)
 		c.put(id, "safe", "+OK")
 		in := byhand.Await(t, e.Calls, "call")
@@ -60,19 +61,19 @@
 	c.put("fails", "unsafe", "+OK")
 	byhand.Await(t, e.Calls, "call").Reply(500)
 	byhand.Await(t, old.Refused, "notice")
-	// The new address numbers its lists anew: a watch from the old number would wait for ever.
+	// The new address has its own generation numbers: a watch from the old one's generation would wait forever.
 	fresh.List = platform.List{Generation: 2, Reset: true, Instances: instances(e, added)}
 	x.hup(configText(fresh, known))
 	if n := byhand.Await(t, fresh.Notices, "notice at the new address"); n != (discovery.Notice{ID: "fails", State: "failed"}) {
 		t.Errorf("notice %+v", n)
 	}
 	if q := byhand.Await(t, fresh.Asked, "call at the new address"); q != "" {
-		t.Errorf("asked %q, want the whole list", q)
+		t.Errorf("requested %q, want the complete list", q)
 	}
-	byhand.Await(t, fresh.Asked, "watch at the new address") // the list before it has been read
+	byhand.Await(t, fresh.Asked, "watch at the new address") // shows that the list before it has been read
 	old.Srv.CloseClientConnections()
 	underWay.Reply(200)
-	for i := 0; ; i++ { // the endpoint that only the new address lists gets its share
+	for i := 0; ; i++ { // until the endpoint that only the new address lists gets a call
 		c.put(fmt.Sprint("m-", i), "safe", "+OK")
 		var in *byhand.InCall
 		select {
@@ -84,7 +85,7 @@
 			break
 		}
 		if i == 20 {
-			t.Fatal("the new list is not heeded")
+			t.Fatal("the new list is not used")
 		}
 	}
 	x.term()
--- a/internal/daemon/room_test.go
+++ b/internal/daemon/room_test.go
@@ -17,9 +17,9 @@
 	"cometrack/internal/standin/program"
 )
 
-// With as many descriptors as the limit says and clients that want far more, all of them silent: the console
-// answers, a message on a new connection is taken on and sent, and its journal is written; one that was begun before
-// the crowd came and is written to its end after it comes through too.
+// Silent clients open far more connections than there are descriptors: the console still answers, a message on a new
+// connection is accepted, journalled and sent, and a request that was begun before the other clients connected and is
+// completed after that succeeds too.
 func TestNoFreeDescriptor(t *testing.T) {
 	path, err := programPath()
 	if err != nil {
@@ -32,7 +32,8 @@
 	if err := os.WriteFile(config, configText(p, known), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	x, err := program.Start("/bin/sh", []string{"BALANCER_CONSOLE=127.0.0.1:0", "BALANCER_LISTEN=127.0.0.1:0", "BALANCER_CONFIG=" + config,
+	x, err := program.Start("/bin/sh", []string{"BALANCER_CONSOLE=127.0.0.1:0", "BALANCER_LISTEN=127.0.0.1:0",
+		"BALANCER_CONFIG=" + config,
 		"BALANCER_DISCOVERY=" + strings.TrimPrefix(p.Srv.URL, "http://"), "BALANCER_STATE=" + filepath.Join(dir, "state")},
 		"-c", "ulimit -n 256; exec "+path)
 	if err != nil {
@@ -53,13 +54,13 @@
 	}
 	io.WriteString(slow.Conn, "d=9000,k=1,dest=1\r\n$1\r\nx\r\n")
 	if got := slow.line(); got != "+OK" {
-		t.Errorf("written slowly: %q", got)
+		t.Errorf("slow request: %q", got)
 	}
 	byhand.Await(t, e.Calls, "call").Reply(200)
 	for _, id := range []string{"a", "b", "c"} {
 		ctx, stop := context.WithTimeout(t.Context(), time.Second)
 		if got, err := console.Ask(ctx, at, "GET", "/_ready"); err != nil || strings.TrimSpace(got) != "serving" {
-			t.Errorf("the console says %q, %v", got, err)
+			t.Errorf("the console answers %q, %v", got, err)
 		}
 		stop()
 		dial(t, x.Addrs[0]).put(id, "unsafe", "+OK")
--- a/internal/daemon/standalone_ops_test.go
+++ b/internal/daemon/standalone_ops_test.go
@@ -14,9 +14,9 @@
 	"cometrack/internal/standin/traffic"
 )
 
-// The daily work with a daemon of its own file, by its own commands: ready, drain, a new class by SIGHUP, and an
-// upgrade under both fronts with a message of the old class held.
-func TestStandaloneDay(t *testing.T) {
+// The daily operation of a standalone daemon by its own commands: ready, drain, a new class by SIGHUP, and an upgrade
+// of both fronts with a pending message of the new class.
+func TestStandaloneOperation(t *testing.T) {
 	path, err := programPath()
 	if err != nil {
 		t.Fatal(err)
@@ -45,7 +45,7 @@
 		line := byhand.Await(t, x.Said, "line on the console")
 		_, at, ok := strings.Cut(line, "msg=console at=")
 		if !ok {
-			t.Fatalf("it says %q", line)
+			t.Fatalf("first log line is %q", line)
 		}
 		return x, at
 	}
@@ -75,7 +75,8 @@
 	put("early", "fresh", "-ERR")
 	const fresh = "[[class]]\nname = \"fresh\"\neffect = \"unsafe\"\naim = \"2s\"\ndeadline = \"20s\"\n"
 	good := strings.Replace(text, "[[class]]", fresh+"[[class]]", 1)
-	for _, bad := range []string{good + "\nnonsense = 1", strings.Replace(good, `deadline = "20s"`, `deadline = "-5s"`, 1), good[:len(good)/2], ""} {
+	for _, bad := range []string{good + "\nnonsense = 1",
+		strings.Replace(good, `deadline = "20s"`, `deadline = "-5s"`, 1), good[:len(good)/2], ""} {
 		write(bad, "127.0.0.1:0")
 		old.Signal(syscall.SIGHUP)
 		if err := old.Says("old configuration stands"); err != nil {
@@ -92,10 +93,10 @@
 
 	next, console2 := start(file)
 	if strings.Join(next.Addrs, " ") != strings.Join(old.Addrs, " ") {
-		t.Errorf("it serves at %v, the one before at %v", next.Addrs, old.Addrs)
+		t.Errorf("the successor serves at %v, the predecessor at %v", next.Addrs, old.Addrs)
 	}
 	if err := old.Wait(); err != nil {
-		t.Errorf("the old one ends with %v", err)
+		t.Errorf("the predecessor exited with %v", err)
 	}
 	ask("serving", true, "ready", "--console", console2)
 	for id, want := range map[string]string{"drained": "delivered", "late": "delivered"} {
@@ -109,6 +110,6 @@
 	}
 	next.Signal(syscall.SIGTERM)
 	if err := next.Wait(); err != nil {
-		t.Errorf("it ends with %v", err)
+		t.Errorf("the successor exited with %v", err)
 	}
 }
--- a/internal/daemon/standalone_test.go
+++ b/internal/daemon/standalone_test.go
@@ -35,7 +35,7 @@
 	return p
 }
 
-// testDaemon is a standalone daemon in this process.
+// testDaemon is a standalone daemon under test that runs in this process.
 type testDaemon struct {
 	*Standalone
 	t    *testing.T
@@ -49,7 +49,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s, err := NewStandalone(t.Context(), f, lifecycle.NewController(core.LifecycleTimes, slog.New(slog.DiscardHandler)), slog.New(slog.DiscardHandler))
+	s, err := NewStandalone(t.Context(), f,
+		lifecycle.NewController(core.LifecycleTimes, slog.New(slog.DiscardHandler)), slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -69,7 +70,7 @@
 	}
 }
 
-// state asks over HTTP; empty if nothing is known.
+// state requests the state of a message over HTTP. It is empty if the message is unknown.
 func state(t *testing.T, addr, id, wait string) string {
 	t.Helper()
 	s, err := traffic.State(addr, id, wait)
@@ -79,7 +80,7 @@
 	return s
 }
 
-// respState asks over RESP2.
+// respState requests the state of a message over RESP2.
 func respState(t *testing.T, c *client, id string) string {
 	t.Helper()
 	c.send("MSG.STATE", id)
@@ -88,18 +89,18 @@
 	if _, err := fmt.Sscanf(head, "*%d", &n); err != nil {
 		t.Fatalf("MSG.STATE %s: %q", id, head)
 	}
-	said := map[string]string{}
+	values := map[string]string{}
 	for range n / 2 {
 		c.line()
 		name := c.line()
 		c.line()
-		said[name] = c.line()
+		values[name] = c.line()
 	}
-	return said["state"]
+	return values["state"]
 }
 
-// A client that disconnects after any byte of its submission, on either port: the message was taken or it was not,
-// the other port says which, and what the partner saw agrees.
+// A client disconnects after any byte of its submission, on either port: the message was accepted or not, the other
+// port reports which, and the calls that the partner received agree.
 func TestDisconnectAfterEveryByte(t *testing.T) {
 	p := startPartner(t, partner.Options{Name: "acme"})
 	a := startDaemon(t, traffic.File(t.TempDir(), "", p))
@@ -110,34 +111,35 @@
 		},
 		"resp": func(id string) string {
 			opts := "c=unsafe,d=20000,dest=acme"
-			return fmt.Sprintf("*5\r\n$7\r\nMSG.PUT\r\n$1\r\n0\r\n$%d\r\n%s\r\n$%d\r\n%s\r\n$5\r\nhello\r\n", len(id), id, len(opts), opts)
+			return fmt.Sprintf("*5\r\n$7\r\nMSG.PUT\r\n$1\r\n0\r\n$%d\r\n%s\r\n$%d\r\n%s\r\n$5\r\nhello\r\n", len(id), id,
+				len(opts), opts)
 		},
 	}
-	whole := map[string]bool{}
+	complete := map[string]bool{}
 	var ids []string
 	for _, port := range []string{"http", "resp"} {
 		last := len(requests[port]("http-r-0000"))
 		for n := range last + 1 {
-			for _, how := range []string{"f", "r"} { // by FIN, by reset
-				id := fmt.Sprintf("%s-%s-%04d", port, how, n)
+			for _, closing := range []string{"f", "r"} { // by FIN, by reset
+				id := fmt.Sprintf("%s-%s-%04d", port, closing, n)
 				conn, err := net.Dial("tcp", ports[port])
 				if err != nil {
 					t.Fatal(err)
 				}
 				io.WriteString(conn, requests[port](id)[:n])
-				if how == "r" {
+				if closing == "r" {
 					conn.(*net.TCPConn).SetLinger(0)
 				}
 				conn.Close()
 				ids = append(ids, id)
-				if n == last && how == "f" { // all of it has come to the daemon
-					whole[id] = true
+				if n == last && closing == "f" { // the daemon has received the whole request
+					complete[id] = true
 				}
 			}
 		}
 	}
 	c := dial(t, a.RESPAddr())
-	for id := range whole {
+	for id := range complete {
 		byhand.Until(t, "delivery of "+id, func() bool { return state(t, a.HTTPAddr(), id, "10s") == "delivered" })
 		if s := respState(t, c, id); s != "delivered" {
 			t.Errorf("%s: %q on the other port", id, s)
@@ -149,9 +151,9 @@
 		if s != "" && s != "delivered" {
 			t.Errorf("%s is %s", id, s)
 		}
-		cut := !whole[id] && !strings.Contains(id, fmt.Sprintf("%04d", len(requests[id[:4]](id))))
-		if s != "" && cut {
-			t.Errorf("%s was taken on from a part of its request", id)
+		partial := !complete[id] && !strings.Contains(id, fmt.Sprintf("%04d", len(requests[id[:4]](id))))
+		if s != "" && partial {
+			t.Errorf("%s was accepted from a part of its request", id)
 		}
 		known[id] = s != ""
 	}
@@ -168,7 +170,7 @@
 	}
 }
 
-// The same id raced on both ports is one message; another one under its id is refused on both.
+// The same id submitted on both ports at once is one message. Another message with its id is rejected on both.
 func TestSameIDOnBothPorts(t *testing.T) {
 	p := startPartner(t, partner.Options{Name: "acme"})
 	a := startDaemon(t, traffic.File(t.TempDir(), "", p))
@@ -187,11 +189,11 @@
 	for i := range many {
 		id := fmt.Sprint("m", i)
 		status := make(chan int, 1)
-		asked := make(chan string, 1)
+		states := make(chan string, 1)
 		go func() { status <- post(id, "same") }()
 		go func() {
 			s, _ := traffic.State(a.HTTPAddr(), id, "0s")
-			asked <- s
+			states <- s
 		}()
 		if got := c.do("MSG.PUT", "0", id, "c=unsafe,d=20000,dest=acme", "same"); got != "+OK" {
 			t.Fatalf("%s: %q", id, got)
@@ -199,7 +201,7 @@
 		if got := <-status; got != 202 {
 			t.Fatalf("%s: %d", id, got)
 		}
-		if s := <-asked; !slices.Contains([]string{"", "accepted", "sending", "delivered"}, s) {
+		if s := <-states; !slices.Contains([]string{"", "accepted", "sending", "delivered"}, s) {
 			t.Fatalf("%s was %q", id, s)
 		}
 		if i%100 == 0 {
@@ -224,8 +226,8 @@
 	}
 }
 
-// A front that is flooded, with work that is refused and with work that fills its part of the hold, leaves the other
-// one its part.
+// A front that is flooded, with submissions that are rejected and with submissions that fill its share of the pending
+// limit, leaves the other front its share.
 func TestFairness(t *testing.T) {
 	steady := startPartner(t, partner.Options{Name: "steady"})
 	stuck := startPartner(t, partner.Options{Name: "stuck", Phases: []partner.Phase{{Mode: partner.Dead, For: time.Hour}}})
@@ -252,11 +254,11 @@
 			}
 		}()
 	}
-	for range 200 { // the flooding front's part of the hold is full
-		byhand.Await(t, refused, "message turned away")
+	for range 200 { // the flooded front's share of the pending limit is used up
+		byhand.Await(t, refused, "rejected message")
 	}
 	c := dial(t, a.RESPAddr())
-	for i := range 50 { // as many as its part holds; unknown time passes between
+	for i := range 50 { // the whole share of the other front, at any pace
 		if got := c.do("MSG.PUT", "0", fmt.Sprint("r-", i), "c=unsafe,d=20000,dest=steady", "x"); got != "+OK" {
 			t.Fatalf("message %d through the other front: %q", i, got)
 		}
@@ -267,7 +269,7 @@
 	}
 }
 
-// Client libraries work as they come.
+// The daemon works with an unmodified client library.
 func TestGoRedis(t *testing.T) {
 	p := startPartner(t, partner.Options{Name: "acme"})
 	a := startDaemon(t, traffic.File(t.TempDir(), "", p))
@@ -289,8 +291,8 @@
 	}
 }
 
-// The journal names partners and classes: a file in another order, or without one of them, sends no held message
-// elsewhere, and one whose partner or class is gone has its one end.
+// The journal refers to partners and classes by name: with a file in another order, or without one of them, no pending
+// message is sent elsewhere, and a message whose partner or class was removed has one end.
 func TestJournalByName(t *testing.T) {
 	dead := func(name string) *partner.Partner {
 		return startPartner(t, partner.Options{Name: name, Phases: []partner.Phase{{Mode: partner.Dead, For: time.Hour}}})
@@ -308,13 +310,15 @@
 	a.stopAndWait()
 	one.Set(partner.Well)
 	two.Set(partner.Well)
-	text := traffic.File(dir, "", two, one) // in another order, and three is gone
+	text := traffic.File(dir, "", two, one) // in another order and without three
 	keyed := strings.Index(text, "[[class]]\nname = \"keyed\"")
 	unsafe := strings.Index(text, "[[class]]\nname = \"unsafe\"")
 	partners := strings.Index(text, "[[partner]]")
-	text = text[:keyed] + text[partners:] + text[unsafe:partners] // the class keyed is gone, but for the message of it; unsafe comes last
+	// The class keyed is removed, although a message of it is pending. The class unsafe becomes the last one.
+	text = text[:keyed] + text[partners:] + text[unsafe:partners]
 	a = startDaemon(t, text)
-	for id, want := range map[string]string{"one-safe": "delivered", "two-unsafe": "delivered", "three-keyed": "returned", "one-keyed": "delivered"} {
+	for id, want := range map[string]string{"one-safe": "delivered", "two-unsafe": "delivered",
+		"three-keyed": "returned", "one-keyed": "delivered"} {
 		if got := state(t, a.HTTPAddr(), id, "19s"); got != want {
 			t.Errorf("%s is %q, want %s", id, got, want)
 		}
@@ -323,7 +327,7 @@
 	for _, p := range []*partner.Partner{one, two} {
 		for _, call := range p.Calls() {
 			if !strings.HasPrefix(call.ID, p.Name()+"-") {
-				t.Errorf("%s got %s", p.Name(), call.ID)
+				t.Errorf("%s received %s", p.Name(), call.ID)
 			}
 		}
 	}
@@ -333,11 +337,11 @@
 	}
 	defer j.Close()
 	if n := j.Len(); n != 0 {
-		t.Errorf("%d messages are still owed something", n)
+		t.Errorf("%d messages are still in the journal", n)
 	}
 }
 
-// Ends reach the file whatever becomes of the messages, each once while the daemon lives.
+// All ends of messages reach the end file, each once while the daemon runs.
 func TestEndFile(t *testing.T) {
 	p := startPartner(t, partner.Options{Name: "acme"})
 	sick := startPartner(t, partner.Options{Name: "sick", Phases: []partner.Phase{{Mode: partner.Sick, For: time.Hour}}})
@@ -371,7 +375,7 @@
 	return list
 }
 
-// A thousand clients that wait for one message's end all hear of it, and meanwhile others are served.
+// A thousand clients that wait for the end of one message all get it, and other requests are served meanwhile.
 func TestThousandLongPolls(t *testing.T) {
 	p := startPartner(t, partner.Options{Name: "acme"})
 	p.Set(partner.Hang)
@@ -391,17 +395,17 @@
 			got <- s
 		}()
 	}
-	byhand.Until(t, "thousand that wait", func() bool { return a.http.Waiting() >= many })
+	byhand.Until(t, "a thousand waiting clients", func() bool { return a.http.Waiting() >= many })
 	if s := respState(t, c, "a"); s != "sending" {
-		t.Errorf("meanwhile the other port says %q", s)
+		t.Errorf("the other port reports %q meanwhile", s)
 	}
 	if s := state(t, a.HTTPAddr(), "other", "0s"); s != "" {
-		t.Errorf("meanwhile the same port says %q", s)
+		t.Errorf("the same port reports %q meanwhile", s)
 	}
 	p.Set(partner.Well)
 	for range many {
 		if s := byhand.Await(t, got, "end"); s != "delivered" {
-			t.Fatalf("told %q", s)
+			t.Fatalf("got state %q", s)
 		}
 	}
 }
--- a/internal/daemon/untried_test.go
+++ b/internal/daemon/untried_test.go
@@ -8,8 +8,9 @@
 	"cometrack/internal/standin/untried"
 )
 
-// What a restart finds taken on and untried is tried by the new process, half of it with little time left: after a kill and
-// after an ordered end, with a partner that is slow and one that the list names only a second after the start.
+// Messages that were accepted but not attempted before a restart are attempted by the new process, half of them with
+// little time left: after a kill and after a regular exit, with a partner that is slow and one that is listed only a
+// second after the start.
 func TestUntriedAfterRestart(t *testing.T) {
 	path, err := programPath()
 	if err != nil {
@@ -29,7 +30,8 @@
 			}
 			t.Logf("%+v", c)
 			if c.Given > c.Held/20 || c.Over > c.Held/2 || len(c.Faults) > 0 {
-				t.Errorf("of %d held untried %d were tried, %d ended with no call, %d had run out of time: %v", c.Held, c.Tried, c.Given, c.Over, c.Faults)
+				t.Errorf("of %d pending messages without an attempt %d were attempted, %d ended without a call, %d had expired: %v",
+					c.Held, c.Tried, c.Given, c.Over, c.Faults)
 			}
 		})
 	}
--- a/internal/daemon/upgrade_kill_test.go
+++ b/internal/daemon/upgrade_kill_test.go
@@ -10,7 +10,7 @@
 	"cometrack/internal/standin/traffic"
 )
 
-// ledger are the clients' and the partner's, of a run.
+// ledger records what the clients and the partner saw in a run.
 type ledger struct {
 	mu       sync.Mutex
 	accepted map[string]bool // answered with +OK
@@ -18,6 +18,7 @@
 	ended    map[string]bool // by a notice
 }
 
+// unsettled returns the ids of the accepted messages without a delivery or a notice.
 func (a *ledger) unsettled() (missing []string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -29,7 +30,7 @@
 	return missing
 }
 
-// awaitAccepted waits until so many more messages are taken on.
+// awaitAccepted waits until n more messages are accepted.
 func (a *ledger) awaitAccepted(t *testing.T, n int) {
 	t.Helper()
 	count := func() int {
@@ -38,12 +39,12 @@
 		return len(a.accepted)
 	}
 	from := count()
-	byhand.Until(t, "messages that are taken on", func() bool { return count() >= from+n })
+	byhand.Until(t, "accepted messages", func() bool { return count() >= from+n })
 }
 
-// Under load, either process is killed at one time after another of its upgrade: before it asks, in the step and
-// after it. One serves again each time, every message that was taken on has its end, and none that must not run
-// twice does.
+// Under load, one of the two processes is killed at different times of its upgrade: before the request, during the
+// handover and after it. Each time a process serves again, every accepted message has its end, and none that must not
+// runs twice.
 func TestUpgradeKills(t *testing.T) {
 	x := startUpgradeScenario(t)
 	addr, acc := x.old.addr, &ledger{accepted: map[string]bool{}, calls: map[string]int{}, ended: map[string]bool{}}
@@ -55,10 +56,10 @@
 			case in := <-x.e.Calls:
 				acc.mu.Lock()
 				if acc.calls[in.ID()]++; acc.calls[in.ID()] > 1 && in.ID()[0] == 'u' {
-					t.Errorf("%s runs twice", in.ID())
+					t.Errorf("%s ran twice", in.ID())
 				}
 				acc.mu.Unlock()
-				time.AfterFunc(15*time.Millisecond, func() { in.Reply(200) }) // so that some are out at each kill
+				time.AfterFunc(15*time.Millisecond, func() { in.Reply(200) }) // so that some calls are in flight at each kill
 			case n := <-x.p.Notices:
 				acc.mu.Lock()
 				acc.ended[n.ID] = true
@@ -87,7 +88,7 @@
 			}
 		}
 	})
-	cur := x.old
+	current := x.old
 	for i := range 16 {
 		acc.awaitAccepted(t, 4)
 		started := make(chan *process, 1)
@@ -98,22 +99,22 @@
 			}
 			close(started)
 		}()
-		time.Sleep(time.Duration(i/2) * 6 * time.Millisecond) // the time of the kill is what is tried out
+		time.Sleep(time.Duration(i/2) * 6 * time.Millisecond) // varies the time of the kill
 		if i%2 == 0 {
-			cur.kill()
+			current.kill()
 		} else {
-			next.Cmd.Process.Kill() // its end is seen by the one that waits for it to be ready
+			next.Cmd.Process.Kill() // the goroutine that waits for its readiness sees the exit
 		}
 		if p := <-started; p != nil && i%2 == 0 {
-			cur = p
+			current = p
 			continue
 		}
-		// The successor is dead. If it had taken over, the old one ends when its calls have.
+		// The successor has exited. If it had taken over, the predecessor exits once its calls have ended.
 		if alive := func() bool {
 			for by := time.Now().Add(byhand.Patience); time.Now().Before(by); {
 				select {
-				case err := <-cur.Done:
-					cur.Done <- err
+				case err := <-current.Done:
+					current.Done <- err
 					return false
 				default:
 				}
@@ -121,11 +122,11 @@
 					return true
 				}
 			}
-			t.Fatal("nobody serves, and nobody ends")
+			t.Fatal("the predecessor neither serves nor exits")
 			return false
 		}(); !alive {
-			cur = launchProcess(t, x.p, x.dir, x.known, addr)
-			if err := cur.ready(); err != nil {
+			current = launchProcess(t, x.p, x.dir, x.known, addr)
+			if err := current.ready(); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -133,11 +134,11 @@
 	acc.awaitAccepted(t, 4)
 	close(clients)
 	byhand.Until(t, "end of every message", func() bool { return len(acc.unsettled()) == 0 })
-	cur.term()
-	cur.awaitExit()
+	current.term()
+	current.awaitExit()
 	close(stop)
 	running.Wait()
 	if ids := pendingIDs(t, x.dir); ids != nil {
-		t.Errorf("still owed: %v", ids)
+		t.Errorf("messages still pending: %v", ids)
 	}
 }
--- a/internal/daemon/upgrade_test.go
+++ b/internal/daemon/upgrade_test.go
@@ -17,13 +17,15 @@
 	"cometrack/internal/vfs"
 )
 
-// stallDirVariable names the folder in which a copy of the test program takes over a journal's lock and says nothing more.
+// stallDirVariable names the environment variable with the folder whose journal a copy of the test binary locks as a
+// successor, without confirming the handover.
 const stallDirVariable = "COMETRACK_TEST_STALL"
 
-// stallDisconnectVariable says that the copy breaks the connection first.
+// stallDisconnectVariable names the environment variable that makes the copy close the connection after that.
 const stallDisconnectVariable = "COMETRACK_TEST_HANG_UP"
 
-// stallHoldingLock is a successor that hangs in the worst place: it has the lock and has not said so.
+// stallHoldingLock is a successor that hangs in the worst place: it has the journal's lock and has not confirmed the
+// handover.
 func stallHoldingLock(dir string) {
 	c, err := handover.Dial(dir, time.Second)
 	if err == nil {
@@ -46,49 +48,50 @@
 	select {}
 }
 
-// The socket of a handover broke while both processes lived, and the old one waited seconds for the journal with
-// requests read and calls out, which the new one took for ended: it stops deciding, calls off what it has out, turns
-// away what comes, and ends when it is told to.
+// The socket of a handover broke while both processes ran. The predecessor waited seconds for the journal with requests
+// read and attempts in flight, which the successor treated as ended. Instead, the predecessor stops deciding, cancels
+// its attempts in flight, rejects new requests, and exits on SIGTERM.
 func TestUpgradeWhoseSocketBreaks(t *testing.T) {
 	x := startUpgradeScenario(t)
 	c := dial(t, x.old.addr)
 	c.put("u", "unsafe", "+OK")
 	in := x.awaitCall("u")
 	const late = "*5\r\n$7\r\nMSG.PUT\r\n$4\r\n0000\r\n$4\r\nlate\r\n$27\r\nc=safe,t=acme,d=9000,dest=1\r\n$1\r\nx\r\n"
-	io.WriteString(c.Conn, late[:len(late)/2]) // keeps the connection open
+	io.WriteString(c.Conn, late[:len(late)/2]) // half a request keeps the connection open
 	t.Setenv(stallDisconnectVariable, "yes")
 	runSelf(t, stallDirVariable+"="+x.dir)
-	x.old.says("it decides")
+	x.old.awaitLog("it decides")
 	in.AwaitEnd(t)
 	io.WriteString(c.Conn, late[len(late)/2:])
 	if got := c.line(); got != "-BUSY" {
-		t.Errorf("a request that comes then gets %q", got)
+		t.Errorf("a request received after that gets %q", got)
 	}
 	x.old.term()
 	x.old.awaitExit()
 }
 
-// A successor that dies and takes its time to give the journal's lock back was taken for one that lives, and nobody
-// decided any more: a process that has ended, or is about to, is told from one that runs.
-func TestDyingProcessIsNotTakenForALivingOne(t *testing.T) {
+// A successor that crashed and released the journal's lock late was treated as running, and no process decided any
+// more. A process that has exited or is exiting must be distinguished from a running one.
+func TestExitingProcessIsRecognized(t *testing.T) {
 	if isExiting(os.Getpid()) {
-		t.Error("this process is taken for one that ends")
+		t.Error("this process is reported as exiting")
 	}
 	child := exec.Command("true")
 	if err := child.Start(); err != nil {
 		t.Fatal(err)
 	}
-	byhand.Until(t, "end of a process that nobody waits for", func() bool { return isExiting(child.Process.Pid) })
+	byhand.Until(t, "exit of a process that has not been waited for", func() bool { return isExiting(child.Process.Pid) })
 	if err := child.Wait(); err != nil {
 		t.Fatal(err)
 	}
 	if !isExiting(child.Process.Pid) {
-		t.Error("a process that is gone is taken for one that runs")
+		t.Error("a process that has exited is reported as running")
 	}
 }
 
-// A process whose word that it had taken over was lost served all the same, beside the one before it, which took the
-// journal back: what it had taken on had no end. It writes nothing, and asks again.
+// A successor whose confirmation was lost served clients all the same, beside the predecessor, which took the journal
+// back: the messages that the successor accepted had no end. The successor must write nothing and request the handover
+// again.
 func TestUpgradeWhoseWordIsLost(t *testing.T) {
 	p, e, dir := discovery.New(t), byhand.NewEndpoint(t), t.TempDir()
 	known := platform.List{Generation: 1, Reset: true, Instances: instances(e)}
@@ -109,9 +112,9 @@
 		if err := c.Send(&handover.Snapshot{Format: handover.Format}); err != nil {
 			t.Fatal(err)
 		}
-		c.Close() // nobody hears what it says then
+		c.Close() // the confirmation is lost
 	}
-	before.Close() // and now it can start from the journal
+	before.Close() // now the process can start from the journal
 	if err := x.ready(); err != nil {
 		t.Fatal(err)
 	}
@@ -121,7 +124,7 @@
 	x.awaitExit()
 }
 
-// upgradeScenario is a sender that is going to be upgraded.
+// upgradeScenario is a running sender that is going to be upgraded.
 type upgradeScenario struct {
 	t     *testing.T
 	p     *discovery.Platform
@@ -140,12 +143,12 @@
 	return x
 }
 
-// upgrade starts the next process beside the one that serves, and waits until it does.
+// upgrade starts the successor and waits until it is ready.
 func (x *upgradeScenario) upgrade() *process {
 	x.t.Helper()
 	next := startProcess(x.t, x.p, x.dir, x.known)
 	if next.addr != x.old.addr {
-		x.t.Fatalf("it serves at %s, the one before at %s", next.addr, x.old.addr)
+		x.t.Fatalf("the successor serves at %s, the predecessor at %s", next.addr, x.old.addr)
 	}
 	return next
 }
@@ -159,19 +162,20 @@
 	return in
 }
 
-// finish stops a process and checks that nothing is owed, and nothing was sent that should not have been.
+// finish stops a process and checks that no message is pending and no unexpected call was made.
 func (x *upgradeScenario) finish(n *process) {
 	x.t.Helper()
 	n.term()
 	n.awaitExit()
 	x.e.None(x.t)
 	if ids := pendingIDs(x.t, x.dir); ids != nil {
-		x.t.Errorf("still owed: %v", ids)
+		x.t.Errorf("messages still pending: %v", ids)
 	}
 }
 
-// Calls that are out stay out: their outcomes count, a told wait holds for the successor, what is held goes on, a
-// half-sent request is answered where it was begun, and the old process ends by itself.
+// Calls in flight at an upgrade continue: their outcomes count, the successor respects a wait requested in one of them,
+// pending messages are delivered, a request sent in part is answered by the process that began to read it, and the
+// predecessor exits by itself.
 func TestUpgradeWithCallsOut(t *testing.T) {
 	x := startUpgradeScenario(t)
 	c, half := dial(t, x.old.addr), dial(t, x.old.addr)
@@ -184,7 +188,7 @@
 	half.awaitReceived(c)
 	next := x.upgrade()
 	if got := c.line(); got != "" { // closed between requests
-		t.Errorf("kept: %q", got)
+		t.Errorf("the connection stays open: %q", got)
 	}
 	io.WriteString(half.Conn, "$26\r\nc=unsafe,d=9000,k=1,dest=1\r\n$1\r\nx\r\n")
 	if got := half.line(); got != "+OK" {
@@ -193,13 +197,13 @@
 	out["keyed"].Reply(200)
 	out["safe"].Reply(200)
 	x.awaitCall("half").Reply(200)
-	told := time.Now()
+	requestedAt := time.Now()
 	const wait = 600 * time.Millisecond
 	out["unsafe"].Reply(429, "X-Come-Back-Ms: 600")
-	dial(t, next.addr).put("m-unsafe", "unsafe", "+OK") // the same message once more
+	dial(t, next.addr).put("m-unsafe", "unsafe", "+OK") // the same message again
 	in := x.awaitCall("m-unsafe")
-	if d := in.At.Sub(told); d < wait {
-		t.Errorf("sent again %v after a wait of %v was told", d, wait)
+	if d := in.At.Sub(requestedAt); d < wait {
+		t.Errorf("sent again %v after a wait of %v was requested", d, wait)
 	}
 	in.Reply(200)
 	x.old.awaitExit()
@@ -209,7 +213,8 @@
 	}
 }
 
-// awaitReceived waits until what was sent on this connection has come: what was sent later on another has been answered.
+// awaitReceived waits until the sender has received what was sent on this connection: a later request on another
+// connection has been answered.
 func (c *client) awaitReceived(other *client) {
 	c.t.Helper()
 	if got := other.do("PING"); got != "+PONG" {
@@ -217,7 +222,8 @@
 	}
 }
 
-// Both together keep to the slots of one: with all out at the old process, the successor waits for their outcomes.
+// Both processes together keep to the slots of one: while the predecessor uses all of them, the successor waits for
+// their outcomes.
 func TestUpgradeCountsSlots(t *testing.T) {
 	x := startUpgradeScenario(t)
 	c := dial(t, x.old.addr)
@@ -232,16 +238,16 @@
 	dial(t, next.addr).put("new", "safe", "+OK")
 	x.e.None(t)
 	out[0].Reply(200)
-	byhand.Await(t, x.e.Calls, "call of one that was held").Reply(200)
-	byhand.Await(t, x.e.Calls, "call of the other").Reply(200)
+	byhand.Await(t, x.e.Calls, "call of a pending message").Reply(200)
+	byhand.Await(t, x.e.Calls, "call of the other message").Reply(200)
 	out[1].Reply(200)
 	out[2].Reply(200)
 	x.old.awaitExit()
 	x.finish(next)
 }
 
-// The old process is killed right after the step: its calls are in doubt, and only those.
-func TestUpgradeThenKillOld(t *testing.T) {
+// The predecessor is killed right after the handover: only its attempts in flight may have run.
+func TestUpgradeThenKillPredecessor(t *testing.T) {
 	x := startUpgradeScenario(t)
 	c := dial(t, x.old.addr)
 	c.put("u", "unsafe", "+OK")
@@ -257,8 +263,8 @@
 	x.finish(next)
 }
 
-// The successor is killed right after the step: the journal has all that was taken on, for the start after.
-func TestUpgradeThenKillHeir(t *testing.T) {
+// The successor is killed right after the handover: the journal has all accepted messages for the next start.
+func TestUpgradeThenKillSuccessor(t *testing.T) {
 	x := startUpgradeScenario(t)
 	c := dial(t, x.old.addr)
 	c.put("s", "safe", "+OK")
@@ -283,10 +289,10 @@
 	x.finish(last)
 }
 
-// Processes that ask and come to nothing: one that goes away at each stage, one that says nothing, one of another
-// format, and one that hangs with the journal's lock. The old one serves on and has lost nothing.
+// Handovers that fail: the successor disconnects at each stage, does not confirm, uses another format, or hangs with
+// the journal's lock. The predecessor goes on serving and has lost nothing.
 func TestUpgradeThatFails(t *testing.T) {
-	ask := func(t *testing.T, x *upgradeScenario, format int, want any) *handover.Conn {
+	requestHandover := func(t *testing.T, x *upgradeScenario, format int, want any) *handover.Conn {
 		t.Helper()
 		c, err := handover.Dial(x.dir, byhand.Patience)
 		if err != nil {
@@ -307,29 +313,29 @@
 		return c
 	}
 	for name, try := range map[string]func(t *testing.T, x *upgradeScenario){
-		"goes before it asks": func(t *testing.T, x *upgradeScenario) {
+		"disconnects before its request": func(t *testing.T, x *upgradeScenario) {
 			c, err := handover.Dial(x.dir, byhand.Patience)
 			if err != nil {
 				t.Fatal(err)
 			}
 			c.Close()
 		},
-		"goes with the snapshot": func(t *testing.T, x *upgradeScenario) {
-			ask(t, x, handover.Format, &handover.Snapshot{}).Close()
-			x.old.says("not handed over")
+		"disconnects after the snapshot": func(t *testing.T, x *upgradeScenario) {
+			requestHandover(t, x, handover.Format, &handover.Snapshot{}).Close()
+			x.old.awaitLog("not handed over")
 		},
-		"says nothing": func(t *testing.T, x *upgradeScenario) {
-			ask(t, x, handover.Format, &handover.Snapshot{})
-			x.old.says("not handed over")
+		"does not confirm": func(t *testing.T, x *upgradeScenario) {
+			requestHandover(t, x, handover.Format, &handover.Snapshot{})
+			x.old.awaitLog("not handed over")
 		},
-		"another format": func(t *testing.T, x *upgradeScenario) { ask(t, x, 99, &handover.Refuse{}) },
+		"another format": func(t *testing.T, x *upgradeScenario) { requestHandover(t, x, 99, &handover.Refuse{}) },
 		"hangs with the lock": func(t *testing.T, x *upgradeScenario) {
 			hung := runSelf(t, stallDirVariable+"="+x.dir)
-			x.old.says("it is ended")
+			x.old.awaitLog("it is ended")
 			if err := hung.Wait(); err == nil || !strings.Contains(err.Error(), "killed") {
-				t.Errorf("it ended with %v", err)
+				t.Errorf("the successor exited with %v", err)
 			}
-			x.old.says("not handed over")
+			x.old.awaitLog("not handed over")
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -343,8 +349,8 @@
 			c2 := dial(t, x.old.addr)
 			c2.put("after", "unsafe", "+OK")
 			x.awaitCall("after").Reply(200)
-			c2.put("u", "unsafe", "+OK") // known still
-			next := x.upgrade()          // and the next one that asks takes over
+			c2.put("u", "unsafe", "+OK") // its end is still known
+			next := x.upgrade()          // the next handover succeeds
 			dial(t, next.addr).put("last", "safe", "+OK")
 			x.awaitCall("last").Reply(200)
 			x.old.awaitExit()
@@ -353,8 +359,7 @@
 	}
 }
 
-// Four upgrades in a row under load: every message that was taken on is delivered, none twice, and no connection
-// meets a closed door.
+// Four upgrades in a row under load: every accepted message is delivered, none twice, and no connection is refused.
 func TestUpgradesUnderLoad(t *testing.T) {
 	x := startUpgradeScenario(t)
 	addr, n := x.old.addr, 0
@@ -365,7 +370,7 @@
 			select {
 			case in := <-x.e.Calls:
 				if seen[in.ID()]++; seen[in.ID()] > 1 {
-					t.Errorf("%s is sent twice", in.ID())
+					t.Errorf("%s was sent twice", in.ID())
 				}
 				in.Reply(200)
 				answered <- struct{}{}
@@ -404,6 +409,6 @@
 		t.Errorf("%d of %d messages were sent", got, n)
 	}
 	if ids := pendingIDs(t, x.dir); ids != nil {
-		t.Errorf("still owed: %v", ids)
+		t.Errorf("messages still pending: %v", ids)
 	}
 }
--- a/internal/daemon/window_test.go
+++ b/internal/daemon/window_test.go
@@ -12,27 +12,27 @@
 	"cometrack/internal/standin/partner"
 )
 
-// A keyed class whose partner drops repeats for 1 s only, and restarts that take longer, with a first attempt whose
-// outcome nobody knows: by the partner's record nothing repeats after its window, which counts from that attempt on, and
-// the message ends as failed. A harmless one beside it is sent again by the same process, so it could have been.
+// A keyed class whose partner recognizes repeats for 1 s only, and restarts that take longer, after a first attempt of
+// unknown outcome: by the partner's record no repeat is sent after the window, which counts from that attempt, and the
+// message fails. A safe message beside it is sent again by the same process, which shows that a repeat was possible.
 func TestRestartOutlastsWindow(t *testing.T) {
 	const (
 		window = time.Second
-		slack  = 50 * time.Millisecond // that the rules give each time limit
-		longer = 3 * slack             // than the window, what a restart takes
+		slack  = 50 * time.Millisecond // tolerance of each time limit
+		longer = 3 * slack             // by which a restart outlasts the window
 	)
 	for name, x := range map[string]struct {
 		signal syscall.Signal
-		// again is what the partner does from the restart until the window is over; -1 to start after it.
-		again  partner.Mode
-		unseen bool // the list does not name it until then
-		twice  bool // killed once more meanwhile
+		// mode is that of the partner from the restart until the window is over; -1 to restart after that.
+		mode     partner.Mode
+		unlisted bool // the list does not contain the partner until then
+		twice    bool // killed a second time meanwhile
 	}{
-		"killed, started after it":              {signal: syscall.SIGKILL, again: -1},
-		"ended in order, started after it":      {signal: syscall.SIGTERM, again: -1},
-		"killed, listed after it":               {signal: syscall.SIGKILL, unseen: true},
-		"killed, turned away until then":        {signal: syscall.SIGKILL, again: partner.Full},
-		"killed, and again with the repeat out": {signal: syscall.SIGKILL, again: partner.Hang, twice: true},
+		"killed, started after it":            {signal: syscall.SIGKILL, mode: -1},
+		"terminated, started after it":        {signal: syscall.SIGTERM, mode: -1},
+		"killed, listed after it":             {signal: syscall.SIGKILL, unlisted: true},
+		"killed, rejected until then":         {signal: syscall.SIGKILL, mode: partner.Full},
+		"killed, and again during the repeat": {signal: syscall.SIGKILL, mode: partner.Hang, twice: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -42,7 +42,8 @@
 			p.With = func(s string) string {
 				return strings.NewReplacer(`"window_s":25`, `"window_s":1`, `"max_attempts":3`, `"max_attempts":30`).Replace(s)
 			}
-			known := platform.List{Generation: 1, Reset: true, Instances: []platform.Instance{{ID: "s-0", HostPort: to.Addr(), Zone: "a", Kind: "std",
+			known := platform.List{Generation: 1, Reset: true, Instances: []platform.Instance{{ID: "s-0",
+				HostPort: to.Addr(), Zone: "a", Kind: "std",
 				Dest: 1, Lifecycle: "up", Weight: 100}}}
 			p.List = known
 			calls := func(id string) (all []partner.Call) {
@@ -58,40 +59,40 @@
 			c.put("harmless", "safe", "+OK")
 			c.put("once", "keyed", "+OK")
 			byhand.Until(t, "first calls", func() bool { return len(calls("once")) > 0 && len(calls("harmless")) > 0 })
-			over := calls("once")[0].At.Add(window)
+			windowEnd := calls("once")[0].At.Add(window)
 			y.Signal(x.signal)
 			y.Wait()
-			if x.unseen {
+			if x.unlisted {
 				known = platform.List{Generation: 1, Reset: true, Instances: []platform.Instance{}}
 				p.Set(func() { p.Silent = true })
 			}
-			if x.again < 0 {
-				time.Sleep(time.Until(over.Add(longer)))
+			if x.mode < 0 {
+				time.Sleep(time.Until(windowEnd.Add(longer)))
 			} else {
-				to.Set(x.again)
+				to.Set(x.mode)
 			}
-			failed := func(n discovery.Notice) {
+			checkFailed := func(n discovery.Notice) {
 				if n.ID != "once" || n.State != "failed" {
 					t.Errorf("notice %+v", n)
 				}
 			}
 			ended := false
-			if x.again >= 0 {
+			if x.mode >= 0 {
 				if x.twice {
-					time.Sleep(time.Until(over.Add(-window * 2 / 3)))
+					time.Sleep(time.Until(windowEnd.Add(-window * 2 / 3)))
 				}
 				y = startProcess(t, p, dir, known)
-				if x.twice { // unless this machine was too slow for a repeat within the window
+				if x.twice { // no repeat if this machine was too slow for one within the window
 					byhand.Until(t, "repeat or end", func() bool { return len(calls("once")) > 1 || len(p.Notices) > 0 })
 					if ended = len(p.Notices) > 0; ended {
-						failed(<-p.Notices)
+						checkFailed(<-p.Notices)
 					}
 					y.kill()
 				}
-				time.Sleep(time.Until(over.Add(longer)))
+				time.Sleep(time.Until(windowEnd.Add(longer)))
 			}
 			to.Set(partner.Well)
-			if x.again < 0 || x.twice {
+			if x.mode < 0 || x.twice {
 				y = startProcess(t, p, dir, known)
 			}
 			p.Set(func() { p.Silent, p.List.Generation = false, 2 })
@@ -100,23 +101,24 @@
 				return all[len(all)-1].Status == 200
 			})
 			if !ended {
-				byhand.Until(t, "end", func() bool { all := calls("once"); return len(p.Notices) > 0 || all[len(all)-1].Status == 200 })
+				byhand.Until(t, "end",
+					func() bool { all := calls("once"); return len(p.Notices) > 0 || all[len(all)-1].Status == 200 })
 				select {
 				case n := <-p.Notices:
-					failed(n)
+					checkFailed(n)
 				default:
-					t.Error("it is delivered, and was to fail")
+					t.Error("the message was delivered, want failed")
 				}
 			}
 			y.term()
 			y.awaitExit()
 			all := calls("once")
 			for _, c := range all[1:] {
-				if late := c.At.Sub(over); late > slack {
-					t.Errorf("it repeats %v after its window", late)
+				if late := c.At.Sub(windowEnd); late > slack {
+					t.Errorf("repeated %v after the window", late)
 				}
 				if c.Key != all[0].Key {
-					t.Errorf("it repeats under %q, and was sent under %q", c.Key, all[0].Key)
+					t.Errorf("repeated with key %q, first sent with %q", c.Key, all[0].Key)
 				}
 			}
 			t.Logf("%s: %d calls", name, len(all))
