--- a/cmd/cometrack/client.go
+++ b/cmd/cometrack/client.go
@@ -18,29 +18,31 @@
 	"github.com/spf13/cobra"
 )
 
-// maxAnswer bounds what is read of an answer.
-const maxAnswer = 1 << 20
+// maxResponseBytes limits how much of a response body is read.
+const maxResponseBytes = 1 << 20
 
-// client speaks to a daemon's HTTP front.
+// client calls a daemon's HTTP front.
 type client struct {
 	url   string
 	token string
 }
 
-func (c *client) flags(cmd *cobra.Command) {
-	env := func(name, or string) string {
+// addFlags adds the flags of the client to a command.
+func (c *client) addFlags(cmd *cobra.Command) {
+	env := func(name, fallback string) string {
 		if v := os.Getenv(name); v != "" {
 			return v
 		}
-		return or
+		return fallback
 	}
-	cmd.Flags().StringVar(&c.url, "url", env("COMETRACK_URL", "http://127.0.0.1:8080"), "the daemon's HTTP front (COMETRACK_URL)")
+	cmd.Flags().StringVar(&c.url, "url", env("COMETRACK_URL", "http://127.0.0.1:8080"),
+		"the daemon's HTTP front (COMETRACK_URL)")
 	cmd.Flags().StringVar(&c.token, "token", os.Getenv("COMETRACK_TOKEN"), "the tenant's token (COMETRACK_TOKEN)")
 	cmd.Flags().Lookup("token").DefValue = ""
 }
 
-// answer is what the daemon says, in good or bad.
-type answer struct {
+// response is the decoded body of a response, of success or failure.
+type response struct {
 	ID           string `json:"id"`
 	State        string `json:"state"`
 	Title        string `json:"title"`
@@ -50,7 +52,8 @@
 	raw          []byte
 }
 
-func (c *client) do(ctx context.Context, method, path string, body io.Reader) (int, *answer, error) {
+// do makes a request and returns the status and the decoded body of the response.
+func (c *client) do(ctx context.Context, method, path string, body io.Reader) (int, *response, error) {
 	req, err := http.NewRequestWithContext(ctx, method, strings.TrimSuffix(c.url, "/")+path, body)
 	if err != nil {
 		return 0, nil, &exit{exitUsage, err}
@@ -63,8 +66,8 @@
 		return 0, nil, &exit{exitError, err}
 	}
 	defer resp.Body.Close()
-	a := &answer{}
-	if a.raw, err = io.ReadAll(io.LimitReader(resp.Body, maxAnswer)); err != nil {
+	a := &response{}
+	if a.raw, err = io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes)); err != nil {
 		return 0, nil, &exit{exitError, err}
 	}
 	if err := json.Unmarshal(a.raw, a); err != nil {
@@ -73,8 +76,8 @@
 	return resp.StatusCode, a, nil
 }
 
-// failure turns an answer that is no success into an error.
-func (a *answer) failure(status int) error {
+// failure returns the error for a response whose status is not the expected one.
+func (a *response) failure(status int) error {
 	text := a.Title
 	if a.Field != "" {
 		text += ": " + a.Field
@@ -97,8 +100,9 @@
 	return &exit{code, errors.New(text)}
 }
 
-// ended says with the exit code how a message ended.
-func (a *answer) ended() error {
+// endError returns an error whose exit code states how the message ended, or nil if it was not returned and did not
+// fail.
+func (a *response) endError() error {
 	switch a.State {
 	case "returned":
 		return &exit{exitRefused, fmt.Errorf("%s was returned", a.ID)}
@@ -108,11 +112,12 @@
 	return nil
 }
 
-func interruptible() (context.Context, context.CancelFunc) {
+// signalContext returns a context that is done on SIGTERM or SIGINT.
+func signalContext() (context.Context, context.CancelFunc) {
 	return signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 }
 
-func put() *cobra.Command {
+func putCommand() *cobra.Command {
 	c := &client{}
 	fields := map[string]*string{}
 	var body string
@@ -132,7 +137,7 @@
 					q.Set(name, *v)
 				}
 			}
-			ctx, stop := interruptible()
+			ctx, stop := signalContext()
 			defer stop()
 			status, a, err := c.do(ctx, http.MethodPost, "/v1/messages?"+q.Encode(), bytes.NewReader(text))
 			if err != nil {
@@ -145,7 +150,7 @@
 				fmt.Fprintln(cmd.OutOrStdout(), a.ID)
 				return nil
 			}
-			return c.show(ctx, cmd.OutOrStdout(), a.ID, wait)
+			return c.printState(ctx, cmd.OutOrStdout(), a.ID, wait)
 		},
 	}
 	for _, f := range [][2]string{{"partner", "who is to get it"}, {"class", "its class"}, {"id", "its id (default: a new one)"},
@@ -157,10 +162,11 @@
 	cmd.Flags().DurationVar(&wait, "wait", 0, "wait so long for its end")
 	cmd.MarkFlagRequired("partner")
 	cmd.MarkFlagRequired("class")
-	c.flags(cmd)
+	c.addFlags(cmd)
 	return cmd
 }
 
+// readBody returns the message body that a flag gives: text, @FILE, or - for standard input.
 func readBody(body string) ([]byte, error) {
 	switch {
 	case body == "-":
@@ -171,7 +177,7 @@
 	return []byte(body), nil
 }
 
-func state() *cobra.Command {
+func stateCommand() *cobra.Command {
 	c := &client{}
 	var wait time.Duration
 	cmd := &cobra.Command{
@@ -179,18 +185,18 @@
 		Short: "Print what is known of a message, or with --wait its end",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			ctx, stop := interruptible()
+			ctx, stop := signalContext()
 			defer stop()
-			return c.show(ctx, cmd.OutOrStdout(), args[0], wait)
+			return c.printState(ctx, cmd.OutOrStdout(), args[0], wait)
 		},
 	}
 	cmd.Flags().DurationVar(&wait, "wait", 0, "wait so long for its end")
-	c.flags(cmd)
+	c.addFlags(cmd)
 	return cmd
 }
 
-// show prints a message's state.
-func (c *client) show(ctx context.Context, out io.Writer, id string, wait time.Duration) error {
+// printState prints the state of a message, which it awaits for up to wait.
+func (c *client) printState(ctx context.Context, out io.Writer, id string, wait time.Duration) error {
 	path := "/v1/messages/" + url.PathEscape(id)
 	if wait > 0 {
 		path += "?wait=" + wait.String()
@@ -203,5 +209,5 @@
 		return a.failure(status)
 	}
 	fmt.Fprint(out, string(a.raw))
-	return a.ended()
+	return a.endError()
 }
--- a/cmd/cometrack/cluster.go
+++ b/cmd/cometrack/cluster.go
@@ -17,17 +17,18 @@
 	"cometrack/internal/console"
 )
 
-// watchEvery is how often a watched view is asked for.
-const watchEvery = 500 * time.Millisecond
+// watchInterval is the polling interval of a watched status.
+const watchInterval = 500 * time.Millisecond
 
 func clusterCommand() *cobra.Command {
-	cmd := &cobra.Command{Use: "cluster", Short: "See which senders there are, leave them, or have one forgotten", Args: cobra.NoArgs,
+	cmd := &cobra.Command{Use: "cluster", Short: "See which senders there are, leave them, or have one forgotten",
+		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error { return cmd.Help() }}
-	cmd.AddCommand(clusterStatus(), clusterFacts(), clusterLeave(), clusterForget())
+	cmd.AddCommand(clusterStatusCommand(), clusterFactsCommand(), clusterLeaveCommand(), clusterForgetCommand())
 	return cmd
 }
 
-func clusterStatus() *cobra.Command {
+func clusterStatusCommand() *cobra.Command {
 	var addr string
 	var watch, raw bool
 	cmd := &cobra.Command{
@@ -38,23 +39,23 @@
 			if addr == "" {
 				return &exit{exitUsage, fmt.Errorf("say where the console is: --console host:port")}
 			}
-			ctx, stop := interruptible()
+			ctx, stop := signalContext()
 			defer stop()
-			tick := time.NewTicker(watchEvery)
+			tick := time.NewTicker(watchInterval)
 			defer tick.Stop()
 			for last := ""; ; {
-				s, text, err := askStatus(ctx, addr)
+				s, text, err := requestStatus(ctx, addr)
 				if err != nil {
 					return &exit{exitError, err}
 				}
-				switch sum := shape(s); {
-				case watch && sum == last:
+				switch key := watchKey(s); {
+				case watch && key == last:
 				case raw:
 					fmt.Fprintln(cmd.OutOrStdout(), strings.TrimSpace(text))
-					last = sum
+					last = key
 				default:
 					printStatus(cmd.OutOrStdout(), s)
-					last = sum
+					last = key
 				}
 				if !watch {
 					return nil
@@ -68,13 +69,15 @@
 		},
 	}
 	consoleFlag(cmd, &addr)
-	cmd.Flags().BoolVar(&watch, "watch", false, "print it again whenever a state or the part has changed, until interrupted")
+	cmd.Flags().BoolVar(&watch, "watch", false,
+		"print it again whenever a state or the part has changed, until interrupted")
 	cmd.Flags().BoolVar(&raw, "json", false, "print it as JSON, a line each")
 	return cmd
 }
 
-func askStatus(ctx context.Context, addr string) (s cluster.Status, text string, err error) {
-	ctx, stop := context.WithTimeout(ctx, consoleTime)
+// requestStatus requests the cluster status from the console at addr, and returns it decoded and as text.
+func requestStatus(ctx context.Context, addr string) (s cluster.Status, text string, err error) {
+	ctx, stop := context.WithTimeout(ctx, consoleTimeout)
 	defer stop()
 	if text, err = console.Ask(ctx, addr, "GET", "/cluster"); err == nil {
 		err = json.Unmarshal([]byte(text), &s)
@@ -82,8 +85,8 @@
 	return s, text, err
 }
 
-// shape is what of a view is worth a new print.
-func shape(s cluster.Status) string {
+// watchKey returns a text that changes if and only if a watched status is to be printed again.
+func watchKey(s cluster.Status) string {
 	text := fmt.Sprintf("%s %d %.3f", s.State, s.Incarnation, s.Share)
 	for _, x := range s.Peers {
 		text += fmt.Sprintf(" %s %s %d", x.Name, x.State, x.Incarnation)
@@ -92,7 +95,8 @@
 }
 
 func printStatus(w io.Writer, s cluster.Status) {
-	fmt.Fprintf(w, "%s at %s, incarnation %d: %s; it may use %.1f%% of each rate", s.Name, s.Addr, s.Incarnation, s.State, 100*s.Share)
+	fmt.Fprintf(w, "%s at %s, incarnation %d: %s; it may use %.1f%% of each rate",
+		s.Name, s.Addr, s.Incarnation, s.State, 100*s.Share)
 	switch {
 	case s.CountedSenders > 0:
 		fmt.Fprintf(w, ", shared by %d, for %.1f s more\n", s.CountedSenders, s.ShareValidSeconds)
@@ -107,7 +111,8 @@
 		if x.SecondsSinceHeard >= 0 {
 			heard = fmt.Sprintf("%.1f s ago", x.SecondsSinceHeard)
 		}
-		fmt.Fprintf(t, "%s\t%s\t%.0f s\t%s\t%d\t%s\t%s\t%s\t%v\t%s\n", x.Name, x.State, x.SecondsInState, heard, x.Incarnation, x.Addr, x.Zone, x.Version, x.GrantInForce,
+		fmt.Fprintf(t, "%s\t%s\t%.0f s\t%s\t%d\t%s\t%s\t%s\t%v\t%s\n", x.Name, x.State,
+			x.SecondsInState, heard, x.Incarnation, x.Addr, x.Zone, x.Version, x.GrantInForce,
 			strings.Join(x.NotHeardBy, ","))
 	}
 	t.Flush()
@@ -117,15 +122,15 @@
 		fmt.Fprintln(w, "facts: none are shared")
 		return
 	}
-	now := "caught up"
+	progress := "caught up"
 	if k.CatchingUp {
-		now = fmt.Sprintf("behind for %.1f s", k.CatchingUpSeconds)
+		progress = fmt.Sprintf("behind for %.1f s", k.CatchingUpSeconds)
 	}
 	fmt.Fprintf(w, "facts: %d, %s; %d of its own not confirmed by all; %d bytes sent; %d messages that made no sense, %d repairs, %d lost for want of room\n",
-		k.Facts, now, k.Unconfirmed, k.BytesSent, k.InvalidMessages, k.Repairs, k.Lost+k.Dropped)
+		k.Facts, progress, k.Unconfirmed, k.BytesSent, k.InvalidMessages, k.Repairs, k.Lost+k.Dropped)
 }
 
-func clusterFacts() *cobra.Command {
+func clusterFactsCommand() *cobra.Command {
 	var addr, partner, diff string
 	var raw bool
 	cmd := &cobra.Command{
@@ -136,9 +141,10 @@
 			if addr == "" {
 				return &exit{exitUsage, fmt.Errorf("say where the console is: --console host:port")}
 			}
-			ctx, stop := context.WithTimeout(cmd.Context(), consoleTime)
+			ctx, stop := context.WithTimeout(cmd.Context(), consoleTimeout)
 			defer stop()
-			text, err := console.Ask(ctx, addr, "GET", "/cluster/facts?"+url.Values{"partner": {partner}, "diff": {diff}}.Encode())
+			text, err := console.Ask(ctx, addr, "GET",
+				"/cluster/facts?"+url.Values{"partner": {partner}, "diff": {diff}}.Encode())
 			if err != nil {
 				return &exit{exitError, err}
 			}
@@ -165,8 +171,8 @@
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "PARTNER\tENDPOINT\tKIND\tSAYS\tBY\tNUMBER\tZONE\tAGE\tLEFT\tRULE")
 	for _, x := range told.Facts {
-		fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\t%d\t%s\t%.1f to %.1f s\t%.1f s\t%s\n", x.Partner, x.Endpoint, x.Kind, x.Says, x.By, x.Number, x.Zone,
-			x.Age[0], x.Age[1], x.Left, x.Rule)
+		fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\t%d\t%s\t%.1f to %.1f s\t%.1f s\t%s\n", x.Partner, x.Endpoint,
+			x.Kind, x.Says, x.By, x.Number, x.Zone, x.Age[0], x.Age[1], x.Left, x.Rule)
 	}
 	t.Flush()
 	if told.More {
@@ -177,42 +183,43 @@
 	}
 	fmt.Fprintf(w, "differences from %s, as it last told: %d\n", diff, len(told.Lacks))
 	for _, g := range told.Lacks {
-		lacks := diff
+		receiver := diff
 		if g.Local < g.Remote {
-			lacks = "this sender"
+			receiver = "this sender"
 		}
-		fmt.Fprintf(w, "  of %s: known here up to %d, there up to %d; the higher number holds, %s is to have it\n", g.Origin, g.Local, g.Remote, lacks)
+		fmt.Fprintf(w, "  of %s: known here up to %d, there up to %d; the higher number holds, %s is to have it\n",
+			g.Origin, g.Local, g.Remote, receiver)
 	}
 }
 
-func clusterLeave() *cobra.Command {
+func clusterLeaveCommand() *cobra.Command {
 	var addr string
 	cmd := &cobra.Command{
 		Use:   "leave",
 		Short: "Have a daemon give up all but its least part of each rate, until it starts again",
 		Args:  cobra.NoArgs,
-		RunE:  func(cmd *cobra.Command, _ []string) error { return askConsole(cmd, addr, "POST", "/cluster/leave") },
+		RunE:  func(cmd *cobra.Command, _ []string) error { return callConsole(cmd, addr, "POST", "/cluster/leave") },
 	}
 	consoleFlag(cmd, &addr)
 	return cmd
 }
 
-func clusterForget() *cobra.Command {
+func clusterForgetCommand() *cobra.Command {
 	var addr string
 	cmd := &cobra.Command{
 		Use:   "forget NAME",
 		Short: "Have a sender taken for ended that does not run and will not come back by itself",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			return askConsole(cmd, addr, "POST", "/cluster/forget?name="+url.QueryEscape(args[0]))
+			return callConsole(cmd, addr, "POST", "/cluster/forget?name="+url.QueryEscape(args[0]))
 		},
 	}
 	consoleFlag(cmd, &addr)
 	return cmd
 }
 
-// guard is started by a daemon, beside itself.
-func guard() *cobra.Command {
+// guardCommand returns the hidden command with which a daemon starts its guard process.
+func guardCommand() *cobra.Command {
 	var lease time.Duration
 	var keys string
 	cmd := &cobra.Command{
--- a/cmd/cometrack/commands.go
+++ b/cmd/cometrack/commands.go
@@ -20,10 +20,11 @@
 	"cometrack/internal/lifecycle"
 )
 
-// version is what --version says; a release sets it.
+// version is printed by --version; a release sets it.
 var version = "0.3.0-dev"
 
-func root(hup <-chan os.Signal) *cobra.Command {
+// rootCommand returns the command line. SIGHUPs received on hup reload the configuration of the serve command.
+func rootCommand(hup <-chan os.Signal) *cobra.Command {
 	cmd := &cobra.Command{
 		Use:           "cometrack",
 		Short:         "Deliver messages to partners that you do not control, each to exactly one end",
@@ -37,11 +38,12 @@
 			return &exit{exitUsage, fmt.Errorf("say what to do, or set BALANCER_CONFIG for a sender of the platform")}
 		},
 	}
-	cmd.AddCommand(serve(hup), check(), demoCommand(), put(), state(), storeCommand(), ready(), drain(), clusterCommand(), guard())
+	cmd.AddCommand(serveCommand(hup), checkCommand(), demoCommand(), putCommand(), stateCommand(), storeCommand(),
+		readyCommand(), drainCommand(), clusterCommand(), guardCommand())
 	return cmd
 }
 
-// versionText adds the commit that the program was built from.
+// versionText returns the version and the commit that the program was built from.
 func versionText() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
@@ -61,7 +63,8 @@
 	cmd.MarkFlagFilename("config", "toml")
 }
 
-func load(path string) (*config.File, error) {
+// loadConfig loads a configuration file. The error has the exit code for an invalid configuration.
+func loadConfig(path string) (*config.File, error) {
 	f, err := config.Load(path)
 	if err != nil {
 		return nil, &exit{exitConfig, err}
@@ -69,18 +72,18 @@
 	return f, nil
 }
 
-func serve(hup <-chan os.Signal) *cobra.Command {
+func serveCommand(hup <-chan os.Signal) *cobra.Command {
 	var path, profile string
 	cmd := &cobra.Command{
 		Use:   "serve --config FILE",
 		Short: "Run the daemon until SIGTERM; SIGHUP rereads partners, classes, rules, limits of messages and certificates",
 		Args:  cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
-			f, err := load(path)
+			f, err := loadConfig(path)
 			if err != nil {
 				return err
 			}
-			limit(f.Limits.Cores, float64(f.Limits.MemoryMB))
+			setResourceLimits(f.Limits.Cores, float64(f.Limits.MemoryMB))
 			if profile != "" {
 				out, err := os.Create(profile)
 				if err != nil {
@@ -122,18 +125,19 @@
 	return cmd
 }
 
-func check() *cobra.Command {
+func checkCommand() *cobra.Command {
 	var path string
 	cmd := &cobra.Command{
 		Use:   "check --config FILE",
 		Short: "Check a configuration file and report all that is wrong with it",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			f, err := load(path)
+			f, err := loadConfig(path)
 			if err != nil {
 				return err
 			}
-			fmt.Fprintf(cmd.OutOrStdout(), "%s: good: %d partners, %d classes, %d tenants\n", path, len(f.Partners), len(f.Classes), len(f.Tenants))
+			fmt.Fprintf(cmd.OutOrStdout(), "%s: good: %d partners, %d classes, %d tenants\n", path,
+				len(f.Partners), len(f.Classes), len(f.Tenants))
 			if text := f.Memory(); text != "" {
 				fmt.Fprintf(cmd.OutOrStdout(), "%s: %s\n", path, text)
 			}
--- a/cmd/cometrack/console.go
+++ b/cmd/cometrack/console.go
@@ -12,19 +12,20 @@
 	"cometrack/internal/console"
 )
 
-// consoleTime bounds a call to a console, which answers within a second.
-const consoleTime = 5 * time.Second
+// consoleTimeout limits a request to a console, which answers within a second.
+const consoleTimeout = 5 * time.Second
 
 func consoleFlag(cmd *cobra.Command, addr *string) {
-	cmd.Flags().StringVar(addr, "console", os.Getenv("COMETRACK_CONSOLE"), "the daemon's console, host:port (COMETRACK_CONSOLE)")
+	cmd.Flags().StringVar(addr, "console", os.Getenv("COMETRACK_CONSOLE"),
+		"the daemon's console, host:port (COMETRACK_CONSOLE)")
 }
 
-// askConsole makes a call and prints what the console says; a no is an error.
-func askConsole(cmd *cobra.Command, addr, method, path string) error {
+// callConsole makes a request and prints the answer of the console. A status other than success is an error.
+func callConsole(cmd *cobra.Command, addr, method, path string) error {
 	if addr == "" {
 		return &exit{exitUsage, fmt.Errorf("say where the console is: --console host:port")}
 	}
-	ctx, stop := context.WithTimeout(cmd.Context(), consoleTime)
+	ctx, stop := context.WithTimeout(cmd.Context(), consoleTimeout)
 	defer stop()
 	text, err := console.Ask(ctx, addr, method, path)
 	if err != nil {
@@ -34,19 +35,19 @@
 	return nil
 }
 
-func ready() *cobra.Command {
+func readyCommand() *cobra.Command {
 	var addr string
 	cmd := &cobra.Command{
 		Use:   "ready",
 		Short: "Ask a daemon's console whether it takes clients; exit code 0 for yes",
 		Args:  cobra.NoArgs,
-		RunE:  func(cmd *cobra.Command, _ []string) error { return askConsole(cmd, addr, "GET", "/_ready") },
+		RunE:  func(cmd *cobra.Command, _ []string) error { return callConsole(cmd, addr, "GET", "/_ready") },
 	}
 	consoleFlag(cmd, &addr)
 	return cmd
 }
 
-func drain() *cobra.Command {
+func drainCommand() *cobra.Command {
 	var addr string
 	cmd := &cobra.Command{
 		Use:       "drain on|off",
@@ -54,7 +55,7 @@
 		Args:      cobra.MatchAll(cobra.ExactArgs(1), cobra.OnlyValidArgs),
 		ValidArgs: []string{"on", "off"},
 		RunE: func(cmd *cobra.Command, args []string) error {
-			return askConsole(cmd, addr, "POST", "/_lameduck/"+args[0])
+			return callConsole(cmd, addr, "POST", "/_lameduck/"+args[0])
 		},
 	}
 	consoleFlag(cmd, &addr)
--- a/cmd/cometrack/main.go
+++ b/cmd/cometrack/main.go
@@ -1,8 +1,7 @@
-// Command cometrack delivers messages to partners that it does not control, each
-// to exactly one end.
+// Command cometrack delivers messages to partners that it does not control, each to exactly one end.
 //
-// Without an argument and with BALANCER_CONFIG set it is a sender of the platform;
-// else its first argument says what it is to do.
+// Without an argument and with BALANCER_CONFIG set it runs as a sender of the platform; otherwise the first argument is
+// the command to run.
 package main
 
 import (
@@ -26,12 +25,12 @@
 
 // Exit codes.
 const (
-	exitError   = 1 // something went wrong
-	exitUsage   = 2 // the command line can't be read
-	exitConfig  = 3 // the configuration has errors
-	exitRefused = 4 // the message was turned away or returned: handing it in again is harmless
+	exitError   = 1 // any other error
+	exitUsage   = 2 // invalid command line
+	exitConfig  = 3 // invalid configuration
+	exitRefused = 4 // the message was rejected or returned: submitting it again is harmless
 	exitFailed  = 5 // the message failed
-	exitUnknown = 6 // nothing is known of the message
+	exitUnknown = 6 // the message is unknown
 )
 
 // exit is an error with an exit code.
@@ -44,22 +43,22 @@
 func (e *exit) Unwrap() error { return e.err }
 
 func main() {
-	hup := make(chan os.Signal, 1) // from the first line on: SIGHUP must not end the process
+	hup := make(chan os.Signal, 1) // registered first: SIGHUP must never terminate the process
 	signal.Notify(hup, syscall.SIGHUP)
 	if len(os.Args) == 1 && os.Getenv("BALANCER_CONFIG") != "" {
-		var level slog.Level // info unless COMETRACK_LOG says otherwise: debug adds a line for each call
+		var level slog.Level // info unless COMETRACK_LOG is set; debug adds a line for each call
 		badLevel := level.UnmarshalText([]byte(cmp.Or(os.Getenv("COMETRACK_LOG"), "info")))
 		log := slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: level}))
 		if badLevel != nil {
 			log.Warn("COMETRACK_LOG", "err", badLevel)
 		}
-		if err := platform(log, hup); err != nil {
+		if err := runPlatform(log, hup); err != nil {
 			log.Error("cometrack", "err", err)
 			os.Exit(exitError)
 		}
 		return
 	}
-	if err := root(hup).Execute(); err != nil {
+	if err := rootCommand(hup).Execute(); err != nil {
 		fmt.Fprintln(os.Stderr, "cometrack:", err)
 		var e *exit
 		if errors.As(err, &e) {
@@ -69,8 +68,8 @@
 	}
 }
 
-// platform runs a sender of the platform.
-func platform(log *slog.Logger, hup <-chan os.Signal) error {
+// runPlatform runs a sender of the platform.
+func runPlatform(log *slog.Logger, hup <-chan os.Signal) error {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
 	cfg, reason, err := config.StartPlatform()
@@ -80,25 +79,26 @@
 	if reason != nil {
 		log.Error("the configuration can't be used; the last good one stands", "err", reason)
 	}
-	limit(int(math.Ceil(cfg.Limits.Cores)), cfg.Limits.MemoryMB)
+	setResourceLimits(int(math.Ceil(cfg.Limits.Cores)), cfg.Limits.MemoryMB)
 	life := lifecycle.NewController(core.LifecycleTimes, log)
-	console, err := daemon.OpenConsole(cfg.Console, life, log) // first: it answers while the journal is read
+	// The console is opened first, so that it answers while the journal is replayed.
+	console, err := daemon.OpenConsole(cfg.Console, life, log)
 	if err != nil {
 		return err
 	}
 	defer console.Close()
 	return daemon.RetryTakeover(log, func() error {
-		n, err := daemon.NewPlatform(ctx, cfg, life, log)
+		sender, err := daemon.NewPlatform(ctx, cfg, life, log)
 		if err != nil {
 			return err
 		}
-		console.SetMetrics(n.Metrics())
-		return n.Run(ctx, hup, config.LoadPlatform)
+		console.SetMetrics(sender.Metrics())
+		return sender.Run(ctx, hup, config.LoadPlatform)
 	})
 }
 
-// limit keeps the process to so many processors and megabytes; 0 for no limit.
-func limit(cores int, memoryMB float64) {
+// setResourceLimits sets the number of processors and the memory limit of the runtime; 0 means no limit.
+func setResourceLimits(cores int, memoryMB float64) {
 	if cores > 0 {
 		runtime.GOMAXPROCS(cores)
 	}
--- a/cmd/cometrack/store.go
+++ b/cmd/cometrack/store.go
@@ -26,7 +26,7 @@
 		},
 	}
 	var to string
-	mend := stopped("repair FOLDER --to DIR", "Make a sound store in an empty folder of what can be read", func(cmd *cobra.Command, dir vfs.Dir) error {
+	repair := offlineCommand("repair FOLDER --to DIR", "Make a sound store in an empty folder of what can be read", func(cmd *cobra.Command, dir vfs.Dir) error {
 		target, err := vfs.OpenDir(to)
 		if err != nil {
 			return err
@@ -35,19 +35,20 @@
 		if err != nil {
 			return err
 		}
-		fmt.Fprintf(cmd.OutOrStdout(), "%d records read, %d bytes cut, %d stretches damaged\n", found.Records, found.Cut, len(found.Damaged))
+		fmt.Fprintf(cmd.OutOrStdout(), "%d records read, %d bytes cut, %d stretches damaged\n",
+			found.Records, found.Cut, len(found.Damaged))
 		return nil
 	})
-	mend.Flags().StringVar(&to, "to", "", "the folder for the sound store")
-	mend.MarkFlagRequired("to")
-	cmd.AddCommand(onFolder("stat FOLDER", "Tell sizes and counts, also of a store in use", stat),
-		stopped("dump FOLDER", "Write the records that count as lines of JSON", dump),
-		stopped("verify FOLDER", "Read every record; exit code 1 if something is damaged", verify), mend)
+	repair.Flags().StringVar(&to, "to", "", "the folder for the sound store")
+	repair.MarkFlagRequired("to")
+	cmd.AddCommand(folderCommand("stat FOLDER", "Tell sizes and counts, also of a store in use", printStat),
+		offlineCommand("dump FOLDER", "Write the records that count as lines of JSON", dump),
+		offlineCommand("verify FOLDER", "Read every record; exit code 1 if something is damaged", verify), repair)
 	return cmd
 }
 
-// onFolder is a command on a folder.
-func onFolder(use, short string, run func(cmd *cobra.Command, dir vfs.Dir) error) *cobra.Command {
+// folderCommand returns a command whose argument is a folder.
+func folderCommand(use, short string, run func(cmd *cobra.Command, dir vfs.Dir) error) *cobra.Command {
 	return &cobra.Command{Use: use, Short: short, Args: cobra.ExactArgs(1), RunE: func(cmd *cobra.Command, args []string) error {
 		if info, err := os.Stat(args[0]); err != nil || !info.IsDir() {
 			return &exit{exitError, errors.Join(err, fmt.Errorf("%s is no folder", args[0]))}
@@ -59,9 +60,9 @@
 	}}
 }
 
-// stopped is a command on a folder that no daemon has open.
-func stopped(use, short string, run func(cmd *cobra.Command, dir vfs.Dir) error) *cobra.Command {
-	return onFolder(use, short+"; stop the daemon first, or copy the folder", func(cmd *cobra.Command, dir vfs.Dir) error {
+// offlineCommand returns a command on a folder that no daemon may have open. It holds the lock while the command runs.
+func offlineCommand(use, short string, run func(cmd *cobra.Command, dir vfs.Dir) error) *cobra.Command {
+	return folderCommand(use, short+"; stop the daemon first, or copy the folder", func(cmd *cobra.Command, dir vfs.Dir) error {
 		lock, err := store.Lock(dir)
 		if err != nil {
 			return err
@@ -71,7 +72,7 @@
 	})
 }
 
-func stat(cmd *cobra.Command, dir vfs.Dir) error {
+func printStat(cmd *cobra.Command, dir vfs.Dir) error {
 	var live store.Live
 	reports, err := store.Inspect(dir, func(it store.Item) error {
 		it.Value = nil
@@ -93,7 +94,8 @@
 		case r.Closed:
 			note = "closed in good order"
 		}
-		fmt.Fprintf(out, "%-14s %-10d %-10d %-11d %-12d %s\n", r.Segment, r.Size, r.Records, counts[r.Segment], bytes[r.Segment], note)
+		fmt.Fprintf(out, "%-14s %-10d %-10d %-11d %-12d %s\n", r.Segment, r.Size, r.Records,
+			counts[r.Segment], bytes[r.Segment], note)
 	}
 	return nil
 }
@@ -121,10 +123,11 @@
 	if err != nil {
 		return err
 	}
-	return tellDamage(cmd.OutOrStdout(), reports)
+	return printDamage(cmd.OutOrStdout(), reports)
 }
 
-func tellDamage(out io.Writer, reports []store.Report) error {
+// printDamage prints the damage that the reports list. It returns an error if there is any.
+func printDamage(out io.Writer, reports []store.Report) error {
 	records, bad := 0, 0
 	for i, r := range reports {
 		records += r.Records
@@ -137,7 +140,8 @@
 			fmt.Fprintf(out, "%s: damaged from byte %d to %d\n", d.Segment, d.From, d.To)
 		}
 		if r.Tail > 0 && i == len(reports)-1 {
-			fmt.Fprintf(out, "%s: the last %d bytes are a write that was cut short; the next start cuts them off\n", r.Segment, r.Tail)
+			fmt.Fprintf(out, "%s: the last %d bytes are a write that was cut short; the next start cuts them off\n",
+				r.Segment, r.Tail)
 		}
 	}
 	fmt.Fprintf(out, "%d segments, %d records, %d faults\n", len(reports), records, bad)
--- a/cmd/drill/main.go
+++ b/cmd/drill/main.go
@@ -1,6 +1,5 @@
-// Command drill hosts instances of the decision module on the simulator's wire:
-// frames of events on standard input, one reply to each on standard output.
-// Instances share nothing.
+// Command drill runs instances of the scheduler (package logic) for the simulator: it reads frames of events from
+// standard input and writes one reply to each to standard output. Instances share no state.
 package main
 
 import (
@@ -20,14 +19,15 @@
 	}
 }
 
-// inbox holds the events of one instance in the frame at hand.
-type inbox struct {
-	who    int
-	sender *logic.Sender
-	events []logic.Event
+// instanceEvents are the events of one instance in the current frame.
+type instanceEvents struct {
+	instance int
+	sender   *logic.Sender
+	events   []logic.Event
 }
 
-// run answers frames until the input ends.
+// run reads frames from in and writes the replies to out until the input ends. It returns the first error of reading,
+// of a frame or of writing.
 func run(in io.Reader, out io.Writer) error {
 	dec, w := wire.NewDecoder(in), bufio.NewWriterSize(out, 1<<16)
 	senders := map[int]*logic.Sender{}
@@ -38,14 +38,14 @@
 		} else if err != nil {
 			return err
 		}
-		boxes, err := deal(f, senders)
+		groups, err := groupEvents(f, senders)
 		if err != nil {
 			return err
 		}
 		var b []byte
-		for _, box := range boxes {
-			for _, a := range box.sender.Step(f.Clock, box.events) {
-				b = wire.AppendAction(b, box.who, a)
+		for _, group := range groups {
+			for _, a := range group.sender.Step(f.Clock, group.events) {
+				b = wire.AppendAction(b, group.instance, a)
 			}
 		}
 		b = append(b, "eor "+f.Seq+"\n"...)
@@ -58,11 +58,11 @@
 	}
 }
 
-// deal starts and stops instances as the frame says and sorts its events by
-// instance, in the order in which instances first appear.
-func deal(f *wire.Frame, senders map[int]*logic.Sender) ([]*inbox, error) {
-	var boxes []*inbox
-	at := map[int]*inbox{}
+// groupEvents creates and removes instances as the frame requests, and groups its events by instance, in the order in
+// which the instances first appear.
+func groupEvents(f *wire.Frame, senders map[int]*logic.Sender) ([]*instanceEvents, error) {
+	var groups []*instanceEvents
+	byInstance := map[int]*instanceEvents{}
 	for _, it := range f.Items {
 		switch {
 		case it.Create != nil:
@@ -71,37 +71,37 @@
 				return nil, fmt.Errorf("instance %d: %w", it.Who, err)
 			}
 			senders[it.Who] = s
-			box := at[it.Who]
-			if box == nil {
-				box = &inbox{who: it.Who}
-				at[it.Who] = box
-				boxes = append(boxes, box)
+			group := byInstance[it.Who]
+			if group == nil {
+				group = &instanceEvents{instance: it.Who}
+				byInstance[it.Who] = group
+				groups = append(groups, group)
 			}
-			box.sender, box.events = s, nil
+			group.sender, group.events = s, nil
 		case it.Halt:
 			delete(senders, it.Who)
-			if box := at[it.Who]; box != nil {
-				box.sender = nil
+			if group := byInstance[it.Who]; group != nil {
+				group.sender = nil
 			}
 		case senders[it.Who] == nil:
-			// An event for an instance that is not up: nobody is there to hear it.
+			// Events for an instance that does not run are ignored.
 		default:
-			box := at[it.Who]
-			if box == nil {
-				box = &inbox{who: it.Who, sender: senders[it.Who]}
-				at[it.Who] = box
-				boxes = append(boxes, box)
+			group := byInstance[it.Who]
+			if group == nil {
+				group = &instanceEvents{instance: it.Who, sender: senders[it.Who]}
+				byInstance[it.Who] = group
+				groups = append(groups, group)
 			}
 			if it.Event != nil {
-				box.events = append(box.events, it.Event)
+				group.events = append(group.events, it.Event)
 			}
 		}
 	}
-	live := boxes[:0]
-	for _, box := range boxes {
-		if box.sender != nil {
-			live = append(live, box)
+	running := groups[:0]
+	for _, group := range groups {
+		if group.sender != nil {
+			running = append(running, group)
 		}
 	}
-	return live, nil
+	return running, nil
 }
