--- a/internal/daemon/backlog_test.go
+++ b/internal/daemon/backlog_test.go
@@ -35,6 +35,7 @@
 	}
 }
 
+// numberedIDs returns n message ids that begin with prefix.
 func numberedIDs(prefix string, n int) (out []string) {
 	for i := range n {
 		out = append(out, fmt.Sprint(prefix, i))
--- a/internal/daemon/badinput_test.go
+++ b/internal/daemon/badinput_test.go
@@ -31,6 +31,7 @@
 	closeAfter bool // the client closes its sending side after that
 }
 
+// httpSubmission returns a submission over HTTP with the given query, additional header lines and body.
 func httpSubmission(query, head, body string) string {
 	return "POST /v1/messages?" + query + " HTTP/1.1\r\nHost: x\r\n" + head + "\r\n" + body
 }
--- a/internal/daemon/others.go
+++ b/internal/daemon/others.go
@@ -66,8 +66,8 @@
 	})
 }
 
-// leaveCluster announces to the peers that this process is exiting, once it is. After a handover it only closes the
-// cluster: the successor takes its place there.
+// leaveCluster waits until this process begins to exit and then announces that to the peers. After a handover it only
+// closes the cluster: the successor takes the place of this process there.
 func (s *Standalone) leaveCluster(work context.Context) {
 	for {
 		behavior, changed := s.life.Watch()
--- a/internal/daemon/platform_test.go
+++ b/internal/daemon/platform_test.go
@@ -73,6 +73,7 @@
 	}
 }
 
+// A message is delivered unchanged, with its id and its idempotency key.
 func TestDeliver(t *testing.T) {
 	n, c, _, e := startScenario(t, 1)
 	if got := c.do("PING"); got != "+PONG" {
@@ -299,6 +300,7 @@
 	stopClean(t, n)
 }
 
+// While discovery does not answer, the sender delivers with the list that it was configured with.
 func TestDiscoverySilent(t *testing.T) {
 	p := discovery.New(t)
 	p.Silent = true
