--- a/cmd/drill/main.go
+++ b/cmd/drill/main.go
@@ -1,5 +1,5 @@
-// Command drill runs instances of package logic for the simulator. It reads frames of events
-// from standard input and writes one reply to each to standard output. Instances share no state.
+// Command drill runs instances of the scheduler (package logic) for the simulator: it reads frames of events from
+// standard input and writes one reply to each to standard output. Instances share no state.
 package main
 
 import (
@@ -19,14 +19,15 @@
 	}
 }
 
-// inbox holds the events of one instance in one frame.
-type inbox struct {
+// instanceEvents are the events of one instance in the current frame.
+type instanceEvents struct {
 	instance int
 	sender   *logic.Sender
 	events   []logic.Event
 }
 
-// run replies to frames until the input ends.
+// run reads frames from in and writes the replies to out until the input ends. It returns the first error of reading,
+// of a frame or of writing.
 func run(in io.Reader, out io.Writer) error {
 	dec, w := wire.NewDecoder(in), bufio.NewWriterSize(out, 1<<16)
 	senders := map[int]*logic.Sender{}
@@ -42,9 +43,9 @@
 			return err
 		}
 		var b []byte
-		for _, box := range inboxes {
-			for _, a := range box.sender.Step(f.Clock, box.events) {
-				b = wire.AppendAction(b, box.instance, a)
+		for _, group := range inboxes {
+			for _, a := range group.sender.Step(f.Clock, group.events) {
+				b = wire.AppendAction(b, group.instance, a)
 			}
 		}
 		b = append(b, "eor "+f.Seq+"\n"...)
@@ -57,11 +58,11 @@
 	}
 }
 
-// distribute starts and stops the instances that the frame names and groups its events by
-// instance, in the order in which the instances first appear.
-func distribute(f *wire.Frame, senders map[int]*logic.Sender) ([]*inbox, error) {
-	var inboxes []*inbox
-	byInstance := map[int]*inbox{}
+// groupEvents creates and removes instances as the frame requests, and groups its events by instance, in the order in
+// which the instances first appear.
+func distribute(f *wire.Frame, senders map[int]*logic.Sender) ([]*instanceEvents, error) {
+	var inboxes []*instanceEvents
+	byInstance := map[int]*instanceEvents{}
 	for _, it := range f.Items {
 		switch {
 		case it.Create != nil:
@@ -70,37 +71,37 @@
 				return nil, fmt.Errorf("instance %d: %w", it.Instance, err)
 			}
 			senders[it.Instance] = s
-			box := byInstance[it.Instance]
-			if box == nil {
-				box = &inbox{instance: it.Instance}
-				byInstance[it.Instance] = box
-				inboxes = append(inboxes, box)
+			group := byInstance[it.Instance]
+			if group == nil {
+				group = &instanceEvents{instance: it.Instance}
+				byInstance[it.Instance] = group
+				inboxes = append(inboxes, group)
 			}
-			box.sender, box.events = s, nil
+			group.sender, group.events = s, nil
 		case it.Halt:
 			delete(senders, it.Instance)
-			if box := byInstance[it.Instance]; box != nil {
-				box.sender = nil
+			if group := byInstance[it.Instance]; group != nil {
+				group.sender = nil
 			}
 		case senders[it.Instance] == nil:
-			// The instance does not run: the event is dropped.
+			// Events for an instance that does not run are ignored.
 		default:
-			box := byInstance[it.Instance]
-			if box == nil {
-				box = &inbox{instance: it.Instance, sender: senders[it.Instance]}
-				byInstance[it.Instance] = box
-				inboxes = append(inboxes, box)
+			group := byInstance[it.Instance]
+			if group == nil {
+				group = &instanceEvents{instance: it.Instance, sender: senders[it.Instance]}
+				byInstance[it.Instance] = group
+				inboxes = append(inboxes, group)
 			}
 			if it.Event != nil {
-				box.events = append(box.events, it.Event)
+				group.events = append(group.events, it.Event)
 			}
 		}
 	}
-	live := inboxes[:0]
-	for _, box := range inboxes {
-		if box.sender != nil {
-			live = append(live, box)
+	running := inboxes[:0]
+	for _, group := range inboxes {
+		if group.sender != nil {
+			running = append(running, group)
 		}
 	}
-	return live, nil
+	return running, nil
 }
--- a/internal/daemon/upgrade_test.go
+++ b/internal/daemon/upgrade_test.go
@@ -17,14 +17,16 @@
 	"cometrack/internal/vfs"
 )
 
-// stallIn names the folder in which a copy of the test program takes over a journal's lock and says nothing more.
-const stallIn = "COMETRACK_TEST_STALL"
+// stallDirVariable names the environment variable with the folder whose journal a copy of the test binary locks as a
+// successor, without confirming the handover.
+const stallDirVariable = "COMETRACK_TEST_STALL"
 
-// hangUp says that the copy breaks the connection first.
-const hangUp = "COMETRACK_TEST_HANG_UP"
+// stallDisconnectVariable names the environment variable that makes the copy close the connection after that.
+const stallDisconnectVariable = "COMETRACK_TEST_HANG_UP"
 
-// stall is a successor that hangs in the worst place: it has the lock and has not said so.
-func stall(dir string) {
+// stallHoldingLock is a successor that hangs in the worst place: it has the journal's lock and has not confirmed the
+// handover.
+func stallHoldingLock(dir string) {
 	c, err := handover.Dial(dir, time.Second)
 	if err == nil {
 		err = c.Send(&handover.SnapshotRequest{Format: handover.Format})
@@ -39,56 +41,57 @@
 		fmt.Fprintln(os.Stderr, "stall:", err)
 		os.Exit(1)
 	}
-	if os.Getenv(hangUp) != "" {
+	if os.Getenv(stallDisconnectVariable) != "" {
 		c.Close()
 	}
 	fmt.Fprintln(os.Stderr, "msg=ready")
 	select {}
 }
 
-// The socket of a handover broke while both processes lived, and the old one waited seconds for the journal with
-// requests read and calls out, which the new one took for ended: it stops deciding, calls off what it has out, turns
-// away what comes, and ends when it is told to.
+// The socket of a handover broke while both processes ran. The predecessor waited seconds for the journal with requests
+// read and attempts in flight, which the successor treated as ended. Instead, the predecessor stops deciding, cancels
+// its attempts in flight, rejects new requests, and exits on SIGTERM.
 func TestUpgradeWhoseSocketBreaks(t *testing.T) {
-	x := newPair(t)
+	x := startUpgradeScenario(t)
 	c := dial(t, x.old.addr)
 	c.put("u", "unsafe", "+OK")
-	in := x.call("u")
+	in := x.awaitCall("u")
 	const late = "*5\r\n$7\r\nMSG.PUT\r\n$4\r\n0000\r\n$4\r\nlate\r\n$27\r\nc=safe,t=acme,d=9000,dest=1\r\n$1\r\nx\r\n"
-	io.WriteString(c.Conn, late[:len(late)/2]) // keeps the connection open
-	t.Setenv(hangUp, "yes")
-	runSelf(t, stallIn+"="+x.dir)
-	x.old.says("it decides")
+	io.WriteString(c.Conn, late[:len(late)/2]) // half a request keeps the connection open
+	t.Setenv(stallDisconnectVariable, "yes")
+	runSelf(t, stallDirVariable+"="+x.dir)
+	x.old.awaitLog("it decides")
 	in.AwaitEnd(t)
 	io.WriteString(c.Conn, late[len(late)/2:])
 	if got := c.line(); got != "-BUSY" {
-		t.Errorf("a request that comes then gets %q", got)
+		t.Errorf("a request received after that gets %q", got)
 	}
 	x.old.term()
-	x.old.end()
+	x.old.awaitExit()
 }
 
-// A successor that dies and takes its time to give the journal's lock back was taken for one that lives, and nobody
-// decided any more: a process that has ended, or is about to, is told from one that runs.
-func TestDyingProcessIsNotTakenForALivingOne(t *testing.T) {
-	if isEnding(os.Getpid()) {
-		t.Error("this process is taken for one that ends")
+// A successor that crashed and released the journal's lock late was treated as running, and no process decided any
+// more. A process that has exited or is exiting must be distinguished from a running one.
+func TestExitingProcessIsRecognized(t *testing.T) {
+	if isExiting(os.Getpid()) {
+		t.Error("this process is reported as exiting")
 	}
 	child := exec.Command("true")
 	if err := child.Start(); err != nil {
 		t.Fatal(err)
 	}
-	byhand.Until(t, "end of a process that nobody waits for", func() bool { return isEnding(child.Process.Pid) })
+	byhand.Until(t, "exit of a process that has not been waited for", func() bool { return isExiting(child.Process.Pid) })
 	if err := child.Wait(); err != nil {
 		t.Fatal(err)
 	}
-	if !isEnding(child.Process.Pid) {
-		t.Error("a process that is gone is taken for one that runs")
+	if !isExiting(child.Process.Pid) {
+		t.Error("a process that has exited is reported as running")
 	}
 }
 
-// A process whose word that it had taken over was lost served all the same, beside the one before it, which took the
-// journal back: what it had taken on had no end. It writes nothing, and asks again.
+// A successor whose confirmation was lost served clients all the same, beside the predecessor, which took the journal
+// back: the messages that the successor accepted had no end. The successor must write nothing and request the handover
+// again.
 func TestUpgradeWhoseWordIsLost(t *testing.T) {
 	p, e, dir := discovery.New(t), byhand.NewEndpoint(t), t.TempDir()
 	known := platform.List{Generation: 1, Reset: true, Instances: instances(e)}
@@ -109,20 +112,20 @@
 		if err := c.Send(&handover.Snapshot{Format: handover.Format}); err != nil {
 			t.Fatal(err)
 		}
-		c.Close() // nobody hears what it says then
+		c.Close() // the confirmation is lost
 	}
-	before.Close() // and now it can start from the journal
+	before.Close() // now the process can start from the journal
 	if err := x.ready(); err != nil {
 		t.Fatal(err)
 	}
 	dial(t, x.addr).put("m", "safe", "+OK")
 	byhand.Await(t, e.Calls, "call").Reply(200)
 	x.term()
-	x.end()
+	x.awaitExit()
 }
 
-// pair is a sender that is going to be upgraded.
-type pair struct {
+// upgradeScenario is a running sender that is going to be upgraded.
+type upgradeScenario struct {
 	t     *testing.T
 	p     *discovery.Platform
 	e     *byhand.Endpoint
@@ -131,26 +134,26 @@
 	old   *process
 }
 
-func newPair(t *testing.T) *pair {
+func startUpgradeScenario(t *testing.T) *upgradeScenario {
 	t.Helper()
-	x := &pair{t: t, p: discovery.New(t), e: byhand.NewEndpoint(t), dir: t.TempDir()}
+	x := &upgradeScenario{t: t, p: discovery.New(t), e: byhand.NewEndpoint(t), dir: t.TempDir()}
 	x.known = platform.List{Generation: 1, Reset: true, Instances: instances(x.e)}
 	x.p.List = x.known
 	x.old = startProcess(t, x.p, x.dir, x.known)
 	return x
 }
 
-// upgrade starts the next process beside the one that serves, and waits until it does.
-func (x *pair) upgrade() *process {
+// upgrade starts the successor and waits until it is ready.
+func (x *upgradeScenario) upgrade() *process {
 	x.t.Helper()
 	next := startProcess(x.t, x.p, x.dir, x.known)
 	if next.addr != x.old.addr {
-		x.t.Fatalf("it serves at %s, the one before at %s", next.addr, x.old.addr)
+		x.t.Fatalf("the successor serves at %s, the predecessor at %s", next.addr, x.old.addr)
 	}
 	return next
 }
 
-func (x *pair) call(id string) *byhand.InCall {
+func (x *upgradeScenario) awaitCall(id string) *byhand.InCall {
 	x.t.Helper()
 	in := byhand.Await(x.t, x.e.Calls, "call of "+id)
 	if in.ID() != id {
@@ -159,32 +162,33 @@
 	return in
 }
 
-// finish stops a process and checks that nothing is owed, and nothing was sent that should not have been.
-func (x *pair) finish(n *process) {
+// finish stops a process and checks that no message is pending and no unexpected call was made.
+func (x *upgradeScenario) finish(n *process) {
 	x.t.Helper()
 	n.term()
-	n.end()
+	n.awaitExit()
 	x.e.None(x.t)
-	if ids := owed(x.t, x.dir); ids != nil {
-		x.t.Errorf("still owed: %v", ids)
+	if ids := pendingIDs(x.t, x.dir); ids != nil {
+		x.t.Errorf("messages still pending: %v", ids)
 	}
 }
 
-// Calls that are out stay out: their outcomes count, a told wait holds for the successor, what is held goes on, a
-// half-sent request is answered where it was begun, and the old process ends by itself.
+// Calls in flight at an upgrade continue: their outcomes count, the successor respects a wait requested in one of them,
+// pending messages are delivered, a request sent in part is answered by the process that began to read it, and the
+// predecessor exits by itself.
 func TestUpgradeWithCallsOut(t *testing.T) {
-	x := newPair(t)
+	x := startUpgradeScenario(t)
 	c, half := dial(t, x.old.addr), dial(t, x.old.addr)
 	out := map[string]*byhand.InCall{}
 	for _, class := range []string{"safe", "keyed", "unsafe"} {
 		c.put("m-"+class, class, "+OK")
-		out[class] = x.call("m-" + class)
+		out[class] = x.awaitCall("m-" + class)
 	}
 	io.WriteString(half.Conn, "*5\r\n$7\r\nMSG.PUT\r\n$1\r\n0\r\n$4\r\nhalf\r\n")
-	half.arrived(c)
+	half.awaitReceived(c)
 	next := x.upgrade()
 	if got := c.line(); got != "" { // closed between requests
-		t.Errorf("kept: %q", got)
+		t.Errorf("the connection stays open: %q", got)
 	}
 	io.WriteString(half.Conn, "$26\r\nc=unsafe,d=9000,k=1,dest=1\r\n$1\r\nx\r\n")
 	if got := half.line(); got != "+OK" {
@@ -192,34 +196,36 @@
 	}
 	out["keyed"].Reply(200)
 	out["safe"].Reply(200)
-	x.call("half").Reply(200)
-	told := time.Now()
+	x.awaitCall("half").Reply(200)
+	requestedAt := time.Now()
 	const wait = 600 * time.Millisecond
 	out["unsafe"].Reply(429, "X-Come-Back-Ms: 600")
-	dial(t, next.addr).put("m-unsafe", "unsafe", "+OK") // the same message once more
-	in := x.call("m-unsafe")
-	if d := in.At.Sub(told); d < wait {
-		t.Errorf("sent again %v after a wait of %v was told", d, wait)
+	dial(t, next.addr).put("m-unsafe", "unsafe", "+OK") // the same message again
+	in := x.awaitCall("m-unsafe")
+	if d := in.At.Sub(requestedAt); d < wait {
+		t.Errorf("sent again %v after a wait of %v was requested", d, wait)
 	}
 	in.Reply(200)
-	x.old.end()
+	x.old.awaitExit()
 	x.finish(next)
 	if len(x.p.Notices) != 0 {
 		t.Errorf("notice %+v", <-x.p.Notices)
 	}
 }
 
-// arrived waits until what was sent on this connection has come: what was sent later on another has been answered.
-func (c *client) arrived(other *client) {
+// awaitReceived waits until the sender has received what was sent on this connection: a later request on another
+// connection has been answered.
+func (c *client) awaitReceived(other *client) {
 	c.t.Helper()
 	if got := other.do("PING"); got != "+PONG" {
 		c.t.Fatalf("PING: %q", got)
 	}
 }
 
-// Both together keep to the slots of one: with all out at the old process, the successor waits for their outcomes.
+// Both processes together keep to the slots of one: while the predecessor uses all of them, the successor waits for
+// their outcomes.
 func TestUpgradeCountsSlots(t *testing.T) {
-	x := newPair(t)
+	x := startUpgradeScenario(t)
 	c := dial(t, x.old.addr)
 	var out []*byhand.InCall
 	for i := range 3 { // half of the six slots may go to one partner
@@ -232,44 +238,44 @@
 	dial(t, next.addr).put("new", "safe", "+OK")
 	x.e.None(t)
 	out[0].Reply(200)
-	byhand.Await(t, x.e.Calls, "call of one that was held").Reply(200)
-	byhand.Await(t, x.e.Calls, "call of the other").Reply(200)
+	byhand.Await(t, x.e.Calls, "call of a pending message").Reply(200)
+	byhand.Await(t, x.e.Calls, "call of the other message").Reply(200)
 	out[1].Reply(200)
 	out[2].Reply(200)
-	x.old.end()
+	x.old.awaitExit()
 	x.finish(next)
 }
 
-// The old process is killed right after the step: its calls are in doubt, and only those.
-func TestUpgradeThenKillOld(t *testing.T) {
-	x := newPair(t)
+// The predecessor is killed right after the handover: only its attempts in flight may have run.
+func TestUpgradeThenKillPredecessor(t *testing.T) {
+	x := startUpgradeScenario(t)
 	c := dial(t, x.old.addr)
 	c.put("u", "unsafe", "+OK")
-	x.call("u")
+	x.awaitCall("u")
 	c.put("s", "safe", "+OK")
-	x.call("s")
+	x.awaitCall("s")
 	next := x.upgrade()
 	x.old.kill()
 	if n := byhand.Await(t, x.p.Notices, "notice"); n != (discovery.Notice{ID: "u", State: "failed"}) {
 		t.Errorf("notice %+v", n)
 	}
-	x.call("s").Reply(200)
+	x.awaitCall("s").Reply(200)
 	x.finish(next)
 }
 
-// The successor is killed right after the step: the journal has all that was taken on, for the start after.
-func TestUpgradeThenKillHeir(t *testing.T) {
-	x := newPair(t)
+// The successor is killed right after the handover: the journal has all accepted messages for the next start.
+func TestUpgradeThenKillSuccessor(t *testing.T) {
+	x := startUpgradeScenario(t)
 	c := dial(t, x.old.addr)
 	c.put("s", "safe", "+OK")
-	x.call("s")
+	x.awaitCall("s")
 	next := x.upgrade()
 	dial(t, next.addr).put("more", "safe", "+OK")
-	more := x.call("more")
+	more := x.awaitCall("more")
 	next.kill()
 	more.Reset()
 	x.old.term()
-	x.old.end()
+	x.old.awaitExit()
 	last := startProcess(t, x.p, x.dir, x.known)
 	got := map[string]bool{}
 	for range 2 {
@@ -283,10 +289,10 @@
 	x.finish(last)
 }
 
-// Processes that ask and come to nothing: one that goes away at each stage, one that says nothing, one of another
-// format, and one that hangs with the journal's lock. The old one serves on and has lost nothing.
+// Handovers that fail: the successor disconnects at each stage, does not confirm, uses another format, or hangs with
+// the journal's lock. The predecessor goes on serving and has lost nothing.
 func TestUpgradeThatFails(t *testing.T) {
-	ask := func(t *testing.T, x *pair, format int, want any) *handover.Conn {
+	requestHandover := func(t *testing.T, x *upgradeScenario, format int, want any) *handover.Conn {
 		t.Helper()
 		c, err := handover.Dial(x.dir, byhand.Patience)
 		if err != nil {
@@ -306,57 +312,56 @@
 		}
 		return c
 	}
-	for name, try := range map[string]func(t *testing.T, x *pair){
-		"goes before it asks": func(t *testing.T, x *pair) {
+	for name, try := range map[string]func(t *testing.T, x *upgradeScenario){
+		"disconnects before its request": func(t *testing.T, x *upgradeScenario) {
 			c, err := handover.Dial(x.dir, byhand.Patience)
 			if err != nil {
 				t.Fatal(err)
 			}
 			c.Close()
 		},
-		"goes with the snapshot": func(t *testing.T, x *pair) {
-			ask(t, x, handover.Format, &handover.Snapshot{}).Close()
-			x.old.says("not handed over")
+		"disconnects after the snapshot": func(t *testing.T, x *upgradeScenario) {
+			requestHandover(t, x, handover.Format, &handover.Snapshot{}).Close()
+			x.old.awaitLog("not handed over")
 		},
-		"says nothing": func(t *testing.T, x *pair) {
-			ask(t, x, handover.Format, &handover.Snapshot{})
-			x.old.says("not handed over")
+		"does not confirm": func(t *testing.T, x *upgradeScenario) {
+			requestHandover(t, x, handover.Format, &handover.Snapshot{})
+			x.old.awaitLog("not handed over")
 		},
-		"another format": func(t *testing.T, x *pair) { ask(t, x, 99, &handover.Refusal{}) },
-		"hangs with the lock": func(t *testing.T, x *pair) {
-			hung := runSelf(t, stallIn+"="+x.dir)
-			x.old.says("it is ended")
+		"another format": func(t *testing.T, x *upgradeScenario) { requestHandover(t, x, 99, &handover.Refusal{}) },
+		"hangs with the lock": func(t *testing.T, x *upgradeScenario) {
+			hung := runSelf(t, stallDirVariable+"="+x.dir)
+			x.old.awaitLog("it is ended")
 			if err := hung.Wait(); err == nil || !strings.Contains(err.Error(), "killed") {
-				t.Errorf("it ended with %v", err)
+				t.Errorf("the successor exited with %v", err)
 			}
-			x.old.says("not handed over")
+			x.old.awaitLog("not handed over")
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			x := newPair(t)
+			x := startUpgradeScenario(t)
 			c := dial(t, x.old.addr)
 			c.put("u", "unsafe", "+OK")
-			in := x.call("u")
+			in := x.awaitCall("u")
 			try(t, x)
 			in.Reply(200)
 			c2 := dial(t, x.old.addr)
 			c2.put("after", "unsafe", "+OK")
-			x.call("after").Reply(200)
-			c2.put("u", "unsafe", "+OK") // known still
-			next := x.upgrade()          // and the next one that asks takes over
+			x.awaitCall("after").Reply(200)
+			c2.put("u", "unsafe", "+OK") // its end is still known
+			next := x.upgrade()          // the next handover succeeds
 			dial(t, next.addr).put("last", "safe", "+OK")
-			x.call("last").Reply(200)
-			x.old.end()
+			x.awaitCall("last").Reply(200)
+			x.old.awaitExit()
 			x.finish(next)
 		})
 	}
 }
 
-// Four upgrades in a row under load: every message that was taken on is delivered, none twice, and no connection
-// meets a closed door.
+// Four upgrades in a row under load: every accepted message is delivered, none twice, and no connection is refused.
 func TestUpgradesUnderLoad(t *testing.T) {
-	x := newPair(t)
+	x := startUpgradeScenario(t)
 	addr, n := x.old.addr, 0
 	answered, stop, done := make(chan struct{}, 1), make(chan struct{}), make(chan int)
 	go func() {
@@ -365,7 +370,7 @@
 			select {
 			case in := <-x.e.Calls:
 				if seen[in.ID()]++; seen[in.ID()] > 1 {
-					t.Errorf("%s is sent twice", in.ID())
+					t.Errorf("%s was sent twice", in.ID())
 				}
 				in.Reply(200)
 				answered <- struct{}{}
@@ -390,7 +395,7 @@
 			put()
 			select {
 			case next = <-ready:
-				x.old.end()
+				x.old.awaitExit()
 				x.old = next
 			default:
 			}
@@ -398,12 +403,12 @@
 		put()
 	}
 	x.old.term()
-	x.old.end()
+	x.old.awaitExit()
 	close(stop)
 	if got := <-done; got != n {
 		t.Errorf("%d of %d messages were sent", got, n)
 	}
-	if ids := owed(t, x.dir); ids != nil {
-		t.Errorf("still owed: %v", ids)
+	if ids := pendingIDs(t, x.dir); ids != nil {
+		t.Errorf("messages still pending: %v", ids)
 	}
 }
