--- a/cmd/drill/main.go
+++ b/cmd/drill/main.go
@@ -1,5 +1,5 @@
-// Command drill runs instances of the scheduler (package logic) for the simulator: it reads frames of events from
-// standard input and writes one reply to each to standard output. Instances share no state.
+// Command drill runs instances of package logic for the simulator. It reads frames of events
+// from standard input and writes one reply to each to standard output. Instances share no state.
 package main
 
 import (
@@ -19,15 +19,14 @@
 	}
 }
 
-// instanceEvents are the events of one instance in the current frame.
-type instanceEvents struct {
+// inbox holds the events of one instance in one frame.
+type inbox struct {
 	instance int
 	sender   *logic.Sender
 	events   []logic.Event
 }
 
-// run reads frames from in and writes the replies to out until the input ends. It returns the first error of reading,
-// of a frame or of writing.
+// run replies to frames until the input ends.
 func run(in io.Reader, out io.Writer) error {
 	dec, w := wire.NewDecoder(in), bufio.NewWriterSize(out, 1<<16)
 	senders := map[int]*logic.Sender{}
@@ -43,9 +42,9 @@
 			return err
 		}
 		var b []byte
-		for _, group := range inboxes {
-			for _, a := range group.sender.Step(f.Clock, group.events) {
-				b = wire.AppendAction(b, group.instance, a)
+		for _, box := range inboxes {
+			for _, a := range box.sender.Step(f.Clock, box.events) {
+				b = wire.AppendAction(b, box.instance, a)
 			}
 		}
 		b = append(b, "eor "+f.Seq+"\n"...)
@@ -58,11 +57,11 @@
 	}
 }
 
-// groupEvents creates and removes instances as the frame requests, and groups its events by instance, in the order in
-// which the instances first appear.
-func distribute(f *wire.Frame, senders map[int]*logic.Sender) ([]*instanceEvents, error) {
-	var inboxes []*instanceEvents
-	byInstance := map[int]*instanceEvents{}
+// distribute starts and stops the instances that the frame names and groups its events by
+// instance, in the order in which the instances first appear.
+func distribute(f *wire.Frame, senders map[int]*logic.Sender) ([]*inbox, error) {
+	var inboxes []*inbox
+	byInstance := map[int]*inbox{}
 	for _, it := range f.Items {
 		switch {
 		case it.Create != nil:
@@ -71,37 +70,37 @@
 				return nil, fmt.Errorf("instance %d: %w", it.Instance, err)
 			}
 			senders[it.Instance] = s
-			group := byInstance[it.Instance]
-			if group == nil {
-				group = &instanceEvents{instance: it.Instance}
-				byInstance[it.Instance] = group
-				inboxes = append(inboxes, group)
+			box := byInstance[it.Instance]
+			if box == nil {
+				box = &inbox{instance: it.Instance}
+				byInstance[it.Instance] = box
+				inboxes = append(inboxes, box)
 			}
-			group.sender, group.events = s, nil
+			box.sender, box.events = s, nil
 		case it.Halt:
 			delete(senders, it.Instance)
-			if group := byInstance[it.Instance]; group != nil {
-				group.sender = nil
+			if box := byInstance[it.Instance]; box != nil {
+				box.sender = nil
 			}
 		case senders[it.Instance] == nil:
-			// Events for an instance that does not run are ignored.
+			// The instance does not run: the event is dropped.
 		default:
-			group := byInstance[it.Instance]
-			if group == nil {
-				group = &instanceEvents{instance: it.Instance, sender: senders[it.Instance]}
-				byInstance[it.Instance] = group
-				inboxes = append(inboxes, group)
+			box := byInstance[it.Instance]
+			if box == nil {
+				box = &inbox{instance: it.Instance, sender: senders[it.Instance]}
+				byInstance[it.Instance] = box
+				inboxes = append(inboxes, box)
 			}
 			if it.Event != nil {
-				group.events = append(group.events, it.Event)
+				box.events = append(box.events, it.Event)
 			}
 		}
 	}
-	running := inboxes[:0]
-	for _, group := range inboxes {
-		if group.sender != nil {
-			running = append(running, group)
+	live := inboxes[:0]
+	for _, box := range inboxes {
+		if box.sender != nil {
+			live = append(live, box)
 		}
 	}
-	return running, nil
+	return live, nil
 }
