--- a/cmd/cometrack/commands.go
+++ b/cmd/cometrack/commands.go
@@ -159,9 +159,9 @@
 			return nil
 		},
 	}
-	cmd.Flags().StringVar(&opts.State, "state", "", "the folder for the journal (default: a temporary one)")
-	cmd.Flags().BoolVar(&opts.Keep, "keep", false, "go on until interrupted")
-	cmd.Flags().DurationVar(&opts.For, "for", 20*time.Second, "send for so long")
+	cmd.Flags().StringVar(&opts.StateDir, "state", "", "the folder for the journal (default: a temporary one)")
+	cmd.Flags().BoolVar(&opts.RunUntilCancelled, "keep", false, "go on until interrupted")
+	cmd.Flags().DurationVar(&opts.Duration, "for", 20*time.Second, "send for so long")
 	cmd.Flags().IntVar(&opts.Rate, "rate", 60, "messages a second through each front")
 	return cmd
 }
--- a/internal/demo/clients.go
+++ b/internal/demo/clients.go
@@ -23,9 +23,9 @@
 	submit(ctx context.Context, id, partner, class, body string) (taken bool, err error)
 }
 
-// send hands messages in on a schedule that does not wait for answers, to each
+// submitOnSchedule hands messages in on a schedule that does not wait for answers, to each
 // partner and in each class in turn.
-func send(ctx context.Context, s submitter, rate int, t *tally) {
+func submitOnSchedule(ctx context.Context, s submitter, rate int, t *tally) {
 	tick := time.NewTicker(time.Second / time.Duration(rate))
 	defer tick.Stop()
 	var wg sync.WaitGroup
@@ -36,12 +36,12 @@
 			return
 		case <-tick.C:
 		}
-		p, class := scripts[n%len(scripts)].Name, classes[n/len(scripts)%len(classes)]
+		p, class := partnerScripts[n%len(partnerScripts)].Name, classes[n/len(partnerScripts)%len(classes)]
 		id := fmt.Sprintf("%s-%s-%d", s.name(), class, n)
 		wg.Go(func() {
-			t.handIn(id, p)
+			t.recordSubmission(id, p)
 			taken, err := s.submit(context.WithoutCancel(ctx), id, p, class, "message "+id)
-			t.answered(id, taken, err)
+			t.recordReply(id, taken, err)
 		})
 	}
 }
@@ -92,23 +92,23 @@
 
 type respConn struct {
 	*traffic.RESP
-	since time.Time // when it was last used
+	lastUsed time.Time // when it was last used
 }
 
-// respIdle is how long a connection is kept: the front closes it after 4 s.
-const respIdle = 3 * time.Second
+// respIdleTimeout is how long a connection is kept: the front closes it after 4 s.
+const respIdleTimeout = 3 * time.Second
 
 func newRESPClient(addr string) *respClient { return &respClient{addr: addr} }
 
 func (c *respClient) name() string { return "resp" }
 
-func (c *respClient) take() (*respConn, error) {
+func (c *respClient) acquire() (*respConn, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for len(c.idle) > 0 {
 		conn := c.idle[len(c.idle)-1]
 		c.idle = c.idle[:len(c.idle)-1]
-		if time.Since(conn.since) < respIdle {
+		if time.Since(conn.lastUsed) < respIdleTimeout {
 			return conn, nil
 		}
 		conn.Close()
@@ -121,7 +121,7 @@
 }
 
 func (c *respClient) submit(_ context.Context, id, partner, class, body string) (bool, error) {
-	conn, err := c.take()
+	conn, err := c.acquire()
 	if err != nil {
 		return false, err
 	}
@@ -137,7 +137,7 @@
 		return false, err
 	}
 	c.mu.Lock()
-	conn.since = time.Now()
+	conn.lastUsed = time.Now()
 	c.idle = append(c.idle, conn)
 	c.mu.Unlock()
 	switch {
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -19,23 +19,23 @@
 )
 
 const (
-	deadline   = 12 * time.Second // of a message
-	startTime  = 10 * time.Second
-	progress   = 2 * time.Second
-	settleTime = 5 * time.Second // beyond the deadline of the last message
+	deadline         = 12 * time.Second // of a message
+	startTimeout     = 10 * time.Second
+	progressInterval = 2 * time.Second
+	settleTimeout    = 5 * time.Second // beyond the deadline of the last message
 )
 
 // Options set a demo up.
 type Options struct {
-	State string        // folder for the journal; empty for a temporary one
-	For   time.Duration // of traffic
-	Rate  int           // messages a second through each front
-	Keep  bool          // go on until ctx is over
-	Out   io.Writer
+	StateDir          string        // folder for the journal; empty for a temporary one
+	Duration          time.Duration // of traffic
+	Rate              int           // messages a second through each front
+	RunUntilCancelled bool          // go on until ctx is over
+	Out               io.Writer
 }
 
-// scripts are the partners, each in trouble of its own.
-var scripts = []struct {
+// partnerScripts are the partners, each in trouble of its own.
+var partnerScripts = []struct {
 	partner.Options
 	rate  int // that the configuration tells; 0 for none
 	about string
@@ -53,7 +53,7 @@
 // classes of the demo's messages, each with its effect.
 var classes = []string{"notice", "order", "payment"}
 
-const fileHead = `name = "demo"
+const configHead = `name = "demo"
 [limits]
 slots = 128
 open_messages = 4000
@@ -84,7 +84,7 @@
 
 // Run runs a demo; it ends by itself unless it is to be kept.
 func Run(ctx context.Context, opts Options) error {
-	if opts.Rate < 1 || opts.For <= 0 {
+	if opts.Rate < 1 || opts.Duration <= 0 {
 		return fmt.Errorf("demo: rate and time must be above 0")
 	}
 	ctx, cancel := context.WithCancel(ctx)
@@ -96,20 +96,20 @@
 	if err != nil {
 		return fmt.Errorf("demo: %w", err)
 	}
-	if opts.State == "" {
+	if opts.StateDir == "" {
 		dir, err := os.MkdirTemp("", "cometrack-demo")
 		if err != nil {
 			return fmt.Errorf("demo: %w", err)
 		}
 		defer os.RemoveAll(dir)
-		opts.State = dir
+		opts.StateDir = dir
 	}
 	f, err := config.Parse("demo.toml", []byte(text))
 	if err != nil {
 		return fmt.Errorf("demo: %w", err)
 	}
-	f.State = opts.State
-	log, err := os.Create(filepath.Join(opts.State, "demo.log"))
+	f.State = opts.StateDir
+	log, err := os.Create(filepath.Join(opts.StateDir, "demo.log"))
 	if err != nil {
 		return fmt.Errorf("demo: %w", err)
 	}
@@ -127,11 +127,11 @@
 	case <-d.Core().Ready():
 	case err := <-ended:
 		return fmt.Errorf("demo: the daemon has ended: %w", err)
-	case <-time.After(startTime):
+	case <-time.After(startTimeout):
 		return fmt.Errorf("demo: the daemon does not start")
 	}
 	fmt.Fprintf(opts.Out, "cometrack serves on loopback: HTTP %s, RESP2 %s; its log is %s\n", d.HTTPAddr(), d.RESPAddr(), log.Name())
-	for _, s := range scripts {
+	for _, s := range partnerScripts {
 		fmt.Fprintf(opts.Out, "  partner %-9s %s\n", s.Name, s.about)
 	}
 	err = drive(ctx, opts, d, partners)
@@ -147,8 +147,8 @@
 
 func startPartners() (list []*partner.Partner, text string, err error) {
 	var b strings.Builder
-	b.WriteString(fileHead)
-	for _, s := range scripts {
+	b.WriteString(configHead)
+	for _, s := range partnerScripts {
 		p, err := partner.Start(s.Options)
 		if err != nil {
 			return list, "", err
@@ -169,16 +169,16 @@
 	defer stop()
 	following := make(chan error, 1)
 	ready := make(chan struct{})
-	go func() { following <- follow(streaming, d.HTTPAddr(), ready, t.end) }()
+	go func() { following <- follow(streaming, d.HTTPAddr(), ready, t.recordEnd) }()
 	select {
 	case <-ready:
 	case err := <-following:
 		return err
 	}
 	sending, end := ctx, func() {}
-	if !opts.Keep {
+	if !opts.RunUntilCancelled {
 		var cancel context.CancelFunc
-		sending, cancel = context.WithTimeout(ctx, opts.For)
+		sending, cancel = context.WithTimeout(ctx, opts.Duration)
 		end = cancel
 	}
 	defer end()
@@ -187,11 +187,11 @@
 		defer close(sent)
 		var wg sync.WaitGroup
 		for _, s := range []submitter{newHTTPClient(d.HTTPAddr()), newRESPClient(d.RESPAddr())} {
-			wg.Go(func() { send(sending, s, opts.Rate, t) })
+			wg.Go(func() { submitOnSchedule(sending, s, opts.Rate, t) })
 		}
 		wg.Wait()
 	}()
-	tick := time.NewTicker(progress)
+	tick := time.NewTicker(progressInterval)
 	defer tick.Stop()
 	start := time.Now()
 	var over <-chan time.Time
@@ -199,15 +199,15 @@
 		select {
 		case <-sent:
 			sent = nil
-			over = time.After(deadline + settleTime)
+			over = time.After(deadline + settleTimeout)
 		case err := <-following:
 			return fmt.Errorf("stream of ends: %w", err)
 		case <-tick.C:
-			fmt.Fprintf(opts.Out, "%4.0f s  %s\n", time.Since(start).Seconds(), t.line())
+			fmt.Fprintf(opts.Out, "%4.0f s  %s\n", time.Since(start).Seconds(), t.progressLine())
 		case <-over:
 			return t.report(opts.Out, partners)
 		}
-		if sent == nil && t.open() == 0 {
+		if sent == nil && t.pending() == 0 {
 			return t.report(opts.Out, partners)
 		}
 	}
--- a/internal/demo/tally.go
+++ b/internal/demo/tally.go
@@ -16,112 +16,112 @@
 
 // tally counts what became of messages.
 type tally struct {
-	mu      sync.Mutex
-	partner map[string]*counts
-	begun   map[string]time.Time   // when each was handed in; until its end
-	by      map[string]string      // its partner
-	early   map[string]sink.Notice // ends that came before the answer to the hand-in
-	taken   map[string]bool
-	ended   map[string]int // ends told, by id
-	errs    []string
+	mu           sync.Mutex
+	byPartner    map[string]*counts
+	submittedAt  map[string]time.Time   // when each was handed in; until its end
+	partnerOf    map[string]string      // its partner
+	earlyNotices map[string]sink.Notice // ends that came before the answer to the hand-in
+	accepted     map[string]bool
+	endCount     map[string]int // ends told, by id
+	errs         []string
 }
 
 // counts are those of one partner.
 type counts struct {
-	handed, refused             int
+	submitted, rejected         int
 	delivered, returned, failed int
-	tries                       int
-	took                        []time.Duration // from hand-in to delivery
+	attempts                    int
+	latencies                   []time.Duration // from hand-in to delivery
 }
 
 func newTally() *tally {
-	return &tally{partner: map[string]*counts{}, begun: map[string]time.Time{}, by: map[string]string{},
-		early: map[string]sink.Notice{}, taken: map[string]bool{}, ended: map[string]int{}}
+	return &tally{byPartner: map[string]*counts{}, submittedAt: map[string]time.Time{}, partnerOf: map[string]string{},
+		earlyNotices: map[string]sink.Notice{}, accepted: map[string]bool{}, endCount: map[string]int{}}
 }
 
-func (t *tally) of(name string) *counts {
-	c := t.partner[name]
+func (t *tally) countsFor(name string) *counts {
+	c := t.byPartner[name]
 	if c == nil {
 		c = &counts{}
-		t.partner[name] = c
+		t.byPartner[name] = c
 	}
 	return c
 }
 
-func (t *tally) handIn(id, p string) {
+func (t *tally) recordSubmission(id, p string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.of(p).handed++
-	t.begun[id], t.by[id] = time.Now(), p
+	t.countsFor(p).submitted++
+	t.submittedAt[id], t.partnerOf[id] = time.Now(), p
 }
 
-func (t *tally) answered(id string, taken bool, err error) {
+func (t *tally) recordReply(id string, taken bool, err error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if err != nil {
 		t.errs = append(t.errs, fmt.Sprintf("%s: %v", id, err))
 	}
 	if !taken {
-		t.of(t.by[id]).refused++
-		delete(t.begun, id)
+		t.countsFor(t.partnerOf[id]).rejected++
+		delete(t.submittedAt, id)
 		return
 	}
-	t.taken[id] = true
-	if l, ok := t.early[id]; ok {
-		delete(t.early, id)
+	t.accepted[id] = true
+	if l, ok := t.earlyNotices[id]; ok {
+		delete(t.earlyNotices, id)
 		t.count(l)
 	}
 }
 
-func (t *tally) end(l sink.Notice) {
+func (t *tally) recordEnd(l sink.Notice) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if !t.taken[l.ID] {
-		t.early[l.ID] = l
+	if !t.accepted[l.ID] {
+		t.earlyNotices[l.ID] = l
 		return
 	}
 	t.count(l)
 }
 
 func (t *tally) count(l sink.Notice) {
-	if t.ended[l.ID]++; t.ended[l.ID] > 1 {
+	if t.endCount[l.ID]++; t.endCount[l.ID] > 1 {
 		t.errs = append(t.errs, l.ID+" has had more than one end")
 		return
 	}
-	c := t.of(l.Partner)
-	c.tries += l.Attempts
+	c := t.countsFor(l.Partner)
+	c.attempts += l.Attempts
 	switch l.State {
 	case message.Delivered:
 		c.delivered++
-		c.took = append(c.took, l.EndedAt.Sub(t.begun[l.ID]))
+		c.latencies = append(c.latencies, l.EndedAt.Sub(t.submittedAt[l.ID]))
 	case message.Returned:
 		c.returned++
 	case message.Failed:
 		c.failed++
 	}
-	delete(t.begun, l.ID)
+	delete(t.submittedAt, l.ID)
 }
 
-// open is the number of messages taken on without an end.
-func (t *tally) open() int {
+// pending is the number of messages taken on without an end.
+func (t *tally) pending() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return len(t.begun)
+	return len(t.submittedAt)
 }
 
-func (t *tally) line() string {
+func (t *tally) progressLine() string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var sum counts
-	for _, c := range t.partner {
-		sum.handed += c.handed
-		sum.refused += c.refused
+	for _, c := range t.byPartner {
+		sum.submitted += c.submitted
+		sum.rejected += c.rejected
 		sum.delivered += c.delivered
 		sum.returned += c.returned
 		sum.failed += c.failed
 	}
 	return fmt.Sprintf("handed in %5d  delivered %5d  returned %4d  failed %4d  refused at the door %4d  open %4d",
-		sum.handed, sum.delivered, sum.returned, sum.failed, sum.refused, len(t.begun))
+		sum.submitted, sum.delivered, sum.returned, sum.failed, sum.rejected, len(t.submittedAt))
 }
 
 // quantile of sorted spans.
@@ -138,15 +138,15 @@
 	defer t.mu.Unlock()
 	w := tabwriter.NewWriter(out, 0, 8, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintf(w, "\npartner\thanded in\trefused\tdelivered\treturned\tfailed\ttries\tp50\tp99\t\n")
-	for _, s := range scripts {
-		c := t.of(s.Name)
-		slices.Sort(c.took)
-		fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%s\t%s\t\n", s.Name, c.handed, c.refused, c.delivered, c.returned, c.failed, c.tries,
-			quantile(c.took, 0.5), quantile(c.took, 0.99))
+	for _, s := range partnerScripts {
+		c := t.countsFor(s.Name)
+		slices.Sort(c.latencies)
+		fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%s\t%s\t\n", s.Name, c.submitted, c.rejected, c.delivered, c.returned, c.failed, c.attempts,
+			quantile(c.latencies, 0.5), quantile(c.latencies, 0.99))
 	}
 	w.Flush()
 	faults := t.errs
-	for id := range t.begun {
+	for id := range t.submittedAt {
 		faults = append(faults, id+" has had no end")
 	}
 	ran := 0
