--- a/internal/demo/clients.go
+++ b/internal/demo/clients.go
@@ -17,14 +17,15 @@
 	"cometrack/internal/standin/traffic"
 )
 
-// submitter hands a message in and says whether it was taken on.
+// submitter submits messages through one front of the daemon.
 type submitter interface {
 	name() string
-	submit(ctx context.Context, id, partner, class, body string) (taken bool, err error)
+	// submit submits a message and reports whether it was accepted. A rejection is no error.
+	submit(ctx context.Context, id, partner, class, body string) (accepted bool, err error)
 }
 
-// submitOnSchedule hands messages in on a schedule that does not wait for answers, to each
-// partner and in each class in turn.
+// submitOnSchedule submits rate messages a second until ctx ends, to each partner
+// and in each class in turn. It doesn't wait for replies (an open-loop load).
 func submitOnSchedule(ctx context.Context, s submitter, rate int, t *tally) {
 	tick := time.NewTicker(time.Second / time.Duration(rate))
 	defer tick.Stop()
@@ -36,17 +37,17 @@
 			return
 		case <-tick.C:
 		}
-		p, class := partnerScripts[n%len(partnerScripts)].Name, classes[n/len(partnerScripts)%len(classes)]
+		partnerName, class := partnerScripts[n%len(partnerScripts)].Name, classes[n/len(partnerScripts)%len(classes)]
 		id := fmt.Sprintf("%s-%s-%d", s.name(), class, n)
 		wg.Go(func() {
-			t.recordSubmission(id, p)
-			taken, err := s.submit(context.WithoutCancel(ctx), id, p, class, "message "+id)
-			t.recordReply(id, taken, err)
+			t.recordSubmission(id, partnerName)
+			accepted, err := s.submit(context.WithoutCancel(ctx), id, partnerName, class, "message "+id)
+			t.recordReply(id, accepted, err)
 		})
 	}
 }
 
-// httpClient hands messages in over HTTP.
+// httpClient submits messages over HTTP.
 type httpClient struct {
 	base   string
 	client *http.Client
@@ -61,7 +62,8 @@
 
 func (c *httpClient) submit(ctx context.Context, id, partner, class, body string) (bool, error) {
 	q := url.Values{"id": {id}, "key": {id}, "partner": {partner}, "class": {class}}
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, c.base+"/v1/messages?"+q.Encode(), strings.NewReader(body))
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, c.base+"/v1/messages?"+q.Encode(),
+		strings.NewReader(body))
 	if err != nil {
 		return false, err
 	}
@@ -80,10 +82,10 @@
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
 		return false, nil
 	}
-	return false, fmt.Errorf("answered %s: %s", resp.Status, text)
+	return false, fmt.Errorf("unexpected response %s: %s", resp.Status, text)
 }
 
-// respClient hands messages in over RESP2, on connections that it keeps.
+// respClient submits messages over RESP2. It reuses idle connections.
 type respClient struct {
 	addr string
 	mu   sync.Mutex
@@ -92,16 +94,17 @@
 
 type respConn struct {
 	*traffic.RESP
-	lastUsed time.Time // when it was last used
+	lastUsed time.Time
 }
 
-// respIdleTimeout is how long a connection is kept: the front closes it after 4 s.
+// respIdleTimeout is the time after which an idle connection is not reused; the front closes it after 4 s.
 const respIdleTimeout = 3 * time.Second
 
 func newRESPClient(addr string) *respClient { return &respClient{addr: addr} }
 
 func (c *respClient) name() string { return "resp" }
 
+// acquire returns the idle connection used last, or a new one.
 func (c *respClient) acquire() (*respConn, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -149,7 +152,9 @@
 	return false, errors.New(line)
 }
 
-// follow reads the stream of ends until ctx is over. ready is closed once it flows.
+// follow reads the stream of ends and calls end for each notice until ctx ends. It
+// closes ready at the first line of the stream, and returns an error if the stream
+// breaks before ctx ends.
 func follow(ctx context.Context, addr string, ready chan<- struct{}, end func(sink.Notice)) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+"/v1/ends", nil)
 	if err != nil {
@@ -161,7 +166,7 @@
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return fmt.Errorf("answered %s", resp.Status)
+		return fmt.Errorf("unexpected response %s", resp.Status)
 	}
 	s := bufio.NewScanner(resp.Body)
 	if s.Scan() {
@@ -172,16 +177,16 @@
 		if !ok {
 			continue
 		}
-		var l sink.Notice
-		if err := json.Unmarshal([]byte(data), &l); err != nil {
+		var notice sink.Notice
+		if err := json.Unmarshal([]byte(data), &notice); err != nil {
 			return err
 		}
-		if l.ID != "" {
-			end(l)
+		if notice.ID != "" {
+			end(notice)
 		}
 	}
 	if ctx.Err() != nil {
 		return nil
 	}
-	return errors.Join(errors.New("the stream has ended"), s.Err())
+	return errors.Join(errors.New("the stream ended early"), s.Err())
 }
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -25,34 +25,39 @@
 	settleTimeout    = 5 * time.Second // beyond the deadline of the last message
 )
 
-// Options set a demo up.
+// Options configure a demo.
 type Options struct {
-	StateDir          string        // folder for the journal; empty for a temporary one
+	StateDir          string        // folder of the journal; empty for a temporary one
 	Duration          time.Duration // of traffic
 	Rate              int           // messages a second through each front
-	RunUntilCancelled bool          // go on until ctx is over
+	RunUntilCancelled bool          // send until ctx ends, regardless of Duration
 	Out               io.Writer
 }
 
-// partnerScripts are the partners, each in trouble of its own.
+// partnerScripts are the partners of the demo, each with its own kind of fault.
 var partnerScripts = []struct {
 	partner.Options
-	rate  int // that the configuration tells; 0 for none
-	about string
+	configuredRate int // calls a second in the configuration; 0 for no limit
+	description    string
 }{
 	{partner.Options{Name: "steady", Latency: 15 * time.Millisecond}, 0, "answers in 15 ms"},
 	{partner.Options{Name: "slow", Latency: 700 * time.Millisecond}, 0, "answers in 700 ms"},
-	{partner.Options{Name: "full", Latency: 20 * time.Millisecond, Rate: 10, Wait: 400 * time.Millisecond}, 10, "takes 10 a second, and tells to wait above that"},
-	{partner.Options{Name: "flapping", Latency: 20 * time.Millisecond, Phases: []partner.Phase{{Mode: partner.Well, For: 4 * time.Second},
-		{Mode: partner.Dead, For: 2 * time.Second}}}, 0, "well for 4 s, dead for 2 s"},
-	{partner.Options{Name: "hanging", Latency: 20 * time.Millisecond, Phases: []partner.Phase{{Mode: partner.Well, For: 5 * time.Second},
-		{Mode: partner.Hang, For: 3 * time.Second}}}, 0, "well for 5 s, takes calls and answers none for 3 s"},
-	{partner.Options{Name: "dead", Phases: []partner.Phase{{Mode: partner.Dead, For: time.Hour}}}, 0, "nobody listens"},
+	{partner.Options{Name: "full", Latency: 20 * time.Millisecond, Rate: 10, Wait: 400 * time.Millisecond}, 10,
+		"serves 10 a second, and requests a wait above that"},
+	{partner.Options{Name: "flapping", Latency: 20 * time.Millisecond, Phases: []partner.Phase{
+		{Mode: partner.Well, For: 4 * time.Second}, {Mode: partner.Dead, For: 2 * time.Second}}}, 0,
+		"healthy for 4 s, down for 2 s"},
+	{partner.Options{Name: "hanging", Latency: 20 * time.Millisecond, Phases: []partner.Phase{
+		{Mode: partner.Well, For: 5 * time.Second}, {Mode: partner.Hang, For: 3 * time.Second}}}, 0,
+		"healthy for 5 s, accepts calls without answering for 3 s"},
+	{partner.Options{Name: "dead", Phases: []partner.Phase{{Mode: partner.Dead, For: time.Hour}}}, 0,
+		"refuses connections"},
 }
 
-// classes of the demo's messages, each with its effect.
+// classes are the classes of the demo's messages: one for each effect.
 var classes = []string{"notice", "order", "payment"}
 
+// configHead is the configuration up to the list of partners.
 const configHead = `name = "demo"
 [limits]
 slots = 128
@@ -82,10 +87,12 @@
 worth = 3
 `
 
-// Run runs a demo; it ends by itself unless it is to be kept.
+// Run runs a demo and prints its progress and result to opts.Out. It returns once
+// all messages have ended or their time is over, and an error if a message, an
+// attempt or the daemon broke a rule. With RunUntilCancelled it submits messages until ctx ends.
 func Run(ctx context.Context, opts Options) error {
 	if opts.Rate < 1 || opts.Duration <= 0 {
-		return fmt.Errorf("demo: rate and time must be above 0")
+		return fmt.Errorf("demo: rate and duration must be above 0")
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -109,34 +116,35 @@
 		return fmt.Errorf("demo: %w", err)
 	}
 	f.State = opts.StateDir
-	log, err := os.Create(filepath.Join(opts.StateDir, "demo.log"))
+	logFile, err := os.Create(filepath.Join(opts.StateDir, "demo.log"))
 	if err != nil {
 		return fmt.Errorf("demo: %w", err)
 	}
-	defer log.Close()
-	logger := slog.New(slog.NewTextHandler(log, nil))
+	defer logFile.Close()
+	logger := slog.New(slog.NewTextHandler(logFile, nil))
 	d, err := daemon.NewStandalone(ctx, f, lifecycle.NewController(core.LifecycleTimes, logger), logger)
 	if err != nil {
 		return fmt.Errorf("demo: %w", err)
 	}
-	ended := make(chan error, 1)
-	running, stop := context.WithCancel(context.Background())
+	daemonErr := make(chan error, 1)
+	runCtx, stop := context.WithCancel(context.Background())
 	defer stop()
-	go func() { ended <- d.Run(running, nil, nil) }()
+	go func() { daemonErr <- d.Run(runCtx, nil, nil) }()
 	select {
 	case <-d.Core().Ready():
-	case err := <-ended:
-		return fmt.Errorf("demo: the daemon has ended: %w", err)
+	case err := <-daemonErr:
+		return fmt.Errorf("demo: the daemon exited early: %w", err)
 	case <-time.After(startTimeout):
-		return fmt.Errorf("demo: the daemon does not start")
+		return fmt.Errorf("demo: the daemon is not ready in time")
 	}
-	fmt.Fprintf(opts.Out, "cometrack serves on loopback: HTTP %s, RESP2 %s; its log is %s\n", d.HTTPAddr(), d.RESPAddr(), log.Name())
+	fmt.Fprintf(opts.Out, "cometrack listens on loopback: HTTP %s, RESP2 %s; log: %s\n",
+		d.HTTPAddr(), d.RESPAddr(), logFile.Name())
 	for _, s := range partnerScripts {
-		fmt.Fprintf(opts.Out, "  partner %-9s %s\n", s.Name, s.about)
+		fmt.Fprintf(opts.Out, "  partner %-9s %s\n", s.Name, s.description)
 	}
 	err = drive(ctx, opts, d, partners)
 	stop()
-	if e := <-ended; err == nil && e != nil {
+	if e := <-daemonErr; err == nil && e != nil {
 		err = e
 	}
 	if err != nil {
@@ -145,6 +153,8 @@
 	return nil
 }
 
+// startPartners starts the partners and returns them with the text of the daemon's
+// configuration. It returns those that run also with an error.
 func startPartners() (list []*partner.Partner, text string, err error) {
 	var b strings.Builder
 	b.WriteString(configHead)
@@ -155,59 +165,59 @@
 		}
 		list = append(list, p)
 		fmt.Fprintf(&b, "[[partner]]\nname = %q\nendpoints = [%q]\n", s.Name, p.Addr())
-		if s.rate > 0 {
-			fmt.Fprintf(&b, "rate = %d\n", s.rate)
+		if s.configuredRate > 0 {
+			fmt.Fprintf(&b, "rate = %d\n", s.configuredRate)
 		}
 	}
 	return list, b.String(), nil
 }
 
-// drive sends the traffic, follows the ends and shows what became of it.
+// drive submits the traffic, follows the notices of ends and prints the result.
 func drive(ctx context.Context, opts Options, d *daemon.Standalone, partners []*partner.Partner) error {
 	t := newTally()
-	streaming, stop := context.WithCancel(context.Background())
+	streamCtx, stop := context.WithCancel(context.Background())
 	defer stop()
-	following := make(chan error, 1)
+	streamErr := make(chan error, 1)
 	ready := make(chan struct{})
-	go func() { following <- follow(streaming, d.HTTPAddr(), ready, t.recordEnd) }()
+	go func() { streamErr <- follow(streamCtx, d.HTTPAddr(), ready, t.recordEnd) }()
 	select {
 	case <-ready:
-	case err := <-following:
+	case err := <-streamErr:
 		return err
 	}
-	sending, end := ctx, func() {}
+	sendCtx, cancelSend := ctx, func() {}
 	if !opts.RunUntilCancelled {
 		var cancel context.CancelFunc
-		sending, cancel = context.WithTimeout(ctx, opts.Duration)
-		end = cancel
+		sendCtx, cancel = context.WithTimeout(ctx, opts.Duration)
+		cancelSend = cancel
 	}
-	defer end()
-	sent := make(chan struct{})
+	defer cancelSend()
+	submitted := make(chan struct{})
 	go func() {
-		defer close(sent)
+		defer close(submitted)
 		var wg sync.WaitGroup
 		for _, s := range []submitter{newHTTPClient(d.HTTPAddr()), newRESPClient(d.RESPAddr())} {
-			wg.Go(func() { submitOnSchedule(sending, s, opts.Rate, t) })
+			wg.Go(func() { submitOnSchedule(sendCtx, s, opts.Rate, t) })
 		}
 		wg.Wait()
 	}()
 	tick := time.NewTicker(progressInterval)
 	defer tick.Stop()
 	start := time.Now()
-	var over <-chan time.Time
+	var timeout <-chan time.Time
 	for {
 		select {
-		case <-sent:
-			sent = nil
-			over = time.After(deadline + settleTimeout)
-		case err := <-following:
+		case <-submitted:
+			submitted = nil
+			timeout = time.After(deadline + settleTimeout)
+		case err := <-streamErr:
 			return fmt.Errorf("stream of ends: %w", err)
 		case <-tick.C:
 			fmt.Fprintf(opts.Out, "%4.0f s  %s\n", time.Since(start).Seconds(), t.progressLine())
-		case <-over:
+		case <-timeout:
 			return t.report(opts.Out, partners)
 		}
-		if sent == nil && t.pending() == 0 {
+		if submitted == nil && t.pending() == 0 {
 			return t.report(opts.Out, partners)
 		}
 	}
--- a/internal/demo/doc.go
+++ b/internal/demo/doc.go
@@ -1,3 +1,3 @@
-// Package demo runs a daemon against scripted partners on loopback, sends it
-// traffic through both fronts, and shows by partner what became of it.
+// Package demo runs a daemon against scripted partners on loopback, submits
+// messages through both fronts, and prints their final states by partner.
 package demo
--- a/internal/demo/tally.go
+++ b/internal/demo/tally.go
@@ -14,24 +14,24 @@
 	"cometrack/internal/standin/partner"
 )
 
-// tally counts what became of messages.
+// tally counts submitted messages and their ends.
 type tally struct {
 	mu           sync.Mutex
 	byPartner    map[string]*counts
-	submittedAt  map[string]time.Time   // when each was handed in; until its end
-	partnerOf    map[string]string      // its partner
-	earlyNotices map[string]sink.Notice // ends that came before the answer to the hand-in
-	accepted     map[string]bool
-	endCount     map[string]int // ends told, by id
+	submittedAt  map[string]time.Time   // by id, from submission to the end
+	partnerOf    map[string]string      // by id
+	earlyNotices map[string]sink.Notice // ends that arrived before the reply to the submission
+	accepted     map[string]bool        // by id
+	endCount     map[string]int         // notices, by id
 	errs         []string
 }
 
-// counts are those of one partner.
+// counts are the counters of one partner.
 type counts struct {
 	submitted, rejected         int
 	delivered, returned, failed int
 	attempts                    int
-	latencies                   []time.Duration // from hand-in to delivery
+	latencies                   []time.Duration // from submission to delivery
 }
 
 func newTally() *tally {
@@ -55,60 +55,64 @@
 	t.submittedAt[id], t.partnerOf[id] = time.Now(), p
 }
 
-func (t *tally) recordReply(id string, taken bool, err error) {
+// recordReply counts the reply to a submission, and the end that arrived before it.
+func (t *tally) recordReply(id string, accepted bool, err error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if err != nil {
 		t.errs = append(t.errs, fmt.Sprintf("%s: %v", id, err))
 	}
-	if !taken {
+	if !accepted {
 		t.countsFor(t.partnerOf[id]).rejected++
 		delete(t.submittedAt, id)
 		return
 	}
 	t.accepted[id] = true
-	if l, ok := t.earlyNotices[id]; ok {
+	if notice, ok := t.earlyNotices[id]; ok {
 		delete(t.earlyNotices, id)
-		t.count(l)
+		t.count(notice)
 	}
 }
 
-func (t *tally) recordEnd(l sink.Notice) {
+// recordEnd counts the end of an accepted message. An end that arrives before the
+// reply to its submission is counted with the reply.
+func (t *tally) recordEnd(notice sink.Notice) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if !t.accepted[l.ID] {
-		t.earlyNotices[l.ID] = l
+	if !t.accepted[notice.ID] {
+		t.earlyNotices[notice.ID] = notice
 		return
 	}
-	t.count(l)
+	t.count(notice)
 }
 
-func (t *tally) count(l sink.Notice) {
-	if t.endCount[l.ID]++; t.endCount[l.ID] > 1 {
-		t.errs = append(t.errs, l.ID+" has had more than one end")
+func (t *tally) count(notice sink.Notice) {
+	if t.endCount[notice.ID]++; t.endCount[notice.ID] > 1 {
+		t.errs = append(t.errs, notice.ID+" has more than one end")
 		return
 	}
-	c := t.countsFor(l.Partner)
-	c.attempts += l.Attempts
-	switch l.State {
+	c := t.countsFor(notice.Partner)
+	c.attempts += notice.Attempts
+	switch notice.State {
 	case message.Delivered:
 		c.delivered++
-		c.latencies = append(c.latencies, l.EndedAt.Sub(t.submittedAt[l.ID]))
+		c.latencies = append(c.latencies, notice.EndedAt.Sub(t.submittedAt[notice.ID]))
 	case message.Returned:
 		c.returned++
 	case message.Failed:
 		c.failed++
 	}
-	delete(t.submittedAt, l.ID)
+	delete(t.submittedAt, notice.ID)
 }
 
-// pending is the number of messages taken on without an end.
+// pending returns the number of messages that are submitted, not rejected and not ended.
 func (t *tally) pending() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return len(t.submittedAt)
 }
 
+// progressLine returns the counters of all partners as one line of text.
 func (t *tally) progressLine() string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -120,11 +124,11 @@
 		sum.returned += c.returned
 		sum.failed += c.failed
 	}
-	return fmt.Sprintf("handed in %5d  delivered %5d  returned %4d  failed %4d  refused at the door %4d  open %4d",
+	return fmt.Sprintf("submitted %5d  delivered %5d  returned %4d  failed %4d  rejected %4d  pending %4d",
 		sum.submitted, sum.delivered, sum.returned, sum.failed, sum.rejected, len(t.submittedAt))
 }
 
-// quantile of sorted spans.
+// quantile returns the q-quantile of sorted durations as text, or "-" without any.
 func quantile(sorted []time.Duration, q float64) string {
 	if len(sorted) == 0 {
 		return "-"
@@ -132,22 +136,24 @@
 	return sorted[int(q*float64(len(sorted)-1))].Round(time.Millisecond).String()
 }
 
-// report prints the table and what the partners' own records say.
+// report prints the table of counters, and checks the records of the partners for
+// broken rules. It returns an error that lists the first five faults.
 func (t *tally) report(out io.Writer, partners []*partner.Partner) error {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	w := tabwriter.NewWriter(out, 0, 8, 2, ' ', tabwriter.AlignRight)
-	fmt.Fprintf(w, "\npartner\thanded in\trefused\tdelivered\treturned\tfailed\ttries\tp50\tp99\t\n")
+	fmt.Fprintf(w, "\npartner\tsubmitted\trejected\tdelivered\treturned\tfailed\tattempts\tp50\tp99\t\n")
 	for _, s := range partnerScripts {
 		c := t.countsFor(s.Name)
 		slices.Sort(c.latencies)
-		fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%s\t%s\t\n", s.Name, c.submitted, c.rejected, c.delivered, c.returned, c.failed, c.attempts,
+		fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%s\t%s\t\n", s.Name,
+			c.submitted, c.rejected, c.delivered, c.returned, c.failed, c.attempts,
 			quantile(c.latencies, 0.5), quantile(c.latencies, 0.99))
 	}
 	w.Flush()
 	faults := t.errs
 	for id := range t.submittedAt {
-		faults = append(faults, id+" has had no end")
+		faults = append(faults, id+" has no end")
 	}
 	ran := 0
 	for _, p := range partners {
@@ -162,7 +168,7 @@
 		slices.Sort(faults)
 		return fmt.Errorf("%d faults, the first: %s", len(faults), strings.Join(faults[:min(len(faults), 5)], "; "))
 	}
-	fmt.Fprintf(out, "\nBy the partners' own records (%d calls that ran): no payment twice, no second attempt while one was out,\n"+
-		"no call inside a told wait, no partner over its rate. Each message taken on had exactly one end.\n", ran)
+	fmt.Fprintf(out, "\nThe partners' records (%d calls): no payment ran twice, no message had two attempts in flight,\n"+
+		"no call came in a requested wait or above a rate. Each accepted message had exactly one end.\n", ran)
 	return nil
 }
