--- a/cmd/measure/cluster.go
+++ b/cmd/measure/cluster.go
@@ -20,20 +20,21 @@
 	"cometrack/internal/view/play"
 )
 
-// clusters measures senders that know of each other: cases of faults, the rate at a
-// partner, random plays in virtual time, what it costs, or a script.
-func clusters(args []string) error {
+// measureCluster measures senders that share one view: named cases of faults, the call
+// rate at a shared partner, random faults in virtual time, the resources used, large
+// fleets, or a script of faults.
+func measureCluster(args []string) error {
 	fs := flag.NewFlagSet("cluster", flag.ContinueOnError)
 	what := fs.String("what", "cases", "cases, rate, virtual, cost, large or script")
-	bin := fs.String("bin", "bin/cometrack", "the program, or another engine that speaks as it does")
-	more := fs.String("cluster", `lease = "3s"`, "lines of [cluster] for each sender")
-	plays := fs.Int("plays", 3, "plays of each case, or in all")
+	bin := fs.String("bin", "bin/cometrack", "the program, or another one with its configuration and console")
+	clusterConfig := fs.String("cluster", `lease = "3s"`, "lines of [cluster] for each sender")
+	plays := fs.Int("plays", 3, "runs of each case, or in all")
 	parallel := fs.Int("parallel", 2, "fleets at a time")
-	only := fs.String("only", "", "cases whose names hold this")
-	seed := fs.Uint64("seed", 1, "of the first play")
+	only := fs.String("only", "", "run only cases whose names contain this")
+	seed := fs.Uint64("seed", 1, "seed of the first run")
 	sizes := fs.String("senders", "3,20,50", "sizes of fleets")
 	script := fs.String("script", "", "a TOML file of faults")
-	out := fs.String("out", ".", "folder for the time line and its picture")
+	out := fs.String("out", ".", "folder for the time line as JSON and SVG")
 	if err := fs.Parse(args); err != nil {
 		return err
 	}
@@ -41,39 +42,43 @@
 	if err != nil {
 		return err
 	}
-	opts := fleet.Options{Program: path, Cluster: *more, Config: quietPartner}
+	opts := fleet.Options{Program: path, Cluster: *clusterConfig, Config: uncalledPartner}
 	switch *what {
 	case "cases":
-		return clusterCases(opts, *only, *plays, *parallel, *seed)
+		return runClusterCases(opts, *only, *plays, *parallel, *seed)
 	case "rate":
-		return clusterRate(opts, *plays, *parallel, *seed)
+		return measureClusterRate(opts, *plays, *parallel, *seed)
 	case "virtual":
-		return clusterVirtual(*plays, *seed)
+		return runClusterVirtual(*plays, *seed)
 	case "cost":
-		return clusterCost(opts, *sizes)
+		return measureClusterCost(opts, *sizes)
 	case "large":
-		return clusterLarge(*sizes)
+		return measureClusterLarge(*sizes)
 	case "script":
-		return clusterScript(opts, *script, *out)
+		return runClusterScript(opts, *script, *out)
 	}
-	return fmt.Errorf("--what %s: none of cases, rate, virtual, cost, large, script", *what)
+	return fmt.Errorf("unknown --what %s; use cases, rate, virtual, cost, large or script", *what)
 }
 
-// quietPartner is one that is never called.
-const quietPartner = "[[partner]]\nname = \"acme\"\nendpoints = [\"127.0.0.1:9\"]\nrate = 100\n"
+// uncalledPartner configures a partner to which no messages are submitted.
+const uncalledPartner = "[[partner]]\nname = \"acme\"\nendpoints = [\"127.0.0.1:9\"]\nrate = 100\n"
 
-const clusterPatience = 90 * time.Second
+// clusterTimeout is how long a measurement waits for the views to converge.
+const clusterTimeout = 90 * time.Second
 
-// spread is a row of spans in order.
-func spread(list []time.Duration) string {
+// summarizeSeconds returns the median, the 99th percentile and the maximum in seconds,
+// or "never" without any. It sorts list.
+func summarizeSeconds(list []time.Duration) string {
 	if len(list) == 0 {
 		return "never"
 	}
 	slices.Sort(list)
-	return fmt.Sprintf("%.1f, %.1f, %.1f s", list[len(list)/2].Seconds(), list[min(len(list)*99/100, len(list)-1)].Seconds(), list[len(list)-1].Seconds())
+	return fmt.Sprintf("%.1f, %.1f, %.1f s", list[len(list)/2].Seconds(),
+		list[min(len(list)*99/100, len(list)-1)].Seconds(), list[len(list)-1].Seconds())
 }
 
-func inDir(opts fleet.Options, f func(fleet.Options) error) error {
+// withTempDir calls f with a temporary folder as opts.Dir and removes the folder afterwards.
+func withTempDir(opts fleet.Options, f func(fleet.Options) error) error {
 	dir, err := os.MkdirTemp("", "cluster")
 	if err != nil {
 		return err
@@ -83,7 +88,9 @@
 	return f(opts)
 }
 
-func clusterCases(opts fleet.Options, only string, plays, parallel int, seed uint64) error {
+// runClusterCases runs each case of faults on real processes, and prints a table with
+// wrong suspicions and the times until all senders know of a fault.
+func runClusterCases(opts fleet.Options, only string, plays, parallel int, seed uint64) error {
 	fmt.Println("| case | taken for gone | other changes | killed known by all (median, p99, longest) | views equal again |")
 	fmt.Println("| --- | --- | --- | --- | --- |")
 	for _, c := range fleet.Cases() {
@@ -91,69 +98,69 @@
 			continue
 		}
 		var mu sync.Mutex
-		var all sync.WaitGroup
-		var wrong error
-		gone, flaps, known, equal, missed := 0, 0, []time.Duration(nil), []time.Duration(nil), 0
-		places := make(chan struct{}, parallel)
+		var running sync.WaitGroup
+		var failure error
+		gone, flaps, detectionTimes, convergenceTimes, timedOut := 0, 0, []time.Duration(nil), []time.Duration(nil), 0
+		slots := make(chan struct{}, parallel)
 		for i := range plays {
-			places <- struct{}{}
-			all.Go(func() {
-				defer func() { <-places }()
+			slots <- struct{}{}
+			running.Go(func() {
+				defer func() { <-slots }()
 				c := c
 				c.Script.Seed = seed + uint64(i)
-				err := inDir(opts, func(o fleet.Options) error {
-					r, _, err := c.Play(o, clusterPatience)
+				err := withTempDir(opts, func(o fleet.Options) error {
+					r, _, err := c.Play(o, clusterTimeout)
 					mu.Lock()
 					defer mu.Unlock()
 					gone, flaps = gone+r.Gone, flaps+r.Flaps
 					switch {
 					case r.Known > 0:
-						known = append(known, r.Known)
+						detectionTimes = append(detectionTimes, r.Known)
 					case r.Equal > 0:
-						equal = append(equal, r.Equal)
+						convergenceTimes = append(convergenceTimes, r.Equal)
 					default:
-						missed++
+						timedOut++
 					}
 					return err
 				})
 				mu.Lock()
-				wrong = errors.Join(wrong, err)
+				failure = errors.Join(failure, err)
 				mu.Unlock()
 			})
 		}
-		all.Wait()
-		if wrong != nil {
-			fmt.Printf("| %s | %v | | | |\n", c.Name, wrong)
+		running.Wait()
+		if failure != nil {
+			fmt.Printf("| %s | %v | | | |\n", c.Name, failure)
 			continue
 		}
 		row := [2]string{"", ""}
 		if len(c.Killed) > 0 {
-			row[0] = spread(known)
+			row[0] = summarizeSeconds(detectionTimes)
 		} else {
-			row[1] = spread(equal)
+			row[1] = summarizeSeconds(convergenceTimes)
 		}
-		if missed > 0 {
-			row[1] += fmt.Sprintf(" (not within %v in %d of %d)", clusterPatience, missed, plays)
+		if timedOut > 0 {
+			row[1] += fmt.Sprintf(" (not within %v in %d of %d)", clusterTimeout, timedOut, plays)
 		}
 		fmt.Printf("| %s | %d | %d | %s | %s |\n", c.Name, gone, flaps, row[0], row[1])
 	}
 	return nil
 }
 
-// clusterRate plays random faults over four senders that share a partner, and
-// counts by the partner's own record the seconds with more calls than its rate.
-func clusterRate(opts fleet.Options, plays, parallel int, seed uint64) error {
+// measureClusterRate runs random faults over four senders that share a partner, and
+// counts in the partner's record the seconds with more calls than its rate.
+func measureClusterRate(opts fleet.Options, plays, parallel int, seed uint64) error {
 	const rate, senders = 200, 4
 	var mu sync.Mutex
-	var all sync.WaitGroup
-	var wrong error
-	windows, worst, calls, used := 0, 0, 0, 0.0
-	places := make(chan struct{}, parallel)
+	var running sync.WaitGroup
+	var failure error
+	windows, worst, calls, utilization := 0, 0, 0, 0.0
+	slots := make(chan struct{}, parallel)
 	for i := range plays {
-		places <- struct{}{}
-		all.Go(func() {
-			defer func() { <-places }()
-			err := inDir(opts, func(o fleet.Options) error {
+		slots <- struct{}{}
+		running.Go(func() {
+			defer func() { <-slots }()
+			err := withTempDir(opts, func(o fleet.Options) error {
 				p, err := partner.Start(partner.Options{Name: "acme", Rate: rate})
 				if err != nil {
 					return err
@@ -171,49 +178,54 @@
 				err = f.Play(&s)
 				close(stop)
 				<-done
-				list := p.Calls()
-				n, most := 0, 0
-				for _, fault := range p.Faults(func(string) bool { return false }) { // with its allowance for this machine's stalls
+				recorded := p.Calls()
+				n, maxCalls := 0, 0
+				for _, fault := range p.Faults(func(string) bool { return false }) { // these allow for stalls of the machine
 					if strings.Contains(fault, "calls within") {
 						n++
 					}
 				}
-				_, most = fleet.Over(list, rate)
+				_, maxCalls = fleet.Over(recorded, rate)
 				mu.Lock()
 				defer mu.Unlock()
-				windows, worst, calls, used = windows+n, max(worst, most), calls+len(list), used+float64(len(list))/rate/12
+				windows, worst, calls, utilization = windows+n, max(worst, maxCalls), calls+len(recorded),
+					utilization+float64(len(recorded))/rate/12
 				if n > 0 {
-					fmt.Printf("seed %d: %d windows over the rate, the worst with %d of %d\n", seed+uint64(i), n, most, rate)
+					fmt.Printf("seed %d: %d windows over the rate, the worst with %d of %d\n", seed+uint64(i), n, maxCalls, rate)
 				}
 				return err
 			})
 			mu.Lock()
-			wrong = errors.Join(wrong, err)
+			failure = errors.Join(failure, err)
 			mu.Unlock()
 		})
 	}
-	all.Wait()
-	fmt.Printf("%d plays: %d calls, %.2f of the rate in use in the mean; %d windows over the rate; the fullest second of those over it: %d of %d\n", plays, calls,
-		used/float64(plays), windows, worst, rate)
-	return wrong
+	running.Wait()
+	fmt.Printf("%d plays: %d calls, %.2f of the rate in use in the mean; %d windows over the rate; the fullest second of those over it: %d of %d\n",
+		plays, calls, utilization/float64(plays), windows, worst, rate)
+	return failure
 }
 
+// virtualOptions returns the options of a fleet of n senders in virtual time.
 func virtualOptions(seed uint64, n int) play.Options {
-	return play.Options{Seed: seed, Senders: n, MinShareTotal: 0.1, Lease: 3 * time.Second, Interval: 300 * time.Millisecond, MaxClockDrift: 0.01,
-		Delay: time.Millisecond, Jitter: 5 * time.Millisecond, Guards: seed%2 == 0}
+	return play.Options{Seed: seed, Senders: n, MinShareTotal: 0.1, Lease: 3 * time.Second,
+		Interval: 300 * time.Millisecond, MaxClockDrift: 0.01, Delay: time.Millisecond, Jitter: 5 * time.Millisecond,
+		Guards: seed%2 == 0}
 }
 
-func clusterVirtual(plays int, seed uint64) error {
-	over, worst, gone := 0, 0.0, 0
+// runClusterVirtual runs random faults in virtual time, and counts the runs in which the
+// shares added up to more than one rate.
+func runClusterVirtual(plays int, seed uint64) error {
+	over, maxSum, gone := 0, 0.0, 0
 	var mu sync.Mutex
-	var all sync.WaitGroup
+	var running sync.WaitGroup
 	seeds := make(chan uint64)
 	for range 4 {
-		all.Go(func() {
+		running.Go(func() {
 			for s := range seeds {
 				w := play.RunRandomFaults(virtualOptions(s, 2+int(s%6)), time.Minute)
 				mu.Lock()
-				if worst, gone = max(worst, w.MaxSum), gone+w.HeardAfterGone; w.MaxSum > play.MaxAllowedSum {
+				if maxSum, gone = max(maxSum, w.MaxSum), gone+w.HeardAfterGone; w.MaxSum > play.MaxAllowedSum {
 					over++
 					fmt.Printf("seed %d: the parts add up to %.3f at %v\n", s, w.MaxSum, w.MaxSumAt)
 				}
@@ -225,14 +237,15 @@
 		seeds <- seed + i
 	}
 	close(seeds)
-	all.Wait()
-	fmt.Printf("%d plays of a minute, 2 to 7 senders: over one rate in %d; the largest sum of parts %.6f; a life taken for gone and heard again %d times\n", plays, over, worst, gone)
+	running.Wait()
+	fmt.Printf("%d plays of a minute, 2 to 7 senders: over one rate in %d; the largest sum of parts %.6f; a life taken for gone and heard again %d times\n",
+		plays, over, maxSum, gone)
 	return nil
 }
 
-// clusterLarge runs calm fleets in virtual time and counts messages and bytes, and
-// how long a death of four in ten takes to be known.
-func clusterLarge(sizes string) error {
+// measureClusterLarge runs fleets without faults in virtual time, and prints messages
+// and bytes sent, and the time until a kill of four senders in ten is known by all.
+func measureClusterLarge(sizes string) error {
 	for _, text := range strings.Split(sizes, ",") {
 		n, err := strconv.Atoi(text)
 		if err != nil {
@@ -243,7 +256,7 @@
 		w := play.New(o)
 		enc, _ := cbor.EncOptions{}.EncMode()
 		w.Run(10 * time.Second)
-		met, sent := w.ShareSum(), w.Sent
+		shareSum, sent := w.ShareSum(), w.Sent
 		w.SizeOf = func(m *view.Message) int { b, _ := enc.Marshal(m); return len(b) }
 		w.Run(time.Second)
 		w.SizeOf = nil
@@ -255,43 +268,46 @@
 		for _, p := range slices.Clone(w.Newest[:n*4/10]) {
 			w.Kill(p)
 		}
-		known, ok := w.Until(30*time.Second, w.Converged)
-		back, again := w.Until(30*time.Second, func() bool { return w.ShareSum() > 0.9 })
+		detection, detected := w.Until(30*time.Second, w.Converged)
+		recovery, recovered := w.Until(30*time.Second, func() bool { return w.ShareSum() > 0.9 })
 		fmt.Printf("%d senders: %.3f of the rate in use after 10 s; each sends %d messages and %d bytes a second; four in ten killed known by all after %v (%v), their part in use %v later (%v); this took %v\n",
-			n, met, messages/n, bytes/n, known, ok, back, again, time.Since(start).Round(time.Millisecond))
+			n, shareSum, messages/n, bytes/n, detection, detected, recovery, recovered,
+			time.Since(start).Round(time.Millisecond))
 	}
 	return nil
 }
 
-// clusterCost runs calm fleets and tells what a sender and its guard use.
-func clusterCost(opts fleet.Options, sizes string) error {
+// measureClusterCost runs fleets without faults and prints the CPU time, the memory, the
+// descriptors and the traffic of a sender, with a guard, without one and without a cluster.
+func measureClusterCost(opts fleet.Options, sizes string) error {
 	for _, text := range strings.Split(sizes, ",") {
 		n, err := strconv.Atoi(text)
 		if err != nil {
 			return err
 		}
-		for _, more := range []string{opts.Cluster, opts.Cluster + "\nguard = false", "off"} {
+		for _, clusterConfig := range []string{opts.Cluster, opts.Cluster + "\nguard = false", "off"} {
 			o := opts
-			o.Senders, o.Cluster = n, more
-			err := inDir(o, func(o fleet.Options) error {
+			o.Senders, o.Cluster = n, clusterConfig
+			err := withTempDir(o, func(o fleet.Options) error {
 				f, err := fleet.Start(o)
 				if err != nil {
 					return err
 				}
 				defer f.Close()
-				if more != "off" {
-					if took, ok := f.Until(clusterPatience, fleet.AllHere); !ok {
-						return fmt.Errorf("%d senders did not meet within %v", n, took)
+				if clusterConfig != "off" {
+					if took, ok := f.Until(clusterTimeout, fleet.AllHere); !ok {
+						return fmt.Errorf("views of %d senders did not converge within %v", n, took)
 					}
 				}
-				before := usage(f)
+				before := fleetUsage(f)
 				sent, bytes := f.Carried()
 				time.Sleep(10 * time.Second)
-				after := usage(f)
+				after := fleetUsage(f)
 				sentAfter, bytesAfter := f.Carried()
-				fmt.Printf("%d senders, %q: each %.2f%% of a core, %.1f MB (%.1f MB with its guard), %d descriptors; %d datagrams a second in all; each sends %.1f KB a second with 28 bytes of IP and UDP each\n", n,
-					strings.ReplaceAll(more, "\n", "; "), (after.cpu-before.cpu).Seconds()*10/float64(n), after.own/float64(n)/1024, after.all/float64(n)/1024,
-					after.files/n, (sentAfter-sent)/10, float64(bytesAfter-bytes+28*(sentAfter-sent))/1000/10/float64(n))
+				fmt.Printf("%d senders, %q: each %.2f%% of a core, %.1f MB (%.1f MB with its guard), %d descriptors; %d datagrams a second in all; each sends %.1f KB a second with 28 bytes of IP and UDP each\n",
+					n, strings.ReplaceAll(clusterConfig, "\n", "; "), (after.cpu-before.cpu).Seconds()*10/float64(n),
+					after.ownKB/float64(n)/1024, after.withGuardKB/float64(n)/1024,
+					after.descriptors/n, (sentAfter-sent)/10, float64(bytesAfter-bytes+28*(sentAfter-sent))/1000/10/float64(n))
 				return nil
 			})
 			if err != nil {
@@ -302,16 +318,17 @@
 	return nil
 }
 
-type used struct {
-	cpu      time.Duration
-	own, all float64 // KB
-	files    int
+// resourceUsage is the sum over the senders of a fleet.
+type resourceUsage struct {
+	cpu                time.Duration
+	ownKB, withGuardKB float64 // KB
+	descriptors        int
 }
 
-// usage adds up what the senders of a fleet and their guards use.
-func usage(f *fleet.Fleet) (u used) {
-	const tick = 10 * time.Millisecond // of utime and stime, proc(5), as on every Linux of today
-	of := func(pid int) (cpu time.Duration, kb float64) {
+// fleetUsage adds up the resources that the senders of a fleet and their guards use.
+func fleetUsage(f *fleet.Fleet) (u resourceUsage) {
+	const tick = 10 * time.Millisecond // unit of utime and stime in proc(5); USER_HZ is 100 on current Linux
+	processUsage := func(pid int) (cpu time.Duration, kb float64) {
 		stat, _ := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 		rest := strings.Fields(string(stat[strings.LastIndexByte(string(stat), ')')+1:]))
 		if len(rest) > 13 {
@@ -329,25 +346,25 @@
 	}
 	for _, s := range f.Senders() {
 		pid := s.PID()
-		cpu, kb := of(pid)
-		u.cpu, u.own, u.all = u.cpu+cpu, u.own+kb, u.all+kb
+		cpu, kb := processUsage(pid)
+		u.cpu, u.ownKB, u.withGuardKB = u.cpu+cpu, u.ownKB+kb, u.withGuardKB+kb
 		files, _ := os.ReadDir(fmt.Sprintf("/proc/%d/fd", pid))
-		u.files += len(files)
+		u.descriptors += len(files)
 		tasks, _ := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/children", pid))
 		for _, t := range tasks {
 			text, _ := os.ReadFile(t)
 			for _, child := range strings.Fields(string(text)) {
 				id, _ := strconv.Atoi(child)
-				cpu, kb := of(id)
-				u.cpu, u.all = u.cpu+cpu, u.all+kb
+				cpu, kb := processUsage(id)
+				u.cpu, u.withGuardKB = u.cpu+cpu, u.withGuardKB+kb
 			}
 		}
 	}
 	return u
 }
 
-// clusterScript plays a script and writes its time line and picture.
-func clusterScript(opts fleet.Options, path, out string) error {
+// runClusterScript runs a script of faults and writes its time line as JSON and SVG.
+func runClusterScript(opts fleet.Options, path, out string) error {
 	s, err := fleet.LoadScript(path)
 	if err != nil {
 		return err
@@ -357,7 +374,7 @@
 		return err
 	}
 	defer p.Close()
-	return inDir(opts, func(o fleet.Options) error {
+	return withTempDir(opts, func(o fleet.Options) error {
 		o.Senders, o.Seed, o.Config = s.Senders, s.Seed, fleet.Partners(p)
 		f, err := fleet.Start(o)
 		if err != nil {
@@ -366,12 +383,12 @@
 		defer f.Close()
 		feed, stop, done := &fleet.Feed{Partner: "acme", Class: "safe", Rate: 250}, make(chan struct{}), make(chan struct{})
 		go func() { feed.Run(f, stop); close(done) }()
-		over := make(chan error, 1)
-		go func() { over <- f.Play(s) }()
-		var played error
-		f.Until(time.Duration(s.For)+clusterPatience, func([]fleet.Seen) bool {
+		finished := make(chan error, 1)
+		go func() { finished <- f.Play(s) }()
+		var playErr error
+		f.Until(time.Duration(s.For)+clusterTimeout, func([]fleet.Seen) bool {
 			select {
-			case played = <-over:
+			case playErr = <-finished:
 				return true
 			default:
 				return false
@@ -382,8 +399,9 @@
 		f.Time.Record(p)
 		n, worst := fleet.Over(p.Calls(), p.Rate())
 		fmt.Printf("%d calls; %d windows over the rate, the worst with %d\n", len(p.Calls()), n, worst)
-		for name, write := range map[string]func(w *os.File) error{"timeline.json": func(w *os.File) error { return f.Time.WriteJSON(w) },
-			"timeline.svg": func(w *os.File) error { return f.Time.WriteSVG(w) }} {
+		for name, write := range map[string]func(w *os.File) error{
+			"timeline.json": func(w *os.File) error { return f.Time.WriteJSON(w) },
+			"timeline.svg":  func(w *os.File) error { return f.Time.WriteSVG(w) }} {
 			w, err := os.Create(filepath.Join(out, name))
 			if err != nil {
 				return err
@@ -392,6 +410,6 @@
 				return err
 			}
 		}
-		return played
+		return playErr
 	})
 }
--- a/cmd/measure/daemon.go
+++ b/cmd/measure/daemon.go
@@ -18,14 +18,16 @@
 	dir string
 }
 
-// startDaemon runs a daemon with a file whose listeners are on free ports.
-func startDaemon(bin, text string, flags ...string) (*process, error) {
+// startDaemon starts a daemon with a configuration whose listeners use free ports. It
+// puts the configuration and the state into a temporary folder, which stop removes.
+func startDaemon(bin, config string, flags ...string) (*process, error) {
 	dir, err := os.MkdirTemp("", "measure")
 	if err != nil {
 		return nil, err
 	}
 	path := filepath.Join(dir, "config.toml")
-	if err := os.WriteFile(path, []byte(fmt.Sprintf("state = %q\n", filepath.Join(dir, "state"))+text), 0o600); err != nil {
+	if err := os.WriteFile(path, []byte(fmt.Sprintf("state = %q\n", filepath.Join(dir, "state"))+config),
+		0o600); err != nil {
 		return nil, err
 	}
 	p, err := program.Start(bin, nil, append([]string{"serve", "--config", path}, flags...)...)
@@ -35,33 +37,34 @@
 	return &process{p, dir}, nil
 }
 
+// stop ends the daemon with SIGTERM and removes its folder.
 func (p *process) stop() {
 	p.Signal(syscall.SIGTERM)
 	p.Wait()
 	os.RemoveAll(p.dir)
 }
 
-// cpu is the processor time that the daemon has used.
-func (p *process) cpu() time.Duration {
+// cpuTime returns the CPU time that the daemon has used; 0 if it can't be read.
+func (p *process) cpuTime() time.Duration {
 	b, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.Cmd.Process.Pid))
 	if err != nil {
 		return 0
 	}
-	_, rest, _ := strings.Cut(string(b), ") ") // the name may hold spaces
+	_, rest, _ := strings.Cut(string(b), ") ") // the name of the program may contain spaces
 	f := strings.Fields(rest)
 	user, _ := strconv.Atoi(f[11])
 	system, _ := strconv.Atoi(f[12])
 	return time.Duration(user+system) * 10 * time.Millisecond // USER_HZ is 100 on Linux
 }
 
-// memory is the daemon's resident size in MB.
-func (p *process) memory() float64 { return p.status("VmRSS:") }
+// residentMB returns the daemon's resident memory in MB.
+func (p *process) residentMB() float64 { return p.statusMB("VmRSS:") }
 
-// anonymous is the memory of a process that is not of files, in MB.
-func (p *process) anonymous() float64 { return p.status("RssAnon:") }
+// anonymousMB returns the resident memory that is not backed by files, in MB.
+func (p *process) anonymousMB() float64 { return p.statusMB("RssAnon:") }
 
-// status is a figure of /proc in MB.
-func (p *process) status(name string) float64 {
+// statusMB returns the field name of /proc/PID/status in MB; 0 if it can't be read.
+func (p *process) statusMB(name string) float64 {
 	b, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", p.Cmd.Process.Pid))
 	if err != nil {
 		return 0
--- a/cmd/measure/disk.go
+++ b/cmd/measure/disk.go
@@ -15,25 +15,26 @@
 	"cometrack/internal/vfs"
 )
 
-// diskRun is a journal in a real folder that fills up, and what it has acknowledged.
+// diskRun is a journal in a real folder of limited size, and the state that the journal
+// has acknowledged.
 type diskRun struct {
-	folder  *vfs.Limited
-	opts    journal.Options
-	j       *journal.Journal
-	rng     *rand.Rand
-	held    map[string]int // tries, by id
-	n       int
-	refused int
+	folder   *vfs.Limited
+	opts     journal.Options
+	journal  *journal.Journal
+	rng      *rand.Rand
+	pending  map[string]int // number of attempts, by id
+	lastID   int
+	rejected int
 }
 
-// disk fills a real folder under a limit over and over, at random sizes, and gives
-// it room again. What was acknowledged must be there after each restart, what was
-// refused must not, and with room again work must go on by itself.
-func disk(args []string) error {
+// testFullDisk fills a real folder up to random limits and lifts the limit again, many
+// times. After each restart the journal must contain what it acknowledged and nothing
+// that it rejected, and it must accept messages again once there is space.
+func testFullDisk(args []string) error {
 	fs := flag.NewFlagSet("disk", flag.ContinueOnError)
-	rounds := fs.Int("rounds", 200, "times that the folder fills up")
-	seed := fs.Uint64("seed", 1, "of sizes and steps")
-	sync := fs.Bool("sync", false, "sync always")
+	rounds := fs.Int("rounds", 200, "number of times that the folder fills up")
+	seed := fs.Uint64("seed", 1, "seed of sizes and steps")
+	syncAlways := fs.Bool("sync", false, "sync each append")
 	if err := fs.Parse(args); err != nil {
 		return err
 	}
@@ -46,9 +47,9 @@
 	if err != nil {
 		return err
 	}
-	r := &diskRun{folder: folder, rng: rand.New(rand.NewPCG(*seed, 1)), held: map[string]int{},
+	r := &diskRun{folder: folder, rng: rand.New(rand.NewPCG(*seed, 1)), pending: map[string]int{},
 		opts: journal.Options{MaxBytes: 8e6, MaxEnded: 1000, Sync: store.SyncNever, Log: slog.New(slog.DiscardHandler)}}
-	if *sync {
+	if *syncAlways {
 		r.opts.Sync = store.SyncAlways
 	}
 	start, acked := time.Now(), 0
@@ -59,87 +60,90 @@
 		}
 	}
 	fmt.Printf("%d rounds in %.1f s: %d messages taken on, %d writes refused for want of room, nothing lost, nothing refused found later\n",
-		*rounds, time.Since(start).Seconds(), acked, r.refused)
-	if r.refused < *rounds {
-		return fmt.Errorf("only %d writes were refused", r.refused)
+		*rounds, time.Since(start).Seconds(), acked, r.rejected)
+	if r.rejected < *rounds {
+		return fmt.Errorf("only %d writes were rejected", r.rejected)
 	}
 	return nil
 }
 
-// round fills the folder until writes are refused, gives it room, works on, and
-// restarts.
+// round opens the journal, fills the folder until writes are rejected, lifts the limit,
+// appends more, and reopens the journal.
 func (r *diskRun) round() (acked int, err error) {
-	if r.j, err = journal.OpenOn(r.folder, r.opts); err != nil {
+	if r.journal, err = journal.OpenOn(r.folder, r.opts); err != nil {
 		return 0, err
 	}
 	r.folder.SetLimit(r.folder.UsedBytes() + int64(r.rng.IntN(200_000)))
-	for refused := 0; refused < 5; {
-		if ok := r.step(); !ok {
-			refused++
-			r.refused++
+	for rejected := 0; rejected < 5; {
+		if ok := r.submitAndSend(); !ok {
+			rejected++
+			r.rejected++
 		} else {
 			acked++
 		}
 	}
-	if err := r.check("with the disk full"); err != nil {
+	if err := r.verify("with the disk full"); err != nil {
 		return acked, err
 	}
 	r.folder.SetLimit(1 << 40)
 	for range 50 {
-		if !r.step() {
-			return acked, fmt.Errorf("refused with room again")
+		if !r.submitAndSend() {
+			return acked, fmt.Errorf("write rejected after the limit was lifted")
 		}
 		acked++
 	}
-	for id := range maps.Clone(r.held) { // the next round begins with few
+	for id := range maps.Clone(r.pending) { // so that the next round starts with few pending messages
 		if r.rng.IntN(10) > 0 {
-			if err := r.j.Append([]journal.Record{{Op: journal.OpDone, ID: id, At: time.Now().UnixMicro()}}); err != nil {
+			if err := r.journal.Append([]journal.Record{{Op: journal.OpDone, ID: id, At: time.Now().UnixMicro()}}); err != nil {
 				return acked, err
 			}
-			delete(r.held, id)
+			delete(r.pending, id)
 		}
 	}
-	if err := r.j.Close(); err != nil {
+	if err := r.journal.Close(); err != nil {
 		return acked, err
 	}
-	if r.j, err = journal.OpenOn(r.folder, r.opts); err != nil {
+	if r.journal, err = journal.OpenOn(r.folder, r.opts); err != nil {
 		return acked, err
 	}
-	if err := r.check("after the restart"); err != nil {
+	if err := r.verify("after the restart"); err != nil {
 		return acked, err
 	}
-	return acked, r.j.Close()
+	return acked, r.journal.Close()
 }
 
-// step takes a message on and sends one that is held; false if it was refused.
-func (r *diskRun) step() bool {
-	r.n++
-	id := fmt.Sprint("m", r.n)
-	recs := []journal.Record{{Op: journal.OpAccept, Entry: &journal.Entry{Message: message.Message{ID: id, Class: "safe", Partner: "p",
+// submitAndSend appends an accepted message and an attempt of a pending one. It reports
+// whether the journal acknowledged them.
+func (r *diskRun) submitAndSend() bool {
+	r.lastID++
+	id := fmt.Sprint("m", r.lastID)
+	recs := []journal.Record{{Op: journal.OpAccept, Entry: &journal.Entry{Message: message.Message{ID: id,
+		Class: "safe", Partner: "p",
 		Deadline: time.Now().Add(time.Hour).UnixMicro(), Body: make([]byte, r.rng.IntN(3000))}}}}
 	sent := ""
-	for sent = range r.held {
-		recs = append(recs, journal.Record{Op: journal.OpSend, ID: sent, At: 1}, journal.Record{Op: journal.OpOutcome, ID: sent})
+	for sent = range r.pending {
+		recs = append(recs, journal.Record{Op: journal.OpSend, ID: sent, At: 1},
+			journal.Record{Op: journal.OpOutcome, ID: sent})
 		break
 	}
-	if r.j.Append(recs) != nil {
+	if r.journal.Append(recs) != nil {
 		return false
 	}
-	r.held[id] = 0
+	r.pending[id] = 0
 	if sent != "" {
-		r.held[sent]++
+		r.pending[sent]++
 	}
 	return true
 }
 
-// check holds the journal against what was acknowledged.
-func (r *diskRun) check(when string) error {
-	if n := r.j.Len(); n != len(r.held) {
-		return fmt.Errorf("%s: %d are held, want %d", when, n, len(r.held))
-	}
-	for id, tries := range r.held {
-		if e := r.j.Entry(id); e == nil || e.Attempts != tries {
-			return fmt.Errorf("%s: %s is %+v, want %d tries", when, id, e, tries)
+// verify compares the journal with the acknowledged state.
+func (r *diskRun) verify(when string) error {
+	if n := r.journal.Len(); n != len(r.pending) {
+		return fmt.Errorf("%s: %d pending messages, want %d", when, n, len(r.pending))
+	}
+	for id, attempts := range r.pending {
+		if e := r.journal.Entry(id); e == nil || e.Attempts != attempts {
+			return fmt.Errorf("%s: %s is %+v, want %d attempts", when, id, e, attempts)
 		}
 	}
 	return nil
--- a/cmd/measure/doors.go
+++ b/cmd/measure/doors.go
@@ -16,18 +16,18 @@
 // soReuseport is SO_REUSEPORT on Linux, which package syscall does not name.
 const soReuseport = 0xf
 
-// door is one way to put a listener in the place of another.
-type door struct {
-	name string
-	next func(old *net.TCPListener) (*net.TCPListener, error) // closes the old one
+// takeoverMethod is one way to replace a listener by another one on the same address.
+type takeoverMethod struct {
+	name    string
+	replace func(old *net.TCPListener) (*net.TCPListener, error) // closes old
 }
 
-// doors counts what clients meet while listeners follow one another, for each way in
-// which a process can take the clients' address over from another.
-func doors(args []string) error {
+// measureListenerTakeover counts failed connections of clients while listeners replace
+// each other, for each way in which a process can take over an address from another.
+func measureListenerTakeover(args []string) error {
 	fs := flag.NewFlagSet("doors", flag.ContinueOnError)
-	turns := fs.Int("turns", 100, "changes")
-	workers := fs.Int("workers", 16, "clients, each with one connection after the other")
+	turns := fs.Int("turns", 100, "listener changes")
+	workers := fs.Int("workers", 16, "clients, each with one connection at a time")
 	if err := fs.Parse(args); err != nil {
 		return err
 	}
@@ -46,7 +46,7 @@
 		}
 		return ln.(*net.TCPListener), nil
 	}
-	for _, d := range []door{
+	for _, d := range []takeoverMethod{
 		{"the socket is handed over", func(old *net.TCPListener) (*net.TCPListener, error) {
 			f, err := old.File()
 			if err != nil {
@@ -78,14 +78,16 @@
 		if err != nil {
 			return err
 		}
-		if err := changeDoors(d, ln, *turns, *workers); err != nil {
+		if err := runTakeovers(d, ln, *turns, *workers); err != nil {
 			return fmt.Errorf("%s: %w", d.name, err)
 		}
 	}
 	return nil
 }
 
-func changeDoors(d door, ln *net.TCPListener, turns, workers int) error {
+// runTakeovers replaces ln by d turns times while clients connect, and prints the results of
+// their connections.
+func runTakeovers(d takeoverMethod, ln *net.TCPListener, turns, workers int) error {
 	serve := func(ln *net.TCPListener) {
 		for {
 			c, err := ln.Accept()
@@ -134,7 +136,7 @@
 	var err error
 	for range turns {
 		time.Sleep(20 * time.Millisecond)
-		if ln, err = d.next(ln); err != nil {
+		if ln, err = d.replace(ln); err != nil {
 			break
 		}
 		go serve(ln)
@@ -143,7 +145,8 @@
 	clients.Wait()
 	if err == nil {
 		ln.Close()
-		fmt.Printf("%-28s %d changes: %d answered, %d refused, %d reset or unread\n", d.name, turns, ok.Load(), refused.Load(), lost.Load())
+		fmt.Printf("%-28s %d changes: %d answered, %d refused, %d reset or unread\n",
+			d.name, turns, ok.Load(), refused.Load(), lost.Load())
 	}
 	return err
 }
--- a/cmd/measure/fleet.go
+++ b/cmd/measure/fleet.go
@@ -13,14 +13,14 @@
 	"strings"
 )
 
-// fleetLogs counts across the logs that many senders have written with
-// COMETRACK_LOG=debug: what came, was called, refused and ended, by partner and
-// span of time, or by route where routes are apart.
-func fleetLogs(args []string) error {
+// summarizeFleetLogs reads the logs that many senders wrote with COMETRACK_LOG=debug,
+// and counts accepted messages, calls, outcomes and ends over all senders, by partner or
+// endpoint and by interval of time.
+func summarizeFleetLogs(args []string) error {
 	flags := flag.NewFlagSet("fleet", flag.ContinueOnError)
-	span := flags.Float64("span", 5, "seconds to a row")
-	byRoute := flags.Bool("routes", false, "by endpoint rather than by partner")
-	only := flags.String("partner", "", "this partner only; commas between several")
+	spanSeconds := flags.Float64("span", 5, "seconds of each row")
+	byRoute := flags.Bool("routes", false, "count by endpoint rather than by partner")
+	only := flags.String("partner", "", "count only these partners, separated by commas")
 	if err := flags.Parse(args); err != nil {
 		return err
 	}
@@ -31,14 +31,15 @@
 	if err != nil || len(files) == 0 {
 		return fmt.Errorf("no logs in %s", flags.Arg(0))
 	}
-	f := fleetCount{span: *span, byRoute: *byRoute, rows: map[fleetKey]*fleetRow{}, limits: map[string]map[string]float64{}}
+	f := fleetSummary{spanSeconds: *spanSeconds, byRoute: *byRoute, rows: map[fleetKey]*fleetRow{},
+		endpointRates: map[string]map[string]float64{}}
 	for _, part := range strings.Split(*only, ",") {
 		if part != "" {
-			f.only = append(f.only, part)
+			f.partners = append(f.partners, part)
 		}
 	}
 	for _, file := range files {
-		if err := f.read(file); err != nil {
+		if err := f.readLog(file); err != nil {
 			return err
 		}
 	}
@@ -46,35 +47,37 @@
 	return nil
 }
 
+// fleetKey is a partner, with an endpoint if counted by endpoint, and an interval of time.
 type fleetKey struct {
-	who  string
-	slot int
+	label string
+	span  int
 }
 
-// fleetRow is what happened at a partner in a span of time.
+// fleetRow counts the events of a partner in an interval of time.
 type fleetRow struct {
-	taken, calls, retries int
-	outcome               map[string]int
-	told                  int // refusals with a wait
-	ends                  map[string]int
-	age                   []float64 // of deliveries, seconds
-	senders               map[string]bool
+	accepted, calls, retries int
+	outcomes                 map[string]int
+	requestedWaits           int // replies that requested a wait
+	ends                     map[string]int
+	deliveryAges             []float64 // of delivered messages, in seconds
+	senders                  map[string]bool
 }
 
 func newFleetRow() *fleetRow {
-	return &fleetRow{outcome: map[string]int{}, ends: map[string]int{}, senders: map[string]bool{}}
+	return &fleetRow{outcomes: map[string]int{}, ends: map[string]int{}, senders: map[string]bool{}}
 }
 
-type fleetCount struct {
-	span    float64
-	byRoute bool
-	only    []string
-	rows    map[fleetKey]*fleetRow
-	limits  map[string]map[string]float64 // by partner, the rate of each endpoint
+// fleetSummary holds the counts of all logs.
+type fleetSummary struct {
+	spanSeconds   float64
+	byRoute       bool
+	partners      []string
+	rows          map[fleetKey]*fleetRow
+	endpointRates map[string]map[string]float64 // by partner and endpoint
 }
 
-// read takes a log: lines of key=value, behind the bench's clock in seconds.
-func (f *fleetCount) read(file string) error {
+// readLog counts the lines of a log: a time in seconds, and then key=value pairs.
+func (f *fleetSummary) readLog(file string) error {
 	in, err := os.Open(file)
 	if err != nil {
 		return err
@@ -86,15 +89,16 @@
 		at, rest, _ := strings.Cut(scan.Text(), " ")
 		t, err := strconv.ParseFloat(at, 64)
 		if err != nil {
-			continue // a line that the program did not log by itself
+			continue // not a log line of the program
 		}
-		f.take(file, t, fields(rest))
+		f.addLine(file, t, parseFields(rest))
 	}
 	return scan.Err()
 }
 
-// fields takes a value up to its first blank: of an outcome, "refused connection" as refused.
-func fields(line string) map[string]string {
+// parseFields returns the values of a line by key. It cuts a value at its first blank,
+// so that the outcome "refused connection" becomes "refused".
+func parseFields(line string) map[string]string {
 	out := map[string]string{}
 	for _, word := range strings.Fields(line) {
 		if k, v, ok := strings.Cut(word, "="); ok {
@@ -104,46 +108,48 @@
 	return out
 }
 
-func (f *fleetCount) take(file string, t float64, x map[string]string) {
-	if f.only != nil && !slices.Contains(f.only, x["partner"]) || x["partner"] == "" {
+// addLine counts a log line of the sender that wrote file, logged at t seconds.
+func (f *fleetSummary) addLine(file string, t float64, values map[string]string) {
+	if f.partners != nil && !slices.Contains(f.partners, values["partner"]) || values["partner"] == "" {
 		return
 	}
-	who := "p" + x["partner"]
-	if x["msg"] == "known" {
-		if f.limits[who] == nil {
-			f.limits[who] = map[string]float64{}
+	label := "p" + values["partner"]
+	if values["msg"] == "known" {
+		if f.endpointRates[label] == nil {
+			f.endpointRates[label] = map[string]float64{}
 		}
-		f.limits[who][x["ep"]+"/"+x["kind"]], _ = strconv.ParseFloat(x["weight"], 64)
+		f.endpointRates[label][values["ep"]+"/"+values["kind"]], _ = strconv.ParseFloat(values["weight"], 64)
 		return
 	}
-	if f.byRoute && x["ep"] != "" {
-		who += " " + x["ep"]
+	if f.byRoute && values["ep"] != "" {
+		label += " " + values["ep"]
 	}
-	row := f.row(who, t)
-	switch x["msg"] {
+	row := f.row(label, t)
+	switch values["msg"] {
 	case "taken":
-		row.taken++
+		row.accepted++
 	case "call":
 		row.calls++
-		if x["try"] != "0" {
+		if values["try"] != "0" {
 			row.retries++
 		}
 		row.senders[file] = true
 	case "reply":
-		row.outcome[x["outcome"]]++
-		if x["wait"] != "0" {
-			row.told++
+		row.outcomes[values["outcome"]]++
+		if values["wait"] != "0" {
+			row.requestedWaits++
 		}
 	case "end":
-		row.ends[x["state"]]++
-		if age, err := strconv.ParseFloat(x["age"], 64); err == nil && x["state"] == "delivered" {
-			row.age = append(row.age, age/1000)
+		row.ends[values["state"]]++
+		if age, err := strconv.ParseFloat(values["age"], 64); err == nil && values["state"] == "delivered" {
+			row.deliveryAges = append(row.deliveryAges, age/1000)
 		}
 	}
 }
 
-func (f *fleetCount) row(who string, t float64) *fleetRow {
-	k := fleetKey{who, int(t / f.span)}
+// row returns the row of label at t seconds, a new one if need be.
+func (f *fleetSummary) row(label string, t float64) *fleetRow {
+	k := fleetKey{label, int(t / f.spanSeconds)}
 	r := f.rows[k]
 	if r == nil {
 		r = newFleetRow()
@@ -152,70 +158,76 @@
 	return r
 }
 
-func (f *fleetCount) print(senders int) {
-	fmt.Printf("%d senders, spans of %g s; counts over all of them\n", senders, f.span)
-	for _, who := range slices.Sorted(maps.Keys(f.limits)) {
-		fmt.Printf("%s rate", who)
-		for _, ep := range slices.Sorted(maps.Keys(f.limits[who])) {
-			fmt.Printf("  %s %g", ep, f.limits[who][ep])
+// print prints the rates of endpoints, the rows by label, and the totals by interval.
+func (f *fleetSummary) print(senders int) {
+	fmt.Printf("%d senders, spans of %g s; counts over all of them\n", senders, f.spanSeconds)
+	for _, label := range slices.Sorted(maps.Keys(f.endpointRates)) {
+		fmt.Printf("%s rate", label)
+		for _, ep := range slices.Sorted(maps.Keys(f.endpointRates[label])) {
+			fmt.Printf("  %s %g", ep, f.endpointRates[label][ep])
 		}
 		fmt.Println()
 	}
-	fmt.Printf("%-14s %6s %6s %6s %6s %6s %6s %6s %6s %6s %6s %6s %6s %6s %6s %6s\n", "who", "from", "taken", "calls", "again", "done",
+	fmt.Printf("%-14s %6s %6s %6s %6s %6s %6s %6s %6s %6s %6s %6s %6s %6s %6s %6s\n", "who", "from", "taken", "calls",
+		"again", "done",
 		"full", "told", "noconn", "error", "other", "failed", "return", "mean", "p95", "callers")
 	keys := slices.SortedFunc(maps.Keys(f.rows), func(a, b fleetKey) int {
-		return cmp.Or(cmp.Compare(a.who, b.who), cmp.Compare(a.slot, b.slot))
+		return cmp.Or(cmp.Compare(a.label, b.label), cmp.Compare(a.span, b.span))
 	})
 	total := map[int]*fleetRow{}
 	last := ""
 	for _, k := range keys {
-		if last != "" && last != k.who {
+		if last != "" && last != k.label {
 			fmt.Println()
 		}
-		last = k.who
+		last = k.label
 		r := f.rows[k]
-		r.print(k.who, float64(k.slot)*f.span)
-		sum := total[k.slot]
+		r.print(k.label, float64(k.span)*f.spanSeconds)
+		sum := total[k.span]
 		if sum == nil {
 			sum = newFleetRow()
-			total[k.slot] = sum
+			total[k.span] = sum
 		}
 		sum.add(r)
 	}
 	fmt.Println()
-	for _, slot := range slices.Sorted(maps.Keys(total)) {
-		total[slot].print("all", float64(slot)*f.span)
+	for _, span := range slices.Sorted(maps.Keys(total)) {
+		total[span].print("all", float64(span)*f.spanSeconds)
 	}
 }
 
+// add adds the counts of x to r.
 func (r *fleetRow) add(x *fleetRow) {
-	r.taken, r.calls, r.retries, r.told = r.taken+x.taken, r.calls+x.calls, r.retries+x.retries, r.told+x.told
-	for k, n := range x.outcome {
-		r.outcome[k] += n
+	r.accepted, r.calls, r.retries, r.requestedWaits = r.accepted+x.accepted, r.calls+x.calls,
+		r.retries+x.retries, r.requestedWaits+x.requestedWaits
+	for k, n := range x.outcomes {
+		r.outcomes[k] += n
 	}
 	for k, n := range x.ends {
 		r.ends[k] += n
 	}
-	r.age = append(r.age, x.age...)
+	r.deliveryAges = append(r.deliveryAges, x.deliveryAges...)
 	maps.Copy(r.senders, x.senders)
 }
 
-func (r *fleetRow) print(who string, from float64) {
+// print prints r as a row of the table that starts with label and from in seconds.
+func (r *fleetRow) print(label string, from float64) {
 	other := 0
-	for k, n := range r.outcome {
+	for k, n := range r.outcomes {
 		if k != "completed" && k != "full" && k != "refused" && k != "errored" {
 			other += n
 		}
 	}
-	slices.Sort(r.age)
+	slices.Sort(r.deliveryAges)
 	mean, p95 := 0.0, 0.0
-	for _, a := range r.age {
-		mean += a / float64(len(r.age))
+	for _, a := range r.deliveryAges {
+		mean += a / float64(len(r.deliveryAges))
 	}
-	if n := len(r.age); n > 0 {
-		p95 = r.age[n*95/100]
+	if n := len(r.deliveryAges); n > 0 {
+		p95 = r.deliveryAges[n*95/100]
 	}
-	fmt.Printf("%-14s %6g %6d %6d %6d %6d %6d %6d %6d %6d %6d %6d %6d %6.2f %6.2f %6d\n", who, from, r.taken, r.calls, r.retries,
-		r.outcome["completed"], r.outcome["full"], r.told, r.outcome["refused"], r.outcome["errored"], other,
+	fmt.Printf("%-14s %6g %6d %6d %6d %6d %6d %6d %6d %6d %6d %6d %6d %6.2f %6.2f %6d\n", label, from, r.accepted,
+		r.calls, r.retries,
+		r.outcomes["completed"], r.outcomes["full"], r.requestedWaits, r.outcomes["refused"], r.outcomes["errored"], other,
 		r.ends["failed"], r.ends["returned"], mean, p95, len(r.senders))
 }
--- a/cmd/measure/fronts.go
+++ b/cmd/measure/fronts.go
@@ -20,18 +20,19 @@
 	"cometrack/internal/standin/traffic"
 )
 
-// sinkhole is a partner that answers at once and counts.
-type sinkhole struct {
+// stubPartner is a partner that answers each call with 200 without delay and counts them.
+type stubPartner struct {
 	ln    net.Listener
 	calls atomic.Int64
 }
 
-func startSinkhole() (*sinkhole, error) {
+// startStubPartner starts a partner on a free port of loopback.
+func startStubPartner() (*stubPartner, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	s := &sinkhole{ln: ln}
+	s := &stubPartner{ln: ln}
 	go func() {
 		for {
 			c, err := ln.Accept()
@@ -44,7 +45,7 @@
 	return s, nil
 }
 
-func (s *sinkhole) serve(c net.Conn) {
+func (s *stubPartner) serve(c net.Conn) {
 	defer c.Close()
 	r := bufio.NewReader(c)
 	for {
@@ -71,15 +72,19 @@
 	}
 }
 
-// way is one way to hand messages in. It returns a function for each worker.
-type way struct {
-	name string
-	open func(p *process) (func(id string) (bool, error), func(), error)
+// frontClient submits messages through one front. connect returns, for each worker, a
+// function that submits a message and reports whether it was accepted, and one that
+// closes the connection.
+type frontClient struct {
+	name    string
+	connect func(p *process) (func(id string) (bool, error), func(), error)
 }
 
-const partners = 16
+// partnerCount is the number of partners that share one stub.
+const partnerCount = 16
 
-func respWay(p *process) (func(string) (bool, error), func(), error) {
+// connectRESP submits over a RESP2 connection for each worker.
+func connectRESP(p *process) (func(string) (bool, error), func(), error) {
 	c, err := traffic.DialRESP(p.Addrs[1])
 	if err != nil {
 		return nil, nil, err
@@ -87,7 +92,7 @@
 	n := 0
 	return func(id string) (bool, error) {
 		n++
-		if err := c.Put("0", id, "c=safe,d=20000,dest=p"+strconv.Itoa(n%partners), body); err != nil {
+		if err := c.Put("0", id, "c=safe,d=20000,dest=p"+strconv.Itoa(n%partnerCount), messageBody); err != nil {
 			return false, err
 		}
 		line, err := c.Answer()
@@ -95,9 +100,11 @@
 	}, func() { c.Close() }, nil
 }
 
-var body = bytes.Repeat([]byte("x"), 256)
+// messageBody is the body of each message.
+var messageBody = bytes.Repeat([]byte("x"), 256)
 
-func httpWay(transport func() *http.Transport) func(p *process) (func(string) (bool, error), func(), error) {
+// connectHTTP submits over HTTP; all workers share one client.
+func connectHTTP(transport func() *http.Transport) func(p *process) (func(string) (bool, error), func(), error) {
 	var shared *http.Client
 	var once sync.Once
 	return func(p *process) (func(string) (bool, error), func(), error) {
@@ -105,8 +112,8 @@
 		n := 0
 		return func(id string) (bool, error) {
 			n++
-			resp, err := shared.Post("http://"+p.Addrs[0]+"/v1/messages?class=safe&left=20s&partner=p"+strconv.Itoa(n%partners)+"&id="+id,
-				"application/octet-stream", bytes.NewReader(body))
+			resp, err := shared.Post("http://"+p.Addrs[0]+"/v1/messages?class=safe&left=20s&partner=p"+strconv.Itoa(n%partnerCount)+"&id="+id,
+				"application/octet-stream", bytes.NewReader(messageBody))
 			if err != nil {
 				return false, err
 			}
@@ -117,67 +124,67 @@
 	}
 }
 
-// round is what one run of one way has shown.
-type round struct {
-	perSecond, perCPU float64
-	p50, p99          time.Duration
-	refused           int
-	memory            float64
+// frontResult holds the figures of one run of one front.
+type frontResult struct {
+	acceptedPerSecond, acceptedPerCPUSecond float64
+	p50, p99                                time.Duration
+	rejected                                int
+	residentMB                              float64
 }
 
-// fronts measures handing in over each front, in turns.
-func fronts(args []string) error {
+// measureFronts measures the throughput and latency of submissions through each front, in turns.
+func measureFronts(args []string) error {
 	fs := flag.NewFlagSet("fronts", flag.ContinueOnError)
 	bin := fs.String("bin", "bin/cometrack", "the daemon")
-	turns := fs.Int("turns", 3, "how often each way is measured")
-	span := fs.Duration("span", 4*time.Second, "how long each time")
+	turns := fs.Int("turns", 3, "runs of each front")
+	span := fs.Duration("span", 4*time.Second, "duration of each run")
 	workers := fs.Int("workers", 64, "clients at once")
 	profile := fs.String("profile", "", "write CPU profiles of the daemon to this folder")
-	only := fs.String("only", "", "one way only")
-	sync := fs.String("sync", "always", "the daemon's store.sync; empty for builds that have none")
+	only := fs.String("only", "", "run only this front: RESP2, HTTP/1.1 or HTTP/2")
+	syncPolicy := fs.String("sync", "always", "the daemon's store.sync; empty for builds without this setting")
 	if err := fs.Parse(args); err != nil {
 		return err
 	}
-	hole, err := startSinkhole()
+	stub, err := startStubPartner()
 	if err != nil {
 		return err
 	}
-	text := ""
-	if *sync != "" {
-		text = fmt.Sprintf("[store]\nsync = %q\n", *sync)
+	config := ""
+	if *syncPolicy != "" {
+		config = fmt.Sprintf("[store]\nsync = %q\n", *syncPolicy)
 	}
-	text += "[limits]\ncores = 2\nmemory_mb = 512\nopen_messages = 20000\nslots = 512\ndescriptors = 4096\ndisk_mb = 64\nremembered = 20000\n" +
+	config += "[limits]\ncores = 2\nmemory_mb = 512\nopen_messages = 20000\nslots = 512\ndescriptors = 4096\ndisk_mb = 64\nremembered = 20000\n" +
 		"[front.http]\nlisten = \"127.0.0.1:0\"\n[front.resp]\nlisten = \"127.0.0.1:0\"\n"
-	for i := range partners {
-		text += fmt.Sprintf("[[partner]]\nname = \"p%d\"\nendpoints = [%q]\n", i, hole.ln.Addr())
+	for i := range partnerCount {
+		config += fmt.Sprintf("[[partner]]\nname = \"p%d\"\nendpoints = [%q]\n", i, stub.ln.Addr())
 	}
-	ways := []way{{"RESP2", respWay},
-		{"HTTP/1.1", httpWay(func() *http.Transport { return &http.Transport{MaxIdleConnsPerHost: 256} })},
-		{"HTTP/2", httpWay(func() *http.Transport {
+	clients := []frontClient{{"RESP2", connectRESP},
+		{"HTTP/1.1", connectHTTP(func() *http.Transport { return &http.Transport{MaxIdleConnsPerHost: 256} })},
+		{"HTTP/2", connectHTTP(func() *http.Transport {
 			var p http.Protocols
 			p.SetUnencryptedHTTP2(true)
 			return &http.Transport{Protocols: &p}
 		})}}
-	results := map[string][]round{}
+	results := map[string][]frontResult{}
 	for turn := range *turns {
-		for _, w := range ways {
-			if *only != "" && w.name != *only {
+		for _, client := range clients {
+			if *only != "" && client.name != *only {
 				continue
 			}
-			r, err := oneRound(*bin, text, w, hole, *workers, *span, *profile, fmt.Sprint(turn))
+			r, err := measureFront(*bin, config, client, stub, *workers, *span, *profile, fmt.Sprint(turn))
 			if err != nil {
-				return fmt.Errorf("%s: %w", w.name, err)
+				return fmt.Errorf("%s: %w", client.name, err)
 			}
-			results[w.name] = append(results[w.name], r)
+			results[client.name] = append(results[client.name], r)
 		}
 	}
 	fmt.Printf("%-9s %12s %16s %9s %9s %9s %8s\n", "way", "accepted/s", "accepted/CPU s", "p50", "p99", "refused", "MB")
-	for _, w := range ways {
-		rs := results[w.name]
+	for _, client := range clients {
+		rs := results[client.name]
 		if len(rs) == 0 {
 			continue
 		}
-		med := func(f func(round) float64) float64 {
+		median := func(f func(frontResult) float64) float64 {
 			v := make([]float64, len(rs))
 			for i, r := range rs {
 				v[i] = f(r)
@@ -185,84 +192,87 @@
 			slices.Sort(v)
 			return v[len(v)/2]
 		}
-		fmt.Printf("%-9s %12.0f %16.0f %9v %9v %9.0f %8.0f\n", w.name, med(func(r round) float64 { return r.perSecond }),
-			med(func(r round) float64 { return r.perCPU }),
-			time.Duration(med(func(r round) float64 { return float64(r.p50) })).Round(10*time.Microsecond),
-			time.Duration(med(func(r round) float64 { return float64(r.p99) })).Round(10*time.Microsecond),
-			med(func(r round) float64 { return float64(r.refused) }), med(func(r round) float64 { return r.memory }))
+		fmt.Printf("%-9s %12.0f %16.0f %9v %9v %9.0f %8.0f\n", client.name,
+			median(func(r frontResult) float64 { return r.acceptedPerSecond }),
+			median(func(r frontResult) float64 { return r.acceptedPerCPUSecond }),
+			time.Duration(median(func(r frontResult) float64 { return float64(r.p50) })).Round(10*time.Microsecond),
+			time.Duration(median(func(r frontResult) float64 { return float64(r.p99) })).Round(10*time.Microsecond),
+			median(func(r frontResult) float64 { return float64(r.rejected) }),
+			median(func(r frontResult) float64 { return r.residentMB }))
 	}
 	return nil
 }
 
-// oneRound hands messages in with so many workers, each as soon as the last one is
-// answered, and waits until all that were taken on are delivered.
-func oneRound(bin, text string, w way, hole *sinkhole, workers int, span time.Duration, profile, tag string) (round, error) {
+// measureFront runs a daemon and submits messages with workers in a closed loop for
+// span, and then waits until all accepted messages are delivered.
+func measureFront(bin, config string, client frontClient, stub *stubPartner, workers int, span time.Duration, profile,
+	tag string) (frontResult, error) {
 	var flags []string
 	if profile != "" {
-		flags = []string{"--cpu-profile", filepath.Join(profile, strings.ReplaceAll(w.name, "/", "")+"-"+tag+".pprof")}
+		flags = []string{"--cpu-profile", filepath.Join(profile, strings.ReplaceAll(client.name, "/", "")+"-"+tag+".pprof")}
 	}
-	d, err := startDaemon(bin, text, flags...)
+	daemon, err := startDaemon(bin, config, flags...)
 	if err != nil {
-		return round{}, err
+		return frontResult{}, err
 	}
-	defer d.stop()
-	before, cpu := hole.calls.Load(), d.cpu()
+	defer daemon.stop()
+	before, cpu := stub.calls.Load(), daemon.cpuTime()
 	ctx, cancel := context.WithTimeout(context.Background(), span)
 	defer cancel()
 	var mu sync.Mutex
-	var took []time.Duration
-	var out round
-	var first error
+	var latencies []time.Duration
+	var result frontResult
+	var firstErr error
 	var wg sync.WaitGroup
 	start := time.Now()
 	for k := range workers {
 		wg.Go(func() {
-			submit, done, err := w.open(d)
+			submit, done, err := client.connect(daemon)
 			if err != nil {
 				mu.Lock()
-				first = err
+				firstErr = err
 				mu.Unlock()
 				return
 			}
 			defer done()
-			var mine []time.Duration
-			refused := 0
+			var workerLatencies []time.Duration
+			rejected := 0
 			for n := 0; ctx.Err() == nil; n++ {
 				at := time.Now()
 				ok, err := submit(fmt.Sprintf("%s-%d-%d", tag, k, n))
 				if err != nil {
 					mu.Lock()
-					first = err
+					firstErr = err
 					mu.Unlock()
 					return
 				}
 				if ok {
-					mine = append(mine, time.Since(at))
+					workerLatencies = append(workerLatencies, time.Since(at))
 				} else {
-					refused++
+					rejected++
 				}
 			}
 			mu.Lock()
-			took = append(took, mine...)
-			out.refused += refused
+			latencies = append(latencies, workerLatencies...)
+			result.rejected += rejected
 			mu.Unlock()
 		})
 	}
 	wg.Wait()
-	if first != nil {
-		return out, first
+	if firstErr != nil {
+		return result, firstErr
 	}
-	for stop := time.Now().Add(20 * time.Second); hole.calls.Load()-before < int64(len(took)); {
+	for stop := time.Now().Add(20 * time.Second); stub.calls.Load()-before < int64(len(latencies)); {
 		if time.Now().After(stop) {
-			return out, fmt.Errorf("%d taken on, %d delivered", len(took), hole.calls.Load()-before)
+			return result, fmt.Errorf("%d messages accepted, only %d delivered", len(latencies), stub.calls.Load()-before)
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
-	all := time.Since(start)
-	slices.Sort(took)
-	out.perSecond = float64(len(took)) / all.Seconds()
-	out.perCPU = float64(len(took)) / (d.cpu() - cpu).Seconds()
-	out.p50, out.p99 = took[len(took)/2], took[len(took)*99/100]
-	out.memory = d.memory()
-	return out, nil
+	elapsed := time.Since(start)
+	slices.Sort(latencies)
+	result.acceptedPerSecond = float64(len(latencies)) / elapsed.Seconds()
+	result.acceptedPerCPUSecond = float64(len(latencies)) / (daemon.cpuTime() - cpu).Seconds()
+	result.p50, result.p99 = latencies[len(latencies)/2], latencies[len(latencies)*99/100]
+	result.residentMB = daemon.residentMB()
+	return result, nil
 }
--- a/cmd/measure/hollow.go
+++ b/cmd/measure/hollow.go
@@ -16,31 +16,31 @@
 	"cometrack/internal/standin/hollow"
 )
 
-// hollows measures fleets of hollow senders, or of senders in virtual time, calm and
-// in faults.
-func hollows(args []string) error {
+// measureHollow measures fleets of hollow senders (without messages), or of senders in
+// virtual time, without faults and during faults.
+func measureHollow(args []string) error {
 	fs := flag.NewFlagSet("hollow", flag.ContinueOnError)
 	sizes := fs.String("senders", "3,6,12,24,48", "sizes of fleets")
-	calm := fs.Float64("seconds", 10, "that rates are measured over")
-	fault := fs.String("fault", "", "faults, by commas: restarts, killed, rack, zone, regions, halves; all for each")
-	lasts := fs.Float64("lasts", 15, "seconds that each fault lasts")
-	patience := fs.Duration("patience", time.Minute, "for each thing that is waited for")
+	calmSeconds := fs.Float64("seconds", 10, "seconds without faults over which rates are measured")
+	fault := fs.String("fault", "", "faults, separated by commas: restarts, killed, rack, zone, regions, halves; or all")
+	faultSeconds := fs.Float64("lasts", 15, "duration of each fault in seconds")
+	timeout := fs.Duration("patience", time.Minute, "timeout of each wait for convergence")
 	lease := fs.Duration("lease", 3*time.Second, "as in [cluster]")
-	facts := fs.Float64("facts", 0, "waits told in a second, over the fleet")
-	virtual := fs.Bool("virtual", false, "in virtual time")
-	repeats := fs.Int("repeats", 1, "of each size")
-	cores := fs.Int("cores", 2, "that may be used")
-	seed := fs.Uint64("seed", 1, "of the first fleet of each size")
-	dir := fs.String("dir", "", "folder for the senders' folders")
+	facts := fs.Float64("facts", 0, "requested waits published a second, over the fleet")
+	virtual := fs.Bool("virtual", false, "simulate the fleet in virtual time")
+	repeats := fs.Int("repeats", 1, "runs of each size")
+	cores := fs.Int("cores", 2, "number of cores to use")
+	seed := fs.Uint64("seed", 1, "seed of the first fleet of each size")
+	dir := fs.String("dir", "", "folder for the state folders of the senders")
 	out := fs.String("out", "", "folder for each fleet's result as JSON")
 	slopes := fs.String("slopes", "", "folder for the slopes as JSON")
-	from := fs.Bool("from", false, "measure nothing: read the results whose files are given, and write the slopes")
-	name := fs.String("commit", "", "of the program; empty for what its build says")
-	line := fs.Bool("timeline", true, "print each fleet's time line")
+	fromFiles := fs.Bool("from", false, "measure nothing: read the given result files, and write the slopes")
+	commit := fs.String("commit", "", "commit of the program; empty for the one in its build information")
+	printTimeline := fs.Bool("timeline", true, "print each fleet's time line")
 	if err := fs.Parse(args); err != nil {
 		return err
 	}
-	if *from {
+	if *fromFiles {
 		results, err := hollow.ReadResults(fs.Args())
 		if err != nil {
 			return err
@@ -54,7 +54,7 @@
 		return hollow.WriteSlopes(*slopes, results[0].Command, results)
 	}
 	command := "measure hollow"
-	fs.Visit(func(f *flag.Flag) { // but where things lie
+	fs.Visit(func(f *flag.Flag) { // without flags that only name folders or output
 		if !slices.Contains([]string{"dir", "out", "slopes", "commit", "timeline"}, f.Name) {
 			command += fmt.Sprintf(" -%s %s", f.Name, f.Value)
 		}
@@ -67,22 +67,23 @@
 			break
 		}
 		if !slices.Contains(hollow.Faults, hollow.Fault(name)) {
-			return fmt.Errorf("--fault %s: none of %v", name, hollow.Faults)
+			return fmt.Errorf("unknown --fault %s; use some of %v", name, hollow.Faults)
 		}
 		faults = append(faults, hollow.Fault(name))
 	}
-	second := func(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
+	seconds := func(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 	var results []hollow.Result
-	var wrong error
+	var failure error
 	for _, text := range strings.Split(*sizes, ",") {
 		n, err := strconv.Atoi(text)
 		if err != nil {
 			return err
 		}
 		for i := range *repeats {
-			r, err := hollow.Measure(hollow.Play{Virtual: *virtual, Calm: second(*calm), Lasts: second(*lasts), Patience: *patience, Faults: faults, Commit: *name, Command: command,
+			r, err := hollow.Measure(hollow.Play{Virtual: *virtual, Calm: seconds(*calmSeconds), Lasts: seconds(*faultSeconds),
+				Patience: *timeout, Faults: faults, Commit: *commit, Command: command,
 				Options: hollow.Options{Senders: n, Lease: *lease, Drift: 0.01, Dir: *dir, Facts: *facts, Seed: *seed + uint64(i)}})
-			if *line {
+			if *printTimeline {
 				r.WriteTimeline(os.Stdout)
 			}
 			fmt.Println(hollow.RowHead)
@@ -90,22 +91,24 @@
 			if len(r.Faults) > 0 {
 				fmt.Printf("\n%s\n%s\n", hollow.FaultHead, strings.Join(r.FaultRows(), "\n"))
 			}
-			fmt.Printf("\n%d cores, commit %s, %s; took %.0f s; the kernel counted, of the whole machine, calm: %+v\n\n", r.Cores, r.Commit, r.Machine, r.Took, r.Kernel)
+			fmt.Printf("\n%d cores, commit %s, %s; took %.0f s; the kernel counted, of the whole machine, calm: %+v\n\n",
+				r.Cores, r.Commit, r.Machine, r.Took, r.Kernel)
 			results = append(results, r)
 			if *out != "" {
-				wrong = errors.Join(wrong, writeResult(*out, r, *seed+uint64(i)))
+				failure = errors.Join(failure, writeResult(*out, r, *seed+uint64(i)))
 			}
 			if err != nil {
-				return errors.Join(wrong, err)
+				return errors.Join(failure, err)
 			}
 		}
 	}
 	if *slopes != "" {
-		wrong = errors.Join(wrong, hollow.WriteSlopes(*slopes, command, results))
+		failure = errors.Join(failure, hollow.WriteSlopes(*slopes, command, results))
 	}
-	return wrong
+	return failure
 }
 
+// writeResult writes a result as JSON into dir, which it creates if need be.
 func writeResult(dir string, r hollow.Result, seed uint64) error {
 	text, err := json.MarshalIndent(r, "", "\t")
 	if err != nil {
@@ -114,5 +117,6 @@
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return err
 	}
-	return os.WriteFile(filepath.Join(dir, fmt.Sprintf("%s-%d-%d.%s.json", r.Way, r.Senders, seed, r.Commit)), append(text, '\n'), 0o644)
+	return os.WriteFile(filepath.Join(dir, fmt.Sprintf("%s-%d-%d.%s.json", r.Way, r.Senders, seed, r.Commit)),
+		append(text, '\n'), 0o644)
 }
--- a/cmd/measure/journal.go
+++ b/cmd/measure/journal.go
@@ -15,17 +15,17 @@
 	"cometrack/internal/store"
 )
 
-// journalWaits measures how long a loop waits for the journal. Messages are taken
-// on, sent and delivered at a rate, some of them held for long; each step is one
-// append, as in the core.
-func journalWaits(args []string) error {
+// measureJournal measures how long an event loop waits for the journal. Messages are
+// accepted, sent and delivered at a fixed rate beside others that stay pending; each
+// step is one append, as in the core.
+func measureJournal(args []string) error {
 	flags := flag.NewFlagSet("journal", flag.ExitOnError)
-	disk := flags.Int64("disk", 3_000_000, "bytes of the folder")
+	disk := flags.Int64("disk", 3_000_000, "limit of the folder in bytes")
 	rate := flags.Int("rate", 360, "messages a second")
-	held := flags.Int("held", 300, "messages held for long beside them")
-	body := flags.Int("body", 600, "bytes of a body")
-	span := flags.Duration("span", 20*time.Second, "how long")
-	sync := flags.String("sync", "never", "always or never")
+	pending := flags.Int("held", 300, "messages that stay pending all the time")
+	bodySize := flags.Int("body", 600, "bytes of a body")
+	duration := flags.Duration("span", 20*time.Second, "duration of the measurement")
+	syncPolicy := flags.String("sync", "never", "store.sync of the journal: always or never")
 	flags.Parse(args)
 	dir, err := os.MkdirTemp("", "journal-")
 	if err != nil {
@@ -33,7 +33,7 @@
 	}
 	defer os.RemoveAll(dir)
 	opts := journal.Options{MaxBytes: *disk, MaxEnded: 16384, Sync: store.SyncNever}
-	if *sync == "always" {
+	if *syncPolicy == "always" {
 		opts.Sync = store.SyncAlways
 	}
 	j, err := journal.Open(dir, opts)
@@ -42,64 +42,69 @@
 	}
 	defer j.Close()
 	accept := func(id string) journal.Record {
-		return journal.Record{Op: journal.OpAccept, Entry: &journal.Entry{Message: message.Message{ID: id, Class: "imbalance", Partner: "17",
-			Tenant: "lakes", Key: "key-" + id, Deadline: time.Now().Add(10 * time.Second).UnixMicro(), Body: make([]byte, *body)}}}
+		return journal.Record{Op: journal.OpAccept, Entry: &journal.Entry{Message: message.Message{
+			ID: id, Class: "imbalance", Partner: "17", Tenant: "lakes", Key: "key-" + id,
+			Deadline: time.Now().Add(10 * time.Second).UnixMicro(), Body: make([]byte, *bodySize)}}}
 	}
-	var took []time.Duration
-	refused := 0
-	add := func(recs ...journal.Record) error {
-		at := time.Now()
+	var latencies []time.Duration
+	rejected := 0
+	appendTimed := func(recs ...journal.Record) error {
+		began := time.Now()
 		err := j.Append(recs)
-		took = append(took, time.Since(at))
+		latencies = append(latencies, time.Since(began))
 		return err
 	}
 	before := folderSize(dir)
-	for i := range *held {
-		if err := add(accept(fmt.Sprint("held-", i))); err != nil {
+	for i := range *pending {
+		if err := appendTimed(accept(fmt.Sprint("held-", i))); err != nil {
 			return err
 		}
 	}
-	each := float64(folderSize(dir)-before) / float64(max(*held, 1))
-	took = took[:0]
+	bytesPerPending := float64(folderSize(dir)-before) / float64(max(*pending, 1))
+	latencies = latencies[:0]
 	var usage syscall.Rusage
 	syscall.Getrusage(syscall.RUSAGE_SELF, &usage)
 	cpu := usage.Utime.Nano() + usage.Stime.Nano()
 	start := time.Now()
-	made, largest := 0, int64(0)
-	for time.Since(start) < *span {
+	submitted, maxFolderSize := 0, int64(0)
+	for time.Since(start) < *duration {
 		now := time.Now()
-		for due := int(now.Sub(start).Seconds() * float64(*rate)); made < due; made++ {
-			id := fmt.Sprint("m-", made)
-			if !j.Reserve(*body) {
-				refused++
+		for due := int(now.Sub(start).Seconds() * float64(*rate)); submitted < due; submitted++ {
+			id := fmt.Sprint("m-", submitted)
+			if !j.Reserve(*bodySize) {
+				rejected++
 				continue
 			}
-			if err := add(accept(id), journal.Record{Op: journal.OpSend, ID: id, At: now.UnixMicro(), Zone: "a"}); err != nil {
+			if err := appendTimed(accept(id), journal.Record{Op: journal.OpSend, ID: id, At: now.UnixMicro(),
+				Zone: "a"}); err != nil {
 				return err
 			}
-			if err := add(journal.Record{Op: journal.OpDone, ID: id, At: now.UnixMicro()}); err != nil {
+			if err := appendTimed(journal.Record{Op: journal.OpDone, ID: id, At: now.UnixMicro()}); err != nil {
 				return err
 			}
 		}
-		if made%200 == 0 {
+		if submitted%200 == 0 {
 			j.DropExpired(j.Clock().At(now))
-			largest = max(largest, folderSize(dir))
+			maxFolderSize = max(maxFolderSize, folderSize(dir))
 		}
 		time.Sleep(time.Millisecond)
 	}
 	syscall.Getrusage(syscall.RUSAGE_SELF, &usage)
 	cpu = usage.Utime.Nano() + usage.Stime.Nano() - cpu
-	slices.Sort(took)
-	at := func(q float64) time.Duration { return took[int(q*float64(len(took)-1))].Round(100 * time.Nanosecond) }
+	slices.Sort(latencies)
+	quantile := func(q float64) time.Duration {
+		return latencies[int(q*float64(len(latencies)-1))].Round(100 * time.Nanosecond)
+	}
 	var mem runtime.MemStats
 	runtime.ReadMemStats(&mem)
 	fmt.Printf("%d messages, %d refused; append p50 %v, p99 %v, p99.9 %v, longest %v; CPU %.1f µs a message; "+
 		"%.0f bytes on the disk for a held one; folder at most %d bytes; heap %.1f MB\n",
-		made, refused, at(0.5), at(0.99), at(0.999), at(1), float64(cpu)/1e3/float64(max(made, 1)), each, largest, float64(mem.HeapAlloc)/1e6)
+		submitted, rejected, quantile(0.5), quantile(0.99), quantile(0.999), quantile(1),
+		float64(cpu)/1e3/float64(max(submitted, 1)), bytesPerPending, maxFolderSize, float64(mem.HeapAlloc)/1e6)
 	return nil
 }
 
-// folderSize counts each file in whole blocks of 512.
+// folderSize returns the size of the files in dir, each rounded up to blocks of 512 bytes.
 func folderSize(dir string) (sum int64) {
 	list, _ := filepath.Glob(filepath.Join(dir, "*"))
 	for _, name := range list {
--- a/cmd/measure/kill.go
+++ b/cmd/measure/kill.go
@@ -9,29 +9,29 @@
 	"cometrack/internal/standin/kill"
 )
 
-// kills plays rounds of kills until there were so many, and prints what came of
-// each. A fault ends it with an error.
-func kills(args []string) error {
+// runKills runs rounds in which the program is killed again and again under traffic, and
+// prints the ends and the faults of each. It returns an error if there was any fault.
+func runKills(args []string) error {
 	fs := flag.NewFlagSet("kill", flag.ContinueOnError)
 	bin := fs.String("bin", "bin/cometrack", "the program")
 	total := fs.Int("kills", 300, "SIGKILLs in all")
-	each := fs.Int("each", 10, "SIGKILLs in a round")
-	seed := fs.Uint64("seed", 1, "of the first round; each further one has the next")
+	killsPerRound := fs.Int("each", 10, "SIGKILLs in a round")
+	seed := fs.Uint64("seed", 1, "seed of the first round; each further round uses the next")
 	if err := fs.Parse(args); err != nil {
 		return err
 	}
-	if *total < 1 || *each < 1 {
+	if *total < 1 || *killsPerRound < 1 {
 		return errors.New("--kills and --each must be at least 1")
 	}
-	start, taken, faults, ends := time.Now(), 0, 0, map[string]int{}
+	start, accepted, faults, ends := time.Now(), 0, 0, map[string]int{}
 	for done := 0; done < *total; *seed++ {
-		n := min(*each, *total-done)
+		n := min(*killsPerRound, *total-done)
 		r, err := kill.Draw(*bin, *seed, n).Play()
 		if err != nil {
 			return fmt.Errorf("seed %d: %w", *seed, err)
 		}
 		done += n
-		taken, faults = taken+r.Taken, faults+len(r.Faults)
+		accepted, faults = accepted+r.Taken, faults+len(r.Faults)
 		for state, k := range r.Ends {
 			ends[state] += k
 		}
@@ -40,7 +40,8 @@
 			fmt.Println("   ", f)
 		}
 	}
-	fmt.Printf("%d kills in %.0f s, %d messages taken on, ends %v, %d faults\n", *total, time.Since(start).Seconds(), taken, ends, faults)
+	fmt.Printf("%d kills in %.0f s, %d messages taken on, ends %v, %d faults\n", *total, time.Since(start).Seconds(),
+		accepted, ends, faults)
 	if faults > 0 {
 		return fmt.Errorf("%d faults", faults)
 	}
--- a/cmd/measure/knowledge.go
+++ b/cmd/measure/knowledge.go
@@ -12,15 +12,16 @@
 	"cometrack/internal/standin/partner"
 )
 
-// knowledge measures what senders tell each other of partners: calls inside told
-// waits, random plays in virtual time, how long copies differ, catching up.
-func knowledge(args []string) error {
+// measureFacts measures the facts about partners that senders publish to each other:
+// calls during requested waits, outages, random faults, the time until replicas
+// converge, catch-up after a start, and traffic.
+func measureFacts(args []string) error {
 	fs := flag.NewFlagSet("knowledge", flag.ContinueOnError)
 	what := fs.String("what", "waits", "waits, outage, plays, virtual, equal, catchup or bytes")
 	bin := fs.String("bin", "bin/cometrack", "the program")
-	plays := fs.Int("plays", 3, "of each kind, or in all")
-	parallel := fs.Int("parallel", 1, "at a time")
-	seed := fs.Uint64("seed", 1, "of the first play")
+	plays := fs.Int("plays", 3, "runs of each kind, or in all")
+	parallel := fs.Int("parallel", 1, "runs at a time")
+	seed := fs.Uint64("seed", 1, "seed of the first run")
 	sizes := fs.String("senders", "1,4,12,20", "sizes of fleets")
 	if err := fs.Parse(args); err != nil {
 		return err
@@ -31,45 +32,45 @@
 	}
 	switch *what {
 	case "waits":
-		return knowledgeWaits(path, *sizes, *plays, *parallel, *seed)
+		return measureWaits(path, *sizes, *plays, *parallel, *seed)
 	case "outage":
-		return knowledgeOutage(path, *sizes, *plays)
+		return measureOutage(path, *sizes, *plays)
 	case "plays":
-		return knowledgePlays(path, *plays, *parallel, *seed)
+		return runRandomFactFaults(path, *plays, *parallel, *seed)
 	case "virtual":
-		return knowledgeVirtual(*plays, *parallel, *seed)
+		return runVirtualFacts(*plays, *parallel, *seed)
 	case "equal":
-		return knowledgeEqual(*sizes, *plays, *seed)
+		return measureConvergence(*sizes, *plays, *seed)
 	case "catchup":
-		return knowledgeCatchUp(*seed)
+		return measureCatchUp(*seed)
 	case "bytes":
-		return knowledgeBytes(*sizes, *seed)
+		return measureFactTraffic(*sizes, *seed)
 	}
-	return fmt.Errorf("--what %s: none of waits, outage, plays, virtual, equal, catchup, bytes", *what)
+	return fmt.Errorf("unknown --what %s; use waits, outage, plays, virtual, equal, catchup or bytes", *what)
 }
 
-// sideBySide plays plays, so many at a time.
-func sideBySide(plays, parallel int, play func(i uint64)) {
+// runParallel calls play for each index below plays, up to parallel at a time.
+func runParallel(plays, parallel int, play func(i uint64)) {
 	var group sync.WaitGroup
-	places := make(chan struct{}, parallel)
+	slots := make(chan struct{}, parallel)
 	for i := range uint64(plays) {
-		places <- struct{}{}
+		slots <- struct{}{}
 		group.Go(func() {
-			defer func() { <-places }()
+			defer func() { <-slots }()
 			play(i)
 		})
 	}
 	group.Wait()
 }
 
-// knowledgeWaits counts by a partner's record the calls that came inside a wait that
-// it had told to one of the senders, over eight seconds of light traffic.
-func knowledgeWaits(bin, sizes string, plays, parallel int, seed uint64) error {
-	const wait, length, early = 3 * time.Second, 8 * time.Second, 250 * time.Millisecond
-	const all = 16.0 // messages a second over the fleet
+// measureWaits counts in a partner's record the calls that arrived during a wait that
+// it had requested from one of the senders, over eight seconds of light traffic.
+func measureWaits(bin, sizes string, plays, parallel int, seed uint64) error {
+	const wait, length, tolerance = 3 * time.Second, 8 * time.Second, 250 * time.Millisecond
+	const totalRate = 16.0 // messages a second over the fleet
 	fmt.Println("| senders | links | facts | waits told | calls inside one, over 250 ms late (each play) | latest of all inside |")
 	fmt.Println("| --- | --- | --- | --- | --- | --- |")
-	list, err := numbers(sizes)
+	list, err := parseSizes(sizes)
 	if err != nil {
 		return err
 	}
@@ -80,58 +81,63 @@
 					continue
 				}
 				var mu sync.Mutex
-				var wrong error
-				told, inside, latest := 0, []int(nil), time.Duration(0)
-				sideBySide(plays, parallel, func(i uint64) {
-					w, err := waitPlay(bin, n, link, shared, all, wait, length, early, seed+i)
+				var failure error
+				requested, inside, latest := 0, []int(nil), time.Duration(0)
+				runParallel(plays, parallel, func(i uint64) {
+					w, err := playWaits(bin, n, link, shared, totalRate, wait, length, tolerance, seed+i)
 					mu.Lock()
 					defer mu.Unlock()
 					if err != nil {
-						wrong = err
+						failure = err
 						return
 					}
-					told, inside, latest = told+w.Told, append(inside, w.Inside), max(latest, w.Latest)
+					requested, inside, latest = requested+w.Told, append(inside, w.Inside), max(latest, w.Latest)
 				})
-				if wrong != nil {
-					return wrong
+				if failure != nil {
+					return failure
 				}
-				fmt.Printf("| %d | %s | %v | %d | %v | %v |\n", n, link, shared, told, inside, latest.Round(time.Millisecond/10))
+				fmt.Printf("| %d | %s | %v | %d | %v | %v |\n", n, link, shared, requested, inside,
+					latest.Round(time.Millisecond/10))
 			}
 		}
 	}
 	return nil
 }
 
-// inFleet starts senders that share a partner, and facts or not, and has them meet.
-// One alone knows of no others.
-func inFleet(bin string, n int, seed uint64, shared bool, p *partner.Partner, play func(*fleet.Fleet) error) error {
-	opts := fleet.Options{Program: bin, Senders: n, Seed: seed, Config: fleet.Partners(p), Cluster: fmt.Sprintf("lease = \"1s\"\nfacts = %v", shared)}
+// withFleet starts n senders with a common partner, with or without shared facts, waits
+// until their views converge, and calls play. A single sender runs without a cluster.
+func withFleet(bin string, n int, seed uint64, shared bool, p *partner.Partner, play func(*fleet.Fleet) error) error {
+	opts := fleet.Options{Program: bin, Senders: n, Seed: seed, Config: fleet.Partners(p),
+		Cluster: fmt.Sprintf("lease = \"1s\"\nfacts = %v", shared)}
 	if n == 1 {
 		opts.Cluster = "off"
 	}
-	return inDir(opts, func(opts fleet.Options) error {
+	return withTempDir(opts, func(opts fleet.Options) error {
 		f, err := fleet.Start(opts)
 		if err != nil {
 			return err
 		}
 		defer f.Close()
 		if n > 1 {
-			if _, ok := f.Until(clusterPatience, fleet.AllHere); !ok {
-				return fmt.Errorf("the senders did not meet")
+			if _, ok := f.Until(clusterTimeout, fleet.AllHere); !ok {
+				return fmt.Errorf("the views of the senders did not converge")
 			}
 		}
 		return play(f)
 	})
 }
 
-func waitPlay(bin string, n int, link string, shared bool, all float64, wait, length, early time.Duration, seed uint64) (out fleet.Waits, err error) {
+// playWaits runs a fleet against a partner that requests waits, and returns the calls
+// that arrived during them.
+func playWaits(bin string, n int, link string, shared bool, totalRate float64, wait, length, tolerance time.Duration,
+	seed uint64) (result fleet.Waits, err error) {
 	p, err := partner.Start(partner.Options{Name: "acme", Wait: wait, Seconds: true, Phases: []partner.Phase{
 		{Mode: partner.Well, For: 700 * time.Millisecond}, {Mode: partner.Full, For: 150 * time.Millisecond}}})
 	if err != nil {
-		return out, err
+		return result, err
 	}
 	defer p.Close()
-	err = inFleet(bin, n, seed, shared, p, func(f *fleet.Fleet) error {
+	err = withFleet(bin, n, seed, shared, p, func(f *fleet.Fleet) error {
 		for i := range n {
 			for k := range n {
 				switch {
@@ -143,24 +149,26 @@
 				}
 			}
 		}
-		feed, stop, done := &fleet.Feed{Partner: "acme", Class: "safe", Rate: all / float64(n)}, make(chan struct{}), make(chan struct{})
+		feed, stop, done := &fleet.Feed{Partner: "acme", Class: "safe", Rate: totalRate / float64(n)}, make(chan struct{}),
+			make(chan struct{})
 		go func() { feed.Run(f, stop); close(done) }()
 		f.Until(length, func([]fleet.Seen) bool { return false })
 		close(stop)
 		<-done
-		out = fleet.InWaits(p.Calls(), wait, early)
+		result = fleet.InWaits(p.Calls(), wait, tolerance)
 		return nil
 	})
-	return out, err
+	return result, err
 }
 
-// knowledgeOutage counts the calls at a partner that refuses all for a while, and how
-// soon they come once it is back.
-func knowledgeOutage(bin, sizes string, plays int) error {
-	const out, settled = 12 * time.Second, 4 * time.Second // until it counts as out and trials have their longest pause
+// measureOutage counts the calls at a partner during an outage in which it rejects all
+// for overload, and measures how soon calls resume once it has recovered.
+func measureOutage(bin, sizes string, plays int) error {
+	// settleTime is the time until the outage is detected and trials have reached their longest interval.
+	const outage, settleTime = 12 * time.Second, 4 * time.Second
 	fmt.Println("| senders | facts | calls a second while it is out, after the first four seconds (each play) | from its return to the first call | to half of its rate |")
 	fmt.Println("| --- | --- | --- | --- | --- |")
-	list, err := numbers(sizes)
+	list, err := parseSizes(sizes)
 	if err != nil {
 		return err
 	}
@@ -170,38 +178,39 @@
 				continue
 			}
 			var rates []string
-			var first, half []time.Duration
+			var firstCalls, halfRates []time.Duration
 			for range plays {
 				p, err := partner.Start(partner.Options{Name: "acme", Rate: 100})
 				if err != nil {
 					return err
 				}
-				err = inFleet(bin, n, 1, shared, p, func(f *fleet.Fleet) error {
-					feed, stop, done := &fleet.Feed{Partner: "acme", Class: "safe", Rate: 120 / float64(n)}, make(chan struct{}), make(chan struct{})
+				err = withFleet(bin, n, 1, shared, p, func(f *fleet.Fleet) error {
+					feed, stop, done := &fleet.Feed{Partner: "acme", Class: "safe", Rate: 120 / float64(n)}, make(chan struct{}),
+						make(chan struct{})
 					go func() { feed.Run(f, stop); close(done) }()
-					span := func(d time.Duration) { f.Until(d, func([]fleet.Seen) bool { return false }) }
-					span(2 * time.Second)
+					run := func(d time.Duration) { f.Until(d, func([]fleet.Seen) bool { return false }) }
+					run(2 * time.Second)
 					p.Set(partner.Full)
-					span(settled)
+					run(settleTime)
 					from := time.Now()
-					span(out - settled)
-					back := time.Now()
+					run(outage - settleTime)
+					recoveredAt := time.Now()
 					p.Set(partner.Well)
-					span(15 * time.Second)
+					run(15 * time.Second)
 					close(stop)
 					<-done
 					calls := p.Calls()
-					rates = append(rates, fmt.Sprintf("%.1f", fleet.Took(calls, "", from, back)))
-					at, busy := 20*time.Second, 20*time.Second
+					rates = append(rates, fmt.Sprintf("%.1f", fleet.Took(calls, "", from, recoveredAt)))
+					firstCall, halfRate := 20*time.Second, 20*time.Second
 					for _, c := range calls {
-						if d := c.At.Sub(back); d > 0 && c.Status == 200 {
-							at = min(at, d)
+						if d := c.At.Sub(recoveredAt); d > 0 && c.Status == 200 {
+							firstCall = min(firstCall, d)
 							if fleet.Took(calls, "", c.At, c.At.Add(500*time.Millisecond)) >= 50 {
-								busy = min(busy, d)
+								halfRate = min(halfRate, d)
 							}
 						}
 					}
-					first, half = append(first, at), append(half, busy)
+					firstCalls, halfRates = append(firstCalls, firstCall), append(halfRates, halfRate)
 					return nil
 				})
 				p.Close()
@@ -209,31 +218,32 @@
 					return err
 				}
 			}
-			fmt.Printf("| %d | %v | %s | %s | %s |\n", n, shared, strings.Join(rates, ", "), fine(first), fine(half))
+			fmt.Printf("| %d | %v | %s | %s | %s |\n", n, shared, strings.Join(rates, ", "), summarizeMilliseconds(firstCalls),
+				summarizeMilliseconds(halfRates))
 		}
 	}
 	return nil
 }
 
-// knowledgePlays plays random faults over four processes while partners tell waits,
-// then heals all: the copies must come to be equal, and then nobody may call inside a
-// wait that another was told.
-func knowledgePlays(bin string, plays, parallel int, seed uint64) error {
-	const senders, length, wait, early = 4, 10 * time.Second, 3 * time.Second, 250 * time.Millisecond
+// runRandomFactFaults runs random faults over four processes while a partner requests
+// waits, and then heals all links: the replicas must converge, and afterwards no sender
+// may call during a wait that was requested from another.
+func runRandomFactFaults(bin string, plays, parallel int, seed uint64) error {
+	const senders, length, wait, tolerance = 4, 10 * time.Second, 3 * time.Second, 250 * time.Millisecond
 	var mu sync.Mutex
-	equal, never, told, inside, failed := []time.Duration(nil), 0, 0, 0, 0
-	sideBySide(plays, parallel, func(i uint64) {
-		err := onePlay(bin, senders, length, wait, seed+i, func(took time.Duration, ok bool, w fleet.Waits) {
+	convergenceTimes, notConverged, requested, inside, failed := []time.Duration(nil), 0, 0, 0, 0
+	runParallel(plays, parallel, func(i uint64) {
+		err := playRandomFaults(bin, senders, length, wait, seed+i, func(took time.Duration, ok bool, w fleet.Waits) {
 			mu.Lock()
 			defer mu.Unlock()
-			told, inside = told+w.Told, inside+w.Inside
-			if equal = append(equal, took); !ok || w.Inside > 0 {
+			requested, inside = requested+w.Told, inside+w.Inside
+			if convergenceTimes = append(convergenceTimes, took); !ok || w.Inside > 0 {
 				fmt.Printf("seed %d: equal %v after %v; %+v\n", seed+i, ok, took, w)
 			}
 			if !ok {
-				never++
+				notConverged++
 			}
-		}, early)
+		}, tolerance)
 		if err != nil {
 			mu.Lock()
 			defer mu.Unlock()
@@ -242,18 +252,22 @@
 		}
 	})
 	fmt.Printf("%d plays, %d that did not come about; copies that did not become equal: %d; equal after the faults: %s; of %d waits told afterwards, calls inside: %d\n",
-		plays, failed, never, fine(equal), told, inside)
+		plays, failed, notConverged, summarizeMilliseconds(convergenceTimes), requested, inside)
 	return nil
 }
 
-func onePlay(bin string, senders int, length, wait time.Duration, seed uint64, tell func(time.Duration, bool, fleet.Waits), early time.Duration) error {
-	phases := []partner.Phase{{Mode: partner.Well, For: 500 * time.Millisecond}, {Mode: partner.Full, For: 60 * time.Millisecond}}
+// playRandomFaults runs one script of random faults, and calls report with the time until
+// the replicas converged, whether they did, and the calls during later waits.
+func playRandomFaults(bin string, senders int, length, wait time.Duration, seed uint64,
+	report func(time.Duration, bool, fleet.Waits), tolerance time.Duration) error {
+	phases := []partner.Phase{{Mode: partner.Well, For: 500 * time.Millisecond},
+		{Mode: partner.Full, For: 60 * time.Millisecond}}
 	p, err := partner.Start(partner.Options{Name: "acme", Wait: wait, Phases: phases})
 	if err != nil {
 		return err
 	}
 	defer p.Close()
-	return inFleet(bin, senders, seed, true, p, func(f *fleet.Fleet) error {
+	return withFleet(bin, senders, seed, true, p, func(f *fleet.Fleet) error {
 		feed, stop, done := &fleet.Feed{Partner: "acme", Class: "safe", Rate: 5}, make(chan struct{}), make(chan struct{})
 		go func() { feed.Run(f, stop); close(done) }()
 		defer func() { close(stop); <-done }()
@@ -262,23 +276,24 @@
 			return err
 		}
 		took, ok := f.TellAlike(20 * time.Second)
-		if _, ok := f.Until(clusterPatience, fleet.AllHere); !ok {
-			return fmt.Errorf("the senders did not meet again")
+		if _, ok := f.Until(clusterTimeout, fleet.AllHere); !ok {
+			return fmt.Errorf("the views of the senders did not converge again")
 		}
-		until := time.Now().Add(wait) // those that were told before may still hold
+		until := time.Now().Add(wait) // until waits requested before the convergence have ended
 		f.Until(wait, func([]fleet.Seen) bool { return time.Now().After(until) })
 		n := len(p.Calls())
 		f.Until(2*wait, func([]fleet.Seen) bool { return false })
-		tell(took, ok, fleet.InWaits(p.Calls()[n:], wait, early))
+		report(took, ok, fleet.InWaits(p.Calls()[n:], wait, tolerance))
 		return nil
 	})
 }
 
-func numbers(text string) (out []int, err error) {
+// parseSizes parses numbers above 0, separated by commas.
+func parseSizes(text string) (out []int, err error) {
 	for x := range strings.SplitSeq(text, ",") {
 		var n int
 		if _, err := fmt.Sscan(x, &n); err != nil || n < 1 {
-			return nil, fmt.Errorf("--senders %s: %q is no size", text, x)
+			return nil, fmt.Errorf("--senders %s: %q is not a number above 0", text, x)
 		}
 		out = append(out, n)
 	}
--- a/cmd/measure/main.go
+++ b/cmd/measure/main.go
@@ -1,5 +1,5 @@
-// Command measure takes the measurements that docs/measurements tells of. Each
-// needs a built bin/cometrack and some idle cores.
+// Command measure takes the measurements that docs/measurements describes, one for
+// each subcommand. Most of them need a built bin/cometrack and some idle cores.
 package main
 
 import (
@@ -13,16 +13,19 @@
 )
 
 func main() {
-	tools := map[string]func(args []string) error{
-		"backlog": backlogged, "capacity": capacity.Command, "cluster": clusters, "console": consoles, "discovery": discoveryTroubles, "disk": disk, "doors": doors, "fleet": fleetLogs,
-		"fronts": fronts, "held": held, "hollow": hollows, "journal": journalWaits, "kill": kills, "knowledge": knowledge,
-		"platform": platform, "ready": readyTimes, "silent": silent, "soak": soaks, "crossings": crossings, "plants": plants, "untried": untriedTable, "upgrade": upgrades,
+	commands := map[string]func(args []string) error{
+		"backlog": measureBacklog, "capacity": capacity.Command, "cluster": measureCluster, "console": measureConsole,
+		"discovery": measureDiscovery, "disk": testFullDisk, "doors": measureListenerTakeover,
+		"fleet": summarizeFleetLogs, "fronts": measureFronts, "held": measurePending, "hollow": measureHollow,
+		"journal": measureJournal, "kill": runKills, "knowledge": measureFacts, "platform": measurePlatform,
+		"ready": measureReady, "silent": measureSilent, "soak": runSoak, "crossings": runCrossings, "plants": runPlants,
+		"untried": measureUntried, "upgrade": measureUpgrades,
 	}
-	if len(os.Args) < 2 || tools[os.Args[1]] == nil {
-		fmt.Fprintf(os.Stderr, "usage: measure %s [flags]\n", strings.Join(slices.Sorted(maps.Keys(tools)), "|"))
+	if len(os.Args) < 2 || commands[os.Args[1]] == nil {
+		fmt.Fprintf(os.Stderr, "usage: measure %s [flags]\n", strings.Join(slices.Sorted(maps.Keys(commands)), "|"))
 		os.Exit(2)
 	}
-	if err := tools[os.Args[1]](os.Args[2:]); err != nil {
+	if err := commands[os.Args[1]](os.Args[2:]); err != nil {
 		fmt.Fprintln(os.Stderr, "measure:", err)
 		os.Exit(1)
 	}
--- a/cmd/measure/operation.go
+++ b/cmd/measure/operation.go
@@ -22,18 +22,21 @@
 	"cometrack/internal/standin/program"
 )
 
-// site is a platform of its own: a discovery that is silent, a partner that takes
-// all (1) and one that is out (2), a folder and a configuration.
-type site struct {
+// testPlatform is what a sender needs around it: a discovery that never answers a list
+// request, a partner that accepts all calls (1), one that refuses connections (2), a
+// folder and a configuration.
+type testPlatform struct {
 	dir, config, listen string
-	hole                *sinkhole
+	stub                *stubPartner
 	discovery           *httptest.Server
 }
 
-func newSite(limits map[string]any, maxOpen int) (*site, error) {
-	s := &site{}
+// newTestPlatform starts a discovery and a partner, and writes the configuration of a
+// sender with limits and at most maxOpen pending messages.
+func newTestPlatform(limits map[string]any, maxOpen int) (*testPlatform, error) {
+	s := &testPlatform{}
 	var err error
-	if s.hole, err = startSinkhole(); err != nil {
+	if s.stub, err = startStubPartner(); err != nil {
 		return nil, err
 	}
 	if s.dir, err = os.MkdirTemp("", "measure"); err != nil {
@@ -49,12 +52,16 @@
 		return nil, err
 	}
 	row := func(id, addr string, cell int) map[string]any {
-		return map[string]any{"instanceId": id, "hostPort": addr, "zone": "a", "machineType": "std", "cell": cell, "lifecycle": "up", "weight": 0}
+		return map[string]any{"instanceId": id, "hostPort": addr, "zone": "a", "machineType": "std", "cell": cell,
+			"lifecycle": "up", "weight": 0}
 	}
-	conf, err := json.Marshal(map[string]any{"name": "n", "listen": s.listen, "discovery": strings.TrimPrefix(s.discovery.URL, "http://"), "seed": "1",
-		"limits": limits, "known": map[string]any{"generation": 1, "reset": true, "instances": []any{row("s-1", s.hole.ln.Addr().String(), 1),
+	conf, err := json.Marshal(map[string]any{"name": "n", "listen": s.listen,
+		"discovery": strings.TrimPrefix(s.discovery.URL, "http://"), "seed": "1",
+		"limits": limits, "known": map[string]any{"generation": 1, "reset": true, "instances": []any{
+			row("s-1", s.stub.ln.Addr().String(), 1),
 			row("s-2", "127.0.0.1:1", 2)}},
-		"settings": json.RawMessage(strings.Replace(platformSettings, `"max_open":500`, fmt.Sprintf(`"max_open":%d`, maxOpen), 1))})
+		"settings": json.RawMessage(strings.Replace(platformSettings, `"max_open":500`,
+			fmt.Sprintf(`"max_open":%d`, maxOpen), 1))})
 	if err != nil {
 		return nil, err
 	}
@@ -62,6 +69,7 @@
 	return s, os.WriteFile(s.config, conf, 0o600)
 }
 
+// freeAddr returns an address of loopback whose port is free at present.
 func freeAddr() (string, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -71,8 +79,9 @@
 	return ln.Addr().String(), nil
 }
 
-// start runs a process with a console of its own. With a core, it runs there alone.
-func (s *site) start(bin, core string) (p *process, console string, err error) {
+// start starts a process of bin with its own console, and returns the console's address.
+// With a core, the process is pinned to it.
+func (s *testPlatform) start(bin, core string) (p *process, console string, err error) {
 	if console, err = freeAddr(); err != nil {
 		return nil, "", err
 	}
@@ -80,7 +89,8 @@
 	if core != "" {
 		args = []string{"taskset", "-c", core, bin}
 	}
-	x, err := program.Start(args[0], []string{"BALANCER_CONFIG=" + s.config, "BALANCER_STATE=" + filepath.Join(s.dir, "state"),
+	x, err := program.Start(args[0], []string{"BALANCER_CONFIG=" + s.config,
+		"BALANCER_STATE=" + filepath.Join(s.dir, "state"),
 		"BALANCER_LISTEN=" + s.listen, "BALANCER_CONSOLE=" + console}, args[1:]...)
 	if err != nil {
 		return nil, "", err
@@ -88,25 +98,26 @@
 	return &process{x, s.dir}, console, nil
 }
 
-func (s *site) close() {
+func (s *testPlatform) close() {
 	s.discovery.CloseClientConnections()
 	s.discovery.Close()
-	s.hole.ln.Close()
+	s.stub.ln.Close()
 	os.RemoveAll(s.dir)
 }
 
-// silent measures what connections cost that say nothing, in turns over programs.
-func silent(args []string) error {
+// measureSilent measures the memory of idle connections that send nothing, for several
+// programs in turns.
+func measureSilent(args []string) error {
 	fs := flag.NewFlagSet("silent", flag.ContinueOnError)
 	n := fs.Int("connections", 2000, "connections")
-	turns := fs.Int("turns", 5, "how often each program is measured")
+	turns := fs.Int("turns", 5, "runs of each program")
 	if err := fs.Parse(args); err != nil {
 		return err
 	}
-	all := map[string][]float64{}
+	bytesByProgram := map[string][]float64{}
 	for range *turns {
 		for _, bin := range fs.Args() {
-			s, err := newSite(map[string]any{"cores": 1, "memory_mb": 192, "sockets": 4*(*n) + 200, "disk_mb": 3}, 500)
+			s, err := newTestPlatform(map[string]any{"cores": 1, "memory_mb": 192, "sockets": 4*(*n) + 200, "disk_mb": 3}, 500)
 			if err != nil {
 				return err
 			}
@@ -114,7 +125,7 @@
 			if err != nil {
 				return err
 			}
-			fresh := p.memory()
+			fresh := p.residentMB()
 			var conns []net.Conn
 			for range *n {
 				c, err := net.Dial("tcp", s.listen)
@@ -124,7 +135,7 @@
 				conns = append(conns, c)
 			}
 			time.Sleep(500 * time.Millisecond) // until all are accepted; they are closed after 2.3 s
-			all[bin] = append(all[bin], (p.memory()-fresh)*(1<<20)/float64(*n))
+			bytesByProgram[bin] = append(bytesByProgram[bin], (p.residentMB()-fresh)*(1<<20)/float64(*n))
 			for _, c := range conns {
 				c.Close()
 			}
@@ -134,28 +145,31 @@
 		}
 	}
 	for _, bin := range fs.Args() {
-		v := all[bin]
+		v := bytesByProgram[bin]
 		slices.Sort(v)
-		fmt.Printf("%-30s %6.0f bytes of resident memory for each silent connection (median of %d; %.0f to %.0f)\n", bin, v[len(v)/2], len(v), v[0], v[len(v)-1])
+		fmt.Printf("%-30s %6.0f bytes of resident memory for each silent connection (median of %d; %.0f to %.0f)\n", bin,
+			v[len(v)/2], len(v), v[0], v[len(v)-1])
 	}
 	return nil
 }
 
-// load hands messages in on new connections until stop, and counts what becomes of them.
-type load struct {
-	addr                   string
-	ok, busy               atomic.Int64
-	refused, reset, unread atomic.Int64
-	mu                     sync.Mutex
-	last                   time.Time
-	gap                    time.Duration // longest between two answers
-	next                   atomic.Int64
-	stop                   chan struct{}
-	workers                sync.WaitGroup
+// loadGenerator submits messages, each on a new connection, until stop is closed, and
+// counts the replies.
+type loadGenerator struct {
+	addr                       string
+	accepted, rejected         atomic.Int64
+	connRefused, reset, unread atomic.Int64
+	mu                         sync.Mutex
+	lastAccepted               time.Time
+	maxAcceptedGap             time.Duration // longest time between two accepted messages
+	nextID                     atomic.Int64
+	stop                       chan struct{}
+	workers                    sync.WaitGroup
 }
 
-func (l *load) run(workers int, pause time.Duration) {
-	l.stop, l.last = make(chan struct{}), time.Now()
+// run starts workers that submit messages, each with a pause after a message.
+func (l *loadGenerator) run(workers int, pause time.Duration) {
+	l.stop, l.lastAccepted = make(chan struct{}), time.Now()
 	for range workers {
 		l.workers.Go(func() {
 			for {
@@ -164,56 +178,60 @@
 					return
 				default:
 				}
-				l.one()
+				l.submit()
 				time.Sleep(pause)
 			}
 		})
 	}
 }
 
-func (l *load) one() {
+// submit submits one message and counts its reply, or how its connection failed.
+func (l *loadGenerator) submit() {
 	c, err := net.Dial("tcp", l.addr)
 	if err != nil {
-		l.refused.Add(1)
+		l.connRefused.Add(1)
 		return
 	}
 	defer c.Close()
 	c.SetDeadline(time.Now().Add(5 * time.Second))
-	line, err := putOn(c, fmt.Sprintf("l%015x", l.next.Add(1)), 1)
+	line, err := putMessage(c, fmt.Sprintf("l%015x", l.nextID.Add(1)), 1)
 	switch {
 	case err == io.EOF:
 		l.unread.Add(1)
 	case err != nil:
 		l.reset.Add(1)
 	case strings.HasPrefix(line, "+OK"):
-		l.ok.Add(1)
+		l.accepted.Add(1)
 		l.mu.Lock()
 		now := time.Now()
-		l.gap, l.last = max(l.gap, now.Sub(l.last)), now
+		l.maxAcceptedGap, l.lastAccepted = max(l.maxAcceptedGap, now.Sub(l.lastAccepted)), now
 		l.mu.Unlock()
 	default:
-		l.busy.Add(1)
+		l.rejected.Add(1)
 	}
 }
 
-func putOn(c net.Conn, id string, dest int) (string, error) {
+// putMessage submits a message over RESP2 and returns the line of the reply.
+func putMessage(c net.Conn, id string, dest int) (string, error) {
 	opts := fmt.Sprintf("c=c,d=160000,dest=%d", dest)
-	fmt.Fprintf(c, "*5\r\n$7\r\nMSG.PUT\r\n$1\r\n0\r\n$%d\r\n%s\r\n$%d\r\n%s\r\n$%d\r\n%s\r\n", len(id), id, len(opts), opts, len(body), body)
+	fmt.Fprintf(c, "*5\r\n$7\r\nMSG.PUT\r\n$1\r\n0\r\n$%d\r\n%s\r\n$%d\r\n%s\r\n$%d\r\n%s\r\n", len(id), id, len(opts),
+		opts, len(messageBody), messageBody)
 	return bufio.NewReader(c).ReadString('\n')
 }
 
-// consoles measures the longest answer of a console under full load on one core,
-// beside callers that say nothing.
-func consoles(args []string) error {
+// measureConsole measures the response times of a console whose sender is under full
+// load on one core, beside callers that send nothing or half a request.
+func measureConsole(args []string) error {
 	fs := flag.NewFlagSet("console", flag.ContinueOnError)
 	bin := fs.String("bin", "bin/cometrack", "the sender")
 	calls := fs.Int("calls", 10_000, "calls")
-	quiet := fs.Int("silent", 100, "callers that hold a connection and say nothing, half of them after half a call")
+	silentCallers := fs.Int("silent", 100,
+		"callers that hold a connection and send nothing; half of them send half a request")
 	core := fs.String("core", "0", "the core that the sender runs on")
 	if err := fs.Parse(args); err != nil {
 		return err
 	}
-	s, err := newSite(map[string]any{"cores": 1, "memory_mb": 64, "sockets": 384, "disk_mb": 3}, 5000)
+	s, err := newTestPlatform(map[string]any{"cores": 1, "memory_mb": 64, "sockets": 384, "disk_mb": 3}, 5000)
 	if err != nil {
 		return err
 	}
@@ -223,11 +241,11 @@
 		return err
 	}
 	defer p.Cmd.Process.Kill()
-	l := &load{addr: s.listen}
+	l := &loadGenerator{addr: s.listen}
 	l.run(64, 0)
 	stop := make(chan struct{})
 	var callers sync.WaitGroup
-	for i := range *quiet {
+	for i := range *silentCallers {
 		callers.Go(func() {
 			for {
 				c, err := net.Dial("tcp", console)
@@ -238,7 +256,7 @@
 					io.WriteString(c, "GET /_ready HTTP/1.1\r\nHo")
 				}
 				c.SetReadDeadline(time.Now().Add(4 * time.Second))
-				c.Read(make([]byte, 1)) // until it is cut off
+				c.Read(make([]byte, 1)) // until the console closes the connection
 				c.Close()
 				select {
 				case <-stop:
@@ -248,48 +266,51 @@
 			}
 		})
 	}
-	cpu, start := p.cpu(), time.Now()
-	var took []time.Duration
-	wrong := 0
+	cpu, start := p.cpuTime(), time.Now()
+	var latencies []time.Duration
+	failed := 0
 	for range *calls {
 		at := time.Now()
 		c, err := net.Dial("tcp", console)
 		if err != nil {
-			wrong++
+			failed++
 			continue
 		}
 		c.SetDeadline(at.Add(5 * time.Second))
 		io.WriteString(c, "GET /_ready HTTP/1.1\r\nHost: x\r\n\r\n")
 		r, err := http.ReadResponse(bufio.NewReader(c), nil)
 		if err != nil || r.StatusCode != http.StatusOK {
-			wrong++
+			failed++
 		}
-		took = append(took, time.Since(at))
+		latencies = append(latencies, time.Since(at))
 		c.Close()
 	}
-	busy := (p.cpu() - cpu).Seconds() / time.Since(start).Seconds()
+	cpuShare := (p.cpuTime() - cpu).Seconds() / time.Since(start).Seconds()
 	close(stop)
 	close(l.stop)
 	l.workers.Wait()
-	slices.Sort(took)
+	slices.Sort(latencies)
 	fmt.Printf("%d calls beside %d silent callers and %.0f messages a second, %.0f%% of one core: median %v, 99th percentile %v, longest %v; %d wrong\n",
-		*calls, *quiet, float64(l.ok.Load()+l.busy.Load())/time.Since(start).Seconds(), 100*busy, took[len(took)/2].Round(time.Microsecond),
-		took[len(took)*99/100].Round(time.Microsecond), took[len(took)-1].Round(time.Microsecond), wrong)
+		*calls, *silentCallers, float64(l.accepted.Load()+l.rejected.Load())/time.Since(start).Seconds(), 100*cpuShare,
+		latencies[len(latencies)/2].Round(time.Microsecond),
+		latencies[len(latencies)*99/100].Round(time.Microsecond), latencies[len(latencies)-1].Round(time.Microsecond), failed)
 	return nil
 }
 
-var tookText = regexp.MustCompile(`msg="handed over" .*took=(\S+)`)
+// handoverTime matches the duration in the log line of a completed handover.
+var handoverTime = regexp.MustCompile(`msg="handed over" .*took=(\S+)`)
 
-// upgrades measures many upgrades in a row under load, with so many messages held.
-func upgrades(args []string) error {
+// measureUpgrades measures many upgrades in a row under load, with a number of pending
+// messages: failed submissions, duration of the handover, memory of both processes.
+func measureUpgrades(args []string) error {
 	fs := flag.NewFlagSet("upgrade", flag.ContinueOnError)
 	bin := fs.String("bin", "bin/cometrack", "the sender")
 	turns := fs.Int("turns", 100, "upgrades")
-	held := fs.Int("held", 1000, "messages that are held; as many as fit, if fewer do")
+	wantPending := fs.Int("held", 1000, "pending messages; as many as are accepted, if fewer")
 	if err := fs.Parse(args); err != nil {
 		return err
 	}
-	s, err := newSite(map[string]any{"cores": 1, "memory_mb": 64, "sockets": 384, "disk_mb": 3}, 20_000)
+	s, err := newTestPlatform(map[string]any{"cores": 1, "memory_mb": 64, "sockets": 384, "disk_mb": 3}, 20_000)
 	if err != nil {
 		return err
 	}
@@ -298,14 +319,14 @@
 	if err != nil {
 		return err
 	}
-	holds := 0
-	if *held > 0 {
+	pending := 0
+	if *wantPending > 0 {
 		c, err := net.Dial("tcp", s.listen)
 		if err != nil {
 			return err
 		}
-		for ; holds < *held; holds++ {
-			line, err := putOn(c, fmt.Sprintf("h%015x", holds), 2)
+		for ; pending < *wantPending; pending++ {
+			line, err := putMessage(c, fmt.Sprintf("h%015x", pending), 2)
 			if err != nil {
 				return err
 			}
@@ -315,18 +336,18 @@
 		}
 		c.Close()
 	}
-	l := &load{addr: s.listen}
+	l := &loadGenerator{addr: s.listen}
 	l.run(4, 2*time.Millisecond)
-	var steps []time.Duration
-	memory, ready := 0.0, []time.Duration{}
+	var handoverTimes []time.Duration
+	maxMemoryMB, readyTimes := 0.0, []time.Duration{}
 	for range *turns {
 		at := time.Now()
 		next, _, err := s.start(*bin, "")
 		if err != nil {
 			return err
 		}
-		ready = append(ready, time.Since(at))
-		memory = max(memory, old.memory()+next.memory())
+		readyTimes = append(readyTimes, time.Since(at))
+		maxMemoryMB = max(maxMemoryMB, old.residentMB()+next.residentMB())
 		old.Signal(syscall.SIGTERM)
 		if err := old.Wait(); err != nil {
 			return err
@@ -334,9 +355,9 @@
 		for done := false; !done; {
 			select {
 			case line := <-old.Said:
-				if m := tookText.FindStringSubmatch(line); m != nil {
+				if m := handoverTime.FindStringSubmatch(line); m != nil {
 					if d, err := time.ParseDuration(m[1]); err == nil {
-						steps = append(steps, d)
+						handoverTimes = append(handoverTimes, d)
 					}
 				}
 			default:
@@ -349,14 +370,17 @@
 	l.workers.Wait()
 	old.Cmd.Process.Kill()
 	old.Wait()
-	slices.Sort(steps)
-	slices.Sort(ready)
-	if len(steps) == 0 {
-		return fmt.Errorf("nothing was handed over")
+	slices.Sort(handoverTimes)
+	slices.Sort(readyTimes)
+	if len(handoverTimes) == 0 {
+		return fmt.Errorf("no process reported a completed handover")
 	}
 	fmt.Printf("%d upgrades (%d by handover), %d held: %d messages answered, %d turned away, %d refused, %d reset, %d unread; longest without an answer %v; "+
-		"step: median %v, longest %v; ready after %v at most; both %.1f MB at most\n", *turns, len(steps), holds, l.ok.Load(), l.busy.Load(), l.refused.Load(),
-		l.reset.Load(), l.unread.Load(), l.gap.Round(time.Millisecond), steps[len(steps)/2].Round(100*time.Microsecond),
-		steps[len(steps)-1].Round(100*time.Microsecond), ready[len(ready)-1].Round(time.Millisecond), memory)
+		"step: median %v, longest %v; ready after %v at most; both %.1f MB at most\n", *turns, len(handoverTimes), pending,
+		l.accepted.Load(), l.rejected.Load(), l.connRefused.Load(),
+		l.reset.Load(), l.unread.Load(), l.maxAcceptedGap.Round(time.Millisecond),
+		handoverTimes[len(handoverTimes)/2].Round(100*time.Microsecond),
+		handoverTimes[len(handoverTimes)-1].Round(100*time.Microsecond),
+		readyTimes[len(readyTimes)-1].Round(time.Millisecond), maxMemoryMB)
 	return nil
 }
--- a/cmd/measure/reserve.go
+++ b/cmd/measure/reserve.go
@@ -8,15 +8,16 @@
 	"golang.org/x/sys/unix"
 )
 
-// reserved is an address that refuses connections until it is listened on, and that
-// nobody else can come by meanwhile: a daemon that holds messages for it would send
-// them to whoever does.
-type reserved struct {
+// reservedAddr is an address that refuses connections until listen, and that no other
+// process can listen on meanwhile: a daemon with pending messages for the address would
+// send them to that process.
+type reservedAddr struct {
 	addr string
 	fd   int
 }
 
-func reserve() (*reserved, error) {
+// reserveAddr binds a free port of loopback without listening on it.
+func reserveAddr() (*reservedAddr, error) {
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
 		return nil, fmt.Errorf("reserve an address: %w", err)
@@ -25,16 +26,16 @@
 		unix.Close(fd)
 		return nil, fmt.Errorf("reserve an address: %w", err)
 	}
-	at, err := unix.Getsockname(fd)
+	sockaddr, err := unix.Getsockname(fd)
 	if err != nil {
 		unix.Close(fd)
 		return nil, fmt.Errorf("reserve an address: %w", err)
 	}
-	return &reserved{fmt.Sprintf("127.0.0.1:%d", at.(*unix.SockaddrInet4).Port), fd}, nil
+	return &reservedAddr{fmt.Sprintf("127.0.0.1:%d", sockaddr.(*unix.SockaddrInet4).Port), fd}, nil
 }
 
-// listen begins to take connections.
-func (r *reserved) listen() (net.Listener, error) {
+// listen returns a listener on the address.
+func (r *reservedAddr) listen() (net.Listener, error) {
 	if err := unix.Listen(r.fd, unix.SOMAXCONN); err != nil {
 		return nil, fmt.Errorf("listen on %s: %w", r.addr, err)
 	}
--- a/cmd/measure/soak.go
+++ b/cmd/measure/soak.go
@@ -12,29 +12,29 @@
 	"cometrack/internal/standin/faultbuild"
 )
 
-// soaks plays runs of the soak test: the real program as a fleet of processes, under
+// runSoak runs the soak test: the real program as a fleet of processes, under random
 // faults drawn from seeds.
-func soaks(args []string) error {
+func runSoak(args []string) error {
 	flags := flag.NewFlagSet("soak", flag.ExitOnError)
-	seed := flags.Uint64("seed", 1, "of the first run")
+	seed := flags.Uint64("seed", 1, "seed of the first run")
 	seeds := flags.Int("seeds", 1, "how many runs, each with the next seed")
 	senders := flags.Int("senders", 24, "processes of the program")
-	length := flags.Duration("length", 12*time.Second, "for which faults come")
+	length := flags.Duration("length", 12*time.Second, "time during which faults occur")
 	faults := flags.String("faults", "", "kinds of faults to draw from, separated by commas; empty for all")
-	dir := flags.String("dir", "", "for logs and folders, which are kept; empty for a temporary one")
-	binary := flags.String("bin", "", "a program built by package faultbuild; empty to build it")
+	dir := flags.String("dir", "", "folder for logs and state, which is kept; empty for a temporary one")
+	binary := flags.String("bin", "", "a program built by package faultbuild; empty to build one")
 	verbose := flags.Bool("v", false, "print the script of each run")
 	flags.Parse(args)
-	top, err := workDir(*dir)
+	workFolder, err := workDir(*dir)
 	if err != nil {
 		return err
 	}
 	if *dir == "" {
-		defer os.RemoveAll(top)
+		defer os.RemoveAll(workFolder)
 	}
 	path := *binary
 	if path == "" {
-		path = filepath.Join(top, "cometrack")
+		path = filepath.Join(workFolder, "cometrack")
 		if err := faultbuild.Build(path, "./cmd/cometrack"); err != nil {
 			return err
 		}
@@ -45,7 +45,7 @@
 		if *faults != "" {
 			o.Faults = strings.Split(*faults, ",")
 		}
-		r, err := playSeed(top, o, func(r *soak.Result) []string { return r.Script }, *verbose)
+		r, err := runSeed(workFolder, o, func(r *soak.Result) []string { return r.Script }, *verbose)
 		if err != nil {
 			return err
 		}
@@ -59,10 +59,11 @@
 	return nil
 }
 
-// playSeed plays a run in a folder of its own below top and prints what came of it; with
-// verbose, or if an invariant is broken, what happened in it as well.
-func playSeed(top string, o soak.Options, happened func(*soak.Result) []string, verbose bool) (*soak.Result, error) {
-	o.Dir = filepath.Join(top, fmt.Sprint("seed-", o.Seed))
+// runSeed runs the soak test with one seed in its own folder below workFolder and prints
+// its result; with verbose, or if an invariant is broken, details as well.
+func runSeed(workFolder string, o soak.Options, details func(*soak.Result) []string,
+	verbose bool) (*soak.Result, error) {
+	o.Dir = filepath.Join(workFolder, fmt.Sprint("seed-", o.Seed))
 	if err := os.MkdirAll(o.Dir, 0o700); err != nil {
 		return nil, err
 	}
@@ -72,7 +73,7 @@
 	}
 	fmt.Println(r.Line(o.Seed))
 	if verbose || len(r.Violations) > 0 {
-		fmt.Println("  " + strings.Join(happened(&r), "\n  "))
+		fmt.Println("  " + strings.Join(details(&r), "\n  "))
 	}
 	for _, v := range r.Violations {
 		fmt.Println("  violation:", v)
@@ -80,6 +81,7 @@
 	return &r, nil
 }
 
+// workDir creates dir and returns it, or a temporary folder if dir is empty.
 func workDir(dir string) (string, error) {
 	if dir == "" {
 		return os.MkdirTemp("", "soak")
@@ -87,33 +89,34 @@
 	return dir, os.MkdirAll(dir, 0o700)
 }
 
-// plants has the soak look for faults that were put into the program on purpose, each
-// until it is found.
-func plants(args []string) error {
+// runPlants checks that the soak test finds faults that are planted in the program: it
+// runs a build with each fault until an invariant breaks.
+func runPlants(args []string) error {
 	flags := flag.NewFlagSet("plants", flag.ExitOnError)
-	seed := flags.Uint64("seed", 1, "of the first run")
-	seeds := flags.Int("seeds", 10, "after so many runs a fault counts as not found")
+	seed := flags.Uint64("seed", 1, "seed of the first run")
+	seeds := flags.Int("seeds", 10, "number of runs after which a fault counts as not found")
 	senders := flags.Int("senders", 24, "processes of the program")
-	length := flags.Duration("length", 12*time.Second, "for which faults come")
+	length := flags.Duration("length", 12*time.Second, "time during which faults occur")
 	only := flags.String("only", "", "the name of one fault; empty for all")
 	flags.Parse(args)
-	top, err := workDir("")
+	workFolder, err := workDir("")
 	if err != nil {
 		return err
 	}
-	defer os.RemoveAll(top)
+	defer os.RemoveAll(workFolder)
 	missed := 0
 	for i, p := range soak.Plants {
 		if *only != "" && p.Name != *only {
 			continue
 		}
-		path := filepath.Join(top, fmt.Sprint("cometrack-", i))
+		path := filepath.Join(workFolder, fmt.Sprint("cometrack-", i))
 		if err := faultbuild.Build(path, "./cmd/cometrack", p.Changes...); err != nil {
 			return err
 		}
 		found := false
 		for n := range *seeds {
-			o := soak.Options{Seed: *seed + uint64(n), Senders: *senders, Length: *length, Binary: path, Dir: filepath.Join(top, fmt.Sprint(i, "-", n)),
+			o := soak.Options{Seed: *seed + uint64(n), Senders: *senders, Length: *length, Binary: path,
+				Dir:        filepath.Join(workFolder, fmt.Sprint(i, "-", n)),
 				LoseFolder: p.LoseFolder, Faults: p.Faults}
 			if err := os.MkdirAll(o.Dir, 0o700); err != nil {
 				return err
@@ -123,7 +126,8 @@
 				return fmt.Errorf("%s, seed %d: %w", p.Name, o.Seed, err)
 			}
 			if found = len(r.Violations) > 0; found {
-				fmt.Printf("%s: found at seed %d, run %d, %d violations, the first: %s\n", p.Name, o.Seed, n+1, len(r.Violations), r.Violations[0])
+				fmt.Printf("%s: found at seed %d, run %d, %d violations, the first: %s\n", p.Name, o.Seed, n+1, len(r.Violations),
+					r.Violations[0])
 				break
 			}
 		}
--- a/cmd/measure/untried.go
+++ b/cmd/measure/untried.go
@@ -10,19 +10,20 @@
 	"cometrack/internal/standin/untried"
 )
 
-// untriedTable restarts the program with messages held that it has never tried, and
-// counts what becomes of them.
-func untriedTable(args []string) error {
+// measureUntried restarts the program with pending messages that have had no attempt
+// yet, and counts their attempts and ends.
+func measureUntried(args []string) error {
 	fs := flag.NewFlagSet("untried", flag.ContinueOnError)
 	bin := fs.String("bin", "bin/cometrack", "the sender")
-	most := fs.Int("most", 5000, "leave out rows with more messages than this")
+	maxHeld := fs.Int("most", 5000, "leave out rows with more messages than this")
 	if err := fs.Parse(args); err != nil {
 		return err
 	}
-	fmt.Printf("%-8s %6s %-22s %6s %6s %18s %10s\n", "signal", "held", "partner", "over", "tried", "ended with no call", "delivered")
+	fmt.Printf("%-8s %6s %-22s %6s %6s %18s %10s\n", "signal", "held", "partner", "over", "tried", "ended with no call",
+		"delivered")
 	for _, sig := range []syscall.Signal{syscall.SIGTERM, syscall.SIGKILL} {
 		for _, held := range []int{1, 100, 5000} {
-			if held > *most {
+			if held > *maxHeld {
 				continue
 			}
 			for _, x := range []struct {
--- a/internal/demo/tally.go
+++ b/internal/demo/tally.go
@@ -168,7 +168,7 @@
 		slices.Sort(faults)
 		return fmt.Errorf("%d faults, the first: %s", len(faults), strings.Join(faults[:min(len(faults), 5)], "; "))
 	}
-	fmt.Fprintf(out, "\nThe partners' records (%d calls): no payment ran twice, no message had two attempts in flight,\n"+
+	fmt.Fprintf(out, "\nThe partners' records (%d calls that ran): no payment ran twice, no message had two attempts in flight,\n"+
 		"no call came in a requested wait or above a rate. Each accepted message had exactly one end.\n", ran)
 	return nil
 }
