--- a/bench/cluster/main.go
+++ b/bench/cluster/main.go
@@ -1,5 +1,6 @@
-// Command clusterbench is hashicorp/memberlist as it comes, behind the file and the
-// console of a sender, so that `measure cluster --bin` plays the same faults on it.
+// Command clusterbench runs hashicorp/memberlist with its defaults behind the
+// configuration file and the console of a sender, so that `measure cluster --bin` can
+// run the same faults on it.
 package main
 
 import (
@@ -21,33 +22,34 @@
 	"cometrack/internal/view"
 )
 
-// file is what of a sender's file matters here.
-type file struct {
+// senderConfig is the part of a sender's configuration file that memberlist needs.
+type senderConfig struct {
 	Name    string
 	Console struct{ Listen string }
 	Cluster struct {
 		Listen, Advertise string
 		Join              []string
-		Suspicion         int `toml:"suspicion"` // memberlist's SuspicionMult; 0 for its default
+		Suspicion         int `toml:"suspicion"` // SuspicionMult of memberlist; 0 for its default
 		Lease             string
 	}
 }
 
-// seen is what the engine says of the others.
-type seen struct {
-	mu    sync.Mutex
-	state map[string]string
+// memberStates holds the state of each member as memberlist reports it. It implements
+// memberlist.EventDelegate.
+type memberStates struct {
+	mu     sync.Mutex
+	byName map[string]string // "here", "gone" or "left"
 }
 
-func (s *seen) set(name, state string) {
+func (s *memberStates) set(name, state string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.state[name] = state
+	s.byName[name] = state
 }
 
-func (s *seen) NotifyJoin(n *memberlist.Node)   { s.set(n.Name, "here") }
-func (s *seen) NotifyUpdate(n *memberlist.Node) { s.set(n.Name, "here") }
-func (s *seen) NotifyLeave(n *memberlist.Node) {
+func (s *memberStates) NotifyJoin(n *memberlist.Node)   { s.set(n.Name, "here") }
+func (s *memberStates) NotifyUpdate(n *memberlist.Node) { s.set(n.Name, "here") }
+func (s *memberStates) NotifyLeave(n *memberlist.Node) {
 	if n.State == memberlist.StateLeft {
 		s.set(n.Name, "left")
 		return
@@ -55,19 +57,19 @@
 	s.set(n.Name, "gone")
 }
 
-// transport is the engine's own, with streams that come from the sender's address:
-// the rig tells senders apart by it.
-type transport struct {
+// boundTransport is memberlist's own transport with streams that start at the sender's
+// address: the test rig identifies senders by their source address.
+type boundTransport struct {
 	*memberlist.NetTransport
-	from net.IP
+	localIP net.IP
 }
 
-func (t *transport) DialTimeout(addr string, d time.Duration) (net.Conn, error) {
-	dialer := net.Dialer{Timeout: d, LocalAddr: &net.TCPAddr{IP: t.from}}
+func (t *boundTransport) DialTimeout(addr string, d time.Duration) (net.Conn, error) {
+	dialer := net.Dialer{Timeout: d, LocalAddr: &net.TCPAddr{IP: t.localIP}}
 	return dialer.Dial("tcp", addr)
 }
 
-func (t *transport) DialAddressTimeout(a memberlist.Address, d time.Duration) (net.Conn, error) {
+func (t *boundTransport) DialAddressTimeout(a memberlist.Address, d time.Duration) (net.Conn, error) {
 	return t.DialTimeout(a.Addr, d)
 }
 
@@ -80,7 +82,7 @@
 
 func run() error {
 	flags := flag.NewFlagSet("serve", flag.ContinueOnError)
-	path := flags.String("config", "", "the file of a sender")
+	path := flags.String("config", "", "configuration file of a sender")
 	if len(os.Args) < 2 || os.Args[1] != "serve" {
 		return fmt.Errorf("usage: clusterbench serve --config FILE")
 	}
@@ -91,8 +93,8 @@
 	if err != nil {
 		return err
 	}
-	var f file
-	if err := toml.Unmarshal(text, &f); err != nil {
+	var config senderConfig
+	if err := toml.Unmarshal(text, &config); err != nil {
 		return err
 	}
 	split := func(addr string) (string, int) {
@@ -100,49 +102,50 @@
 		n, _ := strconv.Atoi(port)
 		return host, n
 	}
-	all := &seen{state: map[string]string{}}
-	c := memberlist.DefaultLANConfig()
-	c.Name, c.Events, c.LogOutput = f.Name, all, io.Discard
-	c.BindAddr, c.BindPort = split(f.Cluster.Listen)
-	c.AdvertiseAddr, c.AdvertisePort = split(f.Cluster.Advertise)
-	if f.Cluster.Suspicion > 0 {
-		c.SuspicionMult = f.Cluster.Suspicion
+	members := &memberStates{byName: map[string]string{}}
+	options := memberlist.DefaultLANConfig()
+	options.Name, options.Events, options.LogOutput = config.Name, members, io.Discard
+	options.BindAddr, options.BindPort = split(config.Cluster.Listen)
+	options.AdvertiseAddr, options.AdvertisePort = split(config.Cluster.Advertise)
+	if config.Cluster.Suspicion > 0 {
+		options.SuspicionMult = config.Cluster.Suspicion
 	}
-	own, err := memberlist.NewNetTransport(&memberlist.NetTransportConfig{BindAddrs: []string{c.BindAddr}, BindPort: c.BindPort,
+	base, err := memberlist.NewNetTransport(&memberlist.NetTransportConfig{
+		BindAddrs: []string{options.BindAddr}, BindPort: options.BindPort,
 		Logger: log.New(io.Discard, "", 0)})
 	if err != nil {
 		return err
 	}
-	c.Transport = &transport{own, net.ParseIP(c.BindAddr)}
-	list, err := memberlist.Create(c)
+	options.Transport = &boundTransport{base, net.ParseIP(options.BindAddr)}
+	list, err := memberlist.Create(options)
 	if err != nil {
 		return err
 	}
-	others := []string{}
-	for _, a := range f.Cluster.Join {
-		if a != f.Cluster.Advertise {
-			others = append(others, a)
+	peers := []string{}
+	for _, a := range config.Cluster.Join {
+		if a != config.Cluster.Advertise {
+			peers = append(peers, a)
 		}
 	}
-	go func() { // until one is met; the engine does not try again by itself
+	go func() { // until a first peer is joined, since memberlist does not retry Join
 		for list.NumMembers() < 2 {
-			list.Join(others)
+			list.Join(peers)
 			time.Sleep(500 * time.Millisecond)
 		}
 	}()
 	http.HandleFunc("/cluster", func(w http.ResponseWriter, _ *http.Request) {
-		s := view.Status{Name: f.Name, Addr: f.Cluster.Advertise, State: "here"}
-		all.mu.Lock()
-		for name, state := range all.state {
-			if name != f.Name {
-				s.Peers = append(s.Peers, view.PeerStatus{Name: name, State: state})
+		status := view.Status{Name: config.Name, Addr: config.Cluster.Advertise, State: "here"}
+		members.mu.Lock()
+		for name, state := range members.byName {
+			if name != config.Name {
+				status.Peers = append(status.Peers, view.PeerStatus{Name: name, State: state})
 			}
 		}
-		all.mu.Unlock()
-		s.Share = 1 / float64(1+len(s.Peers)) // it knows nothing of shares; the cases ask for their sum
-		json.NewEncoder(w).Encode(s)
+		members.mu.Unlock()
+		status.Share = 1 / float64(1+len(status.Peers)) // memberlist has no shares, but the cases check their sum
+		json.NewEncoder(w).Encode(status)
 	})
-	ln, err := net.Listen("tcp", f.Console.Listen)
+	ln, err := net.Listen("tcp", config.Console.Listen)
 	if err != nil {
 		return err
 	}
--- a/bench/store/engines.go
+++ b/bench/store/engines.go
@@ -13,23 +13,28 @@
 	cvfs "cometrack/internal/vfs"
 )
 
-// engine is a store under measurement. Its methods may be called by several
-// goroutines at once; each call returns once its change is as safe as was asked.
+// engine is a store under measurement. Its methods may be called by several goroutines
+// at once. Each call returns once its change is durable, if the engine was opened with
+// sync, and else once it is applied.
 type engine interface {
 	put(key, value []byte) error
 	del(key []byte) error
-	// load puts many without a sync each.
+	// load puts n records without a sync for each.
 	load(n int, key func(i int) []byte, value []byte) error
 	close() error
 }
 
-var engines = map[string]func(dir string, sync bool) (engine, error){"cometrack": openOurs, "bbolt": openBolt, "pebble": openPebble}
+// engines are the functions that open a store in a folder, by the name of the engine.
+var engines = map[string]func(dir string, sync bool) (engine, error){
+	"cometrack": openCometrack, "bbolt": openBolt, "pebble": openPebble}
 
-var order = []string{"cometrack", "bbolt", "pebble"}
+// engineOrder is the order of the columns.
+var engineOrder = []string{"cometrack", "bbolt", "pebble"}
 
-type ours struct{ s *store.Store }
+// cometrackEngine is the store of this program.
+type cometrackEngine struct{ s *store.Store }
 
-func openOurs(dir string, sync bool) (engine, error) {
+func openCometrack(dir string, sync bool) (engine, error) {
 	fs, err := cvfs.OpenDir(dir)
 	if err != nil {
 		return nil, err
@@ -42,22 +47,22 @@
 	if err != nil {
 		return nil, err
 	}
-	return &ours{s}, nil
+	return &cometrackEngine{s}, nil
 }
 
-func (e *ours) put(key, value []byte) error {
+func (e *cometrackEngine) put(key, value []byte) error {
 	var b store.Batch
 	b.Put(string(key), value)
 	return e.s.Commit(&b)
 }
 
-func (e *ours) del(key []byte) error {
+func (e *cometrackEngine) del(key []byte) error {
 	var b store.Batch
 	b.Delete(string(key))
 	return e.s.Commit(&b)
 }
 
-func (e *ours) load(n int, key func(i int) []byte, value []byte) error {
+func (e *cometrackEngine) load(n int, key func(i int) []byte, value []byte) error {
 	var b store.Batch
 	for i := range n {
 		b.Put(string(key(i)), value)
@@ -71,44 +76,48 @@
 	return nil
 }
 
-func (e *ours) close() error { return e.s.Close() }
+func (e *cometrackEngine) close() error { return e.s.Close() }
 
+// bucket is the bucket of bbolt that holds all records.
 var bucket = []byte("b")
 
-type bolt struct {
-	db    *bbolt.DB
-	alone bool // one writer: its batches would only wait for others
+// boltEngine is bbolt.
+type boltEngine struct {
+	db           *bbolt.DB
+	singleWriter bool // use Update rather than Batch, which would only wait for other writers
 }
 
 func openBolt(dir string, sync bool) (engine, error) {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, err
 	}
-	db, err := bbolt.Open(filepath.Join(dir, "db"), 0o600, &bbolt.Options{NoSync: !sync, FreelistType: bbolt.FreelistMapType})
+	db, err := bbolt.Open(filepath.Join(dir, "db"), 0o600,
+		&bbolt.Options{NoSync: !sync, FreelistType: bbolt.FreelistMapType})
 	if err != nil {
 		return nil, err
 	}
-	db.MaxBatchDelay = 1e6 // a millisecond, rather than ten: its group commit would only wait
+	db.MaxBatchDelay = 1e6 // 1 ms rather than the default of 10 ms, by which its group commit would only wait
 	err = db.Update(func(tx *bbolt.Tx) error { _, err := tx.CreateBucketIfNotExists(bucket); return err })
-	return &bolt{db: db}, err
+	return &boltEngine{db: db}, err
 }
 
-func (e *bolt) change(f func(tx *bbolt.Tx) error) error {
-	if e.alone {
+// update runs f in a transaction, with several writers as part of a batch.
+func (e *boltEngine) update(f func(tx *bbolt.Tx) error) error {
+	if e.singleWriter {
 		return e.db.Update(f)
 	}
 	return e.db.Batch(f)
 }
 
-func (e *bolt) put(key, value []byte) error {
-	return e.change(func(tx *bbolt.Tx) error { return tx.Bucket(bucket).Put(key, value) })
+func (e *boltEngine) put(key, value []byte) error {
+	return e.update(func(tx *bbolt.Tx) error { return tx.Bucket(bucket).Put(key, value) })
 }
 
-func (e *bolt) del(key []byte) error {
-	return e.change(func(tx *bbolt.Tx) error { return tx.Bucket(bucket).Delete(key) })
+func (e *boltEngine) del(key []byte) error {
+	return e.update(func(tx *bbolt.Tx) error { return tx.Bucket(bucket).Delete(key) })
 }
 
-func (e *bolt) load(n int, key func(i int) []byte, value []byte) error {
+func (e *boltEngine) load(n int, key func(i int) []byte, value []byte) error {
 	for from := 0; from < n; from += 10_000 {
 		err := e.db.Update(func(tx *bbolt.Tx) error {
 			for i := from; i < min(from+10_000, n); i++ {
@@ -125,25 +134,27 @@
 	return nil
 }
 
-func (e *bolt) close() error { return e.db.Close() }
+func (e *boltEngine) close() error { return e.db.Close() }
 
-type pebbled struct {
-	db *pebble.DB
-	w  *pebble.WriteOptions
+// pebbleEngine is Pebble.
+type pebbleEngine struct {
+	db           *pebble.DB
+	writeOptions *pebble.WriteOptions
 }
 
-// quiet drops what Pebble logs.
-type quiet struct{}
+// discardLogger drops the log of Pebble, and exits after a fatal error.
+type discardLogger struct{}
 
-func (quiet) Infof(string, ...any)  {}
-func (quiet) Errorf(string, ...any) {}
-func (quiet) Fatalf(format string, args ...any) {
+func (discardLogger) Infof(string, ...any)  {}
+func (discardLogger) Errorf(string, ...any) {}
+func (discardLogger) Fatalf(format string, args ...any) {
 	fmt.Fprintf(os.Stderr, format+"\n", args...)
 	os.Exit(1)
 }
 
 func openPebble(dir string, sync bool) (engine, error) {
-	db, err := pebble.Open(dir, &pebble.Options{FS: vfs.Default, Logger: quiet{}, FormatMajorVersion: pebble.FormatNewest})
+	db, err := pebble.Open(dir, &pebble.Options{FS: vfs.Default, Logger: discardLogger{},
+		FormatMajorVersion: pebble.FormatNewest})
 	if err != nil {
 		return nil, err
 	}
@@ -151,13 +162,13 @@
 	if sync {
 		w = pebble.Sync
 	}
-	return &pebbled{db, w}, nil
+	return &pebbleEngine{db, w}, nil
 }
 
-func (e *pebbled) put(key, value []byte) error { return e.db.Set(key, value, e.w) }
-func (e *pebbled) del(key []byte) error        { return e.db.Delete(key, e.w) }
+func (e *pebbleEngine) put(key, value []byte) error { return e.db.Set(key, value, e.writeOptions) }
+func (e *pebbleEngine) del(key []byte) error        { return e.db.Delete(key, e.writeOptions) }
 
-func (e *pebbled) load(n int, key func(i int) []byte, value []byte) error {
+func (e *pebbleEngine) load(n int, key func(i int) []byte, value []byte) error {
 	for i := range n {
 		if err := e.db.Set(key(i), value, pebble.NoSync); err != nil {
 			return err
@@ -166,4 +177,4 @@
 	return e.db.Flush()
 }
 
-func (e *pebbled) close() error { return e.db.Close() }
+func (e *pebbleEngine) close() error { return e.db.Close() }
--- a/bench/store/main.go
+++ b/bench/store/main.go
@@ -1,5 +1,5 @@
-// Command store measures the store beside bbolt and Pebble: the same records, the
-// same durability, in turns, each engine in a process of its own.
+// Command store compares the store with bbolt and Pebble: with the same records and the
+// same durability, in turns, each engine in its own process.
 package main
 
 import (
@@ -21,21 +21,21 @@
 	"time"
 )
 
-const valueSize = 256
+const valueSize = 256 // bytes
 
 func main() {
-	one := flag.String("one", "", "measure one thing in this process: engine/what")
+	one := flag.String("one", "", "take a single measurement in this process: ENGINE/MEASUREMENT")
 	dir := flag.String("dir", "", "folder for the files; default: a temporary one")
 	turns := flag.Int("turns", 3, "turns of each engine")
 	span := flag.Duration("span", 2*time.Second, "length of one run")
-	records := flag.Int("records", 1_000_000, "live records for opening")
-	only := flag.String("what", "", "measure only what contains this")
+	records := flag.Int("records", 1_000_000, "live records of the store that is opened")
+	only := flag.String("what", "", "take only measurements whose names contain this")
 	flag.Parse()
 	var err error
 	if *one != "" {
-		err = single(*one, *dir, *span, *records)
+		err = runSingle(*one, *dir, *span, *records)
 	} else {
-		err = all(*dir, *turns, *span, *records, *only)
+		err = runAll(*dir, *turns, *span, *records, *only)
 	}
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "store:", err)
@@ -43,14 +43,16 @@
 	}
 }
 
-// whats names what is measured, with the unit of its figure.
-var whats = [][2]string{
+// measurements are the names of the measurements, each with the unit of its result.
+var measurements = [][2]string{
 	{"append-1-sync", "appends/s"}, {"append-64-sync", "appends/s"}, {"append-1", "appends/s"}, {"append-64", "appends/s"},
-	{"written-64", "bytes written for each handed in"}, {"open", "ms to open"}, {"memory", "bytes resident for each live record"},
+	{"written-64", "bytes written for each handed in"}, {"open", "ms to open"},
+	{"memory", "bytes resident for each live record"},
 }
 
-// all measures each thing with each engine in turns, and prints medians.
-func all(dir string, turns int, span time.Duration, records int, only string) error {
+// runAll takes each measurement with each engine in turns, and prints a table of the
+// medians with their ranges.
+func runAll(dir string, turns int, duration time.Duration, records int, filter string) error {
 	if dir == "" {
 		tmp, err := os.MkdirTemp("", "store-bench-")
 		if err != nil {
@@ -63,62 +65,65 @@
 	if err != nil {
 		return err
 	}
-	run := func(name, what, folder string) (float64, error) {
-		cmd := exec.Command(self, "-one", name+"/"+what, "-dir", folder, "-span", span.String(), "-records", strconv.Itoa(records))
+	measure := func(name, measurement, folder string) (float64, error) {
+		cmd := exec.Command(self, "-one", name+"/"+measurement, "-dir", folder,
+			"-span", duration.String(), "-records", strconv.Itoa(records))
 		cmd.Stderr = os.Stderr
 		out, err := cmd.Output()
 		if err != nil {
-			return 0, fmt.Errorf("%s %s: %w", name, what, err)
+			return 0, fmt.Errorf("%s %s: %w", name, measurement, err)
 		}
 		return strconv.ParseFloat(strings.TrimSpace(string(out)), 64)
 	}
-	fmt.Printf("| what | %s |\n| --- | --- | --- | --- |\n", strings.Join(order, " | "))
+	fmt.Printf("| what | %s |\n| --- | --- | --- | --- |\n", strings.Join(engineOrder, " | "))
 	loaded := false
-	for _, w := range whats {
-		if !strings.Contains(w[0], only) {
+	for _, spec := range measurements {
+		if !strings.Contains(spec[0], filter) {
 			continue
 		}
-		opens := w[0] == "open" || w[0] == "memory"
-		if opens && !loaded {
+		usesLoaded := spec[0] == "open" || spec[0] == "memory"
+		if usesLoaded && !loaded {
 			loaded = true
-			for _, name := range order {
-				if _, err := run(name, "load", filepath.Join(dir, "big-"+name)); err != nil {
+			for _, name := range engineOrder {
+				if _, err := measure(name, "load", filepath.Join(dir, "big-"+name)); err != nil {
 					return err
 				}
 			}
 		}
-		figures := map[string][]float64{}
-		for t := range turns {
-			for i := range order { // another one begins each turn
-				name := order[(i+t)%len(order)]
+		results := map[string][]float64{}
+		for turn := range turns {
+			for i := range engineOrder { // a different engine is first in each turn
+				name := engineOrder[(i+turn)%len(engineOrder)]
 				folder := filepath.Join(dir, "big-"+name)
-				if !opens {
-					folder = filepath.Join(dir, fmt.Sprint(name, "-", w[0], "-", t))
+				if !usesLoaded {
+					folder = filepath.Join(dir, fmt.Sprint(name, "-", spec[0], "-", turn))
 				}
-				v, err := run(name, w[0], folder)
+				result, err := measure(name, spec[0], folder)
 				if err != nil {
 					return err
 				}
-				figures[name] = append(figures[name], v)
-				if !opens {
+				results[name] = append(results[name], result)
+				if !usesLoaded {
 					os.RemoveAll(folder)
 				}
 			}
 		}
-		row := w[0] + ", " + w[1]
-		for _, name := range order {
-			f := slices.Sorted(slices.Values(figures[name]))
-			row += fmt.Sprintf(" | %.4g (%.4g to %.4g)", f[len(f)/2], f[0], f[len(f)-1])
+		row := spec[0] + ", " + spec[1]
+		for _, name := range engineOrder {
+			sorted := slices.Sorted(slices.Values(results[name]))
+			row += fmt.Sprintf(" | %.4g (%.4g to %.4g)", sorted[len(sorted)/2], sorted[0], sorted[len(sorted)-1])
 		}
 		fmt.Printf("| %s |\n", row)
 	}
 	return nil
 }
 
+// key returns the key of record i.
 func key(i int) []byte { return fmt.Appendf(nil, "message-%012d", i) }
 
+// value returns random bytes, the same for the same seed.
 func value(seed uint64) []byte {
-	rng := rand.New(rand.NewPCG(seed, 2)) // compression must not help
+	rng := rand.New(rand.NewPCG(seed, 2)) // random, so that compression gives no advantage
 	b := make([]byte, valueSize)
 	for i := range b {
 		b[i] = byte(rng.Uint32())
@@ -126,79 +131,81 @@
 	return b
 }
 
-// single measures one thing and prints its figure.
-func single(one, dir string, span time.Duration, records int) error {
-	name, what, _ := strings.Cut(one, "/")
+// runSingle takes the measurement selection, ENGINE/MEASUREMENT, in this process and
+// prints its result.
+func runSingle(selection, dir string, duration time.Duration, records int) error {
+	name, measurement, _ := strings.Cut(selection, "/")
 	open := engines[name]
 	if open == nil {
 		return fmt.Errorf("no engine %q", name)
 	}
 	start := time.Now()
-	base := resident()
-	e, err := open(dir, strings.HasSuffix(what, "-sync"))
+	baseBytes := residentBytes()
+	e, err := open(dir, strings.HasSuffix(measurement, "-sync"))
 	if err != nil {
 		return err
 	}
-	took := time.Since(start)
-	var figure float64
+	openTime := time.Since(start)
+	var result float64
 	switch {
-	case what == "load":
+	case measurement == "load":
 		err = e.load(records, key, value(1))
-	case what == "open":
-		figure = float64(took) / 1e6
-	case what == "memory":
+	case measurement == "open":
+		result = float64(openTime) / 1e6
+	case measurement == "memory":
 		runtime.GC()
 		debug.FreeOSMemory()
-		figure = float64(resident()-base) / float64(records)
-	case strings.HasPrefix(what, "append-"):
-		n := 1
-		if strings.HasPrefix(what, "append-64") {
-			n = 64
+		result = float64(residentBytes()-baseBytes) / float64(records)
+	case strings.HasPrefix(measurement, "append-"):
+		writers := 1
+		if strings.HasPrefix(measurement, "append-64") {
+			writers = 64
 		}
-		if b, ok := e.(*bolt); ok {
-			b.alone = n == 1
+		if b, ok := e.(*boltEngine); ok {
+			b.singleWriter = writers == 1
 		}
-		var made int64
-		made, err = lives(e, n, span, 0)
-		figure = float64(made) / span.Seconds()
-	case what == "written-64":
-		var made int64
-		before := written()
-		made, err = lives(e, 64, span, 2000)
+		var appended int64
+		appended, err = appendRecords(e, writers, duration, 0)
+		result = float64(appended) / duration.Seconds()
+	case measurement == "written-64":
+		var appended int64
+		before := writtenBytes()
+		appended, err = appendRecords(e, 64, duration, 2000)
 		if err == nil {
 			err = e.close()
 		}
-		handed := float64(made) * float64(len(key(0))+valueSize)
-		fmt.Println(float64(written()-before) / handed)
+		payload := float64(appended) * float64(len(key(0))+valueSize)
+		fmt.Println(float64(writtenBytes()-before) / payload)
 		return err
 	default:
-		err = fmt.Errorf("nothing is called %q", what)
+		err = fmt.Errorf("unknown measurement %q", measurement)
 	}
 	if err == nil {
 		err = e.close()
 	}
-	fmt.Println(figure)
+	fmt.Println(result)
 	return err
 }
 
-// lives has n writers append for span. With held, each record is deleted again
-// once so many newer ones have come: the life of a message.
-func lives(e engine, n int, span time.Duration, held int) (made int64, err error) {
+// appendRecords has several writers append records for a duration, and returns the number
+// of records. With retained above 0, each record is deleted again after that many newer
+// ones were appended, like the records of messages in the journal.
+func appendRecords(e engine, writers int, duration time.Duration, retained int) (appended int64, err error) {
 	var next, count atomic.Int64
-	var fault atomic.Pointer[error]
-	stop := time.Now().Add(span)
+	var failure atomic.Pointer[error]
+	stop := time.Now().Add(duration)
 	var wg sync.WaitGroup
-	for w := range n {
-		v := value(uint64(w))
+	for writer := range writers {
+		v := value(uint64(writer))
 		wg.Go(func() {
-			for time.Now().Before(stop) && fault.Load() == nil {
+			for time.Now().Before(stop) && failure.Load() == nil {
 				i := int(next.Add(1))
 				err := e.put(key(i), v)
-				if err == nil && held > 0 && i > held {
-					err = e.del(key(i - held))
+				if err == nil && retained > 0 && i > retained {
+					err = e.del(key(i - retained))
 				}
 				if err != nil {
-					fault.Store(&err)
+					failure.Store(&err)
 					return
 				}
 				count.Add(1)
@@ -206,18 +213,19 @@
 		})
 	}
 	wg.Wait()
-	if p := fault.Load(); p != nil {
+	if p := failure.Load(); p != nil {
 		return 0, *p
 	}
 	return count.Load(), nil
 }
 
-// resident is the memory that the process holds, files that it has mapped included.
-func resident() int64 { return procField("/proc/self/status", "VmRSS:") * 1024 }
+// residentBytes returns the resident memory of the process, including mapped files.
+func residentBytes() int64 { return procField("/proc/self/status", "VmRSS:") * 1024 }
 
-// written is how many bytes the process has handed to write calls.
-func written() int64 { return procField("/proc/self/io", "wchar:") }
+// writtenBytes returns the number of bytes that the process has passed to write calls.
+func writtenBytes() int64 { return procField("/proc/self/io", "wchar:") }
 
+// procField returns the number after name in a file of /proc; 0 if it can't be read.
 func procField(path, name string) int64 {
 	text, err := os.ReadFile(path)
 	if err != nil {
