--- a/cmd/measure/crossings.go
+++ b/cmd/measure/crossings.go
@@ -47,7 +47,7 @@
 		}
 	}
 	missing := all.Missing()
-	fmt.Printf("%s\n%d pairs; %d crossings never came: %s\n", all.Table(), all.Pairs(), len(missing), strings.Join(missing, "; "))
+	fmt.Printf("%s\n%d pairs; %d crossings never came: %s\n", all.Table(), all.PairCount(), len(missing), strings.Join(missing, "; "))
 	if failed+len(missing) > 0 {
 		return fmt.Errorf("%d of %d runs broke an invariant, %d crossings never came", failed, *seeds, len(missing))
 	}
--- a/cmd/measure/soak.go
+++ b/cmd/measure/soak.go
@@ -70,7 +70,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("seed %d: %w", o.Seed, err)
 	}
-	fmt.Println(r.Line(o.Seed))
+	fmt.Println(r.Summary(o.Seed))
 	if verbose || len(r.Violations) > 0 {
 		fmt.Println("  " + strings.Join(happened(&r), "\n  "))
 	}
--- a/internal/daemon/busyend_held_test.go
+++ b/internal/daemon/busyend_held_test.go
@@ -82,7 +82,7 @@
 			continue
 		}
 		for _, end := range c.ends[min(len(c.answers), len(c.ends)):] {
-			if !x.ReadAt(end).IsZero() {
+			if !x.ReadTime(end).IsZero() {
 				n++
 			}
 		}
@@ -144,7 +144,7 @@
 			stop, resumed := make(chan struct{}), make(chan []time.Duration, 1)
 			go func() {
 				resumed <- faultbuild.Resume(x.Cmd.Process.Pid, func() time.Duration {
-					controls.SetHolds(0) // it is held up once
+					controls.HoldAfterClock(0) // it is held up once
 					return holdFor
 				}, stop)
 			}()
@@ -154,14 +154,14 @@
 			}
 			from := time.Now()
 			x.term()
-			hold := time.AfterFunc(held, func() { controls.SetHolds(holds) })
+			hold := time.AfterFunc(held, func() { controls.HoldAfterClock(holds) })
 			late := time.AfterFunc(kill+2*to.Stall(), func() { x.Signal(syscall.SIGKILL) })
 			x.Wait()
 			hold.Stop()
 			late.Stop()
 			took := time.Since(from)
 			close(stop)
-			traced, err := faultbuild.Connections(trace)
+			traced, err := faultbuild.ReadTrace(trace)
 			if err != nil {
 				t.Error(err)
 			}
--- a/internal/daemon/heldup_test.go
+++ b/internal/daemon/heldup_test.go
@@ -108,10 +108,10 @@
 			c.line()
 		}
 		time.Sleep(time.Until(up))
-		controls.SetWriteHolds(holds)
+		controls.HoldBeforeWrites(holds)
 		p.Set(func() { p.List = list(int64(cycle+2), cycle) })
 		time.Sleep(time.Until(up.Add(longest)))
-		controls.SetWriteHolds(0)
+		controls.HoldBeforeWrites(0)
 		time.Sleep(time.Until(up.Add(2 * longest)))
 	}
 	byhand.Until(t, "end of all", func() bool { return time.Since(ends[fmt.Sprintf("m-%d-%d", cycles-1, each-1)]) > time.Second })
--- a/internal/soak/client.go
+++ b/internal/soak/client.go
@@ -98,7 +98,7 @@
 func (c *clients) compose(kind string, rng *rand.Rand) (m *Message, text []byte) {
 	effect := []Effect{Safe, Keyed, Unsafe}[rng.IntN(3)]
 	hold := []time.Duration{400 * time.Millisecond, time.Second, 2500 * time.Millisecond, 4 * time.Second}[rng.IntN(4)] + time.Duration(rng.IntN(400))*time.Millisecond
-	m = &Message{ID: fmt.Sprintf("s%d-%s-%d", c.sender, kind, c.number.Add(1)), Sender: c.sender, Effect: effect, Client: kind, hold: hold}
+	m = &Message{ID: fmt.Sprintf("s%d-%s-%d", c.sender, kind, c.number.Add(1)), Sender: c.sender, Effect: effect, ClientKind: kind, hold: hold}
 	opts := fmt.Sprintf("c=%s,t=acme,d=%d,k=k-%s,dest=%d", effect, hold.Milliseconds(), m.ID, rng.IntN(c.dests))
 	body := "body of " + m.ID
 	if rng.IntN(20) == 0 {
@@ -123,15 +123,15 @@
 // write writes to a connection and books a message, whose request ends with the first
 // of the bytes; false if the connection is broken.
 func (c *clients) write(x *conn, m *Message, text []byte, first int) bool {
-	m.First, x.used = !x.used, true
-	m.Written = time.Now()
-	m.Deadline = m.Written.Add(m.hold)
+	m.FirstOnConn, x.used = !x.used, true
+	m.WrittenAt = time.Now()
+	m.Deadline = m.WrittenAt.Add(m.hold)
 	m.port, m.dialed, m.end = x.port, x.dialed, x.written+int64(first)
 	c.records.add(m)
 	x.SetWriteDeadline(time.Now().Add(time.Second))
 	n, err := x.Write(text)
 	if x.written += int64(n); err != nil {
-		c.records.with(m, func() { m.Left = true }) // it was not written whole
+		c.records.with(m, func() { m.ClientLeft = true }) // it was not written whole
 	}
 	return err == nil
 }
@@ -139,19 +139,19 @@
 // answer reads the answer to a message; false if the connection has ended or the
 // client gives up.
 func (c *clients) answer(x *conn, m *Message) bool {
-	x.SetReadDeadline(m.Written.Add(2*answerWithin + time.Second))
+	x.SetReadDeadline(m.WrittenAt.Add(2*answerWithin + time.Second))
 	line, err := x.r.ReadString('\n')
 	at := time.Now()
 	switch {
 	case err == nil:
-		c.records.with(m, func() { m.Answer, m.Answered, m.line = strings.TrimSpace(line), at, line })
+		c.records.with(m, func() { m.Answer, m.AnsweredAt, m.line = strings.TrimSpace(line), at, line })
 		return true
 	default:
 		var t net.Error
 		timeout := errors.As(err, &t) && t.Timeout()
 		c.records.with(m, func() {
-			if m.Left = timeout; !timeout {
-				m.Closed = at
+			if m.ClientLeft = timeout; !timeout {
+				m.ClosedAt = at
 			}
 		})
 		return false
@@ -191,7 +191,7 @@
 		for i, m := range out {
 			if !c.answer(x, m) {
 				for _, later := range out[i+1:] {
-					c.records.with(later, func() { later.Closed, later.Left = m.Closed, m.Left })
+					c.records.with(later, func() { later.ClosedAt, later.ClientLeft = m.ClosedAt, m.ClientLeft })
 				}
 				return
 			}
--- a/internal/soak/crossings.go
+++ b/internal/soak/crossings.go
@@ -64,8 +64,8 @@
 	c.pairs++
 }
 
-// Pairs is how often a second event followed at once.
-func (c *Crossings) Pairs() int { return c.pairs }
+// PairCount is how often a second event followed at once.
+func (c *Crossings) PairCount() int { return c.pairs }
 
 // Add counts the crossings of another run too.
 func (c *Crossings) Add(other *Crossings) {
@@ -82,12 +82,12 @@
 func (c *Crossings) Table() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%-48s", "point")
-	for e := range faultbuild.Events {
+	for e := range faultbuild.EventCount {
 		fmt.Fprintf(&b, " %10s", e)
 	}
 	for i, p := range points {
 		fmt.Fprintf(&b, "\n%-48s", p.Name)
-		for e := range faultbuild.Events {
+		for e := range faultbuild.EventCount {
 			fmt.Fprintf(&b, " %10d", c.came[crossing{i, e}])
 		}
 	}
@@ -97,7 +97,7 @@
 // Missing are the crossings that did not come.
 func (c *Crossings) Missing() (list []string) {
 	for i := range points {
-		for e := range faultbuild.Events {
+		for e := range faultbuild.EventCount {
 			if x := (crossing{i, e}); c.came[x] == 0 {
 				list = append(list, x.String())
 			}
@@ -112,7 +112,7 @@
 	rng := rand.New(rand.NewPCG(seed, 3))
 	var list []crossing
 	for i := range points {
-		for e := range faultbuild.Events {
+		for e := range faultbuild.EventCount {
 			list = append(list, crossing{i, e})
 		}
 	}
@@ -184,7 +184,7 @@
 	out.note(s.number, x, came)
 	events := map[faultbuild.Event]bool{x.event: came}
 	if came && x.event != faultbuild.Kill && rng.Float64() < pairShare {
-		second := crossing{rng.IntN(len(points)), faultbuild.Event(rng.IntN(int(faultbuild.Events)))}
+		second := crossing{rng.IntN(len(points)), faultbuild.Event(rng.IntN(int(faultbuild.EventCount)))}
 		s.controls.Arm(second.point, second.event, 0)
 		if s.awaitCrossing(pairPatience) {
 			out.notePair(s.number, second)
--- a/internal/soak/endpoint.go
+++ b/internal/soak/endpoint.go
@@ -144,7 +144,7 @@
 // answer treats one call; false ends the connection.
 func (e *endpoint) answer(c net.Conn, r *bufio.Reader, id string, call *Call, b behavior, x float64, latency time.Duration) bool {
 	ended := func() bool {
-		e.records.change(func() { call.Closed = time.Now() })
+		e.records.change(func() { call.ClosedAt = time.Now() })
 		return false
 	}
 	reply := func(status int, more string) bool {
@@ -153,7 +153,7 @@
 		if err != nil {
 			return ended()
 		}
-		e.records.change(func() { call.Status, call.Answered = status, at })
+		e.records.change(func() { call.Status, call.AnsweredAt = status, at })
 		return true
 	}
 	if b == slow {
--- a/internal/soak/fleet.go
+++ b/internal/soak/fleet.go
@@ -270,12 +270,12 @@
 		in = platformPort
 	}
 	s.late.Store(in == 0)
-	s.controls.SetLateConnects(0.5, in)
+	s.controls.DelayConnects(0.5, in)
 }
 
 // connectInTime ends that.
 func (s *sender) connectInTime() {
-	s.controls.SetLateConnects(0, 0)
+	s.controls.DelayConnects(0, 0)
 	s.late.Store(false)
 }
 
--- a/internal/soak/judge.go
+++ b/internal/soak/judge.go
@@ -50,11 +50,11 @@
 	for _, m := range r.messages {
 		list = append(list, m)
 	}
-	slices.SortFunc(list, func(a, b *Message) int { return cmp.Or(a.Written.Compare(b.Written), cmp.Compare(a.ID, b.ID)) })
+	slices.SortFunc(list, func(a, b *Message) int { return cmp.Or(a.WrittenAt.Compare(b.WrittenAt), cmp.Compare(a.ID, b.ID)) })
 	for _, m := range list {
 		r.count(&out, m)
 		r.judgeAnswer(m, noise, add)
-		if m.Left || m.Answer == "" {
+		if m.ClientLeft || m.Answer == "" {
 			continue // what becomes of it counts for nothing
 		}
 		r.judgeEnd(&out, m, noise, add)
@@ -100,15 +100,15 @@
 	if m.line != "" && !answerForm.MatchString(m.line) {
 		add(m, "answer %q has none of the forms of the protocol", m.line)
 	}
-	if m.Answer != "" || m.Closed.IsZero() {
+	if m.Answer != "" || m.ClosedAt.IsZero() {
 		return
 	}
-	if at := r.readAt(m); !at.IsZero() && !r.diedBetween(m.Sender, at, m.Closed) {
-		add(m, "closed with no answer %v after the request was read", m.Closed.Sub(at).Round(time.Millisecond))
+	if at := r.readAt(m); !at.IsZero() && !r.diedBetween(m.Sender, at, m.ClosedAt) {
+		add(m, "closed with no answer %v after the request was read", m.ClosedAt.Sub(at).Round(time.Millisecond))
 		return
 	}
-	age := m.Closed.Sub(m.Written) - within(r.stalls[m.Sender], m.Written, m.Closed)
-	if age > crossingAge+noise && !r.diedBetween(m.Sender, m.Written, m.Closed) {
+	age := m.ClosedAt.Sub(m.WrittenAt) - within(r.stalls[m.Sender], m.WrittenAt, m.ClosedAt)
+	if age > crossingAge+noise && !r.diedBetween(m.Sender, m.WrittenAt, m.ClosedAt) {
 		add(m, "closed with no answer %v after the request", age.Round(time.Millisecond))
 	}
 }
@@ -118,7 +118,7 @@
 }
 
 // within is how much of the time from one moment to another lies in spans.
-func within(spans []Span, from, to time.Time) (sum time.Duration) {
+func within(spans []Interval, from, to time.Time) (sum time.Duration) {
 	for _, s := range spans {
 		a, b := s.From, s.To
 		if a.Before(from) {
@@ -141,8 +141,8 @@
 	}
 	var end time.Time
 	for _, c := range m.Calls {
-		if c.Status == 200 && (end.IsZero() || c.Answered.Before(end)) {
-			end = c.Answered
+		if c.Status == 200 && (end.IsZero() || c.AnsweredAt.Before(end)) {
+			end = c.AnsweredAt
 		}
 	}
 	for _, n := range m.Notices {
@@ -175,7 +175,7 @@
 
 // judgeCalls: nothing goes out after the end, nothing takes effect twice, and one
 // attempt is out at a time.
-func judgeCalls(m *Message, stalls []Span, window, noise time.Duration, add func(*Message, string, ...any)) {
+func judgeCalls(m *Message, stalls []Interval, window, noise time.Duration, add func(*Message, string, ...any)) {
 	var ran []time.Time
 	for i, c := range m.Calls {
 		if late := c.At.Sub(m.Deadline); late > limitSlack+noise {
@@ -192,20 +192,20 @@
 		if len(m.Answer) >= 5 && m.Answer[:5] == "-BUSY" {
 			add(m, "refused and sent")
 		}
-		if len(m.Answer) >= 4 && m.Answer[:4] == "-ERR" && c.At.After(m.Answered.Add(noise)) {
+		if len(m.Answer) >= 4 && m.Answer[:4] == "-ERR" && c.At.After(m.AnsweredAt.Add(noise)) {
 			add(m, "answered as failed and sent")
 		}
 		for _, x := range m.Calls[:i] {
 			if end := x.over(); end.IsZero() || c.At.Before(end.Add(-handled-noise)) {
 				add(m, "two attempts out")
 			}
-			if x.Status == 200 && c.At.After(x.Answered.Add(crossingAge+noise)) && m.Effect == Unsafe {
+			if x.Status == 200 && c.At.After(x.AnsweredAt.Add(crossingAge+noise)) && m.Effect == Unsafe {
 				add(m, "sent again after its delivery")
 			}
 		}
 		// A call that was being written as the wait was told, and held up there, can't be kept back any more.
-		if in := c.InWait - within(stalls, c.At.Add(-c.InWait-waitGrace), c.At); in > noise {
-			add(m, "sent %v inside a told wait", c.InWait.Round(time.Millisecond))
+		if in := c.InsideWait - within(stalls, c.At.Add(-c.InsideWait-waitGrace), c.At); in > noise {
+			add(m, "sent %v inside a told wait", c.InsideWait.Round(time.Millisecond))
 		}
 		if c.Ran {
 			ran = append(ran, c.At)
--- a/internal/soak/judge_drain.go
+++ b/internal/soak/judge_drain.go
@@ -18,7 +18,7 @@
 type lists struct {
 	pushed    bool
 	published []published
-	down      []Span // discovery answers nobody; the last may be open
+	down      []Interval // discovery answers nobody; the last may be open
 	senders   map[int]*told
 }
 
@@ -185,7 +185,7 @@
 func (r *Records) discoveryDown(at time.Time, down bool) {
 	r.change(func() {
 		if down {
-			r.lists.down = append(r.lists.down, Span{From: at})
+			r.lists.down = append(r.lists.down, Interval{From: at})
 		} else {
 			r.lists.down[len(r.lists.down)-1].To = at
 		}
--- a/internal/soak/judge_drain_test.go
+++ b/internal/soak/judge_drain_test.go
@@ -67,8 +67,8 @@
 			if late {
 				sent = sent.Add(time.Millisecond)
 			}
-			m := &Message{ID: "m", Effect: Safe, Written: at(0), Deadline: at(60000), Answer: "+OK", Answered: at(1),
-				Calls: []*Call{{At: sent, Endpoint: "e", Ran: true, Status: 200, Answered: sent}}}
+			m := &Message{ID: "m", Effect: Safe, WrittenAt: at(0), Deadline: at(60000), Answer: "+OK", AnsweredAt: at(1),
+				Calls: []*Call{{At: sent, Endpoint: "e", Ran: true, Status: 200, AnsweredAt: sent}}}
 			r.add(m)
 			if got := len(r.judge(start, repeatWindow, 0).Violations); (got > 0) != late {
 				t.Errorf("%s: sent at %v, late %v: %d violations", name, sent.Sub(start), late, got)
--- a/internal/soak/points.go
+++ b/internal/soak/points.go
@@ -115,7 +115,7 @@
 
 // Build builds the program with the points to path.
 func Build(path string, changes ...faultbuild.Change) error {
-	own, err := faultbuild.Changes(faultPoints())
+	own, err := faultbuild.PointChanges(faultPoints())
 	if err != nil {
 		return err
 	}
--- a/internal/soak/record.go
+++ b/internal/soak/record.go
@@ -22,21 +22,21 @@
 
 // Call is one call that came to an endpoint.
 type Call struct {
-	At       time.Time // its last byte
-	Endpoint string
-	Ran      bool
-	Status   int           // that was written whole; 0 for none
-	Answered time.Time     // when the answer was written; zero if it was not
-	Closed   time.Time     // when the connection ended, if that was before an answer
-	InWait   time.Duration // for which it came inside a wait that its sender was told
+	At         time.Time // its last byte
+	Endpoint   string
+	Ran        bool
+	Status     int           // that was written whole; 0 for none
+	AnsweredAt time.Time     // when the answer was written; zero if it was not
+	ClosedAt   time.Time     // when the connection ended, if that was before an answer
+	InsideWait time.Duration // for which it came inside a wait that its sender was told
 }
 
 // over is when the call was over for its endpoint; zero if it never was.
 func (c *Call) over() time.Time {
-	if c.Answered.IsZero() {
-		return c.Closed
+	if c.AnsweredAt.IsZero() {
+		return c.ClosedAt
 	}
-	return c.Answered
+	return c.AnsweredAt
 }
 
 // Notice is an end that the platform heard of.
@@ -47,19 +47,19 @@
 
 // Message is the history of one message.
 type Message struct {
-	ID       string
-	Sender   int
-	Effect   Effect
-	Client   string    // what kind of client handed it in
-	First    bool      // the first request on its connection
-	Written  time.Time // its last byte
-	Deadline time.Time
-	Answer   string // empty for none
-	Answered time.Time
-	Closed   time.Time // when the sender was seen to have closed the connection without an answer
-	Left     bool      // the client went away itself: what becomes of the message counts for nothing
-	Calls    []*Call
-	Notices  []Notice
+	ID          string
+	Sender      int
+	Effect      Effect
+	ClientKind  string    // what kind of client handed it in
+	FirstOnConn bool      // the first request on its connection
+	WrittenAt   time.Time // its last byte
+	Deadline    time.Time
+	Answer      string // empty for none
+	AnsweredAt  time.Time
+	ClosedAt    time.Time // when the sender was seen to have closed the connection without an answer
+	ClientLeft  bool      // the client went away itself: what becomes of the message counts for nothing
+	Calls       []*Call
+	Notices     []Notice
 
 	line   string        // the answer as it came
 	hold   time.Duration // for which it may be delivered
@@ -80,21 +80,21 @@
 func (m *Message) History(start time.Time) string {
 	since := func(t time.Time) string { return fmt.Sprintf("%.3f", t.Sub(start).Seconds()) }
 	var b strings.Builder
-	fmt.Fprintf(&b, "%s at sender %d, %s, %s client, first on its connection %v: written %s, time up %s, answer %q", m.ID, m.Sender, m.Effect, m.Client, m.First,
-		since(m.Written), since(m.Deadline), m.Answer)
-	if !m.Answered.IsZero() {
-		fmt.Fprintf(&b, " at %s", since(m.Answered))
+	fmt.Fprintf(&b, "%s at sender %d, %s, %s client, first on its connection %v: written %s, time up %s, answer %q", m.ID, m.Sender, m.Effect, m.ClientKind, m.FirstOnConn,
+		since(m.WrittenAt), since(m.Deadline), m.Answer)
+	if !m.AnsweredAt.IsZero() {
+		fmt.Fprintf(&b, " at %s", since(m.AnsweredAt))
 	}
-	if !m.Closed.IsZero() {
-		fmt.Fprintf(&b, ", closed at %s", since(m.Closed))
+	if !m.ClosedAt.IsZero() {
+		fmt.Fprintf(&b, ", closed at %s", since(m.ClosedAt))
 	}
-	if m.Left {
+	if m.ClientLeft {
 		b.WriteString(", client left")
 	}
 	for _, c := range m.Calls {
 		fmt.Fprintf(&b, "; call at %s to %s: ran %v, status %d", since(c.At), c.Endpoint, c.Ran, c.Status)
-		if !c.Closed.IsZero() {
-			fmt.Fprintf(&b, ", closed at %s", since(c.Closed))
+		if !c.ClosedAt.IsZero() {
+			fmt.Fprintf(&b, ", closed at %s", since(c.ClosedAt))
 		}
 	}
 	for _, n := range m.Notices {
@@ -103,17 +103,17 @@
 	return b.String()
 }
 
-// Span is a stretch of time in which something happened to a process.
-type Span struct{ From, To time.Time }
+// Interval is a stretch of time in which something happened to a process.
+type Interval struct{ From, To time.Time }
 
 // Records are what was seen from outside. They may be written at once by many.
 type Records struct {
 	mu       sync.Mutex
 	messages map[string]*Message
 	kills    map[int][]time.Time              // SIGKILL, by sender
-	outages  map[int][]Span                   // from the first signal of a restart until the sender is ready again
-	stalls   map[int][]Span                   // the process stood still
-	waits    map[route]Span                   // the last wait that was told
+	outages  map[int][]Interval               // from the first signal of a restart until the sender is ready again
+	stalls   map[int][]Interval               // the process stood still
+	waits    map[route]Interval               // the last wait that was told
 	traces   map[int][]*faultbuild.Connection // what each sender did with its clients' connections
 	lists    *lists                           // what discovery had, and told whom
 	unowed   []string                         // calls and notices for messages that nobody handed in
@@ -124,7 +124,7 @@
 type route struct{ sender, dest int }
 
 func newRecords() *Records {
-	return &Records{lists: newLists(), messages: map[string]*Message{}, waits: map[route]Span{}, kills: map[int][]time.Time{}, outages: map[int][]Span{}, traces: map[int][]*faultbuild.Connection{}, stalls: map[int][]Span{}}
+	return &Records{lists: newLists(), messages: map[string]*Message{}, waits: map[route]Interval{}, kills: map[int][]time.Time{}, outages: map[int][]Interval{}, traces: map[int][]*faultbuild.Connection{}, stalls: map[int][]Interval{}}
 }
 
 func (r *Records) add(m *Message) {
@@ -150,7 +150,7 @@
 		return
 	}
 	if w := r.waits[route{m.Sender, dest}]; c.At.After(w.From.Add(waitGrace)) && c.At.Before(w.To) {
-		c.InWait = c.At.Sub(w.From.Add(waitGrace))
+		c.InsideWait = c.At.Sub(w.From.Add(waitGrace))
 	}
 	m.Calls = append(m.Calls, c)
 }
@@ -177,7 +177,7 @@
 	defer r.mu.Unlock()
 	if m := r.messages[id]; m != nil {
 		now := time.Now()
-		r.waits[route{m.Sender, dest}] = Span{now, now.Add(wait)}
+		r.waits[route{m.Sender, dest}] = Interval{now, now.Add(wait)}
 	}
 }
 
@@ -202,7 +202,7 @@
 }
 
 func (r *Records) outage(sender int, from, to time.Time) {
-	r.change(func() { r.outages[sender] = append(r.outages[sender], Span{from, to}) })
+	r.change(func() { r.outages[sender] = append(r.outages[sender], Interval{from, to}) })
 }
 
 // traced notes what a sender did with its clients' connections.
@@ -214,16 +214,16 @@
 // had, or if its connection was broken.
 func (r *Records) readAt(m *Message) time.Time {
 	for _, c := range r.traces[m.Sender] {
-		if c.Port == m.port && c.Began.After(m.dialed) && c.Began.Before(m.Closed) {
+		if c.Port == m.port && c.FirstSeen.After(m.dialed) && c.FirstSeen.Before(m.ClosedAt) {
 			if c.Broken {
 				return time.Time{}
 			}
-			return c.ReadAt(m.end)
+			return c.ReadTime(m.end)
 		}
 	}
 	return time.Time{}
 }
 
 func (r *Records) stalled(sender int, from, to time.Time) {
-	r.change(func() { r.stalls[sender] = append(r.stalls[sender], Span{from, to}) })
+	r.change(func() { r.stalls[sender] = append(r.stalls[sender], Interval{from, to}) })
 }
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -42,10 +42,10 @@
 // Result is what came of a run.
 type Result struct {
 	Verdict
-	Script []string
-	Faults faultbuild.Counts
-	Noise  time.Duration
-	Crowd  bool
+	Script      []string
+	Faults      faultbuild.Counts
+	MaxDelay    time.Duration
+	ManyClients bool
 	// Crossings are the events at points of the program, in a run that has them.
 	Crossings *Crossings
 }
@@ -58,7 +58,7 @@
 	}
 	f.seed, f.platform = o.Seed, newPlatform(f.records, o.Seed)
 	rng := rand.New(rand.NewPCG(o.Seed, 2))
-	f.pushed, out.Crowd = rng.IntN(2) == 0, rng.IntN(4) == 0
+	f.pushed, out.ManyClients = rng.IntN(2) == 0, rng.IntN(4) == 0
 	f.platform.pushed, f.records.lists.pushed = f.pushed, f.pushed
 	askEvery := []time.Duration{400 * time.Millisecond, 10 * time.Second}[rng.IntN(2)]
 	for i := range destinations * endpointsEach {
@@ -96,7 +96,7 @@
 	defer stop()
 	var crowd []*clients
 	for _, s := range f.senders {
-		c := &clients{sender: s.number, addr: s.addr, dests: destinations, crowd: out.Crowd && s.number%4 == 0, records: f.records}
+		c := &clients{sender: s.number, addr: s.addr, dests: destinations, crowd: out.ManyClients && s.number%4 == 0, records: f.records}
 		c.start(ctx, o.Seed*1000+uint64(s.number))
 		crowd = append(crowd, c)
 	}
@@ -118,9 +118,9 @@
 	}
 	time.Sleep(longestMessage + lostAfter + quiet)
 	f.endAll()
-	out.Noise = 2 * <-noise
+	out.MaxDelay = 2 * <-noise
 	for _, s := range f.senders {
-		list, err := faultbuild.Connections(s.trace)
+		list, err := faultbuild.ReadTrace(s.trace)
 		if err != nil {
 			return out, err
 		}
@@ -132,7 +132,7 @@
 		out.Faults.Syncs += x.Syncs
 		out.Faults.Connects += x.Connects
 	}
-	out.Verdict = f.records.judge(start, repeatWindow, out.Noise)
+	out.Verdict = f.records.judge(start, repeatWindow, out.MaxDelay)
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return out, f.err
@@ -161,7 +161,7 @@
 	if err := os.RemoveAll(s.trace); err != nil { // as its folder
 		return nil, err
 	}
-	s.controls.SetWall(f.clockStep(rand.New(rand.NewPCG(o.Seed, uint64(100+i))))) // off before the first start too
+	s.controls.SetWallOffset(f.clockStep(rand.New(rand.NewPCG(o.Seed, uint64(100+i))))) // off before the first start too
 	return s, s.writeConfig(o.Senders, f.pushed)
 }
 
@@ -184,12 +184,12 @@
 	f.platform.suffer(trouble{})
 	f.platform.ends.setMute(false)
 	for _, s := range f.senders {
-		s.controls.SetWrites(0, 0)
-		s.controls.SetSyncs(0, 0)
-		s.controls.SetAccepts(0, 0)
-		s.controls.SetConnects(0, 0)
+		s.controls.FailWrites(0, 0)
+		s.controls.FailSyncs(0, 0)
+		s.controls.FailAccepts(0, 0)
+		s.controls.FailConnects(0, 0)
 		s.connectInTime()
-		s.controls.SetWriteHolds(0)
+		s.controls.HoldBeforeWrites(0)
 	}
 }
 
@@ -305,10 +305,10 @@
 	return out
 }
 
-// Line tells of a run in one line.
-func (r *Result) Line(seed uint64) string {
+// Summary tells of a run in one line.
+func (r *Result) Summary(seed uint64) string {
 	return fmt.Sprintf("seed %d: %d messages, %d accepted, %d delivered, %d returned, %d failed, %d refused, %d errors, %d unanswered, %d late; crowd %v; "+
 		"%d stalls, %d accepts, %d writes, %d syncs, %d connects failed; noise %v; %d violations", seed, r.Messages, r.Accepted, r.Delivered, r.Returned, r.Failed,
-		r.Refused, r.Errors, r.Unanswered, r.Late, r.Crowd, r.Faults.Holds, r.Faults.Accepts, r.Faults.Writes, r.Faults.Syncs, r.Faults.Connects,
-		r.Noise.Round(time.Millisecond), len(r.Violations))
+		r.Refused, r.Errors, r.Unanswered, r.Late, r.ManyClients, r.Faults.Holds, r.Faults.Accepts, r.Faults.Writes, r.Faults.Syncs, r.Faults.Connects,
+		r.MaxDelay.Round(time.Millisecond), len(r.Violations))
 }
--- a/internal/soak/script.go
+++ b/internal/soak/script.go
@@ -94,7 +94,7 @@
 	case "restart":
 		off := f.clockStep(rng)
 		return []step{{at, fmt.Sprintf("sender %d is told to end, killed at %v, wall clock off by %v at the start", s.number, killAfter, off), func() {
-			f.async(func() error { return s.restart(true, nil, func() { s.controls.SetWall(off) }) })
+			f.async(func() error { return s.restart(true, nil, func() { s.controls.SetWallOffset(off) }) })
 		}}}
 	case "kill series":
 		var lives []time.Duration
@@ -103,7 +103,7 @@
 		}
 		off := f.clockStep(rng)
 		return []step{{at, fmt.Sprintf("sender %d is killed, and again %v after starts, wall clock off by %v at the last", s.number, lives, off), func() {
-			f.async(func() error { return s.restart(false, lives, func() { s.controls.SetWall(off) }) })
+			f.async(func() error { return s.restart(false, lives, func() { s.controls.SetWallOffset(off) }) })
 		}}}
 	case "reload":
 		also := rng.IntN(4) == 0
@@ -116,16 +116,16 @@
 		return steps
 	case "clock":
 		off := f.clockStep(rng)
-		return []step{{at, fmt.Sprintf("wall clock of sender %d is off by %v", s.number, off), func() { s.controls.SetWall(off) }}}
+		return []step{{at, fmt.Sprintf("wall clock of sender %d is off by %v", s.number, off), func() { s.controls.SetWallOffset(off) }}}
 	case "disk":
 		length = min(length, 3*time.Second)
 		probability := []float64{0.7, 1}[rng.IntN(2)]
 		steps := during(fmt.Sprintf("disk of sender %d fails", s.number), func() {
-			s.controls.SetWrites(probability, syscall.ENOSPC)
-			s.controls.SetSyncs(probability, syscall.EIO)
+			s.controls.FailWrites(probability, syscall.ENOSPC)
+			s.controls.FailSyncs(probability, syscall.EIO)
 		}, func() {
-			s.controls.SetWrites(0, 0)
-			s.controls.SetSyncs(0, 0)
+			s.controls.FailWrites(0, 0)
+			s.controls.FailSyncs(0, 0)
 		})
 		if rng.IntN(2) == 0 {
 			steps = append(steps, step{at + length - length/8, fmt.Sprintf("sender %d is killed while its disk fails", s.number), func() {
@@ -135,12 +135,12 @@
 		return steps
 	case "accept":
 		errno := []syscall.Errno{syscall.ECONNABORTED, syscall.ENFILE, syscall.ENOBUFS, syscall.EINTR}[rng.IntN(4)]
-		return during(fmt.Sprintf("accepts of sender %d fail with %v", s.number, errno), func() { s.controls.SetAccepts(0.3, errno) }, func() { s.controls.SetAccepts(0, 0) })
+		return during(fmt.Sprintf("accepts of sender %d fail with %v", s.number, errno), func() { s.controls.FailAccepts(0.3, errno) }, func() { s.controls.FailAccepts(0, 0) })
 	case "connect":
 		errno := []syscall.Errno{syscall.EADDRNOTAVAIL, syscall.ENETUNREACH, syscall.ENOBUFS, syscall.EHOSTUNREACH}[rng.IntN(4)]
-		return during(fmt.Sprintf("connects of sender %d fail with %v", s.number, errno), func() { s.controls.SetConnects(0.3, errno) }, func() { s.controls.SetConnects(0, 0) })
+		return during(fmt.Sprintf("connects of sender %d fail with %v", s.number, errno), func() { s.controls.FailConnects(0.3, errno) }, func() { s.controls.FailConnects(0, 0) })
 	case "stall":
-		return during(fmt.Sprintf("sender %d is held up before writes", s.number), func() { s.controls.SetWriteHolds(0.03) }, func() { s.controls.SetWriteHolds(0) })
+		return during(fmt.Sprintf("sender %d is held up before writes", s.number), func() { s.controls.HoldBeforeWrites(0.03) }, func() { s.controls.HoldBeforeWrites(0) })
 	case "late":
 		return during(fmt.Sprintf("connections of sender %d come up late", s.number), s.connectLate, s.connectInTime)
 	case "move":
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -24,7 +24,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Log(r.Line(seed))
+		t.Log(r.Summary(seed))
 		if r.Accepted < 100 || r.Delivered < 50 || r.Faults.Writes == 0 {
 			t.Error("too little has happened to prove anything")
 		}
@@ -44,14 +44,14 @@
 	call := func(ms, over, status int) *Call {
 		c := &Call{At: at(ms), Ran: status != 503 && status != 429, Status: status}
 		if status == 0 {
-			c.Closed = at(over)
+			c.ClosedAt = at(over)
 		} else {
-			c.Answered = at(over)
+			c.AnsweredAt = at(over)
 		}
 		return c
 	}
 	fine := func() *Message {
-		return &Message{ID: "m", Effect: Unsafe, Written: at(0), Deadline: at(1000), Answer: "+OK", Answered: at(1), Calls: []*Call{call(10, 20, 200)}}
+		return &Message{ID: "m", Effect: Unsafe, WrittenAt: at(0), Deadline: at(1000), Answer: "+OK", AnsweredAt: at(1), Calls: []*Call{call(10, 20, 200)}}
 	}
 	for name, x := range map[string]struct {
 		change func(m *Message, r *Records)
@@ -61,7 +61,7 @@
 		"no end":     {func(m *Message, _ *Records) { m.Calls = nil }, "lost: no end"},
 		"a late end": {func(m *Message, _ *Records) { m.Calls, m.Notices = nil, []Notice{{at(1700), "failed"}} }, "lost: its end"},
 		"late, and being restarted": {func(m *Message, r *Records) {
-			m.Calls, m.Notices, r.outages[0] = nil, []Notice{{at(1700), "failed"}}, []Span{{at(900), at(1200)}}
+			m.Calls, m.Notices, r.outages[0] = nil, []Notice{{at(1700), "failed"}}, []Interval{{at(900), at(1200)}}
 		}, ""},
 		"sent after its time":   {func(m *Message, _ *Records) { m.Calls = []*Call{call(1200, 1210, 200)} }, "after its time"},
 		"sent after its notice": {func(m *Message, _ *Records) { m.Notices = []Notice{{at(5), "failed"}} }, "after its notice"},
@@ -81,17 +81,17 @@
 		}, "two attempts out"},
 		"failed and sent":       {func(m *Message, _ *Records) { m.Answer = "-ERR failed" }, "failed and sent"},
 		"refused and sent":      {func(m *Message, _ *Records) { m.Answer = "-BUSY" }, "refused and sent"},
-		"closed with no answer": {func(m *Message, _ *Records) { m.Answer, m.Closed = "", at(600) }, "closed with no answer"},
-		"closed in crossing":    {func(m *Message, _ *Records) { m.Answer, m.Closed = "", at(100) }, ""},
-		"closed by a kill":      {func(m *Message, r *Records) { m.Answer, m.Closed, r.kills[0] = "", at(600), []time.Time{at(599)} }, ""},
+		"closed with no answer": {func(m *Message, _ *Records) { m.Answer, m.ClosedAt = "", at(600) }, "closed with no answer"},
+		"closed in crossing":    {func(m *Message, _ *Records) { m.Answer, m.ClosedAt = "", at(100) }, ""},
+		"closed by a kill":      {func(m *Message, r *Records) { m.Answer, m.ClosedAt, r.kills[0] = "", at(600), []time.Time{at(599)} }, ""},
 		"an answer, all right":  {func(m *Message, _ *Records) { m.line = "+OK\r\n" }, ""},
 		"one byte of an answer": {func(m *Message, _ *Records) { m.line = ":OK\r\n" }, "none of the forms"},
 		"a bare line feed":      {func(m *Message, _ *Records) { m.line = "+OK\n" }, "none of the forms"},
-		"inside a wait":         {func(m *Message, _ *Records) { m.Calls[0].InWait = 200 * time.Millisecond }, "inside a told wait"},
+		"inside a wait":         {func(m *Message, _ *Records) { m.Calls[0].InsideWait = 200 * time.Millisecond }, "inside a told wait"},
 		"inside a wait, held up": {func(m *Message, r *Records) {
-			m.Calls[0].InWait, r.stalls[0] = 200*time.Millisecond, []Span{{at(-250), at(5)}}
+			m.Calls[0].InsideWait, r.stalls[0] = 200*time.Millisecond, []Interval{{at(-250), at(5)}}
 		}, ""},
-		"its client has left":         {func(m *Message, _ *Records) { m.Answer, m.Left, m.Calls = "", true, nil }, ""},
+		"its client has left":         {func(m *Message, _ *Records) { m.Answer, m.ClientLeft, m.Calls = "", true, nil }, ""},
 		"the process says it, itself": {func(_ *Message, r *Records) { r.other = []string{"violation"} }, "process"},
 	} {
 		r, m := newRecords(), fine()
@@ -125,8 +125,8 @@
 		"killed long after": {100, false, 500, 1},
 	} {
 		r := newRecords()
-		r.add(&Message{ID: "m", Effect: Safe, Written: at(10), Deadline: at(1000), Closed: at(15), port: 7, dialed: at(0), end: 100})
-		r.traced(0, []*faultbuild.Connection{{Port: 7, Began: at(5), Reads: []faultbuild.Read{{At: at(11), Total: x.read}}, Broken: x.broken}})
+		r.add(&Message{ID: "m", Effect: Safe, WrittenAt: at(10), Deadline: at(1000), ClosedAt: at(15), port: 7, dialed: at(0), end: 100})
+		r.traced(0, []*faultbuild.Connection{{Port: 7, FirstSeen: at(5), Reads: []faultbuild.Read{{At: at(11), TotalBytes: x.read}}, Broken: x.broken}})
 		if x.kill > 0 {
 			r.killed(0, at(x.kill))
 		}
--- a/internal/standin/faultbuild/controls.go
+++ b/internal/standin/faultbuild/controls.go
@@ -10,9 +10,9 @@
 	"unsafe"
 )
 
-// Variable names the environment variable that tells a program its page of
+// PageVariable names the environment variable that tells a program its page of
 // controls. A program without it runs with no faults.
-const Variable = "COMETRACK_FAULT_PAGE"
+const PageVariable = "COMETRACK_FAULT_PAGE"
 
 const (
 	pageFields     = 512
@@ -49,8 +49,8 @@
 	fieldPoints = 64 // from here on, how often each point was passed
 )
 
-// MostPoints is the number of points that a page has room for.
-const MostPoints = pageFields - fieldPoints
+// MaxPoints is the number of points that a page has room for.
+const MaxPoints = pageFields - fieldPoints
 
 // Controls command the faults of the processes that were started with its
 // [Controls.Env], at any time.
@@ -81,7 +81,7 @@
 func (c *Controls) Close() error { return syscall.Munmap(c.raw) }
 
 // Env is the variable for processes that are to follow these controls.
-func (c *Controls) Env() string { return Variable + "=" + c.path }
+func (c *Controls) Env() string { return PageVariable + "=" + c.path }
 
 func (c *Controls) set(field int, value int64) { atomic.StoreInt64(&c.page[field], value) }
 
@@ -90,48 +90,50 @@
 // parts turns a probability into parts of 2^32.
 func parts(probability float64) int64 { return int64(probability * (1 << 32)) }
 
-// SetWall has the wall clock be off by a span, in whole seconds. The monotonic clock
+// SetWallOffset has the wall clock be off by a span, in whole seconds. The monotonic clock
 // runs on.
-func (c *Controls) SetWall(off time.Duration) { c.set(fieldWallSeconds, int64(off/time.Second)) }
+func (c *Controls) SetWallOffset(off time.Duration) { c.set(fieldWallSeconds, int64(off/time.Second)) }
 
-// SetHolds has the whole process stop right behind a reading of the clock, with a
+// HoldAfterClock has the whole process stop right behind a reading of the clock, with a
 // probability for each reading, until it gets SIGCONT: see [Resume].
-func (c *Controls) SetHolds(probability float64) { c.set(fieldHoldProbability, parts(probability)) }
+func (c *Controls) HoldAfterClock(probability float64) {
+	c.set(fieldHoldProbability, parts(probability))
+}
 
-// SetWriteHolds has the whole process stop right before a write to a connection, so
+// HoldBeforeWrites has the whole process stop right before a write to a connection, so
 // that nothing can be looked at any more between the reading of the clock and the
 // write, until it gets SIGCONT.
-func (c *Controls) SetWriteHolds(probability float64) {
+func (c *Controls) HoldBeforeWrites(probability float64) {
 	c.set(fieldHoldWriteProbability, parts(probability))
 }
 
-// SetAccepts has accepts fail.
-func (c *Controls) SetAccepts(probability float64, errno syscall.Errno) {
+// FailAccepts has accepts fail.
+func (c *Controls) FailAccepts(probability float64, errno syscall.Errno) {
 	c.set(fieldAcceptErrno, int64(errno))
 	c.set(fieldAcceptProbability, parts(probability))
 }
 
-// SetWrites has writes at an offset, such as the store's, fail after half of their
+// FailWrites has writes at an offset, such as the store's, fail after half of their
 // bytes.
-func (c *Controls) SetWrites(probability float64, errno syscall.Errno) {
+func (c *Controls) FailWrites(probability float64, errno syscall.Errno) {
 	c.set(fieldWriteErrno, int64(errno))
 	c.set(fieldWriteProbability, parts(probability))
 }
 
-// SetSyncs has syncs of files and folders fail.
-func (c *Controls) SetSyncs(probability float64, errno syscall.Errno) {
+// FailSyncs has syncs of files and folders fail.
+func (c *Controls) FailSyncs(probability float64, errno syscall.Errno) {
 	c.set(fieldSyncErrno, int64(errno))
 	c.set(fieldSyncProbability, parts(probability))
 }
 
-// SetConnects has connects fail.
-func (c *Controls) SetConnects(probability float64, errno syscall.Errno) {
+// FailConnects has connects fail.
+func (c *Controls) FailConnects(probability float64, errno syscall.Errno) {
 	c.set(fieldConnectErrno, int64(errno))
 	c.set(fieldConnectProbability, parts(probability))
 }
 
-// SetLateConnects has connects begin 0.3 to 0.9 s late, but for those to one port.
-func (c *Controls) SetLateConnects(probability float64, notPort int) {
+// DelayConnects has connects begin 0.3 to 0.9 s late, but for those to one port.
+func (c *Controls) DelayConnects(probability float64, notPort int) {
 	c.set(fieldLateNotPort, int64(notPort))
 	c.set(fieldLateProbability, parts(probability))
 }
--- a/internal/standin/faultbuild/faultbuild_test.go
+++ b/internal/standin/faultbuild/faultbuild_test.go
@@ -27,7 +27,7 @@
 	if c.Counts() != (Counts{}) || c.get(fieldHoldProbability) != 0 {
 		t.Errorf("counts %+v of a new page", c.Counts())
 	}
-	c.SetHolds(0.5)
+	c.HoldAfterClock(0.5)
 	if got := c.get(fieldHoldProbability); got != 1<<31 {
 		t.Errorf("probability %d, want a half of 2^32", got)
 	}
--- a/internal/standin/faultbuild/overlay.go
+++ b/internal/standin/faultbuild/overlay.go
@@ -77,7 +77,7 @@
 		}
 		faultTrace = fd
 	}
-	path, ok := Getenv("` + Variable + `")
+	path, ok := Getenv("` + PageVariable + `")
 	if !ok {
 		return
 	}
--- a/internal/standin/faultbuild/points.go
+++ b/internal/standin/faultbuild/points.go
@@ -21,13 +21,13 @@
 
 // The events.
 const (
-	Hold      Event = iota // the process is held up until it gets SIGCONT, see [Resume]
-	Kill                   // SIGKILL
-	Terminate              // SIGTERM
-	Reload                 // SIGHUP
-	FailWrite              // the next write to the folder fails
-	Break                  // the connection is shut that is written to next
-	Events                 // their number
+	Hold            Event = iota // the process is held up until it gets SIGCONT, see [Resume]
+	Kill                         // SIGKILL
+	Terminate                    // SIGTERM
+	Reload                       // SIGHUP
+	FailWrite                    // the next write to the folder fails
+	BreakConnection              // the connection is shut that is written to next
+	EventCount                   // their number
 )
 
 var eventNames = [...]string{"hold", "kill", "terminate", "reload", "fail write", "break"}
@@ -51,14 +51,14 @@
 // Armed says whether an event is still to come.
 func (c *Controls) Armed() bool { return c.get(fieldArmedPoint) != 0 }
 
-// Passed is how often a point has been passed.
-func (c *Controls) Passed(point int) int64 { return c.get(fieldPoints + point) }
+// PassCount is how often a point has been passed.
+func (c *Controls) PassCount(point int) int64 { return c.get(fieldPoints + point) }
 
-// Changes are those of a build in which the points report themselves by their number.
+// PointChanges are those of a build in which the points report themselves by their number.
 // The working directory must be within the module.
-func Changes(points []Point) ([]Change, error) {
-	if len(points) > MostPoints {
-		return nil, fmt.Errorf("%d points; a page has room for %d", len(points), MostPoints)
+func PointChanges(points []Point) ([]Change, error) {
+	if len(points) > MaxPoints {
+		return nil, fmt.Errorf("%d points; a page has room for %d", len(points), MaxPoints)
 	}
 	top, err := moduleTop()
 	if err != nil {
--- a/internal/standin/faultbuild/trace.go
+++ b/internal/standin/faultbuild/trace.go
@@ -15,33 +15,33 @@
 
 // Connection is what a program did with one connection.
 type Connection struct {
-	Port  int // of its peer
-	Began time.Time
-	Reads []Read    // until the program ended its side, in order
-	Shut  time.Time // when it ended its side, or closed the connection; zero if it never did
+	Port      int // of its peer
+	FirstSeen time.Time
+	Reads     []Read    // until the program ended its side, in order
+	EndedAt   time.Time // when it ended its side, or closed the connection; zero if it never did
 	// Broken says that a [Break] came on it: what became of it is not the program's doing.
 	Broken bool
 }
 
 // Read is a read from a connection.
 type Read struct {
-	At    time.Time
-	Total int64 // bytes that have been read with it
+	At         time.Time
+	TotalBytes int64 // bytes that have been read with it
 }
 
-// ReadAt is when a byte, counted from 1, had been read; zero if it never was.
-func (c *Connection) ReadAt(n int64) time.Time {
+// ReadTime is when a byte, counted from 1, had been read; zero if it never was.
+func (c *Connection) ReadTime(n int64) time.Time {
 	for _, r := range c.Reads {
-		if r.Total >= n {
+		if r.TotalBytes >= n {
 			return r.At
 		}
 	}
 	return time.Time{}
 }
 
-// Connections reads a trace: the connections in the order in which the program first
+// ReadTrace reads a trace: the connections in the order in which the program first
 // read from them or ended them. There are none if there is no file.
-func Connections(path string) ([]*Connection, error) {
+func ReadTrace(path string) ([]*Connection, error) {
 	text, err := os.ReadFile(path)
 	if errors.Is(err, fs.ErrNotExist) {
 		return nil, nil
@@ -63,14 +63,14 @@
 		at := time.Unix(0, nanoseconds)
 		c := open[of]
 		if c == nil {
-			c = &Connection{Port: port, Began: at}
+			c = &Connection{Port: port, FirstSeen: at}
 			open[of] = c
 			list = append(list, c)
 		}
 		if event == 'B' {
 			c.Broken = true
 		}
-		if !c.Shut.IsZero() {
+		if !c.EndedAt.IsZero() {
 			if event == 'C' {
 				delete(open, of)
 			}
@@ -80,13 +80,13 @@
 		case 'R':
 			total := number
 			if n := len(c.Reads); n > 0 {
-				total += c.Reads[n-1].Total
+				total += c.Reads[n-1].TotalBytes
 			}
 			c.Reads = append(c.Reads, Read{at, total})
 		case 'S':
-			c.Shut = at
+			c.EndedAt = at
 		case 'C':
-			c.Shut = at
+			c.EndedAt = at
 			delete(open, of)
 		}
 	}
