--- a/internal/standin/faultbuild/controls.go
+++ b/internal/standin/faultbuild/controls.go
@@ -10,8 +10,8 @@
 	"unsafe"
 )
 
-// PageVariable names the environment variable that tells a program its page of
-// controls. A program without it runs with no faults.
+// PageVariable is the environment variable with the path of a program's page of
+// controls. A program without it runs without faults.
 const PageVariable = "COMETRACK_FAULT_PAGE"
 
 const (
@@ -21,7 +21,7 @@
 	pageBytes      = 4096
 )
 
-// The fields of a page.
+// Indexes of the fields of a page. hooksSource in overlay.go uses the same numbers.
 const (
 	fieldWallSeconds = iota
 	fieldHoldProbability
@@ -39,28 +39,29 @@
 	fieldConnectErrno
 	fieldConnectCount
 	fieldHoldWriteProbability
-	fieldFailNextWrite // the next write at an offset fails
-	fieldBreakNext     // the connection of the next write to one is shut
-	fieldArmedPoint    // the point at which an event comes, from 1; 0 for none
+	fieldFailNextWrite   // 1 if the next write at an offset has to fail
+	fieldBreakConnection // 1 if the next write to a connection has to shut it down first
+	fieldArmedPoint      // number of the point at which the event occurs, plus 1; 0 for none
 	fieldArmedEvent
-	fieldArmedSkip // passes of the point that are let go
-	fieldLateProbability
-	fieldLateNotPort
-	fieldPoints = 64 // from here on, how often each point was passed
+	fieldArmedSkip // passes of the point before the one at which the event occurs
+	fieldDelayProbability
+	fieldUndelayedPort
+	fieldPassCounts = 64 // first of the pass counts of the points
 )
 
-// MaxPoints is the number of points that a page has room for.
-const MaxPoints = pageFields - fieldPoints
+// MaxPoints is the number of points whose pass counts fit into a page.
+const MaxPoints = pageFields - fieldPassCounts
 
-// Controls command the faults of the processes that were started with its
-// [Controls.Env], at any time.
+// Controls turn on and off the faults of the processes that were started with
+// [Controls.Env] in their environment. Its methods may be called at any time.
 type Controls struct {
-	path string
-	page *[pageFields]int64
-	raw  []byte
+	path    string
+	page    *[pageFields]int64
+	mapping []byte
 }
 
-// NewControls makes a page, with no faults on, in a file.
+// NewControls creates the page in the file at path, with no faults turned on if the
+// file is new.
 func NewControls(path string) (*Controls, error) {
 	f, err := os.OpenFile(path, os.O_RDWR|os.O_CREATE, 0o600)
 	if err != nil {
@@ -70,113 +71,119 @@
 	if err := f.Truncate(pageBytes); err != nil {
 		return nil, err
 	}
-	raw, err := syscall.Mmap(int(f.Fd()), 0, pageBytes, syscall.PROT_READ|syscall.PROT_WRITE, syscall.MAP_SHARED)
+	mapping, err := syscall.Mmap(int(f.Fd()), 0, pageBytes, syscall.PROT_READ|syscall.PROT_WRITE, syscall.MAP_SHARED)
 	if err != nil {
-		return nil, fmt.Errorf("map the page of controls: %w", err)
+		return nil, fmt.Errorf("map the page of fault controls: %w", err)
 	}
-	return &Controls{path: path, raw: raw, page: (*[pageFields]int64)(unsafe.Pointer(&raw[0]))}, nil
+	return &Controls{path: path, mapping: mapping, page: (*[pageFields]int64)(unsafe.Pointer(&mapping[0]))}, nil
 }
 
-// Close gives the page back. Nothing may be commanded after it.
-func (c *Controls) Close() error { return syscall.Munmap(c.raw) }
+// Close unmaps the page. The Controls must not be used afterwards.
+func (c *Controls) Close() error { return syscall.Munmap(c.mapping) }
 
-// Env is the variable for processes that are to follow these controls.
+// Env returns the environment entry, NAME=value, for the processes to be controlled.
 func (c *Controls) Env() string { return PageVariable + "=" + c.path }
 
 func (c *Controls) set(field int, value int64) { atomic.StoreInt64(&c.page[field], value) }
 
 func (c *Controls) get(field int) int64 { return atomic.LoadInt64(&c.page[field]) }
 
-// parts turns a probability into parts of 2^32.
-func parts(probability float64) int64 { return int64(probability * (1 << 32)) }
+// fixedPoint converts a probability to units of 2^-32, as the page holds it.
+func fixedPoint(probability float64) int64 { return int64(probability * (1 << 32)) }
 
-// SetWallOffset has the wall clock be off by a span, in whole seconds. The monotonic clock
-// runs on.
-func (c *Controls) SetWallOffset(off time.Duration) { c.set(fieldWallSeconds, int64(off/time.Second)) }
+// SetWallOffset shifts the wall clock by offset, truncated to whole seconds. The monotonic
+// clock is not affected.
+func (c *Controls) SetWallOffset(offset time.Duration) {
+	c.set(fieldWallSeconds, int64(offset/time.Second))
+}
 
-// HoldAfterClock has the whole process stop right behind a reading of the clock, with a
+// HoldAfterClock stops the whole process right after a reading of the clock, with the given
 // probability for each reading, until it gets SIGCONT: see [Resume].
 func (c *Controls) HoldAfterClock(probability float64) {
-	c.set(fieldHoldProbability, parts(probability))
+	c.set(fieldHoldProbability, fixedPoint(probability))
 }
 
-// HoldBeforeWrites has the whole process stop right before a write to a connection, so
-// that nothing can be looked at any more between the reading of the clock and the
-// write, until it gets SIGCONT.
+// HoldBeforeWrites stops the whole process right before a write to a connection, with the
+// given probability for each write, until it gets SIGCONT. The program can't check
+// anything between the hold and the write.
 func (c *Controls) HoldBeforeWrites(probability float64) {
-	c.set(fieldHoldWriteProbability, parts(probability))
+	c.set(fieldHoldWriteProbability, fixedPoint(probability))
 }
 
-// FailAccepts has accepts fail.
+// FailAccepts makes accepts fail with errno, with the given probability for each.
 func (c *Controls) FailAccepts(probability float64, errno syscall.Errno) {
 	c.set(fieldAcceptErrno, int64(errno))
-	c.set(fieldAcceptProbability, parts(probability))
+	c.set(fieldAcceptProbability, fixedPoint(probability))
 }
 
-// FailWrites has writes at an offset, such as the store's, fail after half of their
-// bytes.
+// FailWrites makes writes at an offset, such as the store's, fail with errno after half
+// of their bytes, with the given probability for each.
 func (c *Controls) FailWrites(probability float64, errno syscall.Errno) {
 	c.set(fieldWriteErrno, int64(errno))
-	c.set(fieldWriteProbability, parts(probability))
+	c.set(fieldWriteProbability, fixedPoint(probability))
 }
 
-// FailSyncs has syncs of files and folders fail.
+// FailSyncs makes syncs of files and folders fail with errno, with the given probability
+// for each.
 func (c *Controls) FailSyncs(probability float64, errno syscall.Errno) {
 	c.set(fieldSyncErrno, int64(errno))
-	c.set(fieldSyncProbability, parts(probability))
+	c.set(fieldSyncProbability, fixedPoint(probability))
 }
 
-// FailConnects has connects fail.
+// FailConnects makes connects fail with errno, with the given probability for each.
 func (c *Controls) FailConnects(probability float64, errno syscall.Errno) {
 	c.set(fieldConnectErrno, int64(errno))
-	c.set(fieldConnectProbability, parts(probability))
+	c.set(fieldConnectProbability, fixedPoint(probability))
 }
 
-// DelayConnects has connects begin 0.3 to 0.9 s late, but for those to one port.
-func (c *Controls) DelayConnects(probability float64, notPort int) {
-	c.set(fieldLateNotPort, int64(notPort))
-	c.set(fieldLateProbability, parts(probability))
+// DelayConnects delays connects by 0.3 to 0.9 s, with the given probability for each.
+// Connects to exemptPort are not delayed.
+func (c *Controls) DelayConnects(probability float64, exemptPort int) {
+	c.set(fieldUndelayedPort, int64(exemptPort))
+	c.set(fieldDelayProbability, fixedPoint(probability))
 }
 
-// Counts are the faults that have come.
+// Counts are the numbers of faults injected so far, by kind.
 type Counts struct{ Holds, Accepts, Writes, Syncs, Connects int64 }
 
-// Counts tells how many faults have come.
+// Counts returns the numbers of faults injected so far.
 func (c *Controls) Counts() Counts {
-	return Counts{c.get(fieldHoldCount), c.get(fieldAcceptCount), c.get(fieldWriteCount), c.get(fieldSyncCount), c.get(fieldConnectCount)}
+	return Counts{c.get(fieldHoldCount), c.get(fieldAcceptCount), c.get(fieldWriteCount), c.get(fieldSyncCount),
+		c.get(fieldConnectCount)}
 }
 
-// lookEvery is how often Resume looks whether a process stands.
-const lookEvery = 2 * time.Millisecond
+// statePollInterval is how often Resume checks whether the process is stopped.
+const statePollInterval = 2 * time.Millisecond
 
-// Resume lets a process go on, each time that it has stopped itself, after what next
-// says, until stop is closed or the process is gone. It returns the time for which
-// the process stood each time.
-func Resume(pid int, next func() time.Duration, stop <-chan struct{}) (stood []time.Duration) {
-	tick := time.NewTicker(lookEvery)
+// Resume sends SIGCONT to a process each time it has stopped itself, after the duration
+// that nextHold returns, until stop is closed or the process is gone. It returns how long
+// each hold lasted.
+func Resume(pid int, nextHold func() time.Duration, stop <-chan struct{}) (holds []time.Duration) {
+	tick := time.NewTicker(statePollInterval)
 	defer tick.Stop()
 	for {
 		select {
 		case <-stop:
 			syscall.Kill(pid, syscall.SIGCONT)
-			return stood
+			return holds
 		case <-tick.C:
 		}
 		state, ok := processState(pid)
 		if !ok {
-			return stood
+			return holds
 		}
 		if state != 'T' {
 			continue
 		}
-		from := time.Now()
-		time.Sleep(next())
+		stoppedAt := time.Now()
+		time.Sleep(nextHold())
 		syscall.Kill(pid, syscall.SIGCONT)
-		stood = append(stood, time.Since(from)+lookEvery)
+		holds = append(holds, time.Since(stoppedAt)+statePollInterval)
 	}
 }
 
-// processState is the state of a process as proc(5) tells it; false once it is gone.
+// processState returns the state of a process in the notation of proc(5); false once the
+// process has exited.
 func processState(pid int) (byte, bool) {
 	b, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
--- a/internal/standin/faultbuild/doc.go
+++ b/internal/standin/faultbuild/doc.go
@@ -1,8 +1,9 @@
-// Package faultbuild builds the real program against a copy of the Go standard
-// library whose clock, accepts, connects, writes and syncs fail on command.
+// Package faultbuild builds the real program with fault injection: patched copies
+// of some files of the Go standard library make the clock, accepts, connects, writes
+// and syncs fail on demand.
 //
-// The copies are made in a temporary folder and handed to the compiler by go
-// build -overlay: the tool chain itself is not changed and nothing of the copies
-// enters the repository. A running program is commanded through a page of shared
-// memory, see [Controls], so that a test may turn faults on and off at any time.
+// The copies are written to a temporary folder and passed to the compiler with go
+// build -overlay, so the tool chain and the repository stay unchanged. A running
+// program reads its faults from a page of shared memory, see [Controls], so a test
+// can turn them on and off at any time.
 package faultbuild
--- a/internal/standin/faultbuild/faultbuild_test.go
+++ b/internal/standin/faultbuild/faultbuild_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// The tool chain at hand has each piece that is patched.
+// Each piece of the standard library that is patched exists in the installed tool chain.
 func TestOverlayFitsTheToolChain(t *testing.T) {
 	path, err := writeOverlay(t.TempDir())
 	if err != nil {
@@ -17,7 +17,7 @@
 	}
 }
 
-// What is set is what a process reads, and counts begin at 0.
+// A new page has no faults and zero counts, and a probability is stored in units of 2^-32.
 func TestControlsStartWithoutFaults(t *testing.T) {
 	c, err := NewControls(filepath.Join(t.TempDir(), "page"))
 	if err != nil {
--- a/internal/standin/faultbuild/overlay.go
+++ b/internal/standin/faultbuild/overlay.go
@@ -9,21 +9,21 @@
 	"strings"
 )
 
-// patch replaces one piece of a file of the standard library, which must be there
-// exactly once.
+// patch replaces one piece of a file of the standard library. The piece must occur in the
+// file exactly once.
 type patch struct {
-	file     string // below GOROOT/src
+	file     string // path relative to GOROOT/src
 	old, new string
 }
 
-// Change replaces one piece of a file of this module, which must be there exactly once:
-// a fault that a test is to find.
+// Change replaces one piece of a file of this module, for example to plant a fault that a
+// test has to find. The piece must occur in the file exactly once.
 type Change struct {
-	File     string // below the top of the module
+	File     string // path relative to the root of the module
 	Old, New string
 }
 
-// patches put the calls of the hooks in hooksSource into the standard library.
+// patches insert the calls of the hooks in hooksSource into the standard library.
 var patches = []patch{
 	{"time/time.go", "	sec, nsec, mono := runtimeNow()\n	if mono == 0 {\n		return Time{uint64(nsec), sec + unixToInternal, Local}",
 		"	sec, nsec, mono := runtimeNow()\n	sec += syscall.FaultWallSeconds()\n	syscall.FaultHold()\n	if mono == 0 {\n		return Time{uint64(nsec), sec + unixToInternal, Local}"},
@@ -52,7 +52,7 @@
 
 const hooksFile = "syscall/fault_hooks.go"
 
-// hooksSource joins package syscall, which all the patched packages import.
+// hooksSource is added to package syscall, since all patched packages import it.
 const hooksSource = `package syscall
 
 import (
@@ -250,8 +250,9 @@
 }
 `
 
-// Build builds a package of this module, such as ./cmd/cometrack, to path, with changes
-// to the module's own files. The working directory must be within the module.
+// Build builds a package of this module, such as ./cmd/cometrack, to path, with the hooks
+// for faults and with changes to the module's own files. The working directory must be
+// within the module.
 func Build(path, pkg string, changes ...Change) error {
 	dir, err := os.MkdirTemp("", "faultbuild")
 	if err != nil {
@@ -269,14 +270,14 @@
 	return nil
 }
 
-// writeOverlay writes the patched copies below dir, and the file that names them for
-// the compiler.
+// writeOverlay writes the patched copies and the overlay file for go build to dir. It
+// returns the path of the overlay file.
 func writeOverlay(dir string, changes ...Change) (path string, err error) {
 	root, err := goEnv("GOROOT")
 	if err != nil {
 		return "", err
 	}
-	module, err := moduleTop()
+	module, err := moduleRoot()
 	if err != nil {
 		return "", err
 	}
@@ -284,7 +285,7 @@
 	texts := map[string]string{filepath.Join(source, hooksFile): hooksSource}
 	for _, p := range patches {
 		if err := replaceOnce(texts, filepath.Join(source, p.file), p.old, p.new); err != nil {
-			return "", fmt.Errorf("this tool chain is not known: %w", err)
+			return "", fmt.Errorf("patch the standard library of this tool chain: %w", err)
 		}
 	}
 	for _, c := range changes {
@@ -308,7 +309,7 @@
 	return path, os.WriteFile(path, b, 0o600)
 }
 
-// goEnv asks the go command for one of its variables.
+// goEnv returns a variable of the go command's environment.
 func goEnv(name string) (string, error) {
 	out, err := exec.Command("go", "env", name).Output()
 	if err != nil {
@@ -317,13 +318,14 @@
 	return strings.TrimSpace(string(out)), nil
 }
 
-// moduleTop is the folder of this module.
-func moduleTop() (string, error) {
+// moduleRoot returns the root folder of this module.
+func moduleRoot() (string, error) {
 	file, err := goEnv("GOMOD")
 	return filepath.Dir(file), err
 }
 
-// replaceOnce replaces a piece of a file, which is read unless texts has it already.
+// replaceOnce replaces a piece in the text of a file. The file is read unless texts has
+// its text already. It is an error if the piece doesn't occur exactly once.
 func replaceOnce(texts map[string]string, file, before, after string) error {
 	text, ok := texts[file]
 	if !ok {
@@ -334,7 +336,7 @@
 		text = string(b)
 	}
 	if n := strings.Count(text, before); n != 1 {
-		return fmt.Errorf("%s: the piece to replace is there %d times, and was to be there once:\n%s", file, n, before)
+		return fmt.Errorf("%s: the piece to replace occurs %d times, want once:\n%s", file, n, before)
 	}
 	texts[file] = strings.Replace(text, before, after, 1)
 	return nil
--- a/internal/standin/faultbuild/points.go
+++ b/internal/standin/faultbuild/points.go
@@ -9,33 +9,33 @@
 )
 
 // Point is a named place in the program, between two steps that belong together, at
-// which an event may be made to come.
+// which an event can be injected.
 type Point struct {
 	Name   string
-	File   string // below the top of the module
-	Before string // the text that it comes before, which must be in the file exactly once
+	File   string // path relative to the root of the module
+	Before string // source text after the point; it must occur in the file exactly once
 }
 
-// Event is what comes at a point.
+// Event is a fault or signal that is injected at a point.
 type Event int
 
-// The events.
+// The events, in the order of their numbers in the page.
 const (
-	Hold            Event = iota // the process is held up until it gets SIGCONT, see [Resume]
+	Hold            Event = iota // the process is stopped until it gets SIGCONT, see [Resume]
 	Kill                         // SIGKILL
 	Terminate                    // SIGTERM
 	Reload                       // SIGHUP
-	FailWrite                    // the next write to the folder fails
-	BreakConnection              // the connection is shut that is written to next
-	EventCount                   // their number
+	FailWrite                    // the next write at an offset fails
+	BreakConnection              // the next connection that is written to is shut down first
+	EventCount                   // the number of events
 )
 
 var eventNames = [...]string{"hold", "kill", "terminate", "reload", "fail write", "break"}
 
 func (e Event) String() string { return eventNames[e] }
 
-// Arm has an event come at a point, by its number, after it has been passed some times.
-// It comes once.
+// Arm injects an event at a point, given by its number, once the point has been passed
+// skip times. The event occurs once.
 func (c *Controls) Arm(point int, event Event, skip int) {
 	c.set(fieldArmedPoint, 0)
 	c.set(fieldArmedEvent, int64(event))
@@ -43,24 +43,24 @@
 	c.set(fieldArmedPoint, int64(point)+1)
 }
 
-// Disarm takes an event back, and says whether it had not come.
+// Disarm cancels the armed event and reports whether it had not occurred yet.
 func (c *Controls) Disarm() bool {
 	return atomic.SwapInt64(&c.page[fieldArmedPoint], 0) != 0
 }
 
-// Armed says whether an event is still to come.
+// Armed reports whether the armed event has not occurred yet.
 func (c *Controls) Armed() bool { return c.get(fieldArmedPoint) != 0 }
 
-// PassCount is how often a point has been passed.
-func (c *Controls) PassCount(point int) int64 { return c.get(fieldPoints + point) }
+// PassCount returns how often a point, given by its number, has been passed.
+func (c *Controls) PassCount(point int) int64 { return c.get(fieldPassCounts + point) }
 
-// PointChanges are those of a build in which the points report themselves by their number.
-// The working directory must be within the module.
+// PointChanges returns the source changes of a build in which each point calls its hook
+// with its index in points. The working directory must be within the module.
 func PointChanges(points []Point) ([]Change, error) {
 	if len(points) > MaxPoints {
 		return nil, fmt.Errorf("%d points; a page has room for %d", len(points), MaxPoints)
 	}
-	top, err := moduleTop()
+	top, err := moduleRoot()
 	if err != nil {
 		return nil, err
 	}
--- a/internal/standin/faultbuild/trace.go
+++ b/internal/standin/faultbuild/trace.go
@@ -9,27 +9,28 @@
 	"time"
 )
 
-// TraceVariable names the environment variable that tells a program the file to which
-// it adds what it does with its connections.
+// TraceVariable is the environment variable with the path of the trace: the file to which
+// a program appends what it does with its connections.
 const TraceVariable = "COMETRACK_FAULT_TRACE"
 
-// Connection is what a program did with one connection.
+// Connection is the trace of one connection of the program.
 type Connection struct {
-	Port      int // of its peer
+	Port      int // of the peer
 	FirstSeen time.Time
-	Reads     []Read    // until the program ended its side, in order
-	EndedAt   time.Time // when it ended its side, or closed the connection; zero if it never did
-	// Broken says that a [Break] came on it: what became of it is not the program's doing.
+	Reads     []Read    // in order, until the program ended its side
+	EndedAt   time.Time // when the program shut down or closed its side; zero if it never did
+	// Broken reports that a [BreakConnection] event shut the connection down, so that its end
+	// is no act of the program.
 	Broken bool
 }
 
-// Read is a read from a connection.
+// Read is one read from a connection.
 type Read struct {
 	At         time.Time
-	TotalBytes int64 // bytes that have been read with it
+	TotalBytes int64 // bytes read from the connection so far, this read included
 }
 
-// ReadTime is when a byte, counted from 1, had been read; zero if it never was.
+// ReadTime returns when the n-th byte, counted from 1, had been read; zero if it never was.
 func (c *Connection) ReadTime(n int64) time.Time {
 	for _, r := range c.Reads {
 		if r.TotalBytes >= n {
@@ -39,8 +40,8 @@
 	return time.Time{}
 }
 
-// ReadTrace reads a trace: the connections in the order in which the program first
-// read from them or ended them. There are none if there is no file.
+// ReadTrace reads the trace at path. It returns the connections in the order in which the
+// program first read from them or ended them, and none if there is no file.
 func ReadTrace(path string) ([]*Connection, error) {
 	text, err := os.ReadFile(path)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -54,17 +55,18 @@
 	open := map[handle]*Connection{}
 	for line := range bytes.Lines(text) {
 		var event byte
-		var of handle
+		var key handle
 		var port int
 		var number, nanoseconds int64
-		if _, err := fmt.Sscanf(string(line), "%c %d %d %d %d %d", &event, &of.descriptor, &port, &number, &nanoseconds, &of.process); err != nil {
-			return nil, fmt.Errorf("the trace has the line %q: %w", line, err)
+		if _, err := fmt.Sscanf(string(line), "%c %d %d %d %d %d", &event, &key.descriptor, &port, &number, &nanoseconds,
+			&key.process); err != nil {
+			return nil, fmt.Errorf("malformed trace line %q: %w", line, err)
 		}
 		at := time.Unix(0, nanoseconds)
-		c := open[of]
+		c := open[key]
 		if c == nil {
 			c = &Connection{Port: port, FirstSeen: at}
-			open[of] = c
+			open[key] = c
 			list = append(list, c)
 		}
 		if event == 'B' {
@@ -72,7 +74,7 @@
 		}
 		if !c.EndedAt.IsZero() {
 			if event == 'C' {
-				delete(open, of)
+				delete(open, key)
 			}
 			continue
 		}
@@ -87,7 +89,7 @@
 			c.EndedAt = at
 		case 'C':
 			c.EndedAt = at
-			delete(open, of)
+			delete(open, key)
 		}
 	}
 	return list, nil
