--- a/internal/soak/client.go
+++ b/internal/soak/client.go
@@ -17,18 +17,18 @@
 
 func asNetError(err error, target *net.Error) bool { return errors.As(err, target) }
 
-// clients hand messages in at one sender.
+// clients submit messages to one sender.
 type clients struct {
-	sender  int
-	addr    string
-	dests   int
-	crowd   bool // idle clients fill its descriptors: new connections may be shut unread
-	records *Records
-	number  atomic.Int64
-	wg      sync.WaitGroup
+	sender           int
+	addr             string
+	destinationCount int
+	fillDescriptors  bool // idle clients use up the sender's descriptors, so it may close new connections unread
+	records          *Records
+	messageCount     atomic.Int64
+	wg               sync.WaitGroup
 }
 
-// kinds of clients, and how many of each a sender has.
+// clientKinds are the kinds of clients, and how many of each a sender has.
 var clientKinds = []struct {
 	name  string
 	count int
@@ -42,7 +42,7 @@
 	{"fresh", 1, (*clients).fresh},
 }
 
-const crowdSize = 150
+const idleClientCount = 150
 
 func (c *clients) start(ctx context.Context, seed uint64) {
 	n := uint64(0)
@@ -57,8 +57,8 @@
 			})
 		}
 	}
-	if c.crowd {
-		for range crowdSize {
+	if c.fillDescriptors {
+		for range idleClientCount {
 			c.wg.Go(func() { c.idle(ctx) })
 		}
 	}
@@ -69,7 +69,7 @@
 	net.Conn
 	r       *bufio.Reader
 	used    bool
-	port    int // this end's
+	port    int // local port
 	dialed  time.Time
 	written int64 // bytes
 }
@@ -94,12 +94,16 @@
 	}
 }
 
-// compose makes a message and its request.
+// compose returns a random message and the text of its request.
 func (c *clients) compose(kind string, rng *rand.Rand) (m *Message, text []byte) {
 	effect := []Effect{Safe, Keyed, Unsafe}[rng.IntN(3)]
-	hold := []time.Duration{400 * time.Millisecond, time.Second, 2500 * time.Millisecond, 4 * time.Second}[rng.IntN(4)] + time.Duration(rng.IntN(400))*time.Millisecond
-	m = &Message{ID: fmt.Sprintf("s%d-%s-%d", c.sender, kind, c.number.Add(1)), Sender: c.sender, Effect: effect, ClientKind: kind, hold: hold}
-	opts := fmt.Sprintf("c=%s,t=acme,d=%d,k=k-%s,dest=%d", effect, hold.Milliseconds(), m.ID, rng.IntN(c.dests))
+	lifetime := []time.Duration{400 * time.Millisecond, time.Second,
+		2500 * time.Millisecond, 4 * time.Second}[rng.IntN(4)] +
+		time.Duration(rng.IntN(400))*time.Millisecond
+	m = &Message{ID: fmt.Sprintf("s%d-%s-%d", c.sender, kind, c.messageCount.Add(1)), Sender: c.sender, Effect: effect,
+		ClientKind: kind, lifetime: lifetime}
+	opts := fmt.Sprintf("c=%s,t=acme,d=%d,k=k-%s,dest=%d",
+		effect, lifetime.Milliseconds(), m.ID, rng.IntN(c.destinationCount))
 	body := "body of " + m.ID
 	if rng.IntN(20) == 0 {
 		body = strings.Repeat("x", 5000)
@@ -120,36 +124,36 @@
 	return m
 }
 
-// write writes to a connection and books a message, whose request ends with the first
-// of the bytes; false if the connection is broken.
-func (c *clients) write(x *conn, m *Message, text []byte, first int) bool {
+// write writes text to a connection and records a message whose request ends after the given number of its
+// bytes. It returns false if the connection is broken.
+func (c *clients) write(x *conn, m *Message, text []byte, requestBytes int) bool {
 	m.FirstOnConn, x.used = !x.used, true
 	m.WrittenAt = time.Now()
-	m.Deadline = m.WrittenAt.Add(m.hold)
-	m.port, m.dialed, m.end = x.port, x.dialed, x.written+int64(first)
-	c.records.add(m)
+	m.Deadline = m.WrittenAt.Add(m.lifetime)
+	m.port, m.dialed, m.requestEnd = x.port, x.dialed, x.written+int64(requestBytes)
+	c.records.addMessage(m)
 	x.SetWriteDeadline(time.Now().Add(time.Second))
 	n, err := x.Write(text)
 	if x.written += int64(n); err != nil {
-		c.records.with(m, func() { m.ClientLeft = true }) // it was not written whole
+		c.records.update(m, func() { m.ClientLeft = true }) // the write was incomplete
 	}
 	return err == nil
 }
 
-// answer reads the answer to a message; false if the connection has ended or the
-// client gives up.
+// answer reads and records the response to a message. It returns false if the connection has ended or the
+// client gives up waiting.
 func (c *clients) answer(x *conn, m *Message) bool {
-	x.SetReadDeadline(m.WrittenAt.Add(2*answerWithin + time.Second))
-	line, err := x.r.ReadString('\n')
+	x.SetReadDeadline(m.WrittenAt.Add(2*answerTimeout + time.Second))
+	rawAnswer, err := x.r.ReadString('\n')
 	at := time.Now()
 	switch {
 	case err == nil:
-		c.records.with(m, func() { m.Answer, m.AnsweredAt, m.line = strings.TrimSpace(line), at, line })
+		c.records.update(m, func() { m.Answer, m.AnsweredAt, m.rawAnswer = strings.TrimSpace(rawAnswer), at, rawAnswer })
 		return true
 	default:
 		var t net.Error
 		timeout := errors.As(err, &t) && t.Timeout()
-		c.records.with(m, func() {
+		c.records.update(m, func() {
 			if m.ClientLeft = timeout; !timeout {
 				m.ClosedAt = at
 			}
@@ -158,7 +162,7 @@
 	}
 }
 
-// steady uses one connection, with short pauses, as long as it stays open.
+// steady sends one request after the other on a connection, with short pauses, as long as it stays open.
 func (c *clients) steady(ctx context.Context, rng *rand.Rand) {
 	x := c.dial(ctx)
 	if x == nil {
@@ -174,7 +178,7 @@
 	}
 }
 
-// burst sends many requests at once and then reads their answers.
+// burst pipelines several requests and then reads their responses.
 func (c *clients) burst(ctx context.Context, rng *rand.Rand) {
 	x := c.dial(ctx)
 	if x == nil {
@@ -191,7 +195,7 @@
 		for i, m := range out {
 			if !c.answer(x, m) {
 				for _, later := range out[i+1:] {
-					c.records.with(later, func() { later.ClosedAt, later.ClientLeft = m.ClosedAt, m.ClientLeft })
+					c.records.update(later, func() { later.ClosedAt, later.ClientLeft = m.ClosedAt, m.ClientLeft })
 				}
 				return
 			}
@@ -200,8 +204,8 @@
 	}
 }
 
-// cut always has a request under way: each write brings the rest of one and the first
-// part of the next, cut at any byte.
+// cut always has an incomplete request outstanding: each write holds the rest of one request and the first
+// part of the next, split at a random byte.
 func (c *clients) cut(ctx context.Context, rng *rand.Rand) {
 	x := c.dial(ctx)
 	if x == nil {
@@ -211,16 +215,16 @@
 	m, rest := c.compose("cut", rng)
 	for ctx.Err() == nil {
 		next, text := c.compose("cut", rng)
-		part := 1 + rng.IntN(len(text)-1)
-		if !c.write(x, m, slices.Concat(rest, text[:part]), len(rest)) || !c.answer(x, m) {
+		split := 1 + rng.IntN(len(text)-1)
+		if !c.write(x, m, slices.Concat(rest, text[:split]), len(rest)) || !c.answer(x, m) {
 			return
 		}
-		m, rest = next, text[part:]
+		m, rest = next, text[split:]
 		pause(ctx, time.Duration(5+rng.IntN(40))*time.Millisecond)
 	}
 }
 
-// fresh makes a connection for each request, and leaves it after the answer.
+// fresh uses a new connection for each request and closes it after the response.
 func (c *clients) fresh(ctx context.Context, rng *rand.Rand) {
 	x := c.dial(ctx)
 	if x == nil {
@@ -233,7 +237,7 @@
 	pause(ctx, time.Duration(50+rng.IntN(200))*time.Millisecond)
 }
 
-// resting uses a connection now and then, until the sender ends it.
+// resting sends requests far apart on one connection until the sender closes it.
 func (c *clients) resting(ctx context.Context, rng *rand.Rand) {
 	x := c.dial(ctx)
 	if x == nil {
@@ -245,12 +249,12 @@
 		if m == nil || !c.answer(x, m) {
 			return
 		}
-		pause(ctx, time.Duration(3500+rng.IntN(1000))*time.Millisecond) // close to the time after which the sender ends it
+		pause(ctx, time.Duration(3500+rng.IntN(1000))*time.Millisecond) // close to the idle timeout of the sender
 	}
 }
 
-// halting stops in the middle of a request and stays: it is owed an error or a close
-// within 3 s.
+// halting stops in the middle of a request and keeps the connection open. The sender has to answer with an
+// error or close the connection within 3 s.
 func (c *clients) halting(ctx context.Context, rng *rand.Rand) {
 	x := c.dial(ctx)
 	if x == nil {
@@ -263,17 +267,19 @@
 	_, err := x.r.ReadString('\n')
 	took := time.Since(from)
 	if err != nil && !errors.Is(err, io.EOF) || took > 3*time.Second {
-		c.records.change(func() {
-			took -= within(c.records.stalls[c.sender], from, time.Now())
-			if took > 3*time.Second+crossingAge && !c.records.diedBetween(c.sender, from.Add(-time.Second), time.Now()) {
-				c.records.other = append(c.records.other, fmt.Sprintf("sender %d: a client that stopped within a request had neither error nor close after %v", c.sender, took))
+		c.records.withLock(func() {
+			took -= overlap(c.records.stalls[c.sender], from, time.Now())
+			if took > 3*time.Second+maxUnreadAge && !c.records.killedBetween(c.sender, from.Add(-time.Second), time.Now()) {
+				c.records.faults = append(c.records.faults, fmt.Sprintf(
+					"sender %d: a client that stopped within a request got neither an error nor a close after %v",
+					c.sender, took))
 			}
 		})
 	}
 	pause(ctx, time.Duration(rng.IntN(1000))*time.Millisecond)
 }
 
-// idle connects, says nothing, and comes again when it is closed.
+// idle keeps a connection open without sending and reconnects when it is closed.
 func (c *clients) idle(ctx context.Context) {
 	for ctx.Err() == nil {
 		x := c.dial(ctx)
--- a/internal/soak/crossings.go
+++ b/internal/soak/crossings.go
@@ -17,18 +17,18 @@
 )
 
 const (
-	trafficPatience = 1500 * time.Millisecond // for traffic to come by a point
-	rarePatience    = 5 * time.Second         // when it has not at first
-	startPatience   = 2 * time.Second         // for a start to
-	pairPatience    = 400 * time.Millisecond  // for a second event
-	pollEvery       = time.Millisecond
-	pollPong        = 100 * time.Millisecond
-	pairShare       = 0.5 // of the crossings that a second event follows at once
-	mostSkipped     = 3   // passes of a point by traffic before the event
-	tries           = 4   // of a crossing whose point is not passed in time
+	trafficTimeout         = 1500 * time.Millisecond // for traffic to pass a point, on the first try
+	retryTimeout           = 5 * time.Second         // for the same on later tries
+	startTimeout           = 2 * time.Second         // for a start to pass a point
+	secondEventTimeout     = 400 * time.Millisecond  // for the second of two events
+	pollInterval           = time.Millisecond
+	pingInterval           = 100 * time.Millisecond
+	secondEventProbability = 0.5 // of a second event right after the first
+	maxSkippedPasses       = 3   // of a point by traffic before the event
+	maxTries               = 4   // of a crossing whose point is not passed in time
 )
 
-// crossing is an event at a point.
+// crossing is an event injected at a point.
 type crossing struct {
 	point int
 	event faultbuild.Event
@@ -36,49 +36,52 @@
 
 func (x crossing) String() string { return fmt.Sprintf("%s at %q", x.event, points[x.point].Name) }
 
-// Crossings are the crossings of a run.
+// Crossings count and log the crossings of one or more runs.
 type Crossings struct {
-	mu    sync.Mutex
-	came  map[crossing]int
-	pairs int
-	log   []string
+	mu     sync.Mutex
+	counts map[crossing]int
+	pairs  int
+	log    []string
 }
 
-// NewCrossings has none.
-func NewCrossings() *Crossings { return &Crossings{came: map[crossing]int{}} }
+// NewCrossings returns an empty Crossings.
+func NewCrossings() *Crossings { return &Crossings{counts: map[crossing]int{}} }
 
-func (c *Crossings) note(sender int, x crossing, came bool) {
+// record logs a crossing of a sender, and counts it if the event occurred.
+func (c *Crossings) record(sender int, x crossing, occurred bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if came {
-		c.came[x]++
+	if occurred {
+		c.counts[x]++
 	}
-	c.log = append(c.log, fmt.Sprintf("%s sender %d: %v, came %v", time.Now().Format("15:04:05.000"), sender, x, came))
+	c.log = append(c.log, fmt.Sprintf("%s sender %d: %v, occurred %v",
+		time.Now().Format("15:04:05.000"), sender, x, occurred))
 }
 
-// notePair notes a second event that has come.
-func (c *Crossings) notePair(sender int, x crossing) {
-	c.note(sender, x, true)
+// recordPair records a second event that occurred right after the first.
+func (c *Crossings) recordPair(sender int, x crossing) {
+	c.record(sender, x, true)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.pairs++
 }
 
-// PairCount is how often a second event followed at once.
+// PairCount returns how often a second event occurred right after the first.
 func (c *Crossings) PairCount() int { return c.pairs }
 
-// Add counts the crossings of another run too.
+// Add adds the counts of another run.
 func (c *Crossings) Add(other *Crossings) {
-	for x, n := range other.came {
-		c.came[x] += n
+	for x, n := range other.counts {
+		c.counts[x] += n
 	}
 	c.pairs += other.pairs
 }
 
-// Log tells the crossings in their order.
+// Log returns the log lines of the crossings in their order.
 func (c *Crossings) Log() []string { return c.log }
 
-// Table has a line for each point, with how often each event came there.
+// Table returns a table with a line for each point and a column for each event: how often the event occurred
+// there.
 func (c *Crossings) Table() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%-48s", "point")
@@ -88,17 +91,17 @@
 	for i, p := range points {
 		fmt.Fprintf(&b, "\n%-48s", p.Name)
 		for e := range faultbuild.EventCount {
-			fmt.Fprintf(&b, " %10d", c.came[crossing{i, e}])
+			fmt.Fprintf(&b, " %10d", c.counts[crossing{i, e}])
 		}
 	}
 	return b.String()
 }
 
-// Missing are the crossings that did not come.
+// Missing lists the crossings that have not occurred.
 func (c *Crossings) Missing() (list []string) {
 	for i := range points {
 		for e := range faultbuild.EventCount {
-			if x := (crossing{i, e}); c.came[x] == 0 {
+			if x := (crossing{i, e}); c.counts[x] == 0 {
 				list = append(list, x.String())
 			}
 		}
@@ -106,9 +109,9 @@
 	return list
 }
 
-// playCrossings plays every crossing once, in an order drawn from a seed, each at the
-// next sender that is free.
-func (f *fleet) playCrossings(seed uint64, busy *sync.WaitGroup) *Crossings {
+// runCrossings executes every crossing once, in an order drawn from seed, each at the next free sender. It
+// returns at once; running is done when all have been tried.
+func (f *fleet) runCrossings(seed uint64, running *sync.WaitGroup) *Crossings {
 	rng := rand.New(rand.NewPCG(seed, 3))
 	var list []crossing
 	for i := range points {
@@ -117,23 +120,23 @@
 		}
 	}
 	rng.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
-	work := make(chan crossing, len(list))
+	queue := make(chan crossing, len(list))
 	for _, x := range list {
-		work <- x
+		queue <- x
 	}
-	close(work)
+	close(queue)
 	out := NewCrossings()
 	for _, s := range f.senders {
-		own := rand.New(rand.NewPCG(seed, uint64(1000+s.number)))
-		busy.Go(func() {
-			for x := range work {
-				came := false
-				for try := 0; try < tries && !came; try++ {
-					patience, skip := rarePatience, 0
+		senderRNG := rand.New(rand.NewPCG(seed, uint64(1000+s.number)))
+		running.Go(func() {
+			for x := range queue {
+				occurred := false
+				for try := 0; try < maxTries && !occurred; try++ {
+					timeout, skip := retryTimeout, 0
 					if try == 0 {
-						patience, skip = trafficPatience, own.IntN(mostSkipped+1)
+						timeout, skip = trafficTimeout, senderRNG.IntN(maxSkippedPasses+1)
 					}
-					came = f.cross(s, x, patience, skip, own, out)
+					occurred = f.runCrossing(s, x, timeout, skip, senderRNG, out)
 				}
 			}
 		})
@@ -141,75 +144,78 @@
 	return out
 }
 
-// cross has an event come at a point of a sender, and the sender serve again; false if
-// the point was not passed. Traffic may pass it some times before the event comes.
-func (f *fleet) cross(s *sender, x crossing, patience time.Duration, skip int, rng *rand.Rand, out *Crossings) bool {
-	s.life.Lock()
-	defer s.life.Unlock()
-	from := time.Now()
+// runCrossing injects an event at a point of a sender and restores the sender's service afterwards. It returns
+// false if the point was not passed within timeout. Traffic passes the point skip times before the event
+// occurs.
+func (f *fleet) runCrossing(s *sender, x crossing, timeout time.Duration, skip int, rng *rand.Rand,
+	out *Crossings) bool {
+	s.restartMu.Lock()
+	defer s.restartMu.Unlock()
+	began := time.Now()
 	switch points[x.point].trigger {
 	case byTraffic:
 		s.controls.Arm(x.point, x.event, skip)
 	case byTerm:
-		patience = killAfter
+		timeout = killDelay
 		s.controls.Arm(x.point, x.event, 0)
 		s.signal(syscall.SIGTERM)
 	case byReload:
 		if err := s.writeConfig(len(f.senders), f.pushed); err != nil {
-			f.fail(err)
+			f.setError(err)
 			return true
 		}
 		s.controls.Arm(x.point, x.event, 0)
 		s.signal(syscall.SIGHUP)
 	case byStart:
-		patience = startPatience
+		timeout = startTimeout
 		s.kill()
-		s.records.restarts(s.number)
-		time.Sleep(startAfter)
+		s.records.clearWaits(s.number)
+		time.Sleep(startDelay)
 		s.controls.Arm(x.point, x.event, 0)
 		if err := s.launch(); err != nil {
-			f.fail(err)
+			f.setError(err)
 			return true
 		}
 	}
-	var next *process
+	var successor *process
 	if points[x.point].trigger == byUpgrade {
 		var err error
-		if next, err = s.startBeside(x); err != nil {
-			f.fail(err)
+		if successor, err = s.startSuccessor(x); err != nil {
+			f.setError(err)
 			return true
 		}
 	}
-	came := s.awaitCrossing(patience)
-	out.note(s.number, x, came)
-	events := map[faultbuild.Event]bool{x.event: came}
-	if came && x.event != faultbuild.Kill && rng.Float64() < pairShare {
+	occurred := s.awaitCrossing(timeout)
+	out.record(s.number, x, occurred)
+	events := map[faultbuild.Event]bool{x.event: occurred}
+	if occurred && x.event != faultbuild.Kill && rng.Float64() < secondEventProbability {
 		second := crossing{rng.IntN(len(points)), faultbuild.Event(rng.IntN(int(faultbuild.EventCount)))}
 		s.controls.Arm(second.point, second.event, 0)
-		if s.awaitCrossing(pairPatience) {
-			out.notePair(s.number, second)
+		if s.awaitCrossing(secondEventTimeout) {
+			out.recordPair(s.number, second)
 			events[second.event] = true
 		}
 	}
-	if next != nil {
+	if successor != nil {
 		if events[faultbuild.Kill] {
-			s.noteDeath(s.process(), next)
+			s.recordKill(s.process(), successor)
 		}
-		if err := s.serveAfterUpgrade(from, next); err != nil {
-			s.records.fault("sender %d: %v after %v", s.number, err, x)
+		if err := s.settleUpgrade(began, successor); err != nil {
+			s.records.addFault("sender %d: %v after %v", s.number, err, x)
 		}
-		return came
+		return occurred
 	}
-	now := time.Now()
-	told := points[x.point].trigger == byTerm || events[faultbuild.Terminate]
-	if err := s.serveAgain(from, now, told, events[faultbuild.Kill], points[x.point].trigger == byStart); err != nil {
-		s.records.fault("sender %d: %v after %v", s.number, err, x)
+	eventsEnded := time.Now()
+	terminated := points[x.point].trigger == byTerm || events[faultbuild.Terminate]
+	if err := s.restoreService(began, eventsEnded, terminated, events[faultbuild.Kill],
+		points[x.point].trigger == byStart); err != nil {
+		s.records.addFault("sender %d: %v after %v", s.number, err, x)
 	}
-	return came
+	return occurred
 }
 
-// fail notes an error of the harness.
-func (f *fleet) fail(err error) {
+// setError keeps the first error of the harness.
+func (f *fleet) setError(err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.err == nil {
@@ -217,20 +223,20 @@
 	}
 }
 
-// awaitCrossing waits until the armed event has come, for so long at most; then it is
-// taken back.
-func (s *sender) awaitCrossing(patience time.Duration) bool {
-	for by := time.Now().Add(patience); time.Now().Before(by) && s.controls.Armed(); {
-		time.Sleep(pollEvery)
+// awaitCrossing waits up to timeout for the armed event to occur, then disarms it. It reports whether the
+// event occurred.
+func (s *sender) awaitCrossing(timeout time.Duration) bool {
+	for by := time.Now().Add(timeout); time.Now().Before(by) && s.controls.Armed(); {
+		time.Sleep(pollInterval)
 	}
 	return !s.controls.Disarm()
 }
 
-// serveAgain sees to it that the sender serves after what has come between two moments:
-// it was told to end, or was killed, or has only just been started.
-func (s *sender) serveAgain(from, last time.Time, told, killed, started bool) error {
-	defer func() { s.records.outage(s.number, from, time.Now()) }()
-	if !told && !killed {
+// restoreService makes the sender serve again after the events between from and last. The flags say that its
+// process got SIGTERM, was killed, or was started just before.
+func (s *sender) restoreService(from, last time.Time, terminated, killed, started bool) error {
+	defer func() { s.records.addOutage(s.number, from, time.Now()) }()
+	if !terminated && !killed {
 		if !started {
 			return nil
 		}
@@ -240,108 +246,106 @@
 	}
 	switch {
 	case killed:
-		s.noteDeath(s.process())
-	case !s.ended(time.Until(last.Add(killAfter))):
-		s.records.fault("sender %d: did not end within %v of SIGTERM", s.number, killAfter)
+		s.recordKill(s.process())
+	case !s.endsWithin(time.Until(last.Add(killDelay))):
+		s.records.addFault("sender %d: did not end within %v of SIGTERM", s.number, killDelay)
 	}
 	return s.relaunch()
 }
 
-// relaunch ends the sender's process, if it has not ended, starts another and waits until
-// it is ready.
+// relaunch kills the sender's process, if it has not exited, starts another and waits until that is ready.
 func (s *sender) relaunch() error {
 	s.kill()
-	s.records.restarts(s.number)
-	time.Sleep(startAfter)
+	s.records.clearWaits(s.number)
+	time.Sleep(startDelay)
 	if err := s.launch(); err != nil {
 		return err
 	}
 	return s.process().Ready()
 }
 
-// noteDeath notes that one of the sender's processes has been killed just now, and when
-// it is gone.
-func (s *sender) noteDeath(of ...*process) {
-	s.records.killed(s.number, time.Now())
-	gone := func(p *process) bool { return !p.running() }
-	for by := time.Now().Add(program.Patience); time.Now().Before(by) && !slices.ContainsFunc(of, gone); {
-		time.Sleep(pollEvery)
+// recordKill records that one of the given processes was killed just now, and records it again when one of
+// them has exited.
+func (s *sender) recordKill(processes ...*process) {
+	s.records.addKill(s.number, time.Now())
+	exited := func(p *process) bool { return !p.running() }
+	for by := time.Now().Add(program.Patience); time.Now().Before(by) && !slices.ContainsFunc(processes, exited); {
+		time.Sleep(pollInterval)
 	}
-	s.records.killed(s.number, time.Now())
+	s.records.addKill(s.number, time.Now())
 }
 
-// startBeside starts a second process of the sender, with an event armed.
-func (s *sender) startBeside(x crossing) (*process, error) {
+// startSuccessor starts a second process of the sender, with an event armed.
+func (s *sender) startSuccessor(x crossing) (*process, error) {
 	s.controls.Arm(x.point, x.event, 0)
 	return s.start()
 }
 
 const (
-	takeOverTime = 6 * time.Second        // for a process that is started beside another to serve
-	drainTime    = 100 * time.Millisecond // for a process that has handed over to leave its listener
-	goOnTime     = 3 * time.Second        // for the one before it to say that it serves on
+	takeoverTimeout   = 6 * time.Second        // for a successor to be ready
+	listenerDrainTime = 100 * time.Millisecond // for a process that has handed over to leave its listener
+	pingTimeout       = 3 * time.Second        // for a sender to answer PING after an upgrade
 )
 
-// serveAfterUpgrade sees to it that one process serves after a second one was started,
-// whatever has come to either: the second if it can, or the first if it goes on, or
-// another.
-func (s *sender) serveAfterUpgrade(from time.Time, next *process) error {
-	before := s.process()
-	defer func() { s.records.outage(s.number, from, time.Now()) }()
-	if s.readyWithin(next, takeOverTime) {
-		if before.running() {
-			before.Signal(syscall.SIGTERM)
-			if !before.endsWithin(killAfter) {
-				s.records.fault("sender %d: the process before did not end within %v of SIGTERM", s.number, killAfter)
+// settleUpgrade makes one process serve after a successor was started and events have occurred: the successor
+// if it becomes ready, else the predecessor if it still serves, else a new process.
+func (s *sender) settleUpgrade(from time.Time, successor *process) error {
+	predecessor := s.process()
+	defer func() { s.records.addOutage(s.number, from, time.Now()) }()
+	if s.readyWithin(successor, takeoverTimeout) {
+		if predecessor.running() {
+			predecessor.Signal(syscall.SIGTERM)
+			if !predecessor.endsWithin(killDelay) {
+				s.records.addFault("sender %d: the predecessor did not end within %v of SIGTERM", s.number, killDelay)
 			}
 		}
-		before.kill()
-		s.serveBy(next)
-		if next.running() && s.pong(goOnTime) {
+		predecessor.kill()
+		s.setProcess(successor)
+		if successor.running() && s.answersPing(pingTimeout) {
 			return nil
 		}
-		return s.startAnew(next)
+		return s.replaceProcess(successor)
 	}
-	if next.running() {
-		s.records.fault("sender %d: a process beside another is not ready after %v", s.number, takeOverTime)
+	if successor.running() {
+		s.records.addFault("sender %d: the successor is not ready after %v", s.number, takeoverTimeout)
 	}
-	next.kill()
-	time.Sleep(drainTime)
-	if before.running() && s.pong(goOnTime) {
+	successor.kill()
+	time.Sleep(listenerDrainTime)
+	if predecessor.running() && s.answersPing(pingTimeout) {
 		return nil
 	}
-	return s.startAnew(before)
+	return s.replaceProcess(predecessor)
 }
 
-// startAnew ends the sender's process, if it has not ended, and starts another.
-func (s *sender) startAnew(last *process) error {
-	last.Signal(syscall.SIGTERM)
-	last.endsWithin(killAfter)
+// replaceProcess stops a process with SIGTERM and, after killDelay, SIGKILL, and starts another.
+func (s *sender) replaceProcess(p *process) error {
+	p.Signal(syscall.SIGTERM)
+	p.endsWithin(killDelay)
 	return s.relaunch()
 }
 
-// readyWithin says whether a process is ready within a time, and has not ended.
+// readyWithin reports whether a process is ready within a duration and has not exited.
 func (s *sender) readyWithin(p *process, within time.Duration) bool {
 	ready := make(chan bool, 1)
 	go func() { ready <- p.Ready() == nil }()
-	late := time.NewTimer(within)
-	defer late.Stop()
+	timer := time.NewTimer(within)
+	defer timer.Stop()
 	select {
 	case ok := <-ready:
 		return ok && p.running()
-	case <-late.C:
+	case <-timer.C:
 		return false
 	}
 }
 
-// pong says whether the sender answers a PING with yes within a time.
-func (s *sender) pong(within time.Duration) bool {
-	for by := time.Now().Add(within); time.Now().Before(by); time.Sleep(pollPong) {
-		conn, err := net.DialTimeout("tcp", s.addr, pollPong)
+// answersPing reports whether the sender answers PING within a duration.
+func (s *sender) answersPing(within time.Duration) bool {
+	for by := time.Now().Add(within); time.Now().Before(by); time.Sleep(pingInterval) {
+		conn, err := net.DialTimeout("tcp", s.addr, pingInterval)
 		if err != nil {
 			continue
 		}
-		conn.SetDeadline(time.Now().Add(pollPong))
+		conn.SetDeadline(time.Now().Add(pingInterval))
 		io.WriteString(conn, "*1\r\n$4\r\nPING\r\n")
 		line, _ := bufio.NewReader(conn).ReadString('\n')
 		conn.Close()
--- a/internal/soak/discovery.go
+++ b/internal/soak/discovery.go
@@ -12,7 +12,7 @@
 	"cometrack/internal/standin/fate"
 )
 
-// instance is one line of discovery's list.
+// instance is one entry of discovery's list.
 type instance struct {
 	ID        string  `json:"instanceId"`
 	HostPort  string  `json:"hostPort"`
@@ -23,13 +23,14 @@
 	Weight    float64 `json:"weight"`
 }
 
+// instanceList is discovery's list of endpoints.
 type instanceList struct {
 	Generation int64      `json:"generation"`
 	Reset      bool       `json:"reset"`
 	Instances  []instance `json:"instances"`
 }
 
-// lifecycles are those of the endpoints that the list names.
+// lifecycles returns the lifecycles of the listed endpoints by name.
 func (l instanceList) lifecycles() map[string]string {
 	out := map[string]string{}
 	for _, x := range l.Instances {
@@ -39,149 +40,152 @@
 }
 
 const (
-	mostFailuresInRow = 3 // of one sender's calls for the list, while single calls fail
-	queueLimit        = 3 * time.Second
-	oldAddressLasts   = 1500 * time.Millisecond // open connections to an address that discovery has left
+	maxConsecutiveFailures = 3                       // of one sender's calls for the list, while single calls fail
+	queueTimeout           = 3 * time.Second         // for a call to be served, while calls are served one at a time
+	oldAddressGrace        = 1500 * time.Millisecond // until open connections to a former address of discovery are closed
 )
 
-// trouble is what discovery is in.
-type trouble struct {
-	away   bool          // it answers 503 to all
-	silent bool          // it answers nothing
-	delay  time.Duration // before each answer
-	flaky  float64       // part of the calls that fail, though not more than some in a row
-	turn   time.Duration // it works through calls one after the other, each for so long; 0 for all at once
+// discoveryFault is the fault that discovery has; the zero value is none.
+type discoveryFault struct {
+	unavailable  bool          // it answers 503 to all calls
+	silent       bool          // it answers no call
+	delay        time.Duration // before each answer
+	failureRatio float64       // share of calls that fail, though not more than some in a row
+	serviceTime  time.Duration // it serves one call at a time, each for this long; 0 for all at once
 }
 
-// down says whether it answers nobody.
-func (t trouble) down() bool { return t.away || t.silent }
+// down reports whether discovery answers no sender.
+func (t discoveryFault) down() bool { return t.unavailable || t.silent }
 
-// discovery is the server of the list, for all senders. Each of them asks it at an address of its own.
+// discovery is the server of the list for all senders. Each sender calls it at an address of its own.
 type discovery struct {
 	records *Records
-	pushed  bool // it stands for an agent beside each sender
+	pushed  bool // it stands in for an agent beside each sender
 
-	mu     sync.Mutex
-	list   instanceList
-	news   chan struct{} // closed when anything changes
-	now    trouble
-	rng    *rand.Rand
-	inRow  map[int]int   // failures in a row, by sender
-	worker chan struct{} // holds one token for the call that is being worked on
+	mu                  sync.Mutex
+	list                instanceList
+	changed             chan struct{} // closed when the list or the fault changes
+	fault               discoveryFault
+	rng                 *rand.Rand
+	consecutiveFailures map[int]int   // by sender
+	worker              chan struct{} // semaphore of the one call that is served at a time
 }
 
 func newDiscovery(records *Records, seed uint64) *discovery {
-	return &discovery{records: records, news: make(chan struct{}), rng: rand.New(rand.NewPCG(seed, 11)), inRow: map[int]int{}, worker: make(chan struct{}, 1)}
+	return &discovery{records: records, changed: make(chan struct{}), rng: rand.New(rand.NewPCG(seed, 11)),
+		consecutiveFailures: map[int]int{}, worker: make(chan struct{}, 1)}
 }
 
-// publish puts another list in the place of the one before, and wakes those who watch.
+// publish replaces the list and wakes the watches.
 func (d *discovery) publish(l instanceList) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.list = l
-	d.records.listed(time.Now(), l)
-	d.wake()
+	d.records.listPublished(time.Now(), l)
+	d.notifyWatchers()
 }
 
-// suffer puts it in trouble, or in none.
-func (d *discovery) suffer(now trouble) {
+// setFault replaces the fault.
+func (d *discovery) setFault(fault discoveryFault) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.sufferLocked(now)
+	d.setFaultLocked(fault)
 }
 
-// recover ends a trouble, unless another has taken its place.
-func (d *discovery) recover(from trouble) {
+// endFault ends a fault, unless another has replaced it.
+func (d *discovery) endFault(ended discoveryFault) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.now == from {
-		d.sufferLocked(trouble{})
+	if d.fault == ended {
+		d.setFaultLocked(discoveryFault{})
 	}
 }
 
-func (d *discovery) sufferLocked(now trouble) {
-	if before := d.now.down(); before != now.down() {
-		d.records.discoveryDown(time.Now(), now.down())
+func (d *discovery) setFaultLocked(fault discoveryFault) {
+	if before := d.fault.down(); before != fault.down() {
+		d.records.discoveryDown(time.Now(), fault.down())
 	}
-	d.now = now
-	d.wake()
+	d.fault = fault
+	d.notifyWatchers()
 }
 
-func (d *discovery) wake() {
-	close(d.news)
-	d.news = make(chan struct{})
+func (d *discovery) notifyWatchers() {
+	close(d.changed)
+	d.changed = make(chan struct{})
 }
 
-// known is the list as it is.
-func (d *discovery) known() instanceList {
+// currentList returns the published list.
+func (d *discovery) currentList() instanceList {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.list
 }
 
-// view is what a call finds.
-func (d *discovery) view() (instanceList, <-chan struct{}, trouble) {
+// state returns the list, a channel that is closed when anything changes, and the fault.
+func (d *discovery) state() (instanceList, <-chan struct{}, discoveryFault) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.list, d.news, d.now
+	return d.list, d.changed, d.fault
 }
 
-// draw draws the fate of a sender's call or answer.
-func (d *discovery) draw(sender int) fate.Fate {
+// drawFate draws the fate of a sender's call or response.
+func (d *discovery) drawFate(sender int) fate.Fate {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.pushed || d.rng.Float64() >= d.now.flaky || d.inRow[sender] >= mostFailuresInRow {
+	if d.pushed || d.rng.Float64() >= d.fault.failureRatio || d.consecutiveFailures[sender] >= maxConsecutiveFailures {
 		return fate.Fate{}
 	}
-	f := fate.Fate{Kind: fate.Kind(1 + d.rng.IntN(int(fate.Kinds)-1)), After: time.Duration(500+d.rng.IntN(2500)) * time.Millisecond}
+	f := fate.Fate{Kind: fate.Kind(1 + d.rng.IntN(int(fate.Kinds)-1)),
+		After: time.Duration(500+d.rng.IntN(2500)) * time.Millisecond}
 	if !f.Answers() {
-		d.inRow[sender]++
+		d.consecutiveFailures[sender]++
 	}
 	return f
 }
 
-// hosts answers a sender's call for the list.
-func (d *discovery) hosts(sender int, w http.ResponseWriter, r *http.Request) {
+// serveList serves a sender's call for the list.
+func (d *discovery) serveList(sender int, w http.ResponseWriter, r *http.Request) {
 	from, _ := strconv.ParseInt(r.URL.Query().Get("from"), 10, 64)
 	ms, _ := strconv.Atoi(r.URL.Query().Get("hold_ms"))
 	hold := time.Duration(ms) * time.Millisecond
-	began := time.Now()
-	if !d.takeTurn(w, r) {
+	receivedAt := time.Now()
+	if !d.awaitWorker(w, r) {
 		return
 	}
-	first := d.draw(sender)
+	first := d.drawFate(sender)
 	if !first.Answers() {
-		d.fail(first, sender, began, hold, w, r)
+		d.failCall(first, sender, receivedAt, hold, w, r)
 		return
 	}
-	list, ok := d.await(w, r, from, began.Add(hold))
+	list, ok := d.awaitList(w, r, from, receivedAt.Add(hold))
 	if !ok {
 		return
 	}
-	if last := d.draw(sender); !last.Answers() { // it ends in the moment in which there is news
-		d.fail(last, sender, began, hold, w, r)
+	if last := d.drawFate(sender); !last.Answers() { // the call fails just as the list has changed
+		d.failCall(last, sender, receivedAt, hold, w, r)
 		return
 	}
 	if first.Meet(w, r, encode(list)) {
 		http.NewResponseController(w).Flush()
-		d.answered(sender)
+		d.callAnswered(sender)
 		d.records.listWritten(sender, time.Now(), list.Generation)
 	}
 }
 
-// fail has a call fail.
-func (d *discovery) fail(f fate.Fate, sender int, began time.Time, hold time.Duration, w http.ResponseWriter, r *http.Request) {
+// failCall lets a call fail.
+func (d *discovery) failCall(f fate.Fate, sender int, began time.Time, hold time.Duration,
+	w http.ResponseWriter, r *http.Request) {
 	if f.Kind == fate.Silent || f.Kind == fate.Stuck {
-		d.records.silentWatch(sender, began, hold)
+		d.records.callUnanswered(sender, began, hold)
 	}
-	f.Meet(w, r, encode(d.known()))
+	f.Meet(w, r, encode(d.currentList()))
 }
 
-// answered notes that a sender's call was answered.
-func (d *discovery) answered(sender int) {
+// callAnswered resets the count of a sender's consecutive failures.
+func (d *discovery) callAnswered(sender int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.inRow[sender] = 0
+	d.consecutiveFailures[sender] = 0
 }
 
 func encode(l instanceList) []byte {
@@ -189,76 +193,79 @@
 	return b
 }
 
-// takeTurn waits until a call is worked on; false if it has waited too long, and was refused.
-func (d *discovery) takeTurn(w http.ResponseWriter, r *http.Request) bool {
-	_, _, now := d.view()
-	if now.turn == 0 || d.pushed { // an agent is there for one sender
+// awaitWorker waits until a call has been served by the one worker, if the fault has one. It returns false if
+// the call has timed out in the queue and got 503, or was canceled.
+func (d *discovery) awaitWorker(w http.ResponseWriter, r *http.Request) bool {
+	_, _, fault := d.state()
+	if fault.serviceTime == 0 || d.pushed { // an agent serves one sender only
 		return true
 	}
 	select {
 	case d.worker <- struct{}{}:
-	case <-time.After(queueLimit):
+	case <-time.After(queueTimeout):
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return false
 	case <-r.Context().Done():
 		return false
 	}
-	time.Sleep(now.turn)
+	time.Sleep(fault.serviceTime)
 	<-d.worker
 	return true
 }
 
-// await waits until there is something newer than a generation or the time is over; false if the call ends otherwise.
-func (d *discovery) await(w http.ResponseWriter, r *http.Request, from int64, by time.Time) (instanceList, bool) {
+// awaitList waits until the list is newer than generation from, or until by. It returns false if the call ends
+// otherwise.
+func (d *discovery) awaitList(w http.ResponseWriter, r *http.Request, from int64, by time.Time) (instanceList, bool) {
 	for {
-		list, news, now := d.view()
-		if now.away {
+		list, changed, fault := d.state()
+		if fault.unavailable {
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return list, false
 		}
-		left := time.Until(by)
-		if !now.silent && (list.Generation > from || left <= 0) {
-			time.Sleep(now.delay)
+		remaining := time.Until(by)
+		if !fault.silent && (list.Generation > from || remaining <= 0) {
+			time.Sleep(fault.delay)
 			if list.Generation <= from {
 				list.Instances, list.Reset = nil, false
 			}
 			return list, true
 		}
-		if now.silent {
-			left = time.Minute
+		if fault.silent {
+			remaining = time.Minute
 		}
 		select {
-		case <-news:
+		case <-changed:
 		case <-r.Context().Done():
 			return list, false
-		case <-time.After(left):
+		case <-time.After(remaining):
 		}
 	}
 }
 
-// door is an address of the platform for one sender.
-type door struct {
+// platformServer serves the platform to one sender at an address of its own.
+type platformServer struct {
 	addr   string
 	server *http.Server
 	ln     net.Listener
 }
 
-// open listens at an address for one sender.
-func (p *platform) open(sender int, addr string) (*door, error) {
+// listen starts serving the platform to one sender at an address.
+func (p *platform) listen(sender int, addr string) (*platformServer, error) {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, err
 	}
 	mux := http.NewServeMux()
-	mux.HandleFunc("/discovery/hosts", func(w http.ResponseWriter, r *http.Request) { p.discovery.hosts(sender, w, r) })
+	mux.HandleFunc("/discovery/hosts", func(w http.ResponseWriter, r *http.Request) { p.discovery.serveList(sender, w, r) })
 	mux.HandleFunc("/v1/outcomes", p.outcomes)
-	out := &door{addr: addr, server: &http.Server{Handler: mux}, ln: ln}
+	out := &platformServer{addr: addr, server: &http.Server{Handler: mux}, ln: ln}
 	go out.server.Serve(ln)
 	return out, nil
 }
 
-// leave takes no new connection, and closes the open ones a while later, as discovery does when it moves.
-func (d *door) leave() {
+// retire stops accepting connections at once and closes the open ones after oldAddressGrace, as discovery does
+// when it moves.
+func (d *platformServer) retire() {
 	d.ln.Close()
-	time.AfterFunc(oldAddressLasts, func() { d.server.Close() })
+	time.AfterFunc(oldAddressGrace, func() { d.server.Close() })
 }
--- a/internal/soak/endpoint.go
+++ b/internal/soak/endpoint.go
@@ -11,39 +11,39 @@
 	"time"
 )
 
-// behavior is how an endpoint treats calls for a while.
+// behavior is how an endpoint treats calls.
 type behavior int
 
 const (
-	well         behavior = iota
-	hanging               // takes calls and answers none
-	erring                // has run the call and answers 500
-	full                  // turns away with 503
-	waiting               // turns away and tells to wait
-	resetting             // breaks connections under calls, before or after they have run
-	halfway               // answers in part and goes silent
-	closing               // answers and closes the connection without a word
-	slow                  // answers late
-	behaviors             // their number
-	toldWait     = 300 * time.Millisecond
-	usualLatency = 30 * time.Millisecond
+	healthy         behavior = iota
+	hanging                  // receives calls and answers none
+	erring                   // runs calls and answers 500
+	overloaded               // rejects calls with 503
+	rateLimited              // rejects calls with 429 and a requested wait
+	resetting                // resets connections during calls, before or after they have run
+	partialResponse          // answers in part and then stops
+	closing                  // answers and closes the connection without announcing it
+	slow                     // answers late
+	behaviorCount            // number of behaviors
+	requestedWait   = 300 * time.Millisecond
+	meanLatency     = 30 * time.Millisecond
 )
 
 var behaviorNames = [...]string{"well", "hanging", "erring", "full", "waiting", "resetting", "halfway", "closing", "slow"}
 
 func (b behavior) String() string { return behaviorNames[b] }
 
-// endpoint stands for one endpoint of a destination.
+// endpoint is a stand-in for one endpoint of a destination.
 type endpoint struct {
 	name    string
 	dest    int
 	ln      net.Listener
 	records *Records
 
-	mu    sync.Mutex
-	now   behavior
-	rng   *rand.Rand
-	conns map[net.Conn]bool
+	mu       sync.Mutex
+	behavior behavior
+	rng      *rand.Rand
+	conns    map[net.Conn]bool
 }
 
 func newEndpoint(name string, dest int, records *Records, seed uint64) (*endpoint, error) {
@@ -51,7 +51,8 @@
 	if err != nil {
 		return nil, err
 	}
-	e := &endpoint{name: name, dest: dest, ln: ln, records: records, rng: rand.New(rand.NewPCG(seed, 7)), conns: map[net.Conn]bool{}}
+	e := &endpoint{name: name, dest: dest, ln: ln, records: records,
+		rng: rand.New(rand.NewPCG(seed, 7)), conns: map[net.Conn]bool{}}
 	go e.serve()
 	return e, nil
 }
@@ -61,11 +62,11 @@
 func (e *endpoint) set(b behavior) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.now = b
+	e.behavior = b
 }
 
-// dropIdle closes or resets all connections, as a machine between may do.
-func (e *endpoint) dropIdle(reset bool) {
+// dropConnections closes or resets all connections, as a middlebox may do.
+func (e *endpoint) dropConnections(reset bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for c := range e.conns {
@@ -78,7 +79,7 @@
 
 func (e *endpoint) close() {
 	e.ln.Close()
-	e.dropIdle(true)
+	e.dropConnections(true)
 }
 
 func (e *endpoint) serve() {
@@ -91,7 +92,7 @@
 		e.conns[c] = true
 		e.mu.Unlock()
 		go func() {
-			e.converse(c)
+			e.serveConn(c)
 			c.Close()
 			e.mu.Lock()
 			delete(e.conns, c)
@@ -100,15 +101,16 @@
 	}
 }
 
-// draw tells how to treat a call, and a number that decides between variants.
-func (e *endpoint) draw() (b behavior, x float64, latency time.Duration) {
+// drawTreatment returns the behavior for a call, a random number in [0, 1) that selects a variant, and the
+// latency.
+func (e *endpoint) drawTreatment() (b behavior, x float64, latency time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.now, e.rng.Float64(), usualLatency/2 + time.Duration(e.rng.Int64N(int64(usualLatency)))
+	return e.behavior, e.rng.Float64(), meanLatency/2 + time.Duration(e.rng.Int64N(int64(meanLatency)))
 }
 
-// converse answers the calls of one connection.
-func (e *endpoint) converse(c net.Conn) {
+// serveConn answers the calls of one connection.
+func (e *endpoint) serveConn(c net.Conn) {
 	r := bufio.NewReader(c)
 	for {
 		req, err := http.ReadRequest(r)
@@ -119,21 +121,21 @@
 			return
 		}
 		call, id := &Call{At: time.Now(), Endpoint: e.name}, req.Header.Get("X-Trace-Id")
-		b, x, latency := e.draw()
-		call.Ran = b != full && b != waiting && !(b == resetting && x < 0.5)
+		b, x, latency := e.drawTreatment()
+		call.Ran = b != overloaded && b != rateLimited && !(b == resetting && x < 0.5)
 		if req.URL.Path != "/inbox" {
 			fmt.Fprint(c, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 			continue
 		}
-		e.records.call(id, e.dest, call)
+		e.records.addCall(id, e.dest, call)
 		if !e.answer(c, r, id, call, b, x, latency) {
 			return
 		}
 	}
 }
 
-// gone waits for the end of a connection, for so long at most; true if it has ended.
-func gone(c net.Conn, r *bufio.Reader, wait time.Duration) bool {
+// closedWithin waits up to wait for the end of a connection and reports whether it has ended.
+func closedWithin(c net.Conn, r *bufio.Reader, wait time.Duration) bool {
 	c.SetReadDeadline(time.Now().Add(wait))
 	_, err := r.Peek(1)
 	c.SetReadDeadline(time.Time{})
@@ -141,19 +143,20 @@
 	return err != nil && !(asNetError(err, &t) && t.Timeout())
 }
 
-// answer treats one call; false ends the connection.
-func (e *endpoint) answer(c net.Conn, r *bufio.Reader, id string, call *Call, b behavior, x float64, latency time.Duration) bool {
+// answer answers one call according to the behavior. It returns false if the connection is to be closed.
+func (e *endpoint) answer(c net.Conn, r *bufio.Reader, id string, call *Call, b behavior, x float64,
+	latency time.Duration) bool {
 	ended := func() bool {
-		e.records.change(func() { call.ClosedAt = time.Now() })
+		e.records.withLock(func() { call.ClosedAt = time.Now() })
 		return false
 	}
-	reply := func(status int, more string) bool {
+	reply := func(status int, headers string) bool {
 		at := time.Now()
-		_, err := fmt.Fprintf(c, "HTTP/1.1 %d x\r\n%sContent-Length: 0\r\n\r\n", status, more)
+		_, err := fmt.Fprintf(c, "HTTP/1.1 %d x\r\n%sContent-Length: 0\r\n\r\n", status, headers)
 		if err != nil {
 			return ended()
 		}
-		e.records.change(func() { call.Status, call.AnsweredAt = status, at })
+		e.records.withLock(func() { call.Status, call.AnsweredAt = status, at })
 		return true
 	}
 	if b == slow {
@@ -162,25 +165,25 @@
 	if b == hanging {
 		latency = time.Minute
 	}
-	if gone(c, r, latency) {
+	if closedWithin(c, r, latency) {
 		return ended()
 	}
 	switch b {
 	case erring:
 		return reply(500, "")
-	case full:
+	case overloaded:
 		return reply(503, "")
-	case waiting:
-		e.records.told(id, e.dest, toldWait)
-		return reply(429, fmt.Sprintf("X-Come-Back-Ms: %d\r\n", toldWait.Milliseconds()))
+	case rateLimited:
+		e.records.waitRequested(id, e.dest, requestedWait)
+		return reply(429, fmt.Sprintf("X-Come-Back-Ms: %d\r\n", requestedWait.Milliseconds()))
 	case resetting:
 		if t, ok := c.(*net.TCPConn); ok {
 			t.SetLinger(0)
 		}
 		return ended()
-	case halfway:
+	case partialResponse:
 		c.Write([]byte("HTTP/1.1 2"))
-		gone(c, r, time.Minute)
+		closedWithin(c, r, time.Minute)
 		return ended()
 	case closing:
 		reply(200, "")
--- a/internal/soak/fleet.go
+++ b/internal/soak/fleet.go
@@ -19,47 +19,47 @@
 )
 
 const (
-	killAfter  = 3700 * time.Millisecond // SIGTERM to SIGKILL, at the earliest
-	startAfter = 600 * time.Millisecond  // SIGKILL to the next start
-	readyMost  = 10 * time.Second        // from the start until ready
-	longStall  = 150 * time.Millisecond  // that a process may be held up
+	killDelay    = 3700 * time.Millisecond // from SIGTERM to SIGKILL, at the earliest
+	startDelay   = 600 * time.Millisecond  // from SIGKILL to the next start
+	maxReadyTime = 10 * time.Second        // from the start until the sender is ready
+	maxStall     = 150 * time.Millisecond  // longest time for which a process is held
 )
 
-// sender is one process of the program, over its restarts.
+// sender is one member of the fleet, across restarts of its process.
 type sender struct {
-	number   int
-	addr     string
-	dir      string
-	config   string
-	binary   string
-	platform *platform
-	door     *door // where it finds the platform
-	moves    int   // of discovery, that it was told of
-	known    int64 // the generation of the list in its configuration
-	askEvery time.Duration
-	controls *faultbuild.Controls
-	trace    string // file of what it does with its connections
-	records  *Records
-	logs     *logFile
-
-	loseFolder bool // planted: its folder is emptied at each restart
-
-	late    atomic.Bool               // its connections to the platform come up late
-	movedAt atomic.Pointer[time.Time] // when its discovery moved last
-
-	life sync.Mutex // held while it is being restarted
-	mu   sync.Mutex
-	proc *process
+	number          int
+	addr            string
+	dir             string
+	configPath      string
+	binary          string
+	platform        *platform
+	platformServer  *platformServer // server of the platform for this sender
+	discoveryMoves  int             // moves of discovery so far
+	knownGeneration int64           // generation of the list in its configuration
+	listInterval    time.Duration
+	controls        *faultbuild.Controls
+	tracePath       string // file with the trace of its connections
+	records         *Records
+	logs            *logFile
+
+	loseFolder bool // planted fault: its folder is emptied at each restart
+
+	connectsDelayed  atomic.Bool               // connections to the platform are delayed
+	discoveryMovedAt atomic.Pointer[time.Time] // time of the last move of discovery
+
+	restartMu sync.Mutex // held during a restart, a reload and a move of discovery
+	mu        sync.Mutex
+	current   *process
 }
 
 // process is one process of a sender.
 type process struct {
 	*program.Program
-	stop chan struct{} // of what resumes it when it is held up
-	done chan struct{} // closed when that has ended
+	stopResuming chan struct{} // closed to stop the goroutine that resumes the process after holds
+	resumingDone chan struct{} // closed when that goroutine has ended
 }
 
-// running says whether it has not ended.
+// running reports whether the process has not exited.
 func (p *process) running() bool {
 	select {
 	case err := <-p.Done:
@@ -70,29 +70,30 @@
 	}
 }
 
-// endsWithin says whether it ends within a time.
+// endsWithin waits for the process to exit and reports whether it does so within a duration.
 func (p *process) endsWithin(within time.Duration) bool {
-	late := time.NewTimer(within)
-	defer late.Stop()
+	timer := time.NewTimer(within)
+	defer timer.Stop()
 	select {
 	case err := <-p.Done:
 		p.Done <- err
 		return true
-	case <-late.C:
+	case <-timer.C:
 		return !p.running()
 	}
 }
 
-// kill ends it with SIGKILL, if it has not ended by itself, and waits until it is gone.
+// kill sends SIGKILL to the process, if it has not exited, and waits until it has exited.
 func (p *process) kill() {
 	p.Signal(syscall.SIGCONT)
 	p.Signal(syscall.SIGKILL)
 	p.endsWithin(program.Patience)
-	close(p.stop)
-	<-p.done
+	close(p.stopResuming)
+	<-p.resumingDone
 }
 
-// settings are those of a sender's deployment. The window for repeats is short.
+// settings are the settings of a sender's deployment. The window in which repeats are recognized is short, so
+// that runs pass its end.
 const settings = `{"balancers":%d,"me":%d,"zone":0,"zones":["a","b"],"tick_s":0.005,"membership_mode":%q,
 "weights":"nominal","over_share_worth":0.2,"machine_types":["std"],
 "classes":[
@@ -106,50 +107,54 @@
 "rules":{"ask_every_s":%g,"cold_from":0.2,"drain_grace_s":2,"fall_multiple":2,"fall_s":3,"warm_after_s":4},
 "specifics":{"batch_by_kind":[1],"call_slots":16,"late":"halves","separate_routes":[false]}}`
 
-// repeatWindow is the time for which keyed repeats are recognized.
+// repeatWindow is how long repeats of a keyed message are recognized.
 const repeatWindow = 2 * time.Second
 
-// writeConfig writes the sender's configuration, as it is now.
+// writeConfig writes the sender's configuration with the current list and the current address of discovery.
 func (s *sender) writeConfig(senders int, pushed bool) error {
 	mode := "on_request"
 	if pushed {
 		mode = "pushed"
 	}
-	known := s.platform.known()
-	b, err := json.Marshal(map[string]any{"name": fmt.Sprint("n", s.number), "listen": s.addr, "discovery": s.door.addr, "seed": fmt.Sprintf("%x", rand.Uint64()),
-		"limits": map[string]any{"cores": 1, "memory_mb": 128, "sockets": 256, "disk_mb": 3}, "known": known,
-		"settings": json.RawMessage(fmt.Sprintf(settings, senders, s.number, mode, repeatWindow.Seconds(), s.askEvery.Seconds()))})
+	known := s.platform.currentList()
+	b, err := json.Marshal(map[string]any{"name": fmt.Sprint("n", s.number), "listen": s.addr,
+		"discovery": s.platformServer.addr,
+		"seed":      fmt.Sprintf("%x", rand.Uint64()),
+		"limits":    map[string]any{"cores": 1, "memory_mb": 128, "sockets": 256, "disk_mb": 3}, "known": known,
+		"settings": json.RawMessage(fmt.Sprintf(settings, senders, s.number, mode,
+			repeatWindow.Seconds(), s.listInterval.Seconds()))})
 	if err != nil {
 		return err
 	}
-	if err := os.WriteFile(s.config+".new", b, 0o600); err != nil {
+	if err := os.WriteFile(s.configPath+".new", b, 0o600); err != nil {
 		return err
 	}
-	s.known = known.Generation
-	return os.Rename(s.config+".new", s.config)
+	s.knownGeneration = known.Generation
+	return os.Rename(s.configPath+".new", s.configPath)
 }
 
-// launch starts the process. It does not wait until it is ready.
+// launch starts a process and makes it the current one. It does not wait until the process is ready.
 func (s *sender) launch() error {
 	p, err := s.start()
 	if err == nil {
-		s.serveBy(p)
+		s.setProcess(p)
 	}
 	return err
 }
 
-// serveBy takes a process for the sender's from here on.
-func (s *sender) serveBy(p *process) {
+// setProcess makes p the sender's current process.
+func (s *sender) setProcess(p *process) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.proc = p
+	s.current = p
 }
 
-// start starts a process of the sender.
+// start starts a process of the sender, and the goroutines that resume it after holds and read its log.
 func (s *sender) start() (*process, error) {
-	s.records.started(s.number, time.Now(), s.known)
-	started, err := program.Launch(s.binary, []string{fmt.Sprint("BALANCER_NAME=n", s.number), "BALANCER_LISTEN=" + s.addr, "BALANCER_DISCOVERY=" + s.door.addr,
-		"BALANCER_STATE=" + s.dir, "BALANCER_CONFIG=" + s.config, "COMETRACK_LOG=debug", s.controls.Env(), faultbuild.TraceVariable + "=" + s.trace})
+	s.records.processStarted(s.number, time.Now(), s.knownGeneration)
+	started, err := program.Launch(s.binary, []string{fmt.Sprint("BALANCER_NAME=n", s.number), "BALANCER_LISTEN=" + s.addr,
+		"BALANCER_DISCOVERY=" + s.platformServer.addr, "BALANCER_STATE=" + s.dir, "BALANCER_CONFIG=" + s.configPath,
+		"COMETRACK_LOG=debug", s.controls.Env(), faultbuild.TraceVariable + "=" + s.tracePath})
 	if err != nil {
 		return nil, err
 	}
@@ -157,25 +162,25 @@
 	pid := p.Cmd.Process.Pid
 	rng := rand.New(rand.NewPCG(uint64(pid), 0))
 	go func() {
-		defer close(p.done)
+		defer close(p.resumingDone)
 		faultbuild.Resume(pid, func() time.Duration {
 			from := time.Now()
-			d := longStall/3 + time.Duration(rng.Int64N(int64(longStall*2/3)))
-			s.records.stalled(s.number, from.Add(-5*time.Millisecond), from.Add(d+5*time.Millisecond))
+			d := maxStall/3 + time.Duration(rng.Int64N(int64(maxStall*2/3)))
+			s.records.addStall(s.number, from.Add(-5*time.Millisecond), from.Add(d+5*time.Millisecond))
 			return d
-		}, p.stop)
+		}, p.stopResuming)
 	}()
-	go s.follow(started)
+	go s.readLog(started)
 	return p, nil
 }
 
-// follow keeps the log of a process and looks for what must not stand in it.
-func (s *sender) follow(p *program.Program) {
+// readLog copies the log of a process to the log file and records lines that report a violation or a crash.
+func (s *sender) readLog(p *program.Program) {
 	for line := range p.Said {
 		s.logs.write(line)
 		for _, bad := range []string{"msg=violation", "panic:", "fatal error:", "DATA RACE"} {
 			if strings.Contains(line, bad) {
-				s.records.fault("sender %d says: %s", s.number, line)
+				s.records.addFault("sender %d logged: %s", s.number, line)
 			}
 		}
 	}
@@ -184,53 +189,53 @@
 func (s *sender) process() *process {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.proc
+	return s.current
 }
 
 func (s *sender) signal(x syscall.Signal) { s.process().Signal(x) }
 
-// ended says whether the process ends within a time.
-func (s *sender) ended(within time.Duration) bool { return s.process().endsWithin(within) }
+// endsWithin reports whether the current process exits within a duration.
+func (s *sender) endsWithin(within time.Duration) bool { return s.process().endsWithin(within) }
 
-// kill ends the process with SIGKILL, if it has not ended by itself, and waits until it
-// is gone.
+// kill sends SIGKILL to the current process, if it has not exited, and waits until it has exited.
 func (s *sender) kill() {
 	p := s.process()
 	killed := p.running()
 	if killed {
-		s.records.killed(s.number, time.Now())
+		s.records.addKill(s.number, time.Now())
 	}
 	p.kill()
-	if killed { // it may have taken its time to die
-		s.records.killed(s.number, time.Now())
+	if killed { // the exit may have taken a while
+		s.records.addKill(s.number, time.Now())
 	}
 }
 
-// restart takes the process through a planned or unplanned restart: with SIGTERM and, at
-// the page's earliest, SIGKILL, or with SIGKILL alone, again and again right after starts.
-func (s *sender) restart(planned bool, again []time.Duration, between func()) error {
-	s.life.Lock()
-	defer s.life.Unlock()
+// restart restarts the process. A planned restart sends SIGTERM and, after killDelay at the earliest, SIGKILL;
+// an unplanned one sends SIGKILL at once. For each of lifetimes the process is then started and killed after
+// that time, before the final start. The function between, if not nil, runs before the final start.
+func (s *sender) restart(planned bool, lifetimes []time.Duration, between func()) error {
+	s.restartMu.Lock()
+	defer s.restartMu.Unlock()
 	from := time.Now()
 	if planned {
 		s.signal(syscall.SIGTERM)
-		if s.ended(killAfter) {
+		if s.endsWithin(killDelay) {
 			if err := s.exitStatus(); err != nil {
-				s.records.fault("sender %d: ended with %v after SIGTERM", s.number, err)
+				s.records.addFault("sender %d: ended with %v after SIGTERM", s.number, err)
 			}
-			time.Sleep(time.Until(from.Add(killAfter)))
+			time.Sleep(time.Until(from.Add(killDelay)))
 		}
 	}
 	s.kill()
-	s.records.restarts(s.number)
-	for _, life := range again {
-		time.Sleep(startAfter)
+	s.records.clearWaits(s.number)
+	for _, lifetime := range lifetimes {
+		time.Sleep(startDelay)
 		if err := s.launch(); err != nil {
 			return err
 		}
-		time.Sleep(life)
+		time.Sleep(lifetime)
 		s.kill()
-		s.records.restarts(s.number)
+		s.records.clearWaits(s.number)
 	}
 	if between != nil {
 		between()
@@ -243,43 +248,45 @@
 			return err
 		}
 	}
-	time.Sleep(startAfter)
+	time.Sleep(startDelay)
 	started := time.Now()
 	if err := s.launch(); err != nil {
 		return err
 	}
 	if err := s.process().Ready(); err != nil {
-		s.records.fault("sender %d: %v", s.number, err)
+		s.records.addFault("sender %d: %v", s.number, err)
 		return err
 	}
-	if took := time.Since(started); took > readyMost {
-		s.records.fault("sender %d: ready after %v", s.number, took)
+	if took := time.Since(started); took > maxReadyTime {
+		s.records.addFault("sender %d: ready after %v", s.number, took)
 	}
-	s.records.outage(s.number, from, time.Now())
+	s.records.addOutage(s.number, from, time.Now())
 	return nil
 }
 
-// afterMove is how long after a move of discovery connections to the platform come up in time: the pages have late ones at
-// endpoints only, and none is there yet that was made before.
+// afterMove is how long connections to the platform are not delayed after a move of discovery. The operators'
+// pages allow delayed connections to endpoints only, and after a move no earlier connection to the platform is
+// open.
 const afterMove = 2 * time.Second
 
-// connectLate has its connections come up late.
-func (s *sender) connectLate() {
-	in := 0
-	if moved := s.movedAt.Load(); moved != nil && time.Since(*moved) < afterMove {
-		in = platformPort
+// delayConnects delays half of the sender's connects. Connects to the platform are exempt for a while after a
+// move of discovery.
+func (s *sender) delayConnects() {
+	exemptPort := 0
+	if moved := s.discoveryMovedAt.Load(); moved != nil && time.Since(*moved) < afterMove {
+		exemptPort = platformPort
 	}
-	s.late.Store(in == 0)
-	s.controls.DelayConnects(0.5, in)
+	s.connectsDelayed.Store(exemptPort == 0)
+	s.controls.DelayConnects(0.5, exemptPort)
 }
 
-// connectInTime ends that.
-func (s *sender) connectInTime() {
+// endConnectDelays ends the delays of delayConnects.
+func (s *sender) endConnectDelays() {
 	s.controls.DelayConnects(0, 0)
-	s.late.Store(false)
+	s.connectsDelayed.Store(false)
 }
 
-// exitStatus is how the process ended.
+// exitStatus waits for the process to exit and returns its exit error.
 func (s *sender) exitStatus() error {
 	p := s.process()
 	err := <-p.Done
@@ -287,24 +294,25 @@
 	return err
 }
 
-// Each sender listens for clients, and finds the platform, at addresses of its own.
+// Each sender has its own address for clients and its own address of the platform.
 const (
 	clientPort   = 6379
 	platformPort = 8500
-	mostSenders  = 80 // for which there are addresses
+	maxSenders   = 80 // number of senders for which there are addresses
 )
 
-// address is a loopback address of this process and run alone, so that no other has its port after a restart.
+// address returns a loopback address that only this harness process and run uses, so that no other program
+// takes its port during a restart.
 func address(seed uint64, number, port int) string {
 	return net.JoinHostPort(fmt.Sprintf("127.%d.%d.%d", 10+os.Getpid()%200, 1+seed%250, 1+number), strconv.Itoa(port))
 }
 
-// platformAddress is where a sender finds the platform after so many moves of discovery.
+// platformAddress returns the address of the platform for a sender after a number of moves of discovery.
 func platformAddress(seed uint64, number, moves int) string {
-	return address(seed, number+mostSenders*(moves%3), platformPort)
+	return address(seed, number+maxSenders*(moves%3), platformPort)
 }
 
-// logFile takes the log of a sender over its restarts.
+// logFile collects the log of a sender across its restarts.
 type logFile struct {
 	mu sync.Mutex
 	f  *os.File
--- a/internal/soak/judge.go
+++ b/internal/soak/judge.go
@@ -8,38 +8,38 @@
 	"time"
 )
 
-// Limits of the protocol, as the operators' pages give them.
+// Limits of the protocol, as the operators' manual gives them, and allowances for the observation.
 const (
-	limitSlack   = 50 * time.Millisecond   // that each time limit is longer on sockets
-	lostAfter    = 500 * time.Millisecond  // behind its time, a message without an end is lost
-	noticeWithin = 300 * time.Millisecond  // behind its time, an end is due
-	readyGrace   = 1500 * time.Millisecond // from ready until notices are overdue again
-	waitGrace    = 100 * time.Millisecond  // from a told wait until calls break it
-	crossingAge  = 250 * time.Millisecond  // a request that is older than this when its connection ends was there to be read
-	handled      = 20 * time.Millisecond   // an endpoint may note the end of a connection so late
-	answerWithin = 400 * time.Millisecond  // clients wait for an answer
+	timeSlack      = 50 * time.Millisecond   // added to each time limit, since times are observed at sockets
+	lostAfter      = 500 * time.Millisecond  // after its deadline, a message without an end counts as lost
+	maxNoticeDelay = 300 * time.Millisecond  // after its deadline, the end of a message has to be notified
+	readyGrace     = 1500 * time.Millisecond // after a sender is ready, before notices count as overdue again
+	waitGrace      = 100 * time.Millisecond  // after a requested wait, before calls violate it
+	maxUnreadAge   = 250 * time.Millisecond  // a request older than this when its connection ends could have been read
+	maxCloseDelay  = 20 * time.Millisecond   // by which an endpoint may observe the end of a connection late
+	answerTimeout  = 400 * time.Millisecond  // clients give up on a response 1 s after twice this time
 )
 
-// answerForm is how an answer is written, to the byte.
-var answerForm = regexp.MustCompile(`^(\+OK|-BUSY|-BUSY [1-9][0-9]*|-ERR [ -~]+)\r\n$`)
+// answerPattern matches the complete responses of the protocol.
+var answerPattern = regexp.MustCompile(`^(\+OK|-BUSY|-BUSY [1-9][0-9]*|-ERR [ -~]+)\r\n$`)
 
 // Violation is a broken invariant.
 type Violation struct {
 	Rule    string
-	Message string // its id; empty if it concerns none
+	Message string // id of the message; empty if the violation concerns none
 	History string
 }
 
 func (v Violation) String() string { return fmt.Sprintf("%s: %s", v.Rule, v.History) }
 
-// Verdict is what the judge found.
+// Verdict is the judge's result.
 type Verdict struct {
 	Messages, Accepted, Delivered, Returned, Failed, Refused, Errors, Unanswered, Late int
 	Violations                                                                         []Violation
 }
 
-// judge goes over the records once the run has ended. noise is how long this machine
-// let a goroutine of the harness wait.
+// judge checks the records after the run has ended. window is how long repeats of keyed messages are
+// recognized; noise is the allowance for scheduling delays of the harness.
 func (r *Records) judge(start time.Time, window, noise time.Duration) (out Verdict) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -52,25 +52,26 @@
 	}
 	slices.SortFunc(list, func(a, b *Message) int { return cmp.Or(a.WrittenAt.Compare(b.WrittenAt), cmp.Compare(a.ID, b.ID)) })
 	for _, m := range list {
-		r.count(&out, m)
+		r.countMessage(&out, m)
 		r.judgeAnswer(m, noise, add)
 		if m.ClientLeft || m.Answer == "" {
-			continue // what becomes of it counts for nothing
+			continue // no rule applies to such a message after this
 		}
 		r.judgeEnd(&out, m, noise, add)
 		judgeCalls(m, r.stalls[m.Sender], window, noise, add)
 		r.lists.judgeDrain(m, noise, add)
 	}
-	for _, s := range r.unowed {
-		out.Violations = append(out.Violations, Violation{Rule: "of no message", History: s})
+	for _, s := range r.unknownMessages {
+		out.Violations = append(out.Violations, Violation{Rule: "unknown message", History: s})
 	}
-	for _, s := range r.other {
+	for _, s := range r.faults {
 		out.Violations = append(out.Violations, Violation{Rule: "process", History: s})
 	}
 	return out
 }
 
-func (r *Records) count(out *Verdict, m *Message) {
+// countMessage adds a message to the counts of the verdict.
+func (r *Records) countMessage(out *Verdict, m *Message) {
 	out.Messages++
 	switch {
 	case m.Answer == "":
@@ -94,32 +95,34 @@
 	}
 }
 
-// judgeAnswer: a request that the sender has read, or had time to read, gets its answer
-// before the connection ends, unless the process was killed, and in a form of the protocol.
+// judgeAnswer checks that a request that the sender has read, or had time to read, gets a response before its
+// connection ends, unless the process was killed, and that the response has a form of the protocol.
 func (r *Records) judgeAnswer(m *Message, noise time.Duration, add func(*Message, string, ...any)) {
-	if m.line != "" && !answerForm.MatchString(m.line) {
-		add(m, "answer %q has none of the forms of the protocol", m.line)
+	if m.rawAnswer != "" && !answerPattern.MatchString(m.rawAnswer) {
+		add(m, "answer %q has none of the forms of the protocol", m.rawAnswer)
 	}
 	if m.Answer != "" || m.ClosedAt.IsZero() {
 		return
 	}
-	if at := r.readAt(m); !at.IsZero() && !r.diedBetween(m.Sender, at, m.ClosedAt) {
+	if at := r.requestReadAt(m); !at.IsZero() && !r.killedBetween(m.Sender, at, m.ClosedAt) {
 		add(m, "closed with no answer %v after the request was read", m.ClosedAt.Sub(at).Round(time.Millisecond))
 		return
 	}
-	age := m.ClosedAt.Sub(m.WrittenAt) - within(r.stalls[m.Sender], m.WrittenAt, m.ClosedAt)
-	if age > crossingAge+noise && !r.diedBetween(m.Sender, m.WrittenAt, m.ClosedAt) {
+	age := m.ClosedAt.Sub(m.WrittenAt) - overlap(r.stalls[m.Sender], m.WrittenAt, m.ClosedAt)
+	if age > maxUnreadAge+noise && !r.killedBetween(m.Sender, m.WrittenAt, m.ClosedAt) {
 		add(m, "closed with no answer %v after the request", age.Round(time.Millisecond))
 	}
 }
 
-func (r *Records) diedBetween(sender int, from, to time.Time) bool {
-	return slices.ContainsFunc(r.kills[sender], func(t time.Time) bool { return t.After(from.Add(-crossingAge)) && t.Before(to.Add(crossingAge)) })
+// killedBetween reports whether a process of the sender was killed between two times, give or take
+// maxUnreadAge.
+func (r *Records) killedBetween(sender int, from, to time.Time) bool {
+	return slices.ContainsFunc(r.kills[sender], func(t time.Time) bool { return t.After(from.Add(-maxUnreadAge)) && t.Before(to.Add(maxUnreadAge)) })
 }
 
-// within is how much of the time from one moment to another lies in spans.
-func within(spans []Interval, from, to time.Time) (sum time.Duration) {
-	for _, s := range spans {
+// overlap returns how much of the time between from and to lies in the intervals.
+func overlap(intervals []Interval, from, to time.Time) (sum time.Duration) {
+	for _, s := range intervals {
 		a, b := s.From, s.To
 		if a.Before(from) {
 			a = from
@@ -134,7 +137,7 @@
 	return sum
 }
 
-// judgeEnd: what was taken on is delivered or ended in time.
+// judgeEnd checks that an accepted message is delivered or ends in time.
 func (r *Records) judgeEnd(out *Verdict, m *Message, noise time.Duration, add func(*Message, string, ...any)) {
 	if !m.Accepted() {
 		return
@@ -150,36 +153,36 @@
 			end = n.At
 		}
 	}
-	due := r.due(m)
+	due := r.endDue(m)
 	switch {
 	case end.IsZero():
 		add(m, "lost: no end")
-	case end.After(due.Add(lostAfter + limitSlack + noise + within(r.stalls[m.Sender], m.Deadline, end))):
+	case end.After(due.Add(lostAfter + timeSlack + noise + overlap(r.stalls[m.Sender], m.Deadline, end))):
 		add(m, "lost: its end came %v late", end.Sub(due).Round(time.Millisecond))
-	case end.After(due.Add(noticeWithin + limitSlack)):
+	case end.After(due.Add(maxNoticeDelay + timeSlack)):
 		out.Late++
 	}
 }
 
-// due is when the end of a message has to be told: at the end of its time, unless the
-// sender is being restarted when it would be overdue.
-func (r *Records) due(m *Message) time.Time {
+// endDue returns when the end of a message has to be notified: at its deadline, or, if the sender is being
+// restarted when the notice would be overdue, readyGrace after it is ready again.
+func (r *Records) endDue(m *Message) time.Time {
 	due := m.Deadline
-	for _, o := range r.outages[m.Sender] { // in order of time
-		if !due.Add(noticeWithin).Before(o.From) && due.Before(o.To.Add(readyGrace)) {
+	for _, o := range r.outages[m.Sender] { // in chronological order
+		if !due.Add(maxNoticeDelay).Before(o.From) && due.Before(o.To.Add(readyGrace)) {
 			due = o.To.Add(readyGrace)
 		}
 	}
 	return due
 }
 
-// judgeCalls: nothing goes out after the end, nothing takes effect twice, and one
-// attempt is out at a time.
+// judgeCalls checks that no call is sent after the end or the deadline, that nothing takes effect twice, that
+// one attempt is in flight at a time, and that requested waits are kept.
 func judgeCalls(m *Message, stalls []Interval, window, noise time.Duration, add func(*Message, string, ...any)) {
 	var ran []time.Time
 	for i, c := range m.Calls {
-		if late := c.At.Sub(m.Deadline); late > limitSlack+noise {
-			add(m, "sent %v after its time", late.Round(time.Millisecond))
+		if late := c.At.Sub(m.Deadline); late > timeSlack+noise {
+			add(m, "sent %v after its deadline", late.Round(time.Millisecond))
 		}
 		for _, n := range m.Notices {
 			if late := c.At.Sub(n.At); late > noise {
@@ -190,22 +193,22 @@
 			}
 		}
 		if len(m.Answer) >= 5 && m.Answer[:5] == "-BUSY" {
-			add(m, "refused and sent")
+			add(m, "rejected and sent")
 		}
 		if len(m.Answer) >= 4 && m.Answer[:4] == "-ERR" && c.At.After(m.AnsweredAt.Add(noise)) {
 			add(m, "answered as failed and sent")
 		}
 		for _, x := range m.Calls[:i] {
-			if end := x.over(); end.IsZero() || c.At.Before(end.Add(-handled-noise)) {
-				add(m, "two attempts out")
+			if end := x.endedAt(); end.IsZero() || c.At.Before(end.Add(-maxCloseDelay-noise)) {
+				add(m, "two attempts in flight")
 			}
-			if x.Status == 200 && c.At.After(x.AnsweredAt.Add(crossingAge+noise)) && m.Effect == Unsafe {
+			if x.Status == 200 && c.At.After(x.AnsweredAt.Add(maxUnreadAge+noise)) && m.Effect == Unsafe {
 				add(m, "sent again after its delivery")
 			}
 		}
-		// A call that was being written as the wait was told, and held up there, can't be kept back any more.
-		if in := c.InsideWait - within(stalls, c.At.Add(-c.InsideWait-waitGrace), c.At); in > noise {
-			add(m, "sent %v inside a told wait", c.InsideWait.Round(time.Millisecond))
+		// A call whose write had begun when the wait was requested, and whose process was held then, can't be stopped.
+		if in := c.InsideWait - overlap(stalls, c.At.Add(-c.InsideWait-waitGrace), c.At); in > noise {
+			add(m, "sent %v inside a requested wait", c.InsideWait.Round(time.Millisecond))
 		}
 		if c.Ran {
 			ran = append(ran, c.At)
@@ -215,7 +218,7 @@
 	case len(ran) > 1 && m.Effect == Unsafe:
 		add(m, "ran %d times", len(ran))
 	case len(ran) > 1 && m.Effect == Keyed:
-		if late := ran[len(ran)-1].Sub(ran[0]) - window; late > limitSlack+noise {
+		if late := ran[len(ran)-1].Sub(ran[0]) - window; late > timeSlack+noise {
 			add(m, "ran again %v after its window", late.Round(time.Millisecond))
 		}
 	}
--- a/internal/soak/judge_drain.go
+++ b/internal/soak/judge_drain.go
@@ -5,67 +5,68 @@
 	"time"
 )
 
-// Limits of the rule on draining endpoints, as the pages give them.
+// Limits of the rule on draining endpoints, as the operators' manual gives them.
 const (
-	drainGrace      = 2 * time.Second // as the settings have it
-	toldAfter       = 6 * time.Second // behind the moment in which discovery had a change and could be reached
-	toldAfterMove   = 4 * time.Second // behind SIGHUP
-	toldAfterSilent = 2 * time.Second // behind the hold of a watch that fell silent
-	firstAsk        = time.Second     // behind the start of a process that its first call may take
+	drainGrace            = 2 * time.Second // drain_grace_s of the settings
+	maxListDelay          = 6 * time.Second // from the time when discovery had a change and could be reached
+	maxListDelayAfterMove = 4 * time.Second // from SIGHUP
+	maxListDelayAfterHold = 2 * time.Second // from the end of the hold of a watch that was never answered
+	maxFirstCallDelay     = time.Second     // from the start of a process to its first call
 )
 
-// lists are what was seen of the list and of who was told.
-type lists struct {
+// listRecords record the published lists and which sender received them.
+type listRecords struct {
 	pushed    bool
 	published []published
-	down      []Interval // discovery answers nobody; the last may be open
-	senders   map[int]*told
+	down      []Interval // periods in which discovery answers no sender; the last may be open
+	senders   map[int]*senderLists
 }
 
-// published is a list from the moment in which discovery had it.
+// published is a list with the time from which discovery had it.
 type published struct {
 	at         time.Time
 	generation int64
 	lifecycles map[string]string
 }
 
-// told is what one sender was told.
-type told struct {
+// senderLists records what one sender received of the lists.
+type senderLists struct {
 	written []written
-	silent  []watch
+	silent  []unansweredCall
 	moves   []time.Time // SIGHUPs that moved discovery
-	starts  []start
+	starts  []processStart
 }
 
-// written is an answer that discovery has written.
+// written is a response that discovery has written.
 type written struct {
 	at         time.Time
 	generation int64
 }
 
-// watch is a call that was never answered.
-type watch struct {
+// unansweredCall is a call for the list that was never answered.
+type unansweredCall struct {
 	began time.Time
 	hold  time.Duration
 }
 
-// start is a process that was started with a list.
-type start struct {
+// processStart is the start of a process with a list in its configuration.
+type processStart struct {
 	at         time.Time
 	generation int64
 }
 
-func newLists() *lists { return &lists{senders: map[int]*told{}} }
+func newLists() *listRecords { return &listRecords{senders: map[int]*senderLists{}} }
 
-func (l *lists) sender(n int) *told {
+func (l *listRecords) sender(n int) *senderLists {
 	if l.senders[n] == nil {
-		l.senders[n] = &told{}
+		l.senders[n] = &senderLists{}
 	}
 	return l.senders[n]
 }
 
-// leaving says since which list an endpoint has been other than up, as of a moment.
-func (l *lists) leaving(endpoint string, at time.Time) (since published, ok bool) {
+// notUpSince returns the list since which an endpoint has had another lifecycle than up, or been unlisted, as
+// of a time; false if it is up.
+func (l *listRecords) notUpSince(endpoint string, at time.Time) (since published, ok bool) {
 	for _, p := range l.published {
 		if p.at.After(at) {
 			break
@@ -80,8 +81,9 @@
 	return since, ok
 }
 
-// reached is the first moment by which discovery could be reached all the time for so long, from a moment on.
-func (l *lists) reached(from time.Time, within time.Duration) time.Time {
+// reachableFor returns the first time, after from, by which discovery had been reachable for a duration
+// without interruption.
+func (l *listRecords) reachableFor(from time.Time, within time.Duration) time.Time {
 	by := from.Add(within)
 	for _, down := range l.down {
 		if down.From.Before(by) && (down.To.IsZero() || down.To.After(from)) {
@@ -95,10 +97,10 @@
 	return by
 }
 
-// toldBy is when a sender counts as told of a change, as of a moment.
-func (l *lists) toldBy(sender int, change published, at time.Time) time.Time {
+// informedBy returns the time from which a sender counts as informed of a change, as of a time.
+func (l *listRecords) informedBy(sender int, change published, at time.Time) time.Time {
 	s := l.sender(sender)
-	var process start
+	var process processStart
 	for _, x := range s.starts {
 		if x.at.Before(at) {
 			process = x
@@ -109,17 +111,18 @@
 	}
 	from := later(change.at, process.at)
 	if l.pushed {
-		return l.toldByAgent(s, process.at, from)
+		return l.informedByAgent(s, process.at, from)
 	}
-	out := l.reached(from, toldAfter)
-	for _, w := range s.silent { // what a watch that fell silent misses counts as told behind its hold
-		if end := w.began.Add(w.hold + toldAfterSilent); w.began.Before(out) && w.began.After(process.at) && end.After(out) {
+	out := l.reachableFor(from, maxListDelay)
+	for _, w := range s.silent { // a change during an unanswered watch counts as known after its hold
+		if end := w.began.Add(w.hold + maxListDelayAfterHold); w.began.Before(out) &&
+			w.began.After(process.at) && end.After(out) {
 			out = end
 		}
 	}
 	for _, move := range s.moves {
 		if !move.Before(from) {
-			out = earlier(out, l.reached(move, toldAfterMove))
+			out = earlier(out, l.reachableFor(move, maxListDelayAfterMove))
 		}
 	}
 	for _, w := range s.written {
@@ -130,34 +133,37 @@
 	return out
 }
 
-// toldByAgent is when a sender counts as told of what its agent has had since a moment: at once, but for a while after
-// SIGHUP, and if the agent falls silent before a new process can have asked it.
-func (l *lists) toldByAgent(s *told, started, from time.Time) time.Time {
+// informedByAgent returns the time from which a sender counts as informed of what its agent has had since
+// from: at once, except for a while after SIGHUP, or if the agent stops answering before a new process can
+// have called it.
+func (l *listRecords) informedByAgent(s *senderLists, started, from time.Time) time.Time {
 	for _, down := range l.down {
-		if down.From.After(started) && down.From.Before(started.Add(firstAsk)) && !from.After(down.From) {
+		if down.From.After(started) && down.From.Before(started.Add(maxFirstCallDelay)) && !from.After(down.From) {
 			from = down.From.Add(time.Nanosecond)
 		}
 	}
-	out := l.reached(from, 0)
+	out := l.reachableFor(from, 0)
 	for _, move := range s.moves {
-		if by := move.Add(toldAfterMove); out.After(move) && out.Before(by) {
-			out = l.reached(by, 0)
+		if by := move.Add(maxListDelayAfterMove); out.After(move) && out.Before(by) {
+			out = l.reachableFor(by, 0)
 		}
 	}
 	return out
 }
 
-// judgeDrain: nothing new is sent to an endpoint that leaves, later than the grace after the sender counts as told.
-func (l *lists) judgeDrain(m *Message, noise time.Duration, add func(*Message, string, ...any)) {
+// judgeDrain checks that no call is sent to an endpoint that leaves later than drainGrace after the sender
+// counts as informed.
+func (l *listRecords) judgeDrain(m *Message, noise time.Duration, add func(*Message, string, ...any)) {
 	for _, c := range m.Calls {
-		change, ok := l.leaving(c.Endpoint, c.At)
+		change, ok := l.notUpSince(c.Endpoint, c.At)
 		if !ok {
 			continue
 		}
-		due := l.toldBy(m.Sender, change, c.At).Add(drainGrace)
-		if late := c.At.Sub(due); late > limitSlack+noise {
-			add(m, "drain: sent to %s %v too late; the change, generation %d, was %v before", c.Endpoint, late.Round(time.Millisecond), change.generation,
-				c.At.Sub(change.at).Round(time.Millisecond))
+		due := l.informedBy(m.Sender, change, c.At).Add(drainGrace)
+		if late := c.At.Sub(due); late > timeSlack+noise {
+			add(m, "drain: sent to %s %v too late; the change, generation %d, was %v before",
+				c.Endpoint, late.Round(time.Millisecond),
+				change.generation, c.At.Sub(change.at).Round(time.Millisecond))
 		}
 	}
 }
@@ -176,14 +182,14 @@
 	return b
 }
 
-// listed notes a list that discovery has from now on.
-func (r *Records) listed(at time.Time, l instanceList) {
-	r.change(func() { r.lists.published = append(r.lists.published, published{at, l.Generation, l.lifecycles()}) })
+// listPublished records a list that discovery has from now on.
+func (r *Records) listPublished(at time.Time, l instanceList) {
+	r.withLock(func() { r.lists.published = append(r.lists.published, published{at, l.Generation, l.lifecycles()}) })
 }
 
-// discoveryDown notes that discovery goes down, or is back.
+// discoveryDown records that discovery goes down or is back.
 func (r *Records) discoveryDown(at time.Time, down bool) {
-	r.change(func() {
+	r.withLock(func() {
 		if down {
 			r.lists.down = append(r.lists.down, Interval{From: at})
 		} else {
@@ -192,35 +198,35 @@
 	})
 }
 
-// listWritten notes an answer that was written to a sender.
+// listWritten records a response that was written to a sender.
 func (r *Records) listWritten(sender int, at time.Time, generation int64) {
-	r.change(func() {
+	r.withLock(func() {
 		s := r.lists.sender(sender)
 		s.written = append(s.written, written{at, generation})
 	})
 }
 
-// silentWatch notes a call that is not answered.
-func (r *Records) silentWatch(sender int, began time.Time, hold time.Duration) {
-	r.change(func() {
+// callUnanswered records a call for the list that is not answered.
+func (r *Records) callUnanswered(sender int, began time.Time, hold time.Duration) {
+	r.withLock(func() {
 		s := r.lists.sender(sender)
-		s.silent = append(s.silent, watch{began, hold})
+		s.silent = append(s.silent, unansweredCall{began, hold})
 	})
 }
 
-// movedDiscovery notes a SIGHUP that names another address.
-func (r *Records) movedDiscovery(sender int, at time.Time) {
-	r.change(func() {
+// discoveryMoved records a SIGHUP after which discovery has another address.
+func (r *Records) discoveryMoved(sender int, at time.Time) {
+	r.withLock(func() {
 		s := r.lists.sender(sender)
 		s.moves = append(s.moves, at)
 	})
 }
 
-// started notes a process that starts with a list.
-func (r *Records) started(sender int, at time.Time, generation int64) {
-	r.change(func() {
+// processStarted records the start of a process with a list.
+func (r *Records) processStarted(sender int, at time.Time, generation int64) {
+	r.withLock(func() {
 		s := r.lists.sender(sender)
-		s.starts = append(s.starts, start{at, generation})
-		slices.SortFunc(s.starts, func(a, b start) int { return a.at.Compare(b.at) })
+		s.starts = append(s.starts, processStart{at, generation})
+		slices.SortFunc(s.starts, func(a, b processStart) int { return a.at.Compare(b.at) })
 	})
 }
--- a/internal/soak/plant.go
+++ b/internal/soak/plant.go
@@ -2,18 +2,18 @@
 
 import "cometrack/internal/standin/faultbuild"
 
-// Plant is a fault put into the program on purpose: a soak that does not find it within
-// a few seeds proves nothing by finding none.
+// Plant is a fault that is planted in the program. A soak run that does not find it within a few seeds is not
+// able to find such faults.
 type Plant struct {
 	Name    string
 	Changes []faultbuild.Change
-	// LoseFolder has the folder of a sender emptied at some restarts.
+	// LoseFolder empties the folder of a sender at restarts.
 	LoseFolder bool
-	// Faults are the kinds by which it shows; empty for all.
+	// Faults are the kinds of faults that reveal it; empty for all.
 	Faults []string
 }
 
-// Plants are the faults that the soak has to find.
+// Plants are the planted faults that the soak has to find.
 var Plants = []Plant{
 	{Name: "lost folder", LoseFolder: true},
 	{Name: "skipped journal write", Changes: []faultbuild.Change{
@@ -70,5 +70,5 @@
 
 const pacing = "internal/source/platform/poll/pace.go"
 
-// aboutLists are the kinds of faults by which it shows that a list is not heeded.
+// aboutLists are the kinds of faults that reveal that a list is ignored.
 var aboutLists = []string{"endpoint", "discovery", "drain", "restart", "kill series", "move", "stall"}
--- a/internal/soak/platform.go
+++ b/internal/soak/platform.go
@@ -7,37 +7,37 @@
 	"time"
 )
 
-// platform stands for discovery and for what hears of ends.
+// platform is a stand-in for the platform: discovery and the receiver of notices.
 type platform struct {
 	*discovery
-	ends *outcomes
+	notices *noticeReceiver
 }
 
 func newPlatform(records *Records, seed uint64) *platform {
-	return &platform{newDiscovery(records, seed), &outcomes{records: records, news: make(chan struct{})}}
+	return &platform{newDiscovery(records, seed), &noticeReceiver{records: records, changed: make(chan struct{})}}
 }
 
-func (p *platform) outcomes(w http.ResponseWriter, r *http.Request) { p.ends.hear(w, r) }
+func (p *platform) outcomes(w http.ResponseWriter, r *http.Request) { p.notices.receive(w, r) }
 
-// outcomes hears how messages ended.
-type outcomes struct {
+// noticeReceiver records the notices of how messages ended.
+type noticeReceiver struct {
 	records *Records
 
-	mu   sync.Mutex
-	mute bool          // notices are taken and not answered
-	news chan struct{} // closed when that changes
+	mu         sync.Mutex
+	unanswered bool          // notices are recorded and not answered
+	changed    chan struct{} // closed when unanswered changes
 }
 
-// setMute says whether notices are taken and not answered.
-func (o *outcomes) setMute(mute bool) {
+// setUnanswered sets whether notices are left unanswered.
+func (o *noticeReceiver) setUnanswered(unanswered bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.mute = mute
-	close(o.news)
-	o.news = make(chan struct{})
+	o.unanswered = unanswered
+	close(o.changed)
+	o.changed = make(chan struct{})
 }
 
-func (o *outcomes) hear(w http.ResponseWriter, r *http.Request) {
+func (o *noticeReceiver) receive(w http.ResponseWriter, r *http.Request) {
 	at := time.Now()
 	var lines []struct{ ID, State string }
 	for dec := json.NewDecoder(r.Body); dec.More(); {
@@ -49,14 +49,14 @@
 		lines = append(lines, x)
 	}
 	for _, x := range lines {
-		o.records.notice(x.ID, Notice{at, x.State})
+		o.records.addNotice(x.ID, Notice{at, x.State})
 	}
 	o.mu.Lock()
-	mute, news := o.mute, o.news
+	unanswered, changed := o.unanswered, o.changed
 	o.mu.Unlock()
-	if mute { // heard, but the answer gets lost
+	if unanswered { // the notice is recorded, and its response is lost
 		select {
-		case <-news:
+		case <-changed:
 		case <-r.Context().Done():
 		}
 		return
--- a/internal/soak/points.go
+++ b/internal/soak/points.go
@@ -2,15 +2,15 @@
 
 import "cometrack/internal/standin/faultbuild"
 
-// trigger is what has a point be passed.
+// trigger is what makes the program pass a point.
 type trigger int
 
 const (
 	byTraffic trigger = iota // traffic alone
 	byTerm                   // SIGTERM
-	byStart                  // a start
+	byStart                  // start of a process
 	byReload                 // SIGHUP
-	byUpgrade                // a process that is started beside the one that serves
+	byUpgrade                // start of a successor beside the serving process
 )
 
 // point is a place in the program between two steps that belong together.
@@ -33,7 +33,7 @@
 	following   = "internal/source/platform/follow.go"
 )
 
-// points are all of them, in the order in which a message and a process come by.
+// points are all points, roughly in the order in which a process and a message pass them.
 var points = []point{
 	{faultbuild.Point{Name: "start: the journal is open", File: startup, Before: "	share := shareOut("}, byStart},
 	{faultbuild.Point{Name: "start: the store is read", File: "internal/journal/journal.go", Before: "	if err = j.load(); err == nil {"}, byStart},
@@ -102,10 +102,10 @@
 	{faultbuild.Point{Name: "end of process: loop ended, clients left", File: coreRun, Before: "	close(c.done)\n	cancel() // ends"}, byTerm},
 }
 
-// modulePackage is the program, whatever folder of the module the build is started in.
+// modulePackage is the import path of the program, which does not depend on the working directory.
 const modulePackage = "cometrack/cmd/cometrack"
 
-// faultPoints are the points as the build knows them, by their number.
+// faultPoints returns the points for the build, in the order of their numbers.
 func faultPoints() (list []faultbuild.Point) {
 	for _, p := range points {
 		list = append(list, p.Point)
@@ -113,7 +113,7 @@
 	return list
 }
 
-// Build builds the program with the points to path.
+// Build builds the program with the hooks of the points to path.
 func Build(path string, changes ...faultbuild.Change) error {
 	own, err := faultbuild.PointChanges(faultPoints())
 	if err != nil {
--- a/internal/soak/record.go
+++ b/internal/soak/record.go
@@ -10,36 +10,36 @@
 	"cometrack/internal/standin/faultbuild"
 )
 
-// Effect tells what a repeat of a message does.
+// Effect says what a repeated delivery of a message does.
 type Effect string
 
-// The effects, by the names of the classes that have them.
+// The effects, named as the classes that have them.
 const (
 	Safe   Effect = "safe"
 	Keyed  Effect = "keyed"
 	Unsafe Effect = "unsafe"
 )
 
-// Call is one call that came to an endpoint.
+// Call is one call that an endpoint received.
 type Call struct {
-	At         time.Time // its last byte
+	At         time.Time // when its last byte was received
 	Endpoint   string
 	Ran        bool
-	Status     int           // that was written whole; 0 for none
+	Status     int           // status of the response that was written completely; 0 for none
 	AnsweredAt time.Time     // when the answer was written; zero if it was not
 	ClosedAt   time.Time     // when the connection ended, if that was before an answer
-	InsideWait time.Duration // for which it came inside a wait that its sender was told
+	InsideWait time.Duration // how long after the grace of a requested wait it came; 0 if outside
 }
 
-// over is when the call was over for its endpoint; zero if it never was.
-func (c *Call) over() time.Time {
+// endedAt returns when the call ended for its endpoint; zero if it never did.
+func (c *Call) endedAt() time.Time {
 	if c.AnsweredAt.IsZero() {
 		return c.ClosedAt
 	}
 	return c.AnsweredAt
 }
 
-// Notice is an end that the platform heard of.
+// Notice is a notice of a final state that the platform received.
 type Notice struct {
 	At    time.Time
 	State string
@@ -50,37 +50,38 @@
 	ID          string
 	Sender      int
 	Effect      Effect
-	ClientKind  string    // what kind of client handed it in
-	FirstOnConn bool      // the first request on its connection
+	ClientKind  string    // kind of the client that submitted it
+	FirstOnConn bool      // it was the first request on its connection
 	WrittenAt   time.Time // its last byte
 	Deadline    time.Time
 	Answer      string // empty for none
 	AnsweredAt  time.Time
-	ClosedAt    time.Time // when the sender was seen to have closed the connection without an answer
-	ClientLeft  bool      // the client went away itself: what becomes of the message counts for nothing
+	ClosedAt    time.Time // when the client saw the sender close the connection without a response
+	ClientLeft  bool      // the client gave up: rules on the end of the message do not apply
 	Calls       []*Call
 	Notices     []Notice
 
-	line   string        // the answer as it came
-	hold   time.Duration // for which it may be delivered
-	port   int           // of its connection, at the client
-	dialed time.Time     // when that was made
-	end    int64         // where its request ends, in bytes from the start of the connection
+	rawAnswer  string        // the response with its line end
+	lifetime   time.Duration // from submission to the deadline
+	port       int           // the client's port of its connection
+	dialed     time.Time     // when the client began to connect
+	requestEnd int64         // offset of the end of its request, in bytes from the start of the connection
 }
 
-// Accepted says that its client heard that it is taken on.
+// Accepted reports whether the client was answered that the message is accepted.
 func (m *Message) Accepted() bool { return strings.HasPrefix(m.Answer, "+") }
 
-// Delivered says that an endpoint's 200 was written whole.
+// Delivered reports whether an endpoint's 200 was written completely.
 func (m *Message) Delivered() bool {
 	return slices.ContainsFunc(m.Calls, func(c *Call) bool { return c.Status == 200 })
 }
 
-// History tells what happened to the message, by the time since start.
+// History describes the events of the message, with times in seconds since start.
 func (m *Message) History(start time.Time) string {
 	since := func(t time.Time) string { return fmt.Sprintf("%.3f", t.Sub(start).Seconds()) }
 	var b strings.Builder
-	fmt.Fprintf(&b, "%s at sender %d, %s, %s client, first on its connection %v: written %s, time up %s, answer %q", m.ID, m.Sender, m.Effect, m.ClientKind, m.FirstOnConn,
+	fmt.Fprintf(&b, "%s at sender %d, %s, %s client, first on its connection %v: written %s, deadline %s, answer %q",
+		m.ID, m.Sender, m.Effect, m.ClientKind, m.FirstOnConn,
 		since(m.WrittenAt), since(m.Deadline), m.Answer)
 	if !m.AnsweredAt.IsZero() {
 		fmt.Fprintf(&b, " at %s", since(m.AnsweredAt))
@@ -103,50 +104,52 @@
 	return b.String()
 }
 
-// Interval is a stretch of time in which something happened to a process.
+// Interval is a period of time.
 type Interval struct{ From, To time.Time }
 
-// Records are what was seen from outside. They may be written at once by many.
+// Records are the observations of a run. They may be written concurrently.
 type Records struct {
-	mu       sync.Mutex
-	messages map[string]*Message
-	kills    map[int][]time.Time              // SIGKILL, by sender
-	outages  map[int][]Interval               // from the first signal of a restart until the sender is ready again
-	stalls   map[int][]Interval               // the process stood still
-	waits    map[route]Interval               // the last wait that was told
-	traces   map[int][]*faultbuild.Connection // what each sender did with its clients' connections
-	lists    *lists                           // what discovery had, and told whom
-	unowed   []string                         // calls and notices for messages that nobody handed in
-	other    []string                         // faults that concern no message
-}
-
-// route is from a sender to a destination.
+	mu              sync.Mutex
+	messages        map[string]*Message
+	kills           map[int][]time.Time              // SIGKILL, by sender
+	outages         map[int][]Interval               // from the first signal of a restart until the sender is ready again
+	stalls          map[int][]Interval               // while the process was held
+	waits           map[route]Interval               // the last requested wait
+	traces          map[int][]*faultbuild.Connection // trace of each sender's client connections
+	lists           *listRecords                     // published lists and which sender received them
+	unknownMessages []string                         // calls and notices for messages that were not submitted
+	faults          []string                         // violations that concern no message
+}
+
+// route identifies a sender and a destination.
 type route struct{ sender, dest int }
 
 func newRecords() *Records {
-	return &Records{lists: newLists(), messages: map[string]*Message{}, waits: map[route]Interval{}, kills: map[int][]time.Time{}, outages: map[int][]Interval{}, traces: map[int][]*faultbuild.Connection{}, stalls: map[int][]Interval{}}
+	return &Records{lists: newLists(), messages: map[string]*Message{}, waits: map[route]Interval{},
+		kills: map[int][]time.Time{}, outages: map[int][]Interval{},
+		traces: map[int][]*faultbuild.Connection{}, stalls: map[int][]Interval{}}
 }
 
-func (r *Records) add(m *Message) {
+func (r *Records) addMessage(m *Message) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.messages[m.ID] = m
 }
 
-// with changes a message under the lock.
-func (r *Records) with(m *Message, change func()) {
+// update changes a message with the lock held.
+func (r *Records) update(m *Message, change func()) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	change()
 }
 
-// call notes a call that came to an endpoint of a destination.
-func (r *Records) call(id string, dest int, c *Call) {
+// addCall records a call that an endpoint of a destination received.
+func (r *Records) addCall(id string, dest int, c *Call) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	m := r.messages[id]
 	if m == nil {
-		r.unowed = append(r.unowed, "call for "+id)
+		r.unknownMessages = append(r.unknownMessages, "call for "+id)
 		return
 	}
 	if w := r.waits[route{m.Sender, dest}]; c.At.After(w.From.Add(waitGrace)) && c.At.Before(w.To) {
@@ -155,24 +158,26 @@
 	m.Calls = append(m.Calls, c)
 }
 
-func (r *Records) change(f func()) {
+// withLock calls f with the lock held.
+func (r *Records) withLock(f func()) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	f()
 }
 
-func (r *Records) notice(id string, n Notice) {
+// addNotice records a notice for a message.
+func (r *Records) addNotice(id string, n Notice) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if m := r.messages[id]; m != nil {
 		m.Notices = append(m.Notices, n)
 	} else {
-		r.unowed = append(r.unowed, "notice for "+id)
+		r.unknownMessages = append(r.unknownMessages, "notice for "+id)
 	}
 }
 
-// told notes that a sender was told to wait. A restart ends it.
-func (r *Records) told(id string, dest int, wait time.Duration) {
+// waitRequested records that a sender was requested to wait. A restart ends the wait.
+func (r *Records) waitRequested(id string, dest int, wait time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if m := r.messages[id]; m != nil {
@@ -181,8 +186,9 @@
 	}
 }
 
-func (r *Records) restarts(sender int) {
-	r.change(func() {
+// clearWaits forgets a sender's requested waits at its restart.
+func (r *Records) clearWaits(sender int) {
+	r.withLock(func() {
 		for x := range r.waits {
 			if x.sender == sender {
 				delete(r.waits, x)
@@ -191,39 +197,40 @@
 	})
 }
 
-func (r *Records) fault(format string, args ...any) {
+// addFault records a violation that concerns no message.
+func (r *Records) addFault(format string, args ...any) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.other = append(r.other, fmt.Sprintf(format, args...))
+	r.faults = append(r.faults, fmt.Sprintf(format, args...))
 }
 
-func (r *Records) killed(sender int, at time.Time) {
-	r.change(func() { r.kills[sender] = append(r.kills[sender], at) })
+func (r *Records) addKill(sender int, at time.Time) {
+	r.withLock(func() { r.kills[sender] = append(r.kills[sender], at) })
 }
 
-func (r *Records) outage(sender int, from, to time.Time) {
-	r.change(func() { r.outages[sender] = append(r.outages[sender], Interval{from, to}) })
+func (r *Records) addOutage(sender int, from, to time.Time) {
+	r.withLock(func() { r.outages[sender] = append(r.outages[sender], Interval{from, to}) })
 }
 
-// traced notes what a sender did with its clients' connections.
-func (r *Records) traced(sender int, list []*faultbuild.Connection) {
-	r.change(func() { r.traces[sender] = list })
+// setTrace records the trace of a sender's client connections.
+func (r *Records) setTrace(sender int, list []*faultbuild.Connection) {
+	r.withLock(func() { r.traces[sender] = list })
 }
 
-// readAt is when the sender had read the whole request of a message; zero if it never
-// had, or if its connection was broken.
-func (r *Records) readAt(m *Message) time.Time {
+// requestReadAt returns when the sender had read the complete request of a message; zero if it never had, or
+// if the harness broke the connection.
+func (r *Records) requestReadAt(m *Message) time.Time {
 	for _, c := range r.traces[m.Sender] {
 		if c.Port == m.port && c.FirstSeen.After(m.dialed) && c.FirstSeen.Before(m.ClosedAt) {
 			if c.Broken {
 				return time.Time{}
 			}
-			return c.ReadTime(m.end)
+			return c.ReadTime(m.requestEnd)
 		}
 	}
 	return time.Time{}
 }
 
-func (r *Records) stalled(sender int, from, to time.Time) {
-	r.change(func() { r.stalls[sender] = append(r.stalls[sender], Interval{from, to}) })
+func (r *Records) addStall(sender int, from, to time.Time) {
+	r.withLock(func() { r.stalls[sender] = append(r.stalls[sender], Interval{from, to}) })
 }
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -16,68 +16,72 @@
 )
 
 const (
-	destinations   = 4
-	endpointsEach  = 2
-	longestMessage = 5 * time.Second
-	// quiet is how long traffic goes on once faults are over.
-	quiet = time.Second
+	destinationCount        = 4
+	endpointsPerDestination = 2
+	maxLifetime             = 5 * time.Second
+	// quietPeriod is how long traffic continues after the last fault has ended.
+	quietPeriod = time.Second
 )
 
-// fleet is all that a run consists of.
+// fleet is the state of one run.
 type fleet struct {
-	records   *Records
-	platform  *platform
-	endpoints []*endpoint
-	senders   []*sender
-	seed      uint64
-	pushed    bool
-	clocks    bool // wall clocks are stepped at restarts
+	records     *Records
+	platform    *platform
+	endpoints   []*endpoint
+	senders     []*sender
+	seed        uint64
+	pushed      bool // each sender gets its list from an agent of its own, as with the membership mode "pushed"
+	stepsClocks bool // wall clocks are stepped at restarts
 
-	busy sync.WaitGroup // restarts under way
-	mu   sync.Mutex
-	up   map[string]string // lifecycle by endpoint
-	err  error
+	restarts   sync.WaitGroup // restarts in progress
+	mu         sync.Mutex
+	lifecycles map[string]string // lifecycle that the list gives, by name of the endpoint; up if absent
+	err        error
 }
 
-// Result is what came of a run.
+// Result is the result of a run.
 type Result struct {
 	Verdict
-	Script      []string
-	Faults      faultbuild.Counts
-	MaxDelay    time.Duration
-	ManyClients bool
-	// Crossings are the events at points of the program, in a run that has them.
+	// Script has the faults in their order, each with its time in seconds since the start.
+	Script []string
+	Faults faultbuild.Counts
+	// Tolerance is twice the longest scheduling delay of the harness; the judge's time limits are extended by it.
+	Tolerance time.Duration
+	// IdleClients reports whether idle clients used up the descriptors of every fourth sender.
+	IdleClients bool
+	// Crossings are the events injected at points of the program; nil unless Options.Crossings is set.
 	Crossings *Crossings
 }
 
-// Run plays one run.
+// Run executes one run and judges it. An error is a fault of the harness; broken invariants are in the result.
 func Run(o Options) (out Result, err error) {
-	f := &fleet{records: newRecords(), up: map[string]string{}, clocks: len(o.Faults) == 0 || slices.Contains(o.Faults, "clock")}
-	if o.Senders > mostSenders {
-		return out, fmt.Errorf("%d senders; %d at most", o.Senders, mostSenders)
+	f := &fleet{records: newRecords(), lifecycles: map[string]string{},
+		stepsClocks: len(o.Faults) == 0 || slices.Contains(o.Faults, "clock")}
+	if o.Senders > maxSenders {
+		return out, fmt.Errorf("%d senders; %d at most", o.Senders, maxSenders)
 	}
 	f.seed, f.platform = o.Seed, newPlatform(f.records, o.Seed)
 	rng := rand.New(rand.NewPCG(o.Seed, 2))
-	f.pushed, out.ManyClients = rng.IntN(2) == 0, rng.IntN(4) == 0
+	f.pushed, out.IdleClients = rng.IntN(2) == 0, rng.IntN(4) == 0
 	f.platform.pushed, f.records.lists.pushed = f.pushed, f.pushed
-	askEvery := []time.Duration{400 * time.Millisecond, 10 * time.Second}[rng.IntN(2)]
-	for i := range destinations * endpointsEach {
-		e, err := newEndpoint(fmt.Sprint("e-", i), i%destinations, f.records, o.Seed+uint64(i))
+	listInterval := []time.Duration{400 * time.Millisecond, 10 * time.Second}[rng.IntN(2)]
+	for i := range destinationCount * endpointsPerDestination {
+		e, err := newEndpoint(fmt.Sprint("e-", i), i%destinationCount, f.records, o.Seed+uint64(i))
 		if err != nil {
 			return out, err
 		}
 		defer e.close()
 		f.endpoints = append(f.endpoints, e)
 	}
-	f.list(nil, "")
+	f.setLifecycle(nil, "")
 	for i := range o.Senders {
-		s, err := f.newSender(o, i, askEvery)
+		s, err := f.newSender(o, i, listInterval)
 		if err != nil {
 			return out, err
 		}
 		defer s.controls.Close()
 		defer s.logs.f.Close()
-		defer func() { s.door.server.Close() }()
+		defer func() { s.platformServer.server.Close() }()
 		f.senders = append(f.senders, s)
 	}
 	for _, s := range f.senders {
@@ -94,37 +98,38 @@
 	start := time.Now()
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
-	var crowd []*clients
+	var clientGroups []*clients
 	for _, s := range f.senders {
-		c := &clients{sender: s.number, addr: s.addr, dests: destinations, crowd: out.ManyClients && s.number%4 == 0, records: f.records}
+		c := &clients{sender: s.number, addr: s.addr, destinationCount: destinationCount,
+			fillDescriptors: out.IdleClients && s.number%4 == 0, records: f.records}
 		c.start(ctx, o.Seed*1000+uint64(s.number))
-		crowd = append(crowd, c)
+		clientGroups = append(clientGroups, c)
 	}
-	noise := watchNoise(ctx)
+	schedulingDelay := measureSchedulingDelay(ctx)
 	var crossings sync.WaitGroup
 	if o.Crossings {
-		out.Crossings = f.playCrossings(o.Seed, &crossings)
+		out.Crossings = f.runCrossings(o.Seed, &crossings)
 	}
-	for _, st := range f.play(o, start) {
-		out.Script = append(out.Script, fmt.Sprintf("%7.3f %s", st.at.Seconds(), st.text))
+	for _, s := range f.runScript(o, start) {
+		out.Script = append(out.Script, fmt.Sprintf("%7.3f %s", s.at.Seconds(), s.text))
 	}
 	crossings.Wait()
-	f.busy.Wait()
-	f.calm()
-	time.Sleep(quiet)
+	f.restarts.Wait()
+	f.endFaults()
+	time.Sleep(quietPeriod)
 	stop()
-	for _, c := range crowd {
+	for _, c := range clientGroups {
 		c.wg.Wait()
 	}
-	time.Sleep(longestMessage + lostAfter + quiet)
-	f.endAll()
-	out.MaxDelay = 2 * <-noise
+	time.Sleep(maxLifetime + lostAfter + quietPeriod)
+	f.stopAll()
+	out.Tolerance = 2 * <-schedulingDelay
 	for _, s := range f.senders {
-		list, err := faultbuild.ReadTrace(s.trace)
+		list, err := faultbuild.ReadTrace(s.tracePath)
 		if err != nil {
 			return out, err
 		}
-		f.records.traced(s.number, list)
+		f.records.setTrace(s.number, list)
 		x := s.controls.Counts()
 		out.Faults.Holds += x.Holds
 		out.Faults.Accepts += x.Accepts
@@ -132,20 +137,24 @@
 		out.Faults.Syncs += x.Syncs
 		out.Faults.Connects += x.Connects
 	}
-	out.Verdict = f.records.judge(start, repeatWindow, out.MaxDelay)
+	out.Verdict = f.records.judge(start, repeatWindow, out.Tolerance)
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return out, f.err
 }
 
-func (f *fleet) newSender(o Options, i int, askEvery time.Duration) (*sender, error) {
-	s := &sender{number: i, addr: address(o.Seed, i, clientPort), askEvery: askEvery, dir: filepath.Join(o.Dir, fmt.Sprint("state-", i)), config: filepath.Join(o.Dir, fmt.Sprintf("config-%d.json", i)),
-		binary: o.Binary, platform: f.platform, records: f.records, loseFolder: o.LoseFolder}
+// newSender prepares the files, the fault controls and the platform server of a sender. It does not start a
+// process.
+func (f *fleet) newSender(o Options, i int, listInterval time.Duration) (*sender, error) {
+	s := &sender{number: i, addr: address(o.Seed, i, clientPort), listInterval: listInterval,
+		dir:        filepath.Join(o.Dir, fmt.Sprint("state-", i)),
+		configPath: filepath.Join(o.Dir, fmt.Sprintf("config-%d.json", i)),
+		binary:     o.Binary, platform: f.platform, records: f.records, loseFolder: o.LoseFolder}
 	var err error
-	if s.door, err = f.platform.open(i, platformAddress(o.Seed, i, 0)); err != nil {
+	if s.platformServer, err = f.platform.listen(i, platformAddress(o.Seed, i, 0)); err != nil {
 		return nil, err
 	}
-	if err := os.RemoveAll(s.dir); err != nil { // of an earlier run with this seed
+	if err := os.RemoveAll(s.dir); err != nil { // left by an earlier run with this seed
 		return nil, err
 	}
 	if err := os.MkdirAll(s.dir, 0o700); err != nil {
@@ -157,16 +166,17 @@
 	if s.controls, err = faultbuild.NewControls(filepath.Join(o.Dir, fmt.Sprint("faults-", i))); err != nil {
 		return nil, err
 	}
-	s.trace = filepath.Join(o.Dir, fmt.Sprint("trace-", i))
-	if err := os.RemoveAll(s.trace); err != nil { // as its folder
+	s.tracePath = filepath.Join(o.Dir, fmt.Sprint("trace-", i))
+	if err := os.RemoveAll(s.tracePath); err != nil { // left by an earlier run with this seed
 		return nil, err
 	}
-	s.controls.SetWallOffset(f.clockStep(rand.New(rand.NewPCG(o.Seed, uint64(100+i))))) // off before the first start too
+	// The clock is off before the first start too.
+	s.controls.SetWallOffset(f.drawClockOffset(rand.New(rand.NewPCG(o.Seed, uint64(100+i)))))
 	return s, s.writeConfig(o.Senders, f.pushed)
 }
 
-// play plays the script, and returns it in order.
-func (f *fleet) play(o Options, start time.Time) []step {
+// runScript executes the steps of the script at their times and returns them in that order.
+func (f *fleet) runScript(o Options, start time.Time) []step {
 	steps := f.script(o)
 	slices.SortStableFunc(steps, func(a, b step) int { return cmp.Compare(a.at, b.at) })
 	for _, s := range steps {
@@ -176,45 +186,45 @@
 	return steps
 }
 
-// calm ends all faults.
-func (f *fleet) calm() {
+// endFaults ends all faults.
+func (f *fleet) endFaults() {
 	for _, e := range f.endpoints {
-		e.set(well)
+		e.set(healthy)
 	}
-	f.platform.suffer(trouble{})
-	f.platform.ends.setMute(false)
+	f.platform.setFault(discoveryFault{})
+	f.platform.notices.setUnanswered(false)
 	for _, s := range f.senders {
 		s.controls.FailWrites(0, 0)
 		s.controls.FailSyncs(0, 0)
 		s.controls.FailAccepts(0, 0)
 		s.controls.FailConnects(0, 0)
-		s.connectInTime()
+		s.endConnectDelays()
 		s.controls.HoldBeforeWrites(0)
 	}
 }
 
-// endAll ends the senders in good order.
-func (f *fleet) endAll() {
+// stopAll stops all senders with SIGTERM and records those that do not exit cleanly in time.
+func (f *fleet) stopAll() {
 	var all sync.WaitGroup
 	for _, s := range f.senders {
 		all.Go(func() {
 			s.signal(syscall.SIGTERM)
-			if !s.ended(killAfter) {
-				f.records.fault("sender %d: did not end within %v of SIGTERM", s.number, killAfter)
+			if !s.endsWithin(killDelay) {
+				f.records.addFault("sender %d: did not end within %v of SIGTERM", s.number, killDelay)
 			} else if err := s.exitStatus(); err != nil {
-				f.records.fault("sender %d: ended with %v", s.number, err)
+				f.records.addFault("sender %d: ended with %v", s.number, err)
 			}
 			p := s.process()
-			close(p.stop)
-			<-p.done
+			close(p.stopResuming)
+			<-p.resumingDone
 		})
 	}
 	all.Wait()
 }
 
-// async runs a restart beside all else.
-func (f *fleet) async(run func() error) {
-	f.busy.Go(func() {
+// goRestart runs a restart in the background and keeps its error.
+func (f *fleet) goRestart(run func() error) {
+	f.restarts.Go(func() {
 		if err := run(); err != nil {
 			f.mu.Lock()
 			f.err = cmp.Or(f.err, err)
@@ -223,92 +233,96 @@
 	})
 }
 
-// list sets the lifecycle of an endpoint, or of none, and tells the list anew.
-func (f *fleet) list(e *endpoint, lifecycle string) {
+// setLifecycle sets the lifecycle of an endpoint, unless e is nil, and publishes the next generation of the
+// list.
+func (f *fleet) setLifecycle(e *endpoint, lifecycle string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if e != nil {
-		f.up[e.name] = lifecycle
+		f.lifecycles[e.name] = lifecycle
 	}
-	l := instanceList{Generation: f.platform.known().Generation + 1, Reset: true}
+	l := instanceList{Generation: f.platform.currentList().Generation + 1, Reset: true}
 	for _, x := range f.endpoints {
-		if f.up[x.name] == unlisted {
+		if f.lifecycles[x.name] == unlisted {
 			continue
 		}
 		l.Instances = append(l.Instances, instance{ID: x.name, HostPort: x.addr(), Zone: "a", Kind: "std", Dest: x.dest,
-			Lifecycle: cmp.Or(f.up[x.name], "up"), Weight: 2000})
+			Lifecycle: cmp.Or(f.lifecycles[x.name], "up"), Weight: 2000})
 	}
 	f.platform.publish(l)
 }
 
-// unlisted is the lifecycle of an endpoint that the list does not name.
+// unlisted is the lifecycle of an endpoint that is left out of the list.
 const unlisted = "unlisted"
 
-// reload writes the configuration anew and sends SIGHUP, unless the sender is being restarted.
+// reload rewrites the configuration and sends SIGHUP, unless the sender is being restarted.
 func (f *fleet) reload(s *sender) {
-	if !s.life.TryLock() {
+	if !s.restartMu.TryLock() {
 		return
 	}
-	defer s.life.Unlock()
+	defer s.restartMu.Unlock()
 	if err := s.writeConfig(len(f.senders), f.pushed); err == nil {
 		s.signal(syscall.SIGHUP)
 	}
 }
 
-// move has a sender's discovery move: its configuration names another address, and it gets SIGHUP.
-func (f *fleet) move(s *sender) error {
-	if !s.life.TryLock() {
+// moveDiscovery moves a sender's discovery to another address: the configuration is rewritten with it and the
+// sender gets SIGHUP. It does nothing while the sender is being restarted.
+func (f *fleet) moveDiscovery(s *sender) error {
+	if !s.restartMu.TryLock() {
 		return nil
 	}
-	defer s.life.Unlock()
-	if s.late.Load() {
-		return nil // no end can be told at a new address before the first connection is up
+	defer s.restartMu.Unlock()
+	if s.connectsDelayed.Load() {
+		return nil // notices can't reach the new address before its first connection is established
 	}
-	before := s.door
-	s.moves++
+	previous := s.platformServer
+	s.discoveryMoves++
 	now := time.Now()
-	s.movedAt.Store(&now)
-	next, err := f.platform.open(s.number, platformAddress(f.seed, s.number, s.moves))
+	s.discoveryMovedAt.Store(&now)
+	next, err := f.platform.listen(s.number, platformAddress(f.seed, s.number, s.discoveryMoves))
 	if err != nil {
 		return err
 	}
-	s.door = next
+	s.platformServer = next
 	if err := s.writeConfig(len(f.senders), f.pushed); err != nil {
 		return err
 	}
-	f.records.movedDiscovery(s.number, time.Now())
+	f.records.discoveryMoved(s.number, time.Now())
 	s.signal(syscall.SIGHUP)
-	before.leave()
+	previous.retire()
 	return nil
 }
 
-// watchNoise measures how long this machine lets a goroutine wait, until ctx is over.
-func watchNoise(ctx context.Context) <-chan time.Duration {
-	const every = 2 * time.Millisecond
+// measureSchedulingDelay measures by how much this machine delays a goroutine that is ready to run. The
+// channel returns the longest delay once ctx is done.
+func measureSchedulingDelay(ctx context.Context) <-chan time.Duration {
+	const interval = 2 * time.Millisecond
 	out := make(chan time.Duration, 1)
 	go func() {
-		tick := time.NewTicker(every)
+		tick := time.NewTicker(interval)
 		defer tick.Stop()
-		worst := time.Duration(0)
+		longest := time.Duration(0)
 		for last := time.Now(); ; {
 			select {
 			case <-ctx.Done():
-				out <- worst
+				out <- longest
 				return
 			case <-tick.C:
 			}
 			now := time.Now()
-			worst = max(worst, now.Sub(last)-every)
+			longest = max(longest, now.Sub(last)-interval)
 			last = now
 		}
 	}()
 	return out
 }
 
-// Summary tells of a run in one line.
+// Summary describes a run in one line.
 func (r *Result) Summary(seed uint64) string {
-	return fmt.Sprintf("seed %d: %d messages, %d accepted, %d delivered, %d returned, %d failed, %d refused, %d errors, %d unanswered, %d late; crowd %v; "+
-		"%d stalls, %d accepts, %d writes, %d syncs, %d connects failed; noise %v; %d violations", seed, r.Messages, r.Accepted, r.Delivered, r.Returned, r.Failed,
-		r.Refused, r.Errors, r.Unanswered, r.Late, r.ManyClients, r.Faults.Holds, r.Faults.Accepts, r.Faults.Writes, r.Faults.Syncs, r.Faults.Connects,
-		r.MaxDelay.Round(time.Millisecond), len(r.Violations))
+	return fmt.Sprintf("seed %d: %d messages, %d accepted, %d delivered, %d returned, %d failed, %d refused, %d errors, %d unanswered, %d late; idle clients %v; "+
+		"%d holds, %d accepts, %d writes, %d syncs, %d connects failed; noise %v; %d violations",
+		seed, r.Messages, r.Accepted, r.Delivered, r.Returned, r.Failed, r.Refused, r.Errors, r.Unanswered, r.Late,
+		r.IdleClients, r.Faults.Holds, r.Faults.Accepts, r.Faults.Writes, r.Faults.Syncs, r.Faults.Connects,
+		r.Tolerance.Round(time.Millisecond), len(r.Violations))
 }
--- a/internal/soak/script.go
+++ b/internal/soak/script.go
@@ -7,50 +7,51 @@
 	"time"
 )
 
-// Options set a run up.
+// Options configure a run.
 type Options struct {
 	Seed    uint64
 	Senders int
-	Length  time.Duration // for which faults come
-	Binary  string        // built by package faultbuild
-	Dir     string        // for folders of the senders and their logs
-	Faults  []string      // kinds to draw from; empty for all
-	// Crossings has every event come at every point of the program, once in each run. The
-	// program has to be built by [Build].
+	Length  time.Duration // period in which faults are injected
+	Binary  string        // path of the program, built by package faultbuild
+	Dir     string        // folder for the state folders and logs of the senders
+	Faults  []string      // kinds of faults to draw from; empty for all
+	// Crossings injects every event at every point of the program once in the run. Binary must have been built by
+	// [Build].
 	Crossings bool
-	// LoseFolder has senders' folders emptied at restarts: a planted fault.
+	// LoseFolder empties the senders' folders at restarts: a planted fault.
 	LoseFolder bool
 }
 
-// step is one fault of a script.
+// step is the begin or the end of one fault of a script.
 type step struct {
 	at   time.Duration
 	text string
 	run  func()
 }
 
-// kindsOfFault are the faults that a script draws from.
-var kindsOfFault = []string{"endpoint", "connections", "discovery", "notices", "restart", "kill series", "reload", "clock", "disk", "accept", "connect", "stall", "drain", "late", "move"}
+// faultKinds are the kinds of faults that a script draws from.
+var faultKinds = []string{"endpoint", "connections", "discovery", "notices", "restart", "kill series", "reload", "clock",
+	"disk", "accept", "connect", "stall", "drain", "late", "move"}
 
 // script draws the faults of a run.
 func (f *fleet) script(o Options) []step {
 	rng := rand.New(rand.NewPCG(o.Seed, 1))
 	kinds := o.Faults
 	if len(kinds) == 0 {
-		kinds = kindsOfFault
+		kinds = faultKinds
 	}
 	var out []step
 	at := func() time.Duration { return time.Duration(rng.Int64N(int64(o.Length))) }
 	for _, kind := range kinds {
-		for range f.howMany(kind, rng) {
-			out = append(out, f.draw(kind, at(), rng, o)...)
+		for range f.faultCount(kind, rng) {
+			out = append(out, f.drawFault(kind, at(), rng, o)...)
 		}
 	}
 	return out
 }
 
-// howMany faults of a kind come in a run.
-func (f *fleet) howMany(kind string, rng *rand.Rand) int {
+// faultCount returns the number of faults of a kind in a run.
+func (f *fleet) faultCount(kind string, rng *rand.Rand) int {
 	switch kind {
 	case "endpoint":
 		return 2 * len(f.endpoints)
@@ -70,7 +71,8 @@
 	return len(f.senders)/3 + 1
 }
 
-func (f *fleet) draw(kind string, at time.Duration, rng *rand.Rand, o Options) []step {
+// drawFault draws one fault of a kind that begins at a time, and returns its steps.
+func (f *fleet) drawFault(kind string, at time.Duration, rng *rand.Rand, o Options) []step {
 	s := f.senders[rng.IntN(len(f.senders))]
 	e := f.endpoints[rng.IntN(len(f.endpoints))]
 	length := time.Duration(500+rng.IntN(4500)) * time.Millisecond
@@ -79,44 +81,50 @@
 	}
 	switch kind {
 	case "endpoint":
-		b := behavior(1 + rng.IntN(int(behaviors)-1))
-		return during(fmt.Sprintf("endpoint %s is %v", e.name, b), func() { e.set(b) }, func() { e.set(well) })
+		b := behavior(1 + rng.IntN(int(behaviorCount)-1))
+		return during(fmt.Sprintf("endpoint %s is %v", e.name, b), func() { e.set(b) }, func() { e.set(healthy) })
 	case "connections":
 		reset := rng.IntN(2) == 0
-		return []step{{at, fmt.Sprintf("connections to %s end, by reset %v", e.name, reset), func() { e.dropIdle(reset) }}}
+		return []step{{at, fmt.Sprintf("connections to %s end, by reset %v", e.name, reset),
+			func() { e.dropConnections(reset) }}}
 	case "discovery":
-		text, now := discoveryTrouble(rng)
+		text, now := drawDiscoveryFault(rng)
 		length *= 2
-		return during(text, func() { f.platform.suffer(now) }, func() { f.platform.recover(now) })
+		return during(text, func() { f.platform.setFault(now) }, func() { f.platform.endFault(now) })
 	case "notices":
 		length = min(length, 150*time.Millisecond)
-		return during("answers to notices get lost", func() { f.platform.ends.setMute(true) }, func() { f.platform.ends.setMute(false) })
+		return during("responses to notices get lost", func() { f.platform.notices.setUnanswered(true) },
+			func() { f.platform.notices.setUnanswered(false) })
 	case "restart":
-		off := f.clockStep(rng)
-		return []step{{at, fmt.Sprintf("sender %d is told to end, killed at %v, wall clock off by %v at the start", s.number, killAfter, off), func() {
-			f.async(func() error { return s.restart(true, nil, func() { s.controls.SetWallOffset(off) }) })
+		offset := f.drawClockOffset(rng)
+		return []step{{at, fmt.Sprintf("sender %d gets SIGTERM, SIGKILL after %v, wall clock offset by %v at the start",
+			s.number, killDelay, offset), func() {
+			f.goRestart(func() error { return s.restart(true, nil, func() { s.controls.SetWallOffset(offset) }) })
 		}}}
 	case "kill series":
-		var lives []time.Duration
+		var lifetimes []time.Duration
 		for range rng.IntN(3) {
-			lives = append(lives, time.Duration(rng.IntN(120))*time.Millisecond)
+			lifetimes = append(lifetimes, time.Duration(rng.IntN(120))*time.Millisecond)
 		}
-		off := f.clockStep(rng)
-		return []step{{at, fmt.Sprintf("sender %d is killed, and again %v after starts, wall clock off by %v at the last", s.number, lives, off), func() {
-			f.async(func() error { return s.restart(false, lives, func() { s.controls.SetWallOffset(off) }) })
+		offset := f.drawClockOffset(rng)
+		return []step{{at, fmt.Sprintf("sender %d is killed, and again %v after starts, wall clock offset by %v at the last",
+			s.number, lifetimes, offset), func() {
+			f.goRestart(func() error { return s.restart(false, lifetimes, func() { s.controls.SetWallOffset(offset) }) })
 		}}}
 	case "reload":
-		also := rng.IntN(4) == 0
+		terminate := rng.IntN(4) == 0
 		steps := []step{{at, fmt.Sprintf("sender %d gets SIGHUP", s.number), func() { f.reload(s) }}}
-		if also {
-			steps = append(steps, step{at + 2*time.Millisecond, fmt.Sprintf("sender %d is told to end in the middle of that", s.number), func() {
-				f.async(func() error { return s.restart(true, nil, nil) })
+		if terminate {
+			steps = append(steps, step{at + 2*time.Millisecond, fmt.Sprintf("sender %d gets SIGTERM during the reload",
+				s.number), func() {
+				f.goRestart(func() error { return s.restart(true, nil, nil) })
 			}})
 		}
 		return steps
 	case "clock":
-		off := f.clockStep(rng)
-		return []step{{at, fmt.Sprintf("wall clock of sender %d is off by %v", s.number, off), func() { s.controls.SetWallOffset(off) }}}
+		offset := f.drawClockOffset(rng)
+		return []step{{at, fmt.Sprintf("wall clock of sender %d is offset by %v", s.number, offset),
+			func() { s.controls.SetWallOffset(offset) }}}
 	case "disk":
 		length = min(length, 3*time.Second)
 		probability := []float64{0.7, 1}[rng.IntN(2)]
@@ -128,55 +136,64 @@
 			s.controls.FailSyncs(0, 0)
 		})
 		if rng.IntN(2) == 0 {
-			steps = append(steps, step{at + length - length/8, fmt.Sprintf("sender %d is killed while its disk fails", s.number), func() {
-				f.async(func() error { return s.restart(false, nil, nil) })
+			steps = append(steps, step{at + length - length/8, fmt.Sprintf("sender %d is killed while its disk fails",
+				s.number), func() {
+				f.goRestart(func() error { return s.restart(false, nil, nil) })
 			}})
 		}
 		return steps
 	case "accept":
 		errno := []syscall.Errno{syscall.ECONNABORTED, syscall.ENFILE, syscall.ENOBUFS, syscall.EINTR}[rng.IntN(4)]
-		return during(fmt.Sprintf("accepts of sender %d fail with %v", s.number, errno), func() { s.controls.FailAccepts(0.3, errno) }, func() { s.controls.FailAccepts(0, 0) })
+		return during(fmt.Sprintf("accepts of sender %d fail with %v", s.number, errno),
+			func() { s.controls.FailAccepts(0.3, errno) }, func() { s.controls.FailAccepts(0, 0) })
 	case "connect":
 		errno := []syscall.Errno{syscall.EADDRNOTAVAIL, syscall.ENETUNREACH, syscall.ENOBUFS, syscall.EHOSTUNREACH}[rng.IntN(4)]
-		return during(fmt.Sprintf("connects of sender %d fail with %v", s.number, errno), func() { s.controls.FailConnects(0.3, errno) }, func() { s.controls.FailConnects(0, 0) })
+		return during(fmt.Sprintf("connects of sender %d fail with %v", s.number, errno),
+			func() { s.controls.FailConnects(0.3, errno) }, func() { s.controls.FailConnects(0, 0) })
 	case "stall":
-		return during(fmt.Sprintf("sender %d is held up before writes", s.number), func() { s.controls.HoldBeforeWrites(0.03) }, func() { s.controls.HoldBeforeWrites(0) })
+		return during(fmt.Sprintf("sender %d is held before writes", s.number),
+			func() { s.controls.HoldBeforeWrites(0.03) }, func() { s.controls.HoldBeforeWrites(0) })
 	case "late":
-		return during(fmt.Sprintf("connections of sender %d come up late", s.number), s.connectLate, s.connectInTime)
+		return during(fmt.Sprintf("connections of sender %d are delayed", s.number), s.delayConnects, s.endConnectDelays)
 	case "move":
 		var steps []step
 		for i := range 1 + rng.IntN(3) { // in a row, while calls are out
-			steps = append(steps, step{at + time.Duration(i)*time.Duration(100+rng.IntN(900))*time.Millisecond, fmt.Sprintf("discovery of sender %d moves", s.number),
-				func() { f.async(func() error { return f.move(s) }) }})
+			steps = append(steps, step{at + time.Duration(i)*time.Duration(100+rng.IntN(900))*time.Millisecond,
+				fmt.Sprintf("discovery of sender %d moves", s.number),
+				func() { f.goRestart(func() error { return f.moveDiscovery(s) }) }})
 		}
 		return steps
 	case "drain":
-		leaving := []string{"draining", "draining", unlisted}[rng.IntN(3)]
-		length += 8 * time.Second * time.Duration(rng.IntN(2)) // some for longer than the change may take to count as told
-		return []step{{at, fmt.Sprintf("endpoint %s is %s", e.name, leaving), func() { f.list(e, leaving) }}, {at + length, fmt.Sprintf("endpoint %s is back", e.name), func() { f.list(e, "up") }}}
+		lifecycle := []string{"draining", "draining", unlisted}[rng.IntN(3)]
+		// Half of them last longer than a sender may take to learn of the change.
+		length += 8 * time.Second * time.Duration(rng.IntN(2))
+		return []step{{at, fmt.Sprintf("endpoint %s is %s", e.name, lifecycle), func() { f.setLifecycle(e, lifecycle) }},
+			{at + length, fmt.Sprintf("endpoint %s is back", e.name), func() { f.setLifecycle(e, "up") }}}
 	}
 	return nil
 }
 
-// discoveryTrouble draws what discovery suffers.
-func discoveryTrouble(rng *rand.Rand) (text string, now trouble) {
+// drawDiscoveryFault draws a fault of discovery.
+func drawDiscoveryFault(rng *rand.Rand) (text string, fault discoveryFault) {
 	switch rng.IntN(8) {
 	case 0:
-		return "discovery is away", trouble{away: true}
+		return "discovery is unavailable", discoveryFault{unavailable: true}
 	case 1:
-		return "discovery is silent", trouble{silent: true}
+		return "discovery is silent", discoveryFault{silent: true}
 	case 2:
-		return "discovery is slow", trouble{delay: 700 * time.Millisecond}
+		return "discovery is slow", discoveryFault{delay: 700 * time.Millisecond}
 	case 3:
-		turn := time.Duration(5+rng.IntN(25)) * time.Millisecond
-		return fmt.Sprintf("discovery works through calls in turn, %v each", turn), trouble{turn: turn}
+		serviceTime := time.Duration(5+rng.IntN(25)) * time.Millisecond
+		return fmt.Sprintf("discovery serves one call at a time, %v each", serviceTime),
+			discoveryFault{serviceTime: serviceTime}
 	}
-	part := []float64{0.2, 0.35, 0.5, 0.8}[rng.IntN(4)]
-	return fmt.Sprintf("%.2f of the calls for the list fail", part), trouble{flaky: part}
+	ratio := []float64{0.2, 0.35, 0.5, 0.8}[rng.IntN(4)]
+	return fmt.Sprintf("%.2f of the calls for the list fail", ratio), discoveryFault{failureRatio: ratio}
 }
 
-func (f *fleet) clockStep(rng *rand.Rand) time.Duration {
-	if !f.clocks {
+// drawClockOffset draws an offset of the wall clock; 0 if clocks are not stepped in this run.
+func (f *fleet) drawClockOffset(rng *rand.Rand) time.Duration {
+	if !f.stepsClocks {
 		return 0
 	}
 	return []time.Duration{0, -time.Hour, -5 * time.Second, 5 * time.Second, time.Hour}[rng.IntN(5)]
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -9,14 +9,15 @@
 	"cometrack/internal/standin/faultbuild"
 )
 
-// A short run of the soak, with every kind of fault, from two seeds. The long one is started by hand: measure soak.
+// A short soak run with every kind of fault keeps all invariants, for two seeds. Long runs are started by hand
+// with measure soak.
 func TestShortSoak(t *testing.T) {
 	const (
 		senders = 6
 		length  = 6 * time.Second
 	)
 	path := filepath.Join(t.TempDir(), "cometrack")
-	if err := Build(path); err != nil { // with the points of measure crossings: each must be in the program once
+	if err := Build(path); err != nil { // fails if a point of measure crossings is not in the program exactly once
 		t.Fatal(err)
 	}
 	for _, seed := range []uint64{1, 2} {
@@ -26,7 +27,7 @@
 		}
 		t.Log(r.Summary(seed))
 		if r.Accepted < 100 || r.Delivered < 50 || r.Faults.Writes == 0 {
-			t.Error("too little has happened to prove anything")
+			t.Error("too few messages or write faults for a meaningful run")
 		}
 		if len(r.Violations) > 0 {
 			t.Logf("seed %d, the script:\n%s", seed, strings.Join(r.Script, "\n"))
@@ -37,7 +38,7 @@
 	}
 }
 
-// The judge sees each broken invariant in a history that has it, and none in one that has not.
+// The judge reports each broken invariant in a history that has it, and none in one that has not.
 func TestJudge(t *testing.T) {
 	start := time.Now()
 	at := func(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
@@ -63,8 +64,8 @@
 		"late, and being restarted": {func(m *Message, r *Records) {
 			m.Calls, m.Notices, r.outages[0] = nil, []Notice{{at(1700), "failed"}}, []Interval{{at(900), at(1200)}}
 		}, ""},
-		"sent after its time":   {func(m *Message, _ *Records) { m.Calls = []*Call{call(1200, 1210, 200)} }, "after its time"},
-		"sent after its notice": {func(m *Message, _ *Records) { m.Notices = []Notice{{at(5), "failed"}} }, "after its notice"},
+		"sent after its deadline": {func(m *Message, _ *Records) { m.Calls = []*Call{call(1200, 1210, 200)} }, "after its deadline"},
+		"sent after its notice":   {func(m *Message, _ *Records) { m.Notices = []Notice{{at(5), "failed"}} }, "after its notice"},
 		"returned and run": {func(m *Message, _ *Records) {
 			m.Calls[0] = call(10, 20, 500)
 			m.Notices = []Notice{{at(50), "returned"}}
@@ -78,25 +79,25 @@
 		"two out": {func(m *Message, _ *Records) {
 			m.Effect = Safe
 			m.Calls = []*Call{call(10, 500, 0), call(100, 110, 200)}
-		}, "two attempts out"},
+		}, "two attempts in flight"},
 		"failed and sent":       {func(m *Message, _ *Records) { m.Answer = "-ERR failed" }, "failed and sent"},
-		"refused and sent":      {func(m *Message, _ *Records) { m.Answer = "-BUSY" }, "refused and sent"},
+		"rejected and sent":     {func(m *Message, _ *Records) { m.Answer = "-BUSY" }, "rejected and sent"},
 		"closed with no answer": {func(m *Message, _ *Records) { m.Answer, m.ClosedAt = "", at(600) }, "closed with no answer"},
 		"closed in crossing":    {func(m *Message, _ *Records) { m.Answer, m.ClosedAt = "", at(100) }, ""},
 		"closed by a kill":      {func(m *Message, r *Records) { m.Answer, m.ClosedAt, r.kills[0] = "", at(600), []time.Time{at(599)} }, ""},
-		"an answer, all right":  {func(m *Message, _ *Records) { m.line = "+OK\r\n" }, ""},
-		"one byte of an answer": {func(m *Message, _ *Records) { m.line = ":OK\r\n" }, "none of the forms"},
-		"a bare line feed":      {func(m *Message, _ *Records) { m.line = "+OK\n" }, "none of the forms"},
-		"inside a wait":         {func(m *Message, _ *Records) { m.Calls[0].InsideWait = 200 * time.Millisecond }, "inside a told wait"},
+		"an answer, all right":  {func(m *Message, _ *Records) { m.rawAnswer = "+OK\r\n" }, ""},
+		"one byte of an answer": {func(m *Message, _ *Records) { m.rawAnswer = ":OK\r\n" }, "none of the forms"},
+		"a bare line feed":      {func(m *Message, _ *Records) { m.rawAnswer = "+OK\n" }, "none of the forms"},
+		"inside a wait":         {func(m *Message, _ *Records) { m.Calls[0].InsideWait = 200 * time.Millisecond }, "inside a requested wait"},
 		"inside a wait, held up": {func(m *Message, r *Records) {
 			m.Calls[0].InsideWait, r.stalls[0] = 200*time.Millisecond, []Interval{{at(-250), at(5)}}
 		}, ""},
-		"its client has left":         {func(m *Message, _ *Records) { m.Answer, m.ClientLeft, m.Calls = "", true, nil }, ""},
-		"the process says it, itself": {func(_ *Message, r *Records) { r.other = []string{"violation"} }, "process"},
+		"its client has left":        {func(m *Message, _ *Records) { m.Answer, m.ClientLeft, m.Calls = "", true, nil }, ""},
+		"a violation of the process": {func(_ *Message, r *Records) { r.faults = []string{"violation"} }, "process"},
 	} {
 		r, m := newRecords(), fine()
 		x.change(m, r)
-		r.add(m)
+		r.addMessage(m)
 		var rules []string
 		for _, v := range r.judge(start, repeatWindow, 0).Violations {
 			rules = append(rules, v.Rule)
@@ -107,8 +108,9 @@
 	}
 }
 
-// A request that was read and got no answer is a violation, however short a time before the end of its connection it
-// was written; one that was not read, or whose connection was broken by the harness, has only crossed that end.
+// A request that was read and got no response is a violation, however shortly before the end of its connection
+// it was written. One that was not read, or whose connection the harness broke, is not: it only crossed the
+// end of the connection.
 func TestJudgeOfReads(t *testing.T) {
 	start := time.Now()
 	at := func(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
@@ -125,10 +127,10 @@
 		"killed long after": {100, false, 500, 1},
 	} {
 		r := newRecords()
-		r.add(&Message{ID: "m", Effect: Safe, WrittenAt: at(10), Deadline: at(1000), ClosedAt: at(15), port: 7, dialed: at(0), end: 100})
-		r.traced(0, []*faultbuild.Connection{{Port: 7, FirstSeen: at(5), Reads: []faultbuild.Read{{At: at(11), TotalBytes: x.read}}, Broken: x.broken}})
+		r.addMessage(&Message{ID: "m", Effect: Safe, WrittenAt: at(10), Deadline: at(1000), ClosedAt: at(15), port: 7, dialed: at(0), requestEnd: 100})
+		r.setTrace(0, []*faultbuild.Connection{{Port: 7, FirstSeen: at(5), Reads: []faultbuild.Read{{At: at(11), TotalBytes: x.read}}, Broken: x.broken}})
 		if x.kill > 0 {
-			r.killed(0, at(x.kill))
+			r.addKill(0, at(x.kill))
 		}
 		if got := len(r.judge(start, repeatWindow, 0).Violations); got != x.want {
 			t.Errorf("%s: %d violations, want %d", name, got, x.want)
