--- a/cmd/measure/cluster.go
+++ b/cmd/measure/cluster.go
@@ -173,7 +173,7 @@
 				<-done
 				list := p.Calls()
 				n, most := 0, 0
-				for _, fault := range p.Faults(func(string) bool { return false }) { // with its allowance for this machine's stalls
+				for _, fault := range p.Violations(func(string) bool { return false }) { // with its allowance for this machine's stalls
 					if strings.Contains(fault, "calls within") {
 						n++
 					}
--- a/cmd/measure/kill.go
+++ b/cmd/measure/kill.go
@@ -31,12 +31,12 @@
 			return fmt.Errorf("seed %d: %w", *seed, err)
 		}
 		done += n
-		taken, faults = taken+r.Taken, faults+len(r.Faults)
+		taken, faults = taken+r.Accepted, faults+len(r.Violations)
 		for state, k := range r.Ends {
 			ends[state] += k
 		}
-		fmt.Printf("seed %d: %d kills, %d messages taken on, ends %v, %d faults\n", *seed, n, r.Taken, r.Ends, len(r.Faults))
-		for _, f := range r.Faults {
+		fmt.Printf("seed %d: %d kills, %d messages taken on, ends %v, %d faults\n", *seed, n, r.Accepted, r.Ends, len(r.Violations))
+		for _, f := range r.Violations {
 			fmt.Println("   ", f)
 		}
 	}
--- a/cmd/measure/knowledge.go
+++ b/cmd/measure/knowledge.go
@@ -125,8 +125,8 @@
 }
 
 func waitPlay(bin string, n int, link string, shared bool, all float64, wait, length, early time.Duration, seed uint64) (out fleet.Waits, err error) {
-	p, err := partner.Start(partner.Options{Name: "acme", Wait: wait, Seconds: true, Phases: []partner.Phase{
-		{Mode: partner.Well, For: 700 * time.Millisecond}, {Mode: partner.Full, For: 150 * time.Millisecond}}})
+	p, err := partner.Start(partner.Options{Name: "acme", RequestedWait: wait, WaitInSeconds: true, Phases: []partner.Phase{
+		{Mode: partner.Healthy, Duration: 700 * time.Millisecond}, {Mode: partner.Overloaded, Duration: 150 * time.Millisecond}}})
 	if err != nil {
 		return out, err
 	}
@@ -181,12 +181,12 @@
 					go func() { feed.Run(f, stop); close(done) }()
 					span := func(d time.Duration) { f.Until(d, func([]fleet.Seen) bool { return false }) }
 					span(2 * time.Second)
-					p.Set(partner.Full)
+					p.SetMode(partner.Overloaded)
 					span(settled)
 					from := time.Now()
 					span(out - settled)
 					back := time.Now()
-					p.Set(partner.Well)
+					p.SetMode(partner.Healthy)
 					span(15 * time.Second)
 					close(stop)
 					<-done
@@ -247,8 +247,8 @@
 }
 
 func onePlay(bin string, senders int, length, wait time.Duration, seed uint64, tell func(time.Duration, bool, fleet.Waits), early time.Duration) error {
-	phases := []partner.Phase{{Mode: partner.Well, For: 500 * time.Millisecond}, {Mode: partner.Full, For: 60 * time.Millisecond}}
-	p, err := partner.Start(partner.Options{Name: "acme", Wait: wait, Phases: phases})
+	phases := []partner.Phase{{Mode: partner.Healthy, Duration: 500 * time.Millisecond}, {Mode: partner.Overloaded, Duration: 60 * time.Millisecond}}
+	p, err := partner.Start(partner.Options{Name: "acme", RequestedWait: wait, Phases: phases})
 	if err != nil {
 		return err
 	}
--- a/cmd/measure/operation.go
+++ b/cmd/measure/operation.go
@@ -333,7 +333,7 @@
 		}
 		for done := false; !done; {
 			select {
-			case line := <-old.Said:
+			case line := <-old.LogLines:
 				if m := tookText.FindStringSubmatch(line); m != nil {
 					if d, err := time.ParseDuration(m[1]); err == nil {
 						steps = append(steps, d)
--- a/cmd/measure/untried.go
+++ b/cmd/measure/untried.go
@@ -31,8 +31,8 @@
 			}{
 				{"alive", untried.Play{Latency: 20 * time.Millisecond}},
 				{"slow (0.6 s)", untried.Play{Latency: 600 * time.Millisecond}},
-				{"shut (503)", untried.Play{Partner: partner.Full}},
-				{"out (answers nothing)", untried.Play{Partner: partner.Hang}},
+				{"shut (503)", untried.Play{Partner: partner.Overloaded}},
+				{"out (answers nothing)", untried.Play{Partner: partner.Hanging}},
 				{"listed after 2 s", untried.Play{Latency: 20 * time.Millisecond, Listed: 2 * time.Second}},
 			} {
 				p := x.Play
--- a/internal/core/backlog_test.go
+++ b/internal/core/backlog_test.go
@@ -103,7 +103,7 @@
 	a := r.nextAttempt("a")
 	r.store.setFailing(true)
 	a.result <- Result{Outcome: logic.Completed}
-	byhand.Until(t, "failed writes", func() bool { return strings.Count(log.String(), "no space left") > 2 })
+	byhand.WaitUntil(t, "failed writes", func() bool { return strings.Count(log.String(), "no space left") > 2 })
 	r.store.setFailing(false)
 	r.nextAttempt("b").result <- Result{Outcome: logic.Completed}
 	r.nextAttempt("c").result <- Result{Outcome: logic.Completed}
--- a/internal/core/disk_test.go
+++ b/internal/core/disk_test.go
@@ -73,7 +73,7 @@
 	if a := r.submitAndWait(newMessage("b", "safe")); a.Status != Busy {
 		t.Errorf("response without a journal: %+v", a)
 	}
-	byhand.Until(t, "end of the attempt", func() bool { return r.stateName("a") == StateAccepted })
+	byhand.WaitUntil(t, "end of the attempt", func() bool { return r.stateName("a") == StateAccepted })
 	select {
 	case e := <-r.fakeSink.added:
 		t.Errorf("reported to the sink, but not written: %+v", e)
@@ -129,7 +129,7 @@
 	fail.Store(true)
 	first.result <- Result{Outcome: logic.Errored}
 	second.result <- Result{Outcome: logic.Overloaded} // it has not run and could be sent again
-	byhand.Until(t, "end of the attempts", func() bool {
+	byhand.WaitUntil(t, "end of the attempts", func() bool {
 		return r.stateName("a") == StateAccepted &&
 			r.stateName("b") == StateAccepted
 	})
--- a/internal/core/harness_test.go
+++ b/internal/core/harness_test.go
@@ -208,7 +208,7 @@
 	r.t.Cleanup(stop)
 	select {
 	case <-r.Ready():
-	case <-time.After(byhand.Patience):
+	case <-time.After(byhand.Timeout):
 		r.t.Fatal("the core has not become ready in time")
 	}
 	return r
--- a/internal/core/restart_test.go
+++ b/internal/core/restart_test.go
@@ -131,7 +131,7 @@
 			byhand.Await(t, r.fakeTransport.attempts, "attempt").result <- Result{Outcome: logic.ConnectionRefused}
 			for r.stateName("a") != StateAccepted { // until the outcome has been handled
 			}
-			deadline := time.Now().Add(byhand.Patience)
+			deadline := time.Now().Add(byhand.Timeout)
 			for x.known && !r.store.recordedUnhealthy("acme") { // changes of health are written within two seconds
 				if time.Now().After(deadline) {
 					t.Fatal("the outage is not written")
--- a/internal/daemon/backlog_test.go
+++ b/internal/daemon/backlog_test.go
@@ -50,7 +50,7 @@
 	dir := t.TempDir()
 	ended := filepath.Join(dir, "ends")
 	config := filepath.Join(dir, "config.toml")
-	text := fixPorts(t, traffic.File(filepath.Join(dir, "state"), fmt.Sprintf("[limits]\nwindow = 4\n[sink.file]\npath = %q\n", ended), acme))
+	text := fixPorts(t, traffic.ConfigText(filepath.Join(dir, "state"), fmt.Sprintf("[limits]\nwindow = 4\n[sink.file]\npath = %q\n", ended), acme))
 	if err := os.WriteFile(config, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
@@ -85,10 +85,10 @@
 		x = startServing(t, config)
 	}
 	over := func() (n int) {
-		list, _ := traffic.Ends(ended) // its last line may be cut short
+		list, _ := traffic.ReadEnds(ended) // its last line may be cut short
 		return len(list)
 	}
-	byhand.Until(t, "the first ends behind the window", func() bool { return over() > 0 })
+	byhand.WaitUntil(t, "the first ends behind the window", func() bool { return over() > 0 })
 	kill()
 	again()
 	for _, id := range short {
@@ -97,7 +97,7 @@
 		}
 	}
 	for _, calls := range []int{10, 40} {
-		byhand.Until(t, "messages out of the backlog", func() bool { return ran(acme) > calls })
+		byhand.WaitUntil(t, "messages out of the backlog", func() bool { return ran(acme) > calls })
 		kill()
 	}
 	for _, id := range append(append([]string{}, unsafe...), safe...) {
@@ -107,7 +107,7 @@
 	}
 	x.Signal(syscall.SIGTERM)
 	x.Wait()
-	list, _ := traffic.Ends(ended)
+	list, _ := traffic.ReadEnds(ended)
 	told := map[string]string{}
 	for _, l := range list {
 		if was := told[l.ID]; was != "" && was != l.State {
@@ -123,7 +123,7 @@
 		if c.Ran {
 			n[c.ID]++
 		}
-		if c.InWait || c.Overlap {
+		if c.InsideWait || c.Overlap {
 			t.Errorf("a call in a wait, or two at once: %+v", c)
 		}
 	}
@@ -150,7 +150,7 @@
 	acme := startPartner(t, partner.Options{Name: "acme", Latency: 100 * time.Millisecond})
 	dir := t.TempDir()
 	config := filepath.Join(dir, "config.toml")
-	text := fixPorts(t, traffic.File(filepath.Join(dir, "state"), "[limits]\nwindow = 4\n", acme))
+	text := fixPorts(t, traffic.ConfigText(filepath.Join(dir, "state"), "[limits]\nwindow = 4\n", acme))
 	write := func(text string) {
 		t.Helper()
 		if err := os.WriteFile(config, []byte(text), 0o600); err != nil {
--- a/internal/daemon/badinput_test.go
+++ b/internal/daemon/badinput_test.go
@@ -133,7 +133,7 @@
 		return ""
 	}
 	defer conn.Close()
-	conn.SetDeadline(time.Now().Add(byhand.Patience))
+	conn.SetDeadline(time.Now().Add(byhand.Timeout))
 	go func() {
 		io.WriteString(conn, b.sent)
 		if b.end {
@@ -168,7 +168,7 @@
 // Every kind of bad input has a plain answer, none of it is taken on, and docs/operate/bad-input.md shows them all.
 func TestBadInput(t *testing.T) {
 	p := startPartner(t, partner.Options{Name: "acme"})
-	a := startAlone(t, traffic.File(t.TempDir(), "", p))
+	a := startAlone(t, traffic.ConfigText(t.TempDir(), "", p))
 	var page bytes.Buffer
 	page.WriteString("# What is answered to bad input\n\nThis page is written by `go test ./internal/daemon -run TestBadInput -update`, from what a daemon answered;\n" +
 		"the test fails if it no longer does. Nothing on it is taken on.\n")
--- a/internal/daemon/busyend_held_test.go
+++ b/internal/daemon/busyend_held_test.go
@@ -155,7 +155,7 @@
 			from := time.Now()
 			x.term()
 			hold := time.AfterFunc(held, func() { controls.HoldAfterClock(holds) })
-			late := time.AfterFunc(kill+2*to.Stall(), func() { x.Signal(syscall.SIGKILL) })
+			late := time.AfterFunc(kill+2*to.MaxSchedulingDelay(), func() { x.Signal(syscall.SIGKILL) })
 			x.Wait()
 			hold.Stop()
 			late.Stop()
--- a/internal/daemon/busyend_test.go
+++ b/internal/daemon/busyend_test.go
@@ -81,14 +81,14 @@
 			mu.Lock()
 			defer mu.Unlock()
 			for k, at := range sent[min(n, len(sent)):] {
-				if age := ended.Sub(at); age > crosses+2*to.Stall() {
+				if age := ended.Sub(at); age > crosses+2*to.MaxSchedulingDelay() {
 					t.Errorf("request %d of connection %d had no answer %v later, as its connection ended", n+k, i, age)
 					break
 				}
 			}
 		})
 	}
-	byhand.Until(t, "traffic", func() bool { return answered.Load() > conns })
+	byhand.WaitUntil(t, "traffic", func() bool { return answered.Load() > conns })
 	from := time.Now()
 	x.term()
 	x.end()
--- a/internal/daemon/crowd_test.go
+++ b/internal/daemon/crowd_test.go
@@ -105,14 +105,14 @@
 		t.Run(fmt.Sprintf("%d descriptors, %d kinds of clients", limit, x.kinds), func(t *testing.T) {
 			t.Parallel()
 			d, old, e, dir := discovery.New(t), byhand.NewEndpoint(t), byhand.NewEndpoint(t), t.TempDir()
-			door := newDoor(t, d.Srv.Config.Handler)
+			door := newDoor(t, d.Server.Config.Handler)
 			known := platform.List{Generation: 1, Reset: true, Instances: instances(old)}
-			d.List, d.With = known, func(settings string) string { // it is to ask often
+			d.List, d.EditSettings = known, func(settings string) string { // it is to ask often
 				return strings.Replace(settings, `"rules":{`, `"rules":{"ask_every_s":0.3,`, 1)
 			}
-			known.Instances[0].HostPort = byhand.DeadAddr(t) // a port that is given back may become another test's
+			known.Instances[0].HostPort = byhand.RefusingAddr(t) // a port that is given back may become another test's
 			config := filepath.Join(dir, "config.json")
-			text := strings.Replace(string(configText(d, known)), strings.TrimPrefix(d.Srv.URL, "http://"), door.addr, 1)
+			text := strings.Replace(string(configText(d, known)), strings.TrimPrefix(d.Server.URL, "http://"), door.addr, 1)
 			if err := os.WriteFile(config, []byte(text), 0o600); err != nil {
 				t.Fatal(err)
 			}
@@ -122,13 +122,13 @@
 				t.Fatal(err)
 			}
 			t.Cleanup(func() { p.Cmd.Process.Kill() })
-			byhand.Await(t, d.Asked, "watch")
+			byhand.Await(t, d.ListCalls, "watch")
 			gone := crowd(t, p.Addrs[0], 2*limit, x.kinds)
 			for range limit {
 				byhand.Await(t, gone, "idle client that makes room")
 			}
 			door.shut()
-			if err := p.Says("msg=discovery"); err != nil {
+			if err := p.AwaitLog("msg=discovery"); err != nil {
 				t.Fatal(err)
 			}
 			held := func() int {
--- a/internal/daemon/failing_discovery_test.go
+++ b/internal/daemon/failing_discovery_test.go
@@ -36,7 +36,7 @@
 			known := platform.List{Generation: 1, Reset: true, Instances: instances(left)}
 			p.List = known
 			proc := startProcess(t, p, t.TempDir(), known)
-			byhand.Await(t, p.Asked, "watch")
+			byhand.Await(t, p.ListCalls, "watch")
 
 			after := platform.List{Generation: 2, Reset: true, Instances: instances(left, fresh)}
 			after.Instances[0].Lifecycle = "draining"
@@ -51,7 +51,7 @@
 			}
 			for late := time.After(toldWithin); ; { // the watch from the new list on shows that it has been taken
 				select {
-				case q := <-at.Asked:
+				case q := <-at.ListCalls:
 					if !strings.HasPrefix(q, "from=2&") {
 						continue
 					}
@@ -66,7 +66,7 @@
 				c.put(fmt.Sprint("m-", i), "safe", "+OK")
 				byhand.Await(t, fresh.Calls, "call at the endpoint that is up").Reply(200)
 			}
-			left.None(t)
+			left.ExpectNoCall(t)
 			proc.term()
 			proc.end()
 		})
--- a/internal/daemon/harness_test.go
+++ b/internal/daemon/harness_test.go
@@ -47,11 +47,11 @@
 // configText is a configuration file.
 func configText(p *discovery.Platform, known platform.List) []byte {
 	settings := settings
-	if p.With != nil {
-		settings = p.With(settings)
+	if p.EditSettings != nil {
+		settings = p.EditSettings(settings)
 	}
 	b, err := json.Marshal(map[string]any{"name": "n0", "listen": "127.0.0.1:0",
-		"discovery": strings.TrimPrefix(p.Srv.URL, "http://"), "seed": "1f",
+		"discovery": strings.TrimPrefix(p.Server.URL, "http://"), "seed": "1f",
 		"limits": config.PlatformLimits{Cores: 1, MemoryMB: 192, Sockets: 256, DiskMB: 3}, "known": known,
 		"settings": json.RawMessage(settings)})
 	if err != nil {
@@ -106,7 +106,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { conn.Close() })
-	conn.SetDeadline(time.Now().Add(2 * byhand.Patience))
+	conn.SetDeadline(time.Now().Add(2 * byhand.Timeout))
 	return &client{t, conn, bufio.NewReader(conn)}
 }
 
@@ -176,7 +176,7 @@
 	t.Helper()
 	select {
 	case <-ch:
-	case <-time.After(byhand.Patience):
+	case <-time.After(byhand.Timeout):
 		t.Fatalf("no %s", what)
 	}
 }
--- a/internal/daemon/heldup_test.go
+++ b/internal/daemon/heldup_test.go
@@ -50,7 +50,7 @@
 	defer controls.Close()
 	to := startPartner(t, partner.Options{Name: "1", Latency: 2 * time.Millisecond})
 	p := discovery.New(t)
-	p.With = func(s string) string {
+	p.EditSettings = func(s string) string {
 		return strings.NewReplacer(`"call_slots":6`, `"call_slots":64`, `"max_open":8`, `"max_open":256`).Replace(s)
 	}
 	list := func(generation int64, up int) platform.List { // a destination for each cycle, and the partner stands for all
@@ -114,10 +114,10 @@
 		controls.HoldBeforeWrites(0)
 		time.Sleep(time.Until(up.Add(2 * longest)))
 	}
-	byhand.Until(t, "end of all", func() bool { return time.Since(ends[fmt.Sprintf("m-%d-%d", cycles-1, each-1)]) > time.Second })
+	byhand.WaitUntil(t, "end of all", func() bool { return time.Since(ends[fmt.Sprintf("m-%d-%d", cycles-1, each-1)]) > time.Second })
 	close(stop)
 	heard.Wait()
-	late, calls, noise := 0, to.Calls(), to.Stall() // this machine may have shown the partner a call so late
+	late, calls, noise := 0, to.Calls(), to.MaxSchedulingDelay() // this machine may have shown the partner a call so late
 	for _, call := range calls {
 		by, told := ends[call.ID], notices[call.ID]
 		switch {
@@ -130,8 +130,8 @@
 		}
 	}
 	stood := <-resumed
-	for len(x.Said) > 0 {
-		if line := <-x.Said; strings.Contains(line, "violation") && noise < slack {
+	for len(x.LogLines) > 0 {
+		if line := <-x.LogLines; strings.Contains(line, "violation") && noise < slack {
 			t.Errorf("the program itself says: %s", line)
 		}
 	}
--- a/internal/daemon/kill_test.go
+++ b/internal/daemon/kill_test.go
@@ -45,7 +45,7 @@
 
 func (x *serving) says(part string) {
 	x.t.Helper()
-	if err := x.Says(part); err != nil {
+	if err := x.AwaitLog(part); err != nil {
 		x.t.Fatal(err)
 	}
 }
@@ -74,7 +74,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		for _, f := range r.Faults {
+		for _, f := range r.Violations {
 			t.Errorf("seed %d: %s", seed+1, f)
 		}
 	}
@@ -86,7 +86,7 @@
 	old, fresh := startPartner(t, partner.Options{Name: "acme"}), startPartner(t, partner.Options{Name: "acme"})
 	dir := t.TempDir()
 	config := filepath.Join(dir, "config.toml")
-	text := fixPorts(t, traffic.File(filepath.Join(dir, "state"), "", old))
+	text := fixPorts(t, traffic.ConfigText(filepath.Join(dir, "state"), "", old))
 	write := func(text string) {
 		t.Helper()
 		if err := os.WriteFile(config, []byte(text), 0o600); err != nil {
@@ -101,7 +101,7 @@
 	var taken []string
 	for k := range 8 {
 		wg.Go(func() {
-			c := &http.Client{Transport: &http.Transport{}, Timeout: byhand.Patience}
+			c := &http.Client{Transport: &http.Transport{}, Timeout: byhand.Timeout}
 			for n := 0; ; n++ {
 				select {
 				case <-stop:
@@ -127,8 +127,8 @@
 	write(strings.ReplaceAll(text, old.Addr(), fresh.Addr()) + "[[partner]]\nname = \"more\"\nendpoints = [\"" + old.Addr() + "\"]\n")
 	x.Signal(syscall.SIGHUP)
 	x.says("partners follow the file")
-	byhand.Until(t, "call to the partner's new endpoint", func() bool { return len(fresh.Calls()) > 0 })
-	byhand.Until(t, "new partner", func() bool { return traffic.PutRESP(x.resp, "to-more", "more", "safe") == "+OK" })
+	byhand.WaitUntil(t, "call to the partner's new endpoint", func() bool { return len(fresh.Calls()) > 0 })
+	byhand.WaitUntil(t, "new partner", func() bool { return traffic.PutRESP(x.resp, "to-more", "more", "safe") == "+OK" })
 	close(stop)
 	wg.Wait()
 	for _, id := range taken {
@@ -157,7 +157,7 @@
 	p := startPartner(t, partner.Options{Name: "acme", Latency: 20 * time.Millisecond})
 	dir := t.TempDir()
 	config := filepath.Join(dir, "config.toml")
-	if err := os.WriteFile(config, []byte(fixPorts(t, traffic.File(filepath.Join(dir, "state"), "", p))), 0o600); err != nil {
+	if err := os.WriteFile(config, []byte(fixPorts(t, traffic.ConfigText(filepath.Join(dir, "state"), "", p))), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	x := startServing(t, config)
@@ -166,7 +166,7 @@
 	answered := map[string]bool{}
 	for k := range 16 {
 		wg.Go(func() {
-			c := &http.Client{Transport: &http.Transport{}, Timeout: byhand.Patience}
+			c := &http.Client{Transport: &http.Transport{}, Timeout: byhand.Timeout}
 			for n := 0; ; n++ {
 				id := fmt.Sprintf("m-%d-%d", k, n)
 				ok, heard := x.put(c, k%2 == 0, id, "acme", "unsafe")
@@ -179,7 +179,7 @@
 			}
 		})
 	}
-	byhand.Until(t, "traffic", func() bool { return len(p.Calls()) >= 50 })
+	byhand.WaitUntil(t, "traffic", func() bool { return len(p.Calls()) >= 50 })
 	x.Signal(syscall.SIGTERM)
 	if err := x.Wait(); err != nil {
 		t.Errorf("ended with %v", err)
--- a/internal/daemon/platform_test.go
+++ b/internal/daemon/platform_test.go
@@ -166,7 +166,7 @@
 		}
 	}
 	stopClean(t, n)
-	e[0].None(t)
+	e[0].ExpectNoCall(t)
 }
 
 // The endpoint says that the message is over: nothing is owed, not even a notice.
@@ -175,7 +175,7 @@
 	c.put("a", "unsafe", "+OK")
 	byhand.Await(t, e[0].Calls, "call").Reply(410)
 	stopClean(t, n)
-	e[0].None(t)
+	e[0].ExpectNoCall(t)
 	if len(p.Notices) != 0 {
 		t.Errorf("notice %+v", <-p.Notices)
 	}
@@ -186,7 +186,7 @@
 	for _, how := range []string{"500", "reset"} {
 		t.Run(how, func(t *testing.T) {
 			n, c, p, e := world(t, 1)
-			end := func(in *byhand.InCall) {
+			end := func(in *byhand.ReceivedCall) {
 				if how == "500" {
 					in.Reply(500)
 				} else {
@@ -206,7 +206,7 @@
 			}
 			in.Reply(200)
 			stopClean(t, n)
-			e[0].None(t)
+			e[0].ExpectNoCall(t)
 		})
 	}
 }
@@ -228,13 +228,13 @@
 func TestSilentGoesElsewhere(t *testing.T) {
 	n, c, _, e := world(t, 2)
 	c.put("s", "safe", "+OK")
-	var first, second *byhand.InCall
+	var first, second *byhand.ReceivedCall
 	next := e[1]
 	select {
 	case first = <-e[0].Calls:
 	case first = <-e[1].Calls:
 		next = e[0]
-	case <-time.After(byhand.Patience):
+	case <-time.After(byhand.Timeout):
 		t.Fatal("no call")
 	}
 	second = byhand.Await(t, next.Calls, "call elsewhere")
@@ -249,7 +249,7 @@
 // taken waits until the sender has the list of a generation: it asks from there on.
 func taken(t *testing.T, p *discovery.Platform, generation int) {
 	t.Helper()
-	for !strings.HasPrefix(byhand.Await(t, p.Asked, "call for the list"), fmt.Sprintf("from=%d&", generation)) {
+	for !strings.HasPrefix(byhand.Await(t, p.ListCalls, "call for the list"), fmt.Sprintf("from=%d&", generation)) {
 	}
 }
 
@@ -264,7 +264,7 @@
 		c.put(fmt.Sprint("m", i), "safe", "+OK")
 		byhand.Await(t, e[1].Calls, "call").Reply(200)
 	}
-	e[0].None(t)
+	e[0].ExpectNoCall(t)
 	moved := byhand.NewEndpoint(t)
 	list[1].HostPort = moved.Addr()
 	p.Set(func() { p.List = platform.List{Generation: 3, Instances: list[1:]} })
@@ -272,13 +272,13 @@
 	c.put("m", "safe", "+OK")
 	byhand.Await(t, moved.Calls, "call").Reply(200)
 	stopClean(t, n)
-	e[1].None(t)
+	e[1].ExpectNoCall(t)
 }
 
 // While discovery is down the last list serves, and the sender asks again until it hears.
 func TestDiscoveryDown(t *testing.T) {
 	p := discovery.New(t)
-	p.Down, p.With = true, func(settings string) string { // it is to ask often
+	p.Down, p.EditSettings = true, func(settings string) string { // it is to ask often
 		return strings.Replace(settings, `"rules":{`, `"rules":{"ask_every_s":0.3,`, 1)
 	}
 	e := byhand.NewEndpoint(t)
@@ -301,7 +301,7 @@
 	p.Silent = true
 	e := byhand.NewEndpoint(t)
 	n := startNode(t, p, t.TempDir(), platform.List{Generation: 1, Reset: true, Instances: instances(e)})
-	byhand.Await(t, p.Asked, "call for the list")
+	byhand.Await(t, p.ListCalls, "call for the list")
 	dial(t, n.addr).put("a", "safe", "+OK")
 	byhand.Await(t, e.Calls, "call").Reply(200)
 	stopClean(t, n)
@@ -310,12 +310,12 @@
 // A notice counts once the platform has confirmed it, and is sent until then.
 func TestNoticesDown(t *testing.T) {
 	n, c, p, e := world(t, 1)
-	p.Set(func() { p.Deaf = true })
+	p.Set(func() { p.RejectNotices = true })
 	c.put("u", "unsafe", "+OK")
 	byhand.Await(t, e[0].Calls, "call").Reply(500)
-	byhand.Await(t, p.Refused, "notice")
-	byhand.Await(t, p.Refused, "second notice")
-	p.Set(func() { p.Deaf = false })
+	byhand.Await(t, p.RejectedNotices, "notice")
+	byhand.Await(t, p.RejectedNotices, "second notice")
+	p.Set(func() { p.RejectNotices = false })
 	if x := byhand.Await(t, p.Notices, "notice"); x.ID != "u" || x.State != "failed" {
 		t.Errorf("notice %+v", x)
 	}
--- a/internal/daemon/process_test.go
+++ b/internal/daemon/process_test.go
@@ -84,7 +84,7 @@
 		t.Fatal(err)
 	}
 	x, err := program.Launch(path, append([]string{"BALANCER_NAME=n0", "BALANCER_LISTEN=" + listen,
-		"BALANCER_DISCOVERY=" + strings.TrimPrefix(p.Srv.URL, "http://"), "BALANCER_STATE=" + dir, "BALANCER_CONFIG=" + config}, env...))
+		"BALANCER_DISCOVERY=" + strings.TrimPrefix(p.Server.URL, "http://"), "BALANCER_STATE=" + dir, "BALANCER_CONFIG=" + config}, env...))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -150,7 +150,7 @@
 	}
 	x.term()
 	x.end()
-	e.None(t)
+	e.ExpectNoCall(t)
 	if ids := owed(t, dir); ids != nil {
 		t.Errorf("still owed: %v", ids)
 	}
@@ -175,7 +175,7 @@
 	}
 	x.term()
 	x.end()
-	e.None(t)
+	e.ExpectNoCall(t)
 }
 
 // What was not sent, or refused, before a crash is sent after it, an unsafe message too; what ran out of time
@@ -184,19 +184,19 @@
 	p, e, dir := discovery.New(t), byhand.NewEndpoint(t), t.TempDir()
 	known := platform.List{Generation: 1, Reset: true, Instances: append(instances(e), platform.Instance{ID: "drains", HostPort: "127.0.0.1:1",
 		Zone: "a", Kind: "std", Dest: 2, Lifecycle: "draining"})}
-	p.List, p.Deaf = known, true
+	p.List, p.RejectNotices = known, true
 	x := startProcess(t, p, dir, known)
 	c := dial(t, x.addr)
 	c.put("failed", "unsafe", "+OK")
 	byhand.Await(t, e.Calls, "call").Reply(500)
-	byhand.Await(t, p.Refused, "notice")
+	byhand.Await(t, p.RejectedNotices, "notice")
 	c.put("refused", "unsafe", "+OK")
 	byhand.Await(t, e.Calls, "call").Reply(429, "X-Come-Back-Ms: 60000")
 	if got := c.do("MSG.PUT", "0", "short", "c=unsafe,d=600,dest=2", "x"); got != "+OK" {
 		t.Fatalf("got %q", got)
 	}
 	over := time.Now().Add(600 * time.Millisecond)
-	byhand.Until(t, "outcomes in the journal", func() bool {
+	byhand.WaitUntil(t, "outcomes in the journal", func() bool {
 		j := copied(t, dir)
 		defer j.Close()
 		failed, refused := j.Entry("failed"), j.Entry("refused")
@@ -205,7 +205,7 @@
 	c.put("unsent", "unsafe", "+OK") // waits: the sender has been told to
 	x.kill()
 	time.Sleep(time.Until(over))
-	p.Set(func() { p.Deaf = false })
+	p.Set(func() { p.RejectNotices = false })
 	x = startProcess(t, p, dir, known)
 	got := map[string]bool{}
 	for range 2 {
@@ -226,7 +226,7 @@
 	}
 	x.term()
 	x.end()
-	e.None(t)
+	e.ExpectNoCall(t)
 }
 
 // A planned restart: clients are served a while, connections are closed between requests, calls under way end and
--- a/internal/daemon/pushed_test.go
+++ b/internal/daemon/pushed_test.go
@@ -22,11 +22,11 @@
 // after the agent was silent or away.
 func TestPushedList(t *testing.T) {
 	p := discovery.New(t)
-	p.With = pushed
+	p.EditSettings = pushed
 	n, _, _, e := worldWith(t, p, 2)
 	asked := func(from string) {
 		t.Helper()
-		for !strings.HasPrefix(byhand.Await(t, p.Asked, "watch"), "from="+from+"&") {
+		for !strings.HasPrefix(byhand.Await(t, p.ListCalls, "watch"), "from="+from+"&") {
 		}
 	}
 	change := func(generation int64, states ...string) {
@@ -61,14 +61,14 @@
 		}
 		in.Reply(200)
 	}
-	e[0].None(t)
+	e[0].ExpectNoCall(t)
 	stopClean(t, n)
 }
 
 // What one step sends to one endpoint travels as one call on one slot, and each message has its own end by the answer.
 func TestBatchEndToEnd(t *testing.T) {
 	p := discovery.New(t)
-	p.With = pushed
+	p.EditSettings = pushed
 	n, c, _, e := worldWith(t, p, 1)
 	c.put("a", "safe", "+OK")
 	first := byhand.Await(t, e[0].Calls, "call")
@@ -76,7 +76,7 @@
 		id, class, _ := strings.Cut(x, " ")
 		c.put(id, class, "+OK")
 	}
-	e[0].None(t) // the one slot is taken
+	e[0].ExpectNoCall(t) // the one slot is taken
 	first.Reply(200, "Endpoint-Load-Metrics: x0=0.9,x1=50")
 	in := byhand.Await(t, e[0].Calls, "call with several")
 	var list []struct{ ID, Key, Body string }
--- a/internal/daemon/reload_test.go
+++ b/internal/daemon/reload_test.go
@@ -27,7 +27,7 @@
 // says waits for a line of the log.
 func (x *process) says(part string) {
 	x.t.Helper()
-	if err := x.Says(part); err != nil {
+	if err := x.AwaitLog(part); err != nil {
 		x.t.Fatal(err)
 	}
 }
@@ -39,7 +39,7 @@
 	known := platform.List{Generation: 5, Reset: true, Instances: instances(e)}
 	old.List = known
 	x := startProcess(t, old, t.TempDir(), known)
-	byhand.Await(t, old.Asked, "watch")
+	byhand.Await(t, old.ListCalls, "watch")
 	c := dial(t, x.addr)
 	c.put("under-way", "safe", "+OK")
 	underWay := byhand.Await(t, e.Calls, "call")
@@ -56,25 +56,25 @@
 		in.Reply(200)
 	}
 
-	old.Set(func() { old.Deaf = true })
+	old.Set(func() { old.RejectNotices = true })
 	c.put("fails", "unsafe", "+OK")
 	byhand.Await(t, e.Calls, "call").Reply(500)
-	byhand.Await(t, old.Refused, "notice")
+	byhand.Await(t, old.RejectedNotices, "notice")
 	// The new address numbers its lists anew: a watch from the old number would wait for ever.
 	fresh.List = platform.List{Generation: 2, Reset: true, Instances: instances(e, added)}
 	x.hup(configText(fresh, known))
 	if n := byhand.Await(t, fresh.Notices, "notice at the new address"); n != (discovery.Notice{ID: "fails", State: "failed"}) {
 		t.Errorf("notice %+v", n)
 	}
-	if q := byhand.Await(t, fresh.Asked, "call at the new address"); q != "" {
+	if q := byhand.Await(t, fresh.ListCalls, "call at the new address"); q != "" {
 		t.Errorf("asked %q, want the whole list", q)
 	}
-	byhand.Await(t, fresh.Asked, "watch at the new address") // the list before it has been read
-	old.Srv.CloseClientConnections()
+	byhand.Await(t, fresh.ListCalls, "watch at the new address") // the list before it has been read
+	old.Server.CloseClientConnections()
 	underWay.Reply(200)
 	for i := 0; ; i++ { // the endpoint that only the new address lists gets its share
 		c.put(fmt.Sprint("m-", i), "safe", "+OK")
-		var in *byhand.InCall
+		var in *byhand.ReceivedCall
 		select {
 		case in = <-e.Calls:
 		case in = <-added.Calls:
--- a/internal/daemon/room_test.go
+++ b/internal/daemon/room_test.go
@@ -33,13 +33,13 @@
 		t.Fatal(err)
 	}
 	x, err := program.Start("/bin/sh", []string{"BALANCER_CONSOLE=127.0.0.1:0", "BALANCER_LISTEN=127.0.0.1:0", "BALANCER_CONFIG=" + config,
-		"BALANCER_DISCOVERY=" + strings.TrimPrefix(p.Srv.URL, "http://"), "BALANCER_STATE=" + filepath.Join(dir, "state")},
+		"BALANCER_DISCOVERY=" + strings.TrimPrefix(p.Server.URL, "http://"), "BALANCER_STATE=" + filepath.Join(dir, "state")},
 		"-c", "ulimit -n 256; exec "+path)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { x.Cmd.Process.Kill() })
-	_, at, _ := strings.Cut(byhand.Await(t, x.Said, "line on the console"), "msg=console at=")
+	_, at, _ := strings.Cut(byhand.Await(t, x.LogLines, "line on the console"), "msg=console at=")
 	slow := dial(t, x.Addrs[0])
 	io.WriteString(slow.Conn, "*5\r\n$7\r\nMSG.PUT\r\n$1\r\n0\r\n$4\r\nslow\r\n$26\r\nc=unsafe,")
 	for range 300 {
--- a/internal/daemon/standalone_ops_test.go
+++ b/internal/daemon/standalone_ops_test.go
@@ -23,7 +23,7 @@
 	}
 	p := startPartner(t, partner.Options{Name: "acme"})
 	dir := t.TempDir()
-	text, err := traffic.FixPorts(traffic.File(filepath.Join(dir, "state"), "", p))
+	text, err := traffic.FixPorts(traffic.ConfigText(filepath.Join(dir, "state"), "", p))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -42,7 +42,7 @@
 			t.Fatal(err)
 		}
 		t.Cleanup(func() { x.Cmd.Process.Kill() })
-		line := byhand.Await(t, x.Said, "line on the console")
+		line := byhand.Await(t, x.LogLines, "line on the console")
 		_, at, ok := strings.Cut(line, "msg=console at=")
 		if !ok {
 			t.Fatalf("it says %q", line)
@@ -78,14 +78,14 @@
 	for _, bad := range []string{good + "\nnonsense = 1", strings.Replace(good, `deadline = "20s"`, `deadline = "-5s"`, 1), good[:len(good)/2], ""} {
 		write(bad, "127.0.0.1:0")
 		old.Signal(syscall.SIGHUP)
-		if err := old.Says("old configuration stands"); err != nil {
+		if err := old.AwaitLog("old configuration stands"); err != nil {
 			t.Error(err)
 		}
 		put("bad", "fresh", "-ERR")
 	}
 	file := write(good, "127.0.0.1:0")
 	old.Signal(syscall.SIGHUP)
-	if err := old.Says("partners follow"); err != nil {
+	if err := old.AwaitLog("partners follow"); err != nil {
 		t.Error(err)
 	}
 	put("late", "fresh", "+OK")
--- a/internal/daemon/standalone_test.go
+++ b/internal/daemon/standalone_test.go
@@ -102,7 +102,7 @@
 // the other port says which, and what the partner saw agrees.
 func TestDisconnectAfterEveryByte(t *testing.T) {
 	p := startPartner(t, partner.Options{Name: "acme"})
-	a := startAlone(t, traffic.File(t.TempDir(), "", p))
+	a := startAlone(t, traffic.ConfigText(t.TempDir(), "", p))
 	ports := map[string]string{"http": a.HTTPAddr(), "resp": a.RESPAddr()}
 	requests := map[string]func(id string) string{
 		"http": func(id string) string {
@@ -138,7 +138,7 @@
 	}
 	c := dial(t, a.RESPAddr())
 	for id := range whole {
-		byhand.Until(t, "delivery of "+id, func() bool { return state(t, a.HTTPAddr(), id, "10s") == "delivered" })
+		byhand.WaitUntil(t, "delivery of "+id, func() bool { return state(t, a.HTTPAddr(), id, "10s") == "delivered" })
 		if s := respState(t, c, id); s != "delivered" {
 			t.Errorf("%s: %q on the other port", id, s)
 		}
@@ -171,7 +171,7 @@
 // The same id raced on both ports is one message; another one under its id is refused on both.
 func TestSameIDOnBothPorts(t *testing.T) {
 	p := startPartner(t, partner.Options{Name: "acme"})
-	a := startAlone(t, traffic.File(t.TempDir(), "", p))
+	a := startAlone(t, traffic.ConfigText(t.TempDir(), "", p))
 	c := dial(t, a.RESPAddr())
 	post := func(id, body string) int {
 		resp, err := http.Post("http://"+a.HTTPAddr()+"/v1/messages?partner=acme&class=unsafe&left=20s&id="+id, "", strings.NewReader(body))
@@ -219,7 +219,7 @@
 	if n := len(p.Calls()); n != many {
 		t.Errorf("%d calls for %d messages", n, many)
 	}
-	if f := p.Faults(func(string) bool { return true }); f != nil {
+	if f := p.Violations(func(string) bool { return true }); f != nil {
 		t.Errorf("faults: %v", f)
 	}
 }
@@ -228,8 +228,8 @@
 // one its part.
 func TestFairness(t *testing.T) {
 	steady := startPartner(t, partner.Options{Name: "steady"})
-	stuck := startPartner(t, partner.Options{Name: "stuck", Phases: []partner.Phase{{Mode: partner.Dead, For: time.Hour}}})
-	a := startAlone(t, traffic.File(t.TempDir(), "[limits]\nopen_messages = 100\ndescriptors = 256\n", steady, stuck))
+	stuck := startPartner(t, partner.Options{Name: "stuck", Phases: []partner.Phase{{Mode: partner.Down, Duration: time.Hour}}})
+	a := startAlone(t, traffic.ConfigText(t.TempDir(), "[limits]\nopen_messages = 100\ndescriptors = 256\n", steady, stuck))
 	flood, stop := context.WithCancel(t.Context())
 	defer stop()
 	refused := make(chan int, 1<<16)
@@ -263,14 +263,14 @@
 	}
 	for i := range 50 {
 		id := fmt.Sprint("r-", i)
-		byhand.Until(t, "delivery of "+id, func() bool { return respState(t, c, id) == "delivered" })
+		byhand.WaitUntil(t, "delivery of "+id, func() bool { return respState(t, c, id) == "delivered" })
 	}
 }
 
 // Client libraries work as they come.
 func TestGoRedis(t *testing.T) {
 	p := startPartner(t, partner.Options{Name: "acme"})
-	a := startAlone(t, traffic.File(t.TempDir(), "", p))
+	a := startAlone(t, traffic.ConfigText(t.TempDir(), "", p))
 	c := redis.NewClient(&redis.Options{Addr: a.RESPAddr()})
 	defer c.Close()
 	if s, err := c.Ping(t.Context()).Result(); err != nil || s != "PONG" {
@@ -293,11 +293,11 @@
 // elsewhere, and one whose partner or class is gone has its one end.
 func TestJournalByName(t *testing.T) {
 	dead := func(name string) *partner.Partner {
-		return startPartner(t, partner.Options{Name: name, Phases: []partner.Phase{{Mode: partner.Dead, For: time.Hour}}})
+		return startPartner(t, partner.Options{Name: name, Phases: []partner.Phase{{Mode: partner.Down, Duration: time.Hour}}})
 	}
 	one, two, three := dead("one"), dead("two"), dead("three")
 	dir := t.TempDir()
-	a := startAlone(t, traffic.File(dir, "", one, two, three))
+	a := startAlone(t, traffic.ConfigText(dir, "", one, two, three))
 	c := dial(t, a.RESPAddr())
 	for _, x := range [][2]string{{"one", "safe"}, {"two", "unsafe"}, {"three", "keyed"}, {"one", "keyed"}} {
 		if got := c.do("MSG.PUT", "0", x[0]+"-"+x[1], "c="+x[1]+",d=20000,k=k,dest="+x[0], "x"); got != "+OK" {
@@ -306,9 +306,9 @@
 	}
 	c.Conn.Close()
 	a.halt()
-	one.Set(partner.Well)
-	two.Set(partner.Well)
-	text := traffic.File(dir, "", two, one) // in another order, and three is gone
+	one.SetMode(partner.Healthy)
+	two.SetMode(partner.Healthy)
+	text := traffic.ConfigText(dir, "", two, one) // in another order, and three is gone
 	keyed := strings.Index(text, "[[class]]\nname = \"keyed\"")
 	unsafe := strings.Index(text, "[[class]]\nname = \"unsafe\"")
 	partners := strings.Index(text, "[[partner]]")
@@ -340,10 +340,10 @@
 // Ends reach the file whatever becomes of the messages, each once while the daemon lives.
 func TestEndFile(t *testing.T) {
 	p := startPartner(t, partner.Options{Name: "acme"})
-	sick := startPartner(t, partner.Options{Name: "sick", Phases: []partner.Phase{{Mode: partner.Sick, For: time.Hour}}})
+	sick := startPartner(t, partner.Options{Name: "sick", Phases: []partner.Phase{{Mode: partner.Failing, Duration: time.Hour}}})
 	dir := t.TempDir()
 	path := filepath.Join(dir, "ends.jsonl")
-	a := startAlone(t, traffic.File(dir, fmt.Sprintf("[sink.file]\npath = %q\n", path), p, sick))
+	a := startAlone(t, traffic.ConfigText(dir, fmt.Sprintf("[sink.file]\npath = %q\n", path), p, sick))
 	c := dial(t, a.RESPAddr())
 	for _, to := range []string{"acme", "sick"} {
 		if got := c.do("MSG.PUT", "0", "to-"+to, "c=unsafe,d=20000,dest="+to, "x"); got != "+OK" {
@@ -364,7 +364,7 @@
 
 func readEnds(t *testing.T, path string) []sink.Line {
 	t.Helper()
-	list, err := traffic.Ends(path)
+	list, err := traffic.ReadEnds(path)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -374,8 +374,8 @@
 // A thousand clients that wait for one message's end all hear of it, and meanwhile others are served.
 func TestThousandLongPolls(t *testing.T) {
 	p := startPartner(t, partner.Options{Name: "acme"})
-	p.Set(partner.Hang)
-	a := startAlone(t, traffic.File(t.TempDir(), "[limits]\ndescriptors = 8192\n", p))
+	p.SetMode(partner.Hanging)
+	a := startAlone(t, traffic.ConfigText(t.TempDir(), "[limits]\ndescriptors = 8192\n", p))
 	c := dial(t, a.RESPAddr())
 	if got := c.do("MSG.PUT", "0", "a", "c=safe,d=20000,dest=acme", "x"); got != "+OK" {
 		t.Fatal(got)
@@ -391,14 +391,14 @@
 			got <- s
 		}()
 	}
-	byhand.Until(t, "thousand that wait", func() bool { return a.http.Waiting() >= many })
+	byhand.WaitUntil(t, "thousand that wait", func() bool { return a.http.Waiting() >= many })
 	if s := respState(t, c, "a"); s != "sending" {
 		t.Errorf("meanwhile the other port says %q", s)
 	}
 	if s := state(t, a.HTTPAddr(), "other", "0s"); s != "" {
 		t.Errorf("meanwhile the same port says %q", s)
 	}
-	p.Set(partner.Well)
+	p.SetMode(partner.Healthy)
 	for range many {
 		if s := byhand.Await(t, got, "end"); s != "delivered" {
 			t.Fatalf("told %q", s)
--- a/internal/daemon/upgrade_kill_test.go
+++ b/internal/daemon/upgrade_kill_test.go
@@ -38,7 +38,7 @@
 		return len(a.taken)
 	}
 	from := count()
-	byhand.Until(t, "messages that are taken on", func() bool { return count() >= from+n })
+	byhand.WaitUntil(t, "messages that are taken on", func() bool { return count() >= from+n })
 }
 
 // Under load, either process is killed at one time after another of its upgrade: before it asks, in the step and
@@ -110,7 +110,7 @@
 		}
 		// The successor is dead. If it had taken over, the old one ends when its calls have.
 		if alive := func() bool {
-			for by := time.Now().Add(byhand.Patience); time.Now().Before(by); {
+			for by := time.Now().Add(byhand.Timeout); time.Now().Before(by); {
 				select {
 				case err := <-cur.Done:
 					cur.Done <- err
@@ -132,7 +132,7 @@
 	}
 	acc.serves(t, 4)
 	close(clients)
-	byhand.Until(t, "end of every message", func() bool { return len(acc.settled()) == 0 })
+	byhand.WaitUntil(t, "end of every message", func() bool { return len(acc.settled()) == 0 })
 	cur.term()
 	cur.end()
 	close(stop)
--- a/internal/daemon/upgrade_test.go
+++ b/internal/daemon/upgrade_test.go
@@ -78,7 +78,7 @@
 	if err := child.Start(); err != nil {
 		t.Fatal(err)
 	}
-	byhand.Until(t, "end of a process that nobody waits for", func() bool { return isEnding(child.Process.Pid) })
+	byhand.WaitUntil(t, "end of a process that nobody waits for", func() bool { return isEnding(child.Process.Pid) })
 	if err := child.Wait(); err != nil {
 		t.Fatal(err)
 	}
@@ -150,7 +150,7 @@
 	return next
 }
 
-func (x *pair) call(id string) *byhand.InCall {
+func (x *pair) call(id string) *byhand.ReceivedCall {
 	x.t.Helper()
 	in := byhand.Await(x.t, x.e.Calls, "call of "+id)
 	if in.ID() != id {
@@ -164,7 +164,7 @@
 	x.t.Helper()
 	n.term()
 	n.end()
-	x.e.None(x.t)
+	x.e.ExpectNoCall(x.t)
 	if ids := owed(x.t, x.dir); ids != nil {
 		x.t.Errorf("still owed: %v", ids)
 	}
@@ -175,7 +175,7 @@
 func TestUpgradeWithCallsOut(t *testing.T) {
 	x := newPair(t)
 	c, half := dial(t, x.old.addr), dial(t, x.old.addr)
-	out := map[string]*byhand.InCall{}
+	out := map[string]*byhand.ReceivedCall{}
 	for _, class := range []string{"safe", "keyed", "unsafe"} {
 		c.put("m-"+class, class, "+OK")
 		out[class] = x.call("m-" + class)
@@ -221,16 +221,16 @@
 func TestUpgradeCountsSlots(t *testing.T) {
 	x := newPair(t)
 	c := dial(t, x.old.addr)
-	var out []*byhand.InCall
+	var out []*byhand.ReceivedCall
 	for i := range 3 { // half of the six slots may go to one partner
 		c.put(fmt.Sprint("out", i), "safe", "+OK")
 		out = append(out, byhand.Await(t, x.e.Calls, "call"))
 	}
 	c.put("held", "safe", "+OK")
-	x.e.None(t)
+	x.e.ExpectNoCall(t)
 	next := x.upgrade()
 	dial(t, next.addr).put("new", "safe", "+OK")
-	x.e.None(t)
+	x.e.ExpectNoCall(t)
 	out[0].Reply(200)
 	byhand.Await(t, x.e.Calls, "call of one that was held").Reply(200)
 	byhand.Await(t, x.e.Calls, "call of the other").Reply(200)
@@ -288,7 +288,7 @@
 func TestUpgradeThatFails(t *testing.T) {
 	ask := func(t *testing.T, x *pair, format int, want any) *handover.Conn {
 		t.Helper()
-		c, err := handover.Dial(x.dir, byhand.Patience)
+		c, err := handover.Dial(x.dir, byhand.Timeout)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -296,7 +296,7 @@
 		if err := c.Send(&handover.SnapshotRequest{Format: format}); err != nil {
 			t.Fatal(err)
 		}
-		c.SetReceiveDeadline(time.Now().Add(byhand.Patience))
+		c.SetReceiveDeadline(time.Now().Add(byhand.Timeout))
 		m, files, err := c.Receive()
 		for _, f := range files {
 			f.Close()
@@ -308,7 +308,7 @@
 	}
 	for name, try := range map[string]func(t *testing.T, x *pair){
 		"goes before it asks": func(t *testing.T, x *pair) {
-			c, err := handover.Dial(x.dir, byhand.Patience)
+			c, err := handover.Dial(x.dir, byhand.Timeout)
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/daemon/window_test.go
+++ b/internal/daemon/window_test.go
@@ -31,15 +31,15 @@
 		"killed, started after it":              {signal: syscall.SIGKILL, again: -1},
 		"ended in order, started after it":      {signal: syscall.SIGTERM, again: -1},
 		"killed, listed after it":               {signal: syscall.SIGKILL, unseen: true},
-		"killed, turned away until then":        {signal: syscall.SIGKILL, again: partner.Full},
-		"killed, and again with the repeat out": {signal: syscall.SIGKILL, again: partner.Hang, twice: true},
+		"killed, turned away until then":        {signal: syscall.SIGKILL, again: partner.Overloaded},
+		"killed, and again with the repeat out": {signal: syscall.SIGKILL, again: partner.Hanging, twice: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			to := startPartner(t, partner.Options{Name: "1"})
-			to.Set(partner.Hang)
+			to.SetMode(partner.Hanging)
 			p, dir := discovery.New(t), t.TempDir()
-			p.With = func(s string) string {
+			p.EditSettings = func(s string) string {
 				return strings.NewReplacer(`"window_s":25`, `"window_s":1`, `"max_attempts":3`, `"max_attempts":30`).Replace(s)
 			}
 			known := platform.List{Generation: 1, Reset: true, Instances: []platform.Instance{{ID: "s-0", HostPort: to.Addr(), Zone: "a", Kind: "std",
@@ -57,7 +57,7 @@
 			c := dial(t, y.addr)
 			c.put("harmless", "safe", "+OK")
 			c.put("once", "keyed", "+OK")
-			byhand.Until(t, "first calls", func() bool { return len(calls("once")) > 0 && len(calls("harmless")) > 0 })
+			byhand.WaitUntil(t, "first calls", func() bool { return len(calls("once")) > 0 && len(calls("harmless")) > 0 })
 			over := calls("once")[0].At.Add(window)
 			y.Signal(x.signal)
 			y.Wait()
@@ -68,7 +68,7 @@
 			if x.again < 0 {
 				time.Sleep(time.Until(over.Add(longer)))
 			} else {
-				to.Set(x.again)
+				to.SetMode(x.again)
 			}
 			failed := func(n discovery.Notice) {
 				if n.ID != "once" || n.State != "failed" {
@@ -82,7 +82,7 @@
 				}
 				y = startProcess(t, p, dir, known)
 				if x.twice { // unless this machine was too slow for a repeat within the window
-					byhand.Until(t, "repeat or end", func() bool { return len(calls("once")) > 1 || len(p.Notices) > 0 })
+					byhand.WaitUntil(t, "repeat or end", func() bool { return len(calls("once")) > 1 || len(p.Notices) > 0 })
 					if ended = len(p.Notices) > 0; ended {
 						failed(<-p.Notices)
 					}
@@ -90,17 +90,17 @@
 				}
 				time.Sleep(time.Until(over.Add(longer)))
 			}
-			to.Set(partner.Well)
+			to.SetMode(partner.Healthy)
 			if x.again < 0 || x.twice {
 				y = startProcess(t, p, dir, known)
 			}
 			p.Set(func() { p.Silent, p.List.Generation = false, 2 })
-			byhand.Until(t, "harmless repeat", func() bool {
+			byhand.WaitUntil(t, "harmless repeat", func() bool {
 				all := calls("harmless")
 				return all[len(all)-1].Status == 200
 			})
 			if !ended {
-				byhand.Until(t, "end", func() bool { all := calls("once"); return len(p.Notices) > 0 || all[len(all)-1].Status == 200 })
+				byhand.WaitUntil(t, "end", func() bool { all := calls("once"); return len(p.Notices) > 0 || all[len(all)-1].Status == 200 })
 				select {
 				case n := <-p.Notices:
 					failed(n)
@@ -120,7 +120,7 @@
 				}
 			}
 			t.Logf("%s: %d calls", name, len(all))
-			if faults := to.Faults(func(string) bool { return false }); len(faults) > 0 {
+			if faults := to.Violations(func(string) bool { return false }); len(faults) > 0 {
 				t.Error(faults)
 			}
 		})
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -42,12 +42,12 @@
 }{
 	{partner.Options{Name: "steady", Latency: 15 * time.Millisecond}, 0, "answers in 15 ms"},
 	{partner.Options{Name: "slow", Latency: 700 * time.Millisecond}, 0, "answers in 700 ms"},
-	{partner.Options{Name: "full", Latency: 20 * time.Millisecond, Rate: 10, Wait: 400 * time.Millisecond}, 10, "takes 10 a second, and tells to wait above that"},
-	{partner.Options{Name: "flapping", Latency: 20 * time.Millisecond, Phases: []partner.Phase{{Mode: partner.Well, For: 4 * time.Second},
-		{Mode: partner.Dead, For: 2 * time.Second}}}, 0, "well for 4 s, dead for 2 s"},
-	{partner.Options{Name: "hanging", Latency: 20 * time.Millisecond, Phases: []partner.Phase{{Mode: partner.Well, For: 5 * time.Second},
-		{Mode: partner.Hang, For: 3 * time.Second}}}, 0, "well for 5 s, takes calls and answers none for 3 s"},
-	{partner.Options{Name: "dead", Phases: []partner.Phase{{Mode: partner.Dead, For: time.Hour}}}, 0, "nobody listens"},
+	{partner.Options{Name: "full", Latency: 20 * time.Millisecond, Rate: 10, RequestedWait: 400 * time.Millisecond}, 10, "takes 10 a second, and tells to wait above that"},
+	{partner.Options{Name: "flapping", Latency: 20 * time.Millisecond, Phases: []partner.Phase{{Mode: partner.Healthy, Duration: 4 * time.Second},
+		{Mode: partner.Down, Duration: 2 * time.Second}}}, 0, "well for 4 s, dead for 2 s"},
+	{partner.Options{Name: "hanging", Latency: 20 * time.Millisecond, Phases: []partner.Phase{{Mode: partner.Healthy, Duration: 5 * time.Second},
+		{Mode: partner.Hanging, Duration: 3 * time.Second}}}, 0, "well for 5 s, takes calls and answers none for 3 s"},
+	{partner.Options{Name: "dead", Phases: []partner.Phase{{Mode: partner.Down, Duration: time.Hour}}}, 0, "nobody listens"},
 }
 
 // classes of the demo's messages, each with its effect.
--- a/internal/demo/tally.go
+++ b/internal/demo/tally.go
@@ -151,7 +151,7 @@
 	}
 	ran := 0
 	for _, p := range partners {
-		faults = append(faults, p.Faults(func(id string) bool { return strings.Contains(id, "-payment-") })...)
+		faults = append(faults, p.Violations(func(id string) bool { return strings.Contains(id, "-payment-") })...)
 		for _, c := range p.Calls() {
 			if c.Ran {
 				ran++
--- a/internal/front/http/front_test.go
+++ b/internal/front/http/front_test.go
@@ -327,7 +327,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(byhand.Patience))
+	c.SetDeadline(time.Now().Add(byhand.Timeout))
 	if _, err := io.WriteString(c, text); err != nil {
 		t.Fatal(err)
 	}
@@ -449,7 +449,7 @@
 			polls <- resp.StatusCode
 		}()
 	}
-	byhand.Until(t, "long-polls", func() bool { return len(f.polls) == cap(f.polls) })
+	byhand.WaitUntil(t, "long-polls", func() bool { return len(f.polls) == cap(f.polls) })
 	if resp, _ := do(t, router, "GET", base+"/v1/messages/a?wait=1m", nil); resp.StatusCode != 503 {
 		t.Errorf("a long-poll too many: %d", resp.StatusCode)
 	}
@@ -497,7 +497,7 @@
 		}
 		polled <- err
 	}()
-	byhand.Until(t, "long-poll", func() bool { return len(f.polls) > 0 })
+	byhand.WaitUntil(t, "long-poll", func() bool { return len(f.polls) > 0 })
 	var silent []*net.TCPConn
 	for range 10 {
 		silent = append(silent, dialRaw(t, base, ""))
@@ -532,7 +532,7 @@
 	}()
 	for e := fast.next(); !strings.Contains(e.data, fmt.Sprintf(`"id":"%d"`, many-1)); e = fast.next() {
 	}
-	byhand.Until(t, "end of the slow reader", func() bool { return len(f.streams) == 1 })
+	byhand.WaitUntil(t, "end of the slow reader", func() bool { return len(f.streams) == 1 })
 }
 
 // While the sender is out of service a connection is closed after its answer, and kept again afterwards.
--- a/internal/front/http/shutdown_test.go
+++ b/internal/front/http/shutdown_test.go
@@ -42,7 +42,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { conn.Close() })
-	conn.SetDeadline(time.Now().Add(byhand.Patience))
+	conn.SetDeadline(time.Now().Add(byhand.Timeout))
 	fmt.Fprint(conn, "POST /v1/messages?partner=p&class=c HTTP/1.1\r\nHost: x\r\nContent-Length: 1\r\n\r\nx")
 	got := make(chan string, 1)
 	go func() {
@@ -90,7 +90,7 @@
 	}
 	f.ln = lateListener{f.ln, make(chan struct{})}
 	go f.Serve()
-	byhand.Until(t, "service", func() bool {
+	byhand.WaitUntil(t, "service", func() bool {
 		f.mu.Lock()
 		defer f.mu.Unlock()
 		return f.acceptor != nil
--- a/internal/front/http/tls_test.go
+++ b/internal/front/http/tls_test.go
@@ -82,7 +82,7 @@
 	}
 	write()
 	second := first
-	byhand.Until(t, "new certificate", func() bool { second, _ = get(); return second != first })
+	byhand.WaitUntil(t, "new certificate", func() bool { second, _ = get(); return second != first })
 	os.WriteFile(dir+"/cert.pem", []byte("-----BEGIN"), 0o600)
 	if err := f.RereadCertificate(); err == nil {
 		t.Error("no error for half a certificate")
--- a/internal/front/resp/crossing_test.go
+++ b/internal/front/resp/crossing_test.go
@@ -122,7 +122,7 @@
 				l.before <- func(conn net.Conn) {
 					c := <-come
 					io.WriteString(c.conn, putLate)
-					byhand.Until(t, "request at the front", func() bool { _, data := netutil.Peek(conn); return data })
+					byhand.WaitUntil(t, "request at the front", func() bool { _, data := netutil.Peek(conn); return data })
 					crossing <- true
 				}
 				c := dial(t, f)
@@ -132,7 +132,7 @@
 					raw.Control(func(fd uintptr) { syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, syscall.TCP_CORK, 1) })
 				}
 				io.WriteString(c.conn, "*1\r\n$4\r\nPING\r\n")
-				byhand.Until(t, "answer", func() bool {
+				byhand.WaitUntil(t, "answer", func() bool {
 					f.mu.Lock()
 					defer f.mu.Unlock()
 					for s := range f.sessions {
@@ -147,7 +147,7 @@
 					t.Errorf("the client reads %q, %v", got, err)
 				}
 				c.conn.Close()
-				byhand.Until(t, "end of the connection", func() bool {
+				byhand.WaitUntil(t, "end of the connection", func() bool {
 					f.mu.Lock()
 					defer f.mu.Unlock()
 					return f.ending == 0
@@ -163,7 +163,7 @@
 // settle waits until the front knows of no request that it has not answered.
 func settle(t *testing.T, f *Front) {
 	t.Helper()
-	byhand.Until(t, "rest", func() bool {
+	byhand.WaitUntil(t, "rest", func() bool {
 		f.mu.Lock()
 		defer f.mu.Unlock()
 		for s := range f.sessions {
@@ -217,7 +217,7 @@
 			t.Parallel()
 			f := serve(t, Options{})
 			all := rest(t, f, 20)
-			ctx, stop := context.WithTimeout(t.Context(), byhand.Patience)
+			ctx, stop := context.WithTimeout(t.Context(), byhand.Timeout)
 			defer stop()
 			at := time.Now()
 			f.CloseListener()
@@ -289,7 +289,7 @@
 	f := serve(t, Options{Connections: 1})
 	half := dial(t, f)
 	io.WriteString(half.conn, "*1\r\n$4\r\nPI")
-	byhand.Until(t, "request at the front", func() bool {
+	byhand.WaitUntil(t, "request at the front", func() bool {
 		f.mu.Lock()
 		defer f.mu.Unlock()
 		for s := range f.sessions {
@@ -320,7 +320,7 @@
 	for s = range f.sessions {
 	}
 	io.WriteString(c.conn, putLate)
-	byhand.Until(t, "request at the front", func() bool { _, data := netutil.Peek(conn); return data })
+	byhand.WaitUntil(t, "request at the front", func() bool { _, data := netutil.Peek(conn); return data })
 	s.leave()
 	s.conn.SetReadDeadline(time.Now())
 	f.mu.Unlock()
@@ -362,7 +362,7 @@
 // whenOver tells when nothing more may be read from the front's connections.
 func whenOver(t *testing.T, f *Front) {
 	t.Helper()
-	byhand.Until(t, "end of the process", f.over.Load)
+	byhand.WaitUntil(t, "end of the process", f.over.Load)
 }
 
 // endNow has the front shut down by a context that is over, and tells when it has.
--- a/internal/front/resp/front_test.go
+++ b/internal/front/resp/front_test.go
@@ -68,7 +68,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { conn.Close() })
-	conn.SetDeadline(time.Now().Add(byhand.Patience))
+	conn.SetDeadline(time.Now().Add(byhand.Timeout))
 	return &client{t, conn, bufio.NewReader(conn)}
 }
 
@@ -113,7 +113,7 @@
 		settle(t, f) // its answer is on its way before the front holds it for answered
 	}
 	io.WriteString(half.conn, "*1\r\n$4\r\nPI")
-	byhand.Until(t, "request at the front", func() bool {
+	byhand.WaitUntil(t, "request at the front", func() bool {
 		f.mu.Lock()
 		defer f.mu.Unlock()
 		begun := 0
@@ -157,7 +157,7 @@
 		}
 		d.conn.Close()
 	}
-	for stop := time.Now().Add(byhand.Patience); len(f.large) > 0; {
+	for stop := time.Now().Add(byhand.Timeout); len(f.large) > 0; {
 		if time.Now().After(stop) {
 			t.Fatalf("%d places are not given back", len(f.large))
 		}
@@ -180,7 +180,7 @@
 	}
 	defer conn.Close()
 	io.WriteString(c.conn, "*1\r\n$4\r\nPING\r\n")
-	for stop := time.Now().Add(byhand.Patience); ; {
+	for stop := time.Now().Add(byhand.Timeout); ; {
 		if _, data := netutil.Peek(conn); data {
 			break
 		}
@@ -312,7 +312,7 @@
 		var all []*client
 		for i := range 8 {
 			all = append(all, dial(t, f))
-			byhand.Until(t, "client at the front", func() bool {
+			byhand.WaitUntil(t, "client at the front", func() bool {
 				f.mu.Lock()
 				defer f.mu.Unlock()
 				return len(f.sessions) == i+1
--- a/internal/lab/capacity/partners.go
+++ b/internal/lab/capacity/partners.go
@@ -71,7 +71,7 @@
 	}
 	cpu, from = d.cpu(), time.Now()
 	d.Signal(syscall.SIGHUP)
-	if err := d.Says("reload: partners follow the file"); err != nil {
+	if err := d.AwaitLog("reload: partners follow the file"); err != nil {
 		return nil, err
 	}
 	reload := time.Since(from)
--- a/internal/sink/webhook/webhook_test.go
+++ b/internal/sink/webhook/webhook_test.go
@@ -58,7 +58,7 @@
 }
 
 func newSink(url string, parallel, waiting int) *Sink {
-	s := New(Options{URL: url, Key: []byte("0123456789abcdef0123456789abcdef"), Timeout: byhand.Patience, Parallel: parallel, Waiting: waiting,
+	s := New(Options{URL: url, Key: []byte("0123456789abcdef0123456789abcdef"), Timeout: byhand.Timeout, Parallel: parallel, Waiting: waiting,
 		Log: slog.New(slog.DiscardHandler)})
 	s.pause = func(context.Context, time.Duration) {}
 	return s
@@ -114,7 +114,7 @@
 	if got := s.queue.Lost(); got < 12 || got > 13 { // one may be held by the loop that waits for a place
 		t.Errorf("%d given up", got)
 	}
-	byhand.Until(t, "confirmation of those given up, while the receiver is still silent", func() bool { return confirmed.Load() >= 12 })
+	byhand.WaitUntil(t, "confirmation of those given up, while the receiver is still silent", func() bool { return confirmed.Load() >= 12 })
 	one.status <- 200
 	two.status <- 200
 	for i := range 5 {
@@ -124,5 +124,5 @@
 		}
 		p.status <- 200
 	}
-	byhand.Until(t, "confirmation of all", func() bool { return confirmed.Load() >= 20 })
+	byhand.WaitUntil(t, "confirmation of all", func() bool { return confirmed.Load() >= 20 })
 }
--- a/internal/soak/crossings.go
+++ b/internal/soak/crossings.go
@@ -269,7 +269,7 @@
 func (s *sender) recordKill(processes ...*process) {
 	s.records.addKill(s.number, time.Now())
 	exited := func(p *process) bool { return !p.running() }
-	for by := time.Now().Add(program.Patience); time.Now().Before(by) && !slices.ContainsFunc(processes, exited); {
+	for by := time.Now().Add(program.Timeout); time.Now().Before(by) && !slices.ContainsFunc(processes, exited); {
 		time.Sleep(pollInterval)
 	}
 	s.records.addKill(s.number, time.Now())
--- a/internal/soak/fleet.go
+++ b/internal/soak/fleet.go
@@ -87,7 +87,7 @@
 func (p *process) kill() {
 	p.Signal(syscall.SIGCONT)
 	p.Signal(syscall.SIGKILL)
-	p.endsWithin(program.Patience)
+	p.endsWithin(program.Timeout)
 	close(p.stopResuming)
 	<-p.resumingDone
 }
@@ -176,7 +176,7 @@
 
 // readLog copies the log of a process to the log file and records lines that report a violation or a crash.
 func (s *sender) readLog(p *program.Program) {
-	for line := range p.Said {
+	for line := range p.LogLines {
 		s.logs.write(line)
 		for _, bad := range []string{"msg=violation", "panic:", "fatal error:", "DATA RACE"} {
 			if strings.Contains(line, bad) {
--- a/internal/standin/byhand/byhand.go
+++ b/internal/standin/byhand/byhand.go
@@ -14,8 +14,8 @@
 	"time"
 )
 
-// Patience bounds every wait for an event: it is not reached unless a test fails.
-const Patience = 20 * time.Second
+// Timeout bounds every wait for an event: it is not reached unless a test fails.
+const Timeout = 20 * time.Second
 
 // Await returns the next value of ch.
 func Await[T any](t testing.TB, ch <-chan T, what string) T {
@@ -26,25 +26,25 @@
 			t.Fatalf("no more %s", what)
 		}
 		return v
-	case <-time.After(Patience):
+	case <-time.After(Timeout):
 		t.Fatalf("no %s", what)
 	}
 	panic("unreachable")
 }
 
-// Until waits for what no channel tells of: that is comes true.
-func Until(t testing.TB, what string, is func() bool) {
+// WaitUntil waits for what no channel tells of: that is comes true.
+func WaitUntil(t testing.TB, what string, is func() bool) {
 	t.Helper()
-	for stop := time.Now().Add(Patience); !is(); time.Sleep(time.Millisecond) {
+	for stop := time.Now().Add(Timeout); !is(); time.Sleep(time.Millisecond) {
 		if time.Now().After(stop) {
 			t.Fatalf("no %s", what)
 		}
 	}
 }
 
-// DeadAddr is an address that refuses connections until the test is over: its port
+// RefusingAddr is an address that refuses connections until the test is over: its port
 // is taken, and nobody listens.
-func DeadAddr(t testing.TB) string {
+func RefusingAddr(t testing.TB) string {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 	if err != nil {
@@ -61,8 +61,8 @@
 	return net.JoinHostPort("127.0.0.1", strconv.Itoa(at.(*syscall.SockaddrInet4).Port))
 }
 
-// InCall is a whole request that has come to an endpoint.
-type InCall struct {
+// ReceivedCall is a whole request that has come to an endpoint.
+type ReceivedCall struct {
 	Req    *http.Request
 	Body   string
 	At     time.Time
@@ -72,10 +72,10 @@
 }
 
 // ID is the id of the message that came.
-func (c *InCall) ID() string { return c.Req.Header.Get("X-Trace-Id") }
+func (c *ReceivedCall) ID() string { return c.Req.Header.Get("X-Trace-Id") }
 
 // Reply answers and keeps the connection.
-func (c *InCall) Reply(status int, headers ...string) {
+func (c *ReceivedCall) Reply(status int, headers ...string) {
 	var b strings.Builder
 	fmt.Fprintf(&b, "HTTP/1.1 %d x\r\nContent-Length: 0\r\n", status)
 	for _, h := range headers {
@@ -86,23 +86,23 @@
 }
 
 // ReplyAndClose answers and closes the connection without saying so first.
-func (c *InCall) ReplyAndClose(status int) {
+func (c *ReceivedCall) ReplyAndClose(status int) {
 	fmt.Fprintf(c.Conn, "HTTP/1.1 %d x\r\nContent-Length: 0\r\n\r\n", status)
 	c.Conn.Close()
 	c.Done <- false
 }
 
 // Reset breaks the connection.
-func (c *InCall) Reset() {
+func (c *ReceivedCall) Reset() {
 	c.Conn.SetLinger(0)
 	c.Conn.Close()
 	c.Done <- false
 }
 
 // AwaitEnd waits until the sender has ended its side of the connection.
-func (c *InCall) AwaitEnd(t *testing.T) {
+func (c *ReceivedCall) AwaitEnd(t *testing.T) {
 	t.Helper()
-	c.Conn.SetReadDeadline(time.Now().Add(Patience))
+	c.Conn.SetReadDeadline(time.Now().Add(Timeout))
 	if n, err := c.Reader.Read(make([]byte, 1)); n != 0 || IsTimeout(err) {
 		t.Fatalf("connection goes on: %d bytes, %v", n, err)
 	}
@@ -111,7 +111,7 @@
 // Endpoint is the other side of calls: a test answers each by hand.
 type Endpoint struct {
 	Ln    net.Listener
-	Calls chan *InCall
+	Calls chan *ReceivedCall
 	Conns chan net.Conn // each that is accepted
 }
 
@@ -123,7 +123,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { ln.Close() })
-	e := &Endpoint{Ln: ln, Calls: make(chan *InCall, 64), Conns: make(chan net.Conn, 64)}
+	e := &Endpoint{Ln: ln, Calls: make(chan *ReceivedCall, 64), Conns: make(chan net.Conn, 64)}
 	go func() {
 		for {
 			conn, err := ln.Accept()
@@ -150,7 +150,7 @@
 			conn.Close()
 			return
 		}
-		c := &InCall{Req: req, Body: string(body), At: time.Now(), Conn: conn, Reader: r, Done: make(chan bool, 1)}
+		c := &ReceivedCall{Req: req, Body: string(body), At: time.Now(), Conn: conn, Reader: r, Done: make(chan bool, 1)}
 		e.Calls <- c
 		if !<-c.Done {
 			return
@@ -161,8 +161,8 @@
 // Addr is where it listens.
 func (e *Endpoint) Addr() string { return e.Ln.Addr().String() }
 
-// None checks that nothing has come that was not waited for.
-func (e *Endpoint) None(t *testing.T) {
+// ExpectNoCall checks that nothing has come that was not waited for.
+func (e *Endpoint) ExpectNoCall(t *testing.T) {
 	t.Helper()
 	select {
 	case c := <-e.Calls:
--- a/internal/standin/discovery/discovery.go
+++ b/internal/standin/discovery/discovery.go
@@ -23,30 +23,30 @@
 
 // Platform stands for discovery and for what hears of ends.
 type Platform struct {
-	Srv     *httptest.Server
-	Notices chan Notice
-	Asked   chan string // each call for the list
-	Refused chan int    // each notice turned away: the number of lines
-	mu      sync.Mutex
-	List    platform.List
-	news    chan struct{}                // closed when the list changes
-	Down    bool                         // answers 503 to all
-	Silent  bool                         // never answers a call for the list
-	Deaf    bool                         // turns notices away
-	With    func(settings string) string // changes the senders' settings; nil for none
-	Fates   []fate.Fate                  // what becomes of the next calls for the list, and of watches that are open
+	Server          *httptest.Server
+	Notices         chan Notice
+	ListCalls       chan string // each call for the list
+	RejectedNotices chan int    // each notice turned away: the number of lines
+	mu              sync.Mutex
+	List            platform.List
+	changed         chan struct{}                // closed when the list changes
+	Down            bool                         // answers 503 to all
+	Silent          bool                         // never answers a call for the list
+	RejectNotices   bool                         // turns notices away
+	EditSettings    func(settings string) string // changes the senders' settings; nil for none
+	Fates           []fate.Fate                  // what becomes of the next calls for the list, and of watches that are open
 }
 
 // New makes one that listens until the test is over.
 func New(t *testing.T) *Platform {
 	t.Helper()
-	p := &Platform{Notices: make(chan Notice, 64), Asked: make(chan string, 1024), Refused: make(chan int, 1024),
-		news: make(chan struct{})}
+	p := &Platform{Notices: make(chan Notice, 64), ListCalls: make(chan string, 1024), RejectedNotices: make(chan int, 1024),
+		changed: make(chan struct{})}
 	mux := http.NewServeMux()
 	mux.HandleFunc("/discovery/hosts", p.hosts)
 	mux.HandleFunc("/v1/outcomes", p.outcomes)
-	p.Srv = httptest.NewServer(mux)
-	t.Cleanup(func() { p.Srv.CloseClientConnections(); p.Srv.Close() })
+	p.Server = httptest.NewServer(mux)
+	t.Cleanup(func() { p.Server.CloseClientConnections(); p.Server.Close() })
 	return p
 }
 
@@ -55,12 +55,12 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	f()
-	close(p.news)
-	p.news = make(chan struct{})
+	close(p.changed)
+	p.changed = make(chan struct{})
 }
 
 func (p *Platform) hosts(w http.ResponseWriter, r *http.Request) {
-	p.Asked <- r.URL.RawQuery
+	p.ListCalls <- r.URL.RawQuery
 	from, _ := strconv.ParseInt(r.URL.Query().Get("from"), 10, 64)
 	hold := time.Hour
 	if ms, err := strconv.Atoi(r.URL.Query().Get("hold_ms")); err == nil {
@@ -69,7 +69,7 @@
 	held := time.After(hold)
 	for {
 		p.mu.Lock()
-		list, news, down, silent := p.List, p.news, p.Down, p.Silent
+		list, news, down, silent := p.List, p.changed, p.Down, p.Silent
 		p.mu.Unlock()
 		if down {
 			w.WriteHeader(http.StatusServiceUnavailable)
@@ -112,7 +112,7 @@
 
 func (p *Platform) outcomes(w http.ResponseWriter, r *http.Request) {
 	p.mu.Lock()
-	deaf := p.Deaf
+	deaf := p.RejectNotices
 	p.mu.Unlock()
 	var lines []Notice
 	for dec := json.NewDecoder(r.Body); dec.More(); {
@@ -124,7 +124,7 @@
 		lines = append(lines, x)
 	}
 	if deaf {
-		p.Refused <- len(lines)
+		p.RejectedNotices <- len(lines)
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
--- a/internal/standin/fleet/cluster_test.go
+++ b/internal/standin/fleet/cluster_test.go
@@ -26,7 +26,7 @@
 		from := time.Now()
 		time.Sleep(time.Second) // a rate is measured
 		t.Logf("%s: %.2f of the rate is taken", what, Took(p.Calls(), "", from, time.Now())/rate)
-		for _, fault := range p.Faults(func(string) bool { return false }) {
+		for _, fault := range p.Violations(func(string) bool { return false }) {
 			t.Errorf("%s: %s", what, fault)
 		}
 	}
--- a/internal/standin/fleet/fleet.go
+++ b/internal/standin/fleet/fleet.go
@@ -247,7 +247,7 @@
 	s.mu.Unlock()
 	for p != nil {
 		select {
-		case line := <-p.Said:
+		case line := <-p.LogLines:
 			out = append(out, line)
 		default:
 			return out[max(len(out)-lines, 0):]
@@ -264,7 +264,7 @@
 	if p == nil {
 		return fmt.Errorf("%s does not run", s.Name)
 	}
-	return p.Says(part)
+	return p.AwaitLog(part)
 }
 
 // Kill ends the process at once and waits until it is gone.
--- a/internal/standin/fleet/knowledge_test.go
+++ b/internal/standin/fleet/knowledge_test.go
@@ -21,7 +21,7 @@
 // starts anew with an emptied folder meanwhile.
 func TestToldToOne(t *testing.T) {
 	const wait = 3 * time.Second
-	p, err := partner.Start(partner.Options{Name: "acme", Wait: wait, Seconds: true})
+	p, err := partner.Start(partner.Options{Name: "acme", RequestedWait: wait, WaitInSeconds: true})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -43,12 +43,12 @@
 		clear(from)
 		paused := f.Senders()[round]
 		paused.Pause()
-		p.Set(partner.Full)
+		p.SetMode(partner.Overloaded)
 		n := len(p.Calls())
 		if took, ok := f.Until(5*time.Second, func([]Seen) bool { return InWaits(p.Calls()[n:], wait, 0).Told > 0 }); !ok {
 			t.Fatalf("nobody was told to wait within %v", took)
 		}
-		p.Set(partner.Well)
+		p.SetMode(partner.Healthy)
 		paused.Resume()
 		for _, s := range f.Senders() { // not the one that was told first: what it knows alone may die with it
 			host, _, _ := net.SplitHostPort(s.Addr)
@@ -85,7 +85,7 @@
 	defer p.Close()
 	f := start(t, Options{Senders: 3, Cluster: `lease = "1s"`, Config: Partners(p)})
 	await(t, f, "all here", AllHere)
-	p.Set(partner.Full)
+	p.SetMode(partner.Overloaded)
 	all, one := make(chan struct{}), make(chan struct{})
 	feed, done := &Feed{Partner: "acme", Class: "safe", Rate: 30}, make(chan struct{})
 	go func() { feed.feed(f.Senders()[0], time.Second/30, one) }()
@@ -112,7 +112,7 @@
 	if t.Logf("%d calls in %v", took, time.Since(from)); took > 10 { // 7 seen, with the first trials of each; 14 by themselves
 		t.Errorf("%d calls at a partner that is known to be out", took)
 	}
-	p.Set(partner.Well)
+	p.SetMode(partner.Healthy)
 	back := time.Now()
 	await(t, f, "all deliver", func([]Seen) bool {
 		well := map[string]bool{}
--- a/internal/standin/kill/kill.go
+++ b/internal/standin/kill/kill.go
@@ -20,18 +20,18 @@
 )
 
 const (
-	clients  = 40
-	calm     = 700 * time.Millisecond // traffic goes on so long after the last start
-	againGap = 20 * time.Millisecond  // between two tries while nobody answers
-	againMax = 250
-	leastPut = 40 // fewer messages taken on than this prove nothing
+	clients           = 40
+	trafficAfterStart = 700 * time.Millisecond // traffic goes on so long after the last start
+	retryInterval     = 20 * time.Millisecond  // between two tries while nobody answers
+	maxRetries        = 250
+	minAccepted       = 40 // fewer messages taken on than this prove nothing
 )
 
 // Round is one daemon's history.
 type Round struct {
 	Program  string
 	Partners []partner.Options
-	Lives    []time.Duration // each ended by SIGKILL; one more follows, ended by SIGTERM
+	Uptimes  []time.Duration // each ended by SIGKILL; one more follows, ended by SIGTERM
 	Seed     uint64
 }
 
@@ -44,31 +44,31 @@
 	for i := range 2 + rng.IntN(3) {
 		o := partner.Options{Name: fmt.Sprint("p", i), Rate: 5 + rng.IntN(76), Latency: between(0, 60)}
 		if rng.IntN(2) == 0 {
-			o.Wait = between(150, 700)
+			o.RequestedWait = between(150, 700)
 		}
 		if rng.IntN(2) == 0 {
-			ill := partner.Full + partner.Mode(rng.IntN(int(partner.Sick-partner.Full)+1))
-			o.Phases = []partner.Phase{{Mode: partner.Well, For: between(200, 900)}, {Mode: ill, For: between(100, 500)}}
+			ill := partner.Overloaded + partner.Mode(rng.IntN(int(partner.Failing-partner.Overloaded)+1))
+			o.Phases = []partner.Phase{{Mode: partner.Healthy, Duration: between(200, 900)}, {Mode: ill, Duration: between(100, 500)}}
 		}
 		r.Partners = append(r.Partners, o)
 	}
 	for range kills {
-		r.Lives = append(r.Lives, between(50, 900))
+		r.Uptimes = append(r.Uptimes, between(50, 900))
 	}
 	return r
 }
 
 // Report is what came of a round.
 type Report struct {
-	Taken  int            // messages
-	Ends   map[string]int // by state
-	Faults []string       // what must not be
+	Accepted   int            // messages
+	Ends       map[string]int // by state
+	Violations []string       // what must not be
 }
 
-// feed is the messages that the clients have handed in.
-type feed struct {
-	mu    sync.Mutex
-	taken map[string]string // partner, by id
+// submissions is the messages that the clients have handed in.
+type submissions struct {
+	mu       sync.Mutex
+	accepted map[string]string // partner, by id
 }
 
 // Play plays the round. An error is one of the rig itself, or a daemon that does
@@ -89,7 +89,7 @@
 		partners = append(partners, p)
 	}
 	ends, config := filepath.Join(dir, "ends.jsonl"), filepath.Join(dir, "config.toml")
-	text, err := traffic.FixPorts(traffic.File(filepath.Join(dir, "state"), fmt.Sprintf("[sink.file]\npath = %q\n", ends), partners...))
+	text, err := traffic.FixPorts(traffic.ConfigText(filepath.Join(dir, "state"), fmt.Sprintf("[sink.file]\npath = %q\n", ends), partners...))
 	if err != nil {
 		return Report{}, err
 	}
@@ -102,13 +102,13 @@
 		return Report{}, err
 	}
 	defer func() { x.Cmd.Process.Kill() }()
-	f, stop := &feed{taken: map[string]string{}}, make(chan struct{})
+	f, stop := &submissions{accepted: map[string]string{}}, make(chan struct{})
 	var wg sync.WaitGroup
 	for k := range clients {
 		wg.Go(func() { f.client(k, r.Seed, partners, x.Addrs, stop) })
 	}
 	var deaths []time.Time
-	for _, life := range r.Lives {
+	for _, life := range r.Uptimes {
 		time.Sleep(life)
 		deaths = append(deaths, time.Now())
 		x.Signal(syscall.SIGKILL)
@@ -118,35 +118,35 @@
 			return Report{}, err
 		}
 	}
-	time.Sleep(calm)
+	time.Sleep(trafficAfterStart)
 	close(stop)
 	wg.Wait()
-	out := Report{Taken: len(f.taken), Ends: map[string]int{}}
+	out := Report{Accepted: len(f.accepted), Ends: map[string]int{}}
 	final := map[string]string{}
-	for id := range f.taken {
+	for id := range f.accepted {
 		s, err := traffic.State(x.Addrs[0], id, "20s")
 		if final[id] = s; err != nil || s != "delivered" && s != "returned" && s != "failed" {
-			out.fault("%s is %q at the end: %v", id, s, err)
+			out.addViolation("%s is %q at the end: %v", id, s, err)
 		}
 		out.Ends[s]++
 	}
 	x.Signal(syscall.SIGTERM)
 	if err := x.Wait(); err != nil {
-		out.fault("the daemon ended with %v", err)
+		out.addViolation("the daemon ended with %v", err)
 	}
-	out.judge(f.taken, final, partners, deaths)
+	out.judge(f.accepted, final, partners, deaths)
 	return out, out.ends(ends, final)
 }
 
-func (r *Report) fault(format string, args ...any) {
-	r.Faults = append(r.Faults, fmt.Sprintf(format, args...))
+func (r *Report) addViolation(format string, args ...any) {
+	r.Violations = append(r.Violations, fmt.Sprintf(format, args...))
 }
 
 // client hands messages in until stop, over one port and the other. One without an
 // answer is handed in again: the same id is the same message.
-func (f *feed) client(k int, seed uint64, partners []*partner.Partner, addrs []string, stop <-chan struct{}) {
+func (f *submissions) client(k int, seed uint64, partners []*partner.Partner, addrs []string, stop <-chan struct{}) {
 	rng := rand.New(rand.NewPCG(seed, uint64(k)+1))
-	c := &http.Client{Transport: &http.Transport{}, Timeout: program.Patience}
+	c := &http.Client{Transport: &http.Transport{}, Timeout: program.Timeout}
 	defer c.CloseIdleConnections()
 	for n := 0; ; n++ {
 		select {
@@ -157,17 +157,17 @@
 		class := []string{"safe", "keyed", "unsafe"}[rng.IntN(3)]
 		id := fmt.Sprintf("%s-%d-%d", class, k, n)
 		to := partners[rng.IntN(len(partners))].Name()
-		for again := range againMax {
+		for again := range maxRetries {
 			ok, heard := traffic.Put(c, (k+again)%2 == 0, addrs[0], addrs[1], id, to, class)
 			if ok {
 				f.mu.Lock()
-				f.taken[id] = to
+				f.accepted[id] = to
 				f.mu.Unlock()
 			}
 			if heard {
 				break
 			}
-			time.Sleep(againGap) // the daemon is on its way back
+			time.Sleep(retryInterval) // the daemon is on its way back
 		}
 	}
 }
@@ -176,12 +176,12 @@
 func (r *Report) judge(taken, final map[string]string, partners []*partner.Partner, deaths []time.Time) {
 	ran := map[string]int{}
 	for _, p := range partners {
-		for _, f := range p.Faults(func(id string) bool { return strings.HasPrefix(id, "unsafe") }, deaths...) {
-			r.fault("%s", f)
+		for _, f := range p.Violations(func(id string) bool { return strings.HasPrefix(id, "unsafe") }, deaths...) {
+			r.addViolation("%s", f)
 		}
 		for _, c := range p.Calls() {
 			if to, ok := taken[c.ID]; ok && to != p.Name() {
-				r.fault("%s for %s came to %s", c.ID, to, p.Name())
+				r.addViolation("%s for %s came to %s", c.ID, to, p.Name())
 			}
 			if c.Ran {
 				ran[c.ID]++
@@ -191,33 +191,33 @@
 	for id, state := range final {
 		switch {
 		case state == "delivered" && ran[id] == 0:
-			r.fault("%s is delivered and never ran", id)
+			r.addViolation("%s is delivered and never ran", id)
 		case state == "returned" && ran[id] > 0:
-			r.fault("%s is returned and ran", id)
+			r.addViolation("%s is returned and ran", id)
 		}
 	}
-	if len(taken) < leastPut {
-		r.fault("only %d messages were taken on", len(taken))
+	if len(taken) < minAccepted {
+		r.addViolation("only %d messages were taken on", len(taken))
 	}
 }
 
 // ends holds the final states against the file of ends: one end each, though it may
 // be told again after a kill.
 func (r *Report) ends(path string, final map[string]string) error {
-	lines, err := traffic.Ends(path)
+	lines, err := traffic.ReadEnds(path)
 	if err != nil {
 		return err
 	}
 	told := map[string]string{}
 	for _, l := range lines {
 		if before, twice := told[l.ID]; twice && before != l.State {
-			r.fault("%s was told as %s and as %s", l.ID, before, l.State)
+			r.addViolation("%s was told as %s and as %s", l.ID, before, l.State)
 		}
 		told[l.ID] = l.State
 	}
 	for id, state := range final {
 		if told[id] != state {
-			r.fault("%s is %s, and was told as %q", id, state, told[id])
+			r.addViolation("%s is %s, and was told as %q", id, state, told[id])
 		}
 	}
 	return nil
--- a/internal/standin/program/program.go
+++ b/internal/standin/program/program.go
@@ -12,15 +12,15 @@
 	"time"
 )
 
-// Patience bounds the wait for a program to be ready, and for one to end.
-const Patience = 20 * time.Second
+// Timeout bounds the wait for a program to be ready, and for one to end.
+const Timeout = 20 * time.Second
 
 // Program is a process that is ready.
 type Program struct {
-	Cmd   *exec.Cmd
-	Addrs []string    // of its fronts, HTTP first
-	Said  chan string // its log, as far as it has room
-	Done  chan error  // has how it ended
+	Cmd      *exec.Cmd
+	Addrs    []string    // of its fronts, HTTP first
+	LogLines chan string // its log, as far as it has room
+	Done     chan error  // has how it ended
 
 	ready chan []string
 }
@@ -37,7 +37,7 @@
 
 // Launch runs the program and does not wait.
 func Launch(path string, env []string, args ...string) (*Program, error) {
-	p := &Program{Cmd: exec.Command(path, args...), Said: make(chan string, 1<<14), Done: make(chan error, 1),
+	p := &Program{Cmd: exec.Command(path, args...), LogLines: make(chan string, 1<<14), Done: make(chan error, 1),
 		ready: make(chan []string, 1)}
 	p.Cmd.Env = append(os.Environ(), env...)
 	logs, err := p.Cmd.StderrPipe()
@@ -50,7 +50,7 @@
 	go func() {
 		for s := bufio.NewScanner(logs); s.Scan(); {
 			select {
-			case p.Said <- s.Text():
+			case p.LogLines <- s.Text():
 			default:
 			}
 			if strings.Contains(s.Text(), "msg=ready") {
@@ -75,17 +75,17 @@
 		return nil
 	case err := <-p.Done:
 		p.Done <- err
-		return fmt.Errorf("%s ends before it is ready: %v; it says: %s", p.Cmd.Path, err, p.lastSaid())
-	case <-time.After(Patience):
+		return fmt.Errorf("%s ends before it is ready: %v; it says: %s", p.Cmd.Path, err, p.lastLogLine())
+	case <-time.After(Timeout):
 		p.Cmd.Process.Kill()
-		return fmt.Errorf("%s is not ready; it says: %s", p.Cmd.Path, p.lastSaid())
+		return fmt.Errorf("%s is not ready; it says: %s", p.Cmd.Path, p.lastLogLine())
 	}
 }
 
-func (p *Program) lastSaid() (line string) {
+func (p *Program) lastLogLine() (line string) {
 	for {
 		select {
-		case line = <-p.Said:
+		case line = <-p.LogLines:
 		default:
 			return line
 		}
@@ -101,18 +101,18 @@
 	select {
 	case err := <-p.Done:
 		return err
-	case <-time.After(Patience):
+	case <-time.After(Timeout):
 		p.Cmd.Process.Kill()
 		<-p.Done
 		return fmt.Errorf("%s did not end", p.Cmd.Path)
 	}
 }
 
-// Says waits for a line of the log that contains part.
-func (p *Program) Says(part string) error {
-	for stop := time.After(Patience); ; {
+// AwaitLog waits for a line of the log that contains part.
+func (p *Program) AwaitLog(part string) error {
+	for stop := time.After(Timeout); ; {
 		select {
-		case line := <-p.Said:
+		case line := <-p.LogLines:
 			if strings.Contains(line, part) {
 				return nil
 			}
--- a/internal/standin/ready/ready.go
+++ b/internal/standin/ready/ready.go
@@ -87,19 +87,19 @@
 }
 
 // Run plays it. An error is one of the rig itself, or of a program that is not ready within
-// [program.Patience].
+// [program.Timeout].
 func (p Play) Run() ([]Start, error) {
 	dir, err := os.MkdirTemp("", "ready")
 	if err != nil {
 		return nil, err
 	}
 	defer os.RemoveAll(dir)
-	to, err := partner.Start(partner.Options{Name: "1", Latency: latency, Wait: firstWait})
+	to, err := partner.Start(partner.Options{Name: "1", Latency: latency, RequestedWait: firstWait})
 	if err != nil {
 		return nil, err
 	}
 	defer to.Close()
-	to.Set(partner.Full)
+	to.SetMode(partner.Overloaded)
 	disc := &discovery{rows: []map[string]any{{"instanceId": "s-1", "hostPort": to.Addr(), "zone": "a", "machineType": "std", "cell": 1,
 		"lifecycle": "up", "weight": 0}}}
 	srv := httptest.NewServer(disc)
@@ -132,7 +132,7 @@
 	for _, s := range senders {
 		s.proc.Wait()
 	}
-	to.Set(partner.Well)
+	to.SetMode(partner.Healthy)
 	time.Sleep(time.Until(next))
 	return p.start(senders)
 }
@@ -219,7 +219,7 @@
 		if line == "+PONG" {
 			break
 		}
-		if time.Since(at) > program.Patience {
+		if time.Since(at) > program.Timeout {
 			return x, fmt.Errorf("PING is answered with %q", line)
 		}
 	}
@@ -239,7 +239,7 @@
 func (s *sender) held() (int, error) {
 	for {
 		select {
-		case line := <-s.proc.Said:
+		case line := <-s.proc.LogLines:
 			if !strings.Contains(line, "msg=ready") {
 				continue
 			}
--- a/internal/standin/traffic/traffic.go
+++ b/internal/standin/traffic/traffic.go
@@ -17,13 +17,13 @@
 	"cometrack/internal/standin/partner"
 )
 
-// patience bounds the wait for one answer.
-const patience = 20 * time.Second
+// responseTimeout bounds the wait for one answer.
+const responseTimeout = 20 * time.Second
 
-// File is the text of a configuration with both fronts on free ports, a class of
+// ConfigText is the text of a configuration with both fronts on free ports, a class of
 // each effect and partners with one endpoint each. More goes in before the first
 // section.
-func File(dir, more string, partners ...*partner.Partner) string {
+func ConfigText(dir, more string, partners ...*partner.Partner) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "state = %q\n%s\n[front.http]\nlisten = \"127.0.0.1:0\"\n[front.resp]\nlisten = \"127.0.0.1:0\"\n", dir, more)
 	for _, class := range []string{"safe", "keyed", "unsafe"} {
@@ -71,7 +71,7 @@
 		return ""
 	}
 	defer c.Close()
-	c.SetDeadline(time.Now().Add(patience))
+	c.SetDeadline(time.Now().Add(responseTimeout))
 	if c.Put("0", id, fmt.Sprintf("c=%s,k=%s,d=6000,dest=%s", class, id, to), []byte("body of "+id)) != nil {
 		return ""
 	}
@@ -109,8 +109,8 @@
 	return "", fmt.Errorf("state of %s: %s", id, resp.Status)
 }
 
-// Ends reads a file of ends.
-func Ends(path string) (list []sink.Line, err error) {
+// ReadEnds reads a file of ends.
+func ReadEnds(path string) (list []sink.Line, err error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, err
--- a/internal/standin/untried/untried.go
+++ b/internal/standin/untried/untried.go
@@ -102,12 +102,12 @@
 		return c, err
 	}
 	defer os.RemoveAll(dir)
-	to, err := partner.Start(partner.Options{Name: "1", Latency: u.Latency, Wait: firstWait})
+	to, err := partner.Start(partner.Options{Name: "1", Latency: u.Latency, RequestedWait: firstWait})
 	if err != nil {
 		return c, err
 	}
 	defer to.Close()
-	to.Set(partner.Full)
+	to.SetMode(partner.Overloaded)
 	plat := &platform{ended: map[string]string{}}
 	plat.rows = []map[string]any{{"instanceId": "s-1", "hostPort": to.Addr(), "zone": "a", "machineType": "std", "cell": 1, "lifecycle": "up", "weight": 0}}
 	srv := httptest.NewServer(plat)
@@ -166,7 +166,7 @@
 	if len(to.Calls()) > before {
 		c.Faults = append(c.Faults, "called inside the wait while it ended")
 	}
-	to.Set(u.Partner)
+	to.SetMode(u.Partner)
 	plat.mu.Lock()
 	plat.after = time.Now().Add(u.Listed)
 	plat.mu.Unlock()
@@ -216,7 +216,7 @@
 			c.Delivered++
 		}
 	}
-	for _, f := range to.Faults(func(id string) bool { return strings.HasPrefix(id, "unsafe") }) {
+	for _, f := range to.Violations(func(id string) bool { return strings.HasPrefix(id, "unsafe") }) {
 		if !strings.Contains(f, "inside a wait") { // on the platform a restart ends it
 			c.Faults = append(c.Faults, f)
 		}
--- a/internal/transport/http/answer_test.go
+++ b/internal/transport/http/answer_test.go
@@ -46,7 +46,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			e, c := byhand.NewEndpoint(t), testCaller()
-			got := goDo(t.Context(), c, newCall(e.Addr(), "hello", byhand.Patience))
+			got := goDo(t.Context(), c, newCall(e.Addr(), "hello", byhand.Timeout))
 			in := byhand.Await(t, e.Calls, "call")
 			io.WriteString(in.Conn, text)
 			if r := byhand.Await(t, got, "result"); r.Outcome != logic.InvalidResponse || r.MessageEnded {
@@ -69,7 +69,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			e, c := byhand.NewEndpoint(t), testCaller()
-			got := goDo(t.Context(), c, newCall(e.Addr(), "hello", byhand.Patience))
+			got := goDo(t.Context(), c, newCall(e.Addr(), "hello", byhand.Timeout))
 			in := byhand.Await(t, e.Calls, "call")
 			go io.WriteString(in.Conn, "HTTP/1.1 200 OK\r\n"+rest)
 			if r := byhand.Await(t, got, "result"); r.Outcome != logic.Completed {
@@ -86,11 +86,11 @@
 func TestSurplusAnswer(t *testing.T) {
 	e, c := byhand.NewEndpoint(t), testCaller()
 	c.settle = time.Hour
-	got := goDo(t.Context(), c, newCall(e.Addr(), "hello", byhand.Patience))
+	got := goDo(t.Context(), c, newCall(e.Addr(), "hello", byhand.Timeout))
 	first := byhand.Await(t, e.Calls, "call")
 	first.Reply(200)
 	byhand.Await(t, got, "result")
-	got = goDo(t.Context(), c, newCall(e.Addr(), "hello", byhand.Patience))
+	got = goDo(t.Context(), c, newCall(e.Addr(), "hello", byhand.Timeout))
 	second := byhand.Await(t, e.Calls, "call")
 	if second.Conn == first.Conn {
 		t.Fatal("the next call came before what is behind the answer could show")
@@ -100,13 +100,13 @@
 	if r := byhand.Await(t, got, "result"); r.Outcome != logic.Errored {
 		t.Errorf("got %+v, want Errored", r)
 	}
-	byhand.Until(t, "surplus", func() bool {
+	byhand.WaitUntil(t, "surplus", func() bool {
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		return !c.good(c.idle[1][0])
 	})
 	c.settle = 0
-	got = goDo(t.Context(), c, newCall(e.Addr(), "hello", byhand.Patience))
+	got = goDo(t.Context(), c, newCall(e.Addr(), "hello", byhand.Timeout))
 	third := byhand.Await(t, e.Calls, "call")
 	if third.Conn == first.Conn {
 		t.Error("a call on a connection with an answer on it")
@@ -122,15 +122,15 @@
 	for _, x := range []struct {
 		name string
 		time time.Duration
-		end  func(cancel func(), in *byhand.InCall)
+		end  func(cancel func(), in *byhand.ReceivedCall)
 		want logic.Outcome
 	}{
-		{"late", byhand.Patience, func(_ func(), in *byhand.InCall) {
+		{"late", byhand.Timeout, func(_ func(), in *byhand.ReceivedCall) {
 			time.Sleep(headTime + headTime/4) // the time that the rest of a head has
 			in.Reply(200)
 		}, logic.Completed},
-		{"cancelled", byhand.Patience, func(cancel func(), in *byhand.InCall) { cancel(); in.AwaitEnd(t); in.Reset() }, logic.Cancelled},
-		{"silent", 100 * time.Millisecond, func(_ func(), in *byhand.InCall) { in.AwaitEnd(t); in.Reset() }, logic.TimedOut},
+		{"cancelled", byhand.Timeout, func(cancel func(), in *byhand.ReceivedCall) { cancel(); in.AwaitEnd(t); in.Reset() }, logic.Cancelled},
+		{"silent", 100 * time.Millisecond, func(_ func(), in *byhand.ReceivedCall) { in.AwaitEnd(t); in.Reset() }, logic.TimedOut},
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			t.Parallel()
@@ -152,22 +152,22 @@
 // connection makes room.
 func TestNoDescriptors(t *testing.T) {
 	e, c := byhand.NewEndpoint(t), New(time.Second, time.Hour, Limits{Open: 1, Idle: 1, PerEndpoint: 4})
-	got := goDo(t.Context(), c, newCall(e.Addr(), "hello", byhand.Patience))
+	got := goDo(t.Context(), c, newCall(e.Addr(), "hello", byhand.Timeout))
 	in := byhand.Await(t, e.Calls, "call")
-	if r := c.Attempt(t.Context(), newCall(e.Addr(), "hello", byhand.Patience)); r.Outcome != logic.NotSent || !r.LocalFailure {
+	if r := c.Attempt(t.Context(), newCall(e.Addr(), "hello", byhand.Timeout)); r.Outcome != logic.NotSent || !r.LocalFailure {
 		t.Errorf("got %+v, want Moot for a local cause", r)
 	}
 	in.Reply(200)
 	byhand.Await(t, got, "result")
 	other := byhand.NewEndpoint(t)
-	call := newCall(other.Addr(), "hello", byhand.Patience)
+	call := newCall(other.Addr(), "hello", byhand.Timeout)
 	call.Endpoint = 2
 	got = goDo(t.Context(), c, call)
 	byhand.Await(t, other.Calls, "call where an idle connection made room").Reply(200)
 	byhand.Await(t, got, "result")
 	c.CloseIdle(2)
 	c.dialer.Control = func(_, _ string, _ syscall.RawConn) error { return syscall.EMFILE }
-	if r := c.Attempt(t.Context(), newCall(e.Addr(), "hello", byhand.Patience)); r.Outcome != logic.NotSent || !r.LocalFailure {
+	if r := c.Attempt(t.Context(), newCall(e.Addr(), "hello", byhand.Timeout)); r.Outcome != logic.NotSent || !r.LocalFailure {
 		t.Errorf("got %+v, want Moot for a local cause", r)
 	}
 	if c.open != 0 || c.count != 0 {
@@ -186,7 +186,7 @@
 		conn, peer := net.Pipe()
 		defer conn.Close()
 		defer peer.Close()
-		r, keep := readAnswer(newReader(in), &cutoff{conn: conn, by: time.Now().Add(byhand.Patience)}, nil, false, nil)
+		r, keep := readAnswer(newReader(in), &cutoff{conn: conn, by: time.Now().Add(byhand.Timeout)}, nil, false, nil)
 		if r.Outcome == logic.Completed && !(strings.Contains(in, "HTTP/1.") && strings.Contains(in, " 200")) {
 			t.Errorf("%q is read as a delivery", in)
 		}
@@ -200,21 +200,21 @@
 func TestFragileKeepsOffBreakingConnections(t *testing.T) {
 	e, c := byhand.NewEndpoint(t), testCaller()
 	c.settle = 0
-	call := func(fragile bool, end func(*byhand.InCall)) (*byhand.InCall, core.Result) {
+	call := func(fragile bool, end func(*byhand.ReceivedCall)) (*byhand.ReceivedCall, core.Result) {
 		t.Helper()
-		in := newCall(e.Addr(), "hello", byhand.Patience)
+		in := newCall(e.Addr(), "hello", byhand.Timeout)
 		in.Unrepeatable = fragile
 		got := goDo(t.Context(), c, in)
 		out := byhand.Await(t, e.Calls, "call")
 		end(out)
 		return out, byhand.Await(t, got, "result")
 	}
-	answered := func(in *byhand.InCall) { in.Reply(200) }
+	answered := func(in *byhand.ReceivedCall) { in.Reply(200) }
 	first, _ := call(true, answered)
 	if second, _ := call(true, answered); second.Conn != first.Conn {
 		t.Error("kept connections are not used while none breaks")
 	}
-	if _, r := call(false, (*byhand.InCall).Reset); r.Outcome != logic.ConnectionBroken {
+	if _, r := call(false, (*byhand.ReceivedCall).Reset); r.Outcome != logic.ConnectionBroken {
 		t.Errorf("got %+v, want Severed", r)
 	}
 	third, _ := call(false, answered)
@@ -275,7 +275,7 @@
 		t.Run(x.name, func(t *testing.T) {
 			here, there := net.Pipe()
 			defer here.Close()
-			limit := &cutoff{conn: here, by: time.Now().Add(byhand.Patience), linger: byhand.Patience}
+			limit := &cutoff{conn: here, by: time.Now().Add(byhand.Timeout), linger: byhand.Timeout}
 			got := make(chan core.Result, 1)
 			go func() {
 				r, _ := readAnswer(bufio.NewReader(here), limit, nil, false, nil)
--- a/internal/transport/http/batch_test.go
+++ b/internal/transport/http/batch_test.go
@@ -22,7 +22,7 @@
 func newBatch(addr string, n int, body string) []*core.Attempt {
 	var out []*core.Attempt
 	for i := range n {
-		a := newCall(addr, body, byhand.Patience)
+		a := newCall(addr, body, byhand.Timeout)
 		a.Message = &message.Message{ID: fmt.Sprint("m", i), Key: "k<\"", Body: []byte(body)}
 		out = append(out, a)
 	}
@@ -36,7 +36,7 @@
 }
 
 // ids are those that a call with several brings, whose bodies must be as given.
-func ids(t *testing.T, in *byhand.InCall, body string) string {
+func ids(t *testing.T, in *byhand.ReceivedCall, body string) string {
 	t.Helper()
 	var list []item
 	if err := json.Unmarshal([]byte(in.Body), &list); err != nil || in.Req.URL.Path != "/inbox/bulk" {
@@ -125,7 +125,7 @@
 	if r := byhand.Await(t, goBatch(t.Context(), c, call), "results"); r[0].Outcome != logic.NotSent || r[1].Outcome != logic.NotSent {
 		t.Errorf("got %+v", r)
 	}
-	e.None(t)
+	e.ExpectNoCall(t)
 }
 
 // Bodies that do not fit into one call go in the next, on the same slot, and not at all after a refusal.
@@ -138,14 +138,14 @@
 		if s := ids(t, in, body); s != "m0 m1" || len(in.Body) > maxBatch {
 			t.Errorf("first call with %s, %d bytes", s, len(in.Body))
 		}
-		reply := func(in *byhand.InCall, head, first, second string) {
+		reply := func(in *byhand.ReceivedCall, head, first, second string) {
 			answer := fmt.Sprintf(`[{"id":%q,"state":"done"},{"id":%q,"state":"done"}]`, first, second)
 			fmt.Fprintf(in.Conn, "HTTP/1.1 200 OK\r\n%sContent-Length: %d\r\n\r\n%s", head, len(answer), answer)
 			in.Done <- true
 		}
 		reply(in, "", "m0", "m1")
 		in = byhand.Await(t, e.Calls, "second call")
-		if ms, _ := strconv.Atoi(in.Req.Header.Get("X-Expires-In-Ms")); ms >= int(byhand.Patience.Milliseconds()) {
+		if ms, _ := strconv.Atoi(in.Req.Header.Get("X-Expires-In-Ms")); ms >= int(byhand.Timeout.Milliseconds()) {
 			t.Errorf("the second call has %d ms, as much as the first", ms)
 		}
 		if s := ids(t, in, body); s != "m2 m3" {
--- a/internal/transport/http/calls_test.go
+++ b/internal/transport/http/calls_test.go
@@ -53,7 +53,7 @@
 		{504, nil, core.Result{Outcome: logic.NotSent}},
 		{410, nil, core.Result{Outcome: logic.NotSent, MessageEnded: true}},
 	} {
-		got := goDo(t.Context(), c, newCall(e.Addr(), "hello", byhand.Patience))
+		got := goDo(t.Context(), c, newCall(e.Addr(), "hello", byhand.Timeout))
 		in := byhand.Await(t, e.Calls, "call")
 		left, err := strconv.Atoi(in.Req.Header.Get("X-Expires-In-Ms"))
 		if in.Body != "hello" || in.ID() != "m1" || in.Req.Header.Get("Idempotency-Key") != "k1" || err != nil ||
@@ -87,7 +87,7 @@
 	c := testCaller()
 	c.dialer.Control = small
 	// Far more than both buffers hold, so that the last byte cannot have been written.
-	got := goDo(t.Context(), c, newCall(ln.Addr().String(), strings.Repeat("x", 8<<20), byhand.Patience))
+	got := goDo(t.Context(), c, newCall(ln.Addr().String(), strings.Repeat("x", 8<<20), byhand.Timeout))
 	conn, err := ln.Accept()
 	if err != nil {
 		t.Fatal(err)
@@ -105,12 +105,12 @@
 // After the last byte it may have run, however the connection ends.
 func TestBreakAfterLastByte(t *testing.T) {
 	e, c := byhand.NewEndpoint(t), testCaller()
-	got := goDo(t.Context(), c, newCall(e.Addr(), "hello", byhand.Patience))
+	got := goDo(t.Context(), c, newCall(e.Addr(), "hello", byhand.Timeout))
 	byhand.Await(t, e.Calls, "call").Reset()
 	if r := byhand.Await(t, got, "result"); r.Outcome != logic.ConnectionBroken {
 		t.Errorf("reset: got %+v, want Severed", r)
 	}
-	got = goDo(t.Context(), c, newCall(e.Addr(), "hello", byhand.Patience))
+	got = goDo(t.Context(), c, newCall(e.Addr(), "hello", byhand.Timeout))
 	in := byhand.Await(t, e.Calls, "call")
 	io.WriteString(in.Conn, "HTTP/1.1 2")
 	in.Conn.Close()
@@ -124,7 +124,7 @@
 func TestConnectionRefused(t *testing.T) {
 	e, c := byhand.NewEndpoint(t), testCaller()
 	e.Ln.Close()
-	if r := c.Attempt(t.Context(), newCall(e.Addr(), "hello", byhand.Patience)); r.Outcome != logic.ConnectionRefused {
+	if r := c.Attempt(t.Context(), newCall(e.Addr(), "hello", byhand.Timeout)); r.Outcome != logic.ConnectionRefused {
 		t.Errorf("got %+v, want RefusedConn", r)
 	}
 }
@@ -134,28 +134,28 @@
 func TestStaleConnection(t *testing.T) {
 	e, c := byhand.NewEndpoint(t), New(time.Second, time.Hour, Limits{Open: 16, Idle: 16, PerEndpoint: 4})
 	c.settle = 0
-	call := func(end func(*byhand.InCall)) {
+	call := func(end func(*byhand.ReceivedCall)) {
 		t.Helper()
-		got := goDo(t.Context(), c, newCall(e.Addr(), "hello", byhand.Patience))
+		got := goDo(t.Context(), c, newCall(e.Addr(), "hello", byhand.Timeout))
 		end(byhand.Await(t, e.Calls, "call"))
 		if r := byhand.Await(t, got, "result"); r.Outcome != logic.Completed {
 			t.Fatalf("got %+v, want Completed", r)
 		}
 	}
-	call(func(in *byhand.InCall) { in.ReplyAndClose(200) })
-	byhand.Until(t, "end of the connection", func() bool {
+	call(func(in *byhand.ReceivedCall) { in.ReplyAndClose(200) })
+	byhand.WaitUntil(t, "end of the connection", func() bool {
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		return len(c.idle[1]) == 0 || !c.good(c.idle[1][0])
 	})
-	call(func(in *byhand.InCall) { in.Reply(200) })
+	call(func(in *byhand.ReceivedCall) { in.Reply(200) })
 	if n := len(e.Conns); n != 2 {
 		t.Fatalf("%d connections, want a second after the first was closed", n)
 	}
 	c.mu.Lock()
 	c.idle[1][0].since = time.Now().Add(200*time.Millisecond - time.Hour)
 	c.mu.Unlock()
-	call(func(in *byhand.InCall) { in.Reply(200) })
+	call(func(in *byhand.ReceivedCall) { in.Reply(200) })
 	if n := len(e.Conns); n != 3 {
 		t.Fatalf("%d connections, want a third after the second grew old", n)
 	}
@@ -172,9 +172,9 @@
 // a second copy.
 func TestGiveUp(t *testing.T) {
 	e, c := byhand.NewEndpoint(t), testCaller()
-	c.linger = 2 * byhand.Patience // only the endpoint's own end of the call can cut it short
+	c.linger = 2 * byhand.Timeout // only the endpoint's own end of the call can cut it short
 	ctx, cancel := context.WithCancel(t.Context())
-	got := goDo(ctx, c, newCall(e.Addr(), "hello", byhand.Patience))
+	got := goDo(ctx, c, newCall(e.Addr(), "hello", byhand.Timeout))
 	in := byhand.Await(t, e.Calls, "call")
 	cancel()
 	in.AwaitEnd(t)
@@ -190,7 +190,7 @@
 		t.Errorf("timed out: got %+v, want Overdue", r)
 	}
 	ctx, cancel = context.WithCancel(t.Context())
-	got = goDo(ctx, c, newCall(e.Addr(), "hello", byhand.Patience))
+	got = goDo(ctx, c, newCall(e.Addr(), "hello", byhand.Timeout))
 	in = byhand.Await(t, e.Calls, "call")
 	cancel()
 	in.AwaitEnd(t)
@@ -215,16 +215,16 @@
 	e, c := byhand.NewEndpoint(t), testCaller()
 	ctx, cancel := context.WithCancel(t.Context())
 	c.dialer.Control = func(_, _ string, _ syscall.RawConn) error { cancel(); return nil }
-	if r := c.Attempt(ctx, newCall(e.Addr(), "hello", byhand.Patience)); r.Outcome != logic.ConnectionRefused {
+	if r := c.Attempt(ctx, newCall(e.Addr(), "hello", byhand.Timeout)); r.Outcome != logic.ConnectionRefused {
 		t.Errorf("got %+v, want RefusedConn", r)
 	}
-	e.None(t)
+	e.ExpectNoCall(t)
 }
 
 // A wait or a drain that becomes known while a call connects binds it: it must not be written afterwards.
 func TestHeldWhileConnecting(t *testing.T) {
 	e, c := byhand.NewEndpoint(t), testCaller()
-	in := newCall(e.Addr(), "hello", byhand.Patience)
+	in := newCall(e.Addr(), "hello", byhand.Timeout)
 	c.dialer.Control = func(_, _ string, _ syscall.RawConn) error {
 		in.Withhold(permit.WaitRequested)
 		return nil
@@ -232,18 +232,18 @@
 	if r := c.Attempt(t.Context(), in); r.Outcome != logic.NotSent {
 		t.Errorf("got %+v, want Moot", r)
 	}
-	e.None(t)
+	e.ExpectNoCall(t)
 }
 
 // Connecting takes time: a repeat that would be written after the destination has forgotten its key is not made.
 func TestWriteBy(t *testing.T) {
 	e, c := byhand.NewEndpoint(t), testCaller()
-	in := newCall(e.Addr(), "hello", byhand.Patience)
+	in := newCall(e.Addr(), "hello", byhand.Timeout)
 	in.Expires = time.Now().Add(-time.Millisecond)
 	if r := c.Attempt(t.Context(), in); r.Outcome != logic.NotSent {
 		t.Errorf("got %+v, want Moot", r)
 	}
-	e.None(t)
+	e.ExpectNoCall(t)
 }
 
 // A kept connection is not used when the process, held up for as long as it may be, would write to it after its idle time.
@@ -256,7 +256,7 @@
 		c := New(time.Second, x.idle, Limits{Open: 8, Idle: 8, PerEndpoint: 8})
 		var conns []net.Conn
 		for range 2 {
-			got := goDo(t.Context(), c, newCall(e.Addr(), "hello", byhand.Patience))
+			got := goDo(t.Context(), c, newCall(e.Addr(), "hello", byhand.Timeout))
 			in := byhand.Await(t, e.Calls, "call")
 			conns = append(conns, in.Conn)
 			in.Reply(200)
@@ -294,7 +294,7 @@
 // An interim answer is not the outcome.
 func TestInterimAnswer(t *testing.T) {
 	e, c := byhand.NewEndpoint(t), testCaller()
-	got := goDo(t.Context(), c, newCall(e.Addr(), "hello", byhand.Patience))
+	got := goDo(t.Context(), c, newCall(e.Addr(), "hello", byhand.Timeout))
 	in := byhand.Await(t, e.Calls, "call")
 	io.WriteString(in.Conn, "HTTP/1.1 102 Processing\r\n\r\n")
 	in.Reply(200)
@@ -308,9 +308,9 @@
 func TestNewEndpointAtOldAddress(t *testing.T) {
 	e, c := byhand.NewEndpoint(t), testCaller()
 	c.settle = 0
-	call := func(ep logic.EndpointID) *byhand.InCall {
+	call := func(ep logic.EndpointID) *byhand.ReceivedCall {
 		t.Helper()
-		in := newCall(e.Addr(), "hello", byhand.Patience)
+		in := newCall(e.Addr(), "hello", byhand.Timeout)
 		in.Endpoint = ep
 		got := goDo(t.Context(), c, in)
 		out := byhand.Await(t, e.Calls, "call")
@@ -333,12 +333,12 @@
 func TestWithheldAttemptLeavesIdleTime(t *testing.T) {
 	e, c := byhand.NewEndpoint(t), testCaller()
 	c.settle = 0
-	got := goDo(t.Context(), c, newCall(e.Addr(), "hello", byhand.Patience))
+	got := goDo(t.Context(), c, newCall(e.Addr(), "hello", byhand.Timeout))
 	byhand.Await(t, e.Calls, "call").Reply(200)
 	byhand.Await(t, got, "result")
 	since := time.Now().Add(-5 * time.Second)
 	c.idle[1][0].since = since
-	withheld := newCall(e.Addr(), "hello", byhand.Patience)
+	withheld := newCall(e.Addr(), "hello", byhand.Timeout)
 	withheld.Withhold(permit.WaitRequested)
 	if r := c.Attempt(t.Context(), withheld); r.Outcome != logic.NotSent {
 		t.Fatalf("a withheld attempt ends as %+v", r)
