--- a/internal/standin/byhand/byhand.go
+++ b/internal/standin/byhand/byhand.go
@@ -14,10 +14,10 @@
 	"time"
 )
 
-// Timeout bounds every wait for an event: it is not reached unless a test fails.
+// Timeout bounds every wait for an event. It is not reached unless a test fails.
 const Timeout = 20 * time.Second
 
-// Await returns the next value of ch.
+// Await returns the next value of ch. It fails the test if ch is closed or there is no value in time.
 func Await[T any](t testing.TB, ch <-chan T, what string) T {
 	t.Helper()
 	select {
@@ -32,7 +32,8 @@
 	panic("unreachable")
 }
 
-// WaitUntil waits for what no channel tells of: that is comes true.
+// WaitUntil polls until is returns true, for events that no channel reports. It fails the test if that takes
+// too long.
 func WaitUntil(t testing.TB, what string, is func() bool) {
 	t.Helper()
 	for stop := time.Now().Add(Timeout); !is(); time.Sleep(time.Millisecond) {
@@ -42,8 +43,8 @@
 	}
 }
 
-// RefusingAddr is an address that refuses connections until the test is over: its port
-// is taken, and nobody listens.
+// RefusingAddr returns an address that refuses connections until the test has ended: its port is bound, and no
+// socket listens on it.
 func RefusingAddr(t testing.TB) string {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
@@ -61,20 +62,20 @@
 	return net.JoinHostPort("127.0.0.1", strconv.Itoa(at.(*syscall.SockaddrInet4).Port))
 }
 
-// ReceivedCall is a whole request that has come to an endpoint.
+// ReceivedCall is a complete request that an endpoint has received.
 type ReceivedCall struct {
 	Req    *http.Request
 	Body   string
 	At     time.Time
 	Conn   *net.TCPConn
 	Reader *bufio.Reader
-	Done   chan bool // whether the endpoint goes on reading
+	Done   chan bool // receives whether the endpoint keeps reading from the connection
 }
 
-// ID is the id of the message that came.
+// ID returns the id of the message.
 func (c *ReceivedCall) ID() string { return c.Req.Header.Get("X-Trace-Id") }
 
-// Reply answers and keeps the connection.
+// Reply answers the call and keeps the connection open.
 func (c *ReceivedCall) Reply(status int, headers ...string) {
 	var b strings.Builder
 	fmt.Fprintf(&b, "HTTP/1.1 %d x\r\nContent-Length: 0\r\n", status)
@@ -85,37 +86,37 @@
 	c.Done <- true
 }
 
-// ReplyAndClose answers and closes the connection without saying so first.
+// ReplyAndClose answers the call and closes the connection without announcing it.
 func (c *ReceivedCall) ReplyAndClose(status int) {
 	fmt.Fprintf(c.Conn, "HTTP/1.1 %d x\r\nContent-Length: 0\r\n\r\n", status)
 	c.Conn.Close()
 	c.Done <- false
 }
 
-// Reset breaks the connection.
+// Reset resets the connection.
 func (c *ReceivedCall) Reset() {
 	c.Conn.SetLinger(0)
 	c.Conn.Close()
 	c.Done <- false
 }
 
-// AwaitEnd waits until the sender has ended its side of the connection.
+// AwaitEnd waits until the sender has closed its side of the connection.
 func (c *ReceivedCall) AwaitEnd(t *testing.T) {
 	t.Helper()
 	c.Conn.SetReadDeadline(time.Now().Add(Timeout))
 	if n, err := c.Reader.Read(make([]byte, 1)); n != 0 || IsTimeout(err) {
-		t.Fatalf("connection goes on: %d bytes, %v", n, err)
+		t.Fatalf("connection is still open: read %d bytes, %v", n, err)
 	}
 }
 
-// Endpoint is the other side of calls: a test answers each by hand.
+// Endpoint is an endpoint whose calls the test answers.
 type Endpoint struct {
 	Ln    net.Listener
 	Calls chan *ReceivedCall
-	Conns chan net.Conn // each that is accepted
+	Conns chan net.Conn // each accepted connection
 }
 
-// NewEndpoint listens until the test is over.
+// NewEndpoint starts an endpoint that listens until the test has ended.
 func NewEndpoint(t *testing.T) *Endpoint {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -158,10 +159,10 @@
 	}
 }
 
-// Addr is where it listens.
+// Addr returns the address at which the endpoint listens.
 func (e *Endpoint) Addr() string { return e.Ln.Addr().String() }
 
-// ExpectNoCall checks that nothing has come that was not waited for.
+// ExpectNoCall fails the test if Calls holds a call that the test has not received.
 func (e *Endpoint) ExpectNoCall(t *testing.T) {
 	t.Helper()
 	select {
@@ -171,7 +172,7 @@
 	}
 }
 
-// IsTimeout says whether err is a deadline that has passed.
+// IsTimeout reports whether err is a network timeout.
 func IsTimeout(err error) bool {
 	var t net.Error
 	return errors.As(err, &t) && t.Timeout()
--- a/internal/standin/byhand/doc.go
+++ b/internal/standin/byhand/doc.go
@@ -1,3 +1,3 @@
-// Package byhand is a partner's endpoint whose every call a test answers by hand,
-// with what the tests share to wait for events.
+// Package byhand is a stand-in for an endpoint whose calls a test answers one by one, and has the helpers with
+// which tests wait for events.
 package byhand
--- a/internal/standin/discovery/discovery.go
+++ b/internal/standin/discovery/discovery.go
@@ -1,4 +1,4 @@
-// Package discovery stands for the platform's discovery and for what hears of ends.
+// Package discovery is a stand-in for the platform: its discovery of endpoints and its receiver of notices.
 package discovery
 
 import (
@@ -14,30 +14,31 @@
 	"cometrack/internal/standin/fate"
 )
 
-// Notice is a line that the platform reads.
+// Notice is one line of a notice that the platform receives.
 type Notice struct {
 	ID      string `json:"id"`
 	State   string `json:"state"`
 	AfterMS int64  `json:"after_ms"`
 }
 
-// Platform stands for discovery and for what hears of ends.
+// Platform is a stand-in for discovery and for the receiver of notices. Its fields from List on are changed
+// within [Platform.Set].
 type Platform struct {
 	Server          *httptest.Server
 	Notices         chan Notice
-	ListCalls       chan string // each call for the list
-	RejectedNotices chan int    // each notice turned away: the number of lines
+	ListCalls       chan string // raw query of each call for the list
+	RejectedNotices chan int    // number of lines of each rejected notice
 	mu              sync.Mutex
 	List            platform.List
-	changed         chan struct{}                // closed when the list changes
-	Down            bool                         // answers 503 to all
-	Silent          bool                         // never answers a call for the list
-	RejectNotices   bool                         // turns notices away
-	EditSettings    func(settings string) string // changes the senders' settings; nil for none
-	Fates           []fate.Fate                  // what becomes of the next calls for the list, and of watches that are open
+	changed         chan struct{}                // closed when a field changes
+	Down            bool                         // answers 503 to calls for the list
+	Silent          bool                         // never answers calls for the list
+	RejectNotices   bool                         // answers 503 to notices
+	EditSettings    func(settings string) string // edits the senders' settings; nil for none
+	Fates           []fate.Fate                  // fates of the next calls for the list and of open watches
 }
 
-// New makes one that listens until the test is over.
+// New starts a platform that listens until the test has ended.
 func New(t *testing.T) *Platform {
 	t.Helper()
 	p := &Platform{Notices: make(chan Notice, 64), ListCalls: make(chan string, 1024), RejectedNotices: make(chan int, 1024),
@@ -50,11 +51,11 @@
 	return p
 }
 
-// Set changes what it says, and wakes those who watch.
-func (p *Platform) Set(f func()) {
+// Set calls change with the lock held and wakes the open watches.
+func (p *Platform) Set(change func()) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	f()
+	change()
 	close(p.changed)
 	p.changed = make(chan struct{})
 }
@@ -66,10 +67,10 @@
 	if ms, err := strconv.Atoi(r.URL.Query().Get("hold_ms")); err == nil {
 		hold = time.Duration(ms) * time.Millisecond
 	}
-	held := time.After(hold)
+	holdOver := time.After(hold)
 	for {
 		p.mu.Lock()
-		list, news, down, silent := p.List, p.changed, p.Down, p.Silent
+		list, changed, down, silent := p.List, p.changed, p.Down, p.Silent
 		p.mu.Unlock()
 		if down {
 			w.WriteHeader(http.StatusServiceUnavailable)
@@ -85,20 +86,20 @@
 			return
 		}
 		select {
-		case <-news:
+		case <-changed:
 		case <-r.Context().Done():
 			return
-		case <-held:
+		case <-holdOver:
 			if !silent {
 				json.NewEncoder(w).Encode(platform.List{Generation: list.Generation})
 				return
 			}
-			held = nil
+			holdOver = nil
 		}
 	}
 }
 
-// nextFate takes the fate of the next call, if there is one.
+// nextFate removes and returns the fate of the next call, if there is one.
 func (p *Platform) nextFate() (fate.Fate, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -112,7 +113,7 @@
 
 func (p *Platform) outcomes(w http.ResponseWriter, r *http.Request) {
 	p.mu.Lock()
-	deaf := p.RejectNotices
+	reject := p.RejectNotices
 	p.mu.Unlock()
 	var lines []Notice
 	for dec := json.NewDecoder(r.Body); dec.More(); {
@@ -123,7 +124,7 @@
 		}
 		lines = append(lines, x)
 	}
-	if deaf {
+	if reject {
 		p.RejectedNotices <- len(lines)
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
--- a/internal/standin/kill/kill.go
+++ b/internal/standin/kill/kill.go
@@ -1,6 +1,5 @@
-// Package kill feeds both ports of the real program from many clients, kills it
-// again and again, and judges by the partners' own records what became of each
-// message.
+// Package kill submits messages to both fronts of the real program from many clients, kills the program
+// repeatedly, and checks with the partners' records how each message ended.
 package kill
 
 import (
@@ -21,22 +20,22 @@
 
 const (
 	clients           = 40
-	trafficAfterStart = 700 * time.Millisecond // traffic goes on so long after the last start
-	retryInterval     = 20 * time.Millisecond  // between two tries while nobody answers
+	trafficAfterStart = 700 * time.Millisecond // traffic continues for this long after the last start
+	retryInterval     = 20 * time.Millisecond  // between two tries without a response
 	maxRetries        = 250
-	minAccepted       = 40 // fewer messages taken on than this prove nothing
+	minAccepted       = 40 // with fewer accepted messages a round counts as a violation
 )
 
-// Round is one daemon's history.
+// Round is one run of a daemon with several kills.
 type Round struct {
 	Program  string
 	Partners []partner.Options
-	Uptimes  []time.Duration // each ended by SIGKILL; one more follows, ended by SIGTERM
+	Uptimes  []time.Duration // uptimes before each SIGKILL; one more start follows, stopped by SIGTERM
 	Seed     uint64
 }
 
-// Draw makes a round with so many kills: two to four partners with rates, told
-// waits and outages. The same seed gives the same round.
+// Draw returns a round with the given number of kills: two to four partners with rates, requested waits and
+// outages. The same seed gives the same round.
 func Draw(path string, seed uint64, kills int) Round {
 	rng := rand.New(rand.NewPCG(seed, 0))
 	between := func(low, high int) time.Duration { return time.Duration(low+rng.IntN(high-low)) * time.Millisecond }
@@ -47,8 +46,9 @@
 			o.RequestedWait = between(150, 700)
 		}
 		if rng.IntN(2) == 0 {
-			ill := partner.Overloaded + partner.Mode(rng.IntN(int(partner.Failing-partner.Overloaded)+1))
-			o.Phases = []partner.Phase{{Mode: partner.Healthy, Duration: between(200, 900)}, {Mode: ill, Duration: between(100, 500)}}
+			fault := partner.Overloaded + partner.Mode(rng.IntN(int(partner.Failing-partner.Overloaded)+1))
+			o.Phases = []partner.Phase{{Mode: partner.Healthy, Duration: between(200, 900)},
+				{Mode: fault, Duration: between(100, 500)}}
 		}
 		r.Partners = append(r.Partners, o)
 	}
@@ -58,21 +58,20 @@
 	return r
 }
 
-// Report is what came of a round.
+// Report is the result of a round.
 type Report struct {
-	Accepted   int            // messages
-	Ends       map[string]int // by state
-	Violations []string       // what must not be
+	Accepted   int            // number of accepted messages
+	Ends       map[string]int // number of messages by final state
+	Violations []string       // broken rules
 }
 
-// submissions is the messages that the clients have handed in.
+// submissions are the messages that the clients have submitted.
 type submissions struct {
 	mu       sync.Mutex
-	accepted map[string]string // partner, by id
+	accepted map[string]string // name of the partner, by message id
 }
 
-// Play plays the round. An error is one of the rig itself, or a daemon that does
-// not start or stop.
+// Play executes the round. An error is a fault of the harness, or a daemon that does not start or stop.
 func (r Round) Play() (Report, error) {
 	dir, err := os.MkdirTemp("", "kill")
 	if err != nil {
@@ -102,15 +101,15 @@
 		return Report{}, err
 	}
 	defer func() { x.Cmd.Process.Kill() }()
-	f, stop := &submissions{accepted: map[string]string{}}, make(chan struct{})
+	submitted, stop := &submissions{accepted: map[string]string{}}, make(chan struct{})
 	var wg sync.WaitGroup
 	for k := range clients {
-		wg.Go(func() { f.client(k, r.Seed, partners, x.Addrs, stop) })
+		wg.Go(func() { submitted.client(k, r.Seed, partners, x.Addrs, stop) })
 	}
-	var deaths []time.Time
-	for _, life := range r.Uptimes {
-		time.Sleep(life)
-		deaths = append(deaths, time.Now())
+	var kills []time.Time
+	for _, uptime := range r.Uptimes {
+		time.Sleep(uptime)
+		kills = append(kills, time.Now())
 		x.Signal(syscall.SIGKILL)
 		x.Wait()
 		if x, err = start(); err != nil {
@@ -121,9 +120,9 @@
 	time.Sleep(trafficAfterStart)
 	close(stop)
 	wg.Wait()
-	out := Report{Accepted: len(f.accepted), Ends: map[string]int{}}
+	out := Report{Accepted: len(submitted.accepted), Ends: map[string]int{}}
 	final := map[string]string{}
-	for id := range f.accepted {
+	for id := range submitted.accepted {
 		s, err := traffic.State(x.Addrs[0], id, "20s")
 		if final[id] = s; err != nil || s != "delivered" && s != "returned" && s != "failed" {
 			out.addViolation("%s is %q at the end: %v", id, s, err)
@@ -134,16 +133,17 @@
 	if err := x.Wait(); err != nil {
 		out.addViolation("the daemon ended with %v", err)
 	}
-	out.judge(f.accepted, final, partners, deaths)
+	out.judge(submitted.accepted, final, partners, kills)
 	return out, out.ends(ends, final)
 }
 
+// addViolation adds a broken rule to the report.
 func (r *Report) addViolation(format string, args ...any) {
 	r.Violations = append(r.Violations, fmt.Sprintf(format, args...))
 }
 
-// client hands messages in until stop, over one port and the other. One without an
-// answer is handed in again: the same id is the same message.
+// client submits messages until stop is closed, over one front and the other. A message without a response is
+// submitted again: the same id is the same message.
 func (f *submissions) client(k int, seed uint64, partners []*partner.Partner, addrs []string, stop <-chan struct{}) {
 	rng := rand.New(rand.NewPCG(seed, uint64(k)+1))
 	c := &http.Client{Transport: &http.Transport{}, Timeout: program.Timeout}
@@ -157,30 +157,30 @@
 		class := []string{"safe", "keyed", "unsafe"}[rng.IntN(3)]
 		id := fmt.Sprintf("%s-%d-%d", class, k, n)
 		to := partners[rng.IntN(len(partners))].Name()
-		for again := range maxRetries {
-			ok, heard := traffic.Put(c, (k+again)%2 == 0, addrs[0], addrs[1], id, to, class)
+		for try := range maxRetries {
+			ok, answered := traffic.Put(c, (k+try)%2 == 0, addrs[0], addrs[1], id, to, class)
 			if ok {
 				f.mu.Lock()
 				f.accepted[id] = to
 				f.mu.Unlock()
 			}
-			if heard {
+			if answered {
 				break
 			}
-			time.Sleep(retryInterval) // the daemon is on its way back
+			time.Sleep(retryInterval) // the daemon is restarting
 		}
 	}
 }
 
-// judge holds the final states against what the partners have seen.
-func (r *Report) judge(taken, final map[string]string, partners []*partner.Partner, deaths []time.Time) {
+// judge compares the final states with the calls that the partners received.
+func (r *Report) judge(accepted, final map[string]string, partners []*partner.Partner, kills []time.Time) {
 	ran := map[string]int{}
 	for _, p := range partners {
-		for _, f := range p.Violations(func(id string) bool { return strings.HasPrefix(id, "unsafe") }, deaths...) {
+		for _, f := range p.Violations(func(id string) bool { return strings.HasPrefix(id, "unsafe") }, kills...) {
 			r.addViolation("%s", f)
 		}
 		for _, c := range p.Calls() {
-			if to, ok := taken[c.ID]; ok && to != p.Name() {
+			if to, ok := accepted[c.ID]; ok && to != p.Name() {
 				r.addViolation("%s for %s came to %s", c.ID, to, p.Name())
 			}
 			if c.Ran {
@@ -196,28 +196,28 @@
 			r.addViolation("%s is returned and ran", id)
 		}
 	}
-	if len(taken) < minAccepted {
-		r.addViolation("only %d messages were taken on", len(taken))
+	if len(accepted) < minAccepted {
+		r.addViolation("only %d messages were accepted", len(accepted))
 	}
 }
 
-// ends holds the final states against the file of ends: one end each, though it may
-// be told again after a kill.
+// ends compares the final states with the file of ends: each message has one end, which may be written again
+// after a kill.
 func (r *Report) ends(path string, final map[string]string) error {
 	lines, err := traffic.ReadEnds(path)
 	if err != nil {
 		return err
 	}
-	told := map[string]string{}
+	written := map[string]string{}
 	for _, l := range lines {
-		if before, twice := told[l.ID]; twice && before != l.State {
-			r.addViolation("%s was told as %s and as %s", l.ID, before, l.State)
+		if before, twice := written[l.ID]; twice && before != l.State {
+			r.addViolation("%s was written as %s and as %s", l.ID, before, l.State)
 		}
-		told[l.ID] = l.State
+		written[l.ID] = l.State
 	}
 	for id, state := range final {
-		if told[id] != state {
-			r.addViolation("%s is %s, and was told as %q", id, state, told[id])
+		if written[id] != state {
+			r.addViolation("%s is %s, and was written as %q", id, state, written[id])
 		}
 	}
 	return nil
--- a/internal/standin/partner/partner.go
+++ b/internal/standin/partner/partner.go
@@ -1,5 +1,5 @@
-// Package partner is a scripted partner on loopback: it answers calls as its
-// script says, keeps its own record of what came, and judges the sender by it.
+// Package partner is a stand-in for a partner on loopback: it answers calls according to a script of modes,
+// records them, and reports what the sender did against the rules.
 package partner
 
 import (
@@ -14,53 +14,54 @@
 	"time"
 )
 
-// Mode is how a partner answers for a while.
+// Mode is how a partner answers calls.
 type Mode int
 
 // The modes.
 const (
-	Healthy    Mode = iota // 200 after its latency
-	Overloaded             // turns everything away, with a wait where it tells waits
-	Down                   // nobody listens
-	Hanging                // takes calls and answers none
-	Failing                // has run the call and answers 500
+	Healthy    Mode = iota // answers 200 after the latency
+	Overloaded             // rejects all calls, with a requested wait if the options have one
+	Down                   // does not listen
+	Hanging                // receives calls and answers none
+	Failing                // runs calls and answers 500
 )
 
-// Phase is a mode for a time.
+// Phase is a mode for some time.
 type Phase struct {
 	Mode     Mode
 	Duration time.Duration
 }
 
-// Options script a partner.
+// Options configure a partner.
 type Options struct {
 	Name          string
 	Latency       time.Duration
-	Rate          int           // calls in each window that it takes; 0 for any number
-	Window        time.Duration // 0 for a second
-	RequestedWait time.Duration // told with each refusal; 0 for none
-	WaitInSeconds bool          // it tells waits by Retry-After, in seconds
-	Phases        []Phase       // gone through again and again; empty for well throughout
+	Rate          int           // calls admitted in each window; 0 for any number
+	Window        time.Duration // 0 for 1 s
+	RequestedWait time.Duration // sent with each rejection; 0 for none
+	WaitInSeconds bool          // the wait is sent as Retry-After, in seconds, in place of X-Come-Back-Ms
+	Phases        []Phase       // repeated in a cycle; empty for always healthy
 }
 
-// Call is one call that came.
+// Call is one call that the partner received.
 type Call struct {
-	At              time.Time // its last byte
-	From            string    // address of the caller
+	At              time.Time // when its last byte was received
+	From            string    // address of the caller, without the port
 	ID              string
 	Key             string
-	Ran             bool      // it took effect, or would have but for a key seen before
+	Ran             bool      // it took effect, or would have without an earlier call with its key
 	Status          int       // 0 if it was not answered
-	InsideWait      bool      // it came inside a wait that had been told more than Grace before
-	WaitRequestedAt time.Time // when that wait was told
-	Overlap         bool      // another call with this message was still out
+	InsideWait      bool      // it came inside a wait that was requested more than WaitGrace before
+	WaitRequestedAt time.Time // when that wait was requested
+	Overlap         bool      // another call with this message was in flight
 }
 
-// WaitGrace is how long after a wait is told a call is let through: it may have been
-// on its way.
+// WaitGrace is how long after a requested wait a call is not counted against the sender: it may have been in
+// flight.
 const WaitGrace = 100 * time.Millisecond
 
-// toleratedDelay is how much calls may bunch on an ordinary machine; senders keep room for it.
+// toleratedDelay is the bunching of calls by scheduling delays on an ordinary machine that the senders'
+// margins cover.
 const toleratedDelay = 100 * time.Millisecond
 
 // Partner is one partner with one endpoint.
@@ -73,22 +74,23 @@
 	mode            Mode
 	server          *http.Server
 	calls           []Call
-	inFlight        map[string]int // calls out, by message
-	waitRequestedAt time.Time      // when a wait was last told
-	waitUntil       time.Time      // when it ends
-	admitted        []time.Time    // calls taken on, for the limit
-	maxDelay        time.Duration  // the longest time that this machine let a goroutine wait
+	inFlight        map[string]int // calls in flight, by message
+	waitRequestedAt time.Time      // when a wait was last requested
+	waitUntil       time.Time      // when that wait ends
+	admitted        []time.Time    // times of the calls admitted in the window
+	maxDelay        time.Duration  // longest scheduling delay of a goroutine on this machine
 	stop            context.CancelFunc
 	done            chan struct{}
 	modeChanged     chan struct{} // closed when the mode changes
 }
 
-// Start makes a partner listen on a free loopback port.
+// Start starts a partner on a free loopback port.
 func Start(opts Options) (*Partner, error) {
 	if opts.Window == 0 {
 		opts.Window = time.Second
 	}
-	p := &Partner{opts: opts, start: time.Now(), inFlight: map[string]int{}, done: make(chan struct{}), modeChanged: make(chan struct{})}
+	p := &Partner{opts: opts, start: time.Now(), inFlight: map[string]int{},
+		done: make(chan struct{}), modeChanged: make(chan struct{})}
 	if err := p.listen("127.0.0.1:0"); err != nil {
 		return nil, err
 	}
@@ -99,11 +101,11 @@
 	return p, nil
 }
 
-// measureDelay measures how long this machine lets a goroutine wait: a call is seen late
-// by as much, and what came apart may be seen together.
+// measureDelay measures scheduling delays on this machine: a call may be observed late by that much, and calls
+// may be observed closer together than they were sent.
 func (p *Partner) measureDelay(ctx context.Context) {
-	const every = 2 * time.Millisecond
-	tick := time.NewTicker(every)
+	const interval = 2 * time.Millisecond
+	tick := time.NewTicker(interval)
 	defer tick.Stop()
 	for last := time.Now(); ; {
 		select {
@@ -113,19 +115,19 @@
 		}
 		now := time.Now()
 		p.mu.Lock()
-		p.maxDelay = max(p.maxDelay, now.Sub(last)-every)
+		p.maxDelay = max(p.maxDelay, now.Sub(last)-interval)
 		p.mu.Unlock()
 		last = now
 	}
 }
 
-// Addr is where it listens while it is not dead.
+// Addr returns the address at which the partner listens unless it is down.
 func (p *Partner) Addr() string { return p.addr }
 
-// Name is its name.
+// Name returns the name of the partner.
 func (p *Partner) Name() string { return p.opts.Name }
 
-// Rate is the number of calls in each window that it takes.
+// Rate returns the number of calls that the partner admits in each window; 0 for any number.
 func (p *Partner) Rate() int { return p.opts.Rate }
 
 func (p *Partner) listen(addr string) error {
@@ -142,17 +144,17 @@
 	return nil
 }
 
-// run goes through the phases.
+// run cycles through the phases.
 func (p *Partner) run(ctx context.Context) {
 	defer close(p.done)
 	for i := 0; len(p.opts.Phases) > 0; i++ {
-		ph := p.opts.Phases[i%len(p.opts.Phases)]
-		p.SetMode(ph.Mode)
-		t := time.NewTimer(ph.Duration)
+		phase := p.opts.Phases[i%len(p.opts.Phases)]
+		p.SetMode(phase.Mode)
+		timer := time.NewTimer(phase.Duration)
 		select {
-		case <-t.C:
+		case <-timer.C:
 		case <-ctx.Done():
-			t.Stop()
+			timer.Stop()
 			return
 		}
 	}
@@ -172,13 +174,13 @@
 	case m == Down && before != Down:
 		s.Close()
 	case m != Down && before == Down:
-		for i := 0; p.listen(p.addr) != nil && i < 100; i++ { // the port may take a moment to be free
+		for i := 0; p.listen(p.addr) != nil && i < 100; i++ { // the port may not be free at once
 			time.Sleep(10 * time.Millisecond)
 		}
 	}
 }
 
-// Close ends it.
+// Close stops the partner.
 func (p *Partner) Close() {
 	p.stop()
 	<-p.done
@@ -194,21 +196,21 @@
 		return
 	}
 	if _, err := io.Copy(io.Discard, r.Body); err != nil {
-		return // it did not come whole
+		return // the request is incomplete
 	}
 	from, _, _ := net.SplitHostPort(r.RemoteAddr)
 	c := Call{At: time.Now(), From: from, ID: r.Header.Get("X-Trace-Id"), Key: r.Header.Get("Idempotency-Key")}
 	p.mu.Lock()
-	mode, moded := p.mode, p.modeChanged
+	mode, modeChanged := p.mode, p.modeChanged
 	c.Overlap = p.inFlight[c.ID] > 0
 	p.inFlight[c.ID]++
 	c.InsideWait = c.At.Before(p.waitUntil) && c.At.After(p.waitRequestedAt.Add(WaitGrace))
 	c.WaitRequestedAt = p.waitRequestedAt
-	full := mode == Overloaded || !p.admit(c.At)
+	overloaded := mode == Overloaded || !p.admit(c.At)
 	n := len(p.calls)
 	p.calls = append(p.calls, c)
 	p.mu.Unlock()
-	status := p.answer(r.Context(), mode, full, moded, n)
+	status := p.answer(r.Context(), mode, overloaded, modeChanged, n)
 	p.mu.Lock()
 	p.inFlight[c.ID]--
 	p.calls[n].Status = status
@@ -230,7 +232,7 @@
 	w.WriteHeader(status)
 }
 
-// admit counts a call against the limit. It is called under the lock.
+// admit counts a call against the rate and reports whether it is admitted. The lock must be held.
 func (p *Partner) admit(at time.Time) bool {
 	if p.opts.Rate == 0 {
 		return true
@@ -243,8 +245,10 @@
 	return true
 }
 
-func (p *Partner) answer(ctx context.Context, mode Mode, full bool, moded <-chan struct{}, n int) int {
-	if full && mode != Hanging && mode != Down {
+// answer waits for what the mode prescribes and returns the status for the n-th call; 0 if the connection is
+// to be aborted.
+func (p *Partner) answer(ctx context.Context, mode Mode, overloaded bool, modeChanged <-chan struct{}, n int) int {
+	if overloaded && mode != Hanging && mode != Down {
 		if p.opts.RequestedWait > 0 {
 			return http.StatusTooManyRequests
 		}
@@ -257,7 +261,7 @@
 	case Hanging:
 		select {
 		case <-ctx.Done():
-		case <-moded:
+		case <-modeChanged:
 		}
 		return 0
 	case Failing:
@@ -268,49 +272,49 @@
 		defer t.Stop()
 		select {
 		case <-t.C:
-		case <-ctx.Done(): // given up; it has run all the same
+		case <-ctx.Done(): // the caller gave up; the call has run nevertheless
 			return 0
 		}
 	}
 	return http.StatusOK
 }
 
-// MaxSchedulingDelay is the longest time that this machine has let a goroutine wait since the start:
-// what is seen may be that late.
+// MaxSchedulingDelay returns the longest scheduling delay of a goroutine on this machine since the start.
+// Calls may be observed that late.
 func (p *Partner) MaxSchedulingDelay() time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.maxDelay
 }
 
-// Calls lists what came, in order.
+// Calls returns the received calls in their order.
 func (p *Partner) Calls() []Call {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return slices.Clone(p.calls)
 }
 
-// Violations lists what the sender has done that it must not: a second attempt while
-// one was out, a call inside a told wait, more calls than the rate in any window,
-// an unsafe message that ran twice. unsafe says which messages those are; a wait
-// that was told right before one of the sender's deaths may have died with it. Twice
-// the machine's longest stall is allowed for, as far as that is over calm.
-func (p *Partner) Violations(unsafe func(id string) bool, deaths ...time.Time) []string {
+// Violations lists what the sender did against the rules: a second attempt of a message while one was in
+// flight, a call inside a requested wait, more calls than the rate in any window, an unsafe message that ran
+// twice. unsafe reports whether a message is unsafe; kills are the times at which the sender was killed, since
+// a wait that was requested right before a kill may be lost. Twice the longest scheduling delay is allowed
+// for, as far as it exceeds toleratedDelay.
+func (p *Partner) Violations(unsafe func(id string) bool, kills ...time.Time) []string {
 	calls := p.Calls()
 	p.mu.Lock()
 	noise := max(2*p.maxDelay-toleratedDelay, 0)
 	p.mu.Unlock()
-	unheard := func(told time.Time) bool {
-		return slices.ContainsFunc(deaths, func(d time.Time) bool { return told.Before(d) && told.After(d.Add(-WaitGrace)) })
+	lostInKill := func(requestedAt time.Time) bool {
+		return slices.ContainsFunc(kills, func(d time.Time) bool { return requestedAt.Before(d) && requestedAt.After(d.Add(-WaitGrace)) })
 	}
 	var out []string
 	ran := map[string]int{}
 	for i, c := range calls {
 		if c.Overlap {
-			out = append(out, fmt.Sprintf("%s: %s had two attempts out", p.opts.Name, c.ID))
+			out = append(out, fmt.Sprintf("%s: %s had two attempts in flight", p.opts.Name, c.ID))
 		}
-		if c.InsideWait && c.At.After(c.WaitRequestedAt.Add(WaitGrace+noise)) && !unheard(c.WaitRequestedAt) {
-			out = append(out, fmt.Sprintf("%s: %s came inside a wait", p.opts.Name, c.ID))
+		if c.InsideWait && c.At.After(c.WaitRequestedAt.Add(WaitGrace+noise)) && !lostInKill(c.WaitRequestedAt) {
+			out = append(out, fmt.Sprintf("%s: %s came inside a requested wait", p.opts.Name, c.ID))
 		}
 		if c.Ran {
 			if ran[c.ID]++; ran[c.ID] == 2 && unsafe(c.ID) {
--- a/internal/standin/program/program.go
+++ b/internal/standin/program/program.go
@@ -1,5 +1,4 @@
-// Package program runs the real program as a process of its own, for tests and
-// measurements.
+// Package program runs the real program as a separate process, for tests and measurements.
 package program
 
 import (
@@ -12,21 +11,20 @@
 	"time"
 )
 
-// Timeout bounds the wait for a program to be ready, and for one to end.
+// Timeout bounds the waits for a program to be ready, to log a line and to exit.
 const Timeout = 20 * time.Second
 
-// Program is a process that is ready.
+// Program is a running process of the program.
 type Program struct {
 	Cmd      *exec.Cmd
-	Addrs    []string    // of its fronts, HTTP first
-	LogLines chan string // its log, as far as it has room
-	Done     chan error  // has how it ended
+	Addrs    []string    // addresses of its fronts, HTTP first; set by Ready
+	LogLines chan string // lines of its log; further lines are dropped while the channel is full
+	Done     chan error  // receives the exit error
 
 	ready chan []string
 }
 
-// Start runs the program at path with variables beside the environment, and waits
-// until it says that it is ready.
+// Start runs the program at path with env added to the environment, and waits until it is ready.
 func Start(path string, env []string, args ...string) (*Program, error) {
 	p, err := Launch(path, env, args...)
 	if err != nil {
@@ -35,7 +33,7 @@
 	return p, p.Ready()
 }
 
-// Launch runs the program and does not wait.
+// Launch runs the program like Start and does not wait until it is ready.
 func Launch(path string, env []string, args ...string) (*Program, error) {
 	p := &Program{Cmd: exec.Command(path, args...), LogLines: make(chan string, 1<<14), Done: make(chan error, 1),
 		ready: make(chan []string, 1)}
@@ -68,20 +66,21 @@
 	return p, nil
 }
 
-// Ready waits until the program says that it is. One that does not is killed.
+// Ready waits until the program logs that it is ready. A program that is not ready in time is killed.
 func (p *Program) Ready() error {
 	select {
 	case p.Addrs = <-p.ready:
 		return nil
 	case err := <-p.Done:
 		p.Done <- err
-		return fmt.Errorf("%s ends before it is ready: %v; it says: %s", p.Cmd.Path, err, p.lastLogLine())
+		return fmt.Errorf("%s exited before it was ready: %v; last log line: %s", p.Cmd.Path, err, p.lastLogLine())
 	case <-time.After(Timeout):
 		p.Cmd.Process.Kill()
-		return fmt.Errorf("%s is not ready; it says: %s", p.Cmd.Path, p.lastLogLine())
+		return fmt.Errorf("%s is not ready; last log line: %s", p.Cmd.Path, p.lastLogLine())
 	}
 }
 
+// lastLogLine returns the last line that is waiting in LogLines.
 func (p *Program) lastLogLine() (line string) {
 	for {
 		select {
@@ -92,11 +91,11 @@
 	}
 }
 
-// Signal sends a signal.
+// Signal sends a signal to the process.
 func (p *Program) Signal(s syscall.Signal) { p.Cmd.Process.Signal(s) }
 
-// Wait waits for the end and returns how it was. A program that does not end is
-// killed, and that is an error.
+// Wait waits for the process to exit and returns its exit error. A process that does not exit in time is
+// killed, which is an error.
 func (p *Program) Wait() error {
 	select {
 	case err := <-p.Done:
@@ -104,11 +103,11 @@
 	case <-time.After(Timeout):
 		p.Cmd.Process.Kill()
 		<-p.Done
-		return fmt.Errorf("%s did not end", p.Cmd.Path)
+		return fmt.Errorf("%s did not exit in time", p.Cmd.Path)
 	}
 }
 
-// AwaitLog waits for a line of the log that contains part.
+// AwaitLog waits for a log line that contains part.
 func (p *Program) AwaitLog(part string) error {
 	for stop := time.After(Timeout); ; {
 		select {
@@ -117,7 +116,7 @@
 				return nil
 			}
 		case <-stop:
-			return fmt.Errorf("no line with %q", part)
+			return fmt.Errorf("no log line with %q", part)
 		}
 	}
 }
--- a/internal/standin/traffic/resp.go
+++ b/internal/standin/traffic/resp.go
@@ -22,8 +22,8 @@
 	return &RESP{c, bufio.NewReader(c)}, nil
 }
 
-// Put writes a request to take a message on; order is its order key, or "0" for
-// none, and opts is as the front reads it.
+// Put writes a request to submit a message. order is its order key, or "0" for none; opts is the option string
+// of MSG.PUT.
 func (c *RESP) Put(order, id, opts string, body []byte) error {
 	b := make([]byte, 0, 128+len(order)+len(id)+len(opts)+len(body))
 	b = append(b, "*5\r\n$7\r\nMSG.PUT\r\n"...)
@@ -36,7 +36,7 @@
 	return err
 }
 
-// Answer reads the answer to the next request, without its line end.
+// Answer reads the response to the next request, without its line end.
 func (c *RESP) Answer() (string, error) {
 	line, err := c.r.ReadString('\n')
 	return strings.TrimSpace(line), err
--- a/internal/standin/traffic/traffic.go
+++ b/internal/standin/traffic/traffic.go
@@ -1,5 +1,5 @@
-// Package traffic is a small client of a standalone daemon, and writes files for
-// one, for tests and measurements.
+// Package traffic is a small client of a standalone daemon and writes configurations for one, for tests and
+// measurements.
 package traffic
 
 import (
@@ -17,12 +17,11 @@
 	"cometrack/internal/standin/partner"
 )
 
-// responseTimeout bounds the wait for one answer.
+// responseTimeout bounds the wait for one response.
 const responseTimeout = 20 * time.Second
 
-// ConfigText is the text of a configuration with both fronts on free ports, a class of
-// each effect and partners with one endpoint each. More goes in before the first
-// section.
+// ConfigText returns a configuration with both fronts on free ports, a class of each effect and partners with
+// one endpoint each. The text more is inserted before the first section.
 func ConfigText(dir, more string, partners ...*partner.Partner) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "state = %q\n%s\n[front.http]\nlisten = \"127.0.0.1:0\"\n[front.resp]\nlisten = \"127.0.0.1:0\"\n", dir, more)
@@ -38,20 +37,20 @@
 	return b.String()
 }
 
-// FixPorts gives a file's two fronts ports that are the same after a restart.
+// FixPorts replaces the ports of a configuration's two fronts by free ones that stay the same across restarts.
 func FixPorts(text string) (string, error) {
 	for range 2 {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			return "", err
 		}
-		defer ln.Close() // both are held until both are known
+		defer ln.Close() // both stay taken until both are chosen
 		text = strings.Replace(text, `"127.0.0.1:0"`, fmt.Sprintf("%q", ln.Addr()), 1)
 	}
 	return text, nil
 }
 
-// PutHTTP hands a message in and returns the status; 0 if no answer came.
+// PutHTTP submits a message over HTTP and returns the status; 0 if there was no response.
 func PutHTTP(c *http.Client, addr, id, to, class string) int {
 	resp, err := c.Post(fmt.Sprintf("http://%s/v1/messages?partner=%s&class=%s&key=%s&left=6s&id=%s", addr, to, class, id, id), "",
 		strings.NewReader("body of "+id))
@@ -63,8 +62,7 @@
 	return resp.StatusCode
 }
 
-// PutRESP hands a message in on a connection of its own and returns the answer;
-// empty if none came.
+// PutRESP submits a message over RESP on a new connection and returns the response; empty if there was none.
 func PutRESP(addr, id, to, class string) string {
 	c, err := DialRESP(addr)
 	if err != nil {
@@ -79,9 +77,9 @@
 	return line
 }
 
-// Put hands a message in over one port or the other. heard is false if no answer
-// came.
-func Put(c *http.Client, overHTTP bool, httpAddr, respAddr, id, to, class string) (ok, heard bool) {
+// Put submits a message over one of the two fronts. ok reports whether it was accepted; answered is false if
+// there was no response.
+func Put(c *http.Client, overHTTP bool, httpAddr, respAddr, id, to, class string) (ok, answered bool) {
 	if overHTTP {
 		status := PutHTTP(c, httpAddr, id, to, class)
 		return status == http.StatusAccepted, status != 0
@@ -90,8 +88,8 @@
 	return line == "+OK", line != ""
 }
 
-// State asks for the state of a message over HTTP and waits so long for its end.
-// It is empty for one that is not known.
+// State returns the state of a message, asked for over HTTP with a wait for its end of up to wait. It is empty
+// if the message is unknown.
 func State(addr, id, wait string) (string, error) {
 	resp, err := http.Get("http://" + addr + "/v1/messages/" + url.PathEscape(id) + "?wait=" + wait)
 	if err != nil {
