--- a/cmd/measure/cluster.go
+++ b/cmd/measure/cluster.go
@@ -180,7 +180,7 @@
 				<-done
 				recorded := p.Calls()
 				n, maxCalls := 0, 0
-				for _, fault := range p.Faults(func(string) bool { return false }) { // these allow for stalls of the machine
+				for _, fault := range p.Violations(func(string) bool { return false }) { // these allow for stalls of the machine
 					if strings.Contains(fault, "calls within") {
 						n++
 					}
--- a/cmd/measure/crossings.go
+++ b/cmd/measure/crossings.go
@@ -50,7 +50,7 @@
 		}
 	}
 	missing := total.Missing()
-	fmt.Printf("%s\n%d pairs; %d crossings never came: %s\n", total.Table(), total.Pairs(), len(missing),
+	fmt.Printf("%s\n%d pairs; %d crossings never came: %s\n", total.Table(), total.PairCount(), len(missing),
 		strings.Join(missing, "; "))
 	if failed+len(missing) > 0 {
 		return fmt.Errorf("%d of %d runs broke an invariant, %d crossings never came", failed, *seeds, len(missing))
--- a/cmd/measure/knowledge.go
+++ b/cmd/measure/knowledge.go
@@ -131,8 +131,8 @@
 // that arrived during them.
 func playWaits(bin string, n int, link string, shared bool, totalRate float64, wait, length, tolerance time.Duration,
 	seed uint64) (result fleet.Waits, err error) {
-	p, err := partner.Start(partner.Options{Name: "acme", Wait: wait, Seconds: true, Phases: []partner.Phase{
-		{Mode: partner.Well, For: 700 * time.Millisecond}, {Mode: partner.Full, For: 150 * time.Millisecond}}})
+	p, err := partner.Start(partner.Options{Name: "acme", RequestedWait: wait, WaitInSeconds: true, Phases: []partner.Phase{
+		{Mode: partner.Healthy, Duration: 700 * time.Millisecond}, {Mode: partner.Overloaded, Duration: 150 * time.Millisecond}}})
 	if err != nil {
 		return result, err
 	}
@@ -190,12 +190,12 @@
 					go func() { feed.Run(f, stop); close(done) }()
 					run := func(d time.Duration) { f.Until(d, func([]fleet.Seen) bool { return false }) }
 					run(2 * time.Second)
-					p.Set(partner.Full)
+					p.SetMode(partner.Overloaded)
 					run(settleTime)
 					from := time.Now()
 					run(outage - settleTime)
 					recoveredAt := time.Now()
-					p.Set(partner.Well)
+					p.SetMode(partner.Healthy)
 					run(15 * time.Second)
 					close(stop)
 					<-done
@@ -260,9 +260,9 @@
 // the replicas converged, whether they did, and the calls during later waits.
 func playRandomFaults(bin string, senders int, length, wait time.Duration, seed uint64,
 	report func(time.Duration, bool, fleet.Waits), tolerance time.Duration) error {
-	phases := []partner.Phase{{Mode: partner.Well, For: 500 * time.Millisecond},
-		{Mode: partner.Full, For: 60 * time.Millisecond}}
-	p, err := partner.Start(partner.Options{Name: "acme", Wait: wait, Phases: phases})
+	phases := []partner.Phase{{Mode: partner.Healthy, Duration: 500 * time.Millisecond},
+		{Mode: partner.Overloaded, Duration: 60 * time.Millisecond}}
+	p, err := partner.Start(partner.Options{Name: "acme", RequestedWait: wait, Phases: phases})
 	if err != nil {
 		return err
 	}
--- a/cmd/measure/operation.go
+++ b/cmd/measure/operation.go
@@ -354,7 +354,7 @@
 		}
 		for done := false; !done; {
 			select {
-			case line := <-old.Said:
+			case line := <-old.LogLines:
 				if m := handoverTime.FindStringSubmatch(line); m != nil {
 					if d, err := time.ParseDuration(m[1]); err == nil {
 						handoverTimes = append(handoverTimes, d)
--- a/cmd/measure/soak.go
+++ b/cmd/measure/soak.go
@@ -71,7 +71,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("seed %d: %w", o.Seed, err)
 	}
-	fmt.Println(r.Line(o.Seed))
+	fmt.Println(r.Summary(o.Seed))
 	if verbose || len(r.Violations) > 0 {
 		fmt.Println("  " + strings.Join(details(&r), "\n  "))
 	}
--- a/internal/daemon/backlog_test.go
+++ b/internal/daemon/backlog_test.go
@@ -52,7 +52,7 @@
 	dir := t.TempDir()
 	ended := filepath.Join(dir, "ends")
 	config := filepath.Join(dir, "config.toml")
-	text := fixPorts(t, traffic.File(filepath.Join(dir, "state"),
+	text := fixPorts(t, traffic.ConfigText(filepath.Join(dir, "state"),
 		fmt.Sprintf("[limits]\nwindow = 4\n[sink.file]\npath = %q\n", ended), acme))
 	if err := os.WriteFile(config, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
@@ -88,10 +88,10 @@
 		x = startServe(t, config)
 	}
 	endCount := func() (n int) {
-		list, _ := traffic.Ends(ended) // the last line may be incomplete
+		list, _ := traffic.ReadEnds(ended) // the last line may be incomplete
 		return len(list)
 	}
-	byhand.Until(t, "the first ends in the backlog", func() bool { return endCount() > 0 })
+	byhand.WaitUntil(t, "the first ends in the backlog", func() bool { return endCount() > 0 })
 	kill()
 	resubmit()
 	for _, id := range short {
@@ -100,7 +100,7 @@
 		}
 	}
 	for _, calls := range []int{10, 40} {
-		byhand.Until(t, "messages refilled from the backlog", func() bool { return executedCalls(acme) > calls })
+		byhand.WaitUntil(t, "messages refilled from the backlog", func() bool { return executedCalls(acme) > calls })
 		kill()
 	}
 	for _, id := range append(append([]string{}, unsafe...), safe...) {
@@ -110,7 +110,7 @@
 	}
 	x.Signal(syscall.SIGTERM)
 	x.Wait()
-	list, _ := traffic.Ends(ended)
+	list, _ := traffic.ReadEnds(ended)
 	states := map[string]string{}
 	for _, l := range list {
 		if earlier := states[l.ID]; earlier != "" && earlier != l.State {
@@ -126,7 +126,7 @@
 		if c.Ran {
 			n[c.ID]++
 		}
-		if c.InWait || c.Overlap {
+		if c.InsideWait || c.Overlap {
 			t.Errorf("a call within a requested wait, or two attempts at once: %+v", c)
 		}
 	}
@@ -153,7 +153,7 @@
 	acme := startPartner(t, partner.Options{Name: "acme", Latency: 100 * time.Millisecond})
 	dir := t.TempDir()
 	config := filepath.Join(dir, "config.toml")
-	text := fixPorts(t, traffic.File(filepath.Join(dir, "state"), "[limits]\nwindow = 4\n", acme))
+	text := fixPorts(t, traffic.ConfigText(filepath.Join(dir, "state"), "[limits]\nwindow = 4\n", acme))
 	write := func(text string) {
 		t.Helper()
 		if err := os.WriteFile(config, []byte(text), 0o600); err != nil {
--- a/internal/daemon/badinput_test.go
+++ b/internal/daemon/badinput_test.go
@@ -134,7 +134,7 @@
 		return ""
 	}
 	defer conn.Close()
-	conn.SetDeadline(time.Now().Add(byhand.Patience))
+	conn.SetDeadline(time.Now().Add(byhand.Timeout))
 	go func() {
 		io.WriteString(conn, b.sent)
 		if b.closeAfter {
@@ -169,7 +169,7 @@
 // Each kind of invalid input has a clear answer, none of it is accepted, and docs/operate/bad-input.md lists them all.
 func TestBadInput(t *testing.T) {
 	p := startPartner(t, partner.Options{Name: "acme"})
-	a := startDaemon(t, traffic.File(t.TempDir(), "", p))
+	a := startDaemon(t, traffic.ConfigText(t.TempDir(), "", p))
 	var page bytes.Buffer
 	page.WriteString("# What is answered to bad input\n\nThis page is written by `go test ./internal/daemon -run TestBadInput -update`, from what a daemon answered;\n" +
 		"the test fails if it no longer does. Nothing on it is taken on.\n")
--- a/internal/daemon/busyend_held_test.go
+++ b/internal/daemon/busyend_held_test.go
@@ -82,7 +82,7 @@
 			continue
 		}
 		for _, end := range c.ends[min(len(c.answers), len(c.ends)):] {
-			if !x.ReadAt(end).IsZero() {
+			if !x.ReadTime(end).IsZero() {
 				n++
 			}
 		}
@@ -145,7 +145,7 @@
 			stop, resumed := make(chan struct{}), make(chan []time.Duration, 1)
 			go func() {
 				resumed <- faultbuild.Resume(x.Cmd.Process.Pid, func() time.Duration {
-					controls.SetHolds(0) // one stall only
+					controls.HoldAfterClock(0) // one stall only
 					return stallTime
 				}, stop)
 			}()
@@ -155,14 +155,14 @@
 			}
 			from := time.Now()
 			x.term()
-			stallTimer := time.AfterFunc(stallAfter, func() { controls.SetHolds(stallRate) })
-			killTimer := time.AfterFunc(kill+2*to.Stall(), func() { x.Signal(syscall.SIGKILL) })
+			stallTimer := time.AfterFunc(stallAfter, func() { controls.HoldAfterClock(stallRate) })
+			killTimer := time.AfterFunc(kill+2*to.MaxSchedulingDelay(), func() { x.Signal(syscall.SIGKILL) })
 			x.Wait()
 			stallTimer.Stop()
 			killTimer.Stop()
 			took := time.Since(from)
 			close(stop)
-			traced, err := faultbuild.Connections(trace)
+			traced, err := faultbuild.ReadTrace(trace)
 			if err != nil {
 				t.Error(err)
 			}
--- a/internal/daemon/crowd_test.go
+++ b/internal/daemon/crowd_test.go
@@ -106,14 +106,14 @@
 		t.Run(fmt.Sprintf("%d descriptors, %d kinds of clients", limit, x.kinds), func(t *testing.T) {
 			t.Parallel()
 			d, old, e, dir := discovery.New(t), byhand.NewEndpoint(t), byhand.NewEndpoint(t), t.TempDir()
-			server := newSwitchableServer(t, d.Srv.Config.Handler)
+			server := newSwitchableServer(t, d.Server.Config.Handler)
 			known := platform.List{Generation: 1, Reset: true, Instances: instances(old)}
-			d.List, d.With = known, func(settings string) string { // poll often
+			d.List, d.EditSettings = known, func(settings string) string { // poll often
 				return strings.Replace(settings, `"rules":{`, `"rules":{"ask_every_s":0.3,`, 1)
 			}
-			known.Instances[0].HostPort = byhand.DeadAddr(t) // a released port may be reused by another test
+			known.Instances[0].HostPort = byhand.RefusingAddr(t) // a released port may be reused by another test
 			config := filepath.Join(dir, "config.json")
-			text := strings.Replace(string(configText(d, known)), strings.TrimPrefix(d.Srv.URL, "http://"), server.addr, 1)
+			text := strings.Replace(string(configText(d, known)), strings.TrimPrefix(d.Server.URL, "http://"), server.addr, 1)
 			if err := os.WriteFile(config, []byte(text), 0o600); err != nil {
 				t.Fatal(err)
 			}
@@ -124,13 +124,13 @@
 				t.Fatal(err)
 			}
 			t.Cleanup(func() { p.Cmd.Process.Kill() })
-			byhand.Await(t, d.Asked, "watch")
+			byhand.Await(t, d.ListCalls, "watch")
 			gone := startIdleClients(t, p.Addrs[0], 2*limit, x.kinds)
 			for range limit {
 				byhand.Await(t, gone, "closed idle client")
 			}
 			server.stop()
-			if err := p.Says("msg=discovery"); err != nil {
+			if err := p.AwaitLog("msg=discovery"); err != nil {
 				t.Fatal(err)
 			}
 			openDescriptors := func() int {
--- a/internal/daemon/heldup_test.go
+++ b/internal/daemon/heldup_test.go
@@ -50,7 +50,7 @@
 	defer controls.Close()
 	to := startPartner(t, partner.Options{Name: "1", Latency: 2 * time.Millisecond})
 	p := discovery.New(t)
-	p.With = func(s string) string {
+	p.EditSettings = func(s string) string {
 		return strings.NewReplacer(`"call_slots":6`, `"call_slots":64`, `"max_open":8`, `"max_open":256`).Replace(s)
 	}
 	list := func(generation int64, up int) platform.List { // a destination for each cycle, all served by one partner
@@ -109,17 +109,17 @@
 			c.line()
 		}
 		time.Sleep(time.Until(up))
-		controls.SetWriteHolds(stallRate)
+		controls.HoldBeforeWrites(stallRate)
 		p.Set(func() { p.List = list(int64(cycle+2), cycle) })
 		time.Sleep(time.Until(up.Add(longest)))
-		controls.SetWriteHolds(0)
+		controls.HoldBeforeWrites(0)
 		time.Sleep(time.Until(up.Add(2 * longest)))
 	}
-	byhand.Until(t, "deadline of the last message",
+	byhand.WaitUntil(t, "deadline of the last message",
 		func() bool { return time.Since(deadlines[fmt.Sprintf("m-%d-%d", cycles-1, each-1)]) > time.Second })
 	close(stop)
 	noticeReader.Wait()
-	late, calls, noise := 0, to.Calls(), to.Stall() // the partner may see a call so much later on this machine
+	late, calls, noise := 0, to.Calls(), to.MaxSchedulingDelay() // the partner may see a call so much later on this machine
 	for _, call := range calls {
 		deadline, noticeAt := deadlines[call.ID], notices[call.ID]
 		switch {
@@ -132,8 +132,8 @@
 		}
 	}
 	stalls := <-resumed
-	for len(x.Said) > 0 {
-		if line := <-x.Said; strings.Contains(line, "violation") && noise < slack {
+	for len(x.LogLines) > 0 {
+		if line := <-x.LogLines; strings.Contains(line, "violation") && noise < slack {
 			t.Errorf("the program logged: %s", line)
 		}
 	}
--- a/internal/daemon/pushed_test.go
+++ b/internal/daemon/pushed_test.go
@@ -23,11 +23,11 @@
 // agent was silent or down.
 func TestPushedList(t *testing.T) {
 	p := discovery.New(t)
-	p.With = pushedSettings
+	p.EditSettings = pushedSettings
 	n, _, _, e := startScenarioWith(t, p, 2)
 	awaitWatch := func(from string) {
 		t.Helper()
-		for !strings.HasPrefix(byhand.Await(t, p.Asked, "watch"), "from="+from+"&") {
+		for !strings.HasPrefix(byhand.Await(t, p.ListCalls, "watch"), "from="+from+"&") {
 		}
 	}
 	change := func(generation int64, states ...string) {
@@ -62,7 +62,7 @@
 		}
 		in.Reply(200)
 	}
-	e[0].None(t)
+	e[0].ExpectNoCall(t)
 	stopClean(t, n)
 }
 
@@ -70,7 +70,7 @@
 // to the response.
 func TestBatchEndToEnd(t *testing.T) {
 	p := discovery.New(t)
-	p.With = pushedSettings
+	p.EditSettings = pushedSettings
 	n, c, _, e := startScenarioWith(t, p, 1)
 	c.put("a", "safe", "+OK")
 	first := byhand.Await(t, e[0].Calls, "call")
@@ -78,7 +78,7 @@
 		id, class, _ := strings.Cut(x, " ")
 		c.put(id, class, "+OK")
 	}
-	e[0].None(t) // the only slot is in use
+	e[0].ExpectNoCall(t) // the only slot is in use
 	first.Reply(200, "Endpoint-Load-Metrics: x0=0.9,x1=50")
 	in := byhand.Await(t, e[0].Calls, "call with several messages")
 	var list []struct{ ID, Key, Body string }
--- a/internal/daemon/standalone_test.go
+++ b/internal/daemon/standalone_test.go
@@ -103,7 +103,7 @@
 // port reports which, and the calls that the partner received agree.
 func TestDisconnectAfterEveryByte(t *testing.T) {
 	p := startPartner(t, partner.Options{Name: "acme"})
-	a := startDaemon(t, traffic.File(t.TempDir(), "", p))
+	a := startDaemon(t, traffic.ConfigText(t.TempDir(), "", p))
 	ports := map[string]string{"http": a.HTTPAddr(), "resp": a.RESPAddr()}
 	requests := map[string]func(id string) string{
 		"http": func(id string) string {
@@ -140,7 +140,7 @@
 	}
 	c := dial(t, a.RESPAddr())
 	for id := range complete {
-		byhand.Until(t, "delivery of "+id, func() bool { return state(t, a.HTTPAddr(), id, "10s") == "delivered" })
+		byhand.WaitUntil(t, "delivery of "+id, func() bool { return state(t, a.HTTPAddr(), id, "10s") == "delivered" })
 		if s := respState(t, c, id); s != "delivered" {
 			t.Errorf("%s: %q on the other port", id, s)
 		}
@@ -173,7 +173,7 @@
 // The same id submitted on both ports at once is one message. Another message with its id is rejected on both.
 func TestSameIDOnBothPorts(t *testing.T) {
 	p := startPartner(t, partner.Options{Name: "acme"})
-	a := startDaemon(t, traffic.File(t.TempDir(), "", p))
+	a := startDaemon(t, traffic.ConfigText(t.TempDir(), "", p))
 	c := dial(t, a.RESPAddr())
 	post := func(id, body string) int {
 		resp, err := http.Post("http://"+a.HTTPAddr()+"/v1/messages?partner=acme&class=unsafe&left=20s&id="+id, "", strings.NewReader(body))
@@ -221,7 +221,7 @@
 	if n := len(p.Calls()); n != many {
 		t.Errorf("%d calls for %d messages", n, many)
 	}
-	if f := p.Faults(func(string) bool { return true }); f != nil {
+	if f := p.Violations(func(string) bool { return true }); f != nil {
 		t.Errorf("faults: %v", f)
 	}
 }
@@ -230,8 +230,8 @@
 // limit, leaves the other front its share.
 func TestFairness(t *testing.T) {
 	steady := startPartner(t, partner.Options{Name: "steady"})
-	stuck := startPartner(t, partner.Options{Name: "stuck", Phases: []partner.Phase{{Mode: partner.Dead, For: time.Hour}}})
-	a := startDaemon(t, traffic.File(t.TempDir(), "[limits]\nopen_messages = 100\ndescriptors = 256\n", steady, stuck))
+	stuck := startPartner(t, partner.Options{Name: "stuck", Phases: []partner.Phase{{Mode: partner.Down, Duration: time.Hour}}})
+	a := startDaemon(t, traffic.ConfigText(t.TempDir(), "[limits]\nopen_messages = 100\ndescriptors = 256\n", steady, stuck))
 	flood, stop := context.WithCancel(t.Context())
 	defer stop()
 	refused := make(chan int, 1<<16)
@@ -265,14 +265,14 @@
 	}
 	for i := range 50 {
 		id := fmt.Sprint("r-", i)
-		byhand.Until(t, "delivery of "+id, func() bool { return respState(t, c, id) == "delivered" })
+		byhand.WaitUntil(t, "delivery of "+id, func() bool { return respState(t, c, id) == "delivered" })
 	}
 }
 
 // The daemon works with an unmodified client library.
 func TestGoRedis(t *testing.T) {
 	p := startPartner(t, partner.Options{Name: "acme"})
-	a := startDaemon(t, traffic.File(t.TempDir(), "", p))
+	a := startDaemon(t, traffic.ConfigText(t.TempDir(), "", p))
 	c := redis.NewClient(&redis.Options{Addr: a.RESPAddr()})
 	defer c.Close()
 	if s, err := c.Ping(t.Context()).Result(); err != nil || s != "PONG" {
@@ -295,11 +295,11 @@
 // message is sent elsewhere, and a message whose partner or class was removed has one end.
 func TestJournalByName(t *testing.T) {
 	dead := func(name string) *partner.Partner {
-		return startPartner(t, partner.Options{Name: name, Phases: []partner.Phase{{Mode: partner.Dead, For: time.Hour}}})
+		return startPartner(t, partner.Options{Name: name, Phases: []partner.Phase{{Mode: partner.Down, Duration: time.Hour}}})
 	}
 	one, two, three := dead("one"), dead("two"), dead("three")
 	dir := t.TempDir()
-	a := startDaemon(t, traffic.File(dir, "", one, two, three))
+	a := startDaemon(t, traffic.ConfigText(dir, "", one, two, three))
 	c := dial(t, a.RESPAddr())
 	for _, x := range [][2]string{{"one", "safe"}, {"two", "unsafe"}, {"three", "keyed"}, {"one", "keyed"}} {
 		if got := c.do("MSG.PUT", "0", x[0]+"-"+x[1], "c="+x[1]+",d=20000,k=k,dest="+x[0], "x"); got != "+OK" {
@@ -308,9 +308,9 @@
 	}
 	c.Conn.Close()
 	a.stopAndWait()
-	one.Set(partner.Well)
-	two.Set(partner.Well)
-	text := traffic.File(dir, "", two, one) // in another order and without three
+	one.SetMode(partner.Healthy)
+	two.SetMode(partner.Healthy)
+	text := traffic.ConfigText(dir, "", two, one) // in another order and without three
 	keyed := strings.Index(text, "[[class]]\nname = \"keyed\"")
 	unsafe := strings.Index(text, "[[class]]\nname = \"unsafe\"")
 	partners := strings.Index(text, "[[partner]]")
@@ -344,10 +344,10 @@
 // All ends of messages reach the end file, each once while the daemon runs.
 func TestEndFile(t *testing.T) {
 	p := startPartner(t, partner.Options{Name: "acme"})
-	sick := startPartner(t, partner.Options{Name: "sick", Phases: []partner.Phase{{Mode: partner.Sick, For: time.Hour}}})
+	sick := startPartner(t, partner.Options{Name: "sick", Phases: []partner.Phase{{Mode: partner.Failing, Duration: time.Hour}}})
 	dir := t.TempDir()
 	path := filepath.Join(dir, "ends.jsonl")
-	a := startDaemon(t, traffic.File(dir, fmt.Sprintf("[sink.file]\npath = %q\n", path), p, sick))
+	a := startDaemon(t, traffic.ConfigText(dir, fmt.Sprintf("[sink.file]\npath = %q\n", path), p, sick))
 	c := dial(t, a.RESPAddr())
 	for _, to := range []string{"acme", "sick"} {
 		if got := c.do("MSG.PUT", "0", "to-"+to, "c=unsafe,d=20000,dest="+to, "x"); got != "+OK" {
@@ -368,7 +368,7 @@
 
 func readEnds(t *testing.T, path string) []sink.Notice {
 	t.Helper()
-	list, err := traffic.Ends(path)
+	list, err := traffic.ReadEnds(path)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -378,8 +378,8 @@
 // A thousand clients that wait for the end of one message all get it, and other requests are served meanwhile.
 func TestThousandLongPolls(t *testing.T) {
 	p := startPartner(t, partner.Options{Name: "acme"})
-	p.Set(partner.Hang)
-	a := startDaemon(t, traffic.File(t.TempDir(), "[limits]\ndescriptors = 8192\n", p))
+	p.SetMode(partner.Hanging)
+	a := startDaemon(t, traffic.ConfigText(t.TempDir(), "[limits]\ndescriptors = 8192\n", p))
 	c := dial(t, a.RESPAddr())
 	if got := c.do("MSG.PUT", "0", "a", "c=safe,d=20000,dest=acme", "x"); got != "+OK" {
 		t.Fatal(got)
@@ -395,14 +395,14 @@
 			got <- s
 		}()
 	}
-	byhand.Until(t, "a thousand waiting clients", func() bool { return a.http.LongPolls() >= many })
+	byhand.WaitUntil(t, "a thousand waiting clients", func() bool { return a.http.LongPolls() >= many })
 	if s := respState(t, c, "a"); s != "sending" {
 		t.Errorf("the other port reports %q meanwhile", s)
 	}
 	if s := state(t, a.HTTPAddr(), "other", "0s"); s != "" {
 		t.Errorf("the same port reports %q meanwhile", s)
 	}
-	p.Set(partner.Well)
+	p.SetMode(partner.Healthy)
 	for range many {
 		if s := byhand.Await(t, got, "end"); s != "delivered" {
 			t.Fatalf("got state %q", s)
--- a/internal/daemon/upgrade_kill_test.go
+++ b/internal/daemon/upgrade_kill_test.go
@@ -39,7 +39,7 @@
 		return len(a.accepted)
 	}
 	from := count()
-	byhand.Until(t, "accepted messages", func() bool { return count() >= from+n })
+	byhand.WaitUntil(t, "accepted messages", func() bool { return count() >= from+n })
 }
 
 // Under load, one of the two processes is killed at different times of its upgrade: before the request, during the
@@ -111,7 +111,7 @@
 		}
 		// The successor has exited. If it had taken over, the predecessor exits once its calls have ended.
 		if alive := func() bool {
-			for by := time.Now().Add(byhand.Patience); time.Now().Before(by); {
+			for by := time.Now().Add(byhand.Timeout); time.Now().Before(by); {
 				select {
 				case err := <-current.Done:
 					current.Done <- err
@@ -133,7 +133,7 @@
 	}
 	acc.awaitAccepted(t, 4)
 	close(clients)
-	byhand.Until(t, "end of every message", func() bool { return len(acc.unsettled()) == 0 })
+	byhand.WaitUntil(t, "end of every message", func() bool { return len(acc.unsettled()) == 0 })
 	current.term()
 	current.awaitExit()
 	close(stop)
--- a/internal/daemon/upgrade_test.go
+++ b/internal/daemon/upgrade_test.go
@@ -80,7 +80,7 @@
 	if err := child.Start(); err != nil {
 		t.Fatal(err)
 	}
-	byhand.Until(t, "exit of a process that has not been waited for", func() bool { return isExiting(child.Process.Pid) })
+	byhand.WaitUntil(t, "exit of a process that has not been waited for", func() bool { return isExiting(child.Process.Pid) })
 	if err := child.Wait(); err != nil {
 		t.Fatal(err)
 	}
@@ -153,7 +153,7 @@
 	return next
 }
 
-func (x *upgradeScenario) awaitCall(id string) *byhand.InCall {
+func (x *upgradeScenario) awaitCall(id string) *byhand.ReceivedCall {
 	x.t.Helper()
 	in := byhand.Await(x.t, x.e.Calls, "call of "+id)
 	if in.ID() != id {
@@ -167,7 +167,7 @@
 	x.t.Helper()
 	n.term()
 	n.awaitExit()
-	x.e.None(x.t)
+	x.e.ExpectNoCall(x.t)
 	if ids := pendingIDs(x.t, x.dir); ids != nil {
 		x.t.Errorf("messages still pending: %v", ids)
 	}
@@ -179,7 +179,7 @@
 func TestUpgradeWithCallsOut(t *testing.T) {
 	x := startUpgradeScenario(t)
 	c, half := dial(t, x.old.addr), dial(t, x.old.addr)
-	out := map[string]*byhand.InCall{}
+	out := map[string]*byhand.ReceivedCall{}
 	for _, class := range []string{"safe", "keyed", "unsafe"} {
 		c.put("m-"+class, class, "+OK")
 		out[class] = x.awaitCall("m-" + class)
@@ -227,16 +227,16 @@
 func TestUpgradeCountsSlots(t *testing.T) {
 	x := startUpgradeScenario(t)
 	c := dial(t, x.old.addr)
-	var out []*byhand.InCall
+	var out []*byhand.ReceivedCall
 	for i := range 3 { // half of the six slots may go to one partner
 		c.put(fmt.Sprint("out", i), "safe", "+OK")
 		out = append(out, byhand.Await(t, x.e.Calls, "call"))
 	}
 	c.put("held", "safe", "+OK")
-	x.e.None(t)
+	x.e.ExpectNoCall(t)
 	next := x.upgrade()
 	dial(t, next.addr).put("new", "safe", "+OK")
-	x.e.None(t)
+	x.e.ExpectNoCall(t)
 	out[0].Reply(200)
 	byhand.Await(t, x.e.Calls, "call of a pending message").Reply(200)
 	byhand.Await(t, x.e.Calls, "call of the other message").Reply(200)
@@ -294,7 +294,7 @@
 func TestUpgradeThatFails(t *testing.T) {
 	requestHandover := func(t *testing.T, x *upgradeScenario, format int, want any) *handover.Conn {
 		t.Helper()
-		c, err := handover.Dial(x.dir, byhand.Patience)
+		c, err := handover.Dial(x.dir, byhand.Timeout)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -302,7 +302,7 @@
 		if err := c.Send(&handover.SnapshotRequest{Format: format}); err != nil {
 			t.Fatal(err)
 		}
-		c.SetReceiveDeadline(time.Now().Add(byhand.Patience))
+		c.SetReceiveDeadline(time.Now().Add(byhand.Timeout))
 		m, files, err := c.Receive()
 		for _, f := range files {
 			f.Close()
@@ -314,7 +314,7 @@
 	}
 	for name, try := range map[string]func(t *testing.T, x *upgradeScenario){
 		"disconnects before its request": func(t *testing.T, x *upgradeScenario) {
-			c, err := handover.Dial(x.dir, byhand.Patience)
+			c, err := handover.Dial(x.dir, byhand.Timeout)
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -42,15 +42,15 @@
 }{
 	{partner.Options{Name: "steady", Latency: 15 * time.Millisecond}, 0, "answers in 15 ms"},
 	{partner.Options{Name: "slow", Latency: 700 * time.Millisecond}, 0, "answers in 700 ms"},
-	{partner.Options{Name: "full", Latency: 20 * time.Millisecond, Rate: 10, Wait: 400 * time.Millisecond}, 10,
+	{partner.Options{Name: "full", Latency: 20 * time.Millisecond, Rate: 10, RequestedWait: 400 * time.Millisecond}, 10,
 		"serves 10 a second, and requests a wait above that"},
 	{partner.Options{Name: "flapping", Latency: 20 * time.Millisecond, Phases: []partner.Phase{
-		{Mode: partner.Well, For: 4 * time.Second}, {Mode: partner.Dead, For: 2 * time.Second}}}, 0,
+		{Mode: partner.Healthy, Duration: 4 * time.Second}, {Mode: partner.Down, Duration: 2 * time.Second}}}, 0,
 		"healthy for 4 s, down for 2 s"},
 	{partner.Options{Name: "hanging", Latency: 20 * time.Millisecond, Phases: []partner.Phase{
-		{Mode: partner.Well, For: 5 * time.Second}, {Mode: partner.Hang, For: 3 * time.Second}}}, 0,
+		{Mode: partner.Healthy, Duration: 5 * time.Second}, {Mode: partner.Hanging, Duration: 3 * time.Second}}}, 0,
 		"healthy for 5 s, accepts calls without answering for 3 s"},
-	{partner.Options{Name: "dead", Phases: []partner.Phase{{Mode: partner.Dead, For: time.Hour}}}, 0,
+	{partner.Options{Name: "dead", Phases: []partner.Phase{{Mode: partner.Down, Duration: time.Hour}}}, 0,
 		"refuses connections"},
 }
 
--- a/internal/front/http/front_test.go
+++ b/internal/front/http/front_test.go
@@ -353,7 +353,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(byhand.Patience))
+	c.SetDeadline(time.Now().Add(byhand.Timeout))
 	if _, err := io.WriteString(c, text); err != nil {
 		t.Fatal(err)
 	}
@@ -478,7 +478,7 @@
 			polls <- resp.StatusCode
 		}()
 	}
-	byhand.Until(t, "long polls", func() bool { return len(f.longPolls) == cap(f.longPolls) })
+	byhand.WaitUntil(t, "long polls", func() bool { return len(f.longPolls) == cap(f.longPolls) })
 	if resp, _ := do(t, router, "GET", base+"/v1/messages/a?wait=1m", nil); resp.StatusCode != 503 {
 		t.Errorf("one long poll too many: %d", resp.StatusCode)
 	}
@@ -531,7 +531,7 @@
 		}
 		polled <- err
 	}()
-	byhand.Until(t, "long poll", func() bool { return len(f.longPolls) > 0 })
+	byhand.WaitUntil(t, "long poll", func() bool { return len(f.longPolls) > 0 })
 	var silent []*net.TCPConn
 	for range 10 {
 		silent = append(silent, dialRaw(t, base, ""))
@@ -567,7 +567,7 @@
 	}()
 	for e := fast.next(); !strings.Contains(e.data, fmt.Sprintf(`"id":"%d"`, events-1)); e = fast.next() {
 	}
-	byhand.Until(t, "end of the slow reader", func() bool { return len(f.streams) == 1 })
+	byhand.WaitUntil(t, "end of the slow reader", func() bool { return len(f.streams) == 1 })
 }
 
 // While keep-alives are disabled a connection is closed after its response; afterwards it is kept again.
--- a/internal/front/http/tls_test.go
+++ b/internal/front/http/tls_test.go
@@ -85,7 +85,7 @@
 	}
 	write()
 	second := first
-	byhand.Until(t, "new certificate", func() bool { second, _ = get(); return second != first })
+	byhand.WaitUntil(t, "new certificate", func() bool { second, _ = get(); return second != first })
 	os.WriteFile(dir+"/cert.pem", []byte("-----BEGIN"), 0o600)
 	if err := f.ReloadCertificate(); err == nil {
 		t.Error("no error for an incomplete certificate")
--- a/internal/front/resp/crossing_test.go
+++ b/internal/front/resp/crossing_test.go
@@ -122,7 +122,7 @@
 				l.beforeClose <- func(conn net.Conn) {
 					c := <-connected
 					io.WriteString(c.conn, putRequest)
-					byhand.Until(t, "request at the front", func() bool { _, data := netutil.Peek(conn); return data })
+					byhand.WaitUntil(t, "request at the front", func() bool { _, data := netutil.Peek(conn); return data })
 					sent <- true
 				}
 				c := dial(t, f)
@@ -132,7 +132,7 @@
 					raw.Control(func(fd uintptr) { syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, syscall.TCP_CORK, 1) })
 				}
 				io.WriteString(c.conn, "*1\r\n$4\r\nPING\r\n")
-				byhand.Until(t, "response", func() bool {
+				byhand.WaitUntil(t, "response", func() bool {
 					f.mu.Lock()
 					defer f.mu.Unlock()
 					for s := range f.sessions {
@@ -147,7 +147,7 @@
 					t.Errorf("the client read %q, %v", got, err)
 				}
 				c.conn.Close()
-				byhand.Until(t, "end of the connection", func() bool {
+				byhand.WaitUntil(t, "end of the connection", func() bool {
 					f.mu.Lock()
 					defer f.mu.Unlock()
 					return f.lingering == 0
@@ -163,7 +163,7 @@
 // waitIdle waits until the front has no pending request.
 func waitIdle(t *testing.T, f *Front) {
 	t.Helper()
-	byhand.Until(t, "idle front", func() bool {
+	byhand.WaitUntil(t, "idle front", func() bool {
 		f.mu.Lock()
 		defer f.mu.Unlock()
 		for s := range f.sessions {
@@ -217,7 +217,7 @@
 			t.Parallel()
 			f := serve(t, Options{})
 			all := idleClients(t, f, 20)
-			ctx, stop := context.WithTimeout(t.Context(), byhand.Patience)
+			ctx, stop := context.WithTimeout(t.Context(), byhand.Timeout)
 			defer stop()
 			start := time.Now()
 			f.CloseListener()
@@ -291,7 +291,7 @@
 	f := serve(t, Options{MaxConnections: 1})
 	half := dial(t, f)
 	io.WriteString(half.conn, "*1\r\n$4\r\nPI")
-	byhand.Until(t, "request at the front", func() bool {
+	byhand.WaitUntil(t, "request at the front", func() bool {
 		f.mu.Lock()
 		defer f.mu.Unlock()
 		for s := range f.sessions {
@@ -322,7 +322,7 @@
 	for s = range f.sessions {
 	}
 	io.WriteString(c.conn, putRequest)
-	byhand.Until(t, "request at the front", func() bool { _, data := netutil.Peek(conn); return data })
+	byhand.WaitUntil(t, "request at the front", func() bool { _, data := netutil.Peek(conn); return data })
 	s.startLingering()
 	s.conn.SetReadDeadline(time.Now())
 	f.mu.Unlock()
@@ -365,7 +365,7 @@
 // waitReadingStopped waits until the front reads nothing more from its connections.
 func waitReadingStopped(t *testing.T, f *Front) {
 	t.Helper()
-	byhand.Until(t, "end of reading", f.readingStopped.Load)
+	byhand.WaitUntil(t, "end of reading", f.readingStopped.Load)
 }
 
 // shutdownNow shuts the front down with a context that is done. The channel is closed when Shutdown has returned.
--- a/internal/front/resp/front_test.go
+++ b/internal/front/resp/front_test.go
@@ -68,7 +68,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { conn.Close() })
-	conn.SetDeadline(time.Now().Add(byhand.Patience))
+	conn.SetDeadline(time.Now().Add(byhand.Timeout))
 	return &client{t, conn, bufio.NewReader(conn)}
 }
 
@@ -115,7 +115,7 @@
 		waitIdle(t, f) // the client may have the response before the front records it
 	}
 	io.WriteString(half.conn, "*1\r\n$4\r\nPI")
-	byhand.Until(t, "request at the front", func() bool {
+	byhand.WaitUntil(t, "request at the front", func() bool {
 		f.mu.Lock()
 		defer f.mu.Unlock()
 		total := 0
@@ -159,7 +159,7 @@
 		}
 		d.conn.Close()
 	}
-	for stop := time.Now().Add(byhand.Patience); len(f.largeSlots) > 0; {
+	for stop := time.Now().Add(byhand.Timeout); len(f.largeSlots) > 0; {
 		if time.Now().After(stop) {
 			t.Fatalf("%d slots were not released", len(f.largeSlots))
 		}
@@ -183,7 +183,7 @@
 	}
 	defer conn.Close()
 	io.WriteString(c.conn, "*1\r\n$4\r\nPING\r\n")
-	for stop := time.Now().Add(byhand.Patience); ; {
+	for stop := time.Now().Add(byhand.Timeout); ; {
 		if _, data := netutil.Peek(conn); data {
 			break
 		}
@@ -320,7 +320,7 @@
 		var all []*client
 		for i := range 8 {
 			all = append(all, dial(t, f))
-			byhand.Until(t, "client at the front", func() bool {
+			byhand.WaitUntil(t, "client at the front", func() bool {
 				f.mu.Lock()
 				defer f.mu.Unlock()
 				return len(f.sessions) == i+1
--- a/internal/sink/webhook/webhook_test.go
+++ b/internal/sink/webhook/webhook_test.go
@@ -61,7 +61,7 @@
 
 // newSink returns a sink that retries without delay.
 func newSink(url string, parallel, maxQueued int) *Sink {
-	s := New(Options{URL: url, Key: []byte("0123456789abcdef0123456789abcdef"), Timeout: byhand.Patience,
+	s := New(Options{URL: url, Key: []byte("0123456789abcdef0123456789abcdef"), Timeout: byhand.Timeout,
 		Parallel: parallel, MaxQueued: maxQueued, Log: slog.New(slog.DiscardHandler)})
 	s.pause = func(context.Context, time.Duration) {}
 	return s
@@ -121,7 +121,7 @@
 	if got := s.queue.Dropped(); got < 12 || got > 13 { // the loop may hold one
 		t.Errorf("%d dropped, want 12 or 13", got)
 	}
-	byhand.Until(t, "confirmation of the dropped notices while the receiver is silent",
+	byhand.WaitUntil(t, "confirmation of the dropped notices while the receiver is silent",
 		func() bool { return confirmed.Load() >= 12 })
 	one.status <- 200
 	two.status <- 200
@@ -132,5 +132,5 @@
 		}
 		p.status <- 200
 	}
-	byhand.Until(t, "confirmation of all", func() bool { return confirmed.Load() >= 20 })
+	byhand.WaitUntil(t, "confirmation of all", func() bool { return confirmed.Load() >= 20 })
 }
--- a/internal/transport/http/answer_test.go
+++ b/internal/transport/http/answer_test.go
@@ -47,7 +47,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			e, c := byhand.NewEndpoint(t), newTestTransport()
-			got := startAttempt(t.Context(), c, newAttempt(e.Addr(), "hello", byhand.Patience))
+			got := startAttempt(t.Context(), c, newAttempt(e.Addr(), "hello", byhand.Timeout))
 			in := byhand.Await(t, e.Calls, "call")
 			io.WriteString(in.Conn, text)
 			if r := byhand.Await(t, got, "result"); r.Outcome != logic.InvalidResponse || r.MessageEnded {
@@ -70,7 +70,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			e, c := byhand.NewEndpoint(t), newTestTransport()
-			got := startAttempt(t.Context(), c, newAttempt(e.Addr(), "hello", byhand.Patience))
+			got := startAttempt(t.Context(), c, newAttempt(e.Addr(), "hello", byhand.Timeout))
 			in := byhand.Await(t, e.Calls, "call")
 			go io.WriteString(in.Conn, "HTTP/1.1 200 OK\r\n"+rest)
 			if r := byhand.Await(t, got, "result"); r.Outcome != logic.Completed {
@@ -87,11 +87,11 @@
 func TestUnrequestedResponse(t *testing.T) {
 	e, c := byhand.NewEndpoint(t), newTestTransport()
 	c.reuseDelay = time.Hour
-	got := startAttempt(t.Context(), c, newAttempt(e.Addr(), "hello", byhand.Patience))
+	got := startAttempt(t.Context(), c, newAttempt(e.Addr(), "hello", byhand.Timeout))
 	first := byhand.Await(t, e.Calls, "call")
 	first.Reply(200)
 	byhand.Await(t, got, "result")
-	got = startAttempt(t.Context(), c, newAttempt(e.Addr(), "hello", byhand.Patience))
+	got = startAttempt(t.Context(), c, newAttempt(e.Addr(), "hello", byhand.Timeout))
 	second := byhand.Await(t, e.Calls, "call")
 	if second.Conn == first.Conn {
 		t.Fatal("the connection was reused before an unrequested response could be detected")
@@ -101,13 +101,13 @@
 	if r := byhand.Await(t, got, "result"); r.Outcome != logic.Errored {
 		t.Errorf("got %+v, want Errored", r)
 	}
-	byhand.Until(t, "unrequested response", func() bool {
+	byhand.WaitUntil(t, "unrequested response", func() bool {
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		return !c.reusable(c.idle[1][0])
 	})
 	c.reuseDelay = 0
-	got = startAttempt(t.Context(), c, newAttempt(e.Addr(), "hello", byhand.Patience))
+	got = startAttempt(t.Context(), c, newAttempt(e.Addr(), "hello", byhand.Timeout))
 	third := byhand.Await(t, e.Calls, "call")
 	if third.Conn == first.Conn {
 		t.Error("a call on a connection with an unrequested response")
@@ -123,15 +123,15 @@
 	for _, x := range []struct {
 		name string
 		time time.Duration
-		end  func(cancel func(), in *byhand.InCall)
+		end  func(cancel func(), in *byhand.ReceivedCall)
 		want logic.Outcome
 	}{
-		{"late", byhand.Patience, func(_ func(), in *byhand.InCall) {
+		{"late", byhand.Timeout, func(_ func(), in *byhand.ReceivedCall) {
 			time.Sleep(responseTimeout + responseTimeout/4) // longer than the limit for the rest of a head
 			in.Reply(200)
 		}, logic.Completed},
-		{"cancelled", byhand.Patience, func(cancel func(), in *byhand.InCall) { cancel(); in.AwaitEnd(t); in.Reset() }, logic.Cancelled},
-		{"silent", 100 * time.Millisecond, func(_ func(), in *byhand.InCall) { in.AwaitEnd(t); in.Reset() }, logic.TimedOut},
+		{"cancelled", byhand.Timeout, func(cancel func(), in *byhand.ReceivedCall) { cancel(); in.AwaitEnd(t); in.Reset() }, logic.Cancelled},
+		{"silent", 100 * time.Millisecond, func(_ func(), in *byhand.ReceivedCall) { in.AwaitEnd(t); in.Reset() }, logic.TimedOut},
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			t.Parallel()
@@ -153,22 +153,22 @@
 // is closed to make room.
 func TestNoDescriptors(t *testing.T) {
 	e, c := byhand.NewEndpoint(t), New(time.Second, time.Hour, Limits{Open: 1, Idle: 1, PerEndpoint: 4})
-	got := startAttempt(t.Context(), c, newAttempt(e.Addr(), "hello", byhand.Patience))
+	got := startAttempt(t.Context(), c, newAttempt(e.Addr(), "hello", byhand.Timeout))
 	in := byhand.Await(t, e.Calls, "call")
-	if r := c.Attempt(t.Context(), newAttempt(e.Addr(), "hello", byhand.Patience)); r.Outcome != logic.NotSent || !r.LocalFailure {
+	if r := c.Attempt(t.Context(), newAttempt(e.Addr(), "hello", byhand.Timeout)); r.Outcome != logic.NotSent || !r.LocalFailure {
 		t.Errorf("got %+v, want NotSent for a local cause", r)
 	}
 	in.Reply(200)
 	byhand.Await(t, got, "result")
 	other := byhand.NewEndpoint(t)
-	call := newAttempt(other.Addr(), "hello", byhand.Patience)
+	call := newAttempt(other.Addr(), "hello", byhand.Timeout)
 	call.Endpoint = 2
 	got = startAttempt(t.Context(), c, call)
 	byhand.Await(t, other.Calls, "call where an idle connection made room").Reply(200)
 	byhand.Await(t, got, "result")
 	c.CloseIdle(2)
 	c.dialer.Control = func(_, _ string, _ syscall.RawConn) error { return syscall.EMFILE }
-	if r := c.Attempt(t.Context(), newAttempt(e.Addr(), "hello", byhand.Patience)); r.Outcome != logic.NotSent || !r.LocalFailure {
+	if r := c.Attempt(t.Context(), newAttempt(e.Addr(), "hello", byhand.Timeout)); r.Outcome != logic.NotSent || !r.LocalFailure {
 		t.Errorf("got %+v, want NotSent for a local cause", r)
 	}
 	if c.openCount != 0 || c.idleCount != 0 {
@@ -187,7 +187,7 @@
 		conn, peer := net.Pipe()
 		defer conn.Close()
 		defer peer.Close()
-		r, keep := readResponse(newReader(in), &callTimer{conn: conn, deadline: time.Now().Add(byhand.Patience)}, nil, false, nil)
+		r, keep := readResponse(newReader(in), &callTimer{conn: conn, deadline: time.Now().Add(byhand.Timeout)}, nil, false, nil)
 		if r.Outcome == logic.Completed && !(strings.Contains(in, "HTTP/1.") && strings.Contains(in, " 200")) {
 			t.Errorf("%q was read as a delivery", in)
 		}
@@ -201,21 +201,21 @@
 func TestUnrepeatableAvoidsReuseAfterBrokenConnection(t *testing.T) {
 	e, c := byhand.NewEndpoint(t), newTestTransport()
 	c.reuseDelay = 0
-	call := func(unrepeatable bool, end func(*byhand.InCall)) (*byhand.InCall, core.Result) {
+	call := func(unrepeatable bool, end func(*byhand.ReceivedCall)) (*byhand.ReceivedCall, core.Result) {
 		t.Helper()
-		in := newAttempt(e.Addr(), "hello", byhand.Patience)
+		in := newAttempt(e.Addr(), "hello", byhand.Timeout)
 		in.Unrepeatable = unrepeatable
 		got := startAttempt(t.Context(), c, in)
 		out := byhand.Await(t, e.Calls, "call")
 		end(out)
 		return out, byhand.Await(t, got, "result")
 	}
-	answered := func(in *byhand.InCall) { in.Reply(200) }
+	answered := func(in *byhand.ReceivedCall) { in.Reply(200) }
 	first, _ := call(true, answered)
 	if second, _ := call(true, answered); second.Conn != first.Conn {
 		t.Error("idle connections are not reused although none broke")
 	}
-	if _, r := call(false, (*byhand.InCall).Reset); r.Outcome != logic.ConnectionBroken {
+	if _, r := call(false, (*byhand.ReceivedCall).Reset); r.Outcome != logic.ConnectionBroken {
 		t.Errorf("got %+v, want ConnectionBroken", r)
 	}
 	third, _ := call(false, answered)
@@ -276,7 +276,7 @@
 		t.Run(x.name, func(t *testing.T) {
 			here, there := net.Pipe()
 			defer here.Close()
-			timer := &callTimer{conn: here, deadline: time.Now().Add(byhand.Patience), linger: byhand.Patience}
+			timer := &callTimer{conn: here, deadline: time.Now().Add(byhand.Timeout), linger: byhand.Timeout}
 			got := make(chan core.Result, 1)
 			go func() {
 				r, _ := readResponse(bufio.NewReader(here), timer, nil, false, nil)
--- a/internal/transport/http/batch_test.go
+++ b/internal/transport/http/batch_test.go
@@ -22,7 +22,7 @@
 func newBatch(addr string, n int, body string) []*core.Attempt {
 	var out []*core.Attempt
 	for i := range n {
-		a := newAttempt(addr, body, byhand.Patience)
+		a := newAttempt(addr, body, byhand.Timeout)
 		a.Message = &message.Message{ID: fmt.Sprint("m", i), Key: "k<\"", Body: []byte(body)}
 		out = append(out, a)
 	}
@@ -37,7 +37,7 @@
 }
 
 // batchIDs returns the IDs of the messages in a batch request, after checking their bodies and keys.
-func batchIDs(t *testing.T, in *byhand.InCall, body string) string {
+func batchIDs(t *testing.T, in *byhand.ReceivedCall, body string) string {
 	t.Helper()
 	var list []batchItem
 	if err := json.Unmarshal([]byte(in.Body), &list); err != nil || in.Req.URL.Path != "/inbox/bulk" {
@@ -126,7 +126,7 @@
 	if r := byhand.Await(t, startBatch(t.Context(), c, call), "results"); r[0].Outcome != logic.NotSent || r[1].Outcome != logic.NotSent {
 		t.Errorf("got %+v", r)
 	}
-	e.None(t)
+	e.ExpectNoCall(t)
 }
 
 // Bodies that exceed one call go in the next call on the same slot, and are not sent after a refusal.
@@ -139,14 +139,14 @@
 		if s := batchIDs(t, in, body); s != "m0 m1" || len(in.Body) > maxBatchBytes {
 			t.Errorf("first call with %s, %d bytes", s, len(in.Body))
 		}
-		reply := func(in *byhand.InCall, head, first, second string) {
+		reply := func(in *byhand.ReceivedCall, head, first, second string) {
 			response := fmt.Sprintf(`[{"id":%q,"state":"done"},{"id":%q,"state":"done"}]`, first, second)
 			fmt.Fprintf(in.Conn, "HTTP/1.1 200 OK\r\n%sContent-Length: %d\r\n\r\n%s", head, len(response), response)
 			in.Done <- true
 		}
 		reply(in, "", "m0", "m1")
 		in = byhand.Await(t, e.Calls, "second call")
-		if ms, _ := strconv.Atoi(in.Req.Header.Get("X-Expires-In-Ms")); ms >= int(byhand.Patience.Milliseconds()) {
+		if ms, _ := strconv.Atoi(in.Req.Header.Get("X-Expires-In-Ms")); ms >= int(byhand.Timeout.Milliseconds()) {
 			t.Errorf("the second call allows %d ms, as much as the first", ms)
 		}
 		if s := batchIDs(t, in, body); s != "m2 m3" {
--- a/internal/transport/http/calls_test.go
+++ b/internal/transport/http/calls_test.go
@@ -53,7 +53,7 @@
 		{504, nil, core.Result{Outcome: logic.NotSent}},
 		{410, nil, core.Result{Outcome: logic.NotSent, MessageEnded: true}},
 	} {
-		got := startAttempt(t.Context(), c, newAttempt(e.Addr(), "hello", byhand.Patience))
+		got := startAttempt(t.Context(), c, newAttempt(e.Addr(), "hello", byhand.Timeout))
 		in := byhand.Await(t, e.Calls, "call")
 		left, err := strconv.Atoi(in.Req.Header.Get("X-Expires-In-Ms"))
 		if in.Body != "hello" || in.ID() != "m1" || in.Req.Header.Get("Idempotency-Key") != "k1" || err != nil ||
@@ -87,7 +87,7 @@
 	c := newTestTransport()
 	c.dialer.Control = small
 	// Far more than both buffers hold, so that the last byte cannot have been written.
-	got := startAttempt(t.Context(), c, newAttempt(ln.Addr().String(), strings.Repeat("x", 8<<20), byhand.Patience))
+	got := startAttempt(t.Context(), c, newAttempt(ln.Addr().String(), strings.Repeat("x", 8<<20), byhand.Timeout))
 	conn, err := ln.Accept()
 	if err != nil {
 		t.Fatal(err)
@@ -105,12 +105,12 @@
 // A call whose connection ends after the last byte was written may have run.
 func TestBreakAfterLastByte(t *testing.T) {
 	e, c := byhand.NewEndpoint(t), newTestTransport()
-	got := startAttempt(t.Context(), c, newAttempt(e.Addr(), "hello", byhand.Patience))
+	got := startAttempt(t.Context(), c, newAttempt(e.Addr(), "hello", byhand.Timeout))
 	byhand.Await(t, e.Calls, "call").Reset()
 	if r := byhand.Await(t, got, "result"); r.Outcome != logic.ConnectionBroken {
 		t.Errorf("reset: got %+v, want ConnectionBroken", r)
 	}
-	got = startAttempt(t.Context(), c, newAttempt(e.Addr(), "hello", byhand.Patience))
+	got = startAttempt(t.Context(), c, newAttempt(e.Addr(), "hello", byhand.Timeout))
 	in := byhand.Await(t, e.Calls, "call")
 	io.WriteString(in.Conn, "HTTP/1.1 2")
 	in.Conn.Close()
@@ -124,7 +124,7 @@
 func TestConnectionRefused(t *testing.T) {
 	e, c := byhand.NewEndpoint(t), newTestTransport()
 	e.Ln.Close()
-	if r := c.Attempt(t.Context(), newAttempt(e.Addr(), "hello", byhand.Patience)); r.Outcome != logic.ConnectionRefused {
+	if r := c.Attempt(t.Context(), newAttempt(e.Addr(), "hello", byhand.Timeout)); r.Outcome != logic.ConnectionRefused {
 		t.Errorf("got %+v, want ConnectionRefused", r)
 	}
 }
@@ -134,28 +134,28 @@
 func TestStaleConnection(t *testing.T) {
 	e, c := byhand.NewEndpoint(t), New(time.Second, time.Hour, Limits{Open: 16, Idle: 16, PerEndpoint: 4})
 	c.reuseDelay = 0
-	call := func(end func(*byhand.InCall)) {
+	call := func(end func(*byhand.ReceivedCall)) {
 		t.Helper()
-		got := startAttempt(t.Context(), c, newAttempt(e.Addr(), "hello", byhand.Patience))
+		got := startAttempt(t.Context(), c, newAttempt(e.Addr(), "hello", byhand.Timeout))
 		end(byhand.Await(t, e.Calls, "call"))
 		if r := byhand.Await(t, got, "result"); r.Outcome != logic.Completed {
 			t.Fatalf("got %+v, want Completed", r)
 		}
 	}
-	call(func(in *byhand.InCall) { in.ReplyAndClose(200) })
-	byhand.Until(t, "end of the connection", func() bool {
+	call(func(in *byhand.ReceivedCall) { in.ReplyAndClose(200) })
+	byhand.WaitUntil(t, "end of the connection", func() bool {
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		return len(c.idle[1]) == 0 || !c.reusable(c.idle[1][0])
 	})
-	call(func(in *byhand.InCall) { in.Reply(200) })
+	call(func(in *byhand.ReceivedCall) { in.Reply(200) })
 	if n := len(e.Conns); n != 2 {
 		t.Fatalf("%d connections, want a second after the first was closed", n)
 	}
 	c.mu.Lock()
 	c.idle[1][0].idleSince = time.Now().Add(200*time.Millisecond - time.Hour)
 	c.mu.Unlock()
-	call(func(in *byhand.InCall) { in.Reply(200) })
+	call(func(in *byhand.ReceivedCall) { in.Reply(200) })
 	if n := len(e.Conns); n != 3 {
 		t.Fatalf("%d connections, want a third after the second reached its idle timeout", n)
 	}
@@ -172,9 +172,9 @@
 // overlap with it.
 func TestAbandonedCall(t *testing.T) {
 	e, c := byhand.NewEndpoint(t), newTestTransport()
-	c.linger = 2 * byhand.Patience // only the endpoint can end the call earlier
+	c.linger = 2 * byhand.Timeout // only the endpoint can end the call earlier
 	ctx, cancel := context.WithCancel(t.Context())
-	got := startAttempt(ctx, c, newAttempt(e.Addr(), "hello", byhand.Patience))
+	got := startAttempt(ctx, c, newAttempt(e.Addr(), "hello", byhand.Timeout))
 	in := byhand.Await(t, e.Calls, "call")
 	cancel()
 	in.AwaitEnd(t)
@@ -190,7 +190,7 @@
 		t.Errorf("timed out: got %+v, want TimedOut", r)
 	}
 	ctx, cancel = context.WithCancel(t.Context())
-	got = startAttempt(ctx, c, newAttempt(e.Addr(), "hello", byhand.Patience))
+	got = startAttempt(ctx, c, newAttempt(e.Addr(), "hello", byhand.Timeout))
 	in = byhand.Await(t, e.Calls, "call")
 	cancel()
 	in.AwaitEnd(t)
@@ -215,16 +215,16 @@
 	e, c := byhand.NewEndpoint(t), newTestTransport()
 	ctx, cancel := context.WithCancel(t.Context())
 	c.dialer.Control = func(_, _ string, _ syscall.RawConn) error { cancel(); return nil }
-	if r := c.Attempt(ctx, newAttempt(e.Addr(), "hello", byhand.Patience)); r.Outcome != logic.ConnectionRefused {
+	if r := c.Attempt(ctx, newAttempt(e.Addr(), "hello", byhand.Timeout)); r.Outcome != logic.ConnectionRefused {
 		t.Errorf("got %+v, want ConnectionRefused", r)
 	}
-	e.None(t)
+	e.ExpectNoCall(t)
 }
 
 // A requested wait or a drain that arrives while a call connects applies to it: the request must not be written.
 func TestWithheldWhileConnecting(t *testing.T) {
 	e, c := byhand.NewEndpoint(t), newTestTransport()
-	in := newAttempt(e.Addr(), "hello", byhand.Patience)
+	in := newAttempt(e.Addr(), "hello", byhand.Timeout)
 	c.dialer.Control = func(_, _ string, _ syscall.RawConn) error {
 		in.Withhold(permit.WaitRequested)
 		return nil
@@ -232,19 +232,19 @@
 	if r := c.Attempt(t.Context(), in); r.Outcome != logic.NotSent {
 		t.Errorf("got %+v, want NotSent", r)
 	}
-	e.None(t)
+	e.ExpectNoCall(t)
 }
 
 // A repeat that would be written after the destination has dropped its idempotency key, because connecting took long,
 // is not sent.
 func TestExpiredAttemptNotWritten(t *testing.T) {
 	e, c := byhand.NewEndpoint(t), newTestTransport()
-	in := newAttempt(e.Addr(), "hello", byhand.Patience)
+	in := newAttempt(e.Addr(), "hello", byhand.Timeout)
 	in.Expires = time.Now().Add(-time.Millisecond)
 	if r := c.Attempt(t.Context(), in); r.Outcome != logic.NotSent {
 		t.Errorf("got %+v, want NotSent", r)
 	}
-	e.None(t)
+	e.ExpectNoCall(t)
 }
 
 // An idle connection is not reused if a pause of the process could delay the write beyond the idle timeout.
@@ -257,7 +257,7 @@
 		c := New(time.Second, x.idle, Limits{Open: 8, Idle: 8, PerEndpoint: 8})
 		var conns []net.Conn
 		for range 2 {
-			got := startAttempt(t.Context(), c, newAttempt(e.Addr(), "hello", byhand.Patience))
+			got := startAttempt(t.Context(), c, newAttempt(e.Addr(), "hello", byhand.Timeout))
 			in := byhand.Await(t, e.Calls, "call")
 			conns = append(conns, in.Conn)
 			in.Reply(200)
@@ -295,7 +295,7 @@
 // An interim response is not the outcome.
 func TestInterimResponse(t *testing.T) {
 	e, c := byhand.NewEndpoint(t), newTestTransport()
-	got := startAttempt(t.Context(), c, newAttempt(e.Addr(), "hello", byhand.Patience))
+	got := startAttempt(t.Context(), c, newAttempt(e.Addr(), "hello", byhand.Timeout))
 	in := byhand.Await(t, e.Calls, "call")
 	io.WriteString(in.Conn, "HTTP/1.1 102 Processing\r\n\r\n")
 	in.Reply(200)
@@ -309,9 +309,9 @@
 func TestNewEndpointAtOldAddress(t *testing.T) {
 	e, c := byhand.NewEndpoint(t), newTestTransport()
 	c.reuseDelay = 0
-	call := func(ep logic.EndpointID) *byhand.InCall {
+	call := func(ep logic.EndpointID) *byhand.ReceivedCall {
 		t.Helper()
-		in := newAttempt(e.Addr(), "hello", byhand.Patience)
+		in := newAttempt(e.Addr(), "hello", byhand.Timeout)
 		in.Endpoint = ep
 		got := startAttempt(t.Context(), c, in)
 		out := byhand.Await(t, e.Calls, "call")
@@ -334,12 +334,12 @@
 func TestWithheldAttemptLeavesIdleTime(t *testing.T) {
 	e, c := byhand.NewEndpoint(t), newTestTransport()
 	c.reuseDelay = 0
-	got := startAttempt(t.Context(), c, newAttempt(e.Addr(), "hello", byhand.Patience))
+	got := startAttempt(t.Context(), c, newAttempt(e.Addr(), "hello", byhand.Timeout))
 	byhand.Await(t, e.Calls, "call").Reply(200)
 	byhand.Await(t, got, "result")
 	idleSince := time.Now().Add(-5 * time.Second)
 	c.idle[1][0].idleSince = idleSince
-	withheld := newAttempt(e.Addr(), "hello", byhand.Patience)
+	withheld := newAttempt(e.Addr(), "hello", byhand.Timeout)
 	withheld.Withhold(permit.WaitRequested)
 	if r := c.Attempt(t.Context(), withheld); r.Outcome != logic.NotSent {
 		t.Fatalf("the withheld attempt has the result %+v", r)
