--- a/cmd/measure/cluster.go
+++ b/cmd/measure/cluster.go
@@ -105,12 +105,12 @@
 					r, _, err := c.Play(o, clusterPatience)
 					mu.Lock()
 					defer mu.Unlock()
-					gone, flaps = gone+r.Gone, flaps+r.Flaps
+					gone, flaps = gone+r.FalselyGone, flaps+r.StateChanges
 					switch {
-					case r.Known > 0:
-						known = append(known, r.Known)
-					case r.Equal > 0:
-						equal = append(equal, r.Equal)
+					case r.DetectionTime > 0:
+						known = append(known, r.DetectionTime)
+					case r.ConvergenceTime > 0:
+						equal = append(equal, r.ConvergenceTime)
 					default:
 						missed++
 					}
@@ -159,7 +159,7 @@
 					return err
 				}
 				defer p.Close()
-				o.Senders, o.Seed, o.Config = senders, seed+uint64(i), fleet.Partners(p)
+				o.Senders, o.Seed, o.Config = senders, seed+uint64(i), fleet.PartnerConfig(p)
 				f, err := fleet.Start(o)
 				if err != nil {
 					return err
@@ -167,7 +167,7 @@
 				defer f.Close()
 				feed, stop, done := &fleet.Feed{Partner: "acme", Class: "safe", Rate: 250}, make(chan struct{}), make(chan struct{})
 				go func() { feed.Run(f, stop); close(done) }()
-				s := fleet.DrawScript(seed+uint64(i), senders, 12*time.Second)
+				s := fleet.RandomScript(seed+uint64(i), senders, 12*time.Second)
 				err = f.Play(&s)
 				close(stop)
 				<-done
@@ -178,7 +178,7 @@
 						n++
 					}
 				}
-				_, most = fleet.Over(list, rate)
+				_, most = fleet.WindowsOverRate(list, rate)
 				mu.Lock()
 				defer mu.Unlock()
 				windows, worst, calls, used = windows+n, max(worst, most), calls+len(list), used+float64(len(list))/rate/12
@@ -280,15 +280,15 @@
 				}
 				defer f.Close()
 				if more != "off" {
-					if took, ok := f.Until(clusterPatience, fleet.AllHere); !ok {
+					if took, ok := f.WaitUntil(clusterPatience, fleet.AllReachable); !ok {
 						return fmt.Errorf("%d senders did not meet within %v", n, took)
 					}
 				}
 				before := usage(f)
-				sent, bytes := f.Carried()
+				sent, bytes := f.Forwarded()
 				time.Sleep(10 * time.Second)
 				after := usage(f)
-				sentAfter, bytesAfter := f.Carried()
+				sentAfter, bytesAfter := f.Forwarded()
 				fmt.Printf("%d senders, %q: each %.2f%% of a core, %.1f MB (%.1f MB with its guard), %d descriptors; %d datagrams a second in all; each sends %.1f KB a second with 28 bytes of IP and UDP each\n", n,
 					strings.ReplaceAll(more, "\n", "; "), (after.cpu-before.cpu).Seconds()*10/float64(n), after.own/float64(n)/1024, after.all/float64(n)/1024,
 					after.files/n, (sentAfter-sent)/10, float64(bytesAfter-bytes+28*(sentAfter-sent))/1000/10/float64(n))
@@ -358,7 +358,7 @@
 	}
 	defer p.Close()
 	return inDir(opts, func(o fleet.Options) error {
-		o.Senders, o.Seed, o.Config = s.Senders, s.Seed, fleet.Partners(p)
+		o.Senders, o.Seed, o.Config = s.Senders, s.Seed, fleet.PartnerConfig(p)
 		f, err := fleet.Start(o)
 		if err != nil {
 			return err
@@ -369,7 +369,7 @@
 		over := make(chan error, 1)
 		go func() { over <- f.Play(s) }()
 		var played error
-		f.Until(time.Duration(s.For)+clusterPatience, func([]fleet.Seen) bool {
+		f.WaitUntil(time.Duration(s.For)+clusterPatience, func([]fleet.SenderView) bool {
 			select {
 			case played = <-over:
 				return true
@@ -379,11 +379,11 @@
 		})
 		close(stop)
 		<-done
-		f.Time.Record(p)
-		n, worst := fleet.Over(p.Calls(), p.Rate())
+		f.Timeline.RecordCalls(p)
+		n, worst := fleet.WindowsOverRate(p.Calls(), p.Rate())
 		fmt.Printf("%d calls; %d windows over the rate, the worst with %d\n", len(p.Calls()), n, worst)
-		for name, write := range map[string]func(w *os.File) error{"timeline.json": func(w *os.File) error { return f.Time.WriteJSON(w) },
-			"timeline.svg": func(w *os.File) error { return f.Time.WriteSVG(w) }} {
+		for name, write := range map[string]func(w *os.File) error{"timeline.json": func(w *os.File) error { return f.Timeline.WriteJSON(w) },
+			"timeline.svg": func(w *os.File) error { return f.Timeline.WriteSVG(w) }} {
 			w, err := os.Create(filepath.Join(out, name))
 			if err != nil {
 				return err
--- a/cmd/measure/knowledge.go
+++ b/cmd/measure/knowledge.go
@@ -105,7 +105,7 @@
 // inFleet starts senders that share a partner, and facts or not, and has them meet.
 // One alone knows of no others.
 func inFleet(bin string, n int, seed uint64, shared bool, p *partner.Partner, play func(*fleet.Fleet) error) error {
-	opts := fleet.Options{Program: bin, Senders: n, Seed: seed, Config: fleet.Partners(p), Cluster: fmt.Sprintf("lease = \"1s\"\nfacts = %v", shared)}
+	opts := fleet.Options{Program: bin, Senders: n, Seed: seed, Config: fleet.PartnerConfig(p), Cluster: fmt.Sprintf("lease = \"1s\"\nfacts = %v", shared)}
 	if n == 1 {
 		opts.Cluster = "off"
 	}
@@ -116,7 +116,7 @@
 		}
 		defer f.Close()
 		if n > 1 {
-			if _, ok := f.Until(clusterPatience, fleet.AllHere); !ok {
+			if _, ok := f.WaitUntil(clusterPatience, fleet.AllReachable); !ok {
 				return fmt.Errorf("the senders did not meet")
 			}
 		}
@@ -137,18 +137,18 @@
 				switch {
 				case i == k:
 				case link == "20% lost":
-					f.Fault(i, k, fleet.Faults{Loss: 0.2})
+					f.SetFaults(i, k, fleet.Faults{Loss: 0.2})
 				case link == "s0 is heard by nobody" && i == 0:
-					f.Fault(i, k, fleet.Faults{Cut: true})
+					f.SetFaults(i, k, fleet.Faults{Cut: true})
 				}
 			}
 		}
 		feed, stop, done := &fleet.Feed{Partner: "acme", Class: "safe", Rate: all / float64(n)}, make(chan struct{}), make(chan struct{})
 		go func() { feed.Run(f, stop); close(done) }()
-		f.Until(length, func([]fleet.Seen) bool { return false })
+		f.WaitUntil(length, func([]fleet.SenderView) bool { return false })
 		close(stop)
 		<-done
-		out = fleet.InWaits(p.Calls(), wait, early)
+		out = fleet.CheckWaits(p.Calls(), wait, early)
 		return nil
 	})
 	return out, err
@@ -179,7 +179,7 @@
 				err = inFleet(bin, n, 1, shared, p, func(f *fleet.Fleet) error {
 					feed, stop, done := &fleet.Feed{Partner: "acme", Class: "safe", Rate: 120 / float64(n)}, make(chan struct{}), make(chan struct{})
 					go func() { feed.Run(f, stop); close(done) }()
-					span := func(d time.Duration) { f.Until(d, func([]fleet.Seen) bool { return false }) }
+					span := func(d time.Duration) { f.WaitUntil(d, func([]fleet.SenderView) bool { return false }) }
 					span(2 * time.Second)
 					p.Set(partner.Full)
 					span(settled)
@@ -191,12 +191,12 @@
 					close(stop)
 					<-done
 					calls := p.Calls()
-					rates = append(rates, fmt.Sprintf("%.1f", fleet.Took(calls, "", from, back)))
+					rates = append(rates, fmt.Sprintf("%.1f", fleet.MeanRate(calls, "", from, back)))
 					at, busy := 20*time.Second, 20*time.Second
 					for _, c := range calls {
 						if d := c.At.Sub(back); d > 0 && c.Status == 200 {
 							at = min(at, d)
-							if fleet.Took(calls, "", c.At, c.At.Add(500*time.Millisecond)) >= 50 {
+							if fleet.MeanRate(calls, "", c.At, c.At.Add(500*time.Millisecond)) >= 50 {
 								busy = min(busy, d)
 							}
 						}
@@ -257,19 +257,19 @@
 		feed, stop, done := &fleet.Feed{Partner: "acme", Class: "safe", Rate: 5}, make(chan struct{}), make(chan struct{})
 		go func() { feed.Run(f, stop); close(done) }()
 		defer func() { close(stop); <-done }()
-		script := fleet.DrawScript(seed, senders, length)
+		script := fleet.RandomScript(seed, senders, length)
 		if err := f.Play(&script); err != nil {
 			return err
 		}
-		took, ok := f.TellAlike(20 * time.Second)
-		if _, ok := f.Until(clusterPatience, fleet.AllHere); !ok {
+		took, ok := f.WaitForEqualFacts(20 * time.Second)
+		if _, ok := f.WaitUntil(clusterPatience, fleet.AllReachable); !ok {
 			return fmt.Errorf("the senders did not meet again")
 		}
 		until := time.Now().Add(wait) // those that were told before may still hold
-		f.Until(wait, func([]fleet.Seen) bool { return time.Now().After(until) })
+		f.WaitUntil(wait, func([]fleet.SenderView) bool { return time.Now().After(until) })
 		n := len(p.Calls())
-		f.Until(2*wait, func([]fleet.Seen) bool { return false })
-		tell(took, ok, fleet.InWaits(p.Calls()[n:], wait, early))
+		f.WaitUntil(2*wait, func([]fleet.SenderView) bool { return false })
+		tell(took, ok, fleet.CheckWaits(p.Calls()[n:], wait, early))
 		return nil
 	})
 }
--- a/internal/lab/capacity/senders.go
+++ b/internal/lab/capacity/senders.go
@@ -50,7 +50,7 @@
 		return nil, err
 	}
 	defer f.Close()
-	if took, ok := f.Until(90*time.Second, fleet.AllHere); !ok {
+	if took, ok := f.WaitUntil(90*time.Second, fleet.AllReachable); !ok {
 		return nil, fmt.Errorf("%d senders did not meet within %v", size, took)
 	}
 	time.Sleep(r.Span) // the last answers of joining
@@ -67,12 +67,12 @@
 		return cpu, mb
 	}
 	cpu, _ := total()
-	sent, bytes := f.Carried()
+	sent, bytes := f.Forwarded()
 	from := time.Now()
 	time.Sleep(4 * r.Span)
 	after, mb := total()
 	span, n := time.Since(from).Seconds(), float64(size)
-	sentAfter, bytesAfter := f.Carried()
+	sentAfter, bytesAfter := f.Forwarded()
 	datagrams := float64(sentAfter - sent)
 	return []float64{(float64(bytesAfter-bytes) + heads*datagrams) / span / n, datagrams / span / n, 100 * (after - cpu).Seconds() / span / n, mb / n}, nil
 }
--- a/internal/standin/fleet/busy.go
+++ b/internal/standin/fleet/busy.go
@@ -9,58 +9,58 @@
 	"golang.org/x/sys/unix"
 )
 
-// Busy puts the process on one processor, beside a neighbour that never rests.
-func (s *Sender) Busy() error {
+// StartBusyNeighbor binds the process to one processor that it shares with a busy loop.
+func (s *Sender) StartBusyNeighbor() error {
 	pid := s.PID()
 	if pid == 0 {
 		return nil
 	}
-	var own, one unix.CPUSet
-	if err := unix.SchedGetaffinity(0, &own); err != nil {
+	var allowed, single unix.CPUSet
+	if err := unix.SchedGetaffinity(0, &allowed); err != nil {
 		return err
 	}
 	cpu, seen := 0, 0
-	for c := range len(own) * 64 {
-		if own.IsSet(c) {
-			if cpu = c; seen >= s.N%own.Count() {
+	for c := range len(allowed) * 64 {
+		if allowed.IsSet(c) {
+			if cpu = c; seen >= s.Number%allowed.Count() {
 				break
 			}
 			seen++
 		}
 	}
-	one.Set(cpu)
-	if err := pin(pid, &one); err != nil {
+	single.Set(cpu)
+	if err := pin(pid, &single); err != nil {
 		return err
 	}
-	var over atomic.Bool
+	var stopped atomic.Bool
 	go func() {
 		runtime.LockOSThread() // never unlocked: the thread ends with the goroutine
-		unix.SchedSetaffinity(0, &one)
-		for !over.Load() {
+		unix.SchedSetaffinity(0, &single)
+		for !stopped.Load() {
 		}
 	}()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.fleet.Time.note(Entry{Do: Busy, Who: []int{s.N}})
-	s.calm = func() {
-		over.Store(true)
-		pin(pid, &own)
+	s.fleet.Timeline.add(Entry{Action: AddBusyNeighbor, Senders: []int{s.Number}})
+	s.stopBusy = func() {
+		stopped.Store(true)
+		pin(pid, &allowed)
 	}
 	return nil
 }
 
-// Calm ends the busy neighbour.
-func (s *Sender) Calm() {
+// StopBusyNeighbor stops the busy loop and lifts the binding.
+func (s *Sender) StopBusyNeighbor() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.calm != nil {
-		s.calm()
-		s.calm = nil
-		s.fleet.Time.note(Entry{Do: Calm, Who: []int{s.N}})
+	if s.stopBusy != nil {
+		s.stopBusy()
+		s.stopBusy = nil
+		s.fleet.Timeline.add(Entry{Action: RemoveBusyNeighbor, Senders: []int{s.Number}})
 	}
 }
 
-// pin sets where each thread of a process may run.
+// pin sets the processors that each thread of a process may use.
 func pin(pid int, set *unix.CPUSet) error {
 	list, err := os.ReadDir("/proc/" + strconv.Itoa(pid) + "/task")
 	if err != nil {
--- a/internal/standin/fleet/doc.go
+++ b/internal/standin/fleet/doc.go
@@ -1,7 +1,6 @@
-// Package fleet runs several processes of the real program side by side and puts
-// faults between them: each reaches the others only through relays, so that every
-// directed pair of senders loses, delays, doubles, cuts or slows what it carries as
-// a script says. Processes are paused, killed and restarted. What happened, what
-// each sender believed of the others and what partners recorded come as one time
-// line.
+// Package fleet runs several processes of the real program side by side and injects faults between
+// them. Senders reach each other only through relays, so each directed pair can lose, delay,
+// duplicate, cut or throttle its traffic as a script demands. Processes can be paused, killed and
+// restarted. The timeline records the faults, what each sender reports about the others, and the
+// calls that partners recorded.
 package fleet
--- a/internal/standin/fleet/feed.go
+++ b/internal/standin/fleet/feed.go
@@ -11,50 +11,50 @@
 	"cometrack/internal/standin/traffic"
 )
 
-// Feed offers messages for one partner to each sender that runs, evenly spaced over
-// the fleet, whatever the answers are.
+// Feed submits messages for one partner to each running sender, evenly spaced over the fleet,
+// whatever the replies.
 type Feed struct {
 	Partner string
 	Class   string
-	Rate    float64 // messages a second to each sender
+	Rate    float64 // messages per second and sender
 
-	Taken, Refused, Lost atomic.Int64 // answers; lost: none came
+	Accepted, Rejected, Unanswered atomic.Int64 // by reply; Unanswered counts failed writes
 }
 
-// patience bounds the wait for one answer.
-const patience = 5 * time.Second
+// writeTimeout bounds the write of one message.
+const writeTimeout = 5 * time.Second
 
-// Run offers messages until stop is closed. It returns once all answers are in.
+// Run submits messages until stop is closed. It returns once all replies have arrived.
 func (d *Feed) Run(f *Fleet, stop <-chan struct{}) {
 	var all sync.WaitGroup
-	gap := time.Duration(float64(time.Second) / d.Rate)
+	interval := time.Duration(float64(time.Second) / d.Rate)
 	for i, s := range f.senders {
 		all.Go(func() {
-			first := time.NewTimer(gap * time.Duration(i) / time.Duration(len(f.senders)))
+			first := time.NewTimer(interval * time.Duration(i) / time.Duration(len(f.senders)))
 			defer first.Stop()
 			select {
 			case <-stop:
 			case <-first.C:
-				d.feed(s, gap, stop)
+				d.feedSender(s, interval, stop)
 			}
 		})
 	}
 	all.Wait()
 }
 
-func (d *Feed) feed(s *Sender, gap time.Duration, stop <-chan struct{}) {
-	tick := time.NewTicker(gap)
+func (d *Feed) feedSender(s *Sender, interval time.Duration, stop <-chan struct{}) {
+	tick := time.NewTicker(interval)
 	defer tick.Stop()
 	var conn *traffic.RESP
 	var answers sync.WaitGroup
-	drop := func() {
+	disconnect := func() {
 		if conn != nil {
 			conn.Close()
 			answers.Wait()
 			conn = nil
 		}
 	}
-	defer func() { drop() }()
+	defer func() { disconnect() }()
 	for n := 0; ; n++ {
 		select {
 		case <-stop:
@@ -70,34 +70,34 @@
 				continue
 			}
 			conn = c
-			answers.Go(func() { d.answers(c) })
+			answers.Go(func() { d.readReplies(c) })
 		}
 		id := fmt.Sprintf("%s-%d-%d", s.Name, s.PID(), n)
-		conn.SetWriteDeadline(time.Now().Add(patience))
+		conn.SetWriteDeadline(time.Now().Add(writeTimeout))
 		if err := conn.Put("0", id, fmt.Sprintf("c=%s,d=6000,dest=%s", d.Class, d.Partner), []byte("body of "+id)); err != nil {
-			d.Lost.Add(1)
-			drop()
+			d.Unanswered.Add(1)
+			disconnect()
 		}
 	}
 }
 
-func (d *Feed) answers(c *traffic.RESP) {
+func (d *Feed) readReplies(c *traffic.RESP) {
 	for {
 		line, err := c.Answer()
 		switch {
 		case err != nil:
 			return
 		case line == "+OK":
-			d.Taken.Add(1)
+			d.Accepted.Add(1)
 		default:
-			d.Refused.Add(1)
+			d.Rejected.Add(1)
 		}
 	}
 }
 
-// Partners is the text of a configuration with a class of each effect and one
-// partner for each that is given.
-func Partners(list ...*partner.Partner) string {
+// PartnerConfig returns the part of a configuration with a class for each of two effects and an
+// entry for each given partner.
+func PartnerConfig(list ...*partner.Partner) string {
 	text := ""
 	for _, class := range []string{"safe", "unsafe"} {
 		text += fmt.Sprintf("[[class]]\nname = %q\neffect = %q\naim = \"2s\"\ndeadline = \"6s\"\n", class, class)
@@ -108,20 +108,20 @@
 	return text
 }
 
-// Record puts what a partner has recorded on the time line.
-func (t *Timeline) Record(p *partner.Partner) {
+// RecordCalls adds the calls that a partner has recorded to the timeline.
+func (t *Timeline) RecordCalls(p *partner.Partner) {
 	var rows []CallRow
 	for _, c := range p.Calls() {
-		rows = append(rows, CallRow{At: t.Since(c.At), From: c.From, ID: c.ID})
+		rows = append(rows, CallRow{At: t.Offset(c.At), From: c.From, ID: c.ID})
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.Calls[p.Name()] = rows
 }
 
-// Over counts the spans of a second that begin with a call and hold more calls
-// than the rate, of a partner's record.
-func Over(calls []partner.Call, rate int) (windows int, worst int) {
+// WindowsOverRate counts the windows of one second, each beginning at a call, that hold more calls
+// than rate. It returns their number and the largest number of calls in one.
+func WindowsOverRate(calls []partner.Call, rate int) (windows int, worst int) {
 	last := 0
 	for i := range calls {
 		for last < len(calls) && calls[last].At.Sub(calls[i].At) < time.Second {
@@ -135,9 +135,9 @@
 	return windows, worst
 }
 
-// Took is the mean rate of calls from an address within a span; from any if the
-// address is empty.
-func Took(calls []partner.Call, addr string, from, to time.Time) float64 {
+// MeanRate returns the mean rate of calls per second from an address in an interval; an empty
+// address counts all calls.
+func MeanRate(calls []partner.Call, addr string, from, to time.Time) float64 {
 	n := 0
 	host, _, err := net.SplitHostPort(addr)
 	if err != nil {
--- a/internal/standin/fleet/fleet.go
+++ b/internal/standin/fleet/fleet.go
@@ -14,82 +14,83 @@
 	"cometrack/internal/standin/program"
 )
 
-// MostSenders bounds a fleet: each is a process.
-const MostSenders = 60
+// MaxSenders is the largest size of a fleet; each sender is a process.
+const MaxSenders = 60
 
-// Ports of each sender, on an address of its own.
+// Ports of each sender, on a loopback address of its own.
 const (
 	ClusterPort = 7946
 	RESPPort    = 6379
 	ConsolePort = 7070
 )
 
-// Options say what a fleet is made of.
+// Options describe a fleet.
 type Options struct {
-	Program string // path of cometrack
-	Dir     string // for folders, files and logs
-	Senders int
-	Seats   int // "senders" in the files; 0 for Senders
-	Late    int // of the last, those that are not started yet: Restart starts them
-	Seed    uint64
-	Cluster string // lines of [cluster] beside listen, advertise and join; "off" for none
-	Config  string // what each file holds beside its name, folder, fronts and [cluster]
-	// Join lists the addresses that sender i is told of; nil for the relays of all.
+	Program    string // path of the cometrack binary
+	Dir        string // holds the state folders and configuration files
+	Senders    int
+	MaxSenders int // the setting "senders"; 0 for Senders
+	StartLater int // how many of the last senders Start leaves out; Restart starts them
+	Seed       uint64
+	Cluster    string // lines of [cluster] besides listen, advertise and join; "off" for no cluster
+	Config     string // appended to each configuration file
+	// Join returns the join addresses of sender i; nil uses the relays of all senders.
 	Join func(i int, relays []string) []string
-	// Name names a sender; nil for s0, s1 and so on.
+	// Name returns the name of sender i; nil for s0, s1 and so on.
 	Name func(i int) string
 }
 
-// Fleet is senders that run.
+// Fleet is a set of running senders and the relays between them.
 type Fleet struct {
-	Time *Timeline
-
-	opts    Options
-	lock    net.Listener // keeps the fleet's addresses to itself
-	base    string       // "127.X"
-	net     *network
-	senders []*Sender
-	stop    chan struct{}
-	watched sync.WaitGroup
+	Timeline *Timeline
+
+	opts        Options
+	addressLock net.Listener // reserves the address range of the fleet
+	base        string       // "127.X"
+	net         *network
+	senders     []*Sender
+	stop        chan struct{}
+	watchers    sync.WaitGroup
 }
 
-// Sender is one process of a fleet, or its place.
+// Sender is one process of a fleet; it keeps its number and addresses while the process is not
+// running.
 type Sender struct {
-	N    int
-	Name string
-	// Addr is where the program listens itself, Relay where the others reach it.
+	Number int
+	Name   string
+	// Addr is the listen address of the program, Relay the address at which the others reach it.
 	Addr, Relay   string
 	RESP, Console string
 	Dir, File     string
 
-	fleet  *Fleet
-	mu     sync.Mutex
-	proc   *program.Program // nil while it does not run
-	paused bool
-	calm   func()            // ends the busy neighbour
-	sees   map[string]string // its last view
-	part   float64
+	fleet      *Fleet
+	mu         sync.Mutex
+	proc       *program.Program // nil while the process is not running
+	paused     bool
+	stopBusy   func()            // stops the busy neighbor; nil without one
+	lastStates map[string]string // the last recorded view, as state by sender name
+	lastShare  float64
 }
 
-// Start starts a fleet and waits until each sender is ready.
+// Start starts a fleet and waits until each started sender is ready.
 func Start(opts Options) (*Fleet, error) {
-	if opts.Senders < 1 || opts.Senders > MostSenders {
-		return nil, fmt.Errorf("fleet: %d senders; 1 to %d", opts.Senders, MostSenders)
+	if opts.Senders < 1 || opts.Senders > MaxSenders {
+		return nil, fmt.Errorf("fleet: %d senders; 1 to %d", opts.Senders, MaxSenders)
 	}
-	if opts.Seats == 0 {
-		opts.Seats = opts.Senders
+	if opts.MaxSenders == 0 {
+		opts.MaxSenders = opts.Senders
 	}
-	f := &Fleet{opts: opts, Time: newTimeline(), stop: make(chan struct{})}
-	for x := 16; x < 250 && f.lock == nil; x++ { // a second loopback octet of its own
+	f := &Fleet{opts: opts, Timeline: newTimeline(), stop: make(chan struct{})}
+	for x := 16; x < 250 && f.addressLock == nil; x++ { // the first free second octet of 127/8
 		f.base = fmt.Sprintf("127.%d", x)
-		f.lock, _ = net.Listen("tcp", fmt.Sprintf("%s.0.1:%d", f.base, ClusterPort))
+		f.addressLock, _ = net.Listen("tcp", fmt.Sprintf("%s.0.1:%d", f.base, ClusterPort))
 	}
-	if f.lock == nil {
+	if f.addressLock == nil {
 		return nil, fmt.Errorf("fleet: no loopback addresses are free")
 	}
-	var relays, reals []string
+	var relays, targets []string
 	for i := range opts.Senders {
-		s := &Sender{N: i, Name: fmt.Sprint("s", i), fleet: f,
+		s := &Sender{Number: i, Name: fmt.Sprint("s", i), fleet: f,
 			Addr:    fmt.Sprintf("%s.1.%d:%d", f.base, i+1, ClusterPort),
 			Relay:   fmt.Sprintf("%s.2.%d:%d", f.base, i+1, ClusterPort),
 			RESP:    fmt.Sprintf("%s.1.%d:%d", f.base, i+1, RESPPort),
@@ -100,24 +101,24 @@
 			s.Name = opts.Name(i)
 		}
 		f.senders = append(f.senders, s)
-		relays, reals = append(relays, s.Relay), append(reals, s.Addr)
+		relays, targets = append(relays, s.Relay), append(targets, s.Addr)
 	}
-	f.Time.names(f.senders)
+	f.Timeline.setNames(f.senders)
 	var err error
-	if f.net, err = newNetwork(relays, reals, opts.Seed); err != nil {
-		f.lock.Close()
+	if f.net, err = newNetwork(relays, targets, opts.Seed); err != nil {
+		f.addressLock.Close()
 		return nil, fmt.Errorf("fleet: %w", err)
 	}
 	started := make(chan error, len(f.senders))
-	first := f.senders[:opts.Senders-opts.Late]
-	for _, s := range first {
-		if err := s.write(); err != nil {
+	initial := f.senders[:opts.Senders-opts.StartLater]
+	for _, s := range initial {
+		if err := s.writeConfig(); err != nil {
 			f.Close()
 			return nil, err
 		}
 		go func() { started <- s.start() }()
 	}
-	for range first {
+	for range initial {
 		if e := <-started; e != nil {
 			err = e
 		}
@@ -129,41 +130,41 @@
 	return f, nil
 }
 
-// Senders lists the senders by number.
+// Senders returns the senders in order of number.
 func (f *Fleet) Senders() []*Sender { return f.senders }
 
-// Close ends all processes and relays.
+// Close kills all processes and closes the relays.
 func (f *Fleet) Close() {
 	close(f.stop)
-	f.watched.Wait()
+	f.watchers.Wait()
 	var all sync.WaitGroup
 	for _, s := range f.senders {
 		all.Go(func() { s.Kill() })
 	}
 	all.Wait()
 	f.net.close()
-	f.lock.Close()
+	f.addressLock.Close()
 }
 
-// Fault has a link lose, delay or cut what it carries from here on.
-func (f *Fleet) Fault(from, to int, faults Faults) {
-	f.Time.note(Entry{Do: Link, From: []int{from}, To: []int{to}, Faults: &faults})
+// SetFaults sets the faults of the link between two senders, in one direction.
+func (f *Fleet) SetFaults(from, to int, faults Faults) {
+	f.Timeline.add(Entry{Action: SetLink, From: []int{from}, To: []int{to}, Faults: &faults})
 	f.net.links[from][to].set(faults)
 }
 
-// Cut cuts links in both directions between the senders of two lists.
+// Cut cuts the links in both directions between the senders of two lists.
 func (f *Fleet) Cut(a, b []int) {
 	for _, i := range a {
 		for _, k := range b {
-			f.Fault(i, k, Faults{Cut: true})
-			f.Fault(k, i, Faults{Cut: true})
+			f.SetFaults(i, k, Faults{Cut: true})
+			f.SetFaults(k, i, Faults{Cut: true})
 		}
 	}
 }
 
-// Heal lets all links carry all again.
+// Heal removes the faults of all links.
 func (f *Fleet) Heal() {
-	f.Time.note(Entry{Do: Heal})
+	f.Timeline.add(Entry{Action: Heal})
 	for _, row := range f.net.links {
 		for _, l := range row {
 			l.set(Faults{})
@@ -173,26 +174,26 @@
 
 // Reset resets the streams that one sender has opened to another.
 func (f *Fleet) Reset(from, to int) {
-	f.Time.note(Entry{Do: Reset, From: []int{from}, To: []int{to}})
+	f.Timeline.add(Entry{Action: Reset, From: []int{from}, To: []int{to}})
 	f.net.links[from][to].reset()
 }
 
-// write writes a sender's configuration.
-func (s *Sender) write() error {
+// writeConfig writes the configuration file.
+func (s *Sender) writeConfig() error {
 	f := s.fleet
 	var relays []string
 	for _, x := range f.senders {
 		relays = append(relays, x.Relay)
 	}
 	var b strings.Builder
-	fmt.Fprintf(&b, "name = %q\nstate = %q\nsenders = %d\n", s.Name, s.Dir, f.opts.Seats)
+	fmt.Fprintf(&b, "name = %q\nstate = %q\nsenders = %d\n", s.Name, s.Dir, f.opts.MaxSenders)
 	fmt.Fprintf(&b, "[front.resp]\nlisten = %q\n[console]\nlisten = %q\n", s.RESP, s.Console)
 	host, _, _ := net.SplitHostPort(s.Addr)
 	fmt.Fprintf(&b, "[transport.http]\nsource = %q\n", host)
 	if f.opts.Cluster != "off" {
 		join := relays
 		if f.opts.Join != nil {
-			join = f.opts.Join(s.N, relays)
+			join = f.opts.Join(s.Number, relays)
 		}
 		fmt.Fprintf(&b, "[cluster]\nlisten = %q\nadvertise = %q\njoin = [", s.Addr, s.Relay)
 		for _, a := range join {
@@ -206,7 +207,7 @@
 
 // start starts the process and waits until it is ready.
 func (s *Sender) start() error {
-	if err := s.fleet.net.relays[s.N].up(); err != nil {
+	if err := s.fleet.net.relays[s.Number].listen(); err != nil {
 		return err
 	}
 	p, err := program.Launch(s.fleet.opts.Program, nil, "serve", "--config", s.File)
@@ -219,18 +220,18 @@
 	if err := p.Ready(); err != nil {
 		return fmt.Errorf("%s: %w", s.Name, err)
 	}
-	s.fleet.Time.note(Entry{Do: "ready", Who: []int{s.N}})
+	s.fleet.Timeline.add(Entry{Action: "ready", Senders: []int{s.Number}})
 	return nil
 }
 
-// Running says whether the process runs and is not paused.
+// Running reports whether the process is running and not paused.
 func (s *Sender) Running() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.proc != nil && !s.paused
 }
 
-// PID is the process's number; 0 while it does not run.
+// PID returns the process ID; 0 while the process is not running.
 func (s *Sender) PID() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -240,8 +241,8 @@
 	return s.proc.Cmd.Process.Pid
 }
 
-// Last is the end of the log, as far as no test has read it.
-func (s *Sender) Last(lines int) (out []string) {
+// RecentLog returns the last lines of the log that have not been read yet.
+func (s *Sender) RecentLog(lines int) (out []string) {
 	s.mu.Lock()
 	p := s.proc
 	s.mu.Unlock()
@@ -256,8 +257,8 @@
 	return nil
 }
 
-// Says waits for a line of the log that contains part.
-func (s *Sender) Says(part string) error {
+// WaitForLog waits for a log line that contains part.
+func (s *Sender) WaitForLog(part string) error {
 	s.mu.Lock()
 	p := s.proc
 	s.mu.Unlock()
@@ -267,25 +268,25 @@
 	return p.Says(part)
 }
 
-// Kill ends the process at once and waits until it is gone.
+// Kill kills the process and waits until it has exited.
 func (s *Sender) Kill() {
 	s.mu.Lock()
-	p, calm := s.proc, s.calm
-	s.proc, s.calm = nil, nil
+	p, stopBusy := s.proc, s.stopBusy
+	s.proc, s.stopBusy = nil, nil
 	s.mu.Unlock()
 	if p == nil {
 		return
 	}
-	if calm != nil {
-		calm()
+	if stopBusy != nil {
+		stopBusy()
 	}
-	s.fleet.Time.note(Entry{Do: Kill, Who: []int{s.N}})
+	s.fleet.Timeline.add(Entry{Action: Kill, Senders: []int{s.Number}})
 	p.Signal(syscall.SIGKILL)
-	s.fleet.net.relays[s.N].down()
+	s.fleet.net.relays[s.Number].stopListening()
 	p.Wait()
 }
 
-// Terminate ends the process in order.
+// Terminate sends SIGTERM and waits until the process has exited.
 func (s *Sender) Terminate() error {
 	s.mu.Lock()
 	p := s.proc
@@ -294,32 +295,32 @@
 	if p == nil {
 		return nil
 	}
-	s.fleet.Time.note(Entry{Do: "terminate", Who: []int{s.N}})
+	s.fleet.Timeline.add(Entry{Action: "terminate", Senders: []int{s.Number}})
 	p.Signal(syscall.SIGTERM)
 	err := p.Wait()
-	s.fleet.net.relays[s.N].down()
+	s.fleet.net.relays[s.Number].stopListening()
 	return err
 }
 
-// Restart kills the process if it runs, and starts it; with empty, from an emptied
-// folder.
+// Restart kills the process if it is running and starts it again, from an empty state folder if
+// empty is set.
 func (s *Sender) Restart(empty bool) error {
 	if empty {
-		return s.again(Empty, func() error { return os.RemoveAll(s.Dir) })
+		return s.restart(RestartEmpty, func() error { return os.RemoveAll(s.Dir) })
 	}
-	return s.again(Restart, func() error { return nil })
+	return s.restart(Restart, func() error { return nil })
 }
 
-// Copy copies the folder as it is, for [Sender.RestartOld].
+// Copy copies the state folder for [Sender.RestartOld].
 func (s *Sender) Copy() error {
-	s.fleet.Time.note(Entry{Do: Copy, Who: []int{s.N}})
+	s.fleet.Timeline.add(Entry{Action: Copy, Senders: []int{s.Number}})
 	if err := os.RemoveAll(s.Dir + ".old"); err != nil {
 		return err
 	}
 	return copyFolder(s.Dir+".old", s.Dir)
 }
 
-// copyFolder copies the regular files of a folder; it holds sockets too.
+// copyFolder copies the regular files of a folder; others, such as sockets, are skipped.
 func copyFolder(to, from string) error {
 	return filepath.WalkDir(from, func(path string, d fs.DirEntry, err error) error {
 		if err != nil {
@@ -340,9 +341,9 @@
 	})
 }
 
-// RestartOld kills the process if it runs, and starts it with the copy of its folder.
+// RestartOld kills the process if it is running and starts it with the copied state folder.
 func (s *Sender) RestartOld() error {
-	return s.again(Old, func() error {
+	return s.restart(RestartOld, func() error {
 		if err := os.RemoveAll(s.Dir); err != nil {
 			return err
 		}
@@ -350,110 +351,110 @@
 	})
 }
 
-// again kills the process if it runs, changes its folder, and starts it.
-func (s *Sender) again(do Do, change func() error) error {
+// restart kills the process if it is running, changes its state folder and starts it.
+func (s *Sender) restart(action Action, change func() error) error {
 	s.Kill()
 	if err := change(); err != nil {
 		return err
 	}
-	s.fleet.Time.note(Entry{Do: do, Who: []int{s.N}})
-	if err := s.write(); err != nil {
+	s.fleet.Timeline.add(Entry{Action: action, Senders: []int{s.Number}})
+	if err := s.writeConfig(); err != nil {
 		return err
 	}
 	return s.start()
 }
 
-// Pause stops the process as it stands, and Resume lets it go on.
+// Pause stops the process with SIGSTOP.
 func (s *Sender) Pause() { s.signal(Pause, syscall.SIGSTOP, true) }
 
-// Resume lets a paused process go on.
+// Resume lets a paused process continue.
 func (s *Sender) Resume() { s.signal(Resume, syscall.SIGCONT, false) }
 
-func (s *Sender) signal(do Do, sig syscall.Signal, paused bool) {
+func (s *Sender) signal(action Action, sig syscall.Signal, paused bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.proc == nil {
 		return
 	}
-	s.fleet.Time.note(Entry{Do: do, Who: []int{s.N}})
+	s.fleet.Timeline.add(Entry{Action: action, Senders: []int{s.Number}})
 	s.proc.Signal(sig)
 	s.paused = paused
 }
 
-// Play plays a script over the fleet and returns when its time is over.
+// Play runs a script and returns when its duration has passed.
 func (f *Fleet) Play(script *Script) error {
 	start := time.Now()
-	until := func(d Span) {
+	waitUntil := func(d Duration) {
 		t := time.NewTimer(time.Until(start.Add(time.Duration(d))))
 		defer t.Stop()
 		<-t.C
 	}
 	for i := range script.Events {
 		e := &script.Events[i]
-		until(e.At)
-		if err := f.do(e); err != nil {
+		waitUntil(e.At)
+		if err := f.apply(e); err != nil {
 			return fmt.Errorf("event[%d]: %w", i, err)
 		}
 	}
-	until(script.For)
+	waitUntil(script.For)
 	return nil
 }
 
-// do brings one event about.
-func (f *Fleet) do(e *Event) error {
-	wrong := make(chan error, len(e.Who))
-	for _, w := range e.Who { // at once
-		go func() { wrong <- f.senders[w].do(e.Do) }()
+// apply applies one event of a script.
+func (f *Fleet) apply(e *Event) error {
+	errs := make(chan error, len(e.Senders))
+	for _, w := range e.Senders { // concurrently
+		go func() { errs <- f.senders[w].apply(e.Action) }()
 	}
-	for range e.Who {
-		if err := <-wrong; err != nil {
+	for range e.Senders {
+		if err := <-errs; err != nil {
 			return err
 		}
 	}
 
-	if len(e.Who) > 0 {
+	if len(e.Senders) > 0 {
 		return nil
 	}
-	if e.Do == Heal {
+	if e.Action == Heal {
 		f.Heal()
 		return nil
 	}
-	f.pairs(e, func(i, k int) {
-		if e.Do == Reset {
+	f.visitLinks(e, func(i, k int) {
+		if e.Action == Reset {
 			f.Reset(i, k)
 		} else {
-			f.Fault(i, k, e.faults())
+			f.SetFaults(i, k, e.faults())
 		}
 	})
 	return nil
 }
 
-// do brings one fault of a process about.
-func (s *Sender) do(what Do) error {
-	switch what {
+// apply applies one action to a process.
+func (s *Sender) apply(action Action) error {
+	switch action {
 	case Pause:
 		s.Pause()
 	case Resume:
 		s.Resume()
 	case Kill:
 		s.Kill()
-	case Restart, Empty:
-		return s.Restart(what == Empty)
+	case Restart, RestartEmpty:
+		return s.Restart(action == RestartEmpty)
 	case Copy:
 		return s.Copy()
-	case Old:
+	case RestartOld:
 		return s.RestartOld()
-	case Busy:
-		return s.Busy()
-	case Calm:
-		s.Calm()
+	case AddBusyNeighbor:
+		return s.StartBusyNeighbor()
+	case RemoveBusyNeighbor:
+		s.StopBusyNeighbor()
 	}
 	return nil
 }
 
-// pairs visits the links of an event.
-func (f *Fleet) pairs(e *Event, visit func(from, to int)) {
-	all := func(list []int) []int {
+// visitLinks calls visit for each link that an event selects.
+func (f *Fleet) visitLinks(e *Event, visit func(from, to int)) {
+	orAll := func(list []int) []int {
 		if len(list) > 0 {
 			return list
 		}
@@ -463,8 +464,8 @@
 		}
 		return out
 	}
-	for _, i := range all(e.From) {
-		for _, k := range all(e.To) {
+	for _, i := range orAll(e.From) {
+		for _, k := range orAll(e.To) {
 			if i == k {
 				continue
 			}
--- a/internal/standin/fleet/fleet_test.go
+++ b/internal/standin/fleet/fleet_test.go
@@ -11,8 +11,8 @@
 	"cometrack/internal/standin/partner"
 )
 
-// built is the path of the program, which is built once for all tests.
-var built = sync.OnceValues(func() (string, error) {
+// buildProgram builds the program once for all tests and returns its path.
+var buildProgram = sync.OnceValues(func() (string, error) {
 	dir, err := os.MkdirTemp("", "fleet")
 	if err != nil {
 		return "", err
@@ -25,7 +25,7 @@
 
 func TestMain(m *testing.M) {
 	code := m.Run()
-	if path, err := built(); err == nil {
+	if path, err := buildProgram(); err == nil {
 		os.RemoveAll(filepath.Dir(path))
 	}
 	os.Exit(code)
@@ -38,10 +38,10 @@
 	}
 }
 
-// start starts a fleet and ends it with the test.
+// start starts a fleet and closes it when the test ends.
 func start(t *testing.T, opts Options) *Fleet {
 	t.Helper()
-	path, err := built()
+	path, err := buildProgram()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -54,28 +54,28 @@
 	return f
 }
 
-// Senders that know nothing of each other keep their even parts, whoever is left.
+// Without a cluster each sender keeps its even share of the rate, however many senders are running.
 func TestEvenPartsWithoutCluster(t *testing.T) {
 	p, err := partner.Start(partner.Options{Name: "acme", Rate: 200})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer p.Close()
-	f := start(t, Options{Senders: 4, Cluster: "off", Config: Partners(p)})
+	f := start(t, Options{Senders: 4, Cluster: "off", Config: PartnerConfig(p)})
 	feed, stop, done := &Feed{Partner: "acme", Class: "safe", Rate: 150}, make(chan struct{}), make(chan struct{})
 	go func() { feed.Run(f, stop); close(done) }()
 	for _, s := range f.Senders()[1:] {
 		s.Kill()
 	}
 	from := time.Now()
-	time.Sleep(2 * time.Second) // a rate is measured
+	time.Sleep(2 * time.Second) // the measured interval
 	to := time.Now()
 	close(stop)
 	<-done
-	if r := Took(p.Calls(), f.Senders()[0].Addr, from, to) / 200; r > 0.25 {
-		t.Errorf("the one left takes %.2f of the rate", r)
+	if r := MeanRate(p.Calls(), f.Senders()[0].Addr, from, to) / 200; r > 0.25 {
+		t.Errorf("the remaining sender calls at %.2f of the rate", r)
 	}
-	if n, worst := Over(p.Calls(), 200); n > 0 {
-		t.Errorf("%d windows over the rate, the worst with %d", n, worst)
+	if n, worst := WindowsOverRate(p.Calls(), 200); n > 0 {
+		t.Errorf("%d windows over the rate, at most %d calls", n, worst)
 	}
 }
--- a/internal/standin/fleet/knowledge.go
+++ b/internal/standin/fleet/knowledge.go
@@ -12,39 +12,39 @@
 	"cometrack/internal/standin/partner"
 )
 
-// Waits counts what a partner's record says of told waits.
+// Waits counts the requested waits in the record of a partner.
 type Waits struct {
-	Told   int           // waits, those told within another one apart
-	Inside int           // calls inside one, later than a span after it was told
-	Latest time.Duration // of all calls inside one, how long after it was told
+	Told   int           // requested waits, without those requested during another one
+	Inside int           // calls during a wait, later than the grace period
+	Latest time.Duration // the longest time from a wait to a call during it
 }
 
-// InWaits looks at a partner's record for calls that came within a wait. Those that
-// came no later than early after it was told may have been on their way.
-func InWaits(calls []partner.Call, wait, early time.Duration) (out Waits) {
-	var told, until time.Time
+// CheckWaits searches the record of a partner for calls during a requested wait. A call within
+// early of the request may already have been in flight and does not count as late.
+func CheckWaits(calls []partner.Call, wait, early time.Duration) (out Waits) {
+	var requestedAt, until time.Time
 	for _, c := range calls {
 		if c.At.Before(until) {
-			late := c.At.Sub(told)
-			out.Latest = max(out.Latest, late)
-			if late > early {
+			delay := c.At.Sub(requestedAt)
+			out.Latest = max(out.Latest, delay)
+			if delay > early {
 				out.Inside++
 			}
 		}
-		if c.Status == 429 && !c.At.Before(until) { // one told within another is not counted anew
+		if c.Status == 429 && !c.At.Before(until) { // a request during another wait does not start a new one
 			out.Told++
-			told, until = c.At, c.At.Add(wait)
+			requestedAt, until = c.At, c.At.Add(wait)
 		}
 	}
 	return out
 }
 
-// Knowing holds once all that answer have caught up, and no fact of any is
-// unconfirmed by another that runs.
-func Knowing(list []Seen) bool {
-	runs := map[string]bool{}
+// AllCaughtUp reports whether all senders that respond have caught up, and all their facts are
+// confirmed by the other running senders.
+func AllCaughtUp(list []SenderView) bool {
+	running := map[string]bool{}
 	for _, x := range list {
-		runs[x.Name] = x.OK
+		running[x.Name] = x.OK
 	}
 	for _, x := range list {
 		if !x.OK {
@@ -55,7 +55,7 @@
 			return false
 		}
 		for _, p := range k.Peers {
-			if runs[p.Name] && p.Lag > 0 {
+			if running[p.Name] && p.Lag > 0 {
 				return false
 			}
 		}
@@ -63,27 +63,27 @@
 	return true
 }
 
-// Told is what each sender that runs holds to be said of partners, but for what is
-// about to end: by its clock it may be over while by another it is not.
-func (f *Fleet) Told() (out []map[string]bool, err error) {
-	const nearly = 0.5 // seconds
+// Facts returns the facts about partners that each running sender holds. Facts about to expire are
+// left out, since clocks differ and another sender may have dropped them already.
+func (f *Fleet) Facts() (out []map[string]bool, err error) {
+	const minRemaining = 0.5 // seconds
 	for _, s := range f.senders {
 		if !s.Running() {
 			continue
 		}
-		ctx, stop := context.WithTimeout(context.Background(), askTime)
+		ctx, stop := context.WithTimeout(context.Background(), requestTimeout)
 		text, err := console.Request(ctx, s.Console, "GET", "/cluster/facts")
 		stop()
-		var told cluster.FactsReport
+		var report cluster.FactsReport
 		if err == nil {
-			err = json.Unmarshal([]byte(text), &told)
+			err = json.Unmarshal([]byte(text), &report)
 		}
 		if err != nil {
 			return nil, fmt.Errorf("%s: %w", s.Name, err)
 		}
 		set := map[string]bool{}
-		for _, x := range told.Facts {
-			if x.RemainingSeconds > nearly {
+		for _, x := range report.Facts {
+			if x.RemainingSeconds > minRemaining {
 				set[fmt.Sprint(x.Kind, x.Partner, x.Endpoint, x.Statement, x.Origin, x.Seq)] = true
 			}
 		}
@@ -92,19 +92,19 @@
 	return out, nil
 }
 
-// TellAlike waits until all senders that run hold the same to be said of partners, at
-// most d; it returns how long that took and whether it came about.
-func (f *Fleet) TellAlike(d time.Duration) (time.Duration, bool) {
-	return f.Until(d, func(list []Seen) bool {
-		if !Knowing(list) {
+// WaitForEqualFacts waits at most d until all senders hold the same facts about partners. It
+// returns the time taken and whether they agreed.
+func (f *Fleet) WaitForEqualFacts(d time.Duration) (time.Duration, bool) {
+	return f.WaitUntil(d, func(list []SenderView) bool {
+		if !AllCaughtUp(list) {
 			return false
 		}
-		told, err := f.Told()
-		for i := range told {
-			if !maps.Equal(told[0], told[i]) {
+		facts, err := f.Facts()
+		for i := range facts {
+			if !maps.Equal(facts[0], facts[i]) {
 				return false
 			}
 		}
-		return err == nil && len(told) == len(f.senders)
+		return err == nil && len(facts) == len(f.senders)
 	})
 }
--- a/internal/standin/fleet/link.go
+++ b/internal/standin/fleet/link.go
@@ -6,31 +6,30 @@
 	"time"
 )
 
-// Faults is what one direction of a pair does to what it carries. The zero value
-// carries all at once.
+// Faults are the faults of one direction of a link. The zero value forwards everything at once.
 type Faults struct {
-	Loss    float64       `toml:"loss" json:"loss,omitempty"`       // share of datagrams that are lost
-	Double  float64       `toml:"double" json:"double,omitempty"`   // share that comes twice
-	Reorder float64       `toml:"reorder" json:"reorder,omitempty"` // share held back behind later ones
-	Delay   time.Duration `toml:"-" json:"delay,omitempty"`         // of each datagram, and of each piece of a stream
-	Jitter  time.Duration `toml:"-" json:"jitter,omitempty"`        // added to the delay, 0 to this
-	Cut     bool          `toml:"cut" json:"cut,omitempty"`         // nothing comes; streams stay open and their bytes are swallowed
-	Rate    int           `toml:"rate" json:"rate,omitempty"`       // bytes a second of each stream; 0 for any
-	After   int           `toml:"after" json:"after,omitempty"`     // a stream is cut after so many bytes; 0 for never
+	Loss      float64       `toml:"loss" json:"loss,omitempty"`       // share of datagrams lost
+	Duplicate float64       `toml:"double" json:"double,omitempty"`   // share of datagrams delivered twice
+	Reorder   float64       `toml:"reorder" json:"reorder,omitempty"` // share of datagrams delayed behind later ones
+	Delay     time.Duration `toml:"-" json:"delay,omitempty"`         // of each datagram and of each read of a stream
+	Jitter    time.Duration `toml:"-" json:"jitter,omitempty"`        // maximum of a random delay added to Delay
+	Cut       bool          `toml:"cut" json:"cut,omitempty"`         // nothing is delivered; streams stay open and their bytes are discarded
+	Rate      int           `toml:"rate" json:"rate,omitempty"`       // bytes per second of each stream; 0 for no limit
+	CutAfter  int           `toml:"after" json:"after,omitempty"`     // bytes after which a stream delivers nothing more; 0 for never
 }
 
-// held is how long a datagram is held back that is to come behind later ones.
-const held = 300 * time.Millisecond
+// reorderDelay is the extra delay of a reordered datagram.
+const reorderDelay = 300 * time.Millisecond
 
-// link is one direction of a pair. It may be used by several goroutines at once.
+// link is one direction between two senders. It may be used by several goroutines at once.
 type link struct {
 	mu     sync.Mutex
 	faults Faults
 	rng    *rand.Rand
-	resets int // grows with each order to reset streams
+	resets int // how often streams were reset
 
-	Carried, Lost int // datagrams
-	Bytes         int // of those that were carried
+	forwarded, lost int // datagrams
+	forwardedBytes  int // of the forwarded datagrams
 }
 
 func newLink(seed uint64, from, to int) *link {
@@ -55,25 +54,25 @@
 	l.resets++
 }
 
-func (l *link) epoch() int {
+func (l *link) resetCount() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.resets
 }
 
-// copies says after which spans a datagram of a size comes; empty if it is lost.
-func (l *link) copies(size int) []time.Duration {
+// delays returns the delay of each copy of a datagram; empty if it is lost.
+func (l *link) delays(size int) []time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	f := l.faults
 	if f.Cut || l.rng.Float64() < f.Loss {
-		l.Lost++
+		l.lost++
 		return nil
 	}
-	l.Carried++
-	l.Bytes += size
+	l.forwarded++
+	l.forwardedBytes += size
 	n := 1
-	if l.rng.Float64() < f.Double {
+	if l.rng.Float64() < f.Duplicate {
 		n = 2
 	}
 	out := make([]time.Duration, n)
@@ -83,26 +82,26 @@
 			out[i] += time.Duration(l.rng.Int64N(int64(f.Jitter)))
 		}
 		if l.rng.Float64() < f.Reorder {
-			out[i] += held
+			out[i] += reorderDelay
 		}
 	}
 	return out
 }
 
-// settle waits for the datagram that the relay is at.
-func (l *link) settle() {
+// awaitCurrentDatagram waits until the datagram that the relay is handling has been counted.
+func (l *link) awaitCurrentDatagram() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	_ = l.Carried
+	_ = l.forwarded
 }
 
-// Carried is how many datagrams have come through all links, and their bytes without
-// those of IP and UDP.
-func (f *Fleet) Carried() (n, bytes int) {
+// Forwarded returns the number of datagrams forwarded on all links, and their bytes without IP and
+// UDP headers.
+func (f *Fleet) Forwarded() (n, bytes int) {
 	for _, row := range f.net.links {
 		for _, l := range row {
 			l.mu.Lock()
-			n, bytes = n+l.Carried, bytes+l.Bytes
+			n, bytes = n+l.forwarded, bytes+l.forwardedBytes
 			l.mu.Unlock()
 		}
 	}
--- a/internal/standin/fleet/relay.go
+++ b/internal/standin/fleet/relay.go
@@ -10,57 +10,56 @@
 )
 
 const (
-	mostHeld    = 20_000 // datagrams under way in a fleet; those above are lost
-	mostStreams = 1024   // through one relay
-	dialTime    = 2 * time.Second
+	maxDelayed  = 20_000 // delayed datagrams of a fleet; further ones are lost
+	maxStreams  = 1024   // per relay
+	dialTimeout = 2 * time.Second
 )
 
-// relay is where the others reach one sender. It tells who sends by the source
-// address, and passes on from the relay address of that sender, so that an answer
-// goes through a relay too.
+// relay is the address at which the others reach one sender. It identifies the source of a datagram
+// or stream by its address and forwards from the relay address of that source, so that a response
+// passes through a relay too.
 type relay struct {
-	net  *network
-	who  int // whom it leads to
-	addr string
-	real string
+	net      *network
+	receiver int // number of the sender behind the relay
+	addr     string
+	target   string
 
 	udp     *net.UDPConn
 	mu      sync.Mutex
-	ln      net.Listener // nil while nobody is to be reached
+	ln      net.Listener // nil while the sender is not running
 	streams int
 }
 
-// network is the relays of a fleet and the links between its senders.
+// network holds the relays of a fleet and the links between its senders.
 type network struct {
-	relays []*relay
-	links  [][]*link // from, to
-	bySrc  map[string]int
-	udpTo  []*net.UDPAddr
-	held   atomic.Int64
-	done   chan struct{}
-	wg     sync.WaitGroup
+	relays       []*relay
+	links        [][]*link // by source and destination
+	senderByHost map[string]int
+	udpTargets   []*net.UDPAddr
+	delayed      atomic.Int64
+	done         chan struct{}
+	wg           sync.WaitGroup
 }
 
-// newNetwork opens a relay for each sender: others call relays[i], which leads to
-// reals[i].
-func newNetwork(relays, reals []string, seed uint64) (*network, error) {
-	n := &network{bySrc: map[string]int{}, done: make(chan struct{})}
+// newNetwork opens a relay for each sender: relays[i] forwards to targets[i].
+func newNetwork(relays, targets []string, seed uint64) (*network, error) {
+	n := &network{senderByHost: map[string]int{}, done: make(chan struct{})}
 	for i := range relays {
 		row := make([]*link, len(relays))
 		for k := range row {
 			row[k] = newLink(seed, i, k)
 		}
 		n.links = append(n.links, row)
-		host, _, err := net.SplitHostPort(reals[i])
+		host, _, err := net.SplitHostPort(targets[i])
 		if err != nil {
 			return nil, err
 		}
-		to, err := net.ResolveUDPAddr("udp", reals[i])
+		to, err := net.ResolveUDPAddr("udp", targets[i])
 		if err != nil {
 			return nil, err
 		}
-		n.bySrc[host], n.udpTo = i, append(n.udpTo, to)
-		n.relays = append(n.relays, &relay{net: n, who: i, addr: relays[i], real: reals[i]})
+		n.senderByHost[host], n.udpTargets = i, append(n.udpTargets, to)
+		n.relays = append(n.relays, &relay{net: n, receiver: i, addr: relays[i], target: targets[i]})
 	}
 	for _, r := range n.relays {
 		at, err := net.ResolveUDPAddr("udp", r.addr)
@@ -68,7 +67,7 @@
 			r.udp, err = net.ListenUDP("udp", at)
 		}
 		if err == nil {
-			err = r.up()
+			err = r.listen()
 		}
 		if err != nil {
 			n.close()
@@ -77,7 +76,7 @@
 		r.udp.SetReadBuffer(4 << 20)
 	}
 	for _, r := range n.relays {
-		n.wg.Go(r.datagrams)
+		n.wg.Go(r.forwardDatagrams)
 	}
 	return n, nil
 }
@@ -88,20 +87,21 @@
 		if r.udp != nil {
 			r.udp.Close()
 		}
-		r.down()
+		r.stopListening()
 	}
 	n.wg.Wait()
 }
 
-// from is the sender behind a source address; false for a stranger.
-func (n *network) from(addr net.Addr) (int, bool) {
+// senderOf returns the sender with a source address; false for an unknown address.
+func (n *network) senderOf(addr net.Addr) (int, bool) {
 	host, _, err := net.SplitHostPort(addr.String())
-	i, ok := n.bySrc[host]
+	i, ok := n.senderByHost[host]
 	return i, ok && err == nil
 }
 
-// datagrams passes on what comes. A stranger's come from the relay's own address.
-func (r *relay) datagrams() {
+// forwardDatagrams forwards datagrams. Those from unknown addresses are sent from the address of
+// the relay itself.
+func (r *relay) forwardDatagrams() {
 	buf := make([]byte, 64<<10)
 	for {
 		size, src, err := r.udp.ReadFromUDP(buf)
@@ -109,33 +109,33 @@
 			if errors.Is(err, net.ErrClosed) {
 				return
 			}
-			continue // the kernel tells of an earlier datagram that nobody took
+			continue // the kernel reports an earlier datagram that was not delivered
 		}
-		out, spans := r.udp, []time.Duration{0}
-		if i, ok := r.net.from(src); ok {
-			out, spans = r.net.relays[i].udp, r.net.links[i][r.who].copies(size)
+		out, delays := r.udp, []time.Duration{0}
+		if i, ok := r.net.senderOf(src); ok {
+			out, delays = r.net.relays[i].udp, r.net.links[i][r.receiver].delays(size)
 		}
-		for _, d := range spans {
+		for _, d := range delays {
 			if d == 0 {
-				out.WriteToUDP(buf[:size], r.net.udpTo[r.who])
+				out.WriteToUDP(buf[:size], r.net.udpTargets[r.receiver])
 				continue
 			}
-			if r.net.held.Add(1) > mostHeld {
-				r.net.held.Add(-1)
+			if r.net.delayed.Add(1) > maxDelayed {
+				r.net.delayed.Add(-1)
 				continue
 			}
 			copied := append([]byte(nil), buf[:size]...)
 			time.AfterFunc(d, func() {
-				r.net.held.Add(-1)
-				out.WriteToUDP(copied, r.net.udpTo[r.who])
+				r.net.delayed.Add(-1)
+				out.WriteToUDP(copied, r.net.udpTargets[r.receiver])
 			})
 		}
 	}
 }
 
-// up takes streams; while a relay is down its kernel refuses them, as it would for
-// a process that is not there.
-func (r *relay) up() error {
+// listen accepts streams. Without a listener the kernel refuses connections, as for a process that
+// is not running.
+func (r *relay) listen() error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.ln != nil {
@@ -152,13 +152,13 @@
 			if err != nil {
 				return
 			}
-			r.net.wg.Go(func() { r.stream(c) })
+			r.net.wg.Go(func() { r.forwardStream(c) })
 		}
 	})
 	return nil
 }
 
-func (r *relay) down() {
+func (r *relay) stopListening() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.ln != nil {
@@ -167,7 +167,7 @@
 	}
 }
 
-// abort ends a connection with a reset.
+// abort closes a connection with a reset.
 func abort(c net.Conn) {
 	if tcp, ok := c.(*net.TCPConn); ok {
 		tcp.SetLinger(0)
@@ -175,77 +175,77 @@
 	c.Close()
 }
 
-// stream joins a caller to the sender. While either direction is cut no call can
-// come about: the caller's bytes are swallowed until it gives up.
-func (r *relay) stream(c net.Conn) {
+// forwardStream connects a caller with the sender. While either direction is cut no connection can
+// be made: the bytes of the caller are discarded until it gives up.
+func (r *relay) forwardStream(c net.Conn) {
 	r.mu.Lock()
 	r.streams++
-	over := r.streams > mostStreams
+	tooMany := r.streams > maxStreams
 	r.mu.Unlock()
 	defer func() {
 		r.mu.Lock()
 		r.streams--
 		r.mu.Unlock()
 	}()
-	if over {
+	if tooMany {
 		abort(c)
 		return
 	}
-	var to, back *link
-	d := net.Dialer{Timeout: dialTime}
-	if i, ok := r.net.from(c.RemoteAddr()); ok {
-		to, back = r.net.links[i][r.who], r.net.links[r.who][i]
+	var outbound, inbound *link
+	d := net.Dialer{Timeout: dialTimeout}
+	if i, ok := r.net.senderOf(c.RemoteAddr()); ok {
+		outbound, inbound = r.net.links[i][r.receiver], r.net.links[r.receiver][i]
 		host, _, _ := net.SplitHostPort(r.net.relays[i].addr)
 		d.LocalAddr = &net.TCPAddr{IP: net.ParseIP(host)}
 	} else {
-		to, back = &link{}, &link{}
+		outbound, inbound = &link{}, &link{}
 	}
-	if to.get().Cut || back.get().Cut {
-		stop := r.closing(c)
+	if outbound.get().Cut || inbound.get().Cut {
+		stop := r.closeWithNetwork(c)
 		io.Copy(io.Discard, c)
 		stop()
 		c.Close()
 		return
 	}
-	s, err := d.Dial("tcp", r.real)
+	s, err := d.Dial("tcp", r.target)
 	if err != nil {
 		abort(c)
 		return
 	}
 	var both sync.WaitGroup
-	stop := r.closing(c, s)
-	both.Go(func() { carry(s, c, to) })
-	both.Go(func() { carry(c, s, back) })
+	stop := r.closeWithNetwork(c, s)
+	both.Go(func() { forward(s, c, outbound) })
+	both.Go(func() { forward(c, s, inbound) })
 	both.Wait()
 	stop()
 	c.Close()
 	s.Close()
 }
 
-// closing has connections end with the network.
-func (r *relay) closing(conns ...net.Conn) (stop func()) {
-	over := make(chan struct{})
+// closeWithNetwork closes connections when the network closes, until stop is called.
+func (r *relay) closeWithNetwork(conns ...net.Conn) (stop func()) {
+	finished := make(chan struct{})
 	go func() {
 		select {
 		case <-r.net.done:
 			for _, c := range conns {
 				c.Close()
 			}
-		case <-over:
+		case <-finished:
 		}
 	}()
-	return sync.OnceFunc(func() { close(over) })
+	return sync.OnceFunc(func() { close(finished) })
 }
 
-// carry moves one direction of a stream as its link says.
-func carry(dst, src net.Conn, l *link) {
+// forward copies one direction of a stream with the faults of its link.
+func forward(dst, src net.Conn, l *link) {
 	buf := make([]byte, 16<<10)
-	epoch, passed := l.epoch(), 0
-	poll := 50 * time.Millisecond // how soon an order to reset is seen
+	resets, forwarded := l.resetCount(), 0
+	resetPoll := 50 * time.Millisecond // delay until a reset is noticed
 	for {
-		src.SetReadDeadline(time.Now().Add(poll))
+		src.SetReadDeadline(time.Now().Add(resetPoll))
 		n, err := src.Read(buf)
-		if l.epoch() != epoch {
+		if l.resetCount() != resets {
 			abort(src)
 			abort(dst)
 			return
@@ -253,9 +253,9 @@
 		f := l.get()
 		piece := buf[:n]
 		if f.Cut {
-			piece = nil // swallowed; nothing is closed
-		} else if f.After > 0 {
-			piece = piece[:min(n, max(f.After-passed, 0))]
+			piece = nil // discarded; both connections stay open
+		} else if f.CutAfter > 0 {
+			piece = piece[:min(n, max(f.CutAfter-forwarded, 0))]
 		}
 		if len(piece) > 0 {
 			if f.Rate > 0 {
@@ -268,11 +268,11 @@
 				abort(src)
 				return
 			}
-			passed += len(piece)
+			forwarded += len(piece)
 		}
-		var late net.Error
+		var timeout net.Error
 		switch {
-		case errors.As(err, &late) && late.Timeout():
+		case errors.As(err, &timeout) && timeout.Timeout():
 		case errors.Is(err, io.EOF):
 			if !f.Cut {
 				if tcp, ok := dst.(*net.TCPConn); ok {
--- a/internal/standin/fleet/script.go
+++ b/internal/standin/fleet/script.go
@@ -11,64 +11,64 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Span is a time in a script's file: "250ms", "2s".
-type Span time.Duration
+// Duration is a duration in a script file: "250ms", "2s".
+type Duration time.Duration
 
-// UnmarshalText reads what [time.ParseDuration] reads.
-func (d *Span) UnmarshalText(text []byte) error {
+// UnmarshalText parses the format of [time.ParseDuration].
+func (d *Duration) UnmarshalText(text []byte) error {
 	v, err := time.ParseDuration(string(text))
-	*d = Span(v)
+	*d = Duration(v)
 	return err
 }
 
-// Do is what an event of a script does.
-type Do string
+// Action is what an event of a script does.
+type Action string
 
-// What can be done.
+// Actions of a script.
 const (
-	Pause   Do = "pause"   // SIGSTOP
-	Resume  Do = "resume"  // SIGCONT
-	Kill    Do = "kill"    // SIGKILL
-	Restart Do = "restart" // killed if it runs, and started from its folder
-	Empty   Do = "empty"   // killed if it runs, and started with an emptied folder
-	Copy    Do = "copy"    // its folder is copied as it is then
-	Old     Do = "old"     // killed if it runs, and started from the copy
-	Busy    Do = "busy"    // its processor is shared with a busy neighbour
-	Calm    Do = "calm"    // and no more
-	Link    Do = "link"    // the links From and To have the event's faults
-	Reset   Do = "reset"   // streams between From and To are reset
-	Heal    Do = "heal"    // all links carry all again
+	Pause              Action = "pause"   // SIGSTOP
+	Resume             Action = "resume"  // SIGCONT
+	Kill               Action = "kill"    // SIGKILL
+	Restart            Action = "restart" // killed if it is running, and started from its state folder
+	RestartEmpty       Action = "empty"   // killed if it is running, and started with an empty state folder
+	Copy               Action = "copy"    // the state folder is copied as it is
+	RestartOld         Action = "old"     // killed if it is running, and started from the copy
+	AddBusyNeighbor    Action = "busy"    // the process shares a processor with a busy loop
+	RemoveBusyNeighbor Action = "calm"    // the busy loop ends
+	SetLink            Action = "link"    // sets the faults of the links between From and To
+	Reset              Action = "reset"   // resets the streams between From and To
+	Heal               Action = "heal"    // removes the faults of all links
 )
 
-var known = []Do{Pause, Resume, Kill, Restart, Empty, Copy, Old, Busy, Calm, Link, Reset, Heal}
+var actions = []Action{Pause, Resume, Kill, Restart, RestartEmpty, Copy, RestartOld, AddBusyNeighbor, RemoveBusyNeighbor, SetLink, Reset, Heal}
 
-// Event is one fault of a script. Who, From and To are numbers of senders from 0;
-// an empty From or To means all of them.
+// Event is one action of a script. Senders, From and To are sender numbers from 0; an empty From or
+// To means all senders.
 type Event struct {
-	At     Span  `toml:"at" json:"at"` // since the fleet was ready
-	Do     Do    `toml:"do" json:"do"`
-	Who    []int `toml:"who" json:"who,omitempty"`
-	From   []int `toml:"from" json:"from,omitempty"`
-	To     []int `toml:"to" json:"to,omitempty"`
-	Both   bool  `toml:"both" json:"both,omitempty"` // the links back too
-	Delay  Span  `toml:"delay" json:"-"`
-	Jitter Span  `toml:"jitter" json:"-"`
+	At      Duration `toml:"at" json:"at"` // since the start of the script
+	Action  Action   `toml:"do" json:"do"`
+	Senders []int    `toml:"who" json:"who,omitempty"`
+	From    []int    `toml:"from" json:"from,omitempty"`
+	To      []int    `toml:"to" json:"to,omitempty"`
+	Both    bool     `toml:"both" json:"both,omitempty"` // the opposite direction too
+	Delay   Duration `toml:"delay" json:"-"`
+	Jitter  Duration `toml:"jitter" json:"-"`
 	Faults
 }
 
-// faults are those that its links are to have.
+// faults returns the faults that the links of the event get.
 func (e *Event) faults() Faults {
 	f := e.Faults
 	f.Delay, f.Jitter = time.Duration(e.Delay), time.Duration(e.Jitter)
 	return f
 }
 
-// Script is a play of faults over a fleet.
+// Script is a timed sequence of faults for a fleet.
 type Script struct {
-	Senders int     `toml:"senders" json:"senders"`
-	Seed    uint64  `toml:"seed" json:"seed"`
-	For     Span    `toml:"for" json:"for"`
-	Events  []Event `toml:"event" json:"events"`
+	Senders int      `toml:"senders" json:"senders"`
+	Seed    uint64   `toml:"seed" json:"seed"`
+	For     Duration `toml:"for" json:"for"`
+	Events  []Event  `toml:"event" json:"events"`
 }
 
 // LoadScript reads a script from a TOML file.
@@ -92,48 +92,48 @@
 	return s, nil
 }
 
-// check says what is wrong with a script.
+// check validates the script and sorts its events by time.
 func (s *Script) check() error {
-	if s.Senders < 1 || s.Senders > MostSenders {
-		return fmt.Errorf("senders: %d is not within 1 and %d", s.Senders, MostSenders)
+	if s.Senders < 1 || s.Senders > MaxSenders {
+		return fmt.Errorf("senders: %d is not within 1 and %d", s.Senders, MaxSenders)
 	}
 	for i, e := range s.Events {
 		at := fmt.Sprintf("event[%d]", i)
-		if !slices.Contains(known, e.Do) {
-			return fmt.Errorf("%s.do: %q is none of %v", at, e.Do, known)
+		if !slices.Contains(actions, e.Action) {
+			return fmt.Errorf("%s.do: %q is none of %v", at, e.Action, actions)
 		}
-		if (e.Do == Link || e.Do == Reset || e.Do == Heal) != (len(e.Who) == 0) {
+		if (e.Action == SetLink || e.Action == Reset || e.Action == Heal) != (len(e.Senders) == 0) {
 			return fmt.Errorf("%s.who: links have from and to, processes have who", at)
 		}
-		for _, list := range [][]int{e.Who, e.From, e.To} {
+		for _, list := range [][]int{e.Senders, e.From, e.To} {
 			for _, w := range list {
 				if w < 0 || w >= s.Senders {
 					return fmt.Errorf("%s: there is no sender %d", at, w)
 				}
 			}
 		}
-		for _, p := range []float64{e.Loss, e.Double, e.Reorder} {
+		for _, p := range []float64{e.Loss, e.Duplicate, e.Reorder} {
 			if p < 0 || p > 1 {
-				return fmt.Errorf("%s: %v is no share", at, p)
+				return fmt.Errorf("%s: %v is not a share from 0 to 1", at, p)
 			}
 		}
-		if e.At < 0 || e.Delay < 0 || e.Jitter < 0 || e.Rate < 0 || e.After < 0 {
-			return fmt.Errorf("%s: a figure is negative", at)
+		if e.At < 0 || e.Delay < 0 || e.Jitter < 0 || e.Rate < 0 || e.CutAfter < 0 {
+			return fmt.Errorf("%s: negative value", at)
 		}
 	}
 	slices.SortStableFunc(s.Events, func(a, b Event) int { return int(a.At - b.At) })
 	return nil
 }
 
-// DrawScript draws faults for a span, one or two a second, with all healed, awake and
-// started near the end. The same seed gives the same script.
-func DrawScript(seed uint64, senders int, d time.Duration) Script {
+// RandomScript draws one or two faults a second for a duration. Near the end it heals all links and
+// resumes or starts all senders. The same seed gives the same script.
+func RandomScript(seed uint64, senders int, d time.Duration) Script {
 	rng := rand.New(rand.NewPCG(seed, 2))
-	s := Script{Senders: senders, Seed: seed, For: Span(d)}
-	paused, dead := map[int]bool{}, map[int]bool{}
+	s := Script{Senders: senders, Seed: seed, For: Duration(d)}
+	paused, killed := map[int]bool{}, map[int]bool{}
 	at := time.Duration(0)
 	add := func(e Event) {
-		e.At = Span(at)
+		e.At = Duration(at)
 		s.Events = append(s.Events, e)
 	}
 	for {
@@ -144,29 +144,29 @@
 		i, k := rng.IntN(senders), rng.IntN(senders)
 		switch rng.IntN(8) {
 		case 0:
-			if !dead[i] {
-				add(Event{Do: Kill, Who: []int{i}})
-				dead[i], paused[i] = true, false
+			if !killed[i] {
+				add(Event{Action: Kill, Senders: []int{i}})
+				killed[i], paused[i] = true, false
 			}
 		case 1:
-			if dead[i] {
-				add(Event{Do: Restart, Who: []int{i}})
-				dead[i] = false
+			if killed[i] {
+				add(Event{Action: Restart, Senders: []int{i}})
+				killed[i] = false
 			}
 		case 2, 3:
 			switch {
 			case paused[i]:
-				add(Event{Do: Resume, Who: []int{i}})
+				add(Event{Action: Resume, Senders: []int{i}})
 				paused[i] = false
-			case !dead[i]:
-				add(Event{Do: Pause, Who: []int{i}})
+			case !killed[i]:
+				add(Event{Action: Pause, Senders: []int{i}})
 				paused[i] = true
 			}
 		case 4:
 			if i != k {
-				add(Event{Do: Link, From: []int{i}, To: []int{k}, Both: rng.IntN(2) == 0, Faults: Faults{Cut: true}})
+				add(Event{Action: SetLink, From: []int{i}, To: []int{k}, Both: rng.IntN(2) == 0, Faults: Faults{Cut: true}})
 			}
-		case 5: // two pieces
+		case 5: // a partition in two
 			var a, b []int
 			for x := range senders {
 				if x <= min(i, senders-2) {
@@ -175,21 +175,21 @@
 					b = append(b, x)
 				}
 			}
-			add(Event{Do: Link, From: a, To: b, Both: true, Faults: Faults{Cut: true}})
+			add(Event{Action: SetLink, From: a, To: b, Both: true, Faults: Faults{Cut: true}})
 		case 6:
-			add(Event{Do: Link, Faults: Faults{Loss: rng.Float64() / 2, Double: 0.1, Reorder: 0.1}})
+			add(Event{Action: SetLink, Faults: Faults{Loss: rng.Float64() / 2, Duplicate: 0.1, Reorder: 0.1}})
 		case 7:
-			add(Event{Do: Heal})
+			add(Event{Action: Heal})
 		}
 	}
 	at = d - 2500*time.Millisecond
-	add(Event{Do: Heal})
+	add(Event{Action: Heal})
 	for i := range senders {
 		if paused[i] {
-			add(Event{Do: Resume, Who: []int{i}})
+			add(Event{Action: Resume, Senders: []int{i}})
 		}
-		if dead[i] {
-			add(Event{Do: Restart, Who: []int{i}})
+		if killed[i] {
+			add(Event{Action: Restart, Senders: []int{i}})
 		}
 	}
 	return s
--- a/internal/standin/fleet/views.go
+++ b/internal/standin/fleet/views.go
@@ -13,29 +13,28 @@
 )
 
 const (
-	askTime   = 700 * time.Millisecond
-	lookEvery = 50 * time.Millisecond
+	requestTimeout = 700 * time.Millisecond
+	pollInterval   = 50 * time.Millisecond
 )
 
-// Seen is a sender's view; OK is false for one that does not answer.
-type Seen struct {
-	N  int
-	OK bool
+// SenderView is the view that a sender reports; OK is false if it did not respond.
+type SenderView struct {
+	Number int
+	OK     bool
 	cluster.Status
 }
 
-// Sees asks each sender that runs for its view, and puts what has changed on the
-// time line.
-func (f *Fleet) Sees() []Seen {
-	out := make([]Seen, len(f.senders))
+// Views requests the view of each running sender and records changes in the timeline.
+func (f *Fleet) Views() []SenderView {
+	out := make([]SenderView, len(f.senders))
 	var all sync.WaitGroup
 	for i, s := range f.senders {
-		out[i].N = i
+		out[i].Number = i
 		if !s.Running() {
 			continue
 		}
 		all.Go(func() {
-			ctx, stop := context.WithTimeout(context.Background(), askTime)
+			ctx, stop := context.WithTimeout(context.Background(), requestTimeout)
 			defer stop()
 			text, err := console.Request(ctx, s.Console, "GET", "/cluster")
 			out[i].OK = err == nil && json.Unmarshal([]byte(text), &out[i].Status) == nil
@@ -44,35 +43,35 @@
 	all.Wait()
 	for i, x := range out {
 		if x.OK {
-			f.senders[i].noteView(x)
+			f.senders[i].recordView(x)
 		}
 	}
 	return out
 }
 
-// noteView puts a view on the time line if it differs from the one before.
-func (s *Sender) noteView(x Seen) {
-	sees := map[string]string{x.Name: x.State}
+// recordView adds a view to the timeline if it differs from the previous one.
+func (s *Sender) recordView(x SenderView) {
+	states := map[string]string{x.Name: x.State}
 	for _, o := range x.Peers {
-		sees[o.Name] = o.State
+		states[o.Name] = o.State
 	}
 	s.mu.Lock()
-	same := maps.Equal(s.sees, sees) && s.part == x.Share
-	s.sees, s.part = sees, x.Share
+	unchanged := maps.Equal(s.lastStates, states) && s.lastShare == x.Share
+	s.lastStates, s.lastShare = states, x.Share
 	s.mu.Unlock()
-	if !same {
-		s.fleet.Time.note(Entry{Do: "view", Who: []int{s.N}, Sees: sees, Part: x.Share})
+	if !unchanged {
+		s.fleet.Timeline.add(Entry{Action: "view", Senders: []int{s.Number}, States: states, Share: x.Share})
 	}
 }
 
-// Until waits until the views are as wanted, at most d; it returns how long that
-// took and whether it came about.
-func (f *Fleet) Until(d time.Duration, holds func([]Seen) bool) (time.Duration, bool) {
+// WaitUntil polls the views at most d until condition holds. It returns the time taken and whether
+// the condition held.
+func (f *Fleet) WaitUntil(d time.Duration, condition func([]SenderView) bool) (time.Duration, bool) {
 	start := time.Now()
-	tick := time.NewTicker(lookEvery)
+	tick := time.NewTicker(pollInterval)
 	defer tick.Stop()
 	for {
-		if holds(f.Sees()) {
+		if condition(f.Views()) {
 			return time.Since(start).Round(time.Millisecond), true
 		}
 		if time.Since(start) > d {
@@ -82,8 +81,9 @@
 	}
 }
 
-// AllHere holds once all senders run, take each other for here, and share evenly.
-func AllHere(list []Seen) bool {
+// AllReachable reports whether all senders are running, consider each other reachable, and have
+// divided the rate among them.
+func AllReachable(list []SenderView) bool {
 	sum := 0.0
 	for _, x := range list {
 		if !x.OK || len(x.Peers) != len(list)-1 {
@@ -99,14 +99,15 @@
 	return sum > 0.99
 }
 
-// Has holds once a sender has a part.
-func Has(n int, least float64) func([]Seen) bool {
-	return func(list []Seen) bool { return list[n].OK && list[n].Share >= least }
+// HasShare returns a condition: sender n has a share of at least minShare.
+func HasShare(n int, minShare float64) func([]SenderView) bool {
+	return func(list []SenderView) bool { return list[n].OK && list[n].Share >= minShare }
 }
 
-// Believes holds once each sender that answers has all of some in a state.
-func Believes(state view.State, who ...string) func([]Seen) bool {
-	return func(list []Seen) bool {
+// AllReport returns a condition: each sender that responds reports the named senders, itself
+// excepted, in a state.
+func AllReport(state view.State, who ...string) func([]SenderView) bool {
+	return func(list []SenderView) bool {
 		for _, x := range list {
 			if !x.OK {
 				continue
