--- a/cmd/measure/hollow.go
+++ b/cmd/measure/hollow.go
@@ -80,8 +80,8 @@
 			return err
 		}
 		for i := range *repeats {
-			r, err := hollow.Measure(hollow.Play{Virtual: *virtual, Calm: second(*calm), Lasts: second(*lasts), Patience: *patience, Faults: faults, Commit: *name, Command: command,
-				Options: hollow.Options{Senders: n, Lease: *lease, Drift: 0.01, Dir: *dir, Facts: *facts, Seed: *seed + uint64(i)}})
+			r, err := hollow.Measure(hollow.Plan{Virtual: *virtual, CalmDuration: second(*calm), FaultDuration: second(*lasts), Timeout: *patience, Faults: faults, Commit: *name, Command: command,
+				Options: hollow.Options{Senders: n, Lease: *lease, Drift: 0.01, Dir: *dir, FactRate: *facts, Seed: *seed + uint64(i)}})
 			if *line {
 				r.WriteTimeline(os.Stdout)
 			}
@@ -90,7 +90,7 @@
 			if len(r.Faults) > 0 {
 				fmt.Printf("\n%s\n%s\n", hollow.FaultHead, strings.Join(r.FaultRows(), "\n"))
 			}
-			fmt.Printf("\n%d cores, commit %s, %s; took %.0f s; the kernel counted, of the whole machine, calm: %+v\n\n", r.Cores, r.Commit, r.Machine, r.Took, r.Kernel)
+			fmt.Printf("\n%d cores, commit %s, %s; took %.0f s; the kernel counted, of the whole machine, calm: %+v\n\n", r.Cores, r.Commit, r.Machine, r.Duration, r.Kernel)
 			results = append(results, r)
 			if *out != "" {
 				wrong = errors.Join(wrong, writeResult(*out, r, *seed+uint64(i)))
--- a/internal/standin/hollow/count.go
+++ b/internal/standin/hollow/count.go
@@ -6,34 +6,34 @@
 	"cometrack/internal/cluster"
 )
 
-// udpHead is what IP and UDP put before each datagram, in bytes (RFC 791, RFC 768).
-const udpHead = 28
+// udpHeaderBytes is the size of the IP and UDP headers of a datagram, in bytes (RFC 791, RFC 768).
+const udpHeaderBytes = 28
 
-// Count is what a sender has sent and taken since it was first started.
+// Count is the traffic of a sender since its first start.
 type Count struct {
-	Out, In           int64 // datagrams
-	OutBytes, InBytes int64 // of them, each with its 28 bytes of IP and UDP, and of probes' streams
-	Lore              int64 // of OutBytes those that tell facts
-	Probes            int64 // streams that were opened, or tried to
+	DatagramsOut, DatagramsIn int64 // datagrams
+	BytesOut, BytesIn         int64 // of datagrams, each with 28 bytes of IP and UDP headers, and of the streams of probes
+	FactsBytesOut             int64 // bytes of BytesOut in packets of facts
+	Probes                    int64 // attempts to open a stream
 }
 
 func (c Count) plus(x Count) Count {
-	return Count{c.Out + x.Out, c.In + x.In, c.OutBytes + x.OutBytes, c.InBytes + x.InBytes, c.Lore + x.Lore, c.Probes + x.Probes}
+	return Count{c.DatagramsOut + x.DatagramsOut, c.DatagramsIn + x.DatagramsIn, c.BytesOut + x.BytesOut, c.BytesIn + x.BytesIn, c.FactsBytesOut + x.FactsBytesOut, c.Probes + x.Probes}
 }
 
 func (c Count) minus(x Count) Count {
-	return Count{c.Out - x.Out, c.In - x.In, c.OutBytes - x.OutBytes, c.InBytes - x.InBytes, c.Lore - x.Lore, c.Probes - x.Probes}
+	return Count{c.DatagramsOut - x.DatagramsOut, c.DatagramsIn - x.DatagramsIn, c.BytesOut - x.BytesOut, c.BytesIn - x.BytesIn, c.FactsBytesOut - x.FactsBytesOut, c.Probes - x.Probes}
 }
 
-// sum adds up the counts of some; nil for all.
-func sum(list []Count, of []int) (all Count) {
-	if of == nil {
+// sumCounts adds up the counts at some indexes; nil for all.
+func sumCounts(list []Count, indexes []int) (all Count) {
+	if indexes == nil {
 		for _, c := range list {
 			all = all.plus(c)
 		}
 		return all
 	}
-	for _, i := range of {
+	for _, i := range indexes {
 		all = all.plus(list[i])
 	}
 	return all
@@ -41,23 +41,23 @@
 
 // counter is a [Count] that goroutines share.
 type counter struct {
-	out, in, outBytes, inBytes, lore, probes atomic.Int64
+	datagramsOut, datagramsIn, bytesOut, bytesIn, factsBytesOut, probes atomic.Int64
 }
 
 func (c *counter) sent(b []byte) {
-	size := int64(len(b) + udpHead)
-	c.out.Add(1)
-	c.outBytes.Add(size)
+	size := int64(len(b) + udpHeaderBytes)
+	c.datagramsOut.Add(1)
+	c.bytesOut.Add(size)
 	if cluster.IsFactsPacket(b) {
-		c.lore.Add(size)
+		c.factsBytesOut.Add(size)
 	}
 }
 
-func (c *counter) took(n int) {
-	c.in.Add(1)
-	c.inBytes.Add(int64(n + udpHead))
+func (c *counter) received(n int) {
+	c.datagramsIn.Add(1)
+	c.bytesIn.Add(int64(n + udpHeaderBytes))
 }
 
 func (c *counter) get() Count {
-	return Count{c.out.Load(), c.in.Load(), c.outBytes.Load(), c.inBytes.Load(), c.lore.Load(), c.probes.Load()}
+	return Count{c.datagramsOut.Load(), c.datagramsIn.Load(), c.bytesOut.Load(), c.bytesIn.Load(), c.factsBytesOut.Load(), c.probes.Load()}
 }
--- a/internal/standin/hollow/faults.go
+++ b/internal/standin/hollow/faults.go
@@ -6,27 +6,27 @@
 	"time"
 )
 
-// Fault is something that happens to a fleet, and is over after a while.
+// Fault is a temporary fault of a fleet.
 type Fault string
 
-// The faults. Their shares are those of the target: 100 of 560 restarted, 2 killed, a
-// rack a tenth, a zone a fifth.
+// Faults, with the shares of the target: 100 of 560 senders restarted, 2 killed, a rack of
+// a tenth, a zone of a fifth.
 const (
-	Restarts Fault = "restarts" // 18% are killed and started again at once, one after another
-	Killed   Fault = "killed"   // two die; their addresses refuse; then they are started
-	Rack     Fault = "rack"     // a tenth loses its switch: each of it runs, and reaches nobody
-	Zone     Fault = "zone"     // a fifth loses its power: nothing refuses, nothing answers; then all of it starts
-	Regions  Fault = "regions"  // three zones and two lose each other
-	Halves   Fault = "halves"   // two even parts lose each other
+	Restarts Fault = "restarts" // 18% are killed and restarted immediately, one after another
+	Killed   Fault = "killed"   // two are killed, and started at the end; their addresses refuse connections
+	Rack     Fault = "rack"     // a tenth loses its switch: the senders run but reach no other
+	Zone     Fault = "zone"     // a fifth loses its power, and starts at the end; no address refuses or answers
+	Regions  Fault = "regions"  // three zones are partitioned from the other two
+	Halves   Fault = "halves"   // two halves are partitioned
 )
 
-// Faults are all faults, in the order in which they are played.
+// Faults lists all faults in the order in which they are run.
 var Faults = []Fault{Restarts, Killed, Rack, Zone, Regions, Halves}
 
 const restartShare = 100.0 / 560
 
-// hits is whom a fault concerns.
-func (f Fault) hits(senders int) (list []int) {
+// affected returns the senders that a fault affects.
+func (f Fault) affected(senders int) (list []int) {
 	hit := func(i int) bool {
 		switch f {
 		case Rack:
@@ -52,92 +52,94 @@
 	case Killed:
 		n = min(2, senders-1)
 	}
-	for i := range n { // spread over zones
+	for i := range n { // spread over the zones
 		list = append(list, (1+i*Zones/max(n, 1)+i*Zones)%senders)
 	}
 	slices.Sort(list)
 	return slices.Compact(list)
 }
 
-// FaultResult is what came of a fault. Times are -1 for what did not come about.
+// FaultResult is the outcome of a fault. Times are in seconds; -1 stands for an event that did not
+// occur.
 type FaultResult struct {
-	Fault   Fault   `json:"fault"`
-	Hit     int     `json:"hit"`      // senders
-	Lasted  float64 `json:"lasted_s"` // before the return began
-	Lowest  float64 `json:"lowest_sum"`
-	Highest float64 `json:"highest_sum"`
-	// Under is for how long the sum was below [Floor] while the fault lasted, and Again
-	// after which time from its begin it was not below again.
-	Under float64 `json:"under_s"`
-	Again float64 `json:"again_s"`
-	// Sides are the sums at its end, of those that it left alone and of those it hit.
-	Sides [2]float64 `json:"sides"`
-	// Whole is the time from the end of the fault until each counted all again.
-	Whole       float64 `json:"whole_s"`
-	UnderAfter  float64 `json:"under_after_s"`      // below [Floor] in that time
-	ReturnHit   float64 `json:"return_hit_bytes"`   // each of those it hit, sent and taken in that time
-	ReturnOther float64 `json:"return_other_bytes"` // each other one
-	Busiest     float64 `json:"busiest_bytes_s"`    // sent by each in the mean, in the second with the most, from the fault's begin on
+	Fault      Fault   `json:"fault"`
+	Hit        int     `json:"hit"`      // number of affected senders
+	Duration   float64 `json:"lasted_s"` // until the recovery began
+	LowestSum  float64 `json:"lowest_sum"`
+	HighestSum float64 `json:"highest_sum"`
+	// UnderFloor is the time for which the sum was below [Floor] during the fault;
+	// RecoveredAfter is the time from its start after which the sum stayed above.
+	UnderFloor     float64 `json:"under_s"`
+	RecoveredAfter float64 `json:"again_s"`
+	// SumsAtEnd are the sums at the end of the fault, of the senders not affected and of
+	// those affected.
+	SumsAtEnd [2]float64 `json:"sides"`
+	// ConvergenceTime is the time from the end of the fault until each sender counted all.
+	ConvergenceTime  float64 `json:"whole_s"`
+	UnderFloorAfter  float64 `json:"under_after_s"`      // time below [Floor] until then
+	ReturnBytesHit   float64 `json:"return_hit_bytes"`   // sent and received until then per affected sender
+	ReturnBytesOther float64 `json:"return_other_bytes"` // and per other sender
+	PeakRate         float64 `json:"busiest_bytes_s"`    // mean bytes sent per sender in the busiest second since the start of the fault
 }
 
-// Floor is below which part of a rate in use seconds are counted.
+// Floor is the sum of the shares below which time is counted.
 const Floor = 0.9
 
-// play has a fault happen, last for a while, and be over.
-func (w *watch) play(f Fault, lasts, patience time.Duration) (FaultResult, error) {
-	n := w.stage.size()
-	list := f.hits(n)
+// runFault applies a fault for a duration, ends it, and measures the recovery.
+func (w *monitor) runFault(f Fault, duration, timeout time.Duration) (FaultResult, error) {
+	n := w.env.size()
+	affected := f.affected(n)
 	for i := range w.hit {
-		w.hit[i] = slices.Contains(list, i)
+		w.hit[i] = slices.Contains(affected, i)
 	}
-	r := FaultResult{Fault: f, Hit: len(list), Again: -1, Whole: -1}
-	from := w.stage.now()
-	w.look()
-	w.note(fmt.Sprintf("%s: %d of %d", f, len(list), n))
+	r := FaultResult{Fault: f, Hit: len(affected), RecoveredAfter: -1, ConvergenceTime: -1}
+	from := w.env.now()
+	w.sample()
+	w.addEvent(fmt.Sprintf("%s: %d of %d", f, len(affected), n))
 	cut := func(cut, within bool) {
-		for _, i := range list {
+		for _, i := range affected {
 			for k := range n {
 				if k != i && (within || !w.hit[k]) {
-					w.stage.cut(i, k, cut)
-					w.stage.cut(k, i, cut)
+					w.env.cut(i, k, cut)
+					w.env.cut(k, i, cut)
 				}
 			}
 		}
 	}
 	switch f {
 	case Restarts:
-		for _, i := range list {
-			w.stage.kill([]int{i})
-			w.look()
-			if err := w.stage.start([]int{i}); err != nil {
+		for _, i := range affected {
+			w.env.kill([]int{i})
+			w.sample()
+			if err := w.env.start([]int{i}); err != nil {
 				return r, err
 			}
-			w.stage.run(lasts/time.Duration(len(list)), w.look)
+			w.env.run(duration/time.Duration(len(affected)), w.sample)
 		}
 	case Killed:
-		w.stage.kill(list)
+		w.env.kill(affected)
 	case Rack:
 		cut(true, true)
 	case Zone:
 		cut(true, true)
-		w.stage.kill(list)
+		w.env.kill(affected)
 	case Regions, Halves:
 		cut(true, false)
 	default:
 		return r, fmt.Errorf("hollow: %q is no fault", f)
 	}
 	if f != Restarts {
-		w.look()
-		w.stage.run(lasts, w.look)
+		w.sample()
+		w.env.run(duration, w.sample)
 	}
-	end := w.stage.now()
-	r.Lasted = (end - from).Seconds()
-	below, lowest, last := w.under(from, end, Floor)
-	r.Under, r.Lowest, r.Sides = below.Seconds(), lowest, w.last().sides
+	end := w.env.now()
+	r.Duration = (end - from).Seconds()
+	below, lowest, last := w.timeUnder(from, end, Floor)
+	r.UnderFloor, r.LowestSum, r.SumsAtEnd = below.Seconds(), lowest, w.last().sums
 	if w.last().sum() >= Floor {
-		r.Again = last.Seconds()
+		r.RecoveredAfter = last.Seconds()
 	}
-	w.note(string(f) + " is over")
+	w.addEvent(string(f) + " is over")
 	before := w.counts()
 	switch f {
 	case Rack:
@@ -146,34 +148,34 @@
 		cut(false, true)
 		fallthrough
 	case Killed:
-		if err := w.stage.start(list); err != nil {
+		if err := w.env.start(affected); err != nil {
 			return r, err
 		}
 	case Regions, Halves:
 		cut(false, false)
 	}
-	took, ok := w.until(patience, w.whole)
+	took, ok := w.runUntil(timeout, w.converged)
 	if ok {
-		r.Whole = took.Seconds()
-		w.note("whole again")
+		r.ConvergenceTime = took.Seconds()
+		w.addEvent("whole again")
 	}
 	after := w.counts()
 	for i := range after {
 		c := after[i].minus(before[i])
-		each := &r.ReturnOther
-		share := n - len(list)
+		each := &r.ReturnBytesOther
+		share := n - len(affected)
 		if w.hit[i] {
-			each, share = &r.ReturnHit, len(list)
+			each, share = &r.ReturnBytesHit, len(affected)
 		}
-		*each += float64(c.OutBytes+c.InBytes) / float64(share)
+		*each += float64(c.BytesOut+c.BytesIn) / float64(share)
 	}
-	below, lowest, _ = w.under(end, w.stage.now(), Floor)
-	r.UnderAfter, r.Lowest = below.Seconds(), min(r.Lowest, lowest)
+	below, lowest, _ = w.timeUnder(end, w.env.now(), Floor)
+	r.UnderFloorAfter, r.LowestSum = below.Seconds(), min(r.LowestSum, lowest)
 	for _, s := range w.samples {
 		if s.at >= from {
-			r.Highest = max(r.Highest, s.sum())
+			r.HighestSum = max(r.HighestSum, s.sum())
 		}
 	}
-	r.Busiest = float64(w.busiest(from, w.stage.now())) / float64(n)
+	r.PeakRate = float64(w.peakBytes(from, w.env.now())) / float64(n)
 	return r, nil
 }
--- a/internal/standin/hollow/measure.go
+++ b/internal/standin/hollow/measure.go
@@ -8,77 +8,78 @@
 	"time"
 )
 
-// What a sender may spend on control, as the target has it.
+// Bounds of the target for the control traffic of one sender.
 const (
-	MostBytes  = 14_000    // a second
-	MostCore   = 0.016     // of a core
-	MostMemory = 128 << 20 // bytes
+	MaxControlBytes  = 14_000    // per second
+	MaxControlCore   = 0.016     // of a core
+	MaxControlMemory = 128 << 20 // bytes
 )
 
-// Play says what is measured with a fleet.
-type Play struct {
+// Plan describes a measurement of a fleet.
+type Plan struct {
 	Options
-	Virtual  bool
-	Calm     time.Duration // that rates are measured over
-	Lasts    time.Duration // each fault
-	Patience time.Duration // for each thing that is waited for
-	Faults   []Fault
-	Commit   string // of the program; empty for what its build says
-	Command  string // that measures
+	Virtual       bool
+	CalmDuration  time.Duration // without faults, over which rates are measured
+	FaultDuration time.Duration // of each fault
+	Timeout       time.Duration // of each wait for convergence
+	Faults        []Fault
+	Commit        string // of the program; empty for that of the build
+	Command       string // that measured, for the record
 }
 
-// Rates are what each sender spends in the mean, calm.
+// Rates are the mean rates per sender without faults, per second.
 type Rates struct {
-	BytesOut float64 `json:"bytes_out_s"`
-	BytesIn  float64 `json:"bytes_in_s"`
-	Lore     float64 `json:"facts_bytes_out_s"` // of BytesOut
-	Out      float64 `json:"datagrams_out_s"`
-	In       float64 `json:"datagrams_in_s"`
-	Probes   float64 `json:"probes_s"`
-	Core     float64 `json:"core"`   // of one; in virtual time of what decides and of the play, by virtual seconds
-	Memory   float64 `json:"memory"` // resident bytes above those before the fleet; 0 in virtual time
-	Heap     float64 `json:"heap"`   // live bytes of that
+	BytesOut      float64 `json:"bytes_out_s"`
+	BytesIn       float64 `json:"bytes_in_s"`
+	FactsBytesOut float64 `json:"facts_bytes_out_s"` // of BytesOut
+	DatagramsOut  float64 `json:"datagrams_out_s"`
+	DatagramsIn   float64 `json:"datagrams_in_s"`
+	Probes        float64 `json:"probes_s"`
+	Core          float64 `json:"core"`   // processor time; in virtual time that of the decisions and the simulation, per virtual second
+	Memory        float64 `json:"memory"` // resident bytes beyond those before the fleet; 0 in virtual time
+	Heap          float64 `json:"heap"`   // live heap bytes
 }
 
-// Result is what a fleet was measured with and what came of it. Times are in seconds,
-// and -1 for what did not come about.
+// Result is the setup and the outcome of a measurement. Times are in seconds; -1 stands for an
+// event that did not occur.
 type Result struct {
-	Way      string         `json:"way"` // "hollow" or "virtual"
-	Senders  int            `json:"senders"`
-	Lease    float64        `json:"lease_s"`
-	Facts    float64        `json:"facts_s"` // told over the fleet
-	Seed     uint64         `json:"seed"`
-	Cores    int            `json:"cores"` // that the process could use
-	Commit   string         `json:"commit"`
-	Command  string         `json:"command"`
-	Machine  string         `json:"machine"`
-	Met      float64        `json:"met_s"`     // until each counted all
-	MetCPU   float64        `json:"met_cpu_s"` // processor time until then, each
-	Calm     float64        `json:"calm_s"`
-	Rates    Rates          `json:"rates"`  // each sender's
-	Kernel   Kernel         `json:"kernel"` // over the calm span
-	Lowest   float64        `json:"lowest_sum"`
-	Under    float64        `json:"under_s"`     // of the calm span, below [Floor]
-	Highest  float64        `json:"highest_sum"` // ever
-	Over     int            `json:"looks_over_one"`
-	Looks    int            `json:"looks"`
-	Faults   []FaultResult  `json:"faults,omitempty"`
-	Agree    bool           `json:"views_agree"` // at the end
-	Wrong    int            `json:"wrongly_gone"`
-	Dropped  map[string]int `json:"dropped,omitempty"` // packets, by the senders themselves, by reason
-	Mute     int            `json:"mute"`              // senders whose loop did not answer at the end
-	Took     float64        `json:"took_s"`
-	Timeline []Row          `json:"timeline"`
+	Way             string         `json:"way"` // "hollow" or "virtual"
+	Senders         int            `json:"senders"`
+	Lease           float64        `json:"lease_s"`
+	FactRate        float64        `json:"facts_s"` // facts published per second, over the whole fleet
+	Seed            uint64         `json:"seed"`
+	Cores           int            `json:"cores"` // available to the process
+	Commit          string         `json:"commit"`
+	Command         string         `json:"command"`
+	Machine         string         `json:"machine"`
+	ConvergenceTime float64        `json:"met_s"`     // until each sender counted all
+	ConvergenceCPU  float64        `json:"met_cpu_s"` // processor time per sender until then
+	CalmDuration    float64        `json:"calm_s"`
+	Rates           Rates          `json:"rates"`  // per sender
+	Kernel          Kernel         `json:"kernel"` // during the measurement without faults
+	LowestSum       float64        `json:"lowest_sum"`
+	UnderFloor      float64        `json:"under_s"`     // seconds without faults in which the sum was below [Floor]
+	HighestSum      float64        `json:"highest_sum"` // over the whole run
+	SamplesOverOne  int            `json:"looks_over_one"`
+	Samples         int            `json:"looks"`
+	Faults          []FaultResult  `json:"faults,omitempty"`
+	ViewsAgree      bool           `json:"views_agree"` // at the end of the run
+	FalselyGone     int            `json:"wrongly_gone"`
+	Dropped         map[string]int `json:"dropped,omitempty"` // packets dropped by the senders, by reason
+	Unresponsive    int            `json:"mute"`              // senders whose loop did not respond at the end
+	Duration        float64        `json:"took_s"`
+	Timeline        []Row          `json:"timeline"`
 }
 
-// Measure starts a fleet, lets it meet, measures it calm, and plays faults.
-func Measure(p Play) (r Result, err error) {
-	began := time.Now()
-	debug.FreeOSMemory() // of a fleet before
-	base, atStart := resident(), spent()
-	r = Result{Way: "hollow", Senders: p.Senders, Lease: p.Lease.Seconds(), Facts: p.Facts, Seed: p.Seed, Cores: runtime.GOMAXPROCS(0), Commit: cmp.Or(p.Commit, commit()), Command: p.Command,
-		Machine: machine(), Met: -1}
-	var s stage
+// Measure starts a fleet, waits until it has converged, measures it without faults, and then runs
+// the faults.
+func Measure(p Plan) (r Result, err error) {
+	started := time.Now()
+	debug.FreeOSMemory() // memory of an earlier fleet
+	base, atStart := residentMemory(), processCPU()
+	r = Result{Way: "hollow", Senders: p.Senders, Lease: p.Lease.Seconds(), FactRate: p.FactRate, Seed: p.Seed, Cores: runtime.GOMAXPROCS(0), Commit: cmp.Or(p.Commit, buildCommit()), Command: p.Command,
+		Machine: machineName(), ConvergenceTime: -1}
+	var s environment
 	var f *fleet
 	if p.Virtual {
 		r.Way = "virtual"
@@ -90,14 +91,14 @@
 		s = f
 	}
 	defer s.close()
-	w := newWatch(s)
+	w := newMonitor(s)
 	defer func() {
-		r.Highest, r.Over, r.Looks, r.Timeline, r.Took = w.peak, w.over, len(w.samples), w.rows(), time.Since(began).Seconds()
+		r.HighestSum, r.SamplesOverOne, r.Samples, r.Timeline, r.Duration = w.highestSum, w.samplesOverOne, len(w.samples), w.rows(), time.Since(started).Seconds()
 		if world, ok := s.(*world); ok {
-			r.Highest = max(r.Highest, world.MaxSum) // at every instant
+			r.HighestSum = max(r.HighestSum, world.MaxSum) // checked at every instant
 		}
 	}()
-	w.note("start")
+	w.addEvent("start")
 	all := make([]int, p.Senders)
 	for i := range all {
 		all[i] = i
@@ -105,63 +106,63 @@
 	if err := s.start(all); err != nil {
 		return r, err
 	}
-	if took, ok := w.until(p.Patience, w.whole); ok {
-		r.Met = took.Seconds()
-		r.MetCPU = (spent() - atStart).Seconds() / float64(p.Senders)
-		w.note("whole")
+	if took, ok := w.runUntil(p.Timeout, w.converged); ok {
+		r.ConvergenceTime = took.Seconds()
+		r.ConvergenceCPU = (processCPU() - atStart).Seconds() / float64(p.Senders)
+		w.addEvent("whole")
 	}
-	r.calm(w, f, p.Calm, base)
+	r.measureCalm(w, f, p.CalmDuration, base)
 	for _, x := range p.Faults {
-		if r.Met < 0 {
-			break // nothing can be said of a return
+		if r.ConvergenceTime < 0 {
+			break // the recovery could not be measured
 		}
-		one, err := w.play(x, p.Lasts, p.Patience)
-		r.Faults = append(r.Faults, one)
+		result, err := w.runFault(x, p.FaultDuration, p.Timeout)
+		r.Faults = append(r.Faults, result)
 		if err != nil {
 			return r, err
 		}
-		if one.Whole < 0 {
+		if result.ConvergenceTime < 0 {
 			break
 		}
 	}
-	var b belief
-	patience := p.Patience
-	if r.Met < 0 {
-		patience = 0 // they will not agree
+	var b viewSummary
+	timeout := p.Timeout
+	if r.ConvergenceTime < 0 {
+		timeout = 0 // the views will not agree
 	}
-	w.until(patience, func() bool { // those who have just heard of each other find it out with the next ticks
-		b = s.believes()
+	w.runUntil(timeout, func() bool { // senders that have just heard of each other count each other with the next ticks
+		b = s.summarizeViews()
 		return b.agree
 	})
-	r.Agree, r.Wrong, r.Dropped, r.Mute = b.agree, b.wrong, b.dropped, b.mute
+	r.ViewsAgree, r.FalselyGone, r.Dropped, r.Unresponsive = b.agree, b.falselyGone, b.dropped, b.unresponsive
 	return r, nil
 }
 
-// calm measures rates over a span; f is nil in virtual time.
-func (r *Result) calm(w *watch, f *fleet, d time.Duration, base int64) {
+// measureCalm measures rates over a duration without faults; f is nil in virtual time.
+func (r *Result) measureCalm(w *monitor, f *fleet, d time.Duration, base int64) {
 	var before, after Kernel
-	w.note("calm")
-	w.look()
-	from, tally, cpu := w.stage.now(), sum(w.counts(), nil), spent()
+	w.addEvent("calm")
+	w.sample()
+	from, countsBefore, cpuBefore := w.env.now(), sumCounts(w.counts(), nil), processCPU()
 	if f != nil {
-		before = kernel(f.wire.base)
+		before = readKernel(f.network.base)
 	}
-	w.stage.run(d, w.look)
+	w.env.run(d, w.sample)
 	if f != nil {
-		after = kernel(f.wire.base)
+		after = readKernel(f.network.base)
 	}
-	to, c, used := w.stage.now(), sum(w.counts(), nil).minus(tally), spent()-cpu
-	w.note("calm was measured")
+	to, c, used := w.env.now(), sumCounts(w.counts(), nil).minus(countsBefore), processCPU()-cpuBefore
+	w.addEvent("calm was measured")
 	span := (to - from).Seconds()
 	each := span * float64(r.Senders)
-	r.Calm, r.Kernel = span, after.minus(before)
-	below, lowest, _ := w.under(from, to, Floor)
-	r.Under, r.Lowest = below.Seconds(), lowest
-	r.Rates = Rates{BytesOut: float64(c.OutBytes) / each, BytesIn: float64(c.InBytes) / each, Lore: float64(c.Lore) / each, Out: float64(c.Out) / each,
-		In: float64(c.In) / each, Probes: float64(c.Probes) / each}
+	r.CalmDuration, r.Kernel = span, after.minus(before)
+	below, lowest, _ := w.timeUnder(from, to, Floor)
+	r.UnderFloor, r.LowestSum = below.Seconds(), lowest
+	r.Rates = Rates{BytesOut: float64(c.BytesOut) / each, BytesIn: float64(c.BytesIn) / each, FactsBytesOut: float64(c.FactsBytesOut) / each, DatagramsOut: float64(c.DatagramsOut) / each,
+		DatagramsIn: float64(c.DatagramsIn) / each, Probes: float64(c.Probes) / each}
 	r.Rates.Core = used.Seconds() / each
 	if f != nil {
-		r.Rates.Memory = float64(resident()-base) / float64(r.Senders)
+		r.Rates.Memory = float64(residentMemory()-base) / float64(r.Senders)
 		var m runtime.MemStats
 		runtime.GC()
 		runtime.ReadMemStats(&m)
@@ -169,63 +170,64 @@
 	}
 }
 
-// Verdict is what there is to object to, from outside: what is wrong, and which of the
-// target's bounds are not kept; empty for nothing.
-func (r *Result) Verdict() []string {
-	list := r.Wrongs()
+// Violations lists the failures and the bounds of the target that are exceeded; empty if there are
+// none.
+func (r *Result) Violations() []string {
+	list := r.Failures()
 	for _, b := range r.bounds() {
-		if b.is > b.most {
-			list = append(list, fmt.Sprintf("%s: %.4g, over the bound of %.4g", b.what, b.is, b.most))
+		if b.value > b.limit {
+			list = append(list, fmt.Sprintf("%s: %.4g, over the bound of %.4g", b.name, b.value, b.limit))
 		}
 	}
 	return list
 }
 
-// Wrongs is what is wrong whatever the bounds.
-func (r *Result) Wrongs() (wrong []string) {
-	say := func(format string, args ...any) { wrong = append(wrong, fmt.Sprintf(format, args...)) }
-	if r.Over > 0 || r.Highest > most {
-		say("the parts add up to %.3f; %d looks of %d saw more than one rate", r.Highest, r.Over, r.Looks)
+// Failures lists what went wrong, regardless of the bounds.
+func (r *Result) Failures() (failures []string) {
+	report := func(format string, args ...any) { failures = append(failures, fmt.Sprintf(format, args...)) }
+	if r.SamplesOverOne > 0 || r.HighestSum > maxSum {
+		report("the parts add up to %.3f; %d looks of %d saw more than one rate", r.HighestSum, r.SamplesOverOne, r.Samples)
 	}
-	if r.Met < 0 {
-		say("not all senders had met all")
+	if r.ConvergenceTime < 0 {
+		report("not all senders had met all")
 	}
-	if r.Under > 0 {
-		say("calm, the sum was below %.1f for %.1f of %.1f s, %.3f at its lowest", Floor, r.Under, r.Calm, r.Lowest)
+	if r.UnderFloor > 0 {
+		report("calm, the sum was below %.1f for %.1f of %.1f s, %.3f at its lowest", Floor, r.UnderFloor, r.CalmDuration, r.LowestSum)
 	}
 	if n := r.Kernel.Dropped; n > 0 {
-		say("the kernel dropped %d datagrams for full buffers, calm", n)
+		report("the kernel dropped %d datagrams for full buffers, calm", n)
 	}
 	for why, n := range r.Dropped {
-		say("senders dropped %d packets: %s", n, why)
+		report("senders dropped %d packets: %s", n, why)
 	}
-	if r.Wrong > 0 {
-		say("%d lives were taken for gone and heard again", r.Wrong)
+	if r.FalselyGone > 0 {
+		report("%d lives were taken for gone and heard again", r.FalselyGone)
 	}
-	if r.Mute > 0 {
-		say("%d senders did not answer", r.Mute)
+	if r.Unresponsive > 0 {
+		report("%d senders did not answer", r.Unresponsive)
 	}
 	for _, f := range r.Faults {
-		if f.Whole < 0 {
-			say("%s: not whole again", f.Fault)
+		if f.ConvergenceTime < 0 {
+			report("%s: not whole again", f.Fault)
 		}
 	}
-	if !r.Agree {
-		say("the views do not agree at the end")
+	if !r.ViewsAgree {
+		report("the views do not agree at the end")
 	}
-	return wrong
+	return failures
 }
 
+// bound is a measured value with its permitted maximum.
 type bound struct {
-	what     string
-	is, most float64
+	name         string
+	value, limit float64
 }
 
-// bounds are those of the target.
+// bounds returns the bounds of the target.
 func (r *Result) bounds() []bound {
-	list := []bound{{"bytes a second for control, out", r.Rates.BytesOut, MostBytes}}
+	list := []bound{{"bytes a second for control, out", r.Rates.BytesOut, MaxControlBytes}}
 	if r.Way == "hollow" {
-		list = append(list, bound{"of a core for control", r.Rates.Core, MostCore}, bound{"bytes of memory", r.Rates.Memory, MostMemory})
+		list = append(list, bound{"of a core for control", r.Rates.Core, MaxControlCore}, bound{"bytes of memory", r.Rates.Memory, MaxControlMemory})
 	}
 	return list
 }
--- a/internal/standin/hollow/slope.go
+++ b/internal/standin/hollow/slope.go
@@ -9,7 +9,7 @@
 	"slices"
 )
 
-// slope is one figure over sizes, as docs/measurements/capacity has it.
+// slope is one quantity measured over sizes, in the format of docs/measurements/capacity.
 type slope struct {
 	Name     string  `json:"name"`
 	Measures string  `json:"measures"`
@@ -34,7 +34,7 @@
 
 const targetSenders = 560
 
-// ReadResults reads the results of files, in order of size.
+// ReadResults reads results from files and sorts them by size.
 func ReadResults(names []string) (list []Result, err error) {
 	for _, name := range names {
 		text, err := os.ReadFile(name)
@@ -51,15 +51,15 @@
 	return list, nil
 }
 
-// WriteSlopes writes what grows with the senders as a file each into a folder; results
-// are in order of size, and equal sizes are repeats. Fewer than four sizes are no
-// slope, and sizes must be twofold apart.
+// WriteSlopes writes each quantity that grows with the number of senders to a file of a folder. The
+// results must be sorted by size; equal sizes are repeats. A slope needs at least four sizes, each
+// at least twice the previous one.
 func WriteSlopes(dir, command string, results []Result) error {
 	if len(results) == 0 {
 		return nil
 	}
 	first := results[0]
-	make := func(name, measures, unit string, bound float64, of func(Result) float64) slope {
+	newSlope := func(name, measures, unit string, bound float64, of func(Result) float64) slope {
 		s := slope{Name: first.Way + "-" + name, Measures: measures, Way: first.Way, Command: command, Commit: first.Commit, Machine: first.Machine,
 			SizeOf: "senders", Unit: unit, Target: targetSenders, Bound: bound, From: "the operators' size of two years: 560 senders"}
 		if first.Way == "hollow" {
@@ -75,13 +75,13 @@
 		return s
 	}
 	list := []slope{
-		make("control-bytes", "bytes a second that a sender sends for control, calm, with 28 of each datagram", "B/s", MostBytes, func(r Result) float64 { return r.Rates.BytesOut }),
-		make("control-datagrams", "datagrams a second that a sender sends, calm", "1/s", 0, func(r Result) float64 { return r.Rates.Out }),
+		newSlope("control-bytes", "bytes a second that a sender sends for control, calm, with 28 of each datagram", "B/s", MaxControlBytes, func(r Result) float64 { return r.Rates.BytesOut }),
+		newSlope("control-datagrams", "datagrams a second that a sender sends, calm", "1/s", 0, func(r Result) float64 { return r.Rates.DatagramsOut }),
 	}
 	if first.Way == "hollow" {
 		list = append(list,
-			make("control-core", "processor time of the process over senders, calm", "cores", MostCore, func(r Result) float64 { return r.Rates.Core }),
-			make("control-memory", "resident memory of the process above its base over senders", "B", MostMemory, func(r Result) float64 { return r.Rates.Memory }))
+			newSlope("control-core", "processor time of the process over senders, calm", "cores", MaxControlCore, func(r Result) float64 { return r.Rates.Core }),
+			newSlope("control-memory", "resident memory of the process above its base over senders", "B", MaxControlMemory, func(r Result) float64 { return r.Rates.Memory }))
 	}
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return err
--- a/internal/standin/hollow/stage.go
+++ b/internal/standin/hollow/stage.go
@@ -2,26 +2,26 @@
 
 import "time"
 
-// stage is senders that a play is made with, in real time or in virtual time.
-type stage interface {
+// environment runs the senders of a measurement, in real or in virtual time.
+type environment interface {
 	size() int
-	now() time.Duration               // since the stage was made
-	run(d time.Duration, look func()) // lets time pass, looking every lookEvery
-	start(list []int) error           // from their folders, where they were
-	kill(list []int)                  // at once; their addresses refuse
-	cut(from, to int, cut bool)       // what goes from one to another is lost
-	parts(out []float64)              // of each rate, now; -1 for one that does not run
+	now() time.Duration               // since the environment was created
+	run(d time.Duration, look func()) // lets time pass, calling look every sampleInterval
+	start(list []int) error           // from their state folders, at the same addresses
+	kill(list []int)                  // at once; their addresses then refuse connections
+	cut(from, to int, cut bool)       // sets whether the link from one sender to another loses everything
+	shares(out []float64)             // current shares of each rate; -1 for a sender that is not running
 	counts(out []Count)               // since the first start
-	believes() belief                 // once a play is over
-	close()                           // ends all
+	summarizeViews() viewSummary      // at the end of a run
+	close()                           // stops all senders
 }
 
-// most is what a sum of parts may be, rounding apart.
-const most = 1 + 1e-9
+// maxSum is the largest permitted sum of the shares, with a margin for rounding.
+const maxSum = 1 + 1e-9
 
-// total is the sum of the parts of those that run.
-func total(parts []float64) (sum float64) {
-	for _, p := range parts {
+// sumShares adds up the shares of the running senders.
+func sumShares(shares []float64) (sum float64) {
+	for _, p := range shares {
 		sum += max(p, 0)
 	}
 	return sum
--- a/internal/standin/hollow/usage.go
+++ b/internal/standin/hollow/usage.go
@@ -11,17 +11,17 @@
 	"time"
 )
 
-// spent is the processor time of this process.
-func spent() time.Duration {
+// processCPU returns the processor time used by this process.
+func processCPU() time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
-		return 0 // it can't fail for this process, getrusage(2)
+		return 0 // cannot fail for this process, see getrusage(2)
 	}
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// resident is the anonymous memory of this process, in bytes.
-func resident() int64 {
+// residentMemory returns the anonymous resident memory of this process, in bytes.
+func residentMemory() int64 {
 	text, _ := os.ReadFile("/proc/self/status")
 	for line := range strings.Lines(string(text)) {
 		if x, ok := strings.CutPrefix(line, "RssAnon:"); ok {
@@ -32,22 +32,22 @@
 	return 0
 }
 
-// Kernel is what the kernel has counted, of the whole machine but for Dropped.
+// Kernel holds counters of the kernel; all but Dropped are for the whole machine.
 type Kernel struct {
 	DatagramsOut int64 `json:"datagrams_out"`
 	DatagramsIn  int64 `json:"datagrams_in"`
-	Full         int64 `json:"full_buffers"` // datagrams lost for want of room at a socket
+	Full         int64 `json:"full_buffers"` // datagrams lost because a socket buffer was full
 	LoopbackOut  int64 `json:"loopback_bytes"`
-	Dropped      int64 `json:"dropped"` // by the sockets of this fleet that are open
+	Dropped      int64 `json:"dropped"` // by the open sockets of this fleet
 }
 
 func (k Kernel) minus(x Kernel) Kernel {
 	return Kernel{k.DatagramsOut - x.DatagramsOut, k.DatagramsIn - x.DatagramsIn, k.Full - x.Full, k.LoopbackOut - x.LoopbackOut, k.Dropped - x.Dropped}
 }
 
-// kernel reads /proc/net/snmp, /proc/net/dev and /proc/net/udp, as proc(5) has them.
-// base is the first two octets of the fleet.
-func kernel(base string) (k Kernel) {
+// readKernel reads /proc/net/snmp, /proc/net/dev and /proc/net/udp in the format of proc(5). base
+// is the first two octets of the addresses of the fleet.
+func readKernel(base string) (k Kernel) {
 	text, _ := os.ReadFile("/proc/net/snmp")
 	var names []string
 	for line := range strings.Lines(string(text)) {
@@ -82,7 +82,7 @@
 	}
 	_, octet, _ := strings.Cut(base, ".")
 	second, _ := strconv.Atoi(octet)
-	end := fmt.Sprintf("%02X7F:%04X", second, clusterPort) // of a little-endian address
+	end := fmt.Sprintf("%02X7F:%04X", second, clusterPort) // end of a little-endian address
 	text, _ = os.ReadFile("/proc/net/udp")
 	for line := range strings.Lines(string(text)) {
 		fields := strings.Fields(line)
@@ -94,8 +94,8 @@
 	return k
 }
 
-// machine says what this runs on.
-func machine() string {
+// machineName describes the machine: cores, processor, kernel and Go version.
+func machineName() string {
 	model := "unknown processor"
 	text, _ := os.ReadFile("/proc/cpuinfo")
 	for line := range strings.Lines(string(text)) {
@@ -108,8 +108,8 @@
 	return fmt.Sprintf("%d cores of %s, Linux %s, %s", runtime.NumCPU(), model, strings.TrimSpace(string(release)), runtime.Version())
 }
 
-// commit is that of the program, short; with "+" if the tree was changed.
-func commit() string {
+// buildCommit returns the short commit of the program, with "+" if the tree was modified.
+func buildCommit() string {
 	info, _ := debug.ReadBuildInfo()
 	at, changed := "unknown", ""
 	if info != nil {
--- a/internal/standin/hollow/virtual.go
+++ b/internal/standin/hollow/virtual.go
@@ -10,34 +10,34 @@
 	"cometrack/internal/view/play"
 )
 
-// Delays between two senders in virtual time.
+// Settings of the senders and links in virtual time.
 const (
-	virtualDelay  = time.Millisecond
-	virtualJitter = 5 * time.Millisecond
-	virtualLeast  = 0.1 // as package config has it if a file says nothing
-	likeAddr      = "127.16.1.99:7946"
+	virtualDelay         = time.Millisecond
+	virtualJitter        = 5 * time.Millisecond
+	virtualMinShareTotal = 0.1 // the default of package config
+	typicalAddr          = "127.16.1.99:7946"
 )
 
-// world is senders in virtual time: package view alone, and at every instant the sum
-// of their parts.
+// world is a set of senders in virtual time. It runs package view alone and checks the sum of the
+// shares at every instant.
 type world struct{ *play.World }
 
 func newWorld(o Options) *world {
-	w := &world{play.New(play.Options{Seed: o.Seed, Senders: o.Senders, MinShareTotal: virtualLeast, Lease: o.Lease, Interval: o.Lease / config.Ticks, MaxClockDrift: o.Drift,
+	w := &world{play.New(play.Options{Seed: o.Seed, Senders: o.Senders, MinShareTotal: virtualMinShareTotal, Lease: o.Lease, Interval: o.Lease / config.Ticks, MaxClockDrift: o.Drift,
 		Delay: virtualDelay, Jitter: virtualJitter})}
 	for i := range w.Newest {
-		if o.Pace != nil && o.Pace(i) > 0 {
-			w.SetClockRate(i, o.Pace(i))
+		if o.ClockRate != nil && o.ClockRate(i) > 0 {
+			w.SetClockRate(i, o.ClockRate(i))
 		}
 	}
 	w.SizeOf = func(m *view.Message) int {
-		whole := *m // with addresses, a zone and a version as long as those of hollow senders
-		whole.Addr, whole.Zone, whole.Version, whole.PeerReports = likeAddr, "z0", version, slices.Clone(m.PeerReports)
+		whole := *m // with addresses, a zone and a version of the same length as over sockets
+		whole.Addr, whole.Zone, whole.Version, whole.PeerReports = typicalAddr, "z0", version, slices.Clone(m.PeerReports)
 		for i := range whole.PeerReports {
-			whole.PeerReports[i].Addr = likeAddr
+			whole.PeerReports[i].Addr = typicalAddr
 		}
-		size, _ := cluster.PacketSize(&whole) // what a machine has made can be written
-		return size + udpHead
+		size, _ := cluster.PacketSize(&whole) // a message of the view can always be encoded
+		return size + udpHeaderBytes
 	}
 	return w
 }
@@ -47,7 +47,7 @@
 
 func (w *world) run(d time.Duration, look func()) {
 	for end := w.Now + d; w.Now < end; {
-		w.Run(min(lookEvery, end-w.Now))
+		w.Run(min(sampleInterval, end-w.Now))
 		look()
 	}
 }
@@ -69,7 +69,7 @@
 
 func (w *world) cut(from, to int, cut bool) { w.Cut(from, to, cut) }
 
-func (w *world) parts(out []float64) {
+func (w *world) shares(out []float64) {
 	for i, p := range w.Newest {
 		out[i] = -1
 		if p.Running {
@@ -80,10 +80,12 @@
 
 func (w *world) counts(out []Count) {
 	for i, t := range w.Traffic {
-		out[i] = Count{Out: t.Out, In: t.In, OutBytes: t.OutBytes, InBytes: t.InBytes}
+		out[i] = Count{DatagramsOut: t.Out, DatagramsIn: t.In, BytesOut: t.OutBytes, BytesIn: t.InBytes}
 	}
 }
 
-func (w *world) believes() belief { return belief{agree: w.Converged(), wrong: w.HeardAfterGone} }
+func (w *world) summarizeViews() viewSummary {
+	return viewSummary{agree: w.Converged(), falselyGone: w.HeardAfterGone}
+}
 
 func (w *world) close() {}
--- a/internal/standin/hollow/watch.go
+++ b/internal/standin/hollow/watch.go
@@ -5,98 +5,99 @@
 	"time"
 )
 
-// sample is what one look has seen.
+// sample is one observation of all senders.
 type sample struct {
 	at      time.Duration
-	sides   [2]float64 // sums of parts: of those that a fault leaves alone, and of those it hits
+	sums    [2]float64 // sums of the shares: of the senders not affected by the fault, and of those affected
 	running int
-	bytes   int64 // sent by all so far
+	bytes   int64 // sent by all senders so far
 }
 
-func (s sample) sum() float64 { return s.sides[0] + s.sides[1] }
-
-// watch looks at a stage from outside, all along a play.
-type watch struct {
-	stage   stage
-	hit     []bool // by sender, of the present fault
-	parts   []float64
-	tally   []Count
-	samples []sample
-	peak    float64 // the largest sum
-	over    int     // looks that have seen more than one rate
-	notes   []note
+func (s sample) sum() float64 { return s.sums[0] + s.sums[1] }
+
+// monitor samples an environment throughout a run.
+type monitor struct {
+	env            environment
+	hit            []bool // by sender: affected by the current fault
+	shares         []float64
+	latestCounts   []Count
+	samples        []sample
+	highestSum     float64 // of the shares
+	samplesOverOne int     // samples with a sum above one rate
+	events         []event
 }
 
-// note is something that the play did.
-type note struct {
+// event is a step of the run.
+type event struct {
 	at   time.Duration
 	text string
 }
 
-func newWatch(s stage) *watch {
-	return &watch{stage: s, hit: make([]bool, s.size()), parts: make([]float64, s.size()), tally: make([]Count, s.size())}
+func newMonitor(s environment) *monitor {
+	return &monitor{env: s, hit: make([]bool, s.size()), shares: make([]float64, s.size()), latestCounts: make([]Count, s.size())}
 }
 
-func (w *watch) note(text string) { w.notes = append(w.notes, note{w.stage.now(), text}) }
+func (w *monitor) addEvent(text string) { w.events = append(w.events, event{w.env.now(), text}) }
 
-// look takes a sample.
-func (w *watch) look() {
-	w.stage.parts(w.parts)
-	s := sample{at: w.stage.now()}
-	for i, p := range w.parts {
+// sample takes a sample.
+func (w *monitor) sample() {
+	w.env.shares(w.shares)
+	s := sample{at: w.env.now()}
+	for i, p := range w.shares {
 		if p < 0 {
 			continue
 		}
 		s.running++
 		if w.hit[i] {
-			s.sides[1] += p
+			s.sums[1] += p
 		} else {
-			s.sides[0] += p
+			s.sums[0] += p
 		}
 	}
-	w.stage.counts(w.tally)
-	s.bytes = sum(w.tally, nil).OutBytes
-	w.peak = max(w.peak, s.sum())
-	if s.sum() > most {
-		w.over++
+	w.env.counts(w.latestCounts)
+	s.bytes = sumCounts(w.latestCounts, nil).BytesOut
+	w.highestSum = max(w.highestSum, s.sum())
+	if s.sum() > maxSum {
+		w.samplesOverOne++
 	}
 	w.samples = append(w.samples, s)
 }
 
-func (w *watch) last() sample { return w.samples[len(w.samples)-1] }
+func (w *monitor) last() sample { return w.samples[len(w.samples)-1] }
 
-// until lets time pass until something holds after a look, at most d.
-func (w *watch) until(d time.Duration, holds func() bool) (time.Duration, bool) {
-	from := w.stage.now()
+// runUntil lets time pass, at most d, until condition holds after a sample. It returns the time
+// taken and whether the condition held.
+func (w *monitor) runUntil(d time.Duration, condition func() bool) (time.Duration, bool) {
+	from := w.env.now()
 	for {
-		w.look()
-		if holds() {
-			return w.stage.now() - from, true
+		w.sample()
+		if condition() {
+			return w.env.now() - from, true
 		}
-		if w.stage.now()-from >= d {
-			return w.stage.now() - from, false
+		if w.env.now()-from >= d {
+			return w.env.now() - from, false
 		}
-		w.stage.run(lookEvery, func() {})
+		w.env.run(sampleInterval, func() {})
 	}
 }
 
-// whole holds once all run and each has an even part of the whole rate: it is taken in
-// by all, and counts all.
-func (w *watch) whole() bool {
-	return slices.Min(w.parts) > 0.999/float64(w.stage.size())
+// converged reports whether all senders are running and each has an even share of the whole rate,
+// so that each counts all and is counted by all.
+func (w *monitor) converged() bool {
+	return slices.Min(w.shares) > 0.999/float64(w.env.size())
 }
 
-// counts is what each has sent and taken so far.
-func (w *watch) counts() []Count {
-	out := make([]Count, w.stage.size())
-	w.stage.counts(out)
+// counts returns the traffic of each sender so far.
+func (w *monitor) counts() []Count {
+	out := make([]Count, w.env.size())
+	w.env.counts(out)
 	return out
 }
 
-// under is for how long the sum was below a bound within a span, its lowest, and when
-// it last was below, from the span's beginning; 0 for never.
-func (w *watch) under(from, to time.Duration, bound float64) (below time.Duration, lowest float64, last time.Duration) {
-	lowest = most
+// timeUnder returns how long the sum was below a bound within an interval, the lowest sum, and when
+// it was last below the bound, relative to from; 0 for never.
+func (w *monitor) timeUnder(from, to time.Duration, bound float64) (below time.Duration, lowest float64, last time.Duration) {
+	lowest = maxSum
 	before := from
 	for _, s := range w.samples {
 		if s.at < from || s.at > to {
@@ -112,41 +113,41 @@
 	return below, lowest, last
 }
 
-// Row is a second of a time line.
+// Row is one second of the timeline.
 type Row struct {
-	At      float64    `json:"at_s"`
-	Lowest  float64    `json:"lowest_sum"`
-	Highest float64    `json:"highest_sum"`
-	Sides   [2]float64 `json:"sides"` // at its end: of those that a fault leaves alone, and of those it hits
-	Running int        `json:"running"`
-	Bytes   int64      `json:"bytes_sent"` // by all, within it
-	Did     []string   `json:"did,omitempty"`
+	At         float64    `json:"at_s"`
+	LowestSum  float64    `json:"lowest_sum"`
+	HighestSum float64    `json:"highest_sum"`
+	Sums       [2]float64 `json:"sides"` // at its end: of the senders not affected by the fault, and of those affected
+	Running    int        `json:"running"`
+	BytesSent  int64      `json:"bytes_sent"` // by all senders in this second
+	Events     []string   `json:"did,omitempty"`
 }
 
-// rows is the time line by seconds.
-func (w *watch) rows() (out []Row) {
+// rows returns the timeline by seconds.
+func (w *monitor) rows() (out []Row) {
 	bytes := int64(0)
-	notes := w.notes
+	events := w.events
 	for i := 0; i < len(w.samples); {
 		second := w.samples[i].at / time.Second
-		r := Row{At: float64(second), Lowest: w.samples[i].sum()}
+		r := Row{At: float64(second), LowestSum: w.samples[i].sum()}
 		for ; i < len(w.samples) && w.samples[i].at/time.Second == second; i++ {
 			s := w.samples[i]
-			r.Lowest, r.Highest = min(r.Lowest, s.sum()), max(r.Highest, s.sum())
-			r.Sides, r.Running, r.Bytes = s.sides, s.running, s.bytes-bytes
+			r.LowestSum, r.HighestSum = min(r.LowestSum, s.sum()), max(r.HighestSum, s.sum())
+			r.Sums, r.Running, r.BytesSent = s.sums, s.running, s.bytes-bytes
 		}
-		bytes += r.Bytes
-		for len(notes) > 0 && notes[0].at/time.Second <= second {
-			r.Did = append(r.Did, notes[0].text)
-			notes = notes[1:]
+		bytes += r.BytesSent
+		for len(events) > 0 && events[0].at/time.Second <= second {
+			r.Events = append(r.Events, events[0].text)
+			events = events[1:]
 		}
 		out = append(out, r)
 	}
 	return out
 }
 
-// busiest is the most bytes that all have sent in a second of a span.
-func (w *watch) busiest(from, to time.Duration) (best int64) {
+// peakBytes returns the most bytes that all senders sent in one second of an interval.
+func (w *monitor) peakBytes(from, to time.Duration) (best int64) {
 	k := 0
 	for i, s := range w.samples {
 		if s.at < from || s.at > to {
