--- a/cmd/measure/ready.go
+++ b/cmd/measure/ready.go
@@ -15,11 +15,11 @@
 // prints how long each took until it was ready.
 func readyTimes(args []string) error {
 	fs := flag.NewFlagSet("ready", flag.ContinueOnError)
-	p := ready.Play{Gap: 600 * time.Millisecond}
+	p := ready.Scenario{RestartDelay: 600 * time.Millisecond}
 	fs.StringVar(&p.Program, "bin", "bin/cometrack", "the sender")
 	fs.StringVar(&p.Cores, "cores", "", "that the processes share, as taskset lists them; all if empty")
 	fs.IntVar(&p.Processes, "processes", 20, "killed and started at once")
-	fs.DurationVar(&p.Down, "down", 8*time.Second, "how long discovery is down, from the kill on")
+	fs.DurationVar(&p.DiscoveryOutage, "down", 8*time.Second, "how long discovery is down, from the kill on")
 	held := fs.String("held", "0,1000,20000", "messages that each holds, a row for each number")
 	turns := fs.Int("turns", 1, "how often each row is played")
 	if err := fs.Parse(args); err != nil {
@@ -31,7 +31,7 @@
 		if err != nil {
 			return err
 		}
-		p.Held = n
+		p.Pending = n
 		for range *turns {
 			starts, err := p.Run()
 			if err != nil {
@@ -41,7 +41,7 @@
 			found, first := 0, time.Duration(0)
 			for _, s := range starts {
 				took = append(took, s.Ready)
-				found, first = found+s.Held, max(first, s.First)
+				found, first = found+s.Pending, max(first, s.FirstReply)
 			}
 			slices.Sort(took)
 			at := func(part float64) float64 { return took[int(part*float64(len(took)-1)+0.999999)].Seconds() }
--- a/cmd/measure/untried.go
+++ b/cmd/measure/untried.go
@@ -27,22 +27,22 @@
 			}
 			for _, x := range []struct {
 				name string
-				untried.Play
+				untried.Scenario
 			}{
-				{"alive", untried.Play{Latency: 20 * time.Millisecond}},
-				{"slow (0.6 s)", untried.Play{Latency: 600 * time.Millisecond}},
-				{"shut (503)", untried.Play{Partner: partner.Full}},
-				{"out (answers nothing)", untried.Play{Partner: partner.Hang}},
-				{"listed after 2 s", untried.Play{Latency: 20 * time.Millisecond, Listed: 2 * time.Second}},
+				{"alive", untried.Scenario{Latency: 20 * time.Millisecond}},
+				{"slow (0.6 s)", untried.Scenario{Latency: 600 * time.Millisecond}},
+				{"shut (503)", untried.Scenario{Partner: partner.Full}},
+				{"out (answers nothing)", untried.Scenario{Partner: partner.Hang}},
+				{"listed after 2 s", untried.Scenario{Latency: 20 * time.Millisecond, ListedAfter: 2 * time.Second}},
 			} {
-				p := x.Play
-				p.Program, p.Held, p.Signal = *bin, held, sig
-				p.Short, p.Long = 500*time.Millisecond+p.Listed+time.Duration(held)*400*time.Microsecond, 12*time.Second
+				p := x.Scenario
+				p.Program, p.Pending, p.Signal = *bin, held, sig
+				p.ShortRemaining, p.LongRemaining = 500*time.Millisecond+p.ListedAfter+time.Duration(held)*400*time.Microsecond, 12*time.Second
 				c, err := p.Run()
 				if err != nil {
 					return err
 				}
-				fmt.Printf("%-8s %6d %-22s %6d %6d %18d %10d\n", sig, c.Held, x.name, c.Over, c.Tried, c.Given, c.Delivered)
+				fmt.Printf("%-8s %6d %-22s %6d %6d %18d %10d\n", sig, c.Pending, x.name, c.Expired, c.Attempted, c.EndedUntried, c.Delivered)
 				for i, f := range c.Faults {
 					if i < 5 {
 						fmt.Println("   fault:", f)
--- a/internal/daemon/failing_discovery_test.go
+++ b/internal/daemon/failing_discovery_test.go
@@ -23,12 +23,12 @@
 	for _, x := range []struct {
 		name  string
 		moved bool // SIGHUP moves discovery in the moment of the change
-		fates []fate.Fate
+		fates []fate.Response
 	}{
-		{"503 at once", false, slices.Repeat([]fate.Fate{{Kind: fate.Unavailable}}, 4)},
-		{"503 at once after SIGHUP", true, slices.Repeat([]fate.Fate{{Kind: fate.Unavailable}}, 7)},
-		{"503 out of a queue", false, slices.Repeat([]fate.Fate{{Kind: fate.Crowded, After: second}}, 4)},
-		{"one of each", false, []fate.Fate{{Kind: fate.Reset}, {Kind: fate.Cut}, {Kind: fate.Stuck}, {Kind: fate.Silent}}},
+		{"503 at once", false, slices.Repeat([]fate.Response{{Kind: fate.Unavailable}}, 4)},
+		{"503 at once after SIGHUP", true, slices.Repeat([]fate.Response{{Kind: fate.Unavailable}}, 7)},
+		{"503 out of a queue", false, slices.Repeat([]fate.Response{{Kind: fate.DelayedUnavailable, Delay: second}}, 4)},
+		{"one of each", false, []fate.Response{{Kind: fate.Reset}, {Kind: fate.Truncated}, {Kind: fate.Stalled}, {Kind: fate.NoResponse}}},
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			t.Parallel()
--- a/internal/daemon/ready_test.go
+++ b/internal/daemon/ready_test.go
@@ -15,15 +15,15 @@
 		t.Fatal(err)
 	}
 	const most = 10 * time.Second // as the standing test has it
-	p := ready.Play{Program: path, Processes: 3, Held: 300, Down: 2 * most}
+	p := ready.Scenario{Program: path, Processes: 3, Pending: 300, DiscoveryOutage: 2 * most}
 	starts, err := p.Run()
 	if err != nil {
 		t.Fatal(err)
 	}
 	for i, s := range starts {
 		t.Logf("%+v", s)
-		if s.Ready >= most || s.Held < p.Held/2 {
-			t.Errorf("process %d is ready after %v with %d held", i, s.Ready, s.Held)
+		if s.Ready >= most || s.Pending < p.Pending/2 {
+			t.Errorf("process %d is ready after %v with %d held", i, s.Ready, s.Pending)
 		}
 	}
 }
--- a/internal/daemon/untried_test.go
+++ b/internal/daemon/untried_test.go
@@ -15,21 +15,21 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for name, p := range map[string]untried.Play{
-		"killed, slow":        {Signal: syscall.SIGKILL, Held: 100, Latency: 600 * time.Millisecond, Short: time.Second},
-		"ended, slow":         {Signal: syscall.SIGTERM, Held: 100, Latency: 600 * time.Millisecond, Short: time.Second},
-		"killed, listed late": {Signal: syscall.SIGKILL, Held: 20, Latency: 20 * time.Millisecond, Listed: time.Second, Short: 3 * time.Second},
+	for name, p := range map[string]untried.Scenario{
+		"killed, slow":        {Signal: syscall.SIGKILL, Pending: 100, Latency: 600 * time.Millisecond, ShortRemaining: time.Second},
+		"ended, slow":         {Signal: syscall.SIGTERM, Pending: 100, Latency: 600 * time.Millisecond, ShortRemaining: time.Second},
+		"killed, listed late": {Signal: syscall.SIGKILL, Pending: 20, Latency: 20 * time.Millisecond, ListedAfter: time.Second, ShortRemaining: 3 * time.Second},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			p.Program, p.Long = path, 10*time.Second
+			p.Program, p.LongRemaining = path, 10*time.Second
 			c, err := p.Run()
 			if err != nil {
 				t.Fatal(err)
 			}
 			t.Logf("%+v", c)
-			if c.Given > c.Held/20 || c.Over > c.Held/2 || len(c.Faults) > 0 {
-				t.Errorf("of %d held untried %d were tried, %d ended with no call, %d had run out of time: %v", c.Held, c.Tried, c.Given, c.Over, c.Faults)
+			if c.EndedUntried > c.Pending/20 || c.Expired > c.Pending/2 || len(c.Faults) > 0 {
+				t.Errorf("of %d held untried %d were tried, %d ended with no call, %d had run out of time: %v", c.Pending, c.Attempted, c.EndedUntried, c.Expired, c.Faults)
 			}
 		})
 	}
--- a/internal/soak/discovery.go
+++ b/internal/soak/discovery.go
@@ -127,14 +127,14 @@
 }
 
 // draw draws the fate of a sender's call or answer.
-func (d *discovery) draw(sender int) fate.Fate {
+func (d *discovery) draw(sender int) fate.Response {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.pushed || d.rng.Float64() >= d.now.flaky || d.inRow[sender] >= mostFailuresInRow {
-		return fate.Fate{}
+		return fate.Response{}
 	}
-	f := fate.Fate{Kind: fate.Kind(1 + d.rng.IntN(int(fate.Kinds)-1)), After: time.Duration(500+d.rng.IntN(2500)) * time.Millisecond}
-	if !f.Answers() {
+	f := fate.Response{Kind: fate.Kind(1 + d.rng.IntN(int(fate.NumKinds)-1)), Delay: time.Duration(500+d.rng.IntN(2500)) * time.Millisecond}
+	if !f.Succeeds() {
 		d.inRow[sender]++
 	}
 	return f
@@ -150,7 +150,7 @@
 		return
 	}
 	first := d.draw(sender)
-	if !first.Answers() {
+	if !first.Succeeds() {
 		d.fail(first, sender, began, hold, w, r)
 		return
 	}
@@ -158,11 +158,11 @@
 	if !ok {
 		return
 	}
-	if last := d.draw(sender); !last.Answers() { // it ends in the moment in which there is news
+	if last := d.draw(sender); !last.Succeeds() { // it ends in the moment in which there is news
 		d.fail(last, sender, began, hold, w, r)
 		return
 	}
-	if first.Meet(w, r, encode(list)) {
+	if first.Serve(w, r, encode(list)) {
 		http.NewResponseController(w).Flush()
 		d.answered(sender)
 		d.records.listWritten(sender, time.Now(), list.Generation)
@@ -170,11 +170,11 @@
 }
 
 // fail has a call fail.
-func (d *discovery) fail(f fate.Fate, sender int, began time.Time, hold time.Duration, w http.ResponseWriter, r *http.Request) {
-	if f.Kind == fate.Silent || f.Kind == fate.Stuck {
+func (d *discovery) fail(f fate.Response, sender int, began time.Time, hold time.Duration, w http.ResponseWriter, r *http.Request) {
+	if f.Kind == fate.NoResponse || f.Kind == fate.Stalled {
 		d.records.silentWatch(sender, began, hold)
 	}
-	f.Meet(w, r, encode(d.known()))
+	f.Serve(w, r, encode(d.known()))
 }
 
 // answered notes that a sender's call was answered.
--- a/internal/standin/discovery/discovery.go
+++ b/internal/standin/discovery/discovery.go
@@ -34,7 +34,7 @@
 	Silent  bool                         // never answers a call for the list
 	Deaf    bool                         // turns notices away
 	With    func(settings string) string // changes the senders' settings; nil for none
-	Fates   []fate.Fate                  // what becomes of the next calls for the list, and of watches that are open
+	Fates   []fate.Response              // what becomes of the next calls for the list, and of watches that are open
 }
 
 // New makes one that listens until the test is over.
@@ -77,7 +77,7 @@
 		}
 		if next, ok := p.nextFate(); ok {
 			body, _ := json.Marshal(list)
-			next.Meet(w, r, body)
+			next.Serve(w, r, body)
 			return
 		}
 		if !silent && list.Generation > from {
@@ -99,11 +99,11 @@
 }
 
 // nextFate takes the fate of the next call, if there is one.
-func (p *Platform) nextFate() (fate.Fate, bool) {
+func (p *Platform) nextFate() (fate.Response, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if len(p.Fates) == 0 {
-		return fate.Fate{}, false
+		return fate.Response{}, false
 	}
 	next := p.Fates[0]
 	p.Fates = p.Fates[1:]
--- a/internal/standin/fate/fate.go
+++ b/internal/standin/fate/fate.go
@@ -1,4 +1,4 @@
-// Package fate gives single HTTP calls to a stand-in the ends that calls meet at a server in trouble.
+// Package fate lets a stand-in answer single HTTP calls like a failing server.
 package fate
 
 import (
@@ -8,58 +8,58 @@
 	"time"
 )
 
-// Kind is what becomes of a call.
+// Kind is the way in which a call is answered.
 type Kind int
 
-// The kinds. All but Answered and Late leave the caller without what it asked for.
+// Kinds of responses. With all but Answered and Delayed the call fails.
 const (
-	Answered    Kind = iota
-	Unavailable      // 503 at once
-	Crowded          // 503 after the time of the call in a queue
-	Reset            // the connection is reset instead of an answer
-	Cut              // the connection ends within the answer
-	Silent           // no byte comes
-	Stuck            // no byte comes after the first half of the answer
-	Late             // answered after a while
-	Kinds            // their number
+	Answered           Kind = iota
+	Unavailable             // 503 at once
+	DelayedUnavailable      // 503 after a time in a queue
+	Reset                   // the connection is reset without a response
+	Truncated               // the connection is closed within the response
+	NoResponse              // no byte is sent
+	Stalled                 // no byte is sent after the first half of the response
+	Delayed                 // answered after a delay
+	NumKinds                // number of kinds
 )
 
-var names = [Kinds]string{"answered", "503 at once", "503 after a while", "reset", "cut within the answer", "silent", "silent within the answer", "answered late"}
+var kindNames = [NumKinds]string{"answered", "503 at once", "503 after a while", "reset", "cut within the answer", "silent", "silent within the answer", "answered late"}
 
-func (k Kind) String() string { return names[k] }
+func (k Kind) String() string { return kindNames[k] }
 
-// Fate is what becomes of one call.
-type Fate struct {
+// Response is the way in which one call is answered.
+type Response struct {
 	Kind  Kind
-	After time.Duration // of Crowded and Late
+	Delay time.Duration // for DelayedUnavailable and Delayed
 }
 
-// Answers says whether the caller gets what it asked for.
-func (f Fate) Answers() bool { return f.Kind == Answered || f.Kind == Late }
+// Succeeds reports whether the caller gets a complete response.
+func (f Response) Succeeds() bool { return f.Kind == Answered || f.Kind == Delayed }
 
-// Meet carries the fate out, with body as the answer. It returns when the call is over for the server, and says
-// whether the whole answer was written.
-func (f Fate) Meet(w http.ResponseWriter, r *http.Request, body []byte) bool {
+// Serve answers a call, with body as the content of a successful response. It returns when the call
+// has ended for the server, and reports whether the whole response was written.
+func (f Response) Serve(w http.ResponseWriter, r *http.Request, body []byte) bool {
 	switch f.Kind {
 	case Unavailable:
 		w.WriteHeader(http.StatusServiceUnavailable)
-	case Crowded:
-		if wait(r, f.After) {
+	case DelayedUnavailable:
+		if wait(r, f.Delay) {
 			w.WriteHeader(http.StatusServiceUnavailable)
 		}
 	case Reset:
-		hangUp(w, "", true)
-	case Cut:
-		hangUp(w, half(body), false)
-	case Silent:
+		hijackAndClose(w, "", true)
+	case Truncated:
+		hijackAndClose(w, firstHalf(body), false)
+	case NoResponse:
 		<-r.Context().Done()
-	case Stuck:
+	case Stalled:
 		w.Header().Set("Content-Length", fmt.Sprint(len(body)))
 		w.Write(body[:len(body)/2])
 		http.NewResponseController(w).Flush()
 		<-r.Context().Done()
-	case Late:
-		if !wait(r, f.After) {
+	case Delayed:
+		if !wait(r, f.Delay) {
 			return false
 		}
 		fallthrough
@@ -70,7 +70,7 @@
 	return false
 }
 
-// wait waits for d; false if the caller leaves before.
+// wait waits for d; it returns false if the caller disconnects first.
 func wait(r *http.Request, d time.Duration) bool {
 	select {
 	case <-time.After(d):
@@ -80,13 +80,13 @@
 	}
 }
 
-// half is the first half of an answer, with its head.
-func half(body []byte) string {
+// firstHalf returns the first half of a response, with its header.
+func firstHalf(body []byte) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body[:len(body)/2])
 }
 
-// hangUp ends the connection after some text.
-func hangUp(w http.ResponseWriter, text string, reset bool) {
+// hijackAndClose writes text and closes the connection, with a reset if reset is set.
+func hijackAndClose(w http.ResponseWriter, text string, reset bool) {
 	conn, _, err := http.NewResponseController(w).Hijack()
 	if err != nil {
 		return
--- a/internal/standin/ready/ready.go
+++ b/internal/standin/ready/ready.go
@@ -22,33 +22,33 @@
 )
 
 const (
-	latency   = 500 * time.Millisecond // of the partner after the restart
-	firstWait = time.Minute            // told by it before, so that what is held stays held; the restart ends it
-	left      = 10 * time.Minute       // that each message has
-	bodySize  = 200
-	diskMB    = 64
-	pingGap   = time.Millisecond
-	atOnce    = 1000 // records that are written together
+	partnerLatency   = 500 * time.Millisecond // of the partner, after the restart
+	requestedWait    = time.Minute            // by the partner before the restart, so that messages stay pending; the restart ends the wait
+	remaining        = 10 * time.Minute       // until the deadline of each message
+	bodySize         = 200
+	diskMB           = 64
+	pingInterval     = time.Millisecond
+	recordsPerAppend = 1000 // records per append to the journal
 )
 
-// Play is one restart of all.
-type Play struct {
-	Program   string
-	Cores     string // that the processes share, as taskset lists them; "" for all
-	Processes int
-	Held      int           // messages that each holds
-	Down      time.Duration // how long discovery is, from the kill on
-	Gap       time.Duration // from the kill to the start
+// Scenario is a simultaneous restart of all processes.
+type Scenario struct {
+	Program         string
+	Cores           string // processors that the processes share, in the format of taskset; "" for all
+	Processes       int
+	Pending         int           // pending messages per process
+	DiscoveryOutage time.Duration // from the kill
+	RestartDelay    time.Duration // from the kill to the start
 }
 
-// Start is what one process took after the kill.
-type Start struct {
-	Ready time.Duration // from its start until PING was answered with yes
-	First time.Duration // from then until the first message that was handed in was taken on or turned away
-	Held  int           // messages that it has found
+// StartTimes are the times and the pending messages of one process after the kill.
+type StartTimes struct {
+	Ready      time.Duration // from the start until PING was answered with PONG
+	FirstReply time.Duration // from then until the first submitted message was accepted or rejected
+	Pending    int           // messages restored from the journal
 }
 
-const settings = `{"balancers":%d,"me":0,"zone":0,"zones":["a"],"tick_s":0.005,"membership_mode":"on_request","weights":"nominal",
+const settingsFormat = `{"balancers":%d,"me":0,"zone":0,"zones":["a"],"tick_s":0.005,"membership_mode":"on_request","weights":"nominal",
 "over_share_worth":0.2,"machine_types":["std"],"classes":[
 {"name":"safe","aim_s":2,"deadline_s":600,"worth":1,"late_worth":0.4,"idempotency":"retryable"},
 {"name":"keyed","aim_s":2,"deadline_s":600,"worth":2,"late_worth":0.4,"idempotency":"dedup","window_s":25},
@@ -57,16 +57,16 @@
 "retry_after":true},"rules":{"cold_from":0.2,"drain_grace_s":2,"fall_multiple":2,"fall_s":3,"warm_after_s":14},
 "specifics":{"batch_by_kind":[1],"call_slots":60,"late":"halves","separate_routes":[false]}}`
 
-// discovery answers 503 while it is down, and hears of ends always.
+// discovery answers 503 while it is down. It always accepts the ends of messages.
 type discovery struct {
-	mu   sync.Mutex
-	rows []map[string]any
-	back time.Time
+	mu          sync.Mutex
+	instances   []map[string]any
+	availableAt time.Time
 }
 
 func (d *discovery) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	d.mu.Lock()
-	down := time.Now().Before(d.back)
+	down := time.Now().Before(d.availableAt)
 	d.mu.Unlock()
 	switch {
 	case !strings.HasPrefix(r.URL.Path, "/discovery"):
@@ -76,31 +76,31 @@
 	case r.URL.Query().Get("from") == "2": // nothing newer
 		<-r.Context().Done()
 	default:
-		json.NewEncoder(w).Encode(map[string]any{"generation": 2, "reset": true, "instances": d.rows})
+		json.NewEncoder(w).Encode(map[string]any{"generation": 2, "reset": true, "instances": d.instances})
 	}
 }
 
-// sender is one process and what it finds at each start.
+// sender is one process with its environment.
 type sender struct {
 	env  []string
 	proc *program.Program
 }
 
-// Run plays it. An error is one of the rig itself, or of a program that is not ready within
-// [program.Patience].
-func (p Play) Run() ([]Start, error) {
+// Run runs the scenario. An error means a failure of the test setup, or a program that is not ready
+// within [program.Patience].
+func (p Scenario) Run() ([]StartTimes, error) {
 	dir, err := os.MkdirTemp("", "ready")
 	if err != nil {
 		return nil, err
 	}
 	defer os.RemoveAll(dir)
-	to, err := partner.Start(partner.Options{Name: "1", Latency: latency, Wait: firstWait})
+	target, err := partner.Start(partner.Options{Name: "1", Latency: partnerLatency, Wait: requestedWait})
 	if err != nil {
 		return nil, err
 	}
-	defer to.Close()
-	to.Set(partner.Full)
-	disc := &discovery{rows: []map[string]any{{"instanceId": "s-1", "hostPort": to.Addr(), "zone": "a", "machineType": "std", "cell": 1,
+	defer target.Close()
+	target.Set(partner.Full)
+	disc := &discovery{instances: []map[string]any{{"instanceId": "s-1", "hostPort": target.Addr(), "zone": "a", "machineType": "std", "cell": 1,
 		"lifecycle": "up", "weight": 0}}}
 	srv := httptest.NewServer(disc)
 	defer func() { srv.CloseClientConnections(); srv.Close() }()
@@ -114,39 +114,39 @@
 		}
 	}()
 	for i := range senders {
-		if senders[i], err = p.prepare(filepath.Join(dir, fmt.Sprint("n", i)), strings.TrimPrefix(srv.URL, "http://"), disc.rows); err != nil {
+		if senders[i], err = p.prepare(filepath.Join(dir, fmt.Sprint("n", i)), strings.TrimPrefix(srv.URL, "http://"), disc.instances); err != nil {
 			return nil, err
 		}
 	}
-	if _, err := p.start(senders); err != nil {
+	if _, err := p.startAll(senders); err != nil {
 		return nil, fmt.Errorf("before the kill: %w", err)
 	}
 	disc.mu.Lock()
-	disc.back = time.Now().Add(p.Down)
+	disc.availableAt = time.Now().Add(p.DiscoveryOutage)
 	disc.mu.Unlock()
 	srv.CloseClientConnections()
 	for _, s := range senders {
 		s.proc.Signal(syscall.SIGKILL)
 	}
-	next := time.Now().Add(p.Gap)
+	restartAt := time.Now().Add(p.RestartDelay)
 	for _, s := range senders {
 		s.proc.Wait()
 	}
-	to.Set(partner.Well)
-	time.Sleep(time.Until(next))
-	return p.start(senders)
+	target.Set(partner.Well)
+	time.Sleep(time.Until(restartAt))
+	return p.startAll(senders)
 }
 
-// prepare makes the files of one sender, with what it holds in its journal.
-func (p Play) prepare(dir, discovery string, rows []map[string]any) (*sender, error) {
+// prepare writes the configuration and the journal of one sender.
+func (p Scenario) prepare(dir, discovery string, instances []map[string]any) (*sender, error) {
 	state := filepath.Join(dir, "state")
 	if err := os.MkdirAll(state, 0o700); err != nil {
 		return nil, err
 	}
 	conf, err := json.Marshal(map[string]any{"name": filepath.Base(dir), "listen": "127.0.0.1:0", "discovery": discovery, "seed": "1",
 		"limits":   map[string]any{"cores": 1, "memory_mb": 192, "sockets": 1024, "disk_mb": diskMB},
-		"settings": json.RawMessage(fmt.Sprintf(settings, p.Processes, 2*p.Held+100)),
-		"known":    map[string]any{"generation": 1, "reset": true, "instances": rows}})
+		"settings": json.RawMessage(fmt.Sprintf(settingsFormat, p.Processes, 2*p.Pending+100)),
+		"known":    map[string]any{"generation": 1, "reset": true, "instances": instances}})
 	if err != nil {
 		return nil, err
 	}
@@ -154,11 +154,11 @@
 	if err := os.WriteFile(config, conf, 0o600); err != nil {
 		return nil, err
 	}
-	return &sender{env: []string{"BALANCER_CONFIG=" + config, "BALANCER_STATE=" + state, "BALANCER_LISTEN=127.0.0.1:0"}}, p.fill(state)
+	return &sender{env: []string{"BALANCER_CONFIG=" + config, "BALANCER_STATE=" + state, "BALANCER_LISTEN=127.0.0.1:0"}}, p.writeJournal(state)
 }
 
-// fill writes a journal with messages that are taken on and never tried, of each effect in turn.
-func (p Play) fill(dir string) error {
+// writeJournal writes a journal with accepted messages without attempts, of each effect in turn.
+func (p Scenario) writeJournal(dir string) error {
 	j, err := journal.Open(dir, journal.Options{MaxBytes: diskMB * 1e6 / 2})
 	if err != nil {
 		return err
@@ -166,12 +166,12 @@
 	defer j.Close()
 	var recs []journal.Record
 	now := time.Now()
-	for i := range p.Held {
+	for i := range p.Pending {
 		class := []string{"safe", "keyed", "unsafe"}[i%3]
 		id := fmt.Sprintf("%s-%d", class, i)
 		recs = append(recs, journal.Record{Op: journal.OpAccept, Entry: &journal.Entry{AcceptedAt: now.UnixMicro(), Message: message.Message{
-			ID: id, Class: class, Partner: "1", Key: "key-" + id, Deadline: now.Add(left).UnixMicro(), Body: make([]byte, bodySize)}}})
-		if len(recs) == atOnce || i == p.Held-1 {
+			ID: id, Class: class, Partner: "1", Key: "key-" + id, Deadline: now.Add(remaining).UnixMicro(), Body: make([]byte, bodySize)}}})
+		if len(recs) == recordsPerAppend || i == p.Pending-1 {
 			if err := j.Append(recs); err != nil {
 				return err
 			}
@@ -181,9 +181,9 @@
 	return nil
 }
 
-// start starts all at once and waits until each is ready.
-func (p Play) start(senders []*sender) ([]Start, error) {
-	out, errs := make([]Start, len(senders)), make([]error, len(senders))
+// startAll starts all processes concurrently and waits until each is ready.
+func (p Scenario) startAll(senders []*sender) ([]StartTimes, error) {
+	out, errs := make([]StartTimes, len(senders)), make([]error, len(senders))
 	var wg sync.WaitGroup
 	for i, s := range senders {
 		wg.Go(func() { out[i], errs[i] = p.startOne(s) })
@@ -192,51 +192,51 @@
 	return out, errors.Join(errs...)
 }
 
-func (p Play) startOne(s *sender) (x Start, err error) {
+func (p Scenario) startOne(s *sender) (times StartTimes, err error) {
 	path, args := p.Program, []string(nil)
 	if p.Cores != "" {
 		path, args = "taskset", []string{"-c", p.Cores, p.Program}
 	}
 	at := time.Now()
 	if s.proc, err = program.Launch(path, s.env, args...); err != nil {
-		return x, err
+		return times, err
 	}
 	if err := s.proc.Ready(); err != nil {
-		return x, err
+		return times, err
 	}
 	c, err := traffic.DialRESP(s.proc.Addrs[0])
 	if err != nil {
-		return x, err
+		return times, err
 	}
 	defer c.Close()
-	for line := ""; ; time.Sleep(pingGap) {
+	for line := ""; ; time.Sleep(pingInterval) {
 		if _, err := c.Write([]byte("*1\r\n$4\r\nPING\r\n")); err != nil {
-			return x, err
+			return times, err
 		}
 		if line, err = c.Answer(); err != nil {
-			return x, fmt.Errorf("PING: %w", err)
+			return times, fmt.Errorf("PING: %w", err)
 		}
 		if line == "+PONG" {
 			break
 		}
 		if time.Since(at) > program.Patience {
-			return x, fmt.Errorf("PING is answered with %q", line)
+			return times, fmt.Errorf("PING is answered with %q", line)
 		}
 	}
-	x.Ready, at = time.Since(at), time.Now()
+	times.Ready, at = time.Since(at), time.Now()
 	if err := c.Put("0", "first", "c=safe,d=9000,dest=1", []byte("x")); err != nil {
-		return x, err
+		return times, err
 	}
 	if line, err := c.Answer(); err != nil || line != "+OK" && !strings.HasPrefix(line, "-BUSY") {
-		return x, fmt.Errorf("the first message is answered with %q: %v", line, err)
+		return times, fmt.Errorf("the first message is answered with %q: %v", line, err)
 	}
-	x.First = time.Since(at)
-	x.Held, err = s.held()
-	return x, err
+	times.FirstReply = time.Since(at)
+	times.Pending, err = s.pendingMessages()
+	return times, err
 }
 
-// held is what the log of a process that is ready says that it holds.
-func (s *sender) held() (int, error) {
+// pendingMessages returns the number of pending messages that the log of a ready process reports.
+func (s *sender) pendingMessages() (int, error) {
 	for {
 		select {
 		case line := <-s.proc.Said:
@@ -247,7 +247,7 @@
 			text, _, _ = strings.Cut(text, " ")
 			return strconv.Atoi(text)
 		default:
-			return 0, errors.New("the log does not say what is held")
+			return 0, errors.New("the log does not report the pending messages")
 		}
 	}
 }
--- a/internal/standin/untried/untried.go
+++ b/internal/standin/untried/untried.go
@@ -1,6 +1,5 @@
-// Package untried restarts the real program, as a sender of the platform, while it
-// holds messages that it has taken on and never tried, and counts what becomes of
-// them.
+// Package untried restarts the real program, as a sender of the platform, while it has accepted
+// messages without attempts, and counts their outcomes.
 package untried
 
 import (
@@ -22,35 +21,35 @@
 )
 
 const (
-	firstWait = time.Minute // told by the partner before the restart, so that nothing is tried; the restart ends it
-	atOnce    = 200         // requests that are pipelined
-	settled   = 250 * time.Millisecond
+	requestedWait = time.Minute // by the partner before the restart, so that no message is attempted; the restart ends the wait
+	pipelineDepth = 200         // pipelined requests
+	settleTime    = 250 * time.Millisecond
 )
 
-// Play is one restart.
-type Play struct {
+// Scenario is one restart.
+type Scenario struct {
 	Program string
-	Held    int
+	Pending int
 	Signal  syscall.Signal // SIGTERM or SIGKILL
-	// Partner is what the partner is like after the restart.
-	Partner partner.Mode
-	Latency time.Duration
-	Listed  time.Duration // after the start of the new process; 0 for known at once
-	Short   time.Duration // that half of the messages have left once the new process is ready, about
-	Long    time.Duration // and the others
+	// Partner is the behavior of the partner after the restart.
+	Partner        partner.Mode
+	Latency        time.Duration
+	ListedAfter    time.Duration // when discovery lists the partner, after the start of the new process; 0 for at once
+	ShortRemaining time.Duration // approximate time left for half of the messages when the new process is ready
+	LongRemaining  time.Duration // and for the other half
 }
 
-// Counts are what became of what was held.
+// Counts are the outcomes of the pending messages.
 type Counts struct {
-	Held      int
-	Over      int // whose time was up by the time that the new process was ready: they can't be tried
-	Tried     int // of the rest: called at least once
-	Given     int // of the rest: ended with no call
-	Delivered int
-	Faults    []string
+	Pending      int
+	Expired      int // past their deadline when the new process was ready
+	Attempted    int // of the rest: attempted at least once
+	EndedUntried int // of the rest: ended without an attempt
+	Delivered    int
+	Faults       []string
 }
 
-const settings = `{"balancers":1,"me":0,"zone":0,"zones":["a"],"tick_s":0.005,"membership_mode":"on_request","weights":"nominal",
+const settingsFormat = `{"balancers":1,"me":0,"zone":0,"zones":["a"],"tick_s":0.005,"membership_mode":"on_request","weights":"nominal",
 "over_share_worth":0.2,"machine_types":["std"],"classes":[
 {"name":"safe","aim_s":2,"deadline_s":60,"worth":1,"late_worth":0.4,"idempotency":"retryable"},
 {"name":"keyed","aim_s":2,"deadline_s":60,"worth":2,"late_worth":0.4,"idempotency":"dedup","window_s":25},
@@ -59,12 +58,12 @@
 "retry_after":true},"rules":{"cold_from":0.2,"drain_grace_s":2,"fall_multiple":2,"fall_s":3,"warm_after_s":14},
 "specifics":{"batch_by_kind":[1],"call_slots":60,"late":"halves","separate_routes":[false]}}`
 
-// platform is discovery, and hears of ends.
+// platform is a discovery service that also receives the ends of messages.
 type platform struct {
-	mu    sync.Mutex
-	rows  []map[string]any
-	after time.Time // when they are told
-	ended map[string]string
+	mu        sync.Mutex
+	instances []map[string]any
+	listAt    time.Time // when the instances are listed
+	ended     map[string]string
 }
 
 func (p *platform) ServeHTTP(w http.ResponseWriter, r *http.Request) {
@@ -86,7 +85,7 @@
 		return
 	}
 	p.mu.Lock()
-	rows, wait := p.rows, time.Until(p.after)
+	rows, wait := p.instances, time.Until(p.listAt)
 	p.mu.Unlock()
 	select {
 	case <-time.After(wait):
@@ -95,27 +94,28 @@
 	}
 }
 
-// Run plays it. An error is one of the rig itself, or of a program that does not start.
-func (u Play) Run() (c Counts, err error) {
+// Run runs the scenario. An error means a failure of the test setup, or a program that does not
+// start.
+func (u Scenario) Run() (c Counts, err error) {
 	dir, err := os.MkdirTemp("", "untried")
 	if err != nil {
 		return c, err
 	}
 	defer os.RemoveAll(dir)
-	to, err := partner.Start(partner.Options{Name: "1", Latency: u.Latency, Wait: firstWait})
+	target, err := partner.Start(partner.Options{Name: "1", Latency: u.Latency, Wait: requestedWait})
 	if err != nil {
 		return c, err
 	}
-	defer to.Close()
-	to.Set(partner.Full)
-	plat := &platform{ended: map[string]string{}}
-	plat.rows = []map[string]any{{"instanceId": "s-1", "hostPort": to.Addr(), "zone": "a", "machineType": "std", "cell": 1, "lifecycle": "up", "weight": 0}}
-	srv := httptest.NewServer(plat)
+	defer target.Close()
+	target.Set(partner.Full)
+	discovery := &platform{ended: map[string]string{}}
+	discovery.instances = []map[string]any{{"instanceId": "s-1", "hostPort": target.Addr(), "zone": "a", "machineType": "std", "cell": 1, "lifecycle": "up", "weight": 0}}
+	srv := httptest.NewServer(discovery)
 	defer func() { srv.CloseClientConnections(); srv.Close() }()
 	config := filepath.Join(dir, "config.json")
 	write := func(rows []map[string]any) error {
 		conf, err := json.Marshal(map[string]any{"name": "n", "listen": "127.0.0.1:0", "discovery": strings.TrimPrefix(srv.URL, "http://"), "seed": "1",
-			"limits": map[string]any{"cores": 1, "memory_mb": 192, "sockets": 1024, "disk_mb": 24}, "settings": json.RawMessage(fmt.Sprintf(settings, 2*u.Held+100)),
+			"limits": map[string]any{"cores": 1, "memory_mb": 192, "sockets": 1024, "disk_mb": 24}, "settings": json.RawMessage(fmt.Sprintf(settingsFormat, 2*u.Pending+100)),
 			"known": map[string]any{"generation": 1, "reset": true, "instances": rows}})
 		if err != nil {
 			return err
@@ -125,138 +125,138 @@
 	start := func() (*program.Program, error) {
 		return program.Start(u.Program, []string{"BALANCER_CONFIG=" + config, "BALANCER_STATE=" + filepath.Join(dir, "state"), "BALANCER_LISTEN=127.0.0.1:0"})
 	}
-	if err := write(plat.rows); err != nil {
+	if err := write(discovery.instances); err != nil {
 		return c, err
 	}
-	x, err := start()
+	process, err := start()
 	if err != nil {
 		return c, err
 	}
-	defer func() { x.Cmd.Process.Kill() }()
-	if err := put(x.Addrs[0], []string{"first"}, func(int) time.Duration { return time.Minute }); err != nil {
+	defer func() { process.Cmd.Process.Kill() }()
+	if err := submit(process.Addrs[0], []string{"first"}, func(int) time.Duration { return time.Minute }); err != nil {
 		return c, err
 	}
-	for len(to.Calls()) == 0 || to.Calls()[0].Status == 0 { // the wait is told
+	for len(target.Calls()) == 0 || target.Calls()[0].Status == 0 { // until the wait has been requested
 		time.Sleep(time.Millisecond)
 	}
-	time.Sleep(settled) // and read
-	stop := settled     // what a restart takes, about
+	time.Sleep(settleTime)    // and the response has been read
+	restartTime := settleTime // approximate duration of a restart
 	if u.Signal == syscall.SIGTERM {
-		stop += 3400 * time.Millisecond
+		restartTime += 3400 * time.Millisecond
 	}
-	begun, ids := time.Now(), make([]string, u.Held)
-	due := make([]time.Time, u.Held)
+	started, ids := time.Now(), make([]string, u.Pending)
+	deadlines := make([]time.Time, u.Pending)
 	for i := range ids {
 		ids[i] = fmt.Sprintf("%s-%d", []string{"safe", "keyed", "unsafe"}[i/2%3], i)
 	}
-	err = put(x.Addrs[0], ids, func(i int) time.Duration {
-		left := u.Long
+	err = submit(process.Addrs[0], ids, func(i int) time.Duration {
+		left := u.LongRemaining
 		if i%2 == 0 {
-			left = u.Short
+			left = u.ShortRemaining
 		}
-		due[i] = begun.Add(stop + left + time.Duration(u.Held)*200*time.Microsecond) // handing in takes time too
-		return time.Until(due[i])
+		deadlines[i] = started.Add(restartTime + left + time.Duration(u.Pending)*200*time.Microsecond) // submitting takes time too
+		return time.Until(deadlines[i])
 	})
 	if err != nil {
 		return c, err
 	}
-	before := len(to.Calls())
-	x.Signal(u.Signal)
-	x.Wait()
-	if len(to.Calls()) > before {
-		c.Faults = append(c.Faults, "called inside the wait while it ended")
+	before := len(target.Calls())
+	process.Signal(u.Signal)
+	process.Wait()
+	if len(target.Calls()) > before {
+		c.Faults = append(c.Faults, "called during the wait while the process ended")
 	}
-	to.Set(u.Partner)
-	plat.mu.Lock()
-	plat.after = time.Now().Add(u.Listed)
-	plat.mu.Unlock()
-	rows := plat.rows
-	if u.Listed > 0 {
-		rows = []map[string]any{} // none; without the key the last good configuration would stand, and name the partner
+	target.Set(u.Partner)
+	discovery.mu.Lock()
+	discovery.listAt = time.Now().Add(u.ListedAfter)
+	discovery.mu.Unlock()
+	rows := discovery.instances
+	if u.ListedAfter > 0 {
+		rows = []map[string]any{} // empty but present: without the key the last valid configuration, with the partner, would stay in force
 	}
 	if err := write(rows); err != nil {
 		return c, err
 	}
-	if x, err = start(); err != nil {
+	if process, err = start(); err != nil {
 		return c, err
 	}
 	ready := time.Now()
-	last := due[0]
-	for _, d := range due {
+	last := deadlines[0]
+	for _, d := range deadlines {
 		if d.After(last) {
 			last = d
 		}
 	}
-	for time.Now().Before(last.Add(settled)) && !u.settled(to, plat, ids) {
+	for time.Now().Before(last.Add(settleTime)) && !u.allEnded(target, discovery, ids) {
 		time.Sleep(20 * time.Millisecond)
 	}
-	called, ran := map[string]bool{}, map[string]bool{}
-	for i, k := range to.Calls()[before:] {
-		if i == 0 && u.Listed > 0 && k.At.Before(plat.after) {
-			c.Faults = append(c.Faults, "called before it was listed")
+	called, delivered := map[string]bool{}, map[string]bool{}
+	for i, k := range target.Calls()[before:] {
+		if i == 0 && u.ListedAfter > 0 && k.At.Before(discovery.listAt) {
+			c.Faults = append(c.Faults, "called before discovery listed the partner")
 		}
 		called[k.ID] = true
-		ran[k.ID] = ran[k.ID] || k.Status == http.StatusOK
+		delivered[k.ID] = delivered[k.ID] || k.Status == http.StatusOK
 	}
-	plat.mu.Lock()
-	defer plat.mu.Unlock()
+	discovery.mu.Lock()
+	defer discovery.mu.Unlock()
 	for i, id := range ids {
-		c.Held++
-		switch state := plat.ended[id]; {
-		case due[i].Before(ready):
-			c.Over++
+		c.Pending++
+		switch state := discovery.ended[id]; {
+		case deadlines[i].Before(ready):
+			c.Expired++
 		case called[id]:
-			c.Tried++
+			c.Attempted++
 		case state != "":
-			c.Given++
+			c.EndedUntried++
 		default:
-			c.Faults = append(c.Faults, id+" has neither a call nor an end")
+			c.Faults = append(c.Faults, id+" has neither an attempt nor an end")
 		}
-		if ran[id] {
+		if delivered[id] {
 			c.Delivered++
 		}
 	}
-	for _, f := range to.Faults(func(id string) bool { return strings.HasPrefix(id, "unsafe") }) {
-		if !strings.Contains(f, "inside a wait") { // on the platform a restart ends it
+	for _, f := range target.Faults(func(id string) bool { return strings.HasPrefix(id, "unsafe") }) {
+		if !strings.Contains(f, "inside a wait") { // on the platform a restart ends the wait
 			c.Faults = append(c.Faults, f)
 		}
 	}
-	x.Signal(syscall.SIGKILL)
+	process.Signal(syscall.SIGKILL)
 	return c, nil
 }
 
-// settled says whether each message has ended.
-func (u Play) settled(to *partner.Partner, plat *platform, ids []string) bool {
-	done := map[string]bool{}
-	for _, k := range to.Calls() {
-		done[k.ID] = done[k.ID] || k.Status == http.StatusOK
+// allEnded reports whether each message has ended.
+func (u Scenario) allEnded(target *partner.Partner, discovery *platform, ids []string) bool {
+	delivered := map[string]bool{}
+	for _, k := range target.Calls() {
+		delivered[k.ID] = delivered[k.ID] || k.Status == http.StatusOK
 	}
-	plat.mu.Lock()
-	defer plat.mu.Unlock()
+	discovery.mu.Lock()
+	defer discovery.mu.Unlock()
 	for _, id := range ids {
-		if !done[id] && plat.ended[id] == "" {
+		if !delivered[id] && discovery.ended[id] == "" {
 			return false
 		}
 	}
 	return true
 }
 
-// put hands messages for partner 1 in, each with so much time.
-func put(addr string, ids []string, left func(i int) time.Duration) error {
+// submit submits messages for partner 1, each with the remaining time that remaining returns.
+func submit(addr string, ids []string, remaining func(i int) time.Duration) error {
 	c, err := traffic.DialRESP(addr)
 	if err != nil {
 		return err
 	}
 	defer c.Close()
-	for i := 0; i < len(ids); i += atOnce {
-		part := ids[i:min(i+atOnce, len(ids))]
+	for i := 0; i < len(ids); i += pipelineDepth {
+		part := ids[i:min(i+pipelineDepth, len(ids))]
 		go func() {
 			for k, id := range part {
 				class, _, _ := strings.Cut(id, "-")
 				if class == "first" {
 					class = "safe"
 				}
-				c.Put("0", id, fmt.Sprintf("c=%s,d=%d,k=%s,dest=1", class, left(i+k).Milliseconds(), id), []byte("x"))
+				c.Put("0", id, fmt.Sprintf("c=%s,d=%d,k=%s,dest=1", class, remaining(i+k).Milliseconds(), id), []byte("x"))
 			}
 		}()
 		for range part {
@@ -265,7 +265,7 @@
 				return err
 			}
 			if line != "+OK" {
-				return fmt.Errorf("%w: not taken on: %s", io.ErrUnexpectedEOF, line)
+				return fmt.Errorf("%w: not accepted: %s", io.ErrUnexpectedEOF, line)
 			}
 		}
 	}
