--- a/internal/lab/capacity/bench_test.go
+++ b/internal/lab/capacity/bench_test.go
@@ -9,12 +9,13 @@
 	"time"
 )
 
-// tiny are sizes at which each bench takes as little time as it can.
-var tiny = map[string][]int{"held": {20}, "backlog": {20}, "out": {5}, "rate": {50}, "spread": {10}, "ends": {50}, "partners": {50}, "senders": {2}, "view": {3},
+// tinySizes are sizes at which each bench is as short as possible.
+var tinySizes = map[string][]int{"held": {20}, "backlog": {20}, "out": {5}, "rate": {50}, "spread": {10},
+	"ends": {50}, "partners": {50}, "senders": {2}, "view": {3},
 	"facts-senders": {3}, "facts-number": {20}, "facts-memory": {1000}, "facts-catchup": {100}}
 
-// Each measurement still runs with the program as it is, at a tiny size, and gives a
-// value for each of its quantities.
+// Each bench must run with the current program at a tiny size, and give a value for each of its
+// quantities.
 func TestBenchesRun(t *testing.T) {
 	bin := filepath.Join(t.TempDir(), "cometrack")
 	if text, err := exec.Command("go", "build", "-o", bin, "cometrack/cmd/cometrack").CombinedOutput(); err != nil {
@@ -26,15 +27,16 @@
 	}
 	benches := Benches()
 	outcomes := make([]outcome, len(benches))
-	var all sync.WaitGroup // all at once: they wait more than they work
+	var all sync.WaitGroup // concurrently: they mostly wait
 	for i, b := range benches {
-		sizes, ok := tiny[b.Name]
+		sizes, ok := tinySizes[b.Name]
 		if !ok {
 			t.Fatalf("%s has no tiny size", b.Name)
 		}
 		b.Sizes = sizes
 		all.Go(func() {
-			outcomes[i].slopes, outcomes[i].err = b.measure(&Rig{Bin: bin, Span: 100 * time.Millisecond, Least: true}, 1, slog.New(slog.DiscardHandler))
+			outcomes[i].slopes, outcomes[i].err = b.measure(&Setup{Program: bin,
+				ObservationTime: 100 * time.Millisecond, Minimal: true}, 1, slog.New(slog.DiscardHandler))
 		})
 	}
 	all.Wait()
@@ -45,7 +47,7 @@
 		}
 		for _, s := range outcomes[i].slopes {
 			if names[s.Name] {
-				t.Errorf("two slopes are called %s", s.Name)
+				t.Errorf("two slopes have the name %s", s.Name)
 			}
 			names[s.Name] = true
 			if len(s.Points) != 1 || len(s.Points[0].Values) != 1 {
@@ -53,7 +55,7 @@
 			}
 			s.Command, s.Commit, s.Machine = "c", "c", "m"
 			s.Points = nil
-			for _, size := range b.Sizes { // as it would be measured
+			for _, size := range b.Sizes { // as in a real measurement
 				s.Points = append(s.Points, Point{float64(size), []float64{1}})
 			}
 			if err := s.check(); err != nil {
--- a/internal/lab/capacity/carried.go
+++ b/internal/lab/capacity/carried.go
@@ -5,44 +5,49 @@
 	"time"
 )
 
-// rate has messages come at a pace, for partners that are well.
-func rate() Bench {
+// rateBench submits messages at a rate, for healthy partners.
+func rateBench() Bench {
 	const from = "380,000 a second / 560 senders"
 	return Bench{Name: "rate", Way: Processes, SizeOf: "messages a second to 100 destinations that are well", Sizes: []int{85, 170, 340, 680, 1360},
 		Quantities: []Quantity{
-			{Slope: Slope{Name: "rate-cpu", Measures: "processor time", Unit: "% of a core", Target: senderEvents, Bound: 100, From: from + "; one core"}},
-			{Slope: Slope{Name: "rate-p99", Measures: "99th percentile from a client's write to the call", Unit: "ms", Target: senderEvents, From: from + "; no bound is given"}},
-		}, Run: func(r *Rig, size int) ([]float64, error) {
+			{Slope: Slope{Name: "rate-cpu", Measures: "processor time", Unit: "% of a core", Target: senderMessages,
+				Bound: 100, Source: from + "; one core"}},
+			{Slope: Slope{Name: "rate-p99", Measures: "99th percentile from a client's write to the call",
+				Unit: "ms", Target: senderMessages, Source: from + "; no bound is given"}},
+		}, Run: func(r *Setup, size int) ([]float64, error) {
 			v, err := runSpread(r, 100, float64(size))
 			return v[:2], err
 		}}
 }
 
-// idleTime is how long a connection rests where a file says nothing.
+// idleTime is the default idle timeout of a connection.
 const idleTime = 10 * time.Second
 
-// spread has messages come at the target's pace, for ever more partners.
-func spread() Bench {
+// spreadBench submits messages at the rate of the target, for an increasing number of partners.
+func spreadBench() Bench {
 	const from = "42,000 destinations, 680 a second"
 	return Bench{Name: "spread", Way: Processes, SizeOf: "destinations that are well, 680 messages a second in turn", Sizes: []int{500, 1000, 2000, 4000, 8000},
 		Quantities: []Quantity{
-			{Slope: Slope{Name: "spread-cpu", Measures: "processor time", Unit: "% of a core", Target: destinations, Bound: 100, From: from + "; one core"}},
-			{Slope: Slope{Name: "spread-p99", Measures: "99th percentile from a client's write to the call", Unit: "ms", Target: destinations, From: from + "; no bound is given"}},
+			{Slope: Slope{Name: "spread-cpu", Measures: "processor time", Unit: "% of a core", Target: destinations,
+				Bound: 100, Source: from + "; one core"}},
+			{Slope: Slope{Name: "spread-p99", Measures: "99th percentile from a client's write to the call",
+				Unit: "ms", Target: destinations, Source: from + "; no bound is given"}},
 			{Slope: Slope{Name: "spread-descriptors", Measures: "descriptors open after 10 s or more", Unit: "open", Target: destinations, Bound: 1 << 22,
-				From: from + "; bound: the most that limits.descriptors takes", Note: "each destination gets a message after size / 680 s; its connection rests for 10 s"}},
-		}, Run: func(r *Rig, size int) ([]float64, error) { return runSpread(r, size, senderEvents) }}
+				Source: from + "; bound: the most that limits.descriptors takes",
+				Note:   "each destination gets a message after size / 680 s; its connection rests for 10 s"}},
+		}, Run: func(r *Setup, size int) ([]float64, error) { return runSpread(r, size, senderMessages) }}
 }
 
-// runSpread measures processor time, p99 and descriptors while messages come for
-// partners in turn, each with an address of its own.
-func runSpread(r *Rig, destinations int, rate float64) ([]float64, error) {
+// runSpread measures processor time, 99th percentile and descriptors while messages are submitted
+// for partners in turn, each with an address of its own.
+func runSpread(r *Setup, destinations int, rate float64) ([]float64, error) {
 	none := []float64{0, 0, 0}
-	p, err := newCrowd(destinations)
+	p, err := newDestinationServer(destinations)
 	if err != nil {
 		return none, err
 	}
 	defer p.Close()
-	d, err := start(r.Bin, header(100_000)+p.text())
+	d, err := start(r.Program, configHeader(100_000)+p.config())
 	if err != nil {
 		return none, err
 	}
@@ -52,38 +57,40 @@
 		return none, err
 	}
 	defer c.Close()
-	warm := r.Span
-	if !r.Least && destinations > 100 {
-		warm = idleTime // as many connections rest as ever will
+	warm := r.ObservationTime
+	if !r.Minimal && destinations > 100 {
+		warm = idleTime // until the number of idle connections is stable
 	}
-	if _, err := p.served(c, "a", rate, warm); err != nil { // connections are made
+	if _, err := p.measureLatency(c, "a", rate, warm); err != nil { // establishes the connections
 		return none, err
 	}
 	cpu, from := d.cpu(), time.Now()
-	took, err := p.served(c, "b", rate, 2*r.Span)
+	latencies, err := p.measureLatency(c, "b", rate, 2*r.ObservationTime)
 	if err != nil {
 		return none, err
 	}
 	used := 100 * (d.cpu() - cpu).Seconds() / time.Since(from).Seconds()
-	return []float64{used, quantile(took, 0.99), float64(descriptors(d.Cmd.Process.Pid))}, nil
+	return []float64{used, quantile(latencies, 0.99), float64(descriptors(d.Cmd.Process.Pid))}, nil
 }
 
-// ends has messages delivered and their ends remembered.
-func ends() Bench {
+// endsBench has messages delivered and their ends remembered.
+func endsBench() Bench {
 	const from = "680 ends a second, remembered for an hour as remember says where a file says nothing"
 	return Bench{Name: "ends", Way: Processes, SizeOf: "ends remembered", Sizes: []int{5000, 10_000, 20_000, 40_000, 80_000},
 		Quantities: []Quantity{
-			{Slope: Slope{Name: "ends-memory", Measures: "resident memory", Unit: "MB", Target: 3600 * senderEvents, From: from + "; no bound is given"}, Above: true},
-			{Slope: Slope{Name: "ends-cpu", Measures: "processor time for each, taken on, delivered and ended", Unit: "ms", Target: 3600 * senderEvents, Bound: eachMessage,
-				From: from + "; " + coreFrom}},
-		}, Run: func(r *Rig, size int) ([]float64, error) {
-			p, err := newCrowd(1)
+			{Slope: Slope{Name: "ends-memory", Measures: "resident memory", Unit: "MB",
+				Target: 3600 * senderMessages, Source: from + "; no bound is given"}, SubtractBase: true},
+			{Slope: Slope{Name: "ends-cpu", Measures: "processor time for each, taken on, delivered and ended",
+				Unit: "ms", Target: 3600 * senderMessages, Bound: msPerMessage,
+				Source: from + "; " + coreSource}},
+		}, Run: func(r *Setup, size int) ([]float64, error) {
+			p, err := newDestinationServer(1)
 			if err != nil {
 				return nil, err
 			}
 			defer p.Close()
-			text := header(20_000) + p.text()
-			d, err := start(r.Bin, "[limits]\nremembered = 1000000\n"+text[len("[limits]\n"):])
+			text := configHeader(20_000) + p.config()
+			d, err := start(r.Program, "[limits]\nremembered = 1000000\n"+text[len("[limits]\n"):])
 			if err != nil {
 				return nil, err
 			}
@@ -94,15 +101,15 @@
 			}
 			defer c.Close()
 			cpu := d.cpu()
-			taken, err := put(c, "m", size, 32, func(int) string { return "well0" })
-			if err != nil || taken != size {
-				return nil, fmt.Errorf("%d of %d taken on: %w", taken, size, err)
+			accepted, err := submit(c, "m", size, 32, func(int) string { return "well0" })
+			if err != nil || accepted != size {
+				return nil, fmt.Errorf("%d of %d accepted: %w", accepted, size, err)
 			}
-			if !p.all(size, 20*time.Second) {
-				return nil, fmt.Errorf("%d of %d came", p.count(), size)
+			if !p.awaitArrivals(size, 20*time.Second) {
+				return nil, fmt.Errorf("%d of %d arrived", p.arrived(), size)
 			}
 			used := (d.cpu() - cpu).Seconds() * 1000 / float64(max(size, 1))
-			d.quiet(r.Span / 10)
-			return []float64{d.memory(), used}, nil
+			d.awaitIdle(r.ObservationTime / 10)
+			return []float64{d.residentMB(), used}, nil
 		}}
 }
--- a/internal/lab/capacity/command.go
+++ b/internal/lab/capacity/command.go
@@ -11,14 +11,14 @@
 	"time"
 )
 
-// Where slopes and their page lie, from the root of the repository.
+// Locations of the slopes and of their page, relative to the root of the repository.
 const (
 	Folder = "docs/measurements/capacity"
 	Page   = "docs/CAPACITY.md"
 )
 
-// Command is `measure capacity`: it measures slopes and writes them, or prints the
-// tables that the slopes give and puts them into the page.
+// Command runs `measure capacity`: it measures slopes and writes them, or generates the tables of
+// the slopes and inserts them into the page.
 func Command(args []string) error {
 	fs := flag.NewFlagSet("capacity", flag.ContinueOnError)
 	bin := fs.String("bin", "bin/cometrack", "the program")
@@ -34,22 +34,22 @@
 		return err
 	}
 	if *table {
-		return tables(*dir, *page)
+		return updatePage(*dir, *page)
 	}
 	if *name == "" {
-		if *name = commit(); *name == "" {
+		if *name = treeCommit(); *name == "" {
 			return errors.New("no commit is known: --commit says it")
 		}
 	}
-	wanted, err := choose(*only, *sizes)
+	wanted, err := selectBenches(*only, *sizes)
 	if err != nil {
 		return err
 	}
 	log := slog.New(slog.NewTextHandler(os.Stderr, nil))
 	var wrong []error
 	for _, b := range wanted {
-		list, err := b.measure(&Rig{Bin: *bin, Span: *span}, *repeats, log)
-		if err != nil { // the others are still worth their time
+		list, err := b.measure(&Setup{Program: *bin, ObservationTime: *span}, *repeats, log)
+		if err != nil { // the other benches still run
 			log.Error("not measured", "bench", b.Name, "err", err)
 			wrong = append(wrong, err)
 			continue
@@ -59,18 +59,18 @@
 			if *sizes != "" {
 				s.Command += " --sizes " + *sizes
 			}
-			s.Commit, s.Machine = *name, machine()
+			s.Commit, s.Machine = *name, machineName()
 			if err := s.Write(*dir); err != nil {
 				wrong = append(wrong, err)
 			}
 		}
-		fmt.Print(slopes(list))
+		fmt.Print(slopesTable(list))
 	}
 	return errors.Join(wrong...)
 }
 
-// choose picks benches by name and gives them other sizes.
-func choose(only, sizes string) ([]Bench, error) {
+// selectBenches selects benches by name and sets their sizes.
+func selectBenches(only, sizes string) ([]Bench, error) {
 	var out []Bench
 	all := Benches()
 	if only == "" {
@@ -108,8 +108,8 @@
 	return out, nil
 }
 
-func tables(dir, page string) error {
-	list, err := Read(dir)
+func updatePage(dir, page string) error {
+	list, err := ReadSlopes(dir)
 	if err != nil {
 		return err
 	}
@@ -119,7 +119,7 @@
 	if err != nil {
 		return err
 	}
-	filled, err := Fill(string(text), all)
+	filled, err := FillTables(string(text), all)
 	if err != nil {
 		return fmt.Errorf("%s: %w", page, err)
 	}
--- a/internal/lab/capacity/doc.go
+++ b/internal/lab/capacity/doc.go
@@ -1,7 +1,7 @@
-// Package capacity measures how what a sender needs grows with the size of what it
-// carries, fits the growth, and says at which share of a target each bound is met.
+// Package capacity measures how the resource use of a sender grows with the size of its
+// load, fits the growth, and computes at which share of a target each bound is reached.
 //
 // A [Slope] is data: what was measured, at which sizes, by which command on which
-// commit. Slopes lie as JSON in docs/measurements/capacity, one file for each slope
-// and commit, and the tables in docs/CAPACITY.md are printed from them.
+// commit. Slopes are stored as JSON in docs/measurements/capacity, one file for each slope
+// and commit, and the tables in docs/CAPACITY.md are generated from them.
 package capacity
--- a/internal/lab/capacity/partners.go
+++ b/internal/lab/capacity/partners.go
@@ -8,49 +8,51 @@
 	"time"
 )
 
-// partners has a file with many partners, all but one of them idle.
-func partners() Bench {
+// partnersBench runs a configuration with many partners, all but one of them idle.
+func partnersBench() Bench {
 	const from = "42,000 destinations, each sender serves all"
 	q := func(name, measures, unit string, bound float64, why string) Quantity {
-		return Quantity{Slope: Slope{Name: "partners-" + name, Measures: measures, Unit: unit, Target: destinations, Bound: bound, From: from + "; " + why}}
+		return Quantity{Slope: Slope{Name: "partners-" + name, Measures: measures, Unit: unit, Target: destinations,
+			Bound: bound, Source: from + "; " + why}}
 	}
-	above := func(q Quantity) Quantity { q.Above = true; return q }
+	above := func(q Quantity) Quantity { q.SubtractBase = true; return q }
 	const change, core = "1,300 changes a day, in force within 3 s", "1.6% of a core over a day for 1,300 changes"
 	return Bench{Name: "partners", Way: Processes, SizeOf: "partners in the file, idle", Sizes: []int{2625, 5250, 10_500, 21_000, 42_000},
 		Quantities: []Quantity{
 			above(q("memory", "resident memory", "MB", controlMB, "128 MB for control")),
 			above(q("memory-reload", "resident memory after one reload", "MB", controlMB, "128 MB for control")),
 			above(q("start", "start to ready", "s", 10, "ready within 10 s, issue 43")),
-			above(q("check", "time of cometrack check", "s", changeWithin, change)),
-			above(q("reload", "SIGHUP to the line that the list is followed", "s", changeWithin, change)),
-			above(q("reload-cpu", "processor time of one reload", "s", eachChange, core)),
-			above(q("idle", "processor time with nothing coming", "% of a core", controlCore, "1.6% of a core for control")),
-			above(q("next", "processor time for a message to one of them, delivered", "ms", eachMessage, coreFrom)),
+			above(q("check", "time of cometrack check", "s", maxChangeSeconds, change)),
+			above(q("reload", "SIGHUP to the line that the list is followed", "s", maxChangeSeconds, change)),
+			above(q("reload-cpu", "processor time of one reload", "s", secondsPerChange, core)),
+			above(q("idle", "processor time with nothing coming", "% of a core", controlCorePercent,
+				"1.6% of a core for control")),
+			above(q("next", "processor time for a message to one of them, delivered", "ms", msPerMessage, coreSource)),
 		}, Run: runPartners}
 }
 
-func runPartners(r *Rig, size int) ([]float64, error) {
-	p, err := newCrowd(1)
+func runPartners(r *Setup, size int) ([]float64, error) {
+	p, err := newDestinationServer(1)
 	if err != nil {
 		return nil, err
 	}
 	defer p.Close()
 	var b strings.Builder
-	b.WriteString(header(20_000) + p.text())
+	b.WriteString(configHeader(20_000) + p.config())
 	for i := range size {
-		b.WriteString(partnerText(fmt.Sprint("partner-", i), outAddr(i)))
+		b.WriteString(partnerConfig(fmt.Sprint("partner-", i), unreachableAddr(i)))
 	}
-	d, err := start(r.Bin, b.String())
+	d, err := start(r.Program, b.String())
 	if err != nil {
 		return nil, err
 	}
 	defer d.close()
-	started := d.took
-	d.quiet(r.Span / 10)
-	memory := d.memory()
-	idle := d.busy(r.Span)
+	started := d.startupTime
+	d.awaitIdle(r.ObservationTime / 10)
+	memory := d.residentMB()
+	idle := d.cpuPercent(r.ObservationTime)
 	from := time.Now()
-	if text, err := exec.Command(r.Bin, "check", "--config", d.config).CombinedOutput(); err != nil {
+	if text, err := exec.Command(r.Program, "check", "--config", d.config).CombinedOutput(); err != nil {
 		return nil, fmt.Errorf("check: %w: %s", err, text)
 	}
 	check := time.Since(from)
@@ -60,13 +62,13 @@
 	}
 	defer c.Close()
 	cpu, from := d.cpu(), time.Now()
-	took, err := p.served(c, "w", 200, r.Span/2)
+	latencies, err := p.measureLatency(c, "w", 200, r.ObservationTime/2)
 	if err != nil {
 		return nil, err
 	}
-	next := ((d.cpu() - cpu).Seconds() - idle/100*time.Since(from).Seconds()) * 1000 / float64(len(took))
-	b.WriteString("rate = 100\n") // of the last partner: one change
-	if err := d.write(b.String()); err != nil {
+	next := ((d.cpu() - cpu).Seconds() - idle/100*time.Since(from).Seconds()) * 1000 / float64(len(latencies))
+	b.WriteString("rate = 100\n") // changes the last partner
+	if err := d.writeConfig(b.String()); err != nil {
 		return nil, err
 	}
 	cpu, from = d.cpu(), time.Now()
@@ -75,7 +77,7 @@
 		return nil, err
 	}
 	reload := time.Since(from)
-	d.quiet(r.Span / 10)
+	d.awaitIdle(r.ObservationTime / 10)
 	reloadCPU := (d.cpu() - cpu).Seconds() - idle/100*time.Since(from).Seconds()
-	return []float64{memory, d.memory(), started.Seconds(), check.Seconds(), reload.Seconds(), reloadCPU, idle, next}, nil
+	return []float64{memory, d.residentMB(), started.Seconds(), check.Seconds(), reload.Seconds(), reloadCPU, idle, next}, nil
 }
--- a/internal/lab/capacity/run.go
+++ b/internal/lab/capacity/run.go
@@ -12,40 +12,43 @@
 	"time"
 )
 
-// Rig is what measurements run with.
-type Rig struct {
-	Bin   string        // the program
-	Span  time.Duration // of what is watched for a while
-	Least bool          // as short as it can be, to see that it works
+// Setup holds the settings that all measurements share.
+type Setup struct {
+	Program         string        // path of the program
+	ObservationTime time.Duration // of one observation
+	Minimal         bool          // shortens the measurement, to test that it works
 }
 
 // Quantity is a slope before it is measured.
 type Quantity struct {
 	Slope
-	Above bool    // size 0 is measured and taken off as the base
-	Times float64 // the bound is so many times the base; 0 for Bound as it is
+	SubtractBase bool    // size 0 is measured and subtracted as the base
+	BaseMultiple float64 // if not 0, the bound is this multiple of the base
 }
 
-// Bench measures some quantities at once at a size.
+// Bench measures some quantities together at several sizes.
 type Bench struct {
 	Name       string
 	Way        string
 	SizeOf     string
 	Sizes      []int
 	Quantities []Quantity
-	// Run returns a value for each quantity, at size 0 too if one of them is Above.
-	Run func(r *Rig, size int) ([]float64, error)
+	// Run returns a value for each quantity. It is also called with size 0 if SubtractBase
+	// is set for one of them.
+	Run func(r *Setup, size int) ([]float64, error)
 }
 
-// Benches are all of them, in order of what the issue asks.
+// Benches returns all benches.
 func Benches() []Bench {
-	return []Bench{held(), backlog(), out(), rate(), spread(), ends(), partners(), senders(), viewPlay(), factsBySenders(), factsByNumber(), factsMemory(), factsCatchUp()}
+	return []Bench{heldBench(), backlogBench(), outageBench(), rateBench(), spreadBench(), endsBench(),
+		partnersBench(), sendersBench(), viewBench(), factsBySendersBench(), factsByNumberBench(),
+		factsMemoryBench(), factsCatchUpBench()}
 }
 
-// measure runs a bench over its sizes, all of them once in each turn.
-func (b Bench) measure(r *Rig, repeats int, log *slog.Logger) ([]Slope, error) {
+// measure runs a bench over its sizes, all sizes once per repeat.
+func (b Bench) measure(r *Setup, repeats int, log *slog.Logger) ([]Slope, error) {
 	sizes := slices.Clone(b.Sizes)
-	if slices.ContainsFunc(b.Quantities, func(q Quantity) bool { return q.Above }) {
+	if slices.ContainsFunc(b.Quantities, func(q Quantity) bool { return q.SubtractBase }) {
 		sizes = append([]int{0}, sizes...)
 	}
 	values := make([][][]float64, len(b.Quantities)) // by quantity, size, repeat
@@ -53,7 +56,7 @@
 		values[i] = make([][]float64, len(sizes))
 	}
 	if b.Way == Virtual {
-		repeats = 1 // the same seed gives the same figures
+		repeats = 1 // the same seed gives the same values
 	}
 	for turn := range repeats {
 		for k, size := range sizes {
@@ -81,27 +84,27 @@
 		for k, size := range sizes {
 			if size > 0 {
 				s.Points = append(s.Points, Point{float64(size), values[i][k]})
-			} else if q.Above {
+			} else if q.SubtractBase {
 				s.Base = median(values[i][k])
 			}
 		}
-		if q.Times > 0 {
-			s.Bound = rounded(q.Times * s.Base)
+		if q.BaseMultiple > 0 {
+			s.Bound = rounded(q.BaseMultiple * s.Base)
 		}
 		slopes = append(slopes, s)
 	}
 	return slopes, nil
 }
 
-// rounded keeps four digits: no measurement here has more.
+// rounded rounds to four significant digits, which is more than any measurement here resolves.
 func rounded(v float64) float64 {
 	var out float64
 	fmt.Sscan(fmt.Sprintf("%.4g", v), &out)
 	return out
 }
 
-// machine is what a measurement ran on.
-func machine() string {
+// machineName describes the machine of a measurement.
+func machineName() string {
 	name := "unknown processor"
 	text, _ := os.ReadFile("/proc/cpuinfo")
 	for line := range strings.Lines(string(text)) {
@@ -114,8 +117,9 @@
 	return fmt.Sprintf("%d cores of %s, Linux %s, %s", runtime.NumCPU(), name, strings.TrimSpace(string(release)), runtime.Version())
 }
 
-// commit is the tree's, with "+" if files that are known to it have changed.
-func commit() string {
+// treeCommit returns the short commit of the tree, with "+" if tracked files have changed; empty
+// without a repository.
+func treeCommit() string {
 	text, err := exec.Command("git", "rev-parse", "--short=7", "HEAD").Output()
 	if err != nil {
 		return ""
@@ -127,7 +131,7 @@
 	return name
 }
 
-// quantile of values.
+// quantile returns the q-quantile of the values.
 func quantile(list []float64, q float64) float64 {
 	list = slices.Sorted(slices.Values(list))
 	return list[min(int(q*float64(len(list))), len(list)-1)]
--- a/internal/lab/capacity/senders.go
+++ b/internal/lab/capacity/senders.go
@@ -11,36 +11,39 @@
 	"cometrack/internal/standin/fleet"
 )
 
-const sendersFrom = "560 senders, each of which knows all others"
+const sendersSource = "560 senders, each of which knows all others"
 
-// heads are the bytes of the heads of IPv4 and UDP of a datagram.
-const heads = 28
+// headerBytes is the size of the IPv4 and UDP headers of a datagram.
+const headerBytes = 28
 
-// senders has real processes that know of each other and do nothing else.
-func senders() Bench {
+// sendersBench runs real processes that know of each other and have no other load.
+func sendersBench() Bench {
 	q := func(name, measures, unit string, bound float64, why string) Quantity {
-		return Quantity{Slope: Slope{Name: "senders-" + name, Measures: measures, Unit: unit, Target: fleetSenders, Bound: bound, From: sendersFrom + "; " + why}}
+		return Quantity{Slope: Slope{Name: "senders-" + name, Measures: measures, Unit: unit, Target: fleetSenders,
+			Bound: bound, Source: sendersSource + "; " + why}}
 	}
 	return Bench{Name: "senders", Way: Processes, SizeOf: "senders that know of each other, calm", Sizes: []int{3, 6, 12, 24, 48},
 		Quantities: []Quantity{
-			q("bytes", "sent by each in datagrams with their heads", "bytes a second", controlBytes, "14 KB a second for control"),
+			q("bytes", "sent by each in datagrams with their heads", "bytes a second", controlBytesPerSecond,
+				"14 KB a second for control"),
 			q("datagrams", "datagrams sent by each", "a second", 0, "no bound is given"),
-			q("cpu", "processor time of each with its guard", "% of a core", controlCore, "1.6% of a core for control"),
+			q("cpu", "processor time of each with its guard", "% of a core", controlCorePercent,
+				"1.6% of a core for control"),
 			q("memory", "memory of each with its guard that is not of files", "MB", controlMB, "128 MB for control"),
 		}, Run: runSenders}
 }
 
-func runSenders(r *Rig, size int) ([]float64, error) {
+func runSenders(r *Setup, size int) ([]float64, error) {
 	dir, err := os.MkdirTemp("", "capacity")
 	if err != nil {
 		return nil, err
 	}
 	defer os.RemoveAll(dir)
 	lease := "3s"
-	if r.Least {
+	if r.Minimal {
 		lease = "500ms"
 	}
-	bin, err := filepath.Abs(r.Bin)
+	bin, err := filepath.Abs(r.Program)
 	if err != nil {
 		return nil, err
 	}
@@ -51,34 +54,35 @@
 	}
 	defer f.Close()
 	if took, ok := f.WaitUntil(90*time.Second, fleet.AllReachable); !ok {
-		return nil, fmt.Errorf("%d senders did not meet within %v", size, took)
+		return nil, fmt.Errorf("%d senders did not all reach each other within %v", size, took)
 	}
-	time.Sleep(r.Span) // the last answers of joining
+	time.Sleep(r.ObservationTime) // the last messages of joining
 	var pids []int
 	for _, s := range f.Senders() {
 		pids = append(pids, s.PID())
-		pids = append(pids, children(s.PID())...)
+		pids = append(pids, childProcesses(s.PID())...)
 	}
 	total := func() (cpu time.Duration, mb float64) {
 		for _, pid := range pids {
-			cpu += cpuOf(pid)
-			mb += statusOf(pid, "RssAnon:")
+			cpu += processCPU(pid)
+			mb += procStatusMB(pid, "RssAnon:")
 		}
 		return cpu, mb
 	}
 	cpu, _ := total()
 	sent, bytes := f.Forwarded()
 	from := time.Now()
-	time.Sleep(4 * r.Span)
+	time.Sleep(4 * r.ObservationTime)
 	after, mb := total()
 	span, n := time.Since(from).Seconds(), float64(size)
 	sentAfter, bytesAfter := f.Forwarded()
 	datagrams := float64(sentAfter - sent)
-	return []float64{(float64(bytesAfter-bytes) + heads*datagrams) / span / n, datagrams / span / n, 100 * (after - cpu).Seconds() / span / n, mb / n}, nil
+	return []float64{(float64(bytesAfter-bytes) + headerBytes*datagrams) / span / n, datagrams / span / n,
+		100 * (after - cpu).Seconds() / span / n, mb / n}, nil
 }
 
-// children are the processes that one has started.
-func children(pid int) (out []int) {
+// childProcesses returns the processes that one has started.
+func childProcesses(pid int) (out []int) {
 	tasks, _ := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/children", pid))
 	for _, t := range tasks {
 		text, _ := os.ReadFile(t)
--- a/internal/lab/capacity/served.go
+++ b/internal/lab/capacity/served.go
@@ -12,22 +12,22 @@
 	"cometrack/internal/standin/traffic"
 )
 
-// crowd is destinations that are well: they take every call at once. Each has a
-// listener on an address of its own; all note in one place when what came. It is as
-// plain as that so that its own processor time stays small beside the program's, on
-// the same cores.
-type crowd struct {
-	Addrs  []string
-	server *http.Server
-	next   int // the destination whose turn it is
+// destinationServer is a set of healthy destinations that accept every call at once. Each has a
+// listener on an address of its own; the arrival times of all are recorded together. The server is
+// kept simple so that its own processor time stays small compared to that of the program on the
+// same cores.
+type destinationServer struct {
+	Addrs           []string
+	server          *http.Server
+	nextDestination int // index of the destination of the next message
 
-	mu   sync.Mutex
-	came map[string]time.Time // the last byte of the first call of each message, by its id
+	mu       sync.Mutex
+	arrivals map[string]time.Time // when the last byte of the first call of a message arrived, by message ID
 }
 
-// newCrowd makes n destinations listen, on addresses of 127.100.0.0/16 and on.
-func newCrowd(n int) (*crowd, error) {
-	c := &crowd{came: map[string]time.Time{}}
+// newDestinationServer starts n destinations, on addresses from 127.100.0.0/16 on.
+func newDestinationServer(n int) (*destinationServer, error) {
+	c := &destinationServer{arrivals: map[string]time.Time{}}
 	c.server = &http.Server{Handler: c, ReadHeaderTimeout: time.Minute}
 	for i := range n {
 		ln, err := net.Listen("tcp", fmt.Sprintf("127.%d.%d.%d:0", 100+i>>16, i>>8&255, i&255))
@@ -41,52 +41,53 @@
 	return c, nil
 }
 
-// Close ends all listeners and connections.
-func (c *crowd) Close() { c.server.Close() }
+// Close closes all listeners and connections.
+func (c *destinationServer) Close() { c.server.Close() }
 
-// ServeHTTP takes a call.
-func (c *crowd) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+// ServeHTTP accepts a call and records its arrival.
+func (c *destinationServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if _, err := io.Copy(io.Discard, r.Body); err != nil {
-		return // it did not come whole
+		return // the request is incomplete
 	}
 	now, id := time.Now(), r.Header.Get("X-Trace-Id")
 	c.mu.Lock()
-	if _, again := c.came[id]; !again {
-		c.came[id] = now
+	if _, again := c.arrivals[id]; !again {
+		c.arrivals[id] = now
 	}
 	c.mu.Unlock()
 }
 
-// count is how many messages have come.
-func (c *crowd) count() int {
+// arrived returns the number of messages that have arrived.
+func (c *destinationServer) arrived() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return len(c.came)
+	return len(c.arrivals)
 }
 
-// all waits until n messages have come, and says if they have.
-func (c *crowd) all(n int, patience time.Duration) bool {
-	for late := time.Now().Add(patience); c.count() < n; time.Sleep(5 * time.Millisecond) {
-		if time.Now().After(late) {
+// awaitArrivals waits until n messages have arrived, and reports whether they have.
+func (c *destinationServer) awaitArrivals(n int, timeout time.Duration) bool {
+	for deadline := time.Now().Add(timeout); c.arrived() < n; time.Sleep(5 * time.Millisecond) {
+		if time.Now().After(deadline) {
 			return false
 		}
 	}
 	return true
 }
 
-// text is the destinations as partners of a file: well0, well1 and so on.
-func (c *crowd) text() (out string) {
+// config returns the destinations as partners of a configuration: well0, well1 and so on.
+func (c *destinationServer) config() (out string) {
 	for i, a := range c.Addrs {
-		out += partnerText(fmt.Sprint("well", i), a)
+		out += partnerConfig(fmt.Sprint("well", i), a)
 	}
 	return out
 }
 
-// served hands messages in at a pace, to the destinations in turn, and returns the
-// times from each one's writing to its call's last byte, in ms.
-func (c *crowd) served(client *traffic.RESP, prefix string, rate float64, span time.Duration) ([]float64, error) {
+// measureLatency submits messages at a rate, to the destinations in turn. It returns the times from
+// the write of each message to the last byte of its call, in ms.
+func (c *destinationServer) measureLatency(client *traffic.RESP, prefix string, rate float64,
+	span time.Duration) ([]float64, error) {
 	n := max(int(rate*span.Seconds()), 1)
-	at := make([]time.Time, n)
+	submitted := make([]time.Time, n)
 	answers := make(chan error, 1)
 	go func() {
 		for range n {
@@ -97,26 +98,27 @@
 		}
 		answers <- nil
 	}()
-	before, from := c.count(), time.Now()
+	before, from := c.arrived(), time.Now()
 	for i := range n {
 		time.Sleep(time.Until(from.Add(time.Duration(float64(i) / rate * float64(time.Second)))))
-		at[i] = time.Now()
-		if err := client.Put("0", fmt.Sprint(prefix, i), options(fmt.Sprint("well", c.next%len(c.Addrs))), body); err != nil {
+		submitted[i] = time.Now()
+		if err := client.Put("0", fmt.Sprint(prefix, i),
+			messageOptions(fmt.Sprint("well", c.nextDestination%len(c.Addrs))), messageBody); err != nil {
 			return nil, err
 		}
-		c.next++
+		c.nextDestination++
 	}
 	if err := <-answers; err != nil {
 		return nil, err
 	}
-	if !c.all(before+n, 30*time.Second) {
-		return nil, fmt.Errorf("%d of %d messages reached their destinations", c.count()-before, n)
+	if !c.awaitArrivals(before+n, 30*time.Second) {
+		return nil, fmt.Errorf("%d of %d messages reached their destinations", c.arrived()-before, n)
 	}
-	took := make([]float64, n)
+	latencies := make([]float64, n)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for i := range n {
-		took[i] = c.came[fmt.Sprint(prefix, i)].Sub(at[i]).Seconds() * 1000
+		latencies[i] = c.arrivals[fmt.Sprint(prefix, i)].Sub(submitted[i]).Seconds() * 1000
 	}
-	return took, nil
+	return latencies, nil
 }
--- a/internal/lab/capacity/table.go
+++ b/internal/lab/capacity/table.go
@@ -9,14 +9,14 @@
 	"strings"
 )
 
-// Tables are the tables of docs/CAPACITY.md by the name of their marker.
+// Tables returns the tables of docs/CAPACITY.md by the name of their marker.
 func Tables(list []Slope) map[string]string {
-	return map[string]string{"shares": shares(list), "slopes": slopes(list)}
+	return map[string]string{"shares": sharesTable(list), "slopes": slopesTable(list)}
 }
 
-// Fill puts tables between their markers in a page: what stands between the lines
-// "<!-- capacity:NAME -->" and "<!-- /capacity:NAME -->" is replaced.
-func Fill(page string, tables map[string]string) (string, error) {
+// FillTables inserts tables into a page: it replaces the text between the lines "<!-- capacity:NAME
+// -->" and "<!-- /capacity:NAME -->".
+func FillTables(page string, tables map[string]string) (string, error) {
 	for name, table := range tables {
 		open, end := "<!-- capacity:"+name+" -->\n", "<!-- /capacity:"+name+" -->"
 		before, rest, ok := strings.Cut(page, open)
@@ -29,11 +29,11 @@
 	return page, nil
 }
 
-// shares is the table sorted by the share of the target at which a bound is met,
-// with the slopes that have none at its end.
-func shares(list []Slope) string {
+// sharesTable returns the table of the slopes, sorted by the share of the target at which the bound
+// is reached; slopes without a bound come last.
+func sharesTable(list []Slope) string {
 	key := func(s Slope) float64 {
-		share, _ := s.Share()
+		share, _ := s.ShareAtBound()
 		if s.Bound == 0 || math.IsNaN(share) {
 			return math.Inf(1)
 		}
@@ -45,38 +45,39 @@
 	var b strings.Builder
 	b.WriteString("| share of the target | slope, commit | the bound is met at | target | value at target | bound |\n| --- | --- | --- | --- | --- | --- |\n")
 	for _, s := range list {
-		at, by := s.At(s.Target)
+		at, by := s.ValueAt(s.Target)
 		if s.Target <= s.Points[len(s.Points)-1].Size {
-			at, by = s.within(s.Target), ByMeasure
+			at, by = s.interpolate(s.Target), Interpolated
 		}
-		value := number(at) + " " + s.Unit + " (" + by + ")"
+		value := formatNumber(at) + " " + s.Unit + " (" + by + ")"
 		if math.IsNaN(at) {
 			value = "not said"
 		}
 		share, met, bound := "-", "-", "none"
 		if s.Bound > 0 {
-			size, how := s.Met()
-			bound = number(s.Bound) + " " + s.Unit
+			size, how := s.SizeAtBound()
+			bound = formatNumber(s.Bound) + " " + s.Unit
 			switch {
 			case math.IsNaN(size):
 				share, met = "not said", "not said"
 			case math.IsInf(size, 1):
 				share, met = "not met", "it does not grow ("+how+")"
 			default:
-				share, met = percent(size/s.Target), number(size)+" ("+how+")"
+				share, met = formatShare(size/s.Target), formatNumber(size)+" ("+how+")"
 				if size/s.Target >= 1000 {
 					met = "far beyond (" + how + ")"
 				}
 			}
 		}
-		fmt.Fprintf(&b, "| %s | `%s` %s | %s | %s %s | %s | %s |\n", share, s.Name, s.Commit, met, number(s.Target), s.SizeOf, value, bound)
+		fmt.Fprintf(&b, "| %s | `%s` %s | %s | %s %s | %s | %s |\n", share, s.Name, s.Commit, met,
+			formatNumber(s.Target), s.SizeOf, value, bound)
 	}
 	return b.String()
 }
 
-// within is the value at a size among those measured, by the power between its
-// neighbours.
-func (s Slope) within(size float64) float64 {
+// interpolate returns the value at a size among the measured ones, on a line between its neighbors
+// over the logarithm of the size.
+func (s Slope) interpolate(size float64) float64 {
 	for i, p := range s.Points {
 		if p.Size < size {
 			continue
@@ -91,8 +92,8 @@
 	return math.NaN()
 }
 
-// slopes is the table of what was measured and of its fit, by name.
-func slopes(list []Slope) string {
+// slopesTable returns the table of the measured values and their fits, by name.
+func slopesTable(list []Slope) string {
 	list = slices.SortedStableFunc(slices.Values(list), func(a, b Slope) int {
 		return cmp.Or(cmp.Compare(a.Name, b.Name), cmp.Compare(a.Commit, b.Commit))
 	})
@@ -102,12 +103,12 @@
 		f := s.Fit()
 		var sizes, medians []string
 		for _, p := range s.Points {
-			sizes, medians = append(sizes, number(p.Size)), append(medians, number(p.Median()))
+			sizes, medians = append(sizes, formatNumber(p.Size)), append(medians, formatNumber(p.Median()))
 		}
-		power := fmt.Sprintf("size^%.2f ± %.2f", f.Power, f.Spread)
-		if !f.IsPower {
+		power := fmt.Sprintf("size^%.2f ± %.2f", f.Power, f.StdErr)
+		if !f.IsPowerLaw {
 			var steps []string
-			for _, x := range f.Steps {
+			for _, x := range f.StepPowers {
 				if math.IsNaN(x) {
 					steps = append(steps, "?")
 				} else {
@@ -117,11 +118,11 @@
 			power = "no power; by steps " + strings.Join(steps, ", ")
 		}
 		if s.Base != 0 {
-			power += ", above " + number(s.Base)
+			power += ", above " + formatNumber(s.Base)
 		}
 		left := "-"
 		if !math.IsNaN(f.Predicted) {
-			left = fmt.Sprintf("%s, %s, %+.0f%%", number(f.Predicted), number(f.Measured), 100*f.Error)
+			left = fmt.Sprintf("%s, %s, %+.0f%%", formatNumber(f.Predicted), formatNumber(f.Measured), 100*f.Error)
 		}
 		repeats := len(s.Points[0].Values)
 		how := strings.TrimPrefix(s.Command, "measure ")
@@ -131,8 +132,8 @@
 	return b.String()
 }
 
-// number is a figure with three digits that count, and commas.
-func number(v float64) string {
+// formatNumber formats a number with three significant digits and commas.
+func formatNumber(v float64) string {
 	switch a := math.Abs(v); {
 	case v == 0:
 		return "0"
@@ -151,13 +152,13 @@
 	return strconv.FormatFloat(v, 'g', 3, 64)
 }
 
-// percent is a share; from ten times the target on it is said as a factor.
-func percent(share float64) string {
+// formatShare formats a share as a percentage, or as a factor from ten times the target on.
+func formatShare(share float64) string {
 	switch p := 100 * share; {
 	case share >= 1000:
 		return "over 1,000 times"
 	case share >= 10:
-		return number(share) + " times"
+		return formatNumber(share) + " times"
 	case p >= 10:
 		return fmt.Sprintf("%.0f%%", p)
 	default:
