--- a/internal/standin/fate/fate.go
+++ b/internal/standin/fate/fate.go
@@ -24,7 +24,8 @@
 	NumKinds                // number of kinds
 )
 
-var kindNames = [NumKinds]string{"answered", "503 at once", "503 after a while", "reset", "cut within the answer", "silent", "silent within the answer", "answered late"}
+var kindNames = [NumKinds]string{"answered", "503 at once", "503 after a while", "reset", "cut within the answer",
+	"silent", "silent within the answer", "answered late"}
 
 func (k Kind) String() string { return kindNames[k] }
 
--- a/internal/standin/fleet/cases.go
+++ b/internal/standin/fleet/cases.go
@@ -26,15 +26,19 @@
 	}
 	for _, d := range []float64{0.2, 1, 5, 30} {
 		for _, who := range [][]int{{1}, {0, 1, 2}} {
-			add(fmt.Sprintf("%d paused for %v s", len(who), d), d+3, Event{At: sec(1), Action: Pause, Senders: who}, Event{At: sec(1 + d), Action: Resume, Senders: who})
+			add(fmt.Sprintf("%d paused for %v s", len(who), d), d+3, Event{At: sec(1), Action: Pause, Senders: who},
+				Event{At: sec(1 + d), Action: Resume, Senders: who})
 		}
 	}
-	add("one that suspects paused for 5 s", 10, link(Faults{Cut: true}, []int{0}, []int{1}), Event{At: sec(3.5), Action: Pause, Senders: []int{1}}, heal(6),
+	add("one that suspects paused for 5 s", 10, link(Faults{Cut: true}, []int{0}, []int{1}),
+		Event{At: sec(3.5), Action: Pause, Senders: []int{1}}, heal(6),
 		Event{At: sec(8.5), Action: Resume, Senders: []int{1}})
-	add("two beside a busy neighbour", 21, Event{At: sec(1), Action: AddBusyNeighbor, Senders: []int{0, 1}}, Event{At: sec(20), Action: RemoveBusyNeighbor, Senders: []int{0, 1}})
+	add("two beside a busy neighbour", 21, Event{At: sec(1), Action: AddBusyNeighbor, Senders: []int{0, 1}},
+		Event{At: sec(20), Action: RemoveBusyNeighbor, Senders: []int{0, 1}})
 	var repeated []Event
 	for i := range 10 {
-		repeated = append(repeated, Event{At: sec(1 + 6*float64(i)), Action: Pause, Senders: []int{1}}, Event{At: sec(4 + 6*float64(i)), Action: Resume, Senders: []int{1}})
+		repeated = append(repeated, Event{At: sec(1 + 6*float64(i)), Action: Pause, Senders: []int{1}},
+			Event{At: sec(4 + 6*float64(i)), Action: Resume, Senders: []int{1}})
 	}
 	add("paused ten times a minute for 3 s", 62, repeated...)
 	for _, p := range []float64{0.01, 0.1, 0.3, 0.5} {
@@ -60,14 +64,20 @@
 	add("apart for 2 s", 4, link(Faults{Cut: true}, []int{0, 1}, []int{2, 3, 4}), link(Faults{Cut: true}, []int{2, 3, 4}, []int{0, 1}), heal(3))
 	add("two killed", 1, Event{At: sec(0.5), Action: Kill, Senders: []int{0, 1}})
 	out[len(out)-1].Killed = []int{0, 1}
-	add("two killed at 10% lost", 1, link(Faults{Loss: 0.1}, nil, nil), Event{At: sec(1), Action: Kill, Senders: []int{0, 1}})
+	add("two killed at 10% lost", 1, link(Faults{Loss: 0.1}, nil, nil),
+		Event{At: sec(1), Action: Kill, Senders: []int{0, 1}})
 	out[len(out)-1].Killed = []int{0, 1}
 	all := []int{0, 1, 2, 3, 4}
-	add("all killed and started at once", 2, Event{At: sec(0.5), Action: Kill, Senders: all}, Event{At: sec(1), Action: Restart, Senders: all})
-	add("one after another started again", 12, Event{At: sec(0.5), Action: Restart, Senders: []int{0}}, Event{At: sec(2.5), Action: Restart, Senders: []int{1}},
-		Event{At: sec(4.5), Action: Restart, Senders: []int{2}}, Event{At: sec(6.5), Action: Restart, Senders: []int{3}}, Event{At: sec(8.5), Action: Restart, Senders: []int{4}})
+	add("all killed and started at once", 2, Event{At: sec(0.5), Action: Kill, Senders: all},
+		Event{At: sec(1), Action: Restart, Senders: all})
+	add("one after another started again", 12, Event{At: sec(0.5), Action: Restart, Senders: []int{0}},
+		Event{At: sec(2.5), Action: Restart, Senders: []int{1}},
+		Event{At: sec(4.5), Action: Restart, Senders: []int{2}},
+		Event{At: sec(6.5), Action: Restart, Senders: []int{3}},
+		Event{At: sec(8.5), Action: Restart, Senders: []int{4}})
 	add("started again with an emptied folder", 3, Event{At: sec(0.5), Action: RestartEmpty, Senders: []int{0}})
-	add("started again with an old copy of its folder", 9, Event{At: sec(0.5), Action: Copy, Senders: []int{0}}, Event{At: sec(1), Action: Restart, Senders: []int{0}},
+	add("started again with an old copy of its folder", 9, Event{At: sec(0.5), Action: Copy, Senders: []int{0}},
+		Event{At: sec(1), Action: Restart, Senders: []int{0}},
 		Event{At: sec(4), Action: Restart, Senders: []int{0}}, Event{At: sec(7), Action: RestartOld, Senders: []int{0}})
 	return out
 }
@@ -120,7 +130,8 @@
 		if ok {
 			out.DetectionTime = max(took+c.length()-c.lastKill(), time.Millisecond)
 		}
-	} else if took, ok := f.WaitUntil(patience, func(list []SenderView) bool { watch.observe(list); return AllReachable(list) }); ok {
+	} else if took, ok := f.WaitUntil(patience,
+		func(list []SenderView) bool { watch.observe(list); return AllReachable(list) }); ok {
 		out.ConvergenceTime = max(took, time.Millisecond)
 	}
 	out.FalselyGone, out.StateChanges = watch.falselyGone, watch.stateChanges
--- a/internal/standin/fleet/faults_test.go
+++ b/internal/standin/fleet/faults_test.go
@@ -90,7 +90,8 @@
 		{"nobody reaches s0", func(i, k int) Faults { return Faults{Cut: k == 0} }, func(list []SenderView) bool {
 			return list[0].CountedSenders == 0 && list[1].CountedSenders == 4
 		}},
-		{"a ring", func(i, k int) Faults { return Faults{Cut: k != (i+1)%5} }, func(list []SenderView) bool { return shareSum(list) < 0.11 }},
+		{"a ring", func(i, k int) Faults { return Faults{Cut: k != (i+1)%5} },
+			func(list []SenderView) bool { return shareSum(list) < 0.11 }},
 		{"two pieces", func(i, k int) Faults { return Faults{Cut: (i < 2) != (k < 2)} }, func(list []SenderView) bool {
 			return list[0].CountedSenders == 0 && list[1].CountedSenders == 0 && list[2].CountedSenders == 3 && state(2, "s0", view.Suspected)(list)
 		}},
@@ -112,7 +113,8 @@
 	f.Heal()
 	await(t, f, "its guard reports it as paused", AllReport(view.Paused, "s1"))
 	f.Senders()[1].Resume()
-	await(t, f, "no suspicion is left from before the pause", func(list []SenderView) bool { checkNoneGone(t, "s1 resumed")(list[1:2]); return AllReachable(list) })
+	await(t, f, "no suspicion is left from before the pause",
+		func(list []SenderView) bool { checkNoneGone(t, "s1 resumed")(list[1:2]); return AllReachable(list) })
 	f.Senders()[1].Pause() // for less than two leases: the guard does not report it
 	f.WaitUntil(1500*time.Millisecond, checkNoneGone(t, "a short pause"))
 	f.Senders()[1].Resume()
@@ -123,19 +125,20 @@
 // are killed must be reported gone soon, and rejoin without their state folders.
 func TestWholeFleet(t *testing.T) {
 	seeds := true
-	f := start(t, Options{Senders: 5, Cluster: `lease = "1s"`, Config: uncalledPartner, Join: func(i int, relays []string) []string {
-		switch {
-		case !seeds:
-			return nil
-		case i == 0: // no process listens there
-			wrong := make([]string, 20)
-			for k := range wrong {
-				wrong[k] = fmt.Sprintf("127.0.0.1:%d", 1+k)
+	f := start(t, Options{Senders: 5, Cluster: `lease = "1s"`, Config: uncalledPartner,
+		Join: func(i int, relays []string) []string {
+			switch {
+			case !seeds:
+				return nil
+			case i == 0: // no process listens there
+				wrong := make([]string, 20)
+				for k := range wrong {
+					wrong[k] = fmt.Sprintf("127.0.0.1:%d", 1+k)
+				}
+				return wrong
 			}
-			return wrong
-		}
-		return relays[:1]
-	}})
+			return relays[:1]
+		}})
 	await(t, f, "all reachable, with twenty wrong addresses", AllReachable)
 	if err := f.Senders()[4].Copy(); err != nil {
 		t.Fatal(err)
@@ -186,7 +189,8 @@
 	keys := filepath.Join(t.TempDir(), "keys")
 	const a, b = "the first key, of many letters", "the second key, of many letters"
 	writeFile(t, keys, a+"\n")
-	f := start(t, Options{Senders: 4, StartLater: 1, MaxSenders: 3, Cluster: fmt.Sprintf("lease = \"1s\"\nkey_file = %q", keys), Config: PartnerConfig(p),
+	f := start(t, Options{Senders: 4, StartLater: 1, MaxSenders: 3,
+		Cluster: fmt.Sprintf("lease = \"1s\"\nkey_file = %q", keys), Config: PartnerConfig(p),
 		Name: func(i int) string { return fmt.Sprint("s", i%3) }, Join: func(i int, relays []string) []string { return relays[:3] }})
 	threeReachable := func(list []SenderView) bool { return AllReachable(list[:3]) }
 	await(t, f, "three reachable", threeReachable)
@@ -194,7 +198,8 @@
 	if err := duplicate.Restart(false); err != nil {
 		t.Fatal(err)
 	}
-	await(t, f, "the second process with the name is refused", func(list []SenderView) bool { return list[3].State == "refused" && list[3].Share == 0 })
+	await(t, f, "the second process with the name is refused",
+		func(list []SenderView) bool { return list[3].State == "refused" && list[3].Share == 0 })
 	for _, s := range []*Sender{first, duplicate} {
 		if err := s.WaitForLog("another process uses this name"); err != nil {
 			t.Error(err)
@@ -210,7 +215,8 @@
 	}
 	defer out.Close()
 	before := residentMemory(t, f.Senders()[1].PID())
-	packet, factsPacket := append([]byte("cmtk1"), make([]byte, 16+400)...), append([]byte("cmtf1"), make([]byte, 16+400)...)
+	packet, factsPacket := append([]byte("cmtk1"), make([]byte, 16+400)...),
+		append([]byte("cmtf1"), make([]byte, 16+400)...)
 	for i := range 20_000 {
 		switch i % 5 {
 		case 4: // facts without a key
@@ -240,7 +246,10 @@
 			}
 		}
 	}
-	await(t, f, "with new keys", func(list []SenderView) bool { checkNoneGone(t, "new keys")(list[:3]); return threeReachable(list) })
+	await(t, f, "with new keys", func(list []SenderView) bool {
+		checkNoneGone(t, "new keys")(list[:3])
+		return threeReachable(list)
+	})
 }
 
 // residentMemory returns the resident memory of a process, in KB.
--- a/internal/standin/fleet/knowledge_test.go
+++ b/internal/standin/fleet/knowledge_test.go
@@ -45,12 +45,13 @@
 		paused.Pause()
 		p.Set(partner.Full)
 		n := len(p.Calls())
-		if took, ok := f.WaitUntil(5*time.Second, func([]SenderView) bool { return CheckWaits(p.Calls()[n:], wait, 0).Told > 0 }); !ok {
+		if took, ok := f.WaitUntil(5*time.Second,
+			func([]SenderView) bool { return CheckWaits(p.Calls()[n:], wait, 0).Told > 0 }); !ok {
 			t.Fatalf("no wait was requested within %v", took)
 		}
 		p.Set(partner.Well)
 		paused.Resume()
-		for _, s := range f.Senders() { // not the first one that got the wait: the fact may not have been published yet
+		for _, s := range f.Senders() { // not the first one that got the wait: its fact may be unpublished
 			host, _, _ := net.SplitHostPort(s.Addr)
 			if s != paused && host != firstRejected(p.Calls()[n:]) {
 				if err := s.Restart(round == 0); err != nil {
@@ -109,7 +110,7 @@
 	n, from := len(p.Calls()), time.Now()
 	f.WaitUntil(5*time.Second, func([]SenderView) bool { return false }) // calls are counted over 5 s
 	took := len(p.Calls()) - n
-	if t.Logf("%d calls in %v", took, time.Since(from)); took > 10 { // 7 with the first trials of each sender; 14 without shared facts
+	if t.Logf("%d calls in %v", took, time.Since(from)); took > 10 { // 7 with shared facts, 14 without
 		t.Errorf("%d calls to a partner in a known outage", took)
 	}
 	p.Set(partner.Well)
--- a/internal/standin/fleet/link.go
+++ b/internal/standin/fleet/link.go
@@ -13,9 +13,9 @@
 	Reorder   float64       `toml:"reorder" json:"reorder,omitempty"` // share of datagrams delayed behind later ones
 	Delay     time.Duration `toml:"-" json:"delay,omitempty"`         // of each datagram and of each read of a stream
 	Jitter    time.Duration `toml:"-" json:"jitter,omitempty"`        // maximum of a random delay added to Delay
-	Cut       bool          `toml:"cut" json:"cut,omitempty"`         // nothing is delivered; streams stay open and their bytes are discarded
+	Cut       bool          `toml:"cut" json:"cut,omitempty"`         // nothing is delivered, streams stay open
 	Rate      int           `toml:"rate" json:"rate,omitempty"`       // bytes per second of each stream; 0 for no limit
-	CutAfter  int           `toml:"after" json:"after,omitempty"`     // bytes after which a stream delivers nothing more; 0 for never
+	CutAfter  int           `toml:"after" json:"after,omitempty"`     // bytes that a stream delivers; 0 for no limit
 }
 
 // reorderDelay is the extra delay of a reordered datagram.
--- a/internal/standin/fleet/relay_test.go
+++ b/internal/standin/fleet/relay_test.go
@@ -59,7 +59,7 @@
 	a, b := p.socket(t, 0), p.socket(t, 1)
 	toB, _ := net.ResolveUDPAddr("udp", p.relays[1])
 	const n = 1000
-	countUntil := func(c *net.UDPConn, mark string) (count int, from string) { // until the mark, which is sent on a link without faults
+	countUntil := func(c *net.UDPConn, mark string) (count int, from string) { // the mark is sent without faults
 		buf := make([]byte, 100)
 		for {
 			c.SetReadDeadline(time.Now().Add(5 * time.Second))
@@ -76,7 +76,8 @@
 	for _, x := range []struct {
 		faults   Faults
 		low, top int
-	}{{Faults{}, n, n}, {Faults{Loss: 0.3}, n * 6 / 10, n * 8 / 10}, {Faults{Duplicate: 0.5}, n * 14 / 10, n * 16 / 10}, {Faults{Cut: true}, 0, 0}} {
+	}{{Faults{}, n, n}, {Faults{Loss: 0.3}, n * 6 / 10, n * 8 / 10},
+		{Faults{Duplicate: 0.5}, n * 14 / 10, n * 16 / 10}, {Faults{Cut: true}, 0, 0}} {
 		p.net.links[0][1].set(x.faults)
 		for i := range n {
 			a.WriteToUDP([]byte("x"), toB)
@@ -179,7 +180,8 @@
 // An invalid script is rejected with a message that names the mistake.
 func TestScripts(t *testing.T) {
 	for _, x := range [][2]string{{"[[event]]\ndo = \"kill\"\nwho = [3]\n", "no sender 3"}, {"[[event]]\ndo = \"bomb\"\n", `"bomb" is none of`},
-		{"[[event]]\ndo = \"link\"\nloss = 1.5\n", "not a share"}, {"[[event]]\ndo = \"kill\"\n", "processes have who"}} {
+		{"[[event]]\ndo = \"link\"\nloss = 1.5\n", "not a share"},
+		{"[[event]]\ndo = \"kill\"\n", "processes have who"}} {
 		path := t.TempDir() + "/s.toml"
 		writeFile(t, path, "senders = 2\n"+x[0])
 		if _, err := LoadScript(path); err == nil || !strings.Contains(err.Error(), x[1]) {
--- a/internal/standin/fleet/script.go
+++ b/internal/standin/fleet/script.go
@@ -40,7 +40,8 @@
 	Heal               Action = "heal"    // removes the faults of all links
 )
 
-var actions = []Action{Pause, Resume, Kill, Restart, RestartEmpty, Copy, RestartOld, AddBusyNeighbor, RemoveBusyNeighbor, SetLink, Reset, Heal}
+var actions = []Action{Pause, Resume, Kill, Restart, RestartEmpty, Copy, RestartOld, AddBusyNeighbor,
+	RemoveBusyNeighbor, SetLink, Reset, Heal}
 
 // Event is one action of a script. Senders, From and To are sender numbers from 0; an empty From or
 // To means all senders.
@@ -164,7 +165,8 @@
 			}
 		case 4:
 			if i != k {
-				add(Event{Action: SetLink, From: []int{i}, To: []int{k}, Both: rng.IntN(2) == 0, Faults: Faults{Cut: true}})
+				add(Event{Action: SetLink, From: []int{i}, To: []int{k}, Both: rng.IntN(2) == 0,
+					Faults: Faults{Cut: true}})
 			}
 		case 5: // a partition in two
 			var a, b []int
--- a/internal/standin/fleet/timeline.go
+++ b/internal/standin/fleet/timeline.go
@@ -74,8 +74,9 @@
 }
 
 // stateColors are the colors of the states that a sender can report of another.
-var stateColors = map[string]string{"here": "#7fbf7f", "joining": "#bcdcf5", "unreachable": "#f5d76e", "suspected": "#f0954b",
-	"gone": "#c0392b", "left": "#999999", "forgotten": "#cccccc", "other version": "#b48ead", "paused": "#8e6bbf"}
+var stateColors = map[string]string{"here": "#7fbf7f", "joining": "#bcdcf5", "unreachable": "#f5d76e",
+	"suspected": "#f0954b",
+	"gone":      "#c0392b", "left": "#999999", "forgotten": "#cccccc", "other version": "#b48ead", "paused": "#8e6bbf"}
 
 // WriteSVG draws the timeline: a row for each sender, with a strip for the state of each sender in
 // its view, its share as a line, and faults as marks above.
@@ -111,7 +112,8 @@
 				continue
 			}
 			fmt.Fprintf(&b, `<rect x="%.1f" y="%.1f" width="%.1f" height="%.1f" fill="%s"><title>%s of %s: %s</title></rect>`+"\n", x(last[i].from),
-				50+row*float64(i)+strip*float64(k), max(x(to)-x(last[i].from), 0.5), strip-1, stateColors[state], html.EscapeString(t.Names[i]), html.EscapeString(name), state)
+				50+row*float64(i)+strip*float64(k), max(x(to)-x(last[i].from), 0.5), strip-1, stateColors[state],
+				html.EscapeString(t.Names[i]), html.EscapeString(name), state)
 		}
 		if last[i].states != nil {
 			y := 50 + row*float64(i) + strip*float64(n)*(1-last[i].share)
@@ -133,7 +135,8 @@
 		}
 		fmt.Fprintf(&b, `<line x1="%.1f" x2="%.1f" y1="38" y2="46" stroke="#555"><title>%.2f s: %s %v %v to %v</title></line>`+"\n", x(e.At), x(e.At), e.At, e.Action, e.Senders, e.From, e.To)
 		if len(e.Senders) > 0 {
-			fmt.Fprintf(&b, `<text x="%.1f" y="%.1f" font-size="8">%s</text>`+"\n", x(e.At), 48+row*float64(e.Senders[0]), e.Action)
+			fmt.Fprintf(&b, `<text x="%.1f" y="%.1f" font-size="8">%s</text>`+"\n", x(e.At),
+				48+row*float64(e.Senders[0]), e.Action)
 		}
 	}
 	for i := range last {
--- a/internal/standin/hollow/count.go
+++ b/internal/standin/hollow/count.go
@@ -18,11 +18,13 @@
 }
 
 func (c Count) plus(x Count) Count {
-	return Count{c.DatagramsOut + x.DatagramsOut, c.DatagramsIn + x.DatagramsIn, c.BytesOut + x.BytesOut, c.BytesIn + x.BytesIn, c.FactsBytesOut + x.FactsBytesOut, c.Probes + x.Probes}
+	return Count{c.DatagramsOut + x.DatagramsOut, c.DatagramsIn + x.DatagramsIn, c.BytesOut + x.BytesOut,
+		c.BytesIn + x.BytesIn, c.FactsBytesOut + x.FactsBytesOut, c.Probes + x.Probes}
 }
 
 func (c Count) minus(x Count) Count {
-	return Count{c.DatagramsOut - x.DatagramsOut, c.DatagramsIn - x.DatagramsIn, c.BytesOut - x.BytesOut, c.BytesIn - x.BytesIn, c.FactsBytesOut - x.FactsBytesOut, c.Probes - x.Probes}
+	return Count{c.DatagramsOut - x.DatagramsOut, c.DatagramsIn - x.DatagramsIn, c.BytesOut - x.BytesOut,
+		c.BytesIn - x.BytesIn, c.FactsBytesOut - x.FactsBytesOut, c.Probes - x.Probes}
 }
 
 // sumCounts adds up the counts at some indexes; nil for all.
@@ -59,5 +61,6 @@
 }
 
 func (c *counter) get() Count {
-	return Count{c.datagramsOut.Load(), c.datagramsIn.Load(), c.bytesOut.Load(), c.bytesIn.Load(), c.factsBytesOut.Load(), c.probes.Load()}
+	return Count{c.datagramsOut.Load(), c.datagramsIn.Load(), c.bytesOut.Load(), c.bytesIn.Load(),
+		c.factsBytesOut.Load(), c.probes.Load()}
 }
--- a/internal/standin/hollow/faults.go
+++ b/internal/standin/hollow/faults.go
@@ -79,7 +79,7 @@
 	UnderFloorAfter  float64 `json:"under_after_s"`      // time below [Floor] until then
 	ReturnBytesHit   float64 `json:"return_hit_bytes"`   // sent and received until then per affected sender
 	ReturnBytesOther float64 `json:"return_other_bytes"` // and per other sender
-	PeakRate         float64 `json:"busiest_bytes_s"`    // mean bytes sent per sender in the busiest second since the start of the fault
+	PeakRate         float64 `json:"busiest_bytes_s"`    // mean per sender, in the busiest second from the start of the fault
 }
 
 // Floor is the sum of the shares below which time is counted.
--- a/internal/standin/hollow/fleet.go
+++ b/internal/standin/hollow/fleet.go
@@ -113,7 +113,8 @@
 	var b strings.Builder
 	fmt.Fprintf(&b, "name = %q\nstate = %q\nsenders = %d\nzone = %q\nzones = [\"z0\", \"z1\", \"z2\", \"z3\", \"z4\"]\n", senderName(i), dir, f.opts.Senders, fmt.Sprint("z", i%Zones))
 	fmt.Fprintf(&b, "[front.resp]\nlisten = \"127.0.0.1:6379\"\n[[partner]]\nname = \"acme\"\nendpoints = [\"127.0.0.1:9\"]\nrate = 100\n")
-	fmt.Fprintf(&b, "[cluster]\nlisten = %q\nlease = %q\ndrift = %v\nguard = false\njoin = [", f.network.addr(i), f.opts.Lease, f.opts.Drift)
+	fmt.Fprintf(&b, "[cluster]\nlisten = %q\nlease = %q\ndrift = %v\nguard = false\njoin = [", f.network.addr(i),
+		f.opts.Lease, f.opts.Drift)
 	for k := range f.opts.Senders {
 		if k != i {
 			fmt.Fprintf(&b, "%q, ", f.network.addr(k))
--- a/internal/standin/hollow/hollow_test.go
+++ b/internal/standin/hollow/hollow_test.go
@@ -10,7 +10,8 @@
 
 // smallPlan is a plan for a fleet that converges within a second.
 func smallPlan(senders int, faults ...Fault) Plan {
-	return Plan{Options: Options{Senders: senders, Lease: 500 * time.Millisecond, Drift: 0.01, Seed: 1}, CalmDuration: 300 * time.Millisecond,
+	return Plan{Options: Options{Senders: senders, Lease: 500 * time.Millisecond, Drift: 0.01, Seed: 1},
+		CalmDuration:  300 * time.Millisecond,
 		FaultDuration: 1200 * time.Millisecond, Timeout: 20 * time.Second, Faults: faults}
 }
 
@@ -71,7 +72,8 @@
 				t.Fatal(err)
 			}
 			if r.SamplesOverOne == 0 || r.HighestSum < 1.1 {
-				t.Errorf("%d samples of %d with more than one rate, at most %.3f", r.SamplesOverOne, r.Samples, r.HighestSum)
+				t.Errorf("%d samples of %d with more than one rate, at most %.3f", r.SamplesOverOne, r.Samples,
+					r.HighestSum)
 			}
 			if list := r.Failures(); len(list) == 0 || !strings.Contains(list[0], "more than one rate") {
 				t.Errorf("failures: %q", list)
@@ -83,7 +85,8 @@
 // In virtual time the fleet must recover from each fault.
 func TestVirtual(t *testing.T) {
 	t.Parallel()
-	r, err := Measure(Plan{Options: Options{Senders: 6, Lease: 3 * time.Second, Drift: 0.01, Seed: 2}, Virtual: true, CalmDuration: time.Second,
+	r, err := Measure(Plan{Options: Options{Senders: 6, Lease: 3 * time.Second, Drift: 0.01, Seed: 2},
+		Virtual: true, CalmDuration: time.Second,
 		FaultDuration: 8 * time.Second, Timeout: time.Minute, Faults: Faults})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/standin/hollow/measure.go
+++ b/internal/standin/hollow/measure.go
@@ -35,7 +35,7 @@
 	DatagramsOut  float64 `json:"datagrams_out_s"`
 	DatagramsIn   float64 `json:"datagrams_in_s"`
 	Probes        float64 `json:"probes_s"`
-	Core          float64 `json:"core"`   // processor time; in virtual time that of the decisions and the simulation, per virtual second
+	Core          float64 `json:"core"`   // cores; in virtual time of the whole simulation, per virtual second
 	Memory        float64 `json:"memory"` // resident bytes beyond those before the fleet; 0 in virtual time
 	Heap          float64 `json:"heap"`   // live heap bytes
 }
@@ -77,7 +77,8 @@
 	started := time.Now()
 	debug.FreeOSMemory() // memory of an earlier fleet
 	base, atStart := residentMemory(), processCPU()
-	r = Result{Way: "hollow", Senders: p.Senders, Lease: p.Lease.Seconds(), FactRate: p.FactRate, Seed: p.Seed, Cores: runtime.GOMAXPROCS(0), Commit: cmp.Or(p.Commit, buildCommit()), Command: p.Command,
+	r = Result{Way: "hollow", Senders: p.Senders, Lease: p.Lease.Seconds(), FactRate: p.FactRate, Seed: p.Seed,
+		Cores: runtime.GOMAXPROCS(0), Commit: cmp.Or(p.Commit, buildCommit()), Command: p.Command,
 		Machine: machineName(), ConvergenceTime: -1}
 	var s environment
 	var f *fleet
@@ -93,7 +94,8 @@
 	defer s.close()
 	w := newMonitor(s)
 	defer func() {
-		r.HighestSum, r.SamplesOverOne, r.Samples, r.Timeline, r.Duration = w.highestSum, w.samplesOverOne, len(w.samples), w.rows(), time.Since(started).Seconds()
+		r.HighestSum, r.SamplesOverOne, r.Samples, r.Timeline, r.Duration = w.highestSum, w.samplesOverOne,
+			len(w.samples), w.rows(), time.Since(started).Seconds()
 		if world, ok := s.(*world); ok {
 			r.HighestSum = max(r.HighestSum, world.MaxSum) // checked at every instant
 		}
@@ -158,7 +160,8 @@
 	r.CalmDuration, r.Kernel = span, after.minus(before)
 	below, lowest, _ := w.timeUnder(from, to, Floor)
 	r.UnderFloor, r.LowestSum = below.Seconds(), lowest
-	r.Rates = Rates{BytesOut: float64(c.BytesOut) / each, BytesIn: float64(c.BytesIn) / each, FactsBytesOut: float64(c.FactsBytesOut) / each, DatagramsOut: float64(c.DatagramsOut) / each,
+	r.Rates = Rates{BytesOut: float64(c.BytesOut) / each, BytesIn: float64(c.BytesIn) / each,
+		FactsBytesOut: float64(c.FactsBytesOut) / each, DatagramsOut: float64(c.DatagramsOut) / each,
 		DatagramsIn: float64(c.DatagramsIn) / each, Probes: float64(c.Probes) / each}
 	r.Rates.Core = used.Seconds() / each
 	if f != nil {
@@ -192,7 +195,8 @@
 		report("not all senders had met all")
 	}
 	if r.UnderFloor > 0 {
-		report("calm, the sum was below %.1f for %.1f of %.1f s, %.3f at its lowest", Floor, r.UnderFloor, r.CalmDuration, r.LowestSum)
+		report("calm, the sum was below %.1f for %.1f of %.1f s, %.3f at its lowest", Floor, r.UnderFloor,
+			r.CalmDuration, r.LowestSum)
 	}
 	if n := r.Kernel.Dropped; n > 0 {
 		report("the kernel dropped %d datagrams for full buffers, calm", n)
@@ -227,7 +231,8 @@
 func (r *Result) bounds() []bound {
 	list := []bound{{"bytes a second for control, out", r.Rates.BytesOut, MaxControlBytes}}
 	if r.Way == "hollow" {
-		list = append(list, bound{"of a core for control", r.Rates.Core, MaxControlCore}, bound{"bytes of memory", r.Rates.Memory, MaxControlMemory})
+		list = append(list, bound{"of a core for control", r.Rates.Core, MaxControlCore},
+			bound{"bytes of memory", r.Rates.Memory, MaxControlMemory})
 	}
 	return list
 }
--- a/internal/standin/hollow/page.go
+++ b/internal/standin/hollow/page.go
@@ -33,14 +33,17 @@
 		verdict = "nothing to object to"
 	}
 	return fmt.Sprintf("| %d, %s | %s (%.0f ms) | %.1f, %.1f (%.1f) | %.0f, %.0f | %s | %s | %.3f, %.1f | %s | %s |", r.Senders, r.Way, seconds(r.ConvergenceTime), 1000*r.ConvergenceCPU, r.Rates.BytesOut/1000,
-		r.Rates.BytesIn/1000, r.Rates.FactsBytesOut/1000, r.Rates.DatagramsOut, r.Rates.DatagramsIn, core, memory, r.LowestSum, r.UnderFloor, dropped, verdict)
+		r.Rates.BytesIn/1000, r.Rates.FactsBytesOut/1000, r.Rates.DatagramsOut, r.Rates.DatagramsIn, core, memory,
+		r.LowestSum, r.UnderFloor, dropped, verdict)
 }
 
 // FaultRows returns the results of the faults as rows of a Markdown table.
 func (r *Result) FaultRows() (out []string) {
 	for _, f := range r.Faults {
 		out = append(out, fmt.Sprintf("| %d, %s | %s (%d) | %.1f s | %.3f, %.3f | %.3f, %.3f | %.1f (%s) | %s, %.1f | %.0f, %.0f | %.1f |", r.Senders, r.Way, f.Fault, f.Hit,
-			f.Duration, f.SumsAtEnd[0], f.SumsAtEnd[1], f.LowestSum, f.HighestSum, f.UnderFloor, seconds(f.RecoveredAfter), seconds(f.ConvergenceTime), f.UnderFloorAfter, f.ReturnBytesHit/1000, f.ReturnBytesOther/1000,
+			f.Duration, f.SumsAtEnd[0], f.SumsAtEnd[1], f.LowestSum, f.HighestSum, f.UnderFloor,
+			seconds(f.RecoveredAfter), seconds(f.ConvergenceTime), f.UnderFloorAfter, f.ReturnBytesHit/1000,
+			f.ReturnBytesOther/1000,
 			f.PeakRate/1000))
 	}
 	return out
@@ -50,7 +53,8 @@
 func (r *Result) WriteTimeline(w io.Writer) {
 	fmt.Fprintln(w, "    s  running  sum lowest, highest   left alone, hit    KB sent by each")
 	for _, x := range r.Timeline {
-		fmt.Fprintf(w, "%5.0f  %7d       %.3f, %.3f          %.3f, %.3f  %12.1f   %s\n", x.At, x.Running, x.LowestSum, x.HighestSum, x.Sums[0], x.Sums[1],
+		fmt.Fprintf(w, "%5.0f  %7d       %.3f, %.3f          %.3f, %.3f  %12.1f   %s\n", x.At, x.Running,
+			x.LowestSum, x.HighestSum, x.Sums[0], x.Sums[1],
 			float64(x.BytesSent)/float64(r.Senders)/1000, strings.Join(x.Events, "; "))
 	}
 }
--- a/internal/standin/hollow/slope.go
+++ b/internal/standin/hollow/slope.go
@@ -75,13 +75,17 @@
 		return s
 	}
 	list := []slope{
-		newSlope("control-bytes", "bytes a second that a sender sends for control, calm, with 28 of each datagram", "B/s", MaxControlBytes, func(r Result) float64 { return r.Rates.BytesOut }),
-		newSlope("control-datagrams", "datagrams a second that a sender sends, calm", "1/s", 0, func(r Result) float64 { return r.Rates.DatagramsOut }),
+		newSlope("control-bytes", "bytes a second that a sender sends for control, calm, with 28 of each datagram",
+			"B/s", MaxControlBytes, func(r Result) float64 { return r.Rates.BytesOut }),
+		newSlope("control-datagrams", "datagrams a second that a sender sends, calm", "1/s", 0,
+			func(r Result) float64 { return r.Rates.DatagramsOut }),
 	}
 	if first.Way == "hollow" {
 		list = append(list,
-			newSlope("control-core", "processor time of the process over senders, calm", "cores", MaxControlCore, func(r Result) float64 { return r.Rates.Core }),
-			newSlope("control-memory", "resident memory of the process above its base over senders", "B", MaxControlMemory, func(r Result) float64 { return r.Rates.Memory }))
+			newSlope("control-core", "processor time of the process over senders, calm", "cores", MaxControlCore,
+				func(r Result) float64 { return r.Rates.Core }),
+			newSlope("control-memory", "resident memory of the process above its base over senders", "B",
+				MaxControlMemory, func(r Result) float64 { return r.Rates.Memory }))
 	}
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return err
--- a/internal/standin/hollow/virtual.go
+++ b/internal/standin/hollow/virtual.go
@@ -23,7 +23,8 @@
 type world struct{ *play.World }
 
 func newWorld(o Options) *world {
-	w := &world{play.New(play.Options{Seed: o.Seed, Senders: o.Senders, MinShareTotal: virtualMinShareTotal, Lease: o.Lease, Interval: o.Lease / config.Ticks, MaxClockDrift: o.Drift,
+	w := &world{play.New(play.Options{Seed: o.Seed, Senders: o.Senders, MinShareTotal: virtualMinShareTotal,
+		Lease: o.Lease, Interval: o.Lease / config.Ticks, MaxClockDrift: o.Drift,
 		Delay: virtualDelay, Jitter: virtualJitter})}
 	for i := range w.Newest {
 		if o.ClockRate != nil && o.ClockRate(i) > 0 {
@@ -32,7 +33,8 @@
 	}
 	w.SizeOf = func(m *view.Message) int {
 		whole := *m // with addresses, a zone and a version of the same length as over sockets
-		whole.Addr, whole.Zone, whole.Version, whole.PeerReports = typicalAddr, "z0", version, slices.Clone(m.PeerReports)
+		whole.Addr, whole.Zone, whole.Version, whole.PeerReports = typicalAddr, "z0", version,
+			slices.Clone(m.PeerReports)
 		for i := range whole.PeerReports {
 			whole.PeerReports[i].Addr = typicalAddr
 		}
--- a/internal/standin/hollow/watch.go
+++ b/internal/standin/hollow/watch.go
@@ -34,7 +34,8 @@
 }
 
 func newMonitor(s environment) *monitor {
-	return &monitor{env: s, hit: make([]bool, s.size()), shares: make([]float64, s.size()), latestCounts: make([]Count, s.size())}
+	return &monitor{env: s, hit: make([]bool, s.size()), shares: make([]float64, s.size()),
+		latestCounts: make([]Count, s.size())}
 }
 
 func (w *monitor) addEvent(text string) { w.events = append(w.events, event{w.env.now(), text}) }
@@ -96,7 +97,8 @@
 
 // timeUnder returns how long the sum was below a bound within an interval, the lowest sum, and when
 // it was last below the bound, relative to from; 0 for never.
-func (w *monitor) timeUnder(from, to time.Duration, bound float64) (below time.Duration, lowest float64, last time.Duration) {
+func (w *monitor) timeUnder(from, to time.Duration, bound float64) (below time.Duration, lowest float64,
+	last time.Duration) {
 	lowest = maxSum
 	before := from
 	for _, s := range w.samples {
--- a/internal/standin/ready/ready.go
+++ b/internal/standin/ready/ready.go
@@ -22,9 +22,11 @@
 )
 
 const (
-	partnerLatency   = 500 * time.Millisecond // of the partner, after the restart
-	requestedWait    = time.Minute            // by the partner before the restart, so that messages stay pending; the restart ends the wait
-	remaining        = 10 * time.Minute       // until the deadline of each message
+	partnerLatency = 500 * time.Millisecond // of the partner, after the restart
+	// requestedWait is requested by the partner before the restart, so that messages stay
+	// pending; the restart ends the wait.
+	requestedWait    = time.Minute
+	remaining        = 10 * time.Minute // until the deadline of each message
 	bodySize         = 200
 	diskMB           = 64
 	pingInterval     = time.Millisecond
@@ -100,7 +102,8 @@
 	}
 	defer target.Close()
 	target.Set(partner.Full)
-	disc := &discovery{instances: []map[string]any{{"instanceId": "s-1", "hostPort": target.Addr(), "zone": "a", "machineType": "std", "cell": 1,
+	disc := &discovery{instances: []map[string]any{{"instanceId": "s-1", "hostPort": target.Addr(), "zone": "a",
+		"machineType": "std", "cell": 1,
 		"lifecycle": "up", "weight": 0}}}
 	srv := httptest.NewServer(disc)
 	defer func() { srv.CloseClientConnections(); srv.Close() }()
@@ -114,7 +117,8 @@
 		}
 	}()
 	for i := range senders {
-		if senders[i], err = p.prepare(filepath.Join(dir, fmt.Sprint("n", i)), strings.TrimPrefix(srv.URL, "http://"), disc.instances); err != nil {
+		if senders[i], err = p.prepare(filepath.Join(dir, fmt.Sprint("n", i)),
+			strings.TrimPrefix(srv.URL, "http://"), disc.instances); err != nil {
 			return nil, err
 		}
 	}
@@ -154,7 +158,8 @@
 	if err := os.WriteFile(config, conf, 0o600); err != nil {
 		return nil, err
 	}
-	return &sender{env: []string{"BALANCER_CONFIG=" + config, "BALANCER_STATE=" + state, "BALANCER_LISTEN=127.0.0.1:0"}}, p.writeJournal(state)
+	return &sender{env: []string{"BALANCER_CONFIG=" + config, "BALANCER_STATE=" + state,
+		"BALANCER_LISTEN=127.0.0.1:0"}}, p.writeJournal(state)
 }
 
 // writeJournal writes a journal with accepted messages without attempts, of each effect in turn.
@@ -170,7 +175,8 @@
 		class := []string{"safe", "keyed", "unsafe"}[i%3]
 		id := fmt.Sprintf("%s-%d", class, i)
 		recs = append(recs, journal.Record{Op: journal.OpAccept, Entry: &journal.Entry{AcceptedAt: now.UnixMicro(), Message: message.Message{
-			ID: id, Class: class, Partner: "1", Key: "key-" + id, Deadline: now.Add(remaining).UnixMicro(), Body: make([]byte, bodySize)}}})
+			ID: id, Class: class, Partner: "1", Key: "key-" + id, Deadline: now.Add(remaining).UnixMicro(),
+			Body: make([]byte, bodySize)}}})
 		if len(recs) == recordsPerAppend || i == p.Pending-1 {
 			if err := j.Append(recs); err != nil {
 				return err
--- a/internal/standin/untried/untried.go
+++ b/internal/standin/untried/untried.go
@@ -21,8 +21,10 @@
 )
 
 const (
-	requestedWait = time.Minute // by the partner before the restart, so that no message is attempted; the restart ends the wait
-	pipelineDepth = 200         // pipelined requests
+	// requestedWait is requested by the partner before the restart, so that no message is
+	// attempted; the restart ends the wait.
+	requestedWait = time.Minute
+	pipelineDepth = 200 // pipelined requests
 	settleTime    = 250 * time.Millisecond
 )
 
@@ -109,14 +111,16 @@
 	defer target.Close()
 	target.Set(partner.Full)
 	discovery := &platform{ended: map[string]string{}}
-	discovery.instances = []map[string]any{{"instanceId": "s-1", "hostPort": target.Addr(), "zone": "a", "machineType": "std", "cell": 1, "lifecycle": "up", "weight": 0}}
+	discovery.instances = []map[string]any{{"instanceId": "s-1", "hostPort": target.Addr(), "zone": "a",
+		"machineType": "std", "cell": 1, "lifecycle": "up", "weight": 0}}
 	srv := httptest.NewServer(discovery)
 	defer func() { srv.CloseClientConnections(); srv.Close() }()
 	config := filepath.Join(dir, "config.json")
 	write := func(rows []map[string]any) error {
 		conf, err := json.Marshal(map[string]any{"name": "n", "listen": "127.0.0.1:0", "discovery": strings.TrimPrefix(srv.URL, "http://"), "seed": "1",
-			"limits": map[string]any{"cores": 1, "memory_mb": 192, "sockets": 1024, "disk_mb": 24}, "settings": json.RawMessage(fmt.Sprintf(settingsFormat, 2*u.Pending+100)),
-			"known": map[string]any{"generation": 1, "reset": true, "instances": rows}})
+			"limits":   map[string]any{"cores": 1, "memory_mb": 192, "sockets": 1024, "disk_mb": 24},
+			"settings": json.RawMessage(fmt.Sprintf(settingsFormat, 2*u.Pending+100)),
+			"known":    map[string]any{"generation": 1, "reset": true, "instances": rows}})
 		if err != nil {
 			return err
 		}
@@ -172,7 +176,9 @@
 	discovery.mu.Unlock()
 	rows := discovery.instances
 	if u.ListedAfter > 0 {
-		rows = []map[string]any{} // empty but present: without the key the last valid configuration, with the partner, would stay in force
+		// The list is empty but present: without the key the last valid configuration, with the
+		// partner, would stay in force.
+		rows = []map[string]any{}
 	}
 	if err := write(rows); err != nil {
 		return c, err
@@ -256,7 +262,8 @@
 				if class == "first" {
 					class = "safe"
 				}
-				c.Put("0", id, fmt.Sprintf("c=%s,d=%d,k=%s,dest=1", class, remaining(i+k).Milliseconds(), id), []byte("x"))
+				c.Put("0", id, fmt.Sprintf("c=%s,d=%d,k=%s,dest=1", class, remaining(i+k).Milliseconds(), id),
+					[]byte("x"))
 			}
 		}()
 		for range part {
