--- a/internal/lab/capacity/fit_test.go
+++ b/internal/lab/capacity/fit_test.go
@@ -88,7 +88,8 @@
 	}
 }
 
-// A size that deviates by a factor of two must fail the criterion, however wide the repeats spread.
+// A size that deviates by more than a factor of two must fail the criterion, however wide the
+// repeats spread.
 func TestNoiseDoesNotHideStep(t *testing.T) {
 	s := syntheticSlope(0.7, func(x float64) float64 {
 		if x > 12000 {
--- a/internal/standin/fate/fate.go
+++ b/internal/standin/fate/fate.go
@@ -27,6 +27,7 @@
 var kindNames = [NumKinds]string{"answered", "503 at once", "503 after a while", "reset", "cut within the answer",
 	"silent", "silent within the answer", "answered late"}
 
+// String returns the name of the kind.
 func (k Kind) String() string { return kindNames[k] }
 
 // Response is the way in which one call is answered.
