--- a/cmd/measure/cluster.go
+++ b/cmd/measure/cluster.go
@@ -112,12 +112,12 @@
 					r, _, err := c.Play(o, clusterTimeout)
 					mu.Lock()
 					defer mu.Unlock()
-					gone, flaps = gone+r.Gone, flaps+r.Flaps
+					gone, flaps = gone+r.FalselyGone, flaps+r.StateChanges
 					switch {
-					case r.Known > 0:
-						detectionTimes = append(detectionTimes, r.Known)
-					case r.Equal > 0:
-						convergenceTimes = append(convergenceTimes, r.Equal)
+					case r.DetectionTime > 0:
+						detectionTimes = append(detectionTimes, r.DetectionTime)
+					case r.ConvergenceTime > 0:
+						convergenceTimes = append(convergenceTimes, r.ConvergenceTime)
 					default:
 						timedOut++
 					}
@@ -166,7 +166,7 @@
 					return err
 				}
 				defer p.Close()
-				o.Senders, o.Seed, o.Config = senders, seed+uint64(i), fleet.Partners(p)
+				o.Senders, o.Seed, o.Config = senders, seed+uint64(i), fleet.PartnerConfig(p)
 				f, err := fleet.Start(o)
 				if err != nil {
 					return err
@@ -174,7 +174,7 @@
 				defer f.Close()
 				feed, stop, done := &fleet.Feed{Partner: "acme", Class: "safe", Rate: 250}, make(chan struct{}), make(chan struct{})
 				go func() { feed.Run(f, stop); close(done) }()
-				s := fleet.DrawScript(seed+uint64(i), senders, 12*time.Second)
+				s := fleet.RandomScript(seed+uint64(i), senders, 12*time.Second)
 				err = f.Play(&s)
 				close(stop)
 				<-done
@@ -185,7 +185,7 @@
 						n++
 					}
 				}
-				_, maxCalls = fleet.Over(recorded, rate)
+				_, maxCalls = fleet.WindowsOverRate(recorded, rate)
 				mu.Lock()
 				defer mu.Unlock()
 				windows, worst, calls, utilization = windows+n, max(worst, maxCalls), calls+len(recorded),
@@ -295,15 +295,15 @@
 				}
 				defer f.Close()
 				if clusterConfig != "off" {
-					if took, ok := f.Until(clusterTimeout, fleet.AllHere); !ok {
+					if took, ok := f.WaitUntil(clusterTimeout, fleet.AllReachable); !ok {
 						return fmt.Errorf("views of %d senders did not converge within %v", n, took)
 					}
 				}
 				before := fleetUsage(f)
-				sent, bytes := f.Carried()
+				sent, bytes := f.Forwarded()
 				time.Sleep(10 * time.Second)
 				after := fleetUsage(f)
-				sentAfter, bytesAfter := f.Carried()
+				sentAfter, bytesAfter := f.Forwarded()
 				fmt.Printf("%d senders, %q: each %.2f%% of a core, %.1f MB (%.1f MB with its guard), %d descriptors; %d datagrams a second in all; each sends %.1f KB a second with 28 bytes of IP and UDP each\n",
 					n, strings.ReplaceAll(clusterConfig, "\n", "; "), (after.cpu-before.cpu).Seconds()*10/float64(n),
 					after.ownKB/float64(n)/1024, after.withGuardKB/float64(n)/1024,
@@ -375,7 +375,7 @@
 	}
 	defer p.Close()
 	return withTempDir(opts, func(o fleet.Options) error {
-		o.Senders, o.Seed, o.Config = s.Senders, s.Seed, fleet.Partners(p)
+		o.Senders, o.Seed, o.Config = s.Senders, s.Seed, fleet.PartnerConfig(p)
 		f, err := fleet.Start(o)
 		if err != nil {
 			return err
@@ -386,7 +386,7 @@
 		finished := make(chan error, 1)
 		go func() { finished <- f.Play(s) }()
 		var playErr error
-		f.Until(time.Duration(s.For)+clusterTimeout, func([]fleet.Seen) bool {
+		f.WaitUntil(time.Duration(s.For)+clusterTimeout, func([]fleet.SenderView) bool {
 			select {
 			case playErr = <-finished:
 				return true
@@ -396,12 +396,12 @@
 		})
 		close(stop)
 		<-done
-		f.Time.Record(p)
-		n, worst := fleet.Over(p.Calls(), p.Rate())
+		f.Timeline.RecordCalls(p)
+		n, worst := fleet.WindowsOverRate(p.Calls(), p.Rate())
 		fmt.Printf("%d calls; %d windows over the rate, the worst with %d\n", len(p.Calls()), n, worst)
 		for name, write := range map[string]func(w *os.File) error{
-			"timeline.json": func(w *os.File) error { return f.Time.WriteJSON(w) },
-			"timeline.svg":  func(w *os.File) error { return f.Time.WriteSVG(w) }} {
+			"timeline.json": func(w *os.File) error { return f.Timeline.WriteJSON(w) },
+			"timeline.svg":  func(w *os.File) error { return f.Timeline.WriteSVG(w) }} {
 			w, err := os.Create(filepath.Join(out, name))
 			if err != nil {
 				return err
--- a/cmd/measure/hollow.go
+++ b/cmd/measure/hollow.go
@@ -80,9 +80,9 @@
 			return err
 		}
 		for i := range *repeats {
-			r, err := hollow.Measure(hollow.Play{Virtual: *virtual, Calm: seconds(*calmSeconds), Lasts: seconds(*faultSeconds),
-				Patience: *timeout, Faults: faults, Commit: *commit, Command: command,
-				Options: hollow.Options{Senders: n, Lease: *lease, Drift: 0.01, Dir: *dir, Facts: *facts, Seed: *seed + uint64(i)}})
+			r, err := hollow.Measure(hollow.Plan{Virtual: *virtual, CalmDuration: seconds(*calmSeconds), FaultDuration: seconds(*faultSeconds),
+				Timeout: *timeout, Faults: faults, Commit: *commit, Command: command,
+				Options: hollow.Options{Senders: n, Lease: *lease, Drift: 0.01, Dir: *dir, FactRate: *facts, Seed: *seed + uint64(i)}})
 			if *printTimeline {
 				r.WriteTimeline(os.Stdout)
 			}
@@ -92,7 +92,7 @@
 				fmt.Printf("\n%s\n%s\n", hollow.FaultHead, strings.Join(r.FaultRows(), "\n"))
 			}
 			fmt.Printf("\n%d cores, commit %s, %s; took %.0f s; the kernel counted, of the whole machine, calm: %+v\n\n",
-				r.Cores, r.Commit, r.Machine, r.Took, r.Kernel)
+				r.Cores, r.Commit, r.Machine, r.Duration, r.Kernel)
 			results = append(results, r)
 			if *out != "" {
 				failure = errors.Join(failure, writeResult(*out, r, *seed+uint64(i)))
--- a/cmd/measure/knowledge.go
+++ b/cmd/measure/knowledge.go
@@ -107,7 +107,7 @@
 // withFleet starts n senders with a common partner, with or without shared facts, waits
 // until their views converge, and calls play. A single sender runs without a cluster.
 func withFleet(bin string, n int, seed uint64, shared bool, p *partner.Partner, play func(*fleet.Fleet) error) error {
-	opts := fleet.Options{Program: bin, Senders: n, Seed: seed, Config: fleet.Partners(p),
+	opts := fleet.Options{Program: bin, Senders: n, Seed: seed, Config: fleet.PartnerConfig(p),
 		Cluster: fmt.Sprintf("lease = \"1s\"\nfacts = %v", shared)}
 	if n == 1 {
 		opts.Cluster = "off"
@@ -119,7 +119,7 @@
 		}
 		defer f.Close()
 		if n > 1 {
-			if _, ok := f.Until(clusterTimeout, fleet.AllHere); !ok {
+			if _, ok := f.WaitUntil(clusterTimeout, fleet.AllReachable); !ok {
 				return fmt.Errorf("the views of the senders did not converge")
 			}
 		}
@@ -143,19 +143,19 @@
 				switch {
 				case i == k:
 				case link == "20% lost":
-					f.Fault(i, k, fleet.Faults{Loss: 0.2})
+					f.SetFaults(i, k, fleet.Faults{Loss: 0.2})
 				case link == "s0 is heard by nobody" && i == 0:
-					f.Fault(i, k, fleet.Faults{Cut: true})
+					f.SetFaults(i, k, fleet.Faults{Cut: true})
 				}
 			}
 		}
 		feed, stop, done := &fleet.Feed{Partner: "acme", Class: "safe", Rate: totalRate / float64(n)}, make(chan struct{}),
 			make(chan struct{})
 		go func() { feed.Run(f, stop); close(done) }()
-		f.Until(length, func([]fleet.Seen) bool { return false })
+		f.WaitUntil(length, func([]fleet.SenderView) bool { return false })
 		close(stop)
 		<-done
-		result = fleet.InWaits(p.Calls(), wait, tolerance)
+		result = fleet.CheckWaits(p.Calls(), wait, tolerance)
 		return nil
 	})
 	return result, err
@@ -188,7 +188,7 @@
 					feed, stop, done := &fleet.Feed{Partner: "acme", Class: "safe", Rate: 120 / float64(n)}, make(chan struct{}),
 						make(chan struct{})
 					go func() { feed.Run(f, stop); close(done) }()
-					run := func(d time.Duration) { f.Until(d, func([]fleet.Seen) bool { return false }) }
+					run := func(d time.Duration) { f.WaitUntil(d, func([]fleet.SenderView) bool { return false }) }
 					run(2 * time.Second)
 					p.SetMode(partner.Overloaded)
 					run(settleTime)
@@ -200,12 +200,12 @@
 					close(stop)
 					<-done
 					calls := p.Calls()
-					rates = append(rates, fmt.Sprintf("%.1f", fleet.Took(calls, "", from, recoveredAt)))
+					rates = append(rates, fmt.Sprintf("%.1f", fleet.MeanRate(calls, "", from, recoveredAt)))
 					firstCall, halfRate := 20*time.Second, 20*time.Second
 					for _, c := range calls {
 						if d := c.At.Sub(recoveredAt); d > 0 && c.Status == 200 {
 							firstCall = min(firstCall, d)
-							if fleet.Took(calls, "", c.At, c.At.Add(500*time.Millisecond)) >= 50 {
+							if fleet.MeanRate(calls, "", c.At, c.At.Add(500*time.Millisecond)) >= 50 {
 								halfRate = min(halfRate, d)
 							}
 						}
@@ -271,19 +271,19 @@
 		feed, stop, done := &fleet.Feed{Partner: "acme", Class: "safe", Rate: 5}, make(chan struct{}), make(chan struct{})
 		go func() { feed.Run(f, stop); close(done) }()
 		defer func() { close(stop); <-done }()
-		script := fleet.DrawScript(seed, senders, length)
+		script := fleet.RandomScript(seed, senders, length)
 		if err := f.Play(&script); err != nil {
 			return err
 		}
-		took, ok := f.TellAlike(20 * time.Second)
-		if _, ok := f.Until(clusterTimeout, fleet.AllHere); !ok {
+		took, ok := f.WaitForEqualFacts(20 * time.Second)
+		if _, ok := f.WaitUntil(clusterTimeout, fleet.AllReachable); !ok {
 			return fmt.Errorf("the views of the senders did not converge again")
 		}
 		until := time.Now().Add(wait) // until waits requested before the convergence have ended
-		f.Until(wait, func([]fleet.Seen) bool { return time.Now().After(until) })
+		f.WaitUntil(wait, func([]fleet.SenderView) bool { return time.Now().After(until) })
 		n := len(p.Calls())
-		f.Until(2*wait, func([]fleet.Seen) bool { return false })
-		report(took, ok, fleet.InWaits(p.Calls()[n:], wait, tolerance))
+		f.WaitUntil(2*wait, func([]fleet.SenderView) bool { return false })
+		report(took, ok, fleet.CheckWaits(p.Calls()[n:], wait, tolerance))
 		return nil
 	})
 }
--- a/cmd/measure/ready.go
+++ b/cmd/measure/ready.go
@@ -15,11 +15,11 @@
 // down, and prints the times until they were ready.
 func measureReady(args []string) error {
 	fs := flag.NewFlagSet("ready", flag.ContinueOnError)
-	p := ready.Play{Gap: 600 * time.Millisecond}
+	p := ready.Scenario{RestartDelay: 600 * time.Millisecond}
 	fs.StringVar(&p.Program, "bin", "bin/cometrack", "the sender")
 	fs.StringVar(&p.Cores, "cores", "", "cores that the processes share, in the form of taskset; empty for all")
 	fs.IntVar(&p.Processes, "processes", 20, "number of processes killed and started at the same time")
-	fs.DurationVar(&p.Down, "down", 8*time.Second, "how long discovery is down after the kill")
+	fs.DurationVar(&p.DiscoveryOutage, "down", 8*time.Second, "how long discovery is down after the kill")
 	held := fs.String("held", "0,1000,20000", "pending messages of each process, a row for each number")
 	turns := fs.Int("turns", 1, "runs of each row")
 	if err := fs.Parse(args); err != nil {
@@ -32,7 +32,7 @@
 		if err != nil {
 			return err
 		}
-		p.Held = n
+		p.Pending = n
 		for range *turns {
 			starts, err := p.Run()
 			if err != nil {
@@ -42,7 +42,7 @@
 			pending, first := 0, time.Duration(0)
 			for _, s := range starts {
 				durations = append(durations, s.Ready)
-				pending, first = pending+s.Held, max(first, s.First)
+				pending, first = pending+s.Pending, max(first, s.FirstReply)
 			}
 			slices.Sort(durations)
 			seconds := func(quantile float64) float64 {
--- a/internal/daemon/ready_test.go
+++ b/internal/daemon/ready_test.go
@@ -16,15 +16,15 @@
 		t.Fatal(err)
 	}
 	const maxStart = 10 * time.Second // the limit of the acceptance test
-	p := ready.Play{Program: path, Processes: 3, Held: 300, Down: 2 * maxStart}
+	p := ready.Scenario{Program: path, Processes: 3, Pending: 300, DiscoveryOutage: 2 * maxStart}
 	starts, err := p.Run()
 	if err != nil {
 		t.Fatal(err)
 	}
 	for i, s := range starts {
 		t.Logf("%+v", s)
-		if s.Ready >= maxStart || s.Held < p.Held/2 {
-			t.Errorf("process %d is ready after %v with %d pending messages", i, s.Ready, s.Held)
+		if s.Ready >= maxStart || s.Pending < p.Pending/2 {
+			t.Errorf("process %d is ready after %v with %d pending messages", i, s.Ready, s.Pending)
 		}
 	}
 }
--- a/internal/soak/discovery.go
+++ b/internal/soak/discovery.go
@@ -129,15 +129,15 @@
 }
 
 // drawFate draws the fate of a sender's call or response.
-func (d *discovery) drawFate(sender int) fate.Fate {
+func (d *discovery) drawFate(sender int) fate.Response {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.pushed || d.rng.Float64() >= d.fault.failureRatio || d.consecutiveFailures[sender] >= maxConsecutiveFailures {
-		return fate.Fate{}
+		return fate.Response{}
 	}
-	f := fate.Fate{Kind: fate.Kind(1 + d.rng.IntN(int(fate.Kinds)-1)),
-		After: time.Duration(500+d.rng.IntN(2500)) * time.Millisecond}
-	if !f.Answers() {
+	f := fate.Response{Kind: fate.Kind(1 + d.rng.IntN(int(fate.NumKinds)-1)),
+		Delay: time.Duration(500+d.rng.IntN(2500)) * time.Millisecond}
+	if !f.Succeeds() {
 		d.consecutiveFailures[sender]++
 	}
 	return f
@@ -153,7 +153,7 @@
 		return
 	}
 	first := d.drawFate(sender)
-	if !first.Answers() {
+	if !first.Succeeds() {
 		d.failCall(first, sender, receivedAt, hold, w, r)
 		return
 	}
@@ -161,11 +161,11 @@
 	if !ok {
 		return
 	}
-	if last := d.drawFate(sender); !last.Answers() { // the call fails just as the list has changed
+	if last := d.drawFate(sender); !last.Succeeds() { // the call fails just as the list has changed
 		d.failCall(last, sender, receivedAt, hold, w, r)
 		return
 	}
-	if first.Meet(w, r, encode(list)) {
+	if first.Serve(w, r, encode(list)) {
 		http.NewResponseController(w).Flush()
 		d.callAnswered(sender)
 		d.records.listWritten(sender, time.Now(), list.Generation)
@@ -173,12 +173,12 @@
 }
 
 // failCall lets a call fail.
-func (d *discovery) failCall(f fate.Fate, sender int, began time.Time, hold time.Duration,
+func (d *discovery) failCall(f fate.Response, sender int, began time.Time, hold time.Duration,
 	w http.ResponseWriter, r *http.Request) {
-	if f.Kind == fate.Silent || f.Kind == fate.Stuck {
+	if f.Kind == fate.NoResponse || f.Kind == fate.Stalled {
 		d.records.callUnanswered(sender, began, hold)
 	}
-	f.Meet(w, r, encode(d.currentList()))
+	f.Serve(w, r, encode(d.currentList()))
 }
 
 // callAnswered resets the count of a sender's consecutive failures.
--- a/internal/standin/discovery/discovery.go
+++ b/internal/standin/discovery/discovery.go
@@ -35,7 +35,7 @@
 	Silent          bool                         // never answers calls for the list
 	RejectNotices   bool                         // answers 503 to notices
 	EditSettings    func(settings string) string // edits the senders' settings; nil for none
-	Fates           []fate.Fate                  // fates of the next calls for the list and of open watches
+	Fates           []fate.Response              // fates of the next calls for the list and of open watches
 }
 
 // New starts a platform that listens until the test has ended.
@@ -78,7 +78,7 @@
 		}
 		if next, ok := p.nextFate(); ok {
 			body, _ := json.Marshal(list)
-			next.Meet(w, r, body)
+			next.Serve(w, r, body)
 			return
 		}
 		if !silent && list.Generation > from {
@@ -100,11 +100,11 @@
 }
 
 // nextFate removes and returns the fate of the next call, if there is one.
-func (p *Platform) nextFate() (fate.Fate, bool) {
+func (p *Platform) nextFate() (fate.Response, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if len(p.Fates) == 0 {
-		return fate.Fate{}, false
+		return fate.Response{}, false
 	}
 	next := p.Fates[0]
 	p.Fates = p.Fates[1:]
