--- a/internal/backlog/backlog.go
+++ b/internal/backlog/backlog.go
@@ -20,8 +20,8 @@
 }
 
 const (
-	defaultBatch       = 64
-	defaultMaxInFlight = 1024
+	defaultBatch       = 64   // of Options.Batch, in messages
+	defaultMaxInFlight = 1024 // of Options.MaxInFlight, in messages
 	// minFreeDivisor sets the part of a window, 1/8, that must be free for a refill
 	// read: smaller reads are not worth their cost.
 	minFreeDivisor = 8
--- a/internal/backlog/disk/index.go
+++ b/internal/backlog/disk/index.go
@@ -17,13 +17,13 @@
 // by-deadline order, the runs, a copy of the heads of the records, and the names of the
 // queues. Numbers are little-endian.
 const (
-	dataSuffix      = ".msgs"
-	indexSuffix     = ".idx"
+	dataSuffix      = ".msgs" // of a segment's data file
+	indexSuffix     = ".idx"  // of a segment's index file
 	indexMagic      = "cmtrkbki"
-	entrySize       = 4*8 + 5*4
-	runSize         = 3 * 4
+	entrySize       = 4*8 + 5*4 // bytes of an entry
+	runSize         = 3 * 4     // bytes of a run
 	numParts        = 6
-	indexHeaderSize = 8 + 4 + 4 + 8 + 8 + numParts*8 + 4
+	indexHeaderSize = 8 + 4 + 4 + 8 + 8 + numParts*8 + 4 // bytes
 )
 
 // fileName returns the name of a segment's data or index file.
@@ -39,12 +39,12 @@
 
 // The parts of an index block, in order.
 const (
-	partEntries = iota
-	partByQueue
-	partByDeadline
-	partRuns
-	partHeads
-	partQueues
+	partEntries    = iota // the entries, by position
+	partByQueue           // the positions, in by-queue order
+	partByDeadline        // the positions, in by-deadline order
+	partRuns              // the runs
+	partHeads             // a copy of the heads of the records
+	partQueues            // the names of the queues
 )
 
 // appendEntry appends an entry to b. queue is its queue's number in the index block, head
--- a/internal/backlog/disk/log.go
+++ b/internal/backlog/disk/log.go
@@ -26,9 +26,9 @@
 }
 
 const (
-	minSegmentBytes = 1 << 20
-	maxSegmentBytes = 32 << 20
-	targetSegments  = 64 // number of default-size segments that fill MaxBytes
+	minSegmentBytes = 1 << 20  // lower bound of the default size of a segment, in bytes
+	maxSegmentBytes = 32 << 20 // upper bound of the default size of a segment, in bytes
+	targetSegments  = 64       // number of default-size segments that fill MaxBytes
 	// maxEntries is the max number of messages of a segment. It bounds the memory of a
 	// segment's entries until the segment has its index block.
 	maxEntries = 64 << 10
--- a/internal/backlog/disk/record.go
+++ b/internal/backlog/disk/record.go
@@ -168,8 +168,8 @@
 const (
 	dataMagic      = "cmtrkbkl"
 	formatVersion  = 1
-	headerCopySize = 8 + 4 + 8 + 8 + 4
-	headerSize     = 2 * headerCopySize
+	headerCopySize = 8 + 4 + 8 + 8 + 4  // bytes of one copy
+	headerSize     = 2 * headerCopySize // bytes of both copies
 )
 
 // segmentHeader returns the header of a segment.
--- a/internal/backlog/ids.go
+++ b/internal/backlog/ids.go
@@ -15,7 +15,7 @@
 
 const (
 	idShards         = 256
-	minIDSlots       = 8
+	minIDSlots       = 8 // min slots of a shard that is not empty
 	maxIDLoadEighths = 7 // max used slots, in eighths of all
 	idGrowthDivisor  = 4 // a shard grows by 1/4
 )
--- a/internal/backlog/spill/worker.go
+++ b/internal/backlog/spill/worker.go
@@ -127,16 +127,20 @@
 	<-w.stopped
 }
 
+// do reads spilled messages for the in-memory window and returns a refillReadEvent with the result or the error.
 func (j refillJob) do(w *worker) any {
 	result, err := w.files.Read(j.read)
 	return refillReadEvent{j.read, result, err}
 }
 
+// do reads spilled messages whose deadline is near and returns an expiryReadEvent with the result or the error.
 func (j expiryJob) do(w *worker) any {
 	result, after, err := w.files.ReadExpiring(j.read)
 	return expiryReadEvent{j.read, result, after, err}
 }
 
+// do removes the files of a segment and returns a removedEvent. If that fails, it enqueues the job again for a second
+// later and returns nil.
 func (j removeJob) do(w *worker) any {
 	if err := w.files.Remove(j.first); err != nil {
 		w.log.Error("backlog: a segment can't be removed yet", "err", err)
@@ -146,6 +150,8 @@
 	return removedEvent(j)
 }
 
+// do writes the index block of a closed segment and returns a sealedEvent. If that fails, it enqueues the job again
+// for a second later and returns nil.
 func (j sealJob) do(w *worker) any {
 	byDeadline, runs, err := w.files.Seal(j.first, j.entries, j.queues)
 	if err != nil { // for example a full disk; until the retry succeeds, the entries stay in memory
@@ -156,6 +162,8 @@
 	return sealedEvent{j.first, byDeadline, runs}
 }
 
+// do reads the message with an id and returns a lookupEvent, without a record if the message at that place has
+// another id.
 func (j lookupJob) do(w *worker) any {
 	result, err := w.files.Lookup(j.first, j.at, j.entry)
 	if result.Record != nil && result.Record.ID != j.id {
@@ -170,7 +178,14 @@
 	return lookupEvent{result, err, j.callback}
 }
 
-// These events are jobs as well, which are enqueued after a delay or without a read.
-func (ev retryEvent) do(*worker) any       { return ev }
+// These events are jobs as well, which are enqueued after a delay or without a read. The worker passes them on
+// unchanged, and [Spill.HandleEvent] acts on them.
+
+// do returns the event itself: the queue becomes eligible for refill reads again.
+func (ev retryEvent) do(*worker) any { return ev }
+
+// do returns the event itself: the expiry read that failed is started again.
 func (ev expiryRetryEvent) do(*worker) any { return ev }
-func (ev lookupEvent) do(*worker) any      { return ev }
+
+// do returns the event itself: the result of a lookup that needed no read.
+func (ev lookupEvent) do(*worker) any { return ev }
--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -17,15 +17,15 @@
 
 // Limits and timeouts.
 const (
-	inboxSize          = 1024             // received messages queued for the loop; more are dropped
-	receiveBufferBytes = 4 << 20          // receive buffer of the UDP socket
-	maxProbes          = 64               // probes in flight
-	probeTimeout       = time.Second      // to connect, and again for the exchange
-	dropLogInterval    = 10 * time.Second // minimum time between log lines about dropped packets
-	commandTimeout     = time.Second      // for the loop to accept a command
-	bindTimeout        = 20 * time.Second // a previous process of this sender may still hold the address
-	bindRetryInterval  = 20 * time.Millisecond
-	maxLogLines        = 20 // log lines per second about the view; more are counted
+	inboxSize          = 1024                  // received messages queued for the loop; more are dropped
+	receiveBufferBytes = 4 << 20               // receive buffer of the UDP socket
+	maxProbes          = 64                    // probes in flight
+	probeTimeout       = time.Second           // to connect, and again for the exchange
+	dropLogInterval    = 10 * time.Second      // minimum time between log lines about dropped packets
+	commandTimeout     = time.Second           // for the loop to accept a command
+	bindTimeout        = 20 * time.Second      // a previous process of this sender may still hold the address
+	bindRetryInterval  = 20 * time.Millisecond // between attempts to bind the address
+	maxLogLines        = 20                    // log lines per second about the view; more are counted
 )
 
 // Options configure how a sender communicates with its peers.
--- a/internal/cluster/guard.go
+++ b/internal/cluster/guard.go
@@ -30,7 +30,7 @@
 
 // Limits of a probe server.
 const (
-	maxProbeConns     = 64
+	maxProbeConns     = 64          // probes answered at once
 	probeServeTimeout = time.Second // for one probe
 	guardRestartDelay = time.Second // before a guard that exited is restarted
 )
--- a/internal/cluster/packet.go
+++ b/internal/cluster/packet.go
@@ -23,11 +23,11 @@
 // A packet consists of a magic number, a MAC (the first macSize bytes of the HMAC-SHA256 of the
 // message, RFC 2104), and a message in CBOR (RFC 8949).
 const (
-	viewMagic  = "cmtk1" // messages of the view, and probes
-	factsMagic = "cmtf1" // messages with facts
-	macSize    = 16
-	headerSize = len(viewMagic) + macSize
-	maxPacket  = 60_000 // bytes; the limit of a UDP datagram over IPv4 is 65,507
+	viewMagic  = "cmtk1"                  // messages of the view, and probes
+	factsMagic = "cmtf1"                  // messages with facts
+	macSize    = 16                       // bytes
+	headerSize = len(viewMagic) + macSize // bytes of magic number and MAC
+	maxPacket  = 60_000                   // bytes; the limit of a UDP datagram over IPv4 is 65,507
 )
 
 // Reasons to drop a packet.
@@ -64,9 +64,9 @@
 
 // Limits of a key file.
 const (
-	maxKeys   = 8
-	minKeyLen = 16 // bytes
-	maxKeyLen = 512
+	maxKeys   = 8   // number of keys
+	minKeyLen = 16  // bytes
+	maxKeyLen = 512 // bytes
 )
 
 // ReadKeys reads a file with one key per line. Empty lines and lines that begin with # are ignored.
@@ -151,7 +151,8 @@
 	return k.unpack(packet, v)
 }
 
-// unpack decodes a packet of either kind into v.
+// unpack decodes a packet into v, whether it has a message of the view, a probe or facts. The errors are errOversize,
+// errNotPacket (no known magic number), errKey (no key gives its MAC) and errMalformed (not CBOR of v's type).
 func (k keys) unpack(packet []byte, v any) error {
 	magic := magicOf(packet)
 	switch {
--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -16,15 +16,15 @@
 
 // Defaults of settings, and the bounds of lists.
 const (
-	defaultMemoryMB    = 512
-	defaultDescriptors = 4096
-	defaultDiskMB      = 256
-	defaultOpen        = 10_000
-	defaultBacklogMB   = 1024
-	defaultSlots       = 256
-	defaultAttempts    = 6
-	defaultRemembered  = 100_000
-	maxNames           = 100_000 // partners, endpoints, tenants
+	defaultMemoryMB    = 512     // soft memory limit
+	defaultDescriptors = 4096    // file descriptors
+	defaultDiskMB      = 256     // size of the journal's folder in millions of bytes
+	defaultOpen        = 10_000  // pending limit, in messages
+	defaultBacklogMB   = 1024    // size of the backlog on disk in millions of bytes
+	defaultSlots       = 256     // concurrent calls of this sender to all endpoints together
+	defaultAttempts    = 6       // attempts for one message
+	defaultRemembered  = 100_000 // ended messages whose outcome is kept
+	maxNames           = 100_000 // partners in the file
 )
 
 // setDefault sets a value that is zero to its default.
--- a/internal/console/console.go
+++ b/internal/console/console.go
@@ -27,9 +27,9 @@
 
 	headTimeout      = 2 * time.Second // to read the head of a request
 	responseTimeout  = 2 * time.Second // to read the body, and for the client to read the response
-	maxHeaderBytes   = 4 << 10
-	maxBodyBytes     = 4 << 10
-	maxResponseBytes = 4 << 20 // of a response, as read by Request
+	maxHeaderBytes   = 4 << 10         // of a request
+	maxBodyBytes     = 4 << 10         // of a request
+	maxResponseBytes = 4 << 20         // of a response, as read by Request
 )
 
 // Lifecycle is the part of the lifecycle that the console reads and controls. [lifecycle.Controller]
--- a/internal/console/places.go
+++ b/internal/console/places.go
@@ -12,7 +12,9 @@
 )
 
 const (
-	admitTimeout = 100 * time.Millisecond // to wait for a complete request to free its connection
+	// admitTimeout is how long a new connection waits for a place while all places are taken by connections with
+	// complete requests. Then it is closed.
+	admitTimeout = 100 * time.Millisecond
 )
 
 // headerTerminator ends the head of a request.
--- a/internal/core/memory.go
+++ b/internal/core/memory.go
@@ -8,9 +8,11 @@
 )
 
 const (
-	// maxSavedPerStep and maxSavedPerSweep limit how many partner states are written with the records of one step,
-	// and with those of one sweep, about once a second. The others are written later.
-	maxSavedPerStep  = 4
+	// maxSavedPerStep is the maximum number of changed partner states that are written with the records of one step.
+	// The others are written later.
+	maxSavedPerStep = 4
+	// maxSavedPerSweep is the maximum number of changed partner states that are written with the records of one sweep,
+	// about once a second. The others are written later.
 	maxSavedPerSweep = 64
 )
 
--- a/internal/core/seams.go
+++ b/internal/core/seams.go
@@ -75,7 +75,7 @@
 	Weight  float64 // the partner's rate in calls per second over all senders; 0 if unknown
 }
 
-// EndpointList is a list of endpoints or of changes to such a list.
+// EndpointList is a list of endpoints or of changes to such a list. Complete distinguishes the two.
 type EndpointList struct {
 	Complete  bool // endpoints that are not in the list are gone; otherwise the list holds changes only
 	Endpoints []Endpoint
--- a/internal/facts/copy.go
+++ b/internal/facts/copy.go
@@ -12,10 +12,10 @@
 const (
 	MaxFacts      = 200_000 // of all origins; a delta that would exceed it is refused
 	MaxOwnFacts   = 100_000 // of this sender; the facts that expire first are dropped to make room
-	MaxOrigins    = 4096    // incarnations of senders with an entry in the replica
+	MaxOrigins    = 4096    // incarnations of senders in the replica; deltas of further ones are refused
 	maxExpiredOwn = 256     // expired own facts above which current ones that block their removal are republished
 
-	renewInterval   = 5 * time.Second
+	renewInterval   = 5 * time.Second  // between checks whether own facts must be republished
 	originRetention = 10 * time.Minute // after the expiry of the origin's last fact
 )
 
@@ -391,8 +391,10 @@
 	return 0
 }
 
-// DeltaSince returns the current facts of an origin above a sequence number and up to its
-// watermark, in about as many bytes as given; at least one fact if there is any.
+// DeltaSince returns the current facts of an origin above the sequence number since and up to
+// its watermark, the number up to which this replica has all of the origin's current facts (see
+// [Replica.Watermark]). The facts take at most about the given number of bytes, but at least one
+// is returned if there is any. If not all fit, UpTo of the delta is the last one's number.
 func (r *Replica) DeltaSince(now Time, id Origin, since uint64, bytes int) Delta {
 	o := r.origins[id]
 	if o == nil {
--- a/internal/facts/fact.go
+++ b/internal/facts/fact.go
@@ -31,11 +31,12 @@
 	MaxOpaqueBytes = 4096           // size in bytes of the value of an unknown kind
 )
 
-// Subject is what a fact describes. An endpoint is identified by its name, not its address.
+// Subject is what a fact describes: one kind of information about an endpoint of a partner. A
+// newer fact of an origin replaces its older one of the same subject.
 type Subject struct {
 	Kind     Kind   `cbor:"1,keyasint"`
-	Partner  string `cbor:"2,keyasint"`
-	Endpoint string `cbor:"3,keyasint,omitempty"`
+	Partner  string `cbor:"2,keyasint"`           // name
+	Endpoint string `cbor:"3,keyasint,omitempty"` // name, not address
 }
 
 // Origin is one incarnation of a sender's process, the only writer of the facts under
--- a/internal/front/http/batch.go
+++ b/internal/front/http/batch.go
@@ -19,7 +19,7 @@
 	maxPendingLines = 256                                // lines of one batch that have no result yet
 )
 
-// batchLine is one message of a batch.
+// batchLine is one message of a batch request, as a line of its body. The response has a batchResult for each line.
 type batchLine struct {
 	ID         string  `json:"id"`
 	Key        string  `json:"key"`
@@ -33,7 +33,7 @@
 	BodyBase64 *string `json:"body_base64"` // any bytes
 }
 
-// batchResult is the result of one line.
+// batchResult is the result of one batchLine: a line of the response.
 type batchResult struct {
 	Line    int      `json:"line"` // from 1
 	ID      string   `json:"id,omitempty"`
--- a/internal/front/http/front.go
+++ b/internal/front/http/front.go
@@ -145,7 +145,8 @@
 	})
 }
 
-// Listen reads the certificate and opens the listener unless the front has adopted one.
+// Listen reads the certificate, if one is configured, and opens the listener. A front that has adopted the listener of
+// a predecessor keeps it and only reads the certificate.
 func (f *Front) Listen() error {
 	if err := f.ReloadCertificate(); err != nil {
 		return err
--- a/internal/front/http/messages.go
+++ b/internal/front/http/messages.go
@@ -50,11 +50,12 @@
 	json.NewEncoder(w).Encode(v)
 }
 
-// request is a message with the deadline that its client gives, if any.
+// request is a message to be submitted, with the time by which its client wants it delivered. At most one of timeLeft
+// and deadline may be set; if both are empty, the default deadline of the message's class applies.
 type request struct {
 	msg      message.Message
-	timeLeft string // a duration
-	deadline string // a date and time
+	timeLeft string // a duration such as 1500ms, from now
+	deadline string // a date and time in the format of RFC 3339
 }
 
 // newID returns a random id for a message whose client gives none.
--- a/internal/front/room/room.go
+++ b/internal/front/room/room.go
@@ -37,7 +37,8 @@
 	return Admit
 }
 
-// Conn is the state of a connection.
+// Conn is the state of a connection at one time, as far as it decides which one is closed to make room. A front fills
+// one in for each candidate when it has reached a limit.
 type Conn struct {
 	IdleSince time.Time // time of its last response, or of its start
 	LastRead  time.Time // time of the last byte of a partial request
--- a/internal/journal/entry.go
+++ b/internal/journal/entry.go
@@ -49,7 +49,7 @@
 	OpAccept   Op = iota + 1 // Entry is accepted
 	OpSend                   // an attempt of the message ID is about to be sent, at the time At to Zone
 	OpOutcome                // the attempt has its outcome; MayHaveRun if it may have run
-	OpDone                   // the message has ended at the time At, delivered or without a notice
+	OpDone                   // the message was delivered, or ended by its endpoint, at the time At; no notice follows
 	OpEnd                    // the message has ended with End; its notice is not confirmed
 	OpNotified               // the notice is confirmed
 	OpWait                   // the endpoint ID has requested a wait until At
--- a/internal/journal/journal.go
+++ b/internal/journal/journal.go
@@ -31,8 +31,11 @@
 }
 
 const (
+	// defaultMaxBytes is the maximum size of the folder in bytes if the options give none.
 	defaultMaxBytes = 16 << 20
-	maxWaits        = 10_000
+	// maxWaits is the maximum number of waits requested by endpoints that are retained, one per endpoint; above it,
+	// those that end first are dropped.
+	maxWaits = 10_000
 	// endedShare is the share of the capacity that ended messages may occupy.
 	endedShare = 0.2
 	// reservePerMessage is the number of bytes kept free for each pending message, for the records of its state, its
--- a/internal/journal/old.go
+++ b/internal/journal/old.go
@@ -16,8 +16,8 @@
 const (
 	legacyName       = "journal"
 	legacyTempName   = "journal.new" // an unfinished rewrite of it
-	legacyHeaderSize = 8
-	legacyMaxRecord  = 1 << 20
+	legacyHeaderSize = 8             // bytes of length and checksum before a record
+	legacyMaxRecord  = 1 << 20       // maximum length of a record in bytes
 )
 
 // importLegacyFile imports the file of an older version into the store, and removes it once the
--- a/internal/journal/passed.go
+++ b/internal/journal/passed.go
@@ -23,9 +23,11 @@
 // maxPageRecord is an upper bound of the size of a page's record in bytes.
 const maxPageRecord = seqsPerPage/8 + 64
 
-// seqPage has a bit for each number of a page.
+// seqPage is the part of a seqSet in one record of the store: a bit for each of seqsPerPage
+// consecutive sequence numbers.
 type seqPage [seqsPerPage / 64]uint64
 
+// newSeqSet returns an empty set.
 func newSeqSet() seqSet { return seqSet{pages: map[uint64]*seqPage{}, dirty: map[uint64]bool{}} }
 
 // pageKey returns the key of a page in the store.
@@ -46,6 +48,8 @@
 	return nil
 }
 
+// encode returns the value of the page's record in the store: a bitmap of seqsPerPage bits as
+// little-endian words. seqSet.load reads it.
 func (s *seqPage) encode() []byte {
 	var b []byte
 	for _, x := range s {
@@ -98,8 +102,10 @@
 	}
 }
 
-// PruneLeftBacklog forgets the numbers of segments that no longer exist. exists reports whether
-// a segment overlaps the numbers from first to last.
+// PruneLeftBacklog drops records of messages that have left the backlog, by backlog sequence
+// number, where the backlog has no segment with that number any more. exists reports whether a
+// segment of the backlog overlaps the numbers from first to last. The backlog calls it when it is
+// opened.
 func (j *Journal) PruneLeftBacklog(exists func(first, last uint64) bool) {
 	for page := range j.leftBacklog.pages {
 		if !exists(page*seqsPerPage, page*seqsPerPage+seqsPerPage-1) {
--- a/internal/journal/times.go
+++ b/internal/journal/times.go
@@ -35,7 +35,8 @@
 	}
 }
 
-// earliestTime is a time before all others; 0 stands for none.
+// earliestTime is the earliest time, in microseconds of package clock; 0 stands for none. As the time of the first
+// attempt that may have run, it puts the end of the idempotency window into the past.
 const earliestTime = 1
 
 // Clock returns the clock of the times in the journal.
--- a/internal/journal/write.go
+++ b/internal/journal/write.go
@@ -10,9 +10,9 @@
 type dirtyFlags byte
 
 const (
-	messageDirty dirtyFlags = 1 << iota
-	stateDirty
-	rewriteStored // a body that is only in the store must be written again too
+	messageDirty  dirtyFlags = 1 << iota // the record of the message itself, or its removal
+	stateDirty                           // the record of the state of its attempts
+	rewriteStored                        // a body that is only in the store must be written again too
 )
 
 // markDirty notes that records of a message must be written.
--- a/internal/load/ledger.go
+++ b/internal/load/ledger.go
@@ -28,9 +28,9 @@
 
 // The ends.
 const (
-	Delivered End = "delivered"
-	Returned  End = "returned"
-	Failed    End = "failed"
+	Delivered End = "delivered" // the partner has confirmed it
+	Returned  End = "returned"  // it was not delivered and did not run; the client may submit it again
+	Failed    End = "failed"    // it may have run or not
 )
 
 // Ledger tracks the state of each message and finds contradictions: each is accepted and ends
--- a/internal/load/record.go
+++ b/internal/load/record.go
@@ -11,8 +11,8 @@
 // Histograms hold latencies in microseconds up to maxLatency. A longer one counts as maxLatency
 // and in OutOfRange.
 const (
-	maxLatency        = int64(10 * time.Minute / time.Microsecond)
-	significantDigits = 3
+	maxLatency        = int64(10 * time.Minute / time.Microsecond) // microseconds
+	significantDigits = 3                                          // decimal digits to which a latency is recorded
 )
 
 // Key has the properties by which latencies are recorded separately.
@@ -26,11 +26,11 @@
 
 // The groups.
 const (
-	All Group = iota
-	ByPhase
-	ByClass
-	ByPartner
-	ByTenant
+	All       Group = iota // all messages in one histogram
+	ByPhase                // one for each phase
+	ByClass                // one for each class
+	ByPartner              // one for each partner
+	ByTenant               // one for each tenant
 )
 
 // Histogram is a histogram of latencies.
--- a/internal/load/scenario.go
+++ b/internal/load/scenario.go
@@ -52,8 +52,8 @@
 
 // The spacings: equal gaps, or exponentially distributed ones (a Poisson process).
 const (
-	Even    Spacing = "even"
-	Poisson Spacing = "poisson"
+	Even    Spacing = "even"    // equal gaps
+	Poisson Spacing = "poisson" // exponentially distributed gaps
 )
 
 // Phase is a part of a scenario with one shape of the rate.
--- a/internal/load/shape.go
+++ b/internal/load/shape.go
@@ -33,7 +33,7 @@
 	return curve{shape: p.Shape, span: p.For.Seconds(), from: p.Rate, to: p.To, steps: float64(p.Steps), period: p.Period.Seconds()}
 }
 
-// rate returns the rate at a time of the phase, in messages a second.
+// rate returns the rate, in messages a second, at t seconds after the start of the phase.
 func (c curve) rate(t float64) float64 {
 	switch c.shape {
 	case Ramp:
@@ -48,10 +48,10 @@
 	return c.from
 }
 
-// step returns the number of the step at a time of the phase, from 0.
+// step returns the number of the step, from 0, at t seconds after the start of the phase.
 func (c curve) step(t float64) float64 { return min(math.Floor(t/c.span*c.steps), c.steps-1) }
 
-// due returns the number of messages due before t: the integral of the rate.
+// due returns the number of messages due in the first t seconds of the phase: the integral of the rate.
 func (c curve) due(t float64) float64 {
 	switch c.shape {
 	case Ramp:
--- a/internal/replicate/catchup.go
+++ b/internal/replicate/catchup.go
@@ -10,8 +10,11 @@
 )
 
 const (
-	catchUpSources      = 2                      // peers that a replica must catch up with ...
-	secondSourceTimeout = 300 * time.Millisecond // ... or one, if no other answers within this time
+	// catchUpSources is the number of peers that a replica must catch up with before it counts as caught up.
+	catchUpSources = 2
+	// secondSourceTimeout is the time after the replica has caught up with the first peer from which on that one is
+	// enough.
+	secondSourceTimeout = 300 * time.Millisecond
 )
 
 // startCatchUp makes this replica count as catching up until it has all facts of the peers
--- a/internal/replicate/message.go
+++ b/internal/replicate/message.go
@@ -7,8 +7,8 @@
 
 // Limits of a message.
 const (
-	MaxDigestRows   = 1000
-	MaxDeltas       = 64
+	MaxDigestRows   = 1000 // rows of the digest; a larger one is sent in part
+	MaxDeltas       = 64   // deltas, each of one origin
 	MaxRelayTargets = 8    // peers to which one message can be relayed
 	packetBytes     = 1200 // approximate bytes of facts in a message; small enough to avoid IP fragmentation
 )
--- a/internal/source/platform/poll/pace.go
+++ b/internal/source/platform/poll/pace.go
@@ -5,8 +5,8 @@
 const (
 	// fleetCheckRate is the number of checks per second of all senders together, within the bounds of the interval.
 	fleetCheckRate = 12
-	fleetBurstRate = 50 // the same for the first checks, before the interval grows
-	minInterval    = 300 * time.Millisecond
+	fleetBurstRate = 50                      // the same for the first checks, before the interval grows
+	minInterval    = 300 * time.Millisecond  // lower bound of the interval between failed checks
 	fastInterval   = 1200 * time.Millisecond // bound of the first interval: 3 checks fit in the 6 s for a change
 	slowInterval   = 5400 * time.Millisecond // bound of later ones: more checks keep an overloaded discovery down
 	intervalGrowth = 1.4                     // factor of the interval for each failed check
@@ -14,7 +14,7 @@
 
 	maxQueueTime = 5 * time.Second // a watch that fails later was held by discovery, not queued
 
-	minCheckHold     = 100 * time.Millisecond
+	minCheckHold     = 100 * time.Millisecond  // lower bound of the hold of a check
 	fastHold         = time.Second             // of a check in a small fleet
 	slowHold         = 2 * time.Second         // in a large fleet: after 2 unanswered checks a third fits in the 6 s
 	checkTimeout     = 5500 * time.Millisecond // a later response is too late for the 6 s
@@ -22,14 +22,19 @@
 	maxLatenessDelay = time.Second             // bound of that extra delay
 	maxInFlight      = 5                       // calls at a time, including an overdue watch
 
-	watchHold          = 20 * time.Second
+	watchHold          = 20 * time.Second       // how long discovery may hold a watch until there is a change
 	watchGrace         = 2 * time.Second        // after the hold of a watch, for a change that it missed to arrive
 	overdueAfter       = 250 * time.Millisecond // after its hold a watch counts as broken
 	emptyWatchInterval = 100 * time.Millisecond // between watches answered at once; over 200 ms would end the watch
 
-	agentInterval     = 200 * time.Millisecond
-	agentHold         = time.Second // short, because a call costs nothing and the agent may fall silent at any time
-	agentCheckHold    = 250 * time.Millisecond
+	// agentInterval is the time between failed checks through a local agent.
+	agentInterval = 200 * time.Millisecond
+	// agentHold is how long the agent may hold a watch (a long poll) until there is a change. It is
+	// short, because a call costs nothing and the agent may fall silent at any time.
+	agentHold = time.Second
+	// agentCheckHold is how long the agent may hold a check until there is a change.
+	agentCheckHold = 250 * time.Millisecond
+	// agentCheckTimeout is the timeout of a check through the agent.
 	agentCheckTimeout = 2 * time.Second
 
 	rampSteps = 2    // checks before the full interval, each at half the delay of the next
--- a/internal/source/platform/poll/poll.go
+++ b/internal/source/platform/poll/poll.go
@@ -32,7 +32,9 @@
 
 // Errors of responses that can't be used.
 var (
-	ErrEmptyList       = errors.New("no list: response without generation and endpoints")
+	// ErrEmptyList reports a response without a generation and endpoints while there is no list yet.
+	ErrEmptyList = errors.New("no list: response without generation and endpoints")
+	// ErrStaleGeneration reports changes with a lower generation number than that of the last response.
 	ErrStaleGeneration = errors.New("no list: changes of an older generation")
 )
 
@@ -237,8 +239,9 @@
 	return abandoned, nil
 }
 
-// validate returns an error for a response that can't be used. After changes of an older generation than the known one
-// the complete list is requested.
+// validate returns an error for a response that can't be used. A complete list always can. Changes with a lower
+// generation number than the last response give ErrStaleGeneration, and the next call requests the complete list. An
+// empty response while there is no list gives ErrEmptyList.
 func (p *Poller) validate(r Response) error {
 	switch {
 	case r.Complete:
--- a/internal/store/checkpoint.go
+++ b/internal/store/checkpoint.go
@@ -212,7 +212,7 @@
 	failed bool
 }
 
-// uvarint returns the next number, which is at most maxValue.
+// uvarint returns the next number. If none is left, or if it is larger than maxValue, it sets failed and returns 0.
 func (r *uvarintReader) uvarint(maxValue uint64) uint64 {
 	value, n := binary.Uvarint(r.b)
 	if n <= 0 || value > maxValue {
--- a/internal/store/frame.go
+++ b/internal/store/frame.go
@@ -18,13 +18,13 @@
 // Salt and offset prevent a stale block of a reused file, or a record at another offset, from being read as valid.
 // Numbers are little-endian.
 const (
-	frameHeaderLen = 9
+	frameHeaderLen = 9 // bytes of checksum, length and kind
 
-	kindPut    byte = 1
-	kindDelete byte = 2
-	kindClose  byte = 3 // the store was closed cleanly; no key
-	kindSum    byte = 4 // hashes of the deletions in a segment, see sums.go; no key
-	kindMask   byte = 0x0f
+	kindPut    byte = 1    // a key and its value
+	kindDelete byte = 2    // the deletion of a key
+	kindClose  byte = 3    // the store was closed cleanly; no key
+	kindSum    byte = 4    // hashes of the deletions in a segment, see sums.go; no key
+	kindMask   byte = 0x0f // the bits of the kind; the others are flags
 	// flagStartsWrite marks the first frame of a write. With syncs only one write is in flight at a time, so damage
 	// before a frame with this flag can't come from a crash.
 	flagStartsWrite byte = 0x80
--- a/internal/store/recover.go
+++ b/internal/store/recover.go
@@ -278,10 +278,11 @@
 	sums           []sumRecord
 }
 
-// sumRecord is the location of a tombstone sum.
+// sumRecord is the location of a tombstone sum found during recovery. A tombstone sum is a record that repeats the
+// deletions of a segment; see sums.go.
 type sumRecord struct {
-	segment  *segment
-	location location
+	segment  *segment // the segment whose file holds the sum
+	location location // offset and size of the sum in that file
 }
 
 // replay updates the index with a record. Of two values the later one in the log is current; a deletion may have been
--- a/internal/store/segment.go
+++ b/internal/store/segment.go
@@ -16,10 +16,10 @@
 // version, segment number, salt, number and size of the previous segment, CRC-32C of these.
 const (
 	segmentMagic  = "cmtrkseg"
-	formatVersion = 1
-	headerCopyLen = 8 + 4 + 4 + 8 + 4 + 8 + 4
-	headerLen     = 2 * headerCopyLen
-	segmentSuffix = ".seg"
+	formatVersion = 1                         // a later one gives ErrNewerFormat
+	headerCopyLen = 8 + 4 + 4 + 8 + 4 + 8 + 4 // bytes of one copy
+	headerLen     = 2 * headerCopyLen         // bytes of both copies
+	segmentSuffix = ".seg"                    // of the file's name
 )
 
 // ErrNewerFormat reports that a store was written by a later version of this program.
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -52,9 +52,12 @@
 
 // Errors of a store. They are returned wrapped.
 var (
-	ErrFull     = errors.New("the store is full")
+	// ErrFull reports that a write would exceed the capacity of the store.
+	ErrFull = errors.New("the store is full")
+	// ErrTooLarge reports a batch that does not fit into a segment, or a key longer than MaxKeyBytes.
 	ErrTooLarge = errors.New("larger than a segment")
-	ErrClosed   = errors.New("the store is closed")
+	// ErrClosed reports a call on a closed store.
+	ErrClosed = errors.New("the store is closed")
 	// ErrSyncFailed reports that a sync has failed: data written before it may be lost, whatever the operating
 	// system reports afterwards. The store rejects writes until it is opened again.
 	ErrSyncFailed = errors.New("the store rejects writes since a sync failed")
--- a/internal/store/sums.go
+++ b/internal/store/sums.go
@@ -7,13 +7,15 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// tombstone is one deletion.
+// tombstone is one deletion in a tombstone sum: the seeded hash of the deleted key (see hashKey) and the sequence
+// number of the deletion's record.
 type tombstone struct{ hash, seq uint64 }
 
 // A tombstone sum repeats the deletions of a segment at the beginning of the next one, as hashes of the keys: if they
 // were recorded in one place only, damage there would bring the deleted keys back. Sums are read only if damage was
 // found.
 const (
+	// tombstoneSize is the size in bytes of one deletion in a sum: hash and sequence number.
 	tombstoneSize = 16
 	// maxSumTombstones is the number of deletions in one sum frame; it keeps the copies made by compaction small.
 	maxSumTombstones = 1024
--- a/internal/view/lease.go
+++ b/internal/view/lease.go
@@ -85,8 +85,10 @@
 	peer.grant.until = max(peer.grant.until, sentAt+m.cfg.Lease)
 }
 
-// handleGrantRequest records that a peer requests a grant, and up to which roster version it counts this sender's
-// roster.
+// handleGrantRequest records that a peer requests a grant. With enough grants from its peers, a sender may use more
+// than its minimum share of the partners' rates for one lease. Each message of a voter that receives this sender's
+// messages is such a request. The function also records up to which version of this sender's roster the peer counts
+// the members when it divides the rates.
 func (m *Machine) handleGrantRequest(peer *peerState, msg *Message) {
 	peer.ackRosterVersion = msg.AckRosterVersion
 	ackedAt, acked := m.sentAt[msg.AckSeq]
--- a/internal/view/machine.go
+++ b/internal/view/machine.go
@@ -58,11 +58,11 @@
 // Actions are what the caller must do after a step, in this order: apply Share; write [Machine.SavedState] if Save is
 // set; then send the messages, run the probes and log the events.
 type Actions struct {
-	Share  Share
-	Save   bool
-	Send   []Envelope
-	Probe  []Probe
-	Events []Event
+	Share  Share      // the share of each partner's rate that this sender may use from now on
+	Save   bool       // the saved state has changed and must be written before anything is sent
+	Send   []Envelope // messages to peers
+	Probe  []Probe    // probes of incarnations that are not heard
+	Events []Event    // changes of the view, for the log
 }
 
 // Machine is one sender's view. It is not safe for concurrent use.
--- a/internal/view/seat.go
+++ b/internal/view/seat.go
@@ -26,7 +26,7 @@
 var stateNames = [...]string{"suspected", "joining", "here", "unreachable", "gone", "left", "forgotten",
 	"other version", "paused"}
 
-// String returns the name of the state, as operators see it.
+// String returns the name of a peer's state, as operators see it on the console and in the log, or "unknown".
 func (s State) String() string {
 	if s >= 0 && int(s) < len(stateNames) {
 		return stateNames[s]
--- a/internal/wire/fields.go
+++ b/internal/wire/fields.go
@@ -15,6 +15,9 @@
 	err             error
 }
 
+// fields returns a reader of the line s: its name up to the first space, then its values, each
+// ended by one space. An error in a value is kept in the reader, with the number of the Decoder's
+// current line, until fields.end returns it.
 func (d *Decoder) fields(s string) *fields {
 	name, remaining, _ := strings.Cut(s, " ")
 	return &fields{name: name, remaining: remaining, line: d.line}
--- a/logic/health.go
+++ b/logic/health.go
@@ -43,9 +43,9 @@
 // trialSlotsUsed reports whether trials occupy all the slots that they may.
 func (s *Sender) trialSlotsUsed() bool { return s.slotsOnTrial() >= max(1, s.settings.Slots*2/3) }
 
-// recordSuccess records an answer to a call that was sent at the given time. An answer to a call from before
-// the last failure does not end an outage: a call that was in flight when the destination failed may still be
-// answered.
+// recordSuccess records that the endpoint e has answered a call that was sent at the given time, and ends an
+// outage of e. An answer to a call from before e's last failure does not end it: a call that was in flight when
+// the endpoint failed may still be answered.
 func (s *Sender) recordSuccess(e *endpoint, sent Micros) {
 	if e.suspect && sent < e.lastFailure {
 		return
--- a/logic/queue.go
+++ b/logic/queue.go
@@ -43,7 +43,7 @@
 	inNearDeadline        // group.nearDeadline
 )
 
-// enqueue adds a message that waits to be sent.
+// enqueue adds a message that waits to be sent to the lists of its group, one queue of its destination.
 func (s *Sender) enqueue(m *message) {
 	g := s.groupOf(m)
 	m.group, m.expiresAt = g, m.deadline
--- a/logic/types.go
+++ b/logic/types.go
@@ -29,12 +29,13 @@
 
 // The kinds of effect.
 const (
-	Safe   = permit.Safe
-	Keyed  = permit.Keyed
-	Unsafe = permit.Unsafe
+	Safe   = permit.Safe   // repeating a message has no further effect
+	Keyed  = permit.Keyed  // repeats are recognized by their idempotency key for the class's Window
+	Unsafe = permit.Unsafe // repeating a message may take effect a second time
 )
 
-// Class describes one class of messages.
+// Class describes one class of messages: what a delivery is worth and until when, what effect a second delivery
+// has, and whether the messages keep their order.
 type Class struct {
 	Name      string
 	Aim       Micros // a delivery within this time earns the full worth
@@ -90,7 +91,7 @@
 	MaxRetryAfter  Micros  // longest delay that a client accepts as advice
 	OverQuotaWorth float64 // fraction of its worth that a message over its tenant's quota keeps
 
-	DrainGrace      Micros
+	DrainGrace      Micros  // not used by the Sender; must not be negative
 	FallMultiple    float64 // a cold destination is overloaded by more than this many times its capacity
 	FallWindow      Micros  // within this time
 	ColdFrom        float64 // fraction of its capacity that a destination has right after an outage
@@ -120,9 +121,9 @@
 
 // The states of a listed endpoint.
 const (
-	Ready Readiness = iota
-	Draining
-	Gone
+	Ready    Readiness = iota // takes new attempts
+	Draining                  // takes no new attempts; those in flight may finish
+	Gone                      // removed from the list
 )
 
 // Entry is one line of the endpoint list.
@@ -210,7 +211,7 @@
 	Remaining Micros
 }
 
-// PeerHealth is what other senders have published about an endpoint.
+// PeerHealth is the event that reports the health of an endpoint as other senders have published it.
 type PeerHealth struct {
 	Endpoint    EndpointID
 	Outage      bool // another sender has detected an outage
@@ -302,7 +303,7 @@
 	TimedOut                         // no answer within the timeout
 	ConnectionRefused                // no connection could be established
 	ConnectionBroken                 // the connection broke
-	Cancelled                        // cancelled by this sender
+	Cancelled                        // cancelled by this sender after it was sent; the message may have run
 	NotSent                          // not sent: no free slot, the message had ended, or too many attempts
 	InvalidResponse                  // response that cannot be parsed; the message may have run
 )
@@ -391,7 +392,8 @@
 // Probe sends a health check to an endpoint.
 type Probe struct{ Endpoint EndpointID }
 
-// CloseIdle closes the idle connections to an endpoint.
+// CloseIdle closes the connections to an endpoint that carry no call. With many senders, it follows the last call in
+// flight to a rarely used endpoint, which the idle connections of all senders would exhaust.
 type CloseIdle struct{ Endpoint EndpointID }
 
 // HealthChange publishes that this Sender has itself detected an outage of an endpoint, or, if Outage is
@@ -405,7 +407,7 @@
 // RequestEndpoints requests the endpoint list and its updates.
 type RequestEndpoints struct{}
 
-// Log is a log line for the operators.
+// Log is an action that writes Text as one line to the log for the operators.
 type Log struct{ Text string }
 
 func (StartAttempt) isAction()     {}
