--- a/internal/cluster/packet.go
+++ b/internal/cluster/packet.go
@@ -32,10 +32,10 @@
 
 // Reasons to drop a packet.
 var (
-	errNotPacket    = errors.New("no packet of a sender")
-	errOversize     = errors.New("oversized packet")
-	errKey          = errors.New("wrong key")
-	errMalformed    = errors.New("packet that can't be read")
+	errNotPacket    = errors.New("no packet of a sender")     // too short, or an unknown magic number
+	errOversize     = errors.New("oversized packet")          // larger than maxPacket
+	errKey          = errors.New("wrong key")                 // its MAC fits none of the keys
+	errMalformed    = errors.New("packet that can't be read") // authentic, but not the expected CBOR
 	errProbeAborted = errors.New("probe that broke off")
 )
 
--- a/internal/front/resp/clients.go
+++ b/internal/front/resp/clients.go
@@ -22,8 +22,10 @@
 	// requests that were read before. It exceeds the longest stall of the process that the rules allow for.
 	finalResponseTimeout = permit.MaxStall + 100*time.Millisecond
 	maxPipelined         = 16 // queued responses of one connection
-	smallRequestBytes    = 4 << 10
-	maxRequestBytes      = message.MaxBody + smallRequestBytes
+	// smallRequestBytes is the size up to which a request needs no slot for large requests.
+	smallRequestBytes = 4 << 10
+	// maxRequestBytes is the largest size of a request: a body, and the other arguments.
+	maxRequestBytes = message.MaxBody + smallRequestBytes
 )
 
 // Core accepts messages and returns their states. [core.Core] implements it.
--- a/internal/front/resp/commands.go
+++ b/internal/front/resp/commands.go
@@ -12,13 +12,14 @@
 	"cometrack/internal/message"
 )
 
+// Responses with a constant text.
 const (
-	responseOK             = "+OK\r\n"
+	responseOK             = "+OK\r\n" // the message is accepted
 	responseFailed         = "-ERR failed\r\n"
 	responseUnknownPartner = "-ERR unknown destination\r\n"
 	responseConflict       = "-ERR id belongs to another message\r\n"
-	responseStopped        = "-BUSY\r\n"
-	responseNotReady       = "-LAMEDUCK this sender takes no new clients\r\n"
+	responseStopped        = "-BUSY\r\n"                                      // the core has stopped
+	responseNotReady       = "-LAMEDUCK this sender takes no new clients\r\n" // to PING
 	responseNoAuth         = "-NOAUTH token required\r\n"
 )
 
--- a/internal/front/resp/resp.go
+++ b/internal/front/resp/resp.go
@@ -12,9 +12,9 @@
 
 // Bounds of a request. A request beyond them is a protocol error.
 const (
-	maxArgs       = 16
-	maxBulk       = message.MaxBody
-	maxLengthLine = 64 // bytes of a line with a length
+	maxArgs       = 16              // number of arguments
+	maxBulk       = message.MaxBody // bytes of one argument
+	maxLengthLine = 64              // bytes of a line with a length
 )
 
 // errProtocol reports input that is not a RESP2 request. The connection can't be resynchronized after it.
--- a/internal/load/compare.go
+++ b/internal/load/compare.go
@@ -14,16 +14,16 @@
 	Figure        string
 	Before, After float64 // medians
 	Noise         float64 // the larger spread of the two sets: how much the figure varies without a change
-	Verdict       string
+	Verdict       string  // one of the verdicts below
 }
 
 // The verdicts. A difference within the noise is not significant, and the noise is unknown with
 // a single run on a side.
 const (
-	Better      = "better"
-	Worse       = "worse"
-	WithinNoise = "within the noise"
-	Unknown     = "unknown: one run does not show the noise"
+	Better      = "better"                                   // a significant change for the better
+	Worse       = "worse"                                    // a significant change for the worse
+	WithinNoise = "within the noise"                         // not significant
+	Unknown     = "unknown: one run does not show the noise" // a side has a single run
 )
 
 // figures are the compared figures. Lower is better unless higherIsBetter is set.
--- a/internal/load/ledger.go
+++ b/internal/load/ledger.go
@@ -14,13 +14,13 @@
 // State of a message as its client sees it: bits of a byte, so that a million messages take a
 // megabyte.
 const (
-	sent       byte = 1 << iota
-	accepted        // the daemon has accepted it
-	refused         // the daemon has rejected it
-	unanswered      // no reply arrived: the daemon may have accepted it or not
-	ended
-	delivered // with ended: it ran
-	failed    // with ended: it may have run. With neither bit it was returned and did not run
+	sent       byte = 1 << iota // the client has submitted it
+	accepted                    // the daemon has accepted it
+	refused                     // the daemon has rejected it
+	unanswered                  // no reply arrived: the daemon may have accepted it or not
+	ended                       // the client has received its end
+	delivered                   // with ended: it ran
+	failed                      // with ended: it may have run. With neither bit it was returned and did not run
 )
 
 // End is the final state of a message.
