--- a/internal/load/ledger.go
+++ b/internal/load/ledger.go
@@ -14,13 +14,13 @@
 // State of a message as its client sees it: bits of a byte, so that a million messages take a
 // megabyte.
 const (
-	sent       byte = 1 << iota
-	accepted        // the daemon has accepted it
-	refused         // the daemon has rejected it
-	unanswered      // no reply arrived: the daemon may have accepted it or not
-	ended
-	delivered // with ended: it ran
-	failed    // with ended: it may have run. With neither bit it was returned and did not run
+	sent       byte = 1 << iota // the client has submitted it
+	accepted                    // the daemon has accepted it
+	refused                     // the daemon has rejected it
+	unanswered                  // no reply arrived: the daemon may have accepted it or not
+	ended                       // the client has received its end
+	delivered                   // with ended: it ran
+	failed                      // with ended: it may have run. With neither bit it was returned and did not run
 )
 
 // End is the final state of a message.
@@ -28,9 +28,9 @@
 
 // The ends.
 const (
-	Delivered End = "delivered"
-	Returned  End = "returned"
-	Failed    End = "failed"
+	Delivered End = "delivered" // the partner has confirmed it
+	Returned  End = "returned"  // it was not delivered and did not run; the client may submit it again
+	Failed    End = "failed"    // it may have run or not
 )
 
 // Ledger tracks the state of each message and finds contradictions: each is accepted and ends
