--- a/internal/source/platform/call.go
+++ b/internal/source/platform/call.go
@@ -20,7 +20,7 @@
 	drainTimeout     = 50 * time.Millisecond // for what follows a complete list
 	idleTimeout      = 30 * time.Second      // after which an idle connection is closed
 	maxResponseBytes = 4 << 20               // bytes read of a response
-	maxConns         = 6                     // connections to discovery; see otherSockets of the daemon
+	maxConns         = 6                     // connections to discovery; see reservedDescriptors of the daemon
 )
 
 // newClient returns the client for calls to discovery. It keeps one idle connection; concurrent calls have their own.
--- a/internal/source/platform/poll/poll.go
+++ b/internal/source/platform/poll/poll.go
@@ -41,7 +41,7 @@
 // Never is later than any other time.
 const Never = time.Duration(1<<63 - 1)
 
-// pollState says whether the list is known to be current.
+// pollState tells whether the list is known to be current.
 type pollState int
 
 const (
--- a/internal/standin/ready/ready.go
+++ b/internal/standin/ready/ready.go
@@ -89,7 +89,7 @@
 }
 
 // Run runs the scenario. An error means a failure of the test setup, or a program that is not ready
-// within [program.Patience].
+// within [program.Timeout].
 func (p Scenario) Run() ([]StartTimes, error) {
 	dir, err := os.MkdirTemp("", "ready")
 	if err != nil {
