--- a/logic/health.go
+++ b/logic/health.go
@@ -44,8 +44,8 @@
 func (s *Sender) trialSlotsUsed() bool { return s.slotsOnTrial() >= max(1, s.settings.Slots*2/3) }
 
 // recordSuccess records that the endpoint e has answered a call that was sent at the given time, and ends an
-// outage of e. An answer to a call from before e's last failure does not end it: a call that was in flight when
-// the endpoint failed may still be answered.
+// outage of e. An answer to a call from before e's last failure does not end it: a call that was in flight
+// when the endpoint failed may still be answered.
 func (s *Sender) recordSuccess(e *endpoint, sent Micros) {
 	if e.suspect && sent < e.lastFailure {
 		return
--- a/logic/types.go
+++ b/logic/types.go
@@ -34,8 +34,8 @@
 	Unsafe = permit.Unsafe // repeating a message may take effect a second time
 )
 
-// Class describes one class of messages: what a delivery is worth and until when, what effect a second delivery
-// has, and whether the messages keep their order.
+// Class describes one class of messages: what a delivery is worth and until when, what effect a second
+// delivery has, and whether the messages keep their order.
 type Class struct {
 	Name      string
 	Aim       Micros // a delivery within this time earns the full worth
@@ -392,8 +392,8 @@
 // Probe sends a health check to an endpoint.
 type Probe struct{ Endpoint EndpointID }
 
-// CloseIdle closes the connections to an endpoint that carry no call. With many senders, it follows the last call in
-// flight to a rarely used endpoint, which the idle connections of all senders would exhaust.
+// CloseIdle closes the connections to an endpoint that carry no call. With many senders, it follows the last
+// call in flight to a rarely used endpoint, which the idle connections of all senders would exhaust.
 type CloseIdle struct{ Endpoint EndpointID }
 
 // HealthChange publishes that this Sender has itself detected an outage of an endpoint, or, if Outage is
