--- a/internal/standin/untried/untried.go
+++ b/internal/standin/untried/untried.go
@@ -223,7 +223,7 @@
 		}
 	}
 	for _, f := range target.Violations(func(id string) bool { return strings.HasPrefix(id, "unsafe") }) {
-		if !strings.Contains(f, "inside a wait") { // on the platform a restart ends the wait
+		if !strings.Contains(f, "inside a requested wait") { // on the platform a restart ends the wait
 			c.Faults = append(c.Faults, f)
 		}
 	}
