--- a/internal/daemon/upgrade_test.go
+++ b/internal/daemon/upgrade_test.go
@@ -1,14 +1,19 @@
 package daemon
 
 import (
+	"encoding/binary"
 	"fmt"
 	"io"
+	"net"
 	"os"
 	"os/exec"
+	"path/filepath"
 	"strings"
 	"testing"
 	"time"
 
+	"github.com/fxamacker/cbor/v2"
+
 	"cometrack/internal/handover"
 	"cometrack/internal/source/platform"
 	"cometrack/internal/standin/byhand"
@@ -96,25 +101,12 @@
 	p, e, dir := discovery.New(t), byhand.NewEndpoint(t), t.TempDir()
 	known := platform.List{Generation: 1, Reset: true, Instances: instances(e)}
 	p.List = known
-	before, err := handover.Listen(dir)
-	if err != nil {
-		t.Fatal(err)
-	}
+	predecessor := listenAsPredecessor(t, dir)
 	x := launchProcess(t, p, dir, known, "127.0.0.1:0")
 	for range 2 {
-		c, err := before.Accept()
-		if err != nil {
-			t.Fatal(err)
-		}
-		if _, _, err := c.Receive(); err != nil {
-			t.Fatal(err)
-		}
-		if err := c.Send(&handover.Snapshot{Format: handover.Format}); err != nil {
-			t.Fatal(err)
-		}
-		c.Close() // the confirmation is lost
+		sendSnapshotAndLoseConfirmation(t, predecessor)
 	}
-	before.Close() // now the process can start from the journal
+	predecessor.Close() // now the process can start from the journal
 	if err := x.ready(); err != nil {
 		t.Fatal(err)
 	}
@@ -124,6 +116,67 @@
 	x.awaitExit()
 }
 
+// listenAsPredecessor listens at the handover socket of the journal's folder dir. It uses a plain socket because a
+// [handover.Conn] can't close one direction.
+func listenAsPredecessor(t *testing.T, dir string) *net.UnixListener {
+	t.Helper()
+	path := filepath.Join(dir, "upgrade", "socket")
+	if err := os.Mkdir(filepath.Dir(path), 0o700); err != nil {
+		t.Fatal(err)
+	}
+	ln, err := net.ListenUnix("unix", &net.UnixAddr{Name: path, Net: "unix"})
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { ln.Close() })
+	ln.SetDeadline(time.Now().Add(byhand.Timeout))
+	return ln
+}
+
+// sendSnapshotAndLoseConfirmation answers the next request for a handover. It closes the direction of the confirmation
+// before it sends the snapshot, so that the successor can't send the confirmation however fast it is.
+func sendSnapshotAndLoseConfirmation(t *testing.T, predecessor *net.UnixListener) {
+	t.Helper()
+	conn, err := predecessor.AcceptUnix()
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer conn.Close()
+	conn.SetDeadline(time.Now().Add(byhand.Timeout))
+	if request := receiveFrame(t, conn); request != snapshotRequestKind {
+		t.Fatalf("received a message of kind %d instead of a request for a handover", request)
+	}
+	conn.CloseRead()
+	body, err := cbor.Marshal(&handover.Snapshot{Format: handover.Format})
+	if err != nil {
+		t.Fatal(err)
+	}
+	frame := binary.BigEndian.AppendUint32(nil, uint32(len(body)))
+	frame = append(frame, snapshotKind)
+	if _, err := conn.Write(append(frame, body...)); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// Kinds of messages on the handover socket.
+const (
+	snapshotRequestKind = 1
+	snapshotKind        = 3
+)
+
+// receiveFrame reads a message from the handover socket and returns its kind.
+func receiveFrame(t *testing.T, conn net.Conn) (kind byte) {
+	t.Helper()
+	var head [5]byte // length of the body, and the kind
+	if _, err := io.ReadFull(conn, head[:]); err != nil {
+		t.Fatal(err)
+	}
+	if _, err := io.CopyN(io.Discard, conn, int64(binary.BigEndian.Uint32(head[:4]))); err != nil {
+		t.Fatal(err)
+	}
+	return head[4]
+}
+
 // upgradeScenario is a running sender that is going to be upgraded.
 type upgradeScenario struct {
 	t     *testing.T
