--- a/logic/admission.go
+++ b/logic/admission.go
@@ -25,7 +25,7 @@
 
 // shed ends messages when the pending limit is near: those that cannot be sent in time at the present rate
 // (rates and limits may recover), and the message of least priority, so that new messages are not rejected
-// unseen.
+// unseen. That message is kept if one of even lower priority has been sent in this step.
 func (s *Sender) shed(sent []*message) {
 	if s.pendingRatio() <= shedLateAbove {
 		return
--- a/logic/gate.go
+++ b/logic/gate.go
@@ -8,8 +8,8 @@
 	"cometrack/internal/permit"
 )
 
-// admit reports whether m may be sent to e now, and if not, when to check again. Each message is checked here
-// before it is sent.
+// admit reports whether m may be sent to e now, and if not, when to check again: never if the time is not
+// known. Each message is checked here before it is sent.
 func (s *Sender) admit(m *message, e *endpoint) (bool, Micros) {
 	switch {
 	case e.state != Ready || s.checkPermit(m, e) != permit.Granted: // draining, or not permitted
--- a/logic/handover.go
+++ b/logic/handover.go
@@ -19,9 +19,9 @@
 // EndpointHandover is the part of an [EndpointState] that only a handover includes.
 type EndpointHandover struct {
 	Sent          []Micros // times since the calls that still count
-	SinceLastSent Micros
-	UntilTrial    Micros // time until the next trial; negative if it is due
-	RequestedWait Micros // time left of a requested wait of its limiter
+	SinceLastSent Micros   // time since its last attempt started
+	UntilTrial    Micros   // time until the next trial; negative if it is due
+	RequestedWait Micros   // time left of a requested wait of its limiter
 }
 
 // HandOver returns all state that another Sender needs to continue in this one's place at once: the states of
--- a/logic/health.go
+++ b/logic/health.go
@@ -5,8 +5,8 @@
 // Outage detection: which endpoints are suspected or unreliable, from the outcomes of attempts and the
 // reports of peers.
 
-// trialAvailableAt returns the time at which e may take a call as far as its health is concerned. A suspected
-// endpoint takes single trials only.
+// trialAvailableAt returns the time at which e may take a call as far as its health is concerned: 0 for now,
+// and never if that depends on the outcome of a call. A suspected endpoint takes single trials only.
 func (s *Sender) trialAvailableAt(e *endpoint) Micros {
 	switch {
 	case e.suspect && (e.inFlight > 0 || s.trialSlotsUsed()):
@@ -75,7 +75,8 @@
 }
 
 // recordFailure records a failure that indicates an outage of e: an error, a broken or refused connection, or
-// a missing answer.
+// a missing answer. The reason is one of those that handleResult gives; it goes to the log, and errors need
+// two in a row or a high ratio of failures to start an outage.
 func (s *Sender) recordFailure(e *endpoint, reason string) {
 	e.failures++
 	s.noteOutage(e)
@@ -123,7 +124,7 @@
 }
 
 // startOutage marks an endpoint as in outage: it takes single trials only, and is in slow start after its
-// recovery.
+// recovery. The reason goes to the log.
 func (s *Sender) startOutage(e *endpoint, reason string) {
 	s.markSuspect(e, reason)
 	if !s.isCold(e) {
@@ -143,7 +144,8 @@
 	}
 }
 
-// markSuspect suspects an endpoint of an outage: it takes single trials only.
+// markSuspect suspects an endpoint of an outage: it takes single trials only. Only startOutage makes a
+// slow start follow. The reason goes to the log.
 func (s *Sender) markSuspect(e *endpoint, reason string) {
 	if !e.suspect {
 		s.log("endpoint %d out: %s", e.id, reason)
--- a/logic/latency.go
+++ b/logic/latency.go
@@ -4,7 +4,7 @@
 
 // The discounted histogram of latencies, and the restart time τ computed from it.
 
-// binEdges are the upper edges of the bins.
+// binEdges are the upper edges, inclusive, of all bins but the last, which has none.
 var binEdges = func() (e [binCount]Micros) {
 	x := float64(firstBinEdge)
 	for i := range e {
--- a/logic/logic.go
+++ b/logic/logic.go
@@ -8,7 +8,7 @@
 	"math/rand/v2"
 )
 
-// New creates a Sender. The error names the invalid setting.
+// New creates a Sender. The error names the invalid setting. The seed determines all random choices.
 func New(settings Settings, seed uint64) (*Sender, error) {
 	if err := validate(&settings); err != nil {
 		return nil, err
@@ -41,8 +41,8 @@
 	return s.actions
 }
 
-// resetIfIdle drops outdated state of a destination that has been idle for long, when a message for it is
-// submitted.
+// resetIfIdle drops the latencies and the rate of a destination that has been idle for idleStateAge, when a
+// message for it is submitted: they are outdated.
 func (s *Sender) resetIfIdle(d *destination) {
 	if s.now-d.lastUsed > idleStateAge && d.limiter.inFlight == 0 {
 		d.latencies, d.limiter.rate = histogram{}, 0
--- a/logic/memory.go
+++ b/logic/memory.go
@@ -7,7 +7,8 @@
 	"slices"
 )
 
-// noteChange marks a destination as changed since its last snapshot, if changes are tracked.
+// noteChange marks a destination as changed since its last snapshot, if changes are tracked. A change of
+// health makes the next snapshot due earlier.
 func (s *Sender) noteChange(d *destination, health bool) {
 	if !s.settings.TrackChanges {
 		return
@@ -53,7 +54,7 @@
 	return out
 }
 
-// timeSince is the time since t.
+// timeSince is the time since t, for a snapshot: SinceNever if it is longer, 0 if t is in the future.
 func (s *Sender) timeSince(t Micros) Micros {
 	if t < s.now-SinceNever {
 		return SinceNever
@@ -61,7 +62,8 @@
 	return max(s.now-t, 0)
 }
 
-// timeBefore is the point in time that lies the given span before a snapshot of the given age.
+// timeBefore is the point in time that lies the given span before a snapshot of the given age; distantPast if
+// the span is SinceNever or impossible.
 func (s *Sender) timeBefore(span, age Micros) Micros {
 	if span < 0 || span >= SinceNever {
 		return distantPast
--- a/logic/queue.go
+++ b/logic/queue.go
@@ -14,9 +14,9 @@
 // times.
 type group struct {
 	dest           *destination
-	class          Class
-	classLatencies *histogram
-	quotaFactor    float64
+	class          Class      // copy, as classes with equal values share a group
+	classLatencies *histogram // of the class at all destinations
+	quotaFactor    float64    // fraction of their worth that the messages keep, see Sender.quotaFactor
 	kind           groupKind
 
 	byExpiry     sortedList // all messages, by the time at which they expire
@@ -31,9 +31,9 @@
 type groupKind int
 
 const (
-	plainGroup     groupKind = iota
-	inheritedGroup           // accepted by a previous process, and never sent
-	repeatGroup              // keyed messages that may have run; few, as each was in flight within its window
+	plainGroup     groupKind = iota // all others
+	inheritedGroup                  // accepted by a previous process, and never sent
+	repeatGroup                     // keyed ones that may have run; few, as each was in flight within its window
 )
 
 // The list of its group that holds a message, beside byExpiry.
@@ -43,7 +43,7 @@
 	inNearDeadline        // group.nearDeadline
 )
 
-// enqueue adds a message that waits to be sent to the lists of its group, one queue of its destination.
+// enqueue adds a message that waits to be sent to its group, which is one of the queues of its destination.
 func (s *Sender) enqueue(m *message) {
 	g := s.groupOf(m)
 	m.group, m.expiresAt = g, m.deadline
@@ -57,7 +57,7 @@
 	s.makeEligible(m)
 }
 
-// dequeue removes a message that was sent or has ended.
+// dequeue removes a message that was sent or has ended from its group, and the group if it is empty.
 func (s *Sender) dequeue(m *message) {
 	g := m.group
 	s.makeIneligible(m)
@@ -129,7 +129,7 @@
 	s.activate(m.dest)
 }
 
-// makeIneligible removes a message from those that may be sent.
+// makeIneligible removes a message from those that may be sent, and stops its timer.
 func (s *Sender) makeIneligible(m *message) {
 	switch g := m.group; m.listing {
 	case inEligible:
@@ -164,7 +164,8 @@
 	}
 }
 
-// latenciesChanged updates the timers that depend on the latencies of d and of a class.
+// latenciesChanged updates the expiry timers that depend on the latencies of d and of a class, after either
+// histogram has changed.
 func (s *Sender) latenciesChanged(d *destination, classLatencies *histogram) {
 	s.updateExpiries(d)
 	usual := unknownLatency
@@ -279,7 +280,8 @@
 	return out
 }
 
-// worthFloorAge is the age from which on the worth of a message no longer falls.
+// worthFloorAge is the age from which on the worth of a message no longer falls. Exponential means that it
+// halves with each Aim, see Settings.ExponentialDecay.
 func (c *Class) worthFloorAge(exponential bool) Micros {
 	switch {
 	case c.LateWorth >= 1 || c.Worth == 0:
@@ -291,7 +293,7 @@
 	return c.Aim + Micros(math.Ceil(float64(max(c.Aim, 1))*halvings))
 }
 
-// appendCursor appends a cursor unless it has no message.
+// appendCursor appends a cursor, placed at its first message, unless it has none.
 func (s *Sender) appendCursor(out []*cursor, c *cursor) []*cursor {
 	switch {
 	case c.list == nil:
@@ -309,7 +311,8 @@
 	return append(out, c)
 }
 
-// seekPreviousKey moves the cursor to the first item with the greatest key before the current one.
+// seekPreviousKey moves a cursor with newestFirst to the first item with the greatest key before the current
+// one. It sets the list to nil if there is none in the range.
 func (c *cursor) seekPreviousKey() {
 	x, ok := c.list.previous(c.position)
 	if !ok || x.key < c.minKey {
@@ -326,7 +329,7 @@
 	s.skipExpired(c)
 }
 
-// next moves the cursor by one item.
+// next moves the cursor by one item, which may have expired; advance skips those.
 func (c *cursor) next() {
 	if c.list == nil {
 		c.remaining = c.remaining[1:]
@@ -365,13 +368,15 @@
 	return m.inherited || s.now+max(s.usualLatency(m), minUsualLatency) <= m.deadline
 }
 
-// comparePriority orders messages by priority, and among equals the oldest first.
+// comparePriority orders messages by priority, highest first, and among equals the oldest first. It is
+// negative if a goes before b.
 func comparePriority(a, b *message) int {
 	return cmp.Or(cmp.Compare(b.priority, a.priority),
 		cmp.Compare(a.submittedAt, b.submittedAt), cmp.Compare(a.seq, b.seq))
 }
 
-// cursorHeap is a heap of cursors by the priority of their current messages.
+// cursorHeap is a heap of cursors by the priority of their current messages, highest first. Its methods are
+// those of heap.Interface.
 type cursorHeap []*cursor
 
 func (h cursorHeap) Len() int           { return len(h) }
--- a/logic/rate_limit.go
+++ b/logic/rate_limit.go
@@ -5,9 +5,9 @@
 // The adaptive rate of each limiter: bounded by the reported limit, decreased on rejections, increased on
 // successes.
 
-// rateAvailableAt returns the time at which the limiter allows its next call. It does not change the limiter:
-// tokens accumulate at the rate that held while messages waited, otherwise at the present one, no matter how
-// often this is called.
+// rateAvailableAt returns the time at which the limiter allows its next call, 0 for now. It does not change
+// the limiter: tokens accumulate at the rate that held while messages waited, otherwise at the present one,
+// no matter how often this is called.
 func (s *Sender) rateAvailableAt(l *limiter) Micros {
 	rate := s.effectiveRate(l)
 	if rate == 0 {
@@ -20,7 +20,8 @@
 	return s.now + Micros((1-tokens)/rate*float64(Second)) + 1
 }
 
-// effectiveRate is the adaptive rate, bounded by the reported limit if there is one. 0 means unlimited.
+// effectiveRate is the adaptive rate in calls per second, bounded by the reported or nominal limit if there
+// is one. 0 means unlimited.
 func (s *Sender) effectiveRate(l *limiter) float64 {
 	bound := l.limit
 	if s.settings.Weights == WeightsRough && !l.limitReported {
--- a/logic/sorted.go
+++ b/logic/sorted.go
@@ -5,7 +5,8 @@
 	"sort"
 )
 
-// item is an element of a sortedList: a message with a key. Items with equal keys are ordered by arrival.
+// item is an element of a sortedList: a message and the time by which it is sorted. Items with equal keys are
+// ordered by arrival.
 type item struct {
 	key Micros
 	msg *message
@@ -21,14 +22,14 @@
 // most maxChunk moves. At both ends they cost little more than in a plain slice.
 type sortedList struct {
 	chunks [][]item // none is empty
-	size   int
+	size   int      // number of items
 }
 
 // position is a position in a sortedList. It is valid until the list changes.
-type position struct{ chunk, index int }
+type position struct{ chunk, index int } // index is within the chunk
 
-// find returns the position of the first item for which past is true. If past is true for an item, it must be
-// true for all that follow.
+// find returns the position of the first item for which past is true, or of the end of the list. If past is
+// true for an item, it must be true for all that follow.
 func (l *sortedList) find(past func(item) bool) position {
 	c := sort.Search(len(l.chunks), func(c int) bool { return past(l.chunks[c][len(l.chunks[c])-1]) })
 	if c == len(l.chunks) {
@@ -37,7 +38,7 @@
 	return position{c, sort.Search(len(l.chunks[c]), func(i int) bool { return past(l.chunks[c][i]) })}
 }
 
-// seek returns the position of the first item whose key is at least at.
+// seek returns the position of the first item whose key is at least at, or of the end of the list.
 func (l *sortedList) seek(at Micros) position {
 	return l.find(func(x item) bool { return x.key >= at })
 }
@@ -124,8 +125,8 @@
 // timer is a time at which a message, a destination or a group must be looked at. Exactly one of msg, dest
 // and group is set.
 type timer struct {
-	at        Micros
-	heapIndex int // index in the heap plus 1; 0 if the timer is not set
+	at        Micros // time at which it fires; outdated if it is not set
+	heapIndex int    // index in the heap plus 1; 0 if the timer is not set
 	msg       *message
 	dest      *destination
 	group     *group
@@ -134,7 +135,7 @@
 // timerHeap is a min-heap of the timers that are set.
 type timerHeap []*timer
 
-// set sets a to a time, or stops it if that is never.
+// set makes timer a fire at a time, in place of an earlier one, or stops it if that is never.
 func (h *timerHeap) set(a *timer, at Micros) {
 	switch {
 	case at == never && a.heapIndex == 0 || a.heapIndex > 0 && a.at == at:
@@ -176,11 +177,13 @@
 	return a
 }
 
+// swap exchanges two timers of the heap and keeps their heapIndex.
 func (h timerHeap) swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
 	h[i].heapIndex, h[j].heapIndex = i+1, j+1
 }
 
+// fix restores the order of the heap after the time of the timer at index i has changed.
 func (h timerHeap) fix(i int) {
 	for i > 0 && h[i].at < h[(i-1)/2].at {
 		h.swap(i, (i-1)/2)
--- a/logic/state.go
+++ b/logic/state.go
@@ -11,82 +11,80 @@
 
 // destination is a destination. Its endpoints share its limiter unless they are independent.
 type destination struct {
-	id           int64
-	kind         int         // index in Settings.Kinds
-	endpoints    []*endpoint // listed endpoints, in the order of the list
-	nextEndpoint int         // index of the endpoint at which the rotation of first attempts starts
-	limiter      *limiter
-	latencies    histogram
-	lastUsed     Micros  // when the last message for it was submitted
-	arrivals     int     // messages submitted since the last outage began, or in the last minutes
-	outageAt     Micros  // time at which that period began
-	rank         float64 // number of its messages that are ahead in the present pass
-	load         float64 // calls in flight at the start of the pass, plus one
-	pausedUntil  Micros  // after a restart, its cold endpoints get no calls until then
-
-	changed, healthChanged bool   // since the last snapshot for a later process
-	restored               bool   // the snapshot of a previous process has been restored
-	reportedAt             Micros // time of the last snapshot
-
-	groups                    []*group // of the queued messages
-	messages, pending, queued int      // known; of these, not ended; of these, not in flight
-	active                    bool     // the next step visits it
-	revisitAt                 Micros   // time of the next visit, as far as determined in the present pass
-	blockedStep, visitedStep  int      // last step in which nothing more could be sent; of the last visit
-	timer                     timer
+	id                        int64       // as in Entry.Dest
+	kind                      int         // index in Settings.Kinds
+	endpoints                 []*endpoint // listed endpoints, in the order of the list
+	nextEndpoint              int         // index of the endpoint at which the rotation of first attempts starts
+	limiter                   *limiter    // of its endpoints, unless they are independent
+	latencies                 histogram   // of its answered calls
+	lastUsed                  Micros      // when the last message for it was submitted
+	arrivals                  int         // messages submitted since outageAt
+	outageAt                  Micros      // when the last outage began, or some minutes ago if that is later
+	rank                      float64     // load shedding: number of its messages ranked so far
+	load                      float64     // 1 + calls in flight at the start of the pass; it lowers the priority
+	pausedUntil               Micros      // after a restart, its cold endpoints get no calls until then
+	changed, healthChanged    bool        // since the last snapshot for a later process
+	restored                  bool        // the snapshot of a previous process has been restored
+	reportedAt                Micros      // time of the last snapshot
+	groups                    []*group    // of the queued messages
+	messages, pending, queued int         // numbers: known; of these, not ended; of these, not in flight
+	active                    bool        // the next step visits it
+	revisitAt                 Micros      // next visit, as far as determined in the present pass; or never
+	blockedStep, visitedStep  int         // last step in which nothing more could be sent; of the last visit
+	timer                     timer       // of the next visit, if it is not active
 }
 
 // limiter is the state of a rate limiter.
 type limiter struct {
-	dest          *destination
-	limit         float64 // reported or nominal calls per second for all senders together; 0 if unknown
-	limitReported bool    // limit comes from a load report
-	rate          float64 // adaptive rate in calls per second; 0 if unlimited
-	decreasedAt   Micros  // time of the last decrease
-	tokens        float64 // as of refilledAt
-	refilledAt    Micros
-	nearLimit     bool     // the last load report said that little of the limit is left
-	waitUntil     Micros   // end of the requested wait
-	inFlight      int      // calls in flight
-	overloads     int      // in a row
-	firstOverload Micros   // time of the first of these
-	callTimes     []Micros // recent calls
-	peakRate      float64  // most calls within a second, while warm
-	phase         float64  // 0 to 1, drawn at random for each call to spread the calls of all senders
+	dest          *destination // whose calls, or the calls of one of whose endpoints, it limits
+	limit         float64      // reported or nominal calls per second for all senders together; 0 if unknown
+	limitReported bool         // limit comes from a load report
+	rate          float64      // adaptive rate in calls per second; 0 if unlimited
+	decreasedAt   Micros       // time of the last decrease
+	tokens        float64      // number of calls that may start, as of refilledAt; may be negative
+	refilledAt    Micros       // in the future after a requested wait: tokens accumulate from then on
+	nearLimit     bool         // the last load report said that little of the limit is left
+	waitUntil     Micros       // end of the requested wait; in the past if there is none
+	inFlight      int          // calls in flight
+	overloads     int          // rejections for overload in a row
+	firstOverload Micros       // time of the first of these
+	callTimes     []Micros     // start times of the recent calls, ascending
+	peakRate      float64      // most calls within a second, while warm
+	phase         float64      // 0 to 1, drawn at random for each call to spread the calls of all senders
 }
 
 // endpoint is the state of an endpoint.
 type endpoint struct {
 	id                       EndpointID
 	zone                     int
-	state                    Readiness
+	state                    Readiness // Gone while it is not listed
 	dest                     *destination
 	limiter                  *limiter // that of its destination, or its own
-	callTimes                []Micros // recent calls
-	failureRatio             float64  // moving average
-	failures, overloads      int      // in a row
-	invalidResponses, resets int      // in a row
-	removedAt                Micros
-	lastSuccess, lastFailure Micros
-	independentSuccess       Micros // when it was last known to be healthy during the outage of a sibling
-	lastSuccessSent          Micros // when the last call was sent that succeeded
-	peerReportAt             Micros // when a peer last reported on its health
-	suspect                  bool   // in outage, as far as known
-	cold                     bool   // in outage, or in slow start until recoveredAt+WarmAfter
-	recoveredAt              Micros // end of its last outage
-	trialAt, trialInterval   Micros
-	trialFactor              int     // trials are this many times rarer, as other senders try too; 0 for 1
-	inFlight                 int     // calls in flight
-	latency                  float64 // smoothed, in microseconds
-	deficit                  float64 // independent endpoints: deficit in the rotation weighted by limits
-	lastSent                 Micros
-	idleConnUntil            Micros // time at which its idle connection closes
-	openCall                 *call  // the last call that was started
+	callTimes                []Micros // start times of the recent calls, ascending
+	failureRatio             float64  // moving average, 0 to 1
+	failures, overloads      int      // in a row; overloads are rejections for overload
+	invalidResponses, resets int      // in a row; resets are broken or refused connections
+	removedAt                Micros   // when it was last removed from the list
+	lastSuccess, lastFailure Micros   // when the last success came, and the last sign of an outage
+	independentSuccess       Micros   // when it was last known to be healthy during the outage of a sibling
+	lastSuccessSent          Micros   // when the last call was sent that succeeded
+	peerReportAt             Micros   // when a peer last reported an outage or a recovery, or asked for a trial
+	suspect                  bool     // in outage, as far as known
+	cold                     bool     // in outage, or in slow start until recoveredAt+WarmAfter
+	recoveredAt              Micros   // end of its last outage
+	trialAt, trialInterval   Micros   // while suspect: next trial, and the time to the one after it
+	trialFactor              int      // trials are this many times rarer, as other senders try too; 0 for 1
+	inFlight                 int      // calls in flight
+	latency                  float64  // smoothed, in microseconds; 0 if unknown
+	deficit                  float64  // independent endpoints: deficit in the rotation weighted by limits
+	lastSent                 Micros   // when its last attempt started; distantPast if none has
+	idleConnUntil            Micros   // time at which its idle connection closes
+	openCall                 *call    // last call that was started; it may take more messages in the same step
 }
 
 // call is a call to an endpoint, with the attempts of one or more messages.
 type call struct {
-	step, size, unresolved int
+	step, size, unresolved int    // step in which it started; its attempts; of these, without an outcome
 	deadline               Micros // the earliest deadline of its messages
 }
 
@@ -96,7 +94,7 @@
 	number    int // 0 for the first attempt of its message
 	endpoint  *endpoint
 	startedAt Micros
-	call      *call
+	call      *call // shared with the other attempts of a batch
 	cancelled bool
 	restart   bool // cancelled at τ in order to start another attempt
 	stuck     bool // unanswered for longer than stuckAfter
@@ -107,43 +105,42 @@
 type message struct {
 	id             string
 	class          *Class
-	classLatencies *histogram // latencies of its class
-	maxAttempts    int        // 0 for no limit
-	quotaFactor    float64    // fraction of its worth that it keeps under its tenant's quota
-	dest           *destination
-	seq            int    // order of arrival
-	arrivalStep    int    // the step in which it arrived
-	initialTime    Micros // time left to deliver it at its arrival
-	submittedAt    Micros // when it was first submitted
-	deadline       Micros
-	attempts       int      // number of attempts made
-	inherited      bool     // accepted by a previous process, and not sent yet
-	restarts       int      // attempts cancelled as slow or stuck
-	inFlight       *attempt // nil if none
-	mayHaveRun     bool
-	mayHaveRunAt   Micros    // when the first attempt that may have run was sent
-	mayHaveRunZone int       // zone of its endpoint
-	lastEndpoint   *endpoint // of its last attempt
-	backoffUntil   Micros
-	keyQueue       *keyQueue // nil without an order key
-	ended          bool
-	streaming      bool // its response has begun to stream
-	priority       float64
-
-	group         *group  // nil while it is in flight
-	expiresAt     Micros  // its deadline, or the end of its window if that is earlier
-	listing       int     // the list of its group that holds it
-	ahead         float64 // number of messages of its destination that go first
-	candidateStep int     // the step in which it was last a candidate for load shedding
-	timer         *timer  // set while it is backing off or its order key is paused
+	classLatencies *histogram   // latencies of its class
+	maxAttempts    int          // 0 for no limit
+	quotaFactor    float64      // fraction of its worth that it keeps under its tenant's quota
+	dest           *destination // not nil
+	seq            int          // order of arrival
+	arrivalStep    int          // the step in which it arrived
+	initialTime    Micros       // time left to deliver it at its arrival
+	submittedAt    Micros       // when it was first submitted
+	deadline       Micros       // when the time to deliver it is over
+	attempts       int          // number of attempts made
+	inherited      bool         // accepted by a previous process, and not sent yet
+	restarts       int          // attempts cancelled as slow or stuck; each doubles the next time limit
+	inFlight       *attempt     // nil if none
+	mayHaveRun     bool         // the outcome of an attempt does not prove that it did not run
+	mayHaveRunAt   Micros       // when the first attempt that may have run was sent
+	mayHaveRunZone int          // zone of its endpoint
+	lastEndpoint   *endpoint    // of its last attempt; nil before the first
+	backoffUntil   Micros       // no attempt starts before this, after an error or a broken connection
+	keyQueue       *keyQueue    // nil without an order key
+	ended          bool         // kept only until its attempt in flight has an outcome
+	streaming      bool         // its response has begun to stream
+	priority       float64      // as last computed by [Sender.priority]
+	group          *group       // nil while it is in flight
+	expiresAt      Micros       // its deadline, or the end of its window if that is earlier
+	listing        int          // list of its group that holds it: notEligible, inEligible or inNearDeadline
+	ahead          float64      // load shedding: number of messages of its destination up to it, in order
+	candidateStep  int          // the step in which it was last a candidate for load shedding
+	timer          *timer       // set while it is backing off or its order key is paused
 }
 
 // keyQueue holds the messages of an order key, in order of arrival.
 type keyQueue struct {
 	key          string
-	messages     []*message
-	quietUntil   Micros   // end of the pause
-	quietMessage *message // whose attempt caused the pause; the pause does not apply to it
+	messages     []*message // not ended, or in flight; only the first may be sent
+	quietUntil   Micros     // end of the pause; in the past if there is none
+	quietMessage *message   // whose attempt caused the pause; the pause does not apply to it
 }
 
 // countAfter returns the number of times after t.
@@ -167,40 +164,40 @@
 // Sender schedules the deliveries of one sender. Create it with [New].
 type Sender struct {
 	settings         Settings
-	rng              *rand.Rand
-	now              Micros
-	step             int      // number of the present step
-	actions          []Action // of the present step
-	endpoints        map[EndpointID]*endpoint
+	rng              *rand.Rand               // seeded in New
+	now              Micros                   // of the present step
+	step             int                      // number of the present step
+	actions          []Action                 // of the present step
+	endpoints        map[EndpointID]*endpoint // listed or in removed
 	destinations     map[int64]*destination
-	destinationOrder []*destination // in the order in which they became known
-	removed          []*endpoint    // removed from the list, state still kept
-	cleanupAt        Micros         // time of the next cleanup
-	messages         map[string]*message
-	pending          int // messages not ended
-	queued           int // of these, not in flight
-	groups           []*group
-	active           []*destination // to be visited
-	timers           timerHeap
+	destinationOrder []*destination        // in the order in which they became known
+	removed          []*endpoint           // removed from the list, state still kept
+	cleanupAt        Micros                // time of the next cleanup
+	messages         map[string]*message   // by ID
+	pending          int                   // messages not ended
+	queued           int                   // of these, not in flight
+	groups           []*group              // those with queued messages, of all destinations, in no order
+	active           []*destination        // to be visited by the next step
+	timers           timerHeap             // of messages, destinations and groups
 	arrivals         []*message            // messages that arrived in this step
 	shedIndex        int                   // index of the group last considered for load shedding
-	idleKeys         []string              // keys whose queue became empty
+	idleKeys         []string              // order keys without messages, to be dropped when their pause is over
 	inFlight         []*attempt            // in the order in which they started
 	usedSlots        int                   // calls in flight
 	seq              int                   // number of messages accepted
 	classLatencies   map[string]*histogram // by name of the class
-	tenantUsage      []usage               // by tenant
+	tenantUsage      []usage               // same order as settings.Tenants
 	keyQueues        map[string]*keyQueue  // by order key
-	wakeAt           Micros                // time at which work is next due
+	wakeAt           Micros                // time at which work is next due; never if none is
 	timerAt          Micros                // time at which the last timer fires; 0 if none is set
 	listRequestAt    Micros                // when to request the list; never if it has been requested
 	listRetryJitter  float64               // part of maxListRetry by which a retry may come earlier
 	maxListRetry     Micros                // longest time from a failed request to the next
 	stopAt           Micros                // when this sender stops; 0 if it does not
-	logLines         int
-	manySenders      bool           // more than manySendersOver
-	changed          []*destination // destinations with changes to snapshot
-	changesDue       Micros         // when the next of these snapshots is due
+	logLines         int                   // number of log lines, including those not written over maxLogLines
+	manySenders      bool                  // Settings.Senders is more than manySendersOver
+	changed          []*destination        // destinations with changes to snapshot
+	changesDue       Micros                // when the next of these snapshots is due
 }
 
 // applySettings replaces the settings. The state of classes and tenants is kept by name.
@@ -232,19 +229,19 @@
 // histogram is a discounted histogram of latencies.
 type histogram struct {
 	weights     [binCount + 1]float64 // the last bin holds latencies beyond the last edge
-	total       float64               // weight of all bins
+	total       float64               // weight of all bins: the number of samples, older ones discounted
 	censored    float64               // weight of the calls of which only a lower bound is known
 	updatedAt   Micros                // time of the last sample
-	restartTime Micros                // τ; 0 if waiting is better than a restart
-	median      Micros
-	p95         Micros
-	lastUsual   Micros // latency that [Sender.latenciesChanged] last used for the class
+	restartTime Micros                // τ, the age at which a call is restarted; 0 if waiting is better
+	median      Micros                // upper edge of the bin that holds it; 0 without samples
+	p95         Micros                // the 95th percentile, in the same way
+	lastUsual   Micros                // latency that [Sender.latenciesChanged] last used for the class
 }
 
-func (s *Sender) emit(a Action) { s.actions = append(s.actions, a) }
-
-func (s *Sender) wakeBy(t Micros) { s.wakeAt = min(s.wakeAt, t) }
+func (s *Sender) emit(a Action)   { s.actions = append(s.actions, a) } // adds to the result of this Step
+func (s *Sender) wakeBy(t Micros) { s.wakeAt = min(s.wakeAt, t) }      // makes a Step due at t or earlier
 
+// removeEndpoint takes an endpoint off the list. Its state is kept for removedRetention.
 func (s *Sender) removeEndpoint(e *endpoint) {
 	if e.state != Gone {
 		s.removed = append(s.removed, e)
@@ -297,6 +294,7 @@
 	})
 }
 
+// destinationFor returns the destination with the given number, and creates it if necessary.
 func (s *Sender) destinationFor(id int64) *destination {
 	d := s.destinations[id]
 	if d == nil {
@@ -309,6 +307,7 @@
 	return d
 }
 
+// kindOf returns the kind of a destination, or the zero Kind if the settings do not have it.
 func (s *Sender) kindOf(d *destination) Kind {
 	if d.kind >= 0 && d.kind < len(s.settings.Kinds) {
 		return s.settings.Kinds[d.kind]
@@ -316,7 +315,7 @@
 	return Kind{}
 }
 
-// worthAt is the worth of m if it is delivered at t.
+// worthAt is the worth of m if it is delivered at t; 0 after its deadline.
 func (s *Sender) worthAt(m *message, t Micros) float64 {
 	if t > m.deadline {
 		return 0
@@ -332,7 +331,7 @@
 	return c.Worth * (1 - (1-c.LateWorth)*min(1, late/float64(max(c.Deadline-c.Aim, 1))))
 }
 
-// destinationRate is the sum of the rates of a destination's limiters; 0 if one of them is unlimited.
+// destinationRate is the sum of the adaptive rates of a destination's limiters; 0 if one of them has none.
 func (s *Sender) destinationRate(d *destination) float64 {
 	if !s.kindOf(d).Independent {
 		return d.limiter.rate
@@ -347,7 +346,7 @@
 	return sum
 }
 
-// demand is the rate of the messages submitted since the last outage began, or in the last minutes.
+// demand is the messages per second submitted for l since the last outage began, or in the last minutes.
 func (s *Sender) demand(l *limiter) float64 {
 	own := float64(l.dest.arrivals) / seconds(s.now-l.dest.outageAt+assumedOutage)
 	if l != l.dest.limiter {
@@ -356,6 +355,7 @@
 	return own
 }
 
+// binIndex returns the index in histogram.weights of the bin of a latency.
 func binIndex(t Micros) int {
 	i, _ := slices.BinarySearch(binEdges[:], t)
 	return i
@@ -387,7 +387,7 @@
 	return n
 }
 
-func seconds(t Micros) float64 { return float64(t) / float64(Second) }
+func seconds(t Micros) float64 { return float64(t) / float64(Second) } // t as a number of seconds
 
 // removeUnlisted removes the endpoints that are not among the entries.
 func (s *Sender) removeUnlisted(entries []Entry) {
@@ -404,7 +404,7 @@
 	}
 }
 
-// pendingRatio is the number of pending messages as a fraction of the pending limit.
+// pendingRatio is the number of pending messages as a fraction of the pending limit; 0 without a limit.
 func (s *Sender) pendingRatio() float64 {
 	if s.settings.MaxOpen == 0 {
 		return 0
--- a/logic/types.go
+++ b/logic/types.go
@@ -37,11 +37,11 @@
 // Class describes one class of messages: what a delivery is worth and until when, what effect a second
 // delivery has, and whether the messages keep their order.
 type Class struct {
-	Name      string
-	Aim       Micros // a delivery within this time earns the full worth
-	Deadline  Micros // the message may be delivered for this long
-	Worth     float64
-	LateWorth float64 // fraction of the worth that is left at the deadline
+	Name      string  // identifies the class when the settings change
+	Aim       Micros  // a delivery within this time of the submission earns the full worth
+	Deadline  Micros  // the message may be delivered for this long after its submission
+	Worth     float64 // value of a delivery within Aim, relative to that of other classes
+	LateWorth float64 // fraction of Worth that is left at the deadline
 	Effect    Effect
 	ByZone    bool   // keyed: only endpoints of one zone recognize each other's repeats
 	Window    Micros // keyed: repeats are recognized for this long after the first attempt that may have run
@@ -50,67 +50,74 @@
 
 // Tenant is a customer with a quota.
 type Tenant struct {
-	Name     string
+	Name     string  // identifies the tenant when the settings change
 	QuotaRPS float64 // quota in messages per second, over all senders; 0 for none
 }
 
-// WeightsMode is the meaning of Entry.NominalRate.
+// WeightsMode is the meaning of [Entry].NominalRate: whether it is the rate limit of the destination, or of
+// the endpoint if it is independent.
 type WeightsMode int
 
 // The modes of weights.
 const (
 	WeightsOff     WeightsMode = iota // the field is not used
-	WeightsNominal                    // the destination's rate limit in calls per second, over all senders
+	WeightsNominal                    // rate limit in calls per second over all senders
 	WeightsRough                      // the same, but up to half too high or too low
 )
 
 // Settings is the configuration of a [Sender].
 type Settings struct {
-	Senders          int // number of senders that share the destinations, including this one
-	Zone             int // zone of this sender
-	Zones            int // number of zones
-	Classes          []Class
-	Tenants          []Tenant // may be empty
-	Kinds            []Kind
-	Slots            int    // maximum number of calls in flight
-	MaxOpen          int    // pending limit, in messages; 0 for no limit
-	MaxTries         int    // maximum number of attempts per message; 0 for no limit
-	Tick             Micros // granularity of timers
-	BurstTime        Micros // burst of an idle limiter, as time at its rate; 0 for the default
-	ListOnRequest    bool   // the endpoint list is sent only on request
-	Probing          bool   // probes may be sent
-	MayCancel        bool   // attempts can be cancelled
-	AdviseRetry      bool   // returned messages carry the time after which the client may retry
-	ExponentialDecay bool   // worth halves with each Aim after the first; otherwise it falls linearly
-	Weights          WeightsMode
+	Senders          int         // number of senders that share the destinations, including this one
+	Zone             int         // zone of this sender; numbers start at 0
+	Zones            int         // number of zones; 0 for 1
+	Classes          []Class     // indexed by NewMessage.Class; at least one
+	Tenants          []Tenant    // indexed by NewMessage.Tenant; may be empty
+	Kinds            []Kind      // indexed by Entry.Kind
+	Slots            int         // maximum number of calls in flight; one rate limiter allows half of them
+	MaxOpen          int         // pending limit, in messages: load is shed when it is near; 0 for no limit
+	MaxTries         int         // maximum number of attempts per message; 0 for no limit
+	Tick             Micros      // granularity of timers: a step may come this much late
+	BurstTime        Micros      // burst of an idle limiter, as time at its rate; 0 for the default
+	ListOnRequest    bool        // the endpoint list is sent only on request, see RequestEndpoints
+	Probing          bool        // probes may be sent; not used by the Sender, which sends none
+	MayCancel        bool        // attempts can be cancelled; otherwise, repeatable ones time out early
+	AdviseRetry      bool        // returned messages carry the time after which the client may retry
+	ExponentialDecay bool        // worth halves with each Aim after the first; otherwise it falls linearly
+	Weights          WeightsMode // meaning of Entry.NominalRate
 
 	ConnIdle  Micros  // idle connections close after this time
-	ConnCalls int     // number of calls that one connection carries at once
-	ConnCost  float64 // score lost for a new connection with each message
-
-	MaxRetryAfter  Micros  // longest delay that a client accepts as advice
-	OverQuotaWorth float64 // fraction of its worth that a message over its tenant's quota keeps
-
-	DrainGrace      Micros  // not used by the Sender; must not be negative
-	FallMultiple    float64 // a cold destination is overloaded by more than this many times its capacity
-	FallWindow      Micros  // within this time
-	ColdFrom        float64 // fraction of its capacity that a destination has right after an outage
-	WarmAfter       Micros  // time after an outage until the full capacity is back
-	ListRetryWithin Micros  // the list is requested again within this; after a failure, times 4; 0: any
-	KeyQuiet        Micros  // pause of an order key after an attempt whose outcome is not certain
+	ConnCalls int     // number of calls that one connection carries at once; 0 for 1
+	ConnCost  float64 // score lost per message if each needs a new connection; if high, idle ones stay open
+
+	MaxRetryAfter  Micros  // longest delay that a client accepts as advice; returned messages advise it
+	OverQuotaWorth float64 // fraction, 0 to 1, of its worth that a message over its tenant's quota keeps
+
+	DrainGrace Micros // not used by the Sender; must not be negative
+	// A cold destination is overloaded if it gets, within FallWindow, more than FallMultiple times the calls
+	// that it has the capacity for at that time.
+	FallMultiple float64
+	FallWindow   Micros  // see FallMultiple
+	ColdFrom     float64 // fraction, 0 to 1, of its capacity that a destination has right after an outage
+	WarmAfter    Micros  // time after an outage until the full capacity is back; it grows linearly
+	// The list is requested again within ListRetryWithin, or within 4 times that after a failed request. 0 means
+	// any time.
+	ListRetryWithin Micros
+	KeyQuiet        Micros // pause of an order key after an attempt whose outcome is not certain
 
 	TrackChanges  bool // changes of destinations are recorded for Sender.ChangedStates
 	PublishHealth bool // a HealthChange is emitted for each outage or recovery that this Sender detects
 
-	RemainingIndex int // index in AttemptResult.Load of the unused fraction of the limit; -1 if none
+	RemainingIndex int // index in AttemptResult.Load of the unused fraction, 0 to 1, of the limit; -1 if none
 	LimitIndex     int // index in AttemptResult.Load of the limit in calls per second; -1 if none
 }
 
 // Kind is a kind of destination.
 type Kind struct {
-	Name        string
-	Independent bool // each endpoint has its own limit, rate and outages
-	MaxBatch    int  // maximum number of messages in one call
+	Name string // may not change while the Sender runs
+	// Independent means that each endpoint has its own limit, rate and outages. Otherwise, the endpoints of a
+	// destination share them.
+	Independent bool
+	MaxBatch    int // maximum number of messages in one call; 0 for 1
 }
 
 // EndpointID identifies an endpoint. Its value carries no meaning.
@@ -129,11 +136,11 @@
 // Entry is one line of the endpoint list.
 type Entry struct {
 	Endpoint    EndpointID
-	Zone        int
-	Kind        int
-	Dest        int64
-	State       Readiness
-	NominalRate float64
+	Zone        int       // zone in which it runs; -1 if it is not one of the settings
+	Kind        int       // index in Settings.Kinds of its destination; -1 for the zero Kind
+	Dest        int64     // number of the destination to which it belongs
+	State       Readiness // Gone removes it
+	NominalRate float64   // see WeightsMode; 0 if not known
 }
 
 // Event is an input of [Sender.Step]: one of the types below.
@@ -153,27 +160,27 @@
 // Endpoints updates the endpoint list.
 type Endpoints struct {
 	Form    ListForm
-	Entries []Entry
-	Elapsed Micros // ListFailed: time since the failed request was made; 0 for a subscription that broke
+	Entries []Entry // for each endpoint at most one; none for ListFailed
+	Elapsed Micros  // ListFailed: time since the failed request was made; 0 for a subscription that broke
 }
 
 // NewMessage submits a new message, or one that this sender had accepted before a restart.
 type NewMessage struct {
-	ID        string
-	Remaining Micros // time left to deliver it
-	Key       string // order key; empty if none
-	Dest      int64
-	Tenant    int // -1 if none
-	Class     int
-	Terms     *Terms // earlier settings under which it was accepted; nil for the present ones
-	History   History
+	ID        string  // an event with the ID of a message that the Sender still knows is ignored
+	Remaining Micros  // time left to deliver it
+	Key       string  // order key, which counts if the class keeps the order; empty if none
+	Dest      int64   // number of its destination, as in Entry.Dest
+	Tenant    int     // index in Settings.Tenants; -1 if none
+	Class     int     // index in Settings.Classes; not used if Terms are given
+	Terms     *Terms  // earlier settings under which it was accepted; nil for the present ones
+	History   History // its attempts before a restart; the zero value for a new message
 }
 
 // Terms are the settings under which a message was accepted. They apply until it ends, even if the settings
 // change.
 type Terms struct {
 	Class    Class
-	MaxTries int
+	MaxTries int // maximum number of attempts; 0 for no limit
 }
 
 // UpdateSettings replaces the settings. The new settings must pass [CheckUpdate] against the current ones.
@@ -182,7 +189,7 @@
 
 // History is the history of a message before a restart. The zero value is that of a new message.
 type History struct {
-	Attempts   int              // number of attempts made
+	Attempts   int              // number of attempts made, including one in flight
 	MayHaveRun bool             // one of them may have run
 	SinceFirst Micros           // time since the first attempt that may have run was sent
 	Zone       int              // zone of that attempt's endpoint
@@ -194,12 +201,12 @@
 // InFlightAttempt is an attempt that another process has started and whose one [AttemptResult] is still to
 // come.
 type InFlightAttempt struct {
-	Endpoint    EndpointID
-	Age         Micros // time since it was sent
-	BatchedWith string // ID of an earlier submitted message that travels in the same call; empty if none
+	Endpoint    EndpointID // if it is not listed, the attempt counts as one that may have run
+	Age         Micros     // time since it was sent
+	BatchedWith string     // ID of an earlier submitted message that travels in the same call; empty if none
 }
 
-// QuietKey pauses an order key for the Remaining time.
+// QuietKey pauses an order key for the Remaining time: none of its messages is sent until then.
 type QuietKey struct {
 	Key       string
 	Remaining Micros
@@ -222,15 +229,15 @@
 // DestinationState is a snapshot of the state of a destination, for a later process. Durations are times
 // since an event, or [SinceNever]. It does not include calls in flight.
 type DestinationState struct {
-	Dest        int64
-	Unhealthy   bool   // an endpoint is in outage, or in slow start after one
-	SinceUsed   Micros // time since its last message was submitted
-	Arrivals    int    // messages submitted since the last outage began
-	SinceOutage Micros // time since that outage was detected
-	Limiter     LimiterState
-	Endpoints   []EndpointState
-	Latencies   LatencyHistogram
-	Exact       bool // the snapshot is complete and nothing has happened since; see [Sender.HandOver]
+	Dest        int64            // as in Entry.Dest
+	Unhealthy   bool             // an endpoint is in outage, or in slow start after one
+	SinceUsed   Micros           // time since its last message was submitted
+	Arrivals    int              // messages submitted since the last outage began
+	SinceOutage Micros           // time since that outage was detected
+	Limiter     LimiterState     // of the limiter that its endpoints share, if they are not independent
+	Endpoints   []EndpointState  // the listed ones
+	Latencies   LatencyHistogram // of its answered calls
+	Exact       bool             // complete, and nothing has happened since; see [Sender.HandOver]
 }
 
 // SinceNever is the time since an event that has not happened.
@@ -240,32 +247,33 @@
 type LimiterState struct {
 	Limit         float64 // reported limit in calls per second; 0 if none
 	Rate          float64 // adaptive rate in calls per second; 0 if it is not limited
-	SinceDecrease Micros
-	PeakRate      float64 // most calls within a second
+	SinceDecrease Micros  // time since the last decrease of Rate; not used if Rate is 0
+	PeakRate      float64 // most calls within a second, not counting outages and slow starts; 0 if none
 	LimiterHandover
 }
 
 // EndpointState is the state of an endpoint.
 type EndpointState struct {
-	Endpoint                    EndpointID
-	Limiter                     LimiterState // only for kinds with independent endpoints
-	Outage, Cold                bool
-	SinceRecovery               Micros // time since the end of its last outage
-	SinceSuccess, SinceFailure  Micros // times since the last successful answer and the last failure
-	SinceIndependentSuccess     Micros // since it was last known healthy in a sibling's outage
-	TrialInterval               Micros // interval between trials
-	FailureRatio                float64
-	Latency                     Micros // smoothed latency
+	Endpoint                   EndpointID
+	Limiter                    LimiterState // only for kinds with independent endpoints
+	Outage, Cold               bool         // in outage; in outage or in slow start after one
+	SinceRecovery              Micros       // time since the end of its last outage
+	SinceSuccess, SinceFailure Micros       // times since the last successful answer and the last failure
+	SinceIndependentSuccess    Micros       // time since it was last known healthy during a sibling's outage
+	TrialInterval              Micros       // interval between trials during an outage; 0 if there is none
+	FailureRatio               float64      // moving average, 0 to 1
+	Latency                    Micros       // smoothed latency; 0 if not known
+	// Numbers in a row of failures, rejections for overload, and broken or refused connections.
 	Failures, Overloads, Resets int
 	EndpointHandover
 }
 
 // LatencyHistogram holds the weights of latencies by bin, in sixteenths. Empty bins are omitted.
 type LatencyHistogram struct {
-	Bins        []uint8
-	Weights     []uint16
-	Censored    uint16
-	SinceSample Micros // time since the last sample
+	Bins        []uint8  // indices of the bins that are not empty
+	Weights     []uint16 // weight of each of Bins, in sixteenths of a call
+	Censored    uint16   // weight of the calls of which only a lower bound is known, in sixteenths
+	SinceSample Micros   // time since the last sample
 }
 
 // RestoreState restores the state of a destination from a snapshot that was taken Age ago. It must follow the
@@ -275,6 +283,7 @@
 	State DestinationState
 }
 
+// isEvent marks the type as an input of [Sender.Step].
 func (RestoreState) isEvent() {}
 
 // Stopping announces that the sender stops after the Remaining time. Attempts that cannot finish by then are
@@ -285,7 +294,7 @@
 // cancelled and the message is not ended.
 type StreamStarted struct {
 	ID      string
-	Attempt int
+	Attempt int // 0 for the first attempt of the message
 }
 
 // unknownLatency is the assumed latency while none has been measured. A message with less time left would
@@ -308,6 +317,7 @@
 	InvalidResponse                  // response that cannot be parsed; the message may have run
 )
 
+// outcomeNames holds the names of the outcomes in traces, indexed by Outcome.
 var outcomeNames = [...]string{"completed", "errored", "full", "overdue", "refused connection", "severed",
 	"recalled", "moot", "spoilt"}
 
@@ -322,28 +332,30 @@
 // AttemptResult reports the outcome of an attempt. Exactly one follows each [StartAttempt].
 type AttemptResult struct {
 	ID           string
-	MessageEnded bool // the message has ended
+	MessageEnded bool // the message has ended, delivered or otherwise; no further attempt is made
 	Endpoint     EndpointID
-	Attempt      int
+	Attempt      int // 0 for the first attempt of the message; a result of one not in flight is ignored
 	Outcome      Outcome
-	Latency      Micros
-	RetryAfter   Micros // wait that the endpoint requested; 0 if none
-	Load         []float64
+	Latency      Micros    // time from the start of the attempt to its outcome
+	RetryAfter   Micros    // wait that the endpoint requested: its limiter allows no calls until then; 0 if none
+	Load         []float64 // load report, see Settings.RemainingIndex and LimitIndex; nil if none
 }
 
-// ClientGone reports that the client no longer wants the message.
+// ClientGone reports that the client no longer wants the message, which ends with no further action but the
+// cancellation of its attempt in flight.
 type ClientGone struct{ ID string }
 
-// TimerFired reports that a timer has expired.
+// TimerFired reports that a timer has expired. Token is that of its [SetTimer]; the Sender does not read it.
 type TimerFired struct{ Token uint64 }
 
 // ProbeResult reports the outcome of a probe. Exactly one follows each [Probe].
 type ProbeResult struct {
 	Endpoint EndpointID
 	Outcome  Outcome
-	Load     []float64
+	Load     []float64 // as in AttemptResult.Load
 }
 
+// isEvent marks the type as an input of [Sender.Step], as it does for the types below.
 func (Endpoints) isEvent()      {}
 func (NewMessage) isEvent()     {}
 func (StreamStarted) isEvent()  {}
@@ -364,32 +376,33 @@
 // so on. Attempts that one Step starts at one endpoint travel in one call, up to the MaxBatch of its kind.
 type StartAttempt struct {
 	ID       string
-	Timeout  Micros
+	Timeout  Micros // the attempt ends without an answer after this; at most the time left of the message
 	Endpoint EndpointID
 }
 
 // Cancel cancels an attempt. Its one [AttemptResult] still follows.
 type Cancel struct {
 	ID      string
-	Attempt int
+	Attempt int // 0 for the first attempt of the message
 }
 
-// ReturnMessage ends a message undelivered. The client may safely submit it again.
+// ReturnMessage ends a message undelivered. No attempt of it has run: the client may safely submit it again.
 type ReturnMessage struct {
 	ID      string
 	RetryIn Micros // advised delay before submitting it again; 0 for none
 }
 
-// FailMessage ends a message of which it is not known whether it took effect.
+// FailMessage ends a message of which it is not known whether it took effect: an attempt of it may have run.
 type FailMessage struct{ ID string }
 
-// SetTimer requests a [TimerFired] after Wait.
+// SetTimer requests a [TimerFired] after Wait. It replaces an earlier timer that has not fired.
 type SetTimer struct {
 	Wait  Micros
-	Token uint64
+	Token uint64 // to be given back in TimerFired
 }
 
-// Probe sends a health check to an endpoint.
+// Probe sends a health check to an endpoint. The Sender emits none at present and ignores a [ProbeResult]:
+// its trials of an endpoint in outage are attempts of messages.
 type Probe struct{ Endpoint EndpointID }
 
 // CloseIdle closes the connections to an endpoint that carry no call. With many senders, it follows the last
@@ -410,6 +423,7 @@
 // Log is an action that writes Text as one line to the log for the operators.
 type Log struct{ Text string }
 
+// isAction marks the type as an output of [Sender.Step], as it does for the types below.
 func (StartAttempt) isAction()     {}
 func (Cancel) isAction()           {}
 func (ReturnMessage) isAction()    {}
