--- a/internal/soak/client.go
+++ b/internal/soak/client.go
@@ -15,20 +15,23 @@
 	"time"
 )
 
+// asNetError finds the first network error in the chain of err, as errors.As does. It reports whether there
+// is one, which it then stores in target.
 func asNetError(err error, target *net.Error) bool { return errors.As(err, target) }
 
-// clients submit messages to one sender.
+// clients are the clients of one sender. They submit messages to it and record what they observe.
 type clients struct {
-	sender           int
-	addr             string
-	destinationCount int
-	fillDescriptors  bool // idle clients use up the sender's descriptors, so it may close new connections unread
-	records          *Records
-	messageCount     atomic.Int64
-	wg               sync.WaitGroup
+	sender           int            // number of the sender
+	addr             string         // address of the sender for clients
+	destinationCount int            // messages go to the destinations from 0 to one less than this
+	fillDescriptors  bool           // idle clients use up its descriptors: new connections may end unread
+	records          *Records       // where the messages and their responses are recorded
+	messageCount     atomic.Int64   // messages composed so far; the next number makes a message ID unique
+	wg               sync.WaitGroup // running clients
 }
 
-// clientKinds are the kinds of clients, and how many of each a sender has.
+// clientKinds are the kinds of clients, and how many of each a sender has. Each run function plays a client
+// on one connection; it is called again and again until the context is done.
 var clientKinds = []struct {
 	name  string
 	count int
@@ -42,8 +45,11 @@
 	{"fresh", 1, (*clients).fresh},
 }
 
+// idleClientCount is the number of idle clients of a sender whose file descriptors they have to use up.
 const idleClientCount = 150
 
+// start starts the clients in goroutines of c.wg, which end after ctx is done. The seed determines the
+// random choices of each client.
 func (c *clients) start(ctx context.Context, seed uint64) {
 	n := uint64(0)
 	for _, k := range clientKinds {
@@ -64,16 +70,17 @@
 	}
 }
 
-// conn is a client's connection.
+// conn is a client's connection to its sender.
 type conn struct {
 	net.Conn
-	r       *bufio.Reader
-	used    bool
-	port    int // local port
-	dialed  time.Time
-	written int64 // bytes
+	r       *bufio.Reader // reads the responses
+	used    bool          // a request has been written on it
+	port    int           // local port, by which the connection is found in the trace of the sender
+	dialed  time.Time     // when the client began to connect
+	written int64         // bytes written so far
 }
 
+// dial connects to the sender. If that fails, it pauses for 50 ms and returns nil.
 func (c *clients) dial(ctx context.Context) *conn {
 	d := net.Dialer{Timeout: time.Second}
 	dialed := time.Now()
@@ -85,6 +92,7 @@
 	return &conn{Conn: x, r: bufio.NewReader(x), port: x.LocalAddr().(*net.TCPAddr).Port, dialed: dialed}
 }
 
+// pause sleeps for a duration, or until ctx is done if that is earlier.
 func pause(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
@@ -94,7 +102,8 @@
 	}
 }
 
-// compose returns a random message and the text of its request.
+// compose returns a random message and the text of its request. The message is not recorded before
+// [clients.write].
 func (c *clients) compose(kind string, rng *rand.Rand) (m *Message, text []byte) {
 	effect := []Effect{Safe, Keyed, Unsafe}[rng.IntN(3)]
 	lifetime := []time.Duration{400 * time.Millisecond, time.Second,
@@ -115,7 +124,8 @@
 	return m, text
 }
 
-// request writes a message and books it; nil if the connection is broken.
+// request composes a message, writes its request and records it. It returns nil if the connection is
+// broken.
 func (c *clients) request(x *conn, kind string, rng *rand.Rand) *Message {
 	m, text := c.compose(kind, rng)
 	if !c.write(x, m, text, len(text)) {
@@ -178,7 +188,7 @@
 	}
 }
 
-// burst pipelines several requests and then reads their responses.
+// burst pipelines several requests, reads their responses and pauses, as long as the connection stays open.
 func (c *clients) burst(ctx context.Context, rng *rand.Rand) {
 	x := c.dial(ctx)
 	if x == nil {
@@ -279,7 +289,8 @@
 	pause(ctx, time.Duration(rng.IntN(1000))*time.Millisecond)
 }
 
-// idle keeps a connection open without sending and reconnects when it is closed.
+// idle keeps a connection open without sending a request and reconnects when the sender closes it, until
+// ctx is done.
 func (c *clients) idle(ctx context.Context) {
 	for ctx.Err() == nil {
 		x := c.dial(ctx)
--- a/internal/soak/crossings.go
+++ b/internal/soak/crossings.go
@@ -19,35 +19,35 @@
 const (
 	trafficTimeout         = 1500 * time.Millisecond // for traffic to pass a point, on the first try
 	retryTimeout           = 5 * time.Second         // for the same on later tries
-	startTimeout           = 2 * time.Second         // for a start to pass a point
-	secondEventTimeout     = 400 * time.Millisecond  // for the second of two events
-	pollInterval           = time.Millisecond
-	pingInterval           = 100 * time.Millisecond
-	secondEventProbability = 0.5 // of a second event right after the first
-	maxSkippedPasses       = 3   // of a point by traffic before the event
-	maxTries               = 4   // of a crossing whose point is not passed in time
+	startTimeout           = 2 * time.Second         // for a start of a process to pass a point
+	secondEventTimeout     = 400 * time.Millisecond  // for the second of two events to occur
+	pollInterval           = time.Millisecond        // of checks for an event or for the exit of a process
+	pingInterval           = 100 * time.Millisecond  // between PINGs, and the timeout of each
+	secondEventProbability = 0.5                     // that a second event is armed right after the first
+	maxSkippedPasses       = 3                       // limit of the passes before the event, on the first try
+	maxTries               = 4                       // tries of a crossing until its point is passed in time
 )
 
-// crossing is an event injected at a point.
+// crossing is an event that is injected at a point of the program.
 type crossing struct {
-	point int
+	point int // index in points
 	event faultbuild.Event
 }
 
 func (x crossing) String() string { return fmt.Sprintf("%s at %q", x.event, points[x.point].Name) }
 
-// Crossings count and log the crossings of one or more runs.
+// Crossings count and log the crossings of one or more runs: the events injected at points of the program.
 type Crossings struct {
-	mu     sync.Mutex
-	counts map[crossing]int
-	pairs  int
-	log    []string
+	mu     sync.Mutex       // guards the fields below while a run writes them
+	counts map[crossing]int // how often each crossing occurred; absent for never
+	pairs  int              // how often a second event occurred right after the first
+	log    []string         // one line for each try of a crossing and for each second event that occurred
 }
 
 // NewCrossings returns an empty Crossings.
 func NewCrossings() *Crossings { return &Crossings{counts: map[crossing]int{}} }
 
-// record logs a crossing of a sender, and counts it if the event occurred.
+// record logs a try of a crossing at the sender with a number, and counts it if the event occurred.
 func (c *Crossings) record(sender int, x crossing, occurred bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -58,7 +58,8 @@
 		time.Now().Format("15:04:05.000"), sender, x, occurred))
 }
 
-// recordPair records a second event that occurred right after the first.
+// recordPair records x, a second event that occurred right after the first. It counts as a crossing and as
+// a pair.
 func (c *Crossings) recordPair(sender int, x crossing) {
 	c.record(sender, x, true)
 	c.mu.Lock()
@@ -66,10 +67,11 @@
 	c.pairs++
 }
 
-// PairCount returns how often a second event occurred right after the first.
+// PairCount returns how often a second event occurred right after the first. It must not be called during a
+// run.
 func (c *Crossings) PairCount() int { return c.pairs }
 
-// Add adds the counts of another run.
+// Add adds the counts of another run, but not its log. It must not be called during a run.
 func (c *Crossings) Add(other *Crossings) {
 	for x, n := range other.counts {
 		c.counts[x] += n
@@ -77,11 +79,11 @@
 	c.pairs += other.pairs
 }
 
-// Log returns the log lines of the crossings in their order.
+// Log returns the log lines of the crossings in their order. It must not be called during a run.
 func (c *Crossings) Log() []string { return c.log }
 
-// Table returns a table with a line for each point and a column for each event: how often the event occurred
-// there.
+// Table returns a text table with a line for each point and a column for each event. It tells how often the
+// event occurred at the point.
 func (c *Crossings) Table() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%-48s", "point")
@@ -97,7 +99,7 @@
 	return b.String()
 }
 
-// Missing lists the crossings that have not occurred.
+// Missing lists the crossings that have not occurred, each as its event and the name of its point.
 func (c *Crossings) Missing() (list []string) {
 	for i := range points {
 		for e := range faultbuild.EventCount {
@@ -144,9 +146,11 @@
 	return out
 }
 
-// runCrossing injects an event at a point of a sender and restores the sender's service afterwards. It returns
-// false if the point was not passed within timeout. Traffic passes the point skip times before the event
-// occurs.
+// runCrossing injects an event at a point of a sender and restores the sender's service afterwards. It
+// returns false if the point was not passed in time and the crossing may be tried again; true if the event
+// occurred, or after an error of the harness, which is kept for the result. The point has to be passed
+// within timeout, or within killDelay after SIGTERM or startTimeout after a start. Traffic passes the
+// point skip times before the event occurs.
 func (f *fleet) runCrossing(s *sender, x crossing, timeout time.Duration, skip int, rng *rand.Rand,
 	out *Crossings) bool {
 	s.restartMu.Lock()
@@ -214,7 +218,7 @@
 	return occurred
 }
 
-// setError keeps the first error of the harness.
+// setError keeps err as the error of the harness that Run returns, unless there is an earlier one.
 func (f *fleet) setError(err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -232,8 +236,9 @@
 	return !s.controls.Disarm()
 }
 
-// restoreService makes the sender serve again after the events between from and last. The flags say that its
-// process got SIGTERM, was killed, or was started just before.
+// restoreService makes the sender serve again after the events between from and last, and records that time
+// as an outage. The flags say that its process got SIGTERM, was killed, or was started for the crossing and
+// may not be ready yet. It returns an error if no process becomes ready.
 func (s *sender) restoreService(from, last time.Time, terminated, killed, started bool) error {
 	defer func() { s.records.addOutage(s.number, from, time.Now()) }()
 	if !terminated && !killed {
@@ -275,7 +280,8 @@
 	s.records.addKill(s.number, time.Now())
 }
 
-// startSuccessor starts a second process of the sender, with an event armed.
+// startSuccessor arms a crossing and starts a second process of the sender, which is to take over from the
+// first.
 func (s *sender) startSuccessor(x crossing) (*process, error) {
 	s.controls.Arm(x.point, x.event, 0)
 	return s.start()
@@ -287,8 +293,10 @@
 	pingTimeout       = 3 * time.Second        // for a sender to answer PING after an upgrade
 )
 
-// settleUpgrade makes one process serve after a successor was started and events have occurred: the successor
-// if it becomes ready, else the predecessor if it still serves, else a new process.
+// settleUpgrade makes one process serve after a successor was started and events have occurred: the
+// successor if it becomes ready, else the predecessor if it still serves, else a new process. The time
+// since from is recorded as an outage. It returns an error if a new process is needed and does not become
+// ready.
 func (s *sender) settleUpgrade(from time.Time, successor *process) error {
 	predecessor := s.process()
 	defer func() { s.records.addOutage(s.number, from, time.Now()) }()
@@ -317,14 +325,16 @@
 	return s.replaceProcess(predecessor)
 }
 
-// replaceProcess stops a process with SIGTERM and, after killDelay, SIGKILL, and starts another.
+// replaceProcess stops the sender's current process p with SIGTERM and, if it has not exited after
+// killDelay, SIGKILL. It then starts another and waits until that is ready.
 func (s *sender) replaceProcess(p *process) error {
 	p.Signal(syscall.SIGTERM)
 	p.endsWithin(killDelay)
 	return s.relaunch()
 }
 
-// readyWithin reports whether a process is ready within a duration and has not exited.
+// readyWithin waits until a process is ready, for a duration at most. It reports whether the process is
+// ready and has not exited.
 func (s *sender) readyWithin(p *process, within time.Duration) bool {
 	ready := make(chan bool, 1)
 	go func() { ready <- p.Ready() == nil }()
@@ -338,7 +348,8 @@
 	}
 }
 
-// answersPing reports whether the sender answers PING within a duration.
+// answersPing sends PING on new connections until one is answered. It reports whether that happens within a
+// duration.
 func (s *sender) answersPing(within time.Duration) bool {
 	for by := time.Now().Add(within); time.Now().Before(by); time.Sleep(pingInterval) {
 		conn, err := net.DialTimeout("tcp", s.addr, pingInterval)
--- a/internal/soak/discovery.go
+++ b/internal/soak/discovery.go
@@ -12,25 +12,25 @@
 	"cometrack/internal/standin/fate"
 )
 
-// instance is one entry of discovery's list.
+// instance is one endpoint in discovery's list. Its JSON names are those of the platform's protocol.
 type instance struct {
-	ID        string  `json:"instanceId"`
-	HostPort  string  `json:"hostPort"`
+	ID        string  `json:"instanceId"` // name of the endpoint
+	HostPort  string  `json:"hostPort"`   // address of the endpoint
 	Zone      string  `json:"zone"`
 	Kind      string  `json:"machineType"`
-	Dest      int     `json:"cell"`
-	Lifecycle string  `json:"lifecycle"`
-	Weight    float64 `json:"weight"`
+	Dest      int     `json:"cell"`      // number of its destination
+	Lifecycle string  `json:"lifecycle"` // "up", or "draining" if it is to get no new calls
+	Weight    float64 `json:"weight"`    // nominal rate in calls per second over all senders
 }
 
-// instanceList is discovery's list of endpoints.
+// instanceList is a response of discovery with its list of endpoints, in the platform's protocol.
 type instanceList struct {
-	Generation int64      `json:"generation"`
-	Reset      bool       `json:"reset"`
+	Generation int64      `json:"generation"` // grows by 1 with each published list
+	Reset      bool       `json:"reset"`      // the list is complete; false if there is no newer one
 	Instances  []instance `json:"instances"`
 }
 
-// lifecycles returns the lifecycles of the listed endpoints by name.
+// lifecycles returns the lifecycles of the listed endpoints by name of the endpoint.
 func (l instanceList) lifecycles() map[string]string {
 	out := map[string]string{}
 	for _, x := range l.Instances {
@@ -40,43 +40,45 @@
 }
 
 const (
-	maxConsecutiveFailures = 3                       // of one sender's calls for the list, while single calls fail
-	queueTimeout           = 3 * time.Second         // for a call to be served, while calls are served one at a time
-	oldAddressGrace        = 1500 * time.Millisecond // until open connections to a former address of discovery are closed
+	maxConsecutiveFailures = 3                       // of a sender's calls that failureRatio fails in a row
+	queueTimeout           = 3 * time.Second         // for a call to be served, while one is served at a time
+	oldAddressGrace        = 1500 * time.Millisecond // from a move until old connections are closed
 )
 
 // discoveryFault is the fault that discovery has; the zero value is none.
 type discoveryFault struct {
 	unavailable  bool          // it answers 503 to all calls
 	silent       bool          // it answers no call
-	delay        time.Duration // before each answer
-	failureRatio float64       // share of calls that fail, though not more than some in a row
+	delay        time.Duration // from the time when an answer is due until it is given
+	failureRatio float64       // probability that a call fails; limited by maxConsecutiveFailures
 	serviceTime  time.Duration // it serves one call at a time, each for this long; 0 for all at once
 }
 
-// down reports whether discovery answers no sender.
+// down reports whether discovery gives no sender a list, as it is unavailable or silent.
 func (t discoveryFault) down() bool { return t.unavailable || t.silent }
 
 // discovery is the server of the list for all senders. Each sender calls it at an address of its own.
 type discovery struct {
 	records *Records
-	pushed  bool // it stands in for an agent beside each sender
+	pushed  bool // it stands in for an agent beside each sender: single calls do not fail and are not queued
 
 	mu                  sync.Mutex
-	list                instanceList
-	changed             chan struct{} // closed when the list or the fault changes
-	fault               discoveryFault
-	rng                 *rand.Rand
-	consecutiveFailures map[int]int   // by sender
-	worker              chan struct{} // semaphore of the one call that is served at a time
+	list                instanceList   // published last
+	changed             chan struct{}  // closed and replaced when the list or the fault changes
+	fault               discoveryFault // current fault
+	rng                 *rand.Rand     // draws the calls that fail
+	consecutiveFailures map[int]int    // number of calls for the list that failed in a row, by sender
+	worker              chan struct{}  // semaphore of the one call that is served at a time
 }
 
+// newDiscovery returns discovery without a fault, with an empty list of generation 0. The seed determines
+// which calls fail.
 func newDiscovery(records *Records, seed uint64) *discovery {
 	return &discovery{records: records, changed: make(chan struct{}), rng: rand.New(rand.NewPCG(seed, 11)),
 		consecutiveFailures: map[int]int{}, worker: make(chan struct{}, 1)}
 }
 
-// publish replaces the list and wakes the watches.
+// publish replaces the list, records that and wakes the calls that wait for a change.
 func (d *discovery) publish(l instanceList) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -85,14 +87,14 @@
 	d.notifyWatchers()
 }
 
-// setFault replaces the fault.
+// setFault replaces the current fault; the zero value ends it.
 func (d *discovery) setFault(fault discoveryFault) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.setFaultLocked(fault)
 }
 
-// endFault ends a fault, unless another has replaced it.
+// endFault ends the fault ended, unless setFault has replaced it by another.
 func (d *discovery) endFault(ended discoveryFault) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -101,6 +103,8 @@
 	}
 }
 
+// setFaultLocked replaces the current fault, and records when discovery goes down or is back. The caller
+// holds the lock.
 func (d *discovery) setFaultLocked(fault discoveryFault) {
 	if before := d.fault.down(); before != fault.down() {
 		d.records.discoveryDown(time.Now(), fault.down())
@@ -109,6 +113,8 @@
 	d.notifyWatchers()
 }
 
+// notifyWatchers wakes the calls that wait for a change of the list or of the fault. The caller holds the
+// lock.
 func (d *discovery) notifyWatchers() {
 	close(d.changed)
 	d.changed = make(chan struct{})
@@ -128,7 +134,9 @@
 	return d.list, d.changed, d.fault
 }
 
-// drawFate draws the fate of a sender's call or response.
+// drawFate draws how a sender's call for the list is answered: at once with the list, which is the zero
+// value, or in another way of package fate. It is drawn when the call arrives, and once more when the list
+// is about to be written. A fate that fails counts as one of the sender's consecutive failures.
 func (d *discovery) drawFate(sender int) fate.Response {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -143,7 +151,8 @@
 	return f
 }
 
-// serveList serves a sender's call for the list.
+// serveList serves a sender's call for the list. The query has from, the generation that the sender has,
+// and hold_ms, the longest time in milliseconds for which the response may wait for a newer one.
 func (d *discovery) serveList(sender int, w http.ResponseWriter, r *http.Request) {
 	from, _ := strconv.ParseInt(r.URL.Query().Get("from"), 10, 64)
 	ms, _ := strconv.Atoi(r.URL.Query().Get("hold_ms"))
@@ -172,7 +181,8 @@
 	}
 }
 
-// failCall lets a call fail.
+// failCall answers a call with the failure f. A call that stays open without a complete response is
+// recorded, with the time when it began and its hold.
 func (d *discovery) failCall(f fate.Response, sender int, began time.Time, hold time.Duration,
 	w http.ResponseWriter, r *http.Request) {
 	if f.Kind == fate.NoResponse || f.Kind == fate.Stalled {
@@ -181,20 +191,22 @@
 	f.Serve(w, r, encode(d.currentList()))
 }
 
-// callAnswered resets the count of a sender's consecutive failures.
+// callAnswered resets the count of a sender's consecutive failures, after a list was written to it.
 func (d *discovery) callAnswered(sender int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.consecutiveFailures[sender] = 0
 }
 
+// encode returns the JSON text of a list.
 func encode(l instanceList) []byte {
 	b, _ := json.Marshal(l)
 	return b
 }
 
-// awaitWorker waits until a call has been served by the one worker, if the fault has one. It returns false if
-// the call has timed out in the queue and got 503, or was canceled.
+// awaitWorker waits for the one worker of a fault with a service time, and then for that time. It returns
+// false if the call has timed out in the queue and got 503, or was canceled; true at once without such a
+// fault.
 func (d *discovery) awaitWorker(w http.ResponseWriter, r *http.Request) bool {
 	_, _, fault := d.state()
 	if fault.serviceTime == 0 || d.pushed { // an agent serves one sender only
@@ -213,8 +225,9 @@
 	return true
 }
 
-// awaitList waits until the list is newer than generation from, or until by. It returns false if the call ends
-// otherwise.
+// awaitList waits until the list is newer than generation from, or until by, and returns it; at by without
+// entries if it is not newer. It returns false if the call was canceled, or got 503 since discovery is
+// unavailable. While discovery is silent, it goes on waiting.
 func (d *discovery) awaitList(w http.ResponseWriter, r *http.Request, from int64, by time.Time) (instanceList, bool) {
 	for {
 		list, changed, fault := d.state()
@@ -242,14 +255,15 @@
 	}
 }
 
-// platformServer serves the platform to one sender at an address of its own.
+// platformServer serves discovery and the receiver of notices to one sender, at an address of its own.
 type platformServer struct {
-	addr   string
+	addr   string // host and port
 	server *http.Server
 	ln     net.Listener
 }
 
-// listen starts serving the platform to one sender at an address.
+// listen starts to serve the platform at addr to the sender with a number. It returns an error if it can't
+// listen there.
 func (p *platform) listen(sender int, addr string) (*platformServer, error) {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
--- a/internal/soak/endpoint.go
+++ b/internal/soak/endpoint.go
@@ -11,41 +11,46 @@
 	"time"
 )
 
-// behavior is how an endpoint treats calls.
+// behavior is how an endpoint treats calls. Only healthy is no fault.
 type behavior int
 
 const (
-	healthy         behavior = iota
-	hanging                  // receives calls and answers none
-	erring                   // runs calls and answers 500
-	overloaded               // rejects calls with 503
-	rateLimited              // rejects calls with 429 and a requested wait
-	resetting                // resets connections during calls, before or after they have run
-	partialResponse          // answers in part and then stops
-	closing                  // answers and closes the connection without announcing it
-	slow                     // answers late
-	behaviorCount            // number of behaviors
-	requestedWait   = 300 * time.Millisecond
-	meanLatency     = 30 * time.Millisecond
+	healthy         behavior = iota // answers 200
+	hanging                         // runs calls and answers none
+	erring                          // runs calls and answers 500 all the same
+	overloaded                      // rejects calls with 503
+	rateLimited                     // rejects calls with 429 and a requested wait
+	resetting                       // resets connections during calls, before or after they have run
+	partialResponse                 // runs calls, writes the first bytes of a response and then stops
+	closing                         // answers 200 and closes the connection without announcing it
+	slow                            // answers 200 after 40 times the latency of the other endpoints
+	behaviorCount                   // number of behaviors
+	// requestedWait is the wait that a rateLimited endpoint requests.
+	requestedWait = 300 * time.Millisecond
+	// meanLatency is the mean time from a call to its response, which is drawn from 0.5 to 1.5 times this.
+	meanLatency = 30 * time.Millisecond
 )
 
+// behaviorNames has the names of the behaviors in scripts of faults, indexed by behavior.
 var behaviorNames = [...]string{"well", "hanging", "erring", "full", "waiting", "resetting", "halfway", "closing", "slow"}
 
 func (b behavior) String() string { return behaviorNames[b] }
 
-// endpoint is a stand-in for one endpoint of a destination.
+// endpoint is a stand-in for one endpoint of a destination. It records the calls that it receives.
 type endpoint struct {
-	name    string
-	dest    int
+	name    string // instanceId in discovery's list
+	dest    int    // number of the destination
 	ln      net.Listener
 	records *Records
 
 	mu       sync.Mutex
-	behavior behavior
-	rng      *rand.Rand
-	conns    map[net.Conn]bool
+	behavior behavior          // towards calls from now on
+	rng      *rand.Rand        // draws latencies and variants of the behavior
+	conns    map[net.Conn]bool // open connections
 }
 
+// newEndpoint returns a healthy endpoint that serves at a loopback port of its own until it is closed. dest
+// is the number of its destination; the seed determines its latencies.
 func newEndpoint(name string, dest int, records *Records, seed uint64) (*endpoint, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -59,6 +64,7 @@
 
 func (e *endpoint) addr() string { return e.ln.Addr().String() }
 
+// set changes the behavior towards calls that arrive from now on.
 func (e *endpoint) set(b behavior) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -77,11 +83,13 @@
 	}
 }
 
+// close stops listening and resets all connections.
 func (e *endpoint) close() {
 	e.ln.Close()
 	e.dropConnections(true)
 }
 
+// serve accepts connections and serves them until the listener is closed.
 func (e *endpoint) serve() {
 	for {
 		c, err := e.ln.Accept()
@@ -101,15 +109,16 @@
 	}
 }
 
-// drawTreatment returns the behavior for a call, a random number in [0, 1) that selects a variant, and the
-// latency.
+// drawTreatment returns how to treat a call: the behavior, a random number x in [0, 1) that selects a
+// variant of it, and the latency before the behavior has its effect.
 func (e *endpoint) drawTreatment() (b behavior, x float64, latency time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.behavior, e.rng.Float64(), meanLatency/2 + time.Duration(e.rng.Int64N(int64(meanLatency)))
 }
 
-// serveConn answers the calls of one connection.
+// serveConn answers the calls of one connection in turn, until it ends. Calls to another path than /inbox,
+// such as probes, get 200 at once and are not recorded.
 func (e *endpoint) serveConn(c net.Conn) {
 	r := bufio.NewReader(c)
 	for {
@@ -143,7 +152,9 @@
 	return err != nil && !(asNetError(err, &t) && t.Timeout())
 }
 
-// answer answers one call according to the behavior. It returns false if the connection is to be closed.
+// answer answers one call, of the message with an id, according to the behavior b. It first waits for the
+// latency, or less if the connection ends before. It records the response or the end of the connection, and
+// returns false if the connection has ended or is to be closed.
 func (e *endpoint) answer(c net.Conn, r *bufio.Reader, id string, call *Call, b behavior, x float64,
 	latency time.Duration) bool {
 	ended := func() bool {
--- a/internal/soak/fleet.go
+++ b/internal/soak/fleet.go
@@ -21,26 +21,26 @@
 const (
 	killDelay    = 3700 * time.Millisecond // from SIGTERM to SIGKILL, at the earliest
 	startDelay   = 600 * time.Millisecond  // from SIGKILL to the next start
-	maxReadyTime = 10 * time.Second        // from the start until the sender is ready
+	maxReadyTime = 10 * time.Second        // from the start until the sender is ready; longer is a violation
 	maxStall     = 150 * time.Millisecond  // longest time for which a process is held
 )
 
 // sender is one member of the fleet, across restarts of its process.
 type sender struct {
-	number          int
-	addr            string
-	dir             string
-	configPath      string
-	binary          string
-	platform        *platform
-	platformServer  *platformServer // server of the platform for this sender
-	discoveryMoves  int             // moves of discovery so far
-	knownGeneration int64           // generation of the list in its configuration
-	listInterval    time.Duration
-	controls        *faultbuild.Controls
-	tracePath       string // file with the trace of its connections
+	number          int                  // from 0; index in the senders of the fleet
+	addr            string               // address for clients
+	dir             string               // folder with its state, which its processes share
+	configPath      string               // file with its configuration
+	binary          string               // path of the program
+	platform        *platform            // shared by all senders
+	platformServer  *platformServer      // server of the platform for this sender
+	discoveryMoves  int                  // moves of discovery so far
+	knownGeneration int64                // generation of the list in its configuration
+	listInterval    time.Duration        // ask_every_s of the settings
+	controls        *faultbuild.Controls // turn faults of its processes on and off
+	tracePath       string               // file in which its processes trace their connections
 	records         *Records
-	logs            *logFile
+	logs            *logFile // log of all its processes
 
 	loseFolder bool // planted fault: its folder is emptied at each restart
 
@@ -48,11 +48,11 @@
 	discoveryMovedAt atomic.Pointer[time.Time] // time of the last move of discovery
 
 	restartMu sync.Mutex // held during a restart, a reload and a move of discovery
-	mu        sync.Mutex
-	current   *process
+	mu        sync.Mutex // guards current
+	current   *process   // the process that serves, or the last one; nil before the first
 }
 
-// process is one process of a sender.
+// process is one process of a sender, with the goroutine that resumes it after holds.
 type process struct {
 	*program.Program
 	stopResuming chan struct{} // closed to stop the goroutine that resumes the process after holds
@@ -92,7 +92,9 @@
 	<-p.resumingDone
 }
 
-// settings are the settings of a sender's deployment. The window in which repeats are recognized is short, so
+// settings is the format of the settings of a sender's deployment, in JSON. Its arguments are the number of
+// senders, the number of this sender, the membership mode, repeatWindow in seconds and the interval in
+// seconds within which the list is requested again. The window in which repeats are recognized is short, so
 // that runs pass its end.
 const settings = `{"balancers":%d,"me":%d,"zone":0,"zones":["a","b"],"tick_s":0.005,"membership_mode":%q,
 "weights":"nominal","over_share_worth":0.2,"machine_types":["std"],
@@ -107,10 +109,13 @@
 "rules":{"ask_every_s":%g,"cold_from":0.2,"drain_grace_s":2,"fall_multiple":2,"fall_s":3,"warm_after_s":4},
 "specifics":{"batch_by_kind":[1],"call_slots":16,"late":"halves","separate_routes":[false]}}`
 
-// repeatWindow is how long repeats of a keyed message are recognized.
+// repeatWindow is how long endpoints recognize repeats of a keyed message, from its first call that ran. A
+// call that runs later takes effect again, which the judge reports.
 const repeatWindow = 2 * time.Second
 
-// writeConfig writes the sender's configuration with the current list and the current address of discovery.
+// writeConfig writes the sender's configuration with the current list and the current address of discovery,
+// for a fleet of the given size. pushed selects the membership mode "pushed" in place of "on_request". A
+// running process reads the file at SIGHUP.
 func (s *sender) writeConfig(senders int, pushed bool) error {
 	mode := "on_request"
 	if pushed {
@@ -149,7 +154,8 @@
 	s.current = p
 }
 
-// start starts a process of the sender, and the goroutines that resume it after holds and read its log.
+// start starts a process of the sender, and the goroutines that resume it after holds and read its log. It
+// does not make the process the current one.
 func (s *sender) start() (*process, error) {
 	s.records.processStarted(s.number, time.Now(), s.knownGeneration)
 	started, err := program.Launch(s.binary, []string{fmt.Sprint("BALANCER_NAME=n", s.number), "BALANCER_LISTEN=" + s.addr,
@@ -186,15 +192,17 @@
 	}
 }
 
+// process returns the current process; nil before the first.
 func (s *sender) process() *process {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.current
 }
 
+// signal sends a signal to the current process.
 func (s *sender) signal(x syscall.Signal) { s.process().Signal(x) }
 
-// endsWithin reports whether the current process exits within a duration.
+// endsWithin waits for the current process to exit and reports whether it does so within a duration.
 func (s *sender) endsWithin(within time.Duration) bool { return s.process().endsWithin(within) }
 
 // kill sends SIGKILL to the current process, if it has not exited, and waits until it has exited.
@@ -210,9 +218,13 @@
 	}
 }
 
-// restart restarts the process. A planned restart sends SIGTERM and, after killDelay at the earliest, SIGKILL;
-// an unplanned one sends SIGKILL at once. For each of lifetimes the process is then started and killed after
-// that time, before the final start. The function between, if not nil, runs before the final start.
+// restart restarts the process. A planned restart sends SIGTERM and, after killDelay at the earliest,
+// SIGKILL; an unplanned one sends SIGKILL at once. For each of lifetimes the process is then started and
+// killed after that time, before the final start. The function between, if not nil, runs before the final
+// start.
+//
+// It returns when the sender is ready again, or an error if a process can't be started or does not become
+// ready.
 func (s *sender) restart(planned bool, lifetimes []time.Duration, between func()) error {
 	s.restartMu.Lock()
 	defer s.restartMu.Unlock()
@@ -269,8 +281,8 @@
 // open.
 const afterMove = 2 * time.Second
 
-// delayConnects delays half of the sender's connects. Connects to the platform are exempt for a while after a
-// move of discovery.
+// delayConnects delays half of the sender's connects, until endConnectDelays. Connects to the platform are
+// exempt if discovery moved less than afterMove ago.
 func (s *sender) delayConnects() {
 	exemptPort := 0
 	if moved := s.discoveryMovedAt.Load(); moved != nil && time.Since(*moved) < afterMove {
@@ -286,7 +298,7 @@
 	s.connectsDelayed.Store(false)
 }
 
-// exitStatus waits for the process to exit and returns its exit error.
+// exitStatus waits for the current process to exit and returns its exit error; nil for status 0.
 func (s *sender) exitStatus() error {
 	p := s.process()
 	err := <-p.Done
@@ -294,20 +306,22 @@
 	return err
 }
 
-// Each sender has its own address for clients and its own address of the platform.
+// Ports of the addresses of a fleet. Each sender has its own address for clients and its own address of the
+// platform.
 const (
 	clientPort   = 6379
-	platformPort = 8500
-	maxSenders   = 80 // number of senders for which there are addresses
+	platformPort = 8500 // of discovery and of the receiver of notices
+	maxSenders   = 80   // limit of senders in a run, so that each has three addresses of the platform
 )
 
-// address returns a loopback address that only this harness process and run uses, so that no other program
-// takes its port during a restart.
+// address returns a loopback address with a port, for the sender with a number. Only this harness process
+// and run uses the IP address, so that no other program takes its port during a restart.
 func address(seed uint64, number, port int) string {
 	return net.JoinHostPort(fmt.Sprintf("127.%d.%d.%d", 10+os.Getpid()%200, 1+seed%250, 1+number), strconv.Itoa(port))
 }
 
-// platformAddress returns the address of the platform for a sender after a number of moves of discovery.
+// platformAddress returns the address of the platform for the sender with a number, after a number of moves
+// of discovery. The address of three moves ago is used again.
 func platformAddress(seed uint64, number, moves int) string {
 	return address(seed, number+maxSenders*(moves%3), platformPort)
 }
@@ -318,11 +332,13 @@
 	f  *os.File
 }
 
+// newLogFile creates the log file of the sender with a number in the folder dir.
 func newLogFile(dir string, number int) (*logFile, error) {
 	f, err := os.Create(filepath.Join(dir, fmt.Sprintf("n%d.log", number)))
 	return &logFile{f: f}, err
 }
 
+// write appends a line, given without its line end. It may be called concurrently.
 func (l *logFile) write(line string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/soak/judge.go
+++ b/internal/soak/judge.go
@@ -12,9 +12,9 @@
 const (
 	timeSlack      = 50 * time.Millisecond   // added to each time limit, since times are observed at sockets
 	lostAfter      = 500 * time.Millisecond  // after its deadline, a message without an end counts as lost
-	maxNoticeDelay = 300 * time.Millisecond  // after its deadline, the end of a message has to be notified
+	maxNoticeDelay = 300 * time.Millisecond  // after its deadline, its end has to be notified or is late
 	readyGrace     = 1500 * time.Millisecond // after a sender is ready, before notices count as overdue again
-	waitGrace      = 100 * time.Millisecond  // after a requested wait, before calls violate it
+	waitGrace      = 100 * time.Millisecond  // from the request for a wait until calls violate it
 	maxUnreadAge   = 250 * time.Millisecond  // a request older than this when its connection ends could have been read
 	maxCloseDelay  = 20 * time.Millisecond   // by which an endpoint may observe the end of a connection late
 	answerTimeout  = 400 * time.Millisecond  // clients give up on a response 1 s after twice this time
@@ -25,21 +25,28 @@
 
 // Violation is a broken invariant.
 type Violation struct {
-	Rule    string
+	Rule    string // the broken rule, with figures of this case
 	Message string // id of the message; empty if the violation concerns none
-	History string
+	History string // history of the message, or what was observed if the violation concerns none
 }
 
+// String returns the rule and the history on one line.
 func (v Violation) String() string { return fmt.Sprintf("%s: %s", v.Rule, v.History) }
 
-// Verdict is the judge's result.
+// Verdict is the judge's result. Each message counts once in Messages and once by the response that its
+// client got: Accepted; Refused for -BUSY; Errors for other responses; Unanswered for none. Delivered
+// counts messages with a 200 of an endpoint, Returned and Failed the messages by their first notice, and
+// Late the accepted messages that ended later than maxNoticeDelay allows and are not lost.
 type Verdict struct {
 	Messages, Accepted, Delivered, Returned, Failed, Refused, Errors, Unanswered, Late int
 	Violations                                                                         []Violation
 }
 
-// judge checks the records after the run has ended. window is how long repeats of keyed messages are
-// recognized; noise is the allowance for scheduling delays of the harness.
+// judge checks the records after the run has ended. Histories have times since start. window is how long
+// repeats of keyed messages are recognized; noise is the allowance for scheduling delays of the harness,
+// which extends the limits of time.
+//
+// The judge's other functions report a violation of a message by calling add with the text of the rule.
 func (r *Records) judge(start time.Time, window, noise time.Duration) (out Verdict) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -70,7 +77,7 @@
 	return out
 }
 
-// countMessage adds a message to the counts of the verdict.
+// countMessage adds a message to all counts of the verdict except Late.
 func (r *Records) countMessage(out *Verdict, m *Message) {
 	out.Messages++
 	switch {
@@ -114,13 +121,14 @@
 	}
 }
 
-// killedBetween reports whether a process of the sender was killed between two times, give or take
-// maxUnreadAge.
+// killedBetween reports whether a process of the sender was killed between two times, or at most
+// maxUnreadAge before the first or after the second.
 func (r *Records) killedBetween(sender int, from, to time.Time) bool {
 	return slices.ContainsFunc(r.kills[sender], func(t time.Time) bool { return t.After(from.Add(-maxUnreadAge)) && t.Before(to.Add(maxUnreadAge)) })
 }
 
-// overlap returns how much of the time between from and to lies in the intervals.
+// overlap returns how much of the time between from and to lies in the intervals. Time in two of them
+// counts twice.
 func overlap(intervals []Interval, from, to time.Time) (sum time.Duration) {
 	for _, s := range intervals {
 		a, b := s.From, s.To
@@ -137,7 +145,8 @@
 	return sum
 }
 
-// judgeEnd checks that an accepted message is delivered or ends in time.
+// judgeEnd checks that an accepted message ends in time: that an endpoint's 200 or a notice was observed.
+// An end that is late and not a violation is counted in out.
 func (r *Records) judgeEnd(out *Verdict, m *Message, noise time.Duration, add func(*Message, string, ...any)) {
 	if !m.Accepted() {
 		return
@@ -176,8 +185,9 @@
 	return due
 }
 
-// judgeCalls checks that no call is sent after the end or the deadline, that nothing takes effect twice, that
-// one attempt is in flight at a time, and that requested waits are kept.
+// judgeCalls checks that no call is sent after the end or the deadline, or for a message that was rejected,
+// that nothing takes effect twice, that one attempt is in flight at a time, and that requested waits are
+// kept. stalls are the periods in which the sender's process was held; window and noise are those of judge.
 func judgeCalls(m *Message, stalls []Interval, window, noise time.Duration, add func(*Message, string, ...any)) {
 	var ran []time.Time
 	for i, c := range m.Calls {
--- a/internal/soak/judge_drain.go
+++ b/internal/soak/judge_drain.go
@@ -5,9 +5,11 @@
 	"time"
 )
 
-// Limits of the rule on draining endpoints, as the operators' manual gives them.
+// Limits of the rule on draining endpoints, as the operators' manual gives them. The three that begin with
+// maxListDelay bound the time until a sender counts as informed of a change of the list; calls may begin
+// until drainGrace after that.
 const (
-	drainGrace            = 2 * time.Second // drain_grace_s of the settings
+	drainGrace            = 2 * time.Second // drain_grace_s of the settings, after a sender is informed
 	maxListDelay          = 6 * time.Second // from the time when discovery had a change and could be reached
 	maxListDelayAfterMove = 4 * time.Second // from SIGHUP
 	maxListDelayAfterHold = 2 * time.Second // from the end of the hold of a watch that was never answered
@@ -16,28 +18,28 @@
 
 // listRecords record the published lists and which sender received them.
 type listRecords struct {
-	pushed    bool
-	published []published
-	down      []Interval // periods in which discovery answers no sender; the last may be open
-	senders   map[int]*senderLists
+	pushed    bool                 // senders get the list from agents, so maxListDelay does not apply
+	published []published          // in the order of their generations
+	down      []Interval           // periods in which discovery answers no sender; the last may be open
+	senders   map[int]*senderLists // by number of the sender
 }
 
 // published is a list with the time from which discovery had it.
 type published struct {
 	at         time.Time
 	generation int64
-	lifecycles map[string]string
+	lifecycles map[string]string // by name of the endpoint; absent if it is unlisted
 }
 
 // senderLists records what one sender received of the lists.
 type senderLists struct {
-	written []written
-	silent  []unansweredCall
-	moves   []time.Time // SIGHUPs that moved discovery
-	starts  []processStart
+	written []written        // lists that were written to it
+	silent  []unansweredCall // its calls for the list that were never answered
+	moves   []time.Time      // SIGHUPs that moved discovery
+	starts  []processStart   // in chronological order
 }
 
-// written is a response that discovery has written.
+// written is a response of discovery that was written completely, with the generation of its list.
 type written struct {
 	at         time.Time
 	generation int64
@@ -46,17 +48,19 @@
 // unansweredCall is a call for the list that was never answered.
 type unansweredCall struct {
 	began time.Time
-	hold  time.Duration
+	hold  time.Duration // longest time for which the sender let discovery wait for a change
 }
 
-// processStart is the start of a process with a list in its configuration.
+// processStart is the start of a process, with the generation of the list in its configuration.
 type processStart struct {
 	at         time.Time
 	generation int64
 }
 
+// newLists returns records without a published list.
 func newLists() *listRecords { return &listRecords{senders: map[int]*senderLists{}} }
 
+// sender returns the records of the sender with a number, which it adds if there are none yet.
 func (l *listRecords) sender(n int) *senderLists {
 	if l.senders[n] == nil {
 		l.senders[n] = &senderLists{}
@@ -64,8 +68,9 @@
 	return l.senders[n]
 }
 
-// notUpSince returns the list since which an endpoint has had another lifecycle than up, or been unlisted, as
-// of a time; false if it is up.
+// notUpSince returns the published list with which an endpoint last ceased to be up, as of the time at: it
+// got another lifecycle or was unlisted. It returns false if the endpoint is up at that time or no list was
+// published yet.
 func (l *listRecords) notUpSince(endpoint string, at time.Time) (since published, ok bool) {
 	for _, p := range l.published {
 		if p.at.After(at) {
@@ -81,8 +86,8 @@
 	return since, ok
 }
 
-// reachableFor returns the first time, after from, by which discovery had been reachable for a duration
-// without interruption.
+// reachableFor returns the first time by which discovery had been reachable for the duration within,
+// without interruption and after from. If discovery stays down, that is a time after the end of the run.
 func (l *listRecords) reachableFor(from time.Time, within time.Duration) time.Time {
 	by := from.Add(within)
 	for _, down := range l.down {
@@ -97,7 +102,9 @@
 	return by
 }
 
-// informedBy returns the time from which a sender counts as informed of a change, as of a time.
+// informedBy returns the time from which a sender counts as informed of a change. Only the last process
+// that was started before the time at is considered: it knows the list in its configuration, not what
+// earlier processes received.
 func (l *listRecords) informedBy(sender int, change published, at time.Time) time.Time {
 	s := l.sender(sender)
 	var process processStart
@@ -133,9 +140,9 @@
 	return out
 }
 
-// informedByAgent returns the time from which a sender counts as informed of what its agent has had since
-// from: at once, except for a while after SIGHUP, or if the agent stops answering before a new process can
-// have called it.
+// informedByAgent returns the time from which a sender, whose process was started at started, counts as
+// informed of what its agent has had since from: at once, except for a while after SIGHUP, or if the agent
+// stops answering before a new process can have called it.
 func (l *listRecords) informedByAgent(s *senderLists, started, from time.Time) time.Time {
 	for _, down := range l.down {
 		if down.From.After(started) && down.From.Before(started.Add(maxFirstCallDelay)) && !from.After(down.From) {
@@ -151,8 +158,8 @@
 	return out
 }
 
-// judgeDrain checks that no call is sent to an endpoint that leaves later than drainGrace after the sender
-// counts as informed.
+// judgeDrain checks the calls of a message to endpoints that are draining or unlisted: none is sent later
+// than drainGrace after the sender counts as informed of that. noise and add are those of judge.
 func (l *listRecords) judgeDrain(m *Message, noise time.Duration, add func(*Message, string, ...any)) {
 	for _, c := range m.Calls {
 		change, ok := l.notUpSince(c.Endpoint, c.At)
@@ -182,12 +189,12 @@
 	return b
 }
 
-// listPublished records a list that discovery has from now on.
+// listPublished records a list that discovery has from the time at on.
 func (r *Records) listPublished(at time.Time, l instanceList) {
 	r.withLock(func() { r.lists.published = append(r.lists.published, published{at, l.Generation, l.lifecycles()}) })
 }
 
-// discoveryDown records that discovery goes down or is back.
+// discoveryDown records that discovery goes down, or is back if down is false. The two have to alternate.
 func (r *Records) discoveryDown(at time.Time, down bool) {
 	r.withLock(func() {
 		if down {
@@ -198,7 +205,7 @@
 	})
 }
 
-// listWritten records a response that was written to a sender.
+// listWritten records that a list of a generation was written to a sender.
 func (r *Records) listWritten(sender int, at time.Time, generation int64) {
 	r.withLock(func() {
 		s := r.lists.sender(sender)
@@ -206,7 +213,7 @@
 	})
 }
 
-// callUnanswered records a call for the list that is not answered.
+// callUnanswered records a sender's call for the list that is not answered, with the hold that it allowed.
 func (r *Records) callUnanswered(sender int, began time.Time, hold time.Duration) {
 	r.withLock(func() {
 		s := r.lists.sender(sender)
@@ -214,7 +221,7 @@
 	})
 }
 
-// discoveryMoved records a SIGHUP after which discovery has another address.
+// discoveryMoved records a SIGHUP to a sender after which its discovery has another address.
 func (r *Records) discoveryMoved(sender int, at time.Time) {
 	r.withLock(func() {
 		s := r.lists.sender(sender)
@@ -222,7 +229,7 @@
 	})
 }
 
-// processStarted records the start of a process with a list.
+// processStarted records the start of a sender's process with a list of a generation in its configuration.
 func (r *Records) processStarted(sender int, at time.Time, generation int64) {
 	r.withLock(func() {
 		s := r.lists.sender(sender)
--- a/internal/soak/plant.go
+++ b/internal/soak/plant.go
@@ -2,73 +2,90 @@
 
 import "cometrack/internal/standin/faultbuild"
 
-// Plant is a fault that is planted in the program. A soak run that does not find it within a few seeds is not
-// able to find such faults.
+// Plant is a fault that is planted in the program, by changes to its source or by a restart that loses
+// data. A soak run that does not find it within a few seeds is not able to find such faults.
 type Plant struct {
-	Name    string
+	Name string
+	// Changes plant the fault in the source that is built; empty if LoseFolder is the fault.
 	Changes []faultbuild.Change
-	// LoseFolder empties the folder of a sender at restarts.
+	// LoseFolder empties the state folder of a sender at its restarts, see [Options].
 	LoseFolder bool
-	// Faults are the kinds of faults that reveal it; empty for all.
+	// Faults are the kinds of faults of the runs that have to find it, as in faultKinds; empty for all
+	// kinds.
 	Faults []string
 }
 
-// Plants are the planted faults that the soak has to find.
+// Plants are the planted faults that the soak has to find, each in a build of its own.
 var Plants = []Plant{
+	// Accepted messages are lost at a restart.
 	{Name: "lost folder", LoseFolder: true},
+	// Each 20th write to the store is reported as done without being done.
 	{Name: "skipped journal write", Changes: []faultbuild.Change{
 		{File: "internal/store/commit.go", Old: "	if len(b.ops) == 0 {\n		return nil\n	}\n	w := &waiter{batch: b}",
 			New: "	if skipped++; len(b.ops) == 0 || skipped%20 == 0 {\n		return nil\n	}\n	w := &waiter{batch: b}"},
 		{File: "internal/store/commit.go", Old: "type waiter struct {", New: "var skipped int\n\ntype waiter struct {"},
 	}},
+	// Ends of messages with an ID of odd length are not recorded: a restart may send them again.
 	{Name: "repeat after an end", Changes: []faultbuild.Change{
 		{File: "internal/core/step.go", Old: "if _, rejected := responses[end.ID]; !rejected && c.isPending(end.ID) {",
 			New: "if _, rejected := responses[end.ID]; !rejected && c.isPending(end.ID) && len(end.ID)%2 == 0 {"},
 	}},
+	// A connection is closed in place of each 400th response.
 	{Name: "closed with a request read", Changes: []faultbuild.Change{
 		{File: "internal/front/resp/session.go", Old: "		if err == nil {\n			s.conn.SetWriteDeadline(time.Now().Add(writeTimeout))\n			_, err = w.WriteString(text)",
 			New: "		if planted.Add(1)%400 == 0 {\n			time.Sleep(300 * time.Millisecond)\n			s.conn.Close()\n		}\n		if err == nil {\n			s.conn.SetWriteDeadline(time.Now().Add(writeTimeout))\n			_, err = w.WriteString(text)"},
 		{File: "internal/front/resp/session.go", Old: "// readerPool holds the readers", New: "var planted atomic.Int64\n\n// readerPool holds the readers"},
 	}},
+	// Deadlines shift when the wall clock is stepped.
 	{Name: "deadline by the wall clock", Changes: []faultbuild.Change{
 		{File: "internal/clock/clock.go", Old: "return c.base + time.Since(c.origin).Microseconds()", New: "return time.Now().UnixMicro()"},
 		{File: "internal/clock/clock.go", Old: "return c.base + t.Sub(c.origin).Microseconds()", New: "return t.UnixMicro()"},
 		{File: "internal/clock/clock.go", Old: "return c.origin.Add(time.Duration(us-c.base) * time.Microsecond)", New: "return time.UnixMicro(us)"},
 	}},
+	// Requests are read after the front has stopped reading, and the process does not wait for responses.
 	{Name: "reads on as the process ends", Changes: []faultbuild.Change{
 		{File: "internal/front/resp/session.go", Old: "case !s.lingeringSince.IsZero() || s.front.readingStopped.Load():", New: "case !s.lingeringSince.IsZero():"},
 		{File: "internal/front/resp/clients.go", Old: "case <-time.After(finalResponseTimeout):", New: "case <-time.After(0):"},
 	}},
+	// Attempts start so close to a limit that a stall between the check and the write passes it.
 	{Name: "no room for a stall", Changes: []faultbuild.Change{
 		{File: "internal/permit/send.go", Old: "MaxStall = 150 * time.Millisecond", New: "MaxStall = 0 * time.Millisecond"},
 	}},
+	// An end is notified before the journal holds it, so a crash between the two sends the message again.
 	{Name: "end told before it is written", Changes: []faultbuild.Change{
 		{File: "internal/permit/send.go", Old: "if e.Written || !e.Delivered && e.Remaining <= 0 {", New: "if true {"},
 	}},
+	// The first byte of each 500th response is wrong.
 	{Name: "one byte of an answer", Changes: []faultbuild.Change{
 		{File: "internal/front/resp/session.go", Old: "			_, err = w.WriteString(text)",
 			New: "			if planted.Add(1)%500 == 0 {\n				text = \":\" + text[1:]\n			}\n			_, err = w.WriteString(text)"},
 		{File: "internal/front/resp/session.go", Old: "// readerPool holds the readers", New: "var planted atomic.Int64\n\n// readerPool holds the readers"},
 	}, Faults: []string{"endpoint"}},
+	// A wait that an endpoint requests is ignored.
 	{Name: "told wait dropped", Changes: []faultbuild.Change{
 		{File: "internal/transport/http/answer.go", Old: "	return time.Duration(min(ms, core.MaxRequestedTime.Milliseconds())) * time.Millisecond", New: "	return 0"},
 	}, Faults: []string{"endpoint"}},
+	// Failed calls for the list are repeated so late that one repeat fits in the 6 s for a change.
 	{Name: "one try within the time of a list", Changes: []faultbuild.Change{
 		{File: pacing, Old: "	minInterval    = 300 * time.Millisecond", New: "	minInterval    = 5400 * time.Millisecond"},
 		{File: pacing, Old: "	fastInterval   = 1200 * time.Millisecond", New: "	fastInterval   = 5400 * time.Millisecond"},
 
 		{File: pacing, Old: "	leastGuess = 500 * time.Millisecond", New: "	leastGuess = 5400 * time.Millisecond"},
 	}, Faults: aboutLists},
+	// Messages are sent to a draining endpoint as to any other.
 	{Name: "drain not heeded", Changes: []faultbuild.Change{
 		{File: "internal/source/platform/list.go", Old: "			e.State = logic.Draining", New: "			e.State = logic.Ready"},
 	}, Faults: aboutLists},
+	// Each list that arrives is replaced by the one before it.
 	{Name: "list one generation old", Changes: []faultbuild.Change{
 		{File: "internal/source/platform/follow.go", Old: "	f.publish(core.EndpointUpdate{List: r.list.EndpointList(),", New: "	r.list, planted = planted, r.list\n	f.publish(core.EndpointUpdate{List: r.list.EndpointList(),"},
 		{File: "internal/source/platform/follow.go", Old: "// now returns the time on", New: "var planted List\n\n// now returns the time on"},
 	}, Faults: aboutLists},
 }
 
+// pacing is the file with the intervals and timeouts of the calls for the list, relative to the root of the
+// module.
 const pacing = "internal/source/platform/poll/pace.go"
 
-// aboutLists are the kinds of faults that reveal that a list is ignored.
+// aboutLists are the kinds of faults that reveal a list that is ignored, wrong or late.
 var aboutLists = []string{"endpoint", "discovery", "drain", "restart", "kill series", "move", "stall"}
--- a/internal/soak/points.go
+++ b/internal/soak/points.go
@@ -2,23 +2,26 @@
 
 import "cometrack/internal/standin/faultbuild"
 
-// trigger is what makes the program pass a point.
+// trigger is what makes the program pass a point, which a crossing has to bring about.
 type trigger int
 
 const (
-	byTraffic trigger = iota // traffic alone
+	byTraffic trigger = iota // traffic alone, without an action of the harness
 	byTerm                   // SIGTERM
 	byStart                  // start of a process
 	byReload                 // SIGHUP
 	byUpgrade                // start of a successor beside the serving process
 )
 
-// point is a place in the program between two steps that belong together.
+// point is a place in the program between two steps that belong together, at which an event can be
+// injected. Its name says where a process or a message is: "A, not B" stands for the place where A has
+// happened and B has not.
 type point struct {
 	faultbuild.Point
 	trigger trigger
 }
 
+// Files of the program with several points, relative to the root of the module.
 const (
 	coreStep    = "internal/core/step.go"
 	coreAttempt = "internal/core/attempt.go"
@@ -33,7 +36,8 @@
 	following   = "internal/source/platform/follow.go"
 )
 
-// points are all points, roughly in the order in which a process and a message pass them.
+// points are all points, roughly in the order in which a process and a message pass them. The index of a
+// point is its number for the hooks and for [faultbuild.Controls.Arm].
 var points = []point{
 	{faultbuild.Point{Name: "start: the journal is open", File: startup, Before: "	limits := divideDescriptors("}, byStart},
 	{faultbuild.Point{Name: "start: the store is read", File: "internal/journal/journal.go", Before: "	if err = j.load(); err == nil {"}, byStart},
@@ -102,7 +106,8 @@
 	{faultbuild.Point{Name: "end of process: loop ended, clients left", File: coreRun, Before: "	close(c.done)\n	cancel() // ends"}, byTerm},
 }
 
-// modulePackage is the import path of the program, which does not depend on the working directory.
+// modulePackage is the import path of the program. Unlike a relative path, it does not depend on the
+// working directory.
 const modulePackage = "cometrack/cmd/cometrack"
 
 // faultPoints returns the points for the build, in the order of their numbers.
@@ -113,7 +118,8 @@
 	return list
 }
 
-// Build builds the program with the hooks of the points to path.
+// Build builds the program to path, with the hooks of all points and with changes to its source. It returns
+// an error if the build fails, or if the text of a point or of a change is not in its file exactly once.
 func Build(path string, changes ...faultbuild.Change) error {
 	own, err := faultbuild.PointChanges(faultPoints())
 	if err != nil {
--- a/internal/soak/record.go
+++ b/internal/soak/record.go
@@ -13,22 +13,22 @@
 // Effect says what a repeated delivery of a message does.
 type Effect string
 
-// The effects, named as the classes that have them.
+// The effects, named as the classes that have them in the settings.
 const (
-	Safe   Effect = "safe"
-	Keyed  Effect = "keyed"
-	Unsafe Effect = "unsafe"
+	Safe   Effect = "safe"   // no harm: it may run several times
+	Keyed  Effect = "keyed"  // nothing within repeatWindow, in which endpoints recognize it by its key
+	Unsafe Effect = "unsafe" // harm: it must not run twice
 )
 
 // Call is one call that an endpoint received.
 type Call struct {
-	At         time.Time // when its last byte was received
-	Endpoint   string
-	Ran        bool
+	At         time.Time     // when its last byte was received
+	Endpoint   string        // name of the endpoint
+	Ran        bool          // it took effect; false if it was rejected or reset before that
 	Status     int           // status of the response that was written completely; 0 for none
 	AnsweredAt time.Time     // when the answer was written; zero if it was not
 	ClosedAt   time.Time     // when the connection ended, if that was before an answer
-	InsideWait time.Duration // how long after the grace of a requested wait it came; 0 if outside
+	InsideWait time.Duration // how long after waitGrace of a requested wait it came; 0 if outside
 }
 
 // endedAt returns when the call ended for its endpoint; zero if it never did.
@@ -39,44 +39,44 @@
 	return c.AnsweredAt
 }
 
-// Notice is a notice of a final state that the platform received.
+// Notice is a notice of the end of a message that the platform received.
 type Notice struct {
-	At    time.Time
-	State string
+	At    time.Time // when its request was received
+	State string    // "returned" or "failed"
 }
 
-// Message is the history of one message.
+// Message is the history of one message, as its client, the endpoints and the platform observed it.
 type Message struct {
 	ID          string
-	Sender      int
+	Sender      int // number of the sender
 	Effect      Effect
 	ClientKind  string    // kind of the client that submitted it
 	FirstOnConn bool      // it was the first request on its connection
-	WrittenAt   time.Time // its last byte
-	Deadline    time.Time
-	Answer      string // empty for none
-	AnsweredAt  time.Time
-	ClosedAt    time.Time // when the client saw the sender close the connection without a response
-	ClientLeft  bool      // the client gave up: rules on the end of the message do not apply
-	Calls       []*Call
-	Notices     []Notice
-
-	rawAnswer  string        // the response with its line end
+	WrittenAt   time.Time // when its client began to write the last byte of the request
+	Deadline    time.Time // WrittenAt plus its lifetime
+	Answer      string    // response to the client without its line end; empty for none
+	AnsweredAt  time.Time // when the client had read the response; zero if it has none
+	ClosedAt    time.Time // when the client saw its connection end without a response; else zero
+	ClientLeft  bool      // the client gave up or wrote in part: no rule on the end applies
+	Calls       []*Call   // in the order in which the endpoints received them
+	Notices     []Notice  // in the order in which the platform received them
+
+	rawAnswer  string        // the response with its line end; empty for none
 	lifetime   time.Duration // from submission to the deadline
-	port       int           // the client's port of its connection
+	port       int           // local port of the client's connection
 	dialed     time.Time     // when the client began to connect
 	requestEnd int64         // offset of the end of its request, in bytes from the start of the connection
 }
 
-// Accepted reports whether the client was answered that the message is accepted.
+// Accepted reports whether the client got the response that the message is accepted.
 func (m *Message) Accepted() bool { return strings.HasPrefix(m.Answer, "+") }
 
-// Delivered reports whether an endpoint's 200 was written completely.
+// Delivered reports whether an endpoint wrote a complete response with status 200 to a call of the message.
 func (m *Message) Delivered() bool {
 	return slices.ContainsFunc(m.Calls, func(c *Call) bool { return c.Status == 200 })
 }
 
-// History describes the events of the message, with times in seconds since start.
+// History describes the events of the message on one line, with times in seconds since start.
 func (m *Message) History(start time.Time) string {
 	since := func(t time.Time) string { return fmt.Sprintf("%.3f", t.Sub(start).Seconds()) }
 	var b strings.Builder
@@ -104,24 +104,24 @@
 	return b.String()
 }
 
-// Interval is a period of time.
+// Interval is a period of time. A zero To stands for a period that has not ended.
 type Interval struct{ From, To time.Time }
 
 // Records are the observations of a run. They may be written concurrently.
 type Records struct {
-	mu              sync.Mutex
-	messages        map[string]*Message
-	kills           map[int][]time.Time              // SIGKILL, by sender
-	outages         map[int][]Interval               // from the first signal of a restart until the sender is ready again
-	stalls          map[int][]Interval               // while the process was held
-	waits           map[route]Interval               // the last requested wait
-	traces          map[int][]*faultbuild.Connection // trace of each sender's client connections
+	mu              sync.Mutex                       // guards the other fields and all that they point to
+	messages        map[string]*Message              // by ID
+	kills           map[int][]time.Time              // times of SIGKILL and of the exits after it, by sender
+	outages         map[int][]Interval               // by sender: from a restart's signal until it is ready
+	stalls          map[int][]Interval               // by sender: while its process was held
+	waits           map[route]Interval               // the last requested wait of each route
+	traces          map[int][]*faultbuild.Connection // traces of client connections, by sender
 	lists           *listRecords                     // published lists and which sender received them
 	unknownMessages []string                         // calls and notices for messages that were not submitted
 	faults          []string                         // violations that concern no message
 }
 
-// route identifies a sender and a destination.
+// route is a sender and a destination, by their numbers: a requested wait holds for both together.
 type route struct{ sender, dest int }
 
 func newRecords() *Records {
@@ -130,20 +130,22 @@
 		traces: map[int][]*faultbuild.Connection{}, stalls: map[int][]Interval{}}
 }
 
+// addMessage records a message, which has to be done before its request is written.
 func (r *Records) addMessage(m *Message) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.messages[m.ID] = m
 }
 
-// update changes a message with the lock held.
+// update calls change, which may change the message m, with the lock held.
 func (r *Records) update(m *Message, change func()) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	change()
 }
 
-// addCall records a call that an endpoint of a destination received.
+// addCall records a call for the message with an id that an endpoint of a destination received, and whether
+// it came inside a requested wait. A call for a message that was not submitted is a violation.
 func (r *Records) addCall(id string, dest int, c *Call) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -158,14 +160,15 @@
 	m.Calls = append(m.Calls, c)
 }
 
-// withLock calls f with the lock held.
+// withLock calls f with the lock held, for access to fields and to messages that are recorded.
 func (r *Records) withLock(f func()) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	f()
 }
 
-// addNotice records a notice for a message.
+// addNotice records a notice for the message with an id. One for a message that was not submitted is a
+// violation.
 func (r *Records) addNotice(id string, n Notice) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -176,7 +179,8 @@
 	}
 }
 
-// waitRequested records that a sender was requested to wait. A restart ends the wait.
+// waitRequested records that an endpoint has just requested the sender of the message with an id to wait
+// before further calls to the destination. It replaces an earlier wait. A restart ends the wait.
 func (r *Records) waitRequested(id string, dest int, wait time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -186,7 +190,7 @@
 	}
 }
 
-// clearWaits forgets a sender's requested waits at its restart.
+// clearWaits forgets a sender's requested waits at its restart, since its next process does not know them.
 func (r *Records) clearWaits(sender int) {
 	r.withLock(func() {
 		for x := range r.waits {
@@ -204,21 +208,24 @@
 	r.faults = append(r.faults, fmt.Sprintf(format, args...))
 }
 
+// addKill records that a process of a sender got SIGKILL, or has exited after it, at a time.
 func (r *Records) addKill(sender int, at time.Time) {
 	r.withLock(func() { r.kills[sender] = append(r.kills[sender], at) })
 }
 
+// addOutage records a period in which a sender was restarted. The periods of a sender are added in
+// chronological order.
 func (r *Records) addOutage(sender int, from, to time.Time) {
 	r.withLock(func() { r.outages[sender] = append(r.outages[sender], Interval{from, to}) })
 }
 
-// setTrace records the trace of a sender's client connections.
+// setTrace records the trace of a sender's client connections, read after the sender has stopped.
 func (r *Records) setTrace(sender int, list []*faultbuild.Connection) {
 	r.withLock(func() { r.traces[sender] = list })
 }
 
-// requestReadAt returns when the sender had read the complete request of a message; zero if it never had, or
-// if the harness broke the connection.
+// requestReadAt returns when the sender had read the complete request of a message whose connection the
+// sender ended; zero if it never had, or if the harness broke the connection. The caller holds the lock.
 func (r *Records) requestReadAt(m *Message) time.Time {
 	for _, c := range r.traces[m.Sender] {
 		if c.Port == m.port && c.FirstSeen.After(m.dialed) && c.FirstSeen.Before(m.ClosedAt) {
@@ -231,6 +238,7 @@
 	return time.Time{}
 }
 
+// addStall records a period in which a process of a sender may have been held.
 func (r *Records) addStall(sender int, from, to time.Time) {
 	r.withLock(func() { r.stalls[sender] = append(r.stalls[sender], Interval{from, to}) })
 }
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -18,32 +18,35 @@
 const (
 	destinationCount        = 4
 	endpointsPerDestination = 2
-	maxLifetime             = 5 * time.Second
-	// quietPeriod is how long traffic continues after the last fault has ended.
+	maxLifetime             = 5 * time.Second // no message has a longer time to its deadline
+	// quietPeriod is how long traffic continues after the last fault has ended. The senders run this
+	// much longer than the last message may take to count as lost.
 	quietPeriod = time.Second
 )
 
-// fleet is the state of one run.
+// fleet is the state of one run: the senders and the stand-ins for all that they communicate with.
 type fleet struct {
 	records     *Records
 	platform    *platform
-	endpoints   []*endpoint
-	senders     []*sender
-	seed        uint64
-	pushed      bool // each sender gets its list from an agent of its own, as with the membership mode "pushed"
-	stepsClocks bool // wall clocks are stepped at restarts
+	endpoints   []*endpoint // of all destinations; index modulo destinationCount is the destination
+	senders     []*sender   // by number
+	seed        uint64      // Options.Seed, for choices and addresses during the run
+	pushed      bool        // each sender has an agent for its list: membership mode "pushed"
+	stepsClocks bool        // wall clocks are wrong from the start, and stepped at restarts and by faults
 
-	restarts   sync.WaitGroup // restarts in progress
-	mu         sync.Mutex
+	restarts   sync.WaitGroup    // restarts and moves of discovery in progress
+	mu         sync.Mutex        // guards the fields below
 	lifecycles map[string]string // lifecycle that the list gives, by name of the endpoint; up if absent
-	err        error
+	err        error             // first error of the harness
 }
 
 // Result is the result of a run.
 type Result struct {
 	Verdict
-	// Script has the faults in their order, each with its time in seconds since the start.
+	// Script has the begins and ends of faults in their order, each with its time in seconds since the
+	// start.
 	Script []string
+	// Faults are the numbers of faults injected into the processes of all senders, by kind.
 	Faults faultbuild.Counts
 	// Tolerance is twice the longest scheduling delay of the harness; the judge's time limits are extended by it.
 	Tolerance time.Duration
@@ -53,7 +56,8 @@
 	Crossings *Crossings
 }
 
-// Run executes one run and judges it. An error is a fault of the harness; broken invariants are in the result.
+// Run executes one run and judges it. An error is a fault of the harness, such as a process that can't be
+// started; broken invariants are in the result.
 func Run(o Options) (out Result, err error) {
 	f := &fleet{records: newRecords(), lifecycles: map[string]string{},
 		stepsClocks: len(o.Faults) == 0 || slices.Contains(o.Faults, "clock")}
@@ -143,8 +147,8 @@
 	return out, f.err
 }
 
-// newSender prepares the files, the fault controls and the platform server of a sender. It does not start a
-// process.
+// newSender returns sender i of the run, with its files, fault controls and platform server prepared and
+// without a process. listInterval is its ask_every_s of the settings.
 func (f *fleet) newSender(o Options, i int, listInterval time.Duration) (*sender, error) {
 	s := &sender{number: i, addr: address(o.Seed, i, clientPort), listInterval: listInterval,
 		dir:        filepath.Join(o.Dir, fmt.Sprint("state-", i)),
@@ -175,7 +179,8 @@
 	return s, s.writeConfig(o.Senders, f.pushed)
 }
 
-// runScript executes the steps of the script at their times and returns them in that order.
+// runScript draws the script of the run, executes its steps at their times since start and returns them in
+// that order.
 func (f *fleet) runScript(o Options, start time.Time) []step {
 	steps := f.script(o)
 	slices.SortStableFunc(steps, func(a, b step) int { return cmp.Compare(a.at, b.at) })
@@ -186,7 +191,7 @@
 	return steps
 }
 
-// endFaults ends all faults.
+// endFaults ends all faults that last, except offsets of wall clocks and changes of the list.
 func (f *fleet) endFaults() {
 	for _, e := range f.endpoints {
 		e.set(healthy)
@@ -203,7 +208,8 @@
 	}
 }
 
-// stopAll stops all senders with SIGTERM and records those that do not exit cleanly in time.
+// stopAll sends SIGTERM to all senders and records a violation for each that does not exit within
+// killDelay, or exits with an error.
 func (f *fleet) stopAll() {
 	var all sync.WaitGroup
 	for _, s := range f.senders {
@@ -222,7 +228,8 @@
 	all.Wait()
 }
 
-// goRestart runs a restart in the background and keeps its error.
+// goRestart runs a restart, or a move of discovery, in the background and keeps the first error for the
+// result of Run.
 func (f *fleet) goRestart(run func() error) {
 	f.restarts.Go(func() {
 		if err := run(); err != nil {
@@ -234,7 +241,7 @@
 }
 
 // setLifecycle sets the lifecycle of an endpoint, unless e is nil, and publishes the next generation of the
-// list.
+// list. The lifecycle is one of the list, such as "up" or "draining", or unlisted.
 func (f *fleet) setLifecycle(e *endpoint, lifecycle string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -252,10 +259,11 @@
 	f.platform.publish(l)
 }
 
-// unlisted is the lifecycle of an endpoint that is left out of the list.
+// unlisted is the lifecycle, in a fleet only, of an endpoint that is left out of the list.
 const unlisted = "unlisted"
 
-// reload rewrites the configuration and sends SIGHUP, unless the sender is being restarted.
+// reload rewrites the sender's configuration with the current list and sends SIGHUP. It does nothing while
+// the sender is being restarted.
 func (f *fleet) reload(s *sender) {
 	if !s.restartMu.TryLock() {
 		return
@@ -266,8 +274,9 @@
 	}
 }
 
-// moveDiscovery moves a sender's discovery to another address: the configuration is rewritten with it and the
-// sender gets SIGHUP. It does nothing while the sender is being restarted.
+// moveDiscovery moves a sender's discovery to another address: the configuration is rewritten with it and
+// the sender gets SIGHUP. It does nothing while the sender is being restarted or its connects to the
+// platform are delayed. An error is a fault of the harness.
 func (f *fleet) moveDiscovery(s *sender) error {
 	if !s.restartMu.TryLock() {
 		return nil
@@ -294,8 +303,8 @@
 	return nil
 }
 
-// measureSchedulingDelay measures by how much this machine delays a goroutine that is ready to run. The
-// channel returns the longest delay once ctx is done.
+// measureSchedulingDelay measures, in the background, by how much this machine delays a goroutine that is
+// ready to run. The channel receives the longest delay, once, when ctx is done.
 func measureSchedulingDelay(ctx context.Context) <-chan time.Duration {
 	const interval = 2 * time.Millisecond
 	out := make(chan time.Duration, 1)
@@ -318,7 +327,7 @@
 	return out
 }
 
-// Summary describes a run in one line.
+// Summary describes the result of the run with a seed in one line.
 func (r *Result) Summary(seed uint64) string {
 	return fmt.Sprintf("seed %d: %d messages, %d accepted, %d delivered, %d returned, %d failed, %d refused, %d errors, %d unanswered, %d late; idle clients %v; "+
 		"%d holds, %d accepts, %d writes, %d syncs, %d connects failed; noise %v; %d violations",
--- a/internal/soak/script.go
+++ b/internal/soak/script.go
@@ -9,31 +9,46 @@
 
 // Options configure a run.
 type Options struct {
-	Seed    uint64
-	Senders int
-	Length  time.Duration // period in which faults are injected
+	Seed    uint64        // of the faults, of the traffic and of the addresses
+	Senders int           // number of senders, at most 80
+	Length  time.Duration // faults begin within this period, and some end after it
 	Binary  string        // path of the program, built by package faultbuild
 	Dir     string        // folder for the state folders and logs of the senders
-	Faults  []string      // kinds of faults to draw from; empty for all
+	Faults  []string      // kinds of faults to draw from, as in faultKinds; empty for all
 	// Crossings injects every event at every point of the program once in the run. Binary must have been built by
 	// [Build].
 	Crossings bool
-	// LoseFolder empties the senders' folders at restarts: a planted fault.
+	// LoseFolder empties the senders' state folders at restarts: a planted fault, which a run has to find.
 	LoseFolder bool
 }
 
-// step is the begin or the end of one fault of a script.
+// step is the begin or the end of one fault of a script, or a fault without a length.
 type step struct {
-	at   time.Duration
-	text string
-	run  func()
+	at   time.Duration // since the start of the run
+	text string        // description for Result.Script
+	run  func()        // begins or ends the fault; it does not wait for a restart
 }
 
-// faultKinds are the kinds of faults that a script draws from.
+// faultKinds are the kinds of faults that a script draws from:
+//
+//   - "endpoint": an endpoint has another [behavior] than healthy for a while
+//   - "connections": all connections to an endpoint are closed or reset
+//   - "discovery": discovery has a [discoveryFault] for a while
+//   - "notices": responses to notices get lost for a while
+//   - "restart": a sender gets SIGTERM, then SIGKILL, and is started again
+//   - "kill series": a sender gets SIGKILL, is started again and may be killed twice more soon after a start
+//   - "reload": a sender gets SIGHUP, and in one case of four SIGTERM during the reload
+//   - "clock": a sender's wall clock is stepped
+//   - "disk": writes and syncs of a sender's store fail for a while, and it may be killed meanwhile
+//   - "accept", "connect": accepts or connects of a sender fail for a while
+//   - "stall": a sender's process is held now and then before it writes to a connection
+//   - "drain": an endpoint is draining or unlisted for a while
+//   - "late": connects of a sender are delayed for a while
+//   - "move": discovery of a sender moves to another address, up to three times in a row
 var faultKinds = []string{"endpoint", "connections", "discovery", "notices", "restart", "kill series", "reload", "clock",
 	"disk", "accept", "connect", "stall", "drain", "late", "move"}
 
-// script draws the faults of a run.
+// script draws the faults of a run and returns their steps, not in the order of time.
 func (f *fleet) script(o Options) []step {
 	rng := rand.New(rand.NewPCG(o.Seed, 1))
 	kinds := o.Faults
@@ -50,7 +65,7 @@
 	return out
 }
 
-// faultCount returns the number of faults of a kind in a run.
+// faultCount returns the number of faults of a kind in a run; for some kinds it is drawn.
 func (f *fleet) faultCount(kind string, rng *rand.Rand) int {
 	switch kind {
 	case "endpoint":
@@ -71,7 +86,9 @@
 	return len(f.senders)/3 + 1
 }
 
-// drawFault draws one fault of a kind that begins at a time, and returns its steps.
+// drawFault draws one fault of a kind that begins at a time since the start of the run, and returns its
+// steps. It draws the sender or endpoint that has the fault, and how long it lasts; an unknown kind has no
+// steps.
 func (f *fleet) drawFault(kind string, at time.Duration, rng *rand.Rand, o Options) []step {
 	s := f.senders[rng.IntN(len(f.senders))]
 	e := f.endpoints[rng.IntN(len(f.endpoints))]
@@ -173,7 +190,7 @@
 	return nil
 }
 
-// drawDiscoveryFault draws a fault of discovery.
+// drawDiscoveryFault draws a fault of discovery and returns it with a description for the script.
 func drawDiscoveryFault(rng *rand.Rand) (text string, fault discoveryFault) {
 	switch rng.IntN(8) {
 	case 0:
@@ -191,7 +208,8 @@
 	return fmt.Sprintf("%.2f of the calls for the list fail", ratio), discoveryFault{failureRatio: ratio}
 }
 
-// drawClockOffset draws an offset of the wall clock; 0 if clocks are not stepped in this run.
+// drawClockOffset draws by how much a wall clock is ahead; negative for behind, 0 if clocks are not stepped
+// in this run.
 func (f *fleet) drawClockOffset(rng *rand.Rand) time.Duration {
 	if !f.stepsClocks {
 		return 0
