--- a/internal/standin/byhand/byhand.go
+++ b/internal/standin/byhand/byhand.go
@@ -17,7 +17,8 @@
 // Timeout bounds every wait for an event. It is not reached unless a test fails.
 const Timeout = 20 * time.Second
 
-// Await returns the next value of ch. It fails the test if ch is closed or there is no value in time.
+// Await returns the next value of ch. It fails the test if ch is closed or there is no value in time. what
+// names the awaited value in the failure.
 func Await[T any](t testing.TB, ch <-chan T, what string) T {
 	t.Helper()
 	select {
@@ -33,7 +34,7 @@
 }
 
 // WaitUntil polls until is returns true, for events that no channel reports. It fails the test if that takes
-// too long.
+// too long. what names the event in the failure.
 func WaitUntil(t testing.TB, what string, is func() bool) {
 	t.Helper()
 	for stop := time.Now().Add(Timeout); !is(); time.Sleep(time.Millisecond) {
@@ -64,18 +65,21 @@
 
 // ReceivedCall is a complete request that an endpoint has received.
 type ReceivedCall struct {
-	Req    *http.Request
+	Req    *http.Request // its Body has been read already
 	Body   string
-	At     time.Time
-	Conn   *net.TCPConn
-	Reader *bufio.Reader
-	Done   chan bool // receives whether the endpoint keeps reading from the connection
+	At     time.Time     // when the whole request had been read
+	Conn   *net.TCPConn  // to write a response to
+	Reader *bufio.Reader // of Conn, with the bytes that were read ahead
+	// Done receives whether the endpoint keeps reading from the connection. Reply, ReplyAndClose and Reset
+	// send to it; a test that writes to Conn itself must do so once.
+	Done chan bool
 }
 
 // ID returns the id of the message.
 func (c *ReceivedCall) ID() string { return c.Req.Header.Get("X-Trace-Id") }
 
-// Reply answers the call and keeps the connection open.
+// Reply answers the call with an empty body and keeps the connection open. Each header has the form
+// "Name: value".
 func (c *ReceivedCall) Reply(status int, headers ...string) {
 	var b strings.Builder
 	fmt.Fprintf(&b, "HTTP/1.1 %d x\r\nContent-Length: 0\r\n", status)
@@ -86,21 +90,24 @@
 	c.Done <- true
 }
 
-// ReplyAndClose answers the call and closes the connection without announcing it.
+// ReplyAndClose answers the call with an empty body and closes the connection without announcing it in a
+// header.
 func (c *ReceivedCall) ReplyAndClose(status int) {
 	fmt.Fprintf(c.Conn, "HTTP/1.1 %d x\r\nContent-Length: 0\r\n\r\n", status)
 	c.Conn.Close()
 	c.Done <- false
 }
 
-// Reset resets the connection.
+// Reset resets the connection without a response.
 func (c *ReceivedCall) Reset() {
 	c.Conn.SetLinger(0)
 	c.Conn.Close()
 	c.Done <- false
 }
 
-// AwaitEnd waits until the sender has closed its side of the connection.
+// AwaitEnd waits until the sender has closed its side of the connection. It fails the test if the sender
+// sends anything more or does not close it in time. It must be called before Done has received true, since
+// the endpoint then reads from the connection itself.
 func (c *ReceivedCall) AwaitEnd(t *testing.T) {
 	t.Helper()
 	c.Conn.SetReadDeadline(time.Now().Add(Timeout))
@@ -111,9 +118,9 @@
 
 // Endpoint is an endpoint whose calls the test answers.
 type Endpoint struct {
-	Ln    net.Listener
-	Calls chan *ReceivedCall
-	Conns chan net.Conn // each accepted connection
+	Ln    net.Listener       // a test may close it earlier, to refuse connections
+	Calls chan *ReceivedCall // each call, to be answered by the test
+	Conns chan net.Conn      // each accepted connection
 }
 
 // NewEndpoint starts an endpoint that listens until the test has ended.
@@ -138,6 +145,7 @@
 	return e
 }
 
+// serve reads calls from a connection, one after the other, until it ends or the test keeps it.
 func (e *Endpoint) serve(conn *net.TCPConn) {
 	r := bufio.NewReader(conn)
 	for {
--- a/internal/standin/discovery/discovery.go
+++ b/internal/standin/discovery/discovery.go
@@ -16,20 +16,20 @@
 
 // Notice is one line of a notice that the platform receives.
 type Notice struct {
-	ID      string `json:"id"`
-	State   string `json:"state"`
-	AfterMS int64  `json:"after_ms"`
+	ID      string `json:"id"`       // of the message
+	State   string `json:"state"`    // failed or returned
+	AfterMS int64  `json:"after_ms"` // of a returned message: delay before it may be submitted again, in ms
 }
 
 // Platform is a stand-in for discovery and for the receiver of notices. Its fields from List on are changed
 // within [Platform.Set].
 type Platform struct {
 	Server          *httptest.Server
-	Notices         chan Notice
-	ListCalls       chan string // raw query of each call for the list
-	RejectedNotices chan int    // number of lines of each rejected notice
-	mu              sync.Mutex
-	List            platform.List
+	Notices         chan Notice                  // lines of the accepted notices, in order
+	ListCalls       chan string                  // raw query of each call for the list
+	RejectedNotices chan int                     // number of lines of each rejected notice
+	mu              sync.Mutex                   // guards the fields below
+	List            platform.List                // served to callers with an older generation
 	changed         chan struct{}                // closed when a field changes
 	Down            bool                         // answers 503 to calls for the list
 	Silent          bool                         // never answers calls for the list
@@ -60,6 +60,9 @@
 	p.changed = make(chan struct{})
 }
 
+// hosts answers a call for the list. It holds the call until the list is newer than the caller's generation,
+// and at the end of the hold answers with the generation alone. A caller that names no hold waits for an
+// hour.
 func (p *Platform) hosts(w http.ResponseWriter, r *http.Request) {
 	p.ListCalls <- r.URL.RawQuery
 	from, _ := strconv.ParseInt(r.URL.Query().Get("from"), 10, 64)
@@ -111,6 +114,8 @@
 	return next, true
 }
 
+// outcomes receives a notice: accepted lines are sent to Notices, and a rejected notice is counted in
+// RejectedNotices.
 func (p *Platform) outcomes(w http.ResponseWriter, r *http.Request) {
 	p.mu.Lock()
 	reject := p.RejectNotices
--- a/internal/standin/faultbuild/controls.go
+++ b/internal/standin/faultbuild/controls.go
@@ -14,39 +14,42 @@
 // controls. A program without it runs without faults.
 const PageVariable = "COMETRACK_FAULT_PAGE"
 
+// Size of a page of controls. The texts are the same numbers as source text for hooksSource.
 const (
-	pageFields     = 512
-	pageFieldsText = "512"
-	pageBytesText  = "4096"
-	pageBytes      = 4096
+	pageFields     = 512    // 64-bit fields
+	pageFieldsText = "512"  // pageFields
+	pageBytesText  = "4096" // pageBytes
+	pageBytes      = 4096   // bytes of pageFields, and the size of the mapping
 )
 
-// Indexes of the fields of a page. hooksSource in overlay.go uses the same numbers.
+// Indexes of the fields of a page. hooksSource in overlay.go uses the same numbers. A
+// probability is in units of 2^-32, with 0 for no faults; an errno is the error with which
+// the call fails; a count is the number of these faults so far, kept by the program.
 const (
-	fieldWallSeconds = iota
-	fieldHoldProbability
-	fieldHoldCount
-	fieldAcceptProbability
-	fieldAcceptErrno
-	fieldAcceptCount
-	fieldWriteProbability
-	fieldWriteErrno
-	fieldWriteCount
-	fieldSyncProbability
-	fieldSyncErrno
-	fieldSyncCount
-	fieldConnectProbability
-	fieldConnectErrno
-	fieldConnectCount
-	fieldHoldWriteProbability
-	fieldFailNextWrite   // 1 if the next write at an offset has to fail
-	fieldBreakConnection // 1 if the next write to a connection has to shut it down first
-	fieldArmedPoint      // number of the point at which the event occurs, plus 1; 0 for none
-	fieldArmedEvent
-	fieldArmedSkip // passes of the point before the one at which the event occurs
-	fieldDelayProbability
-	fieldUndelayedPort
-	fieldPassCounts = 64 // first of the pass counts of the points
+	fieldWallSeconds          = iota // added to the wall clock, in seconds
+	fieldHoldProbability             // of a hold after a reading of the clock
+	fieldHoldCount                   // holds after readings and before writes, without those at points
+	fieldAcceptProbability           // of a failed accept
+	fieldAcceptErrno                 // with which an accept fails
+	fieldAcceptCount                 // failed accepts
+	fieldWriteProbability            // of a failed write at an offset
+	fieldWriteErrno                  // with which a write at an offset fails
+	fieldWriteCount                  // failed writes at an offset, without the one of an event
+	fieldSyncProbability             // of a failed sync of a file or folder
+	fieldSyncErrno                   // with which a sync fails
+	fieldSyncCount                   // failed syncs
+	fieldConnectProbability          // of a failed connect
+	fieldConnectErrno                // with which a connect fails
+	fieldConnectCount                // failed and delayed connects
+	fieldHoldWriteProbability        // of a hold before a write to a connection
+	fieldFailNextWrite               // 1 if the next write at an offset has to fail
+	fieldBreakConnection             // 1 if the next write to a connection has to shut it down first
+	fieldArmedPoint                  // number of the point at which the event occurs, plus 1; 0 for none
+	fieldArmedEvent                  // [Event] that occurs at the armed point
+	fieldArmedSkip                   // passes of the point before the one at which the event occurs
+	fieldDelayProbability            // of a delayed connect
+	fieldUndelayedPort               // port to which connects are not delayed; 0 for none
+	fieldPassCounts           = 64   // first of the pass counts of the points
 )
 
 // MaxPoints is the number of points whose pass counts fit into a page.
@@ -55,13 +58,13 @@
 // Controls turn on and off the faults of the processes that were started with
 // [Controls.Env] in their environment. Its methods may be called at any time.
 type Controls struct {
-	path    string
-	page    *[pageFields]int64
+	path    string             // file of the page
+	page    *[pageFields]int64 // mapping as fields; accessed atomically
 	mapping []byte
 }
 
-// NewControls creates the page in the file at path, with no faults turned on if the
-// file is new.
+// NewControls maps the page in the file at path. It creates a file without faults if there
+// is none; an existing file keeps its controls and counts.
 func NewControls(path string) (*Controls, error) {
 	f, err := os.OpenFile(path, os.O_RDWR|os.O_CREATE, 0o600)
 	if err != nil {
@@ -84,8 +87,10 @@
 // Env returns the environment entry, NAME=value, for the processes to be controlled.
 func (c *Controls) Env() string { return PageVariable + "=" + c.path }
 
+// set stores the value of a field, given by its index.
 func (c *Controls) set(field int, value int64) { atomic.StoreInt64(&c.page[field], value) }
 
+// get returns the value of a field, given by its index.
 func (c *Controls) get(field int) int64 { return atomic.LoadInt64(&c.page[field]) }
 
 // fixedPoint converts a probability to units of 2^-32, as the page holds it.
@@ -143,10 +148,13 @@
 	c.set(fieldDelayProbability, fixedPoint(probability))
 }
 
-// Counts are the numbers of faults injected so far, by kind.
+// Counts are the numbers of faults injected so far, by kind: holds, failed accepts, failed
+// writes at an offset, failed syncs, and connects that failed or were delayed. Only faults
+// with a probability are counted, not the events armed at points. A connect that is delayed
+// and then fails counts twice.
 type Counts struct{ Holds, Accepts, Writes, Syncs, Connects int64 }
 
-// Counts returns the numbers of faults injected so far.
+// Counts returns the numbers of faults injected so far, in all processes that use the page.
 func (c *Controls) Counts() Counts {
 	return Counts{c.get(fieldHoldCount), c.get(fieldAcceptCount), c.get(fieldWriteCount), c.get(fieldSyncCount),
 		c.get(fieldConnectCount)}
@@ -157,7 +165,8 @@
 
 // Resume sends SIGCONT to a process each time it has stopped itself, after the duration
 // that nextHold returns, until stop is closed or the process is gone. It returns how long
-// each hold lasted.
+// each hold lasted at most: a hold may have begun up to statePollInterval before it was
+// noticed. A hold that is in progress when stop is closed ends then and is not returned.
 func Resume(pid int, nextHold func() time.Duration, stop <-chan struct{}) (holds []time.Duration) {
 	tick := time.NewTicker(statePollInterval)
 	defer tick.Stop()
@@ -182,8 +191,8 @@
 	}
 }
 
-// processState returns the state of a process in the notation of proc(5); false once the
-// process has exited.
+// processState returns the state of a process in the notation of proc(5), such as 'T' for a
+// stopped one; false once the process has exited.
 func processState(pid int) (byte, bool) {
 	b, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
--- a/internal/standin/faultbuild/overlay.go
+++ b/internal/standin/faultbuild/overlay.go
@@ -25,6 +25,7 @@
 
 // patches insert the calls of the hooks in hooksSource into the standard library.
 var patches = []patch{
+	// time.Now, time.Since and time.Until.
 	{"time/time.go", "	sec, nsec, mono := runtimeNow()\n	if mono == 0 {\n		return Time{uint64(nsec), sec + unixToInternal, Local}",
 		"	sec, nsec, mono := runtimeNow()\n	sec += syscall.FaultWallSeconds()\n	syscall.FaultHold()\n	if mono == 0 {\n		return Time{uint64(nsec), sec + unixToInternal, Local}"},
 	{"time/time.go", "		return subMono(runtimeNano()-startNano, t.ext)",
@@ -32,27 +33,36 @@
 	{"time/time.go", "		return subMono(t.ext, runtimeNano()-startNano)",
 		"		left := subMono(t.ext, runtimeNano()-startNano)\n		syscall.FaultHold()\n		return left"},
 	{"time/time.go", "import (\n", "import (\n	\"syscall\"\n"},
+	// Accepts. ECONNABORTED and EINTR lead to another try, as they do after the real call.
 	{"internal/poll/fd_unix.go", "		s, rsa, errcall, err := accept(fd.Sysfd)\n",
 		"		if errno := syscall.FaultAccept(); errno != 0 {\n			if errno == syscall.ECONNABORTED || errno == syscall.EINTR {\n				continue\n			}\n			return -1, nil, \"accept4\", errno\n		}\n		s, rsa, errcall, err := accept(fd.Sysfd)\n"},
+	// Writes at an offset, which fail after half of their bytes.
 	{"internal/poll/fd_unix.go", "	defer fd.decref()\n	var nn int\n	for {\n		max := len(p)\n		if fd.IsStream && max-nn > maxRW {\n			max = nn + maxRW\n		}\n		n, err := syscall.Pwrite(",
 		"	defer fd.decref()\n	if errno := syscall.FaultWrite(); errno != 0 {\n		n, _ := syscall.Pwrite(fd.Sysfd, p[:len(p)/2], off)\n		return n, errno\n	}\n	var nn int\n	for {\n		max := len(p)\n		if fd.IsStream && max-nn > maxRW {\n			max = nn + maxRW\n		}\n		n, err := syscall.Pwrite("},
+	// Writes to a connection. The process is held or the connection shut down before them.
 	{"internal/poll/fd_unix.go", "		n, err := ignoringEINTRIO(syscall.Write, fd.Sysfd, p[nn:max])\n",
 		"		if !fd.isFile {\n			syscall.FaultHoldWrite()\n			syscall.FaultBreak(fd.Sysfd)\n		}\n		n, err := ignoringEINTRIO(syscall.Write, fd.Sysfd, p[nn:max])\n"},
+	// Reads, closes and shutdowns of connections, which are traced.
 	{"internal/poll/fd_unix.go", "		n, err := ignoringEINTRIO(syscall.Read, fd.Sysfd, p)\n",
 		"		n, err := ignoringEINTRIO(syscall.Read, fd.Sysfd, p)\n		if n > 0 && fd.IsStream && !fd.isFile {\n			syscall.FaultTrace('R', fd.Sysfd, n)\n		}\n"},
 	{"internal/poll/fd_unix.go", "func (fd *FD) Close() error {\n",
 		"func (fd *FD) Close() error {\n	if fd.IsStream && !fd.isFile {\n		syscall.FaultTrace('C', fd.Sysfd, 0)\n	}\n"},
 	{"internal/poll/fd_posix.go", "	return syscall.Shutdown(fd.Sysfd, how)\n",
 		"	syscall.FaultTrace('S', fd.Sysfd, 0)\n	return syscall.Shutdown(fd.Sysfd, how)\n"},
+	// Syncs of files and folders.
 	{"internal/poll/fd_fsync_posix.go", "	return ignoringEINTR(func() error {\n",
 		"	if errno := syscall.FaultSync(); errno != 0 {\n		return errno\n	}\n	return ignoringEINTR(func() error {\n"},
+	// Connects.
 	{"syscall/syscall_unix.go", "func Connect(fd int, sa Sockaddr) (err error) {\n",
 		"func Connect(fd int, sa Sockaddr) (err error) {\n	if errno := FaultConnect(sa); errno != 0 {\n		return errno\n	}\n"},
 }
 
+// hooksFile is the file that is added to the standard library with hooksSource, relative to
+// GOROOT/src.
 const hooksFile = "syscall/fault_hooks.go"
 
-// hooksSource is added to package syscall, since all patched packages import it.
+// hooksSource is the source of the hooks that read the faults from the page of controls and
+// write the trace. It is added to package syscall, since all patched packages import it.
 const hooksSource = `package syscall
 
 import (
@@ -309,7 +319,7 @@
 	return path, os.WriteFile(path, b, 0o600)
 }
 
-// goEnv returns a variable of the go command's environment.
+// goEnv returns a variable of the go command's environment, such as GOROOT.
 func goEnv(name string) (string, error) {
 	out, err := exec.Command("go", "env", name).Output()
 	if err != nil {
@@ -324,8 +334,9 @@
 	return filepath.Dir(file), err
 }
 
-// replaceOnce replaces a piece in the text of a file. The file is read unless texts has
-// its text already. It is an error if the piece doesn't occur exactly once.
+// replaceOnce replaces a piece in the text of a file and stores the result in texts, by path.
+// The file is read unless texts has its text already. It is an error if the piece doesn't
+// occur exactly once.
 func replaceOnce(texts map[string]string, file, before, after string) error {
 	text, ok := texts[file]
 	if !ok {
--- a/internal/standin/faultbuild/points.go
+++ b/internal/standin/faultbuild/points.go
@@ -11,7 +11,7 @@
 // Point is a named place in the program, between two steps that belong together, at
 // which an event can be injected.
 type Point struct {
-	Name   string
+	Name   string // what has happened and what has not, for reports
 	File   string // path relative to the root of the module
 	Before string // source text after the point; it must occur in the file exactly once
 }
@@ -30,12 +30,15 @@
 	EventCount                   // the number of events
 )
 
+// eventNames are the names of the events for reports, by number.
 var eventNames = [...]string{"hold", "kill", "terminate", "reload", "fail write", "break"}
 
+// String returns the name of the event.
 func (e Event) String() string { return eventNames[e] }
 
 // Arm injects an event at a point, given by its number, once the point has been passed
-// skip times. The event occurs once.
+// skip times from now on: with skip 0, at the next pass. The event occurs once, and replaces
+// one that is still armed.
 func (c *Controls) Arm(point int, event Event, skip int) {
 	c.set(fieldArmedPoint, 0)
 	c.set(fieldArmedEvent, int64(event))
@@ -51,11 +54,13 @@
 // Armed reports whether the armed event has not occurred yet.
 func (c *Controls) Armed() bool { return c.get(fieldArmedPoint) != 0 }
 
-// PassCount returns how often a point, given by its number, has been passed.
+// PassCount returns how often a point, given by its number, has been passed by the processes
+// that use the page.
 func (c *Controls) PassCount(point int) int64 { return c.get(fieldPassCounts + point) }
 
 // PointChanges returns the source changes of a build in which each point calls its hook
-// with its index in points. The working directory must be within the module.
+// with its index in points, which is the number that [Controls.Arm] and [Controls.PassCount]
+// take. The working directory must be within the module.
 func PointChanges(points []Point) ([]Change, error) {
 	if len(points) > MaxPoints {
 		return nil, fmt.Errorf("%d points; a page has room for %d", len(points), MaxPoints)
--- a/internal/standin/faultbuild/trace.go
+++ b/internal/standin/faultbuild/trace.go
@@ -15,8 +15,8 @@
 
 // Connection is the trace of one connection of the program.
 type Connection struct {
-	Port      int // of the peer
-	FirstSeen time.Time
+	Port      int       // of the peer; 0 if it was not known any more
+	FirstSeen time.Time // when the program first read from it or ended it
 	Reads     []Read    // in order, until the program ended its side
 	EndedAt   time.Time // when the program shut down or closed its side; zero if it never did
 	// Broken reports that a [BreakConnection] event shut the connection down, so that its end
@@ -26,8 +26,8 @@
 
 // Read is one read from a connection.
 type Read struct {
-	At         time.Time
-	TotalBytes int64 // bytes read from the connection so far, this read included
+	At         time.Time // after the read
+	TotalBytes int64     // bytes read from the connection so far, this read included
 }
 
 // ReadTime returns when the n-th byte, counted from 1, had been read; zero if it never was.
@@ -42,6 +42,10 @@
 
 // ReadTrace reads the trace at path. It returns the connections in the order in which the
 // program first read from them or ended them, and none if there is no file.
+//
+// A line holds an event, a descriptor, the port of the peer, a number of bytes, the time in
+// nanoseconds, and the process. The events are R for a read, S for a shutdown, C for a close
+// and B for a [BreakConnection].
 func ReadTrace(path string) ([]*Connection, error) {
 	text, err := os.ReadFile(path)
 	if errors.Is(err, fs.ErrNotExist) {
--- a/internal/standin/hollow/faults.go
+++ b/internal/standin/hollow/faults.go
@@ -23,9 +23,10 @@
 // Faults lists all faults in the order in which they are run.
 var Faults = []Fault{Restarts, Killed, Rack, Zone, Regions, Halves}
 
+// restartShare is the fraction of the senders that [Restarts] restarts.
 const restartShare = 100.0 / 560
 
-// affected returns the senders that a fault affects.
+// affected returns the indexes, in order, of the senders that a fault affects in a fleet of that many.
 func (f Fault) affected(senders int) (list []int) {
 	hit := func(i int) bool {
 		switch f {
@@ -63,12 +64,13 @@
 // occur.
 type FaultResult struct {
 	Fault      Fault   `json:"fault"`
-	Hit        int     `json:"hit"`      // number of affected senders
-	Duration   float64 `json:"lasted_s"` // until the recovery began
-	LowestSum  float64 `json:"lowest_sum"`
-	HighestSum float64 `json:"highest_sum"`
+	Hit        int     `json:"hit"`         // number of affected senders
+	Duration   float64 `json:"lasted_s"`    // until the recovery began
+	LowestSum  float64 `json:"lowest_sum"`  // of the shares, during the fault and the recovery
+	HighestSum float64 `json:"highest_sum"` // likewise
 	// UnderFloor is the time for which the sum was below [Floor] during the fault;
-	// RecoveredAfter is the time from its start after which the sum stayed above.
+	// RecoveredAfter is the time from its start after which the sum stayed above: 0 if it was
+	// never below, -1 if it was below when the fault ended.
 	UnderFloor     float64 `json:"under_s"`
 	RecoveredAfter float64 `json:"again_s"`
 	// SumsAtEnd are the sums at the end of the fault, of the senders not affected and of
@@ -82,10 +84,12 @@
 	PeakRate         float64 `json:"busiest_bytes_s"`    // mean per sender, in the busiest second from the start of the fault
 }
 
-// Floor is the sum of the shares below which time is counted.
+// Floor is the sum of the shares below which too much of each rate is left unused; the time below it is
+// counted.
 const Floor = 0.9
 
-// runFault applies a fault for a duration, ends it, and measures the recovery.
+// runFault applies a fault for a duration, ends it, and measures the recovery, which may take up to
+// timeout. An error means that a sender could not be started, or that the fault is unknown.
 func (w *monitor) runFault(f Fault, duration, timeout time.Duration) (FaultResult, error) {
 	n := w.env.size()
 	affected := f.affected(n)
--- a/internal/standin/hollow/fleet.go
+++ b/internal/standin/hollow/fleet.go
@@ -18,8 +18,9 @@
 	"cometrack/internal/facts"
 )
 
+// Addresses, placement and sampling of a fleet.
 const (
-	clusterPort = 7946
+	clusterPort = 7946     // of all senders, each at a loopback address of its own
 	version     = "hollow" // reported by all senders
 	// Zones and Racks are the placement of a fleet: sender i is in zone i%Zones and rack
 	// i%Racks, so a rack holds a tenth of the senders, and a zone a fifth, in two racks.
@@ -32,14 +33,14 @@
 
 // Options describe a fleet.
 type Options struct {
-	Senders  int
-	Lease    time.Duration
-	Drift    float64 // clocks run at 1-Drift to 1+Drift of the true rate
-	Dir      string  // parent of the state folders; empty for the default temporary folder
-	FactRate float64 // requested waits published per second, over the whole fleet
-	Seed     uint64
-	// ClockRate returns the clock rate of sender i. If it is nil or returns 0, the rate is
-	// random within Drift.
+	Senders  int           // number of senders
+	Lease    time.Duration // as in the configuration of a sender
+	Drift    float64       // clocks run at 1-Drift to 1+Drift of the true rate
+	Dir      string        // parent of the state folders; empty for the default temporary folder
+	FactRate float64       // requested waits published per second, over the whole fleet; 0 for none
+	Seed     uint64        // of the clocks and the published waits, and of the virtual run
+	// ClockRate returns the clock rate of sender i, with 1 for the true rate. If it is nil or
+	// returns 0, the rate is random within Drift.
 	ClockRate func(i int) float64
 }
 
@@ -47,20 +48,20 @@
 type fleet struct {
 	opts        Options
 	addressLock net.Listener // reserves the address range of the fleet
-	dir         string
+	dir         string       // parent of the state folders; close removes it
 	network     *network
 	senders     []*sender
 	created     time.Time
-	stop        context.CancelFunc
-	publishers  sync.WaitGroup
+	stop        context.CancelFunc // stops the publishers; nil until the fleet is complete
+	publishers  sync.WaitGroup     // of the goroutine that publishes waits
 }
 
 // sender is one sender of a fleet; it keeps its options while it is not running.
 type sender struct {
 	opts             cluster.Options
-	mu               sync.Mutex
-	instance         *cluster.Cluster // nil while the sender is not running
-	stopObservations context.CancelFunc
+	mu               sync.Mutex         // guards the fields below
+	instance         *cluster.Cluster   // nil while the sender is not running
+	stopObservations context.CancelFunc // ends the goroutine that discards the observations of peers
 }
 
 // newFleet creates a fleet whose senders are not running yet.
@@ -137,8 +138,8 @@
 		Log: slog.New(slog.DiscardHandler), Hooks: f.network.hooks(i, newClock(rate, offset))}, nil
 }
 
-// newClock returns a clock with an offset and a rate. If the whole process is paused, the clock has
-// advanced afterwards.
+// newClock returns a clock that starts at offset and advances at rate, with 1 for the true rate. If the
+// whole process is paused, the clock has advanced afterwards.
 func newClock(rate float64, offset time.Duration) func() time.Duration {
 	from := time.Now()
 	return func() time.Duration { return offset + time.Duration(float64(time.Since(from))*rate) }
@@ -179,10 +180,13 @@
 	f.addressLock.Close()
 }
 
-func (f *fleet) size() int          { return len(f.senders) }
+// size returns the number of senders, whether they are running or not.
+func (f *fleet) size() int { return len(f.senders) }
+
+// now returns the time since the fleet was created.
 func (f *fleet) now() time.Duration { return time.Since(f.created) }
 
-// run lets time pass and samples at intervals.
+// run lets d pass in real time and calls look every sampleInterval.
 func (f *fleet) run(d time.Duration, look func()) {
 	t := time.NewTicker(sampleInterval)
 	defer t.Stop()
@@ -192,7 +196,7 @@
 	}
 }
 
-// start starts senders.
+// start starts the senders with the given indexes, which must not be running, from their state folders.
 func (f *fleet) start(list []int) error {
 	for _, i := range list {
 		s := f.senders[i]
@@ -209,7 +213,8 @@
 	return nil
 }
 
-// kill stops senders at once; their addresses then refuse connections.
+// kill stops the senders with the given indexes at once; their addresses then refuse connections. Those
+// that are not running are left out.
 func (f *fleet) kill(list []int) {
 	var all sync.WaitGroup
 	for _, i := range list {
@@ -226,6 +231,7 @@
 	all.Wait()
 }
 
+// cut cuts or restores the link from one sender to another.
 func (f *fleet) cut(from, to int, cut bool) { f.network.cut(from, to, cut) }
 
 // shares stores the share of each rate that each sender may use now; -1 for one that is not
@@ -244,7 +250,8 @@
 	}
 }
 
-// sampleShares stores the shares of all senders and returns their sum.
+// sampleShares stores the shares of all senders, -1 for one that is not running, and returns the sum of
+// the others.
 func (f *fleet) sampleShares(out []float64) (sum float64) {
 	for i, s := range f.senders {
 		s.mu.Lock()
@@ -259,6 +266,7 @@
 	return sum
 }
 
+// counts stores the traffic of each sender since its first start.
 func (f *fleet) counts(out []Count) {
 	for i := range f.network.counts {
 		out[i] = f.network.counts[i].get()
@@ -273,6 +281,7 @@
 	unresponsive int            // senders whose loop did not respond
 }
 
+// summarizeViews asks each running sender for its view and its dropped packets.
 func (f *fleet) summarizeViews() (b viewSummary) {
 	b.agree, b.dropped = true, map[string]int{}
 	running := map[string]bool{}
--- a/internal/standin/hollow/measure.go
+++ b/internal/standin/hollow/measure.go
@@ -10,21 +10,21 @@
 
 // Bounds of the target for the control traffic of one sender.
 const (
-	MaxControlBytes  = 14_000    // per second
+	MaxControlBytes  = 14_000    // bytes sent per second
 	MaxControlCore   = 0.016     // of a core
-	MaxControlMemory = 128 << 20 // bytes
+	MaxControlMemory = 128 << 20 // bytes of resident memory
 )
 
 // Plan describes a measurement of a fleet.
 type Plan struct {
 	Options
-	Virtual       bool
+	Virtual       bool          // in virtual time on package view/play, without sockets
 	CalmDuration  time.Duration // without faults, over which rates are measured
 	FaultDuration time.Duration // of each fault
 	Timeout       time.Duration // of each wait for convergence
-	Faults        []Fault
-	Commit        string // of the program; empty for that of the build
-	Command       string // that measured, for the record
+	Faults        []Fault       // run in this order; nil for none
+	Commit        string        // of the program; empty for that of the build
+	Command       string        // that measured, for the record
 }
 
 // Rates are the mean rates per sender without faults, per second.
@@ -48,31 +48,33 @@
 	Lease           float64        `json:"lease_s"`
 	FactRate        float64        `json:"facts_s"` // facts published per second, over the whole fleet
 	Seed            uint64         `json:"seed"`
-	Cores           int            `json:"cores"` // available to the process
-	Commit          string         `json:"commit"`
-	Command         string         `json:"command"`
-	Machine         string         `json:"machine"`
-	ConvergenceTime float64        `json:"met_s"`     // until each sender counted all
-	ConvergenceCPU  float64        `json:"met_cpu_s"` // processor time per sender until then
-	CalmDuration    float64        `json:"calm_s"`
-	Rates           Rates          `json:"rates"`  // per sender
-	Kernel          Kernel         `json:"kernel"` // during the measurement without faults
-	LowestSum       float64        `json:"lowest_sum"`
-	UnderFloor      float64        `json:"under_s"`     // seconds without faults in which the sum was below [Floor]
-	HighestSum      float64        `json:"highest_sum"` // over the whole run
-	SamplesOverOne  int            `json:"looks_over_one"`
-	Samples         int            `json:"looks"`
+	Cores           int            `json:"cores"`          // available to the process
+	Commit          string         `json:"commit"`         // of the program, short; with "+" if modified
+	Command         string         `json:"command"`        // that measured
+	Machine         string         `json:"machine"`        // cores, processor, kernel and Go version
+	ConvergenceTime float64        `json:"met_s"`          // until each sender counted all
+	ConvergenceCPU  float64        `json:"met_cpu_s"`      // processor time per sender until then
+	CalmDuration    float64        `json:"calm_s"`         // measured without faults
+	Rates           Rates          `json:"rates"`          // per sender
+	Kernel          Kernel         `json:"kernel"`         // during the measurement without faults
+	LowestSum       float64        `json:"lowest_sum"`     // of the shares, without faults
+	UnderFloor      float64        `json:"under_s"`        // seconds without faults and below [Floor]
+	HighestSum      float64        `json:"highest_sum"`    // over the whole run; a sum above 1 is a failure
+	SamplesOverOne  int            `json:"looks_over_one"` // samples with a sum above one rate
+	Samples         int            `json:"looks"`          // of all shares, over the whole run
 	Faults          []FaultResult  `json:"faults,omitempty"`
-	ViewsAgree      bool           `json:"views_agree"` // at the end of the run
-	FalselyGone     int            `json:"wrongly_gone"`
+	ViewsAgree      bool           `json:"views_agree"`       // at the end: each sees who is running
+	FalselyGone     int            `json:"wrongly_gone"`      // incarnations considered gone and heard again
 	Dropped         map[string]int `json:"dropped,omitempty"` // packets dropped by the senders, by reason
 	Unresponsive    int            `json:"mute"`              // senders whose loop did not respond at the end
-	Duration        float64        `json:"took_s"`
-	Timeline        []Row          `json:"timeline"`
+	Duration        float64        `json:"took_s"`            // of the whole measurement, in real time
+	Timeline        []Row          `json:"timeline"`          // by seconds, in order
 }
 
 // Measure starts a fleet, waits until it has converged, measures it without faults, and then runs
-// the faults.
+// the faults. Faults are not run after a convergence that timed out. An error means that the fleet
+// or a sender could not be started, or that a fault is unknown; what went wrong with a running fleet
+// is in [Result.Failures].
 func Measure(p Plan) (r Result, err error) {
 	started := time.Now()
 	debug.FreeOSMemory() // memory of an earlier fleet
@@ -140,7 +142,8 @@
 	return r, nil
 }
 
-// measureCalm measures rates over a duration without faults; f is nil in virtual time.
+// measureCalm measures rates over a duration without faults. f is nil in virtual time; base is the
+// resident memory before the fleet, in bytes.
 func (r *Result) measureCalm(w *monitor, f *fleet, d time.Duration, base int64) {
 	var before, after Kernel
 	w.addEvent("calm")
--- a/internal/standin/hollow/page.go
+++ b/internal/standin/hollow/page.go
@@ -14,6 +14,7 @@
 		"| --- | --- | --- | --- | --- | --- | --- | --- | --- |"
 )
 
+// seconds formats a time in seconds; a negative one stands for an event that did not occur.
 func seconds(v float64) string {
 	if v < 0 {
 		return "never"
@@ -49,7 +50,7 @@
 	return out
 }
 
-// WriteTimeline writes a line for each second.
+// WriteTimeline writes the timeline as text with a head and a line for each second.
 func (r *Result) WriteTimeline(w io.Writer) {
 	fmt.Fprintln(w, "    s  running  sum lowest, highest   left alone, hit    KB sent by each")
 	for _, x := range r.Timeline {
--- a/internal/standin/hollow/slope.go
+++ b/internal/standin/hollow/slope.go
@@ -9,32 +9,35 @@
 	"slices"
 )
 
-// slope is one quantity measured over sizes, in the format of docs/measurements/capacity.
+// slope is one quantity measured over sizes, in the format of docs/measurements/capacity. Package
+// lab/capacity reads it as a Slope.
 type slope struct {
-	Name     string  `json:"name"`
-	Measures string  `json:"measures"`
-	Way      string  `json:"way"`
-	Command  string  `json:"command"`
-	Commit   string  `json:"commit"`
-	Machine  string  `json:"machine"`
-	SizeOf   string  `json:"size_of"`
-	Unit     string  `json:"unit"`
-	Base     float64 `json:"base"`
-	Points   []point `json:"points"`
-	Target   float64 `json:"target"`
-	Bound    float64 `json:"bound"`
-	From     string  `json:"from"`
+	Name     string  `json:"name"`     // of the quantity and its file
+	Measures string  `json:"measures"` // what the values describe
+	Way      string  `json:"way"`      // as in [Result]
+	Command  string  `json:"command"`  // that measured
+	Commit   string  `json:"commit"`   // of the program, short; with "+" if the tree was modified
+	Machine  string  `json:"machine"`  // cores, processor, kernel and Go version
+	SizeOf   string  `json:"size_of"`  // what the size counts
+	Unit     string  `json:"unit"`     // of the values and the bound
+	Base     float64 `json:"base"`     // value at size 0; always 0 here
+	Points   []point `json:"points"`   // in order of size
+	Target   float64 `json:"target"`   // size that must be supported
+	Bound    float64 `json:"bound"`    // maximum permitted value; 0 for none
+	From     string  `json:"from"`     // origin of the target and the bound
 	Note     string  `json:"note,omitempty"`
 }
 
+// point is a size with the values measured there, one for each repeat.
 type point struct {
 	Size   float64   `json:"size"`
 	Values []float64 `json:"values"`
 }
 
+// targetSenders is the number of senders that a fleet must support.
 const targetSenders = 560
 
-// ReadResults reads results from files and sorts them by size.
+// ReadResults reads results, one from each JSON file, and sorts them by the number of senders.
 func ReadResults(names []string) (list []Result, err error) {
 	for _, name := range names {
 		text, err := os.ReadFile(name)
@@ -51,9 +54,10 @@
 	return list, nil
 }
 
-// WriteSlopes writes each quantity that grows with the number of senders to a file of a folder. The
-// results must be sorted by size; equal sizes are repeats. A slope needs at least four sizes, each
-// at least twice the previous one.
+// WriteSlopes writes each quantity that grows with the number of senders to a file of the folder dir.
+// command is recorded as the one that measured. The results must be sorted by size; equal sizes are
+// repeats. A slope needs at least four sizes, each at least twice the previous one; package
+// lab/capacity checks this when it reads the file.
 func WriteSlopes(dir, command string, results []Result) error {
 	if len(results) == 0 {
 		return nil
--- a/internal/standin/hollow/usage.go
+++ b/internal/standin/hollow/usage.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// processCPU returns the processor time used by this process.
+// processCPU returns the processor time, of user and system, used by this process so far.
 func processCPU() time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
@@ -20,7 +20,8 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// residentMemory returns the anonymous resident memory of this process, in bytes.
+// residentMemory returns the anonymous resident memory of this process, in bytes; 0 if it cannot
+// be read.
 func residentMemory() int64 {
 	text, _ := os.ReadFile("/proc/self/status")
 	for line := range strings.Lines(string(text)) {
@@ -34,13 +35,14 @@
 
 // Kernel holds counters of the kernel; all but Dropped are for the whole machine.
 type Kernel struct {
-	DatagramsOut int64 `json:"datagrams_out"`
-	DatagramsIn  int64 `json:"datagrams_in"`
-	Full         int64 `json:"full_buffers"` // datagrams lost because a socket buffer was full
-	LoopbackOut  int64 `json:"loopback_bytes"`
-	Dropped      int64 `json:"dropped"` // by the open sockets of this fleet
+	DatagramsOut int64 `json:"datagrams_out"`  // UDP datagrams sent
+	DatagramsIn  int64 `json:"datagrams_in"`   // UDP datagrams received
+	Full         int64 `json:"full_buffers"`   // datagrams lost because a socket buffer was full
+	LoopbackOut  int64 `json:"loopback_bytes"` // bytes sent on the loopback interface
+	Dropped      int64 `json:"dropped"`        // datagrams dropped by the open sockets of this fleet
 }
 
+// minus returns the change since an earlier reading x.
 func (k Kernel) minus(x Kernel) Kernel {
 	return Kernel{k.DatagramsOut - x.DatagramsOut, k.DatagramsIn - x.DatagramsIn, k.Full - x.Full, k.LoopbackOut - x.LoopbackOut, k.Dropped - x.Dropped}
 }
--- a/internal/standin/hollow/virtual.go
+++ b/internal/standin/hollow/virtual.go
@@ -12,16 +12,18 @@
 
 // Settings of the senders and links in virtual time.
 const (
-	virtualDelay         = time.Millisecond
-	virtualJitter        = 5 * time.Millisecond
-	virtualMinShareTotal = 0.1 // the default of package config
-	typicalAddr          = "127.16.1.99:7946"
+	virtualDelay         = time.Millisecond     // least delay of a message
+	virtualJitter        = 5 * time.Millisecond // bound of the random addition to it
+	virtualMinShareTotal = 0.1                  // the default of package config
+	typicalAddr          = "127.16.1.99:7946"   // as long as most over sockets, for the size of messages
 )
 
 // world is a set of senders in virtual time. It runs package view alone and checks the sum of the
 // shares at every instant.
 type world struct{ *play.World }
 
+// newWorld creates a world whose senders are running already. The clock rate of Options holds for the
+// first process of each sender; after a restart it is random within the drift.
 func newWorld(o Options) *world {
 	w := &world{play.New(play.Options{Seed: o.Seed, Senders: o.Senders, MinShareTotal: virtualMinShareTotal,
 		Lease: o.Lease, Interval: o.Lease / config.HeartbeatsPerLease, MaxClockDrift: o.Drift,
@@ -44,9 +46,13 @@
 	return w
 }
 
-func (w *world) size() int          { return len(w.Newest) }
+// size returns the number of senders, whether they are running or not.
+func (w *world) size() int { return len(w.Newest) }
+
+// now returns the virtual time since the start.
 func (w *world) now() time.Duration { return w.Now }
 
+// run lets d pass in virtual time and calls look every sampleInterval.
 func (w *world) run(d time.Duration, look func()) {
 	for end := w.Now + d; w.Now < end; {
 		w.Run(min(sampleInterval, end-w.Now))
@@ -54,6 +60,7 @@
 	}
 }
 
+// start starts those of the senders with the given indexes that are not running. It returns no error.
 func (w *world) start(list []int) error {
 	for _, i := range list {
 		if !w.Newest[i].Running {
@@ -63,14 +70,17 @@
 	return nil
 }
 
+// kill ends the newest processes of the senders with the given indexes.
 func (w *world) kill(list []int) {
 	for _, i := range list {
 		w.Kill(w.Newest[i])
 	}
 }
 
+// cut cuts or restores the link from one sender to another.
 func (w *world) cut(from, to int, cut bool) { w.Cut(from, to, cut) }
 
+// shares stores the share of each rate that each sender uses now; -1 for one that is not running.
 func (w *world) shares(out []float64) {
 	for i, p := range w.Newest {
 		out[i] = -1
@@ -80,14 +90,17 @@
 	}
 }
 
+// counts stores the traffic of each sender since its first start. There are no probes and facts.
 func (w *world) counts(out []Count) {
 	for i, t := range w.Traffic {
 		out[i] = Count{DatagramsOut: t.Out, DatagramsIn: t.In, BytesOut: t.OutBytes, BytesIn: t.InBytes}
 	}
 }
 
+// summarizeViews returns whether the views agree and how many incarnations were falsely considered gone.
 func (w *world) summarizeViews() viewSummary {
 	return viewSummary{agree: w.Converged(), falselyGone: w.HeardAfterGone}
 }
 
+// close does nothing: a world holds no resources.
 func (w *world) close() {}
--- a/internal/standin/hollow/watch.go
+++ b/internal/standin/hollow/watch.go
@@ -7,40 +7,43 @@
 
 // sample is one observation of all senders.
 type sample struct {
-	at      time.Duration
-	sums    [2]float64 // sums of the shares: of the senders not affected by the fault, and of those affected
-	running int
-	bytes   int64 // sent by all senders so far
+	at      time.Duration // in the time of the environment
+	sums    [2]float64    // of the shares: of the senders not affected by the fault, and of those affected
+	running int           // number of running senders
+	bytes   int64         // sent by all senders so far
 }
 
+// sum returns the sum of the shares of all senders.
 func (s sample) sum() float64 { return s.sums[0] + s.sums[1] }
 
 // monitor samples an environment throughout a run.
 type monitor struct {
 	env            environment
-	hit            []bool // by sender: affected by the current fault
-	shares         []float64
-	latestCounts   []Count
-	samples        []sample
-	highestSum     float64 // of the shares
-	samplesOverOne int     // samples with a sum above one rate
-	events         []event
+	hit            []bool    // by sender: affected by the current fault, or by the last one after it
+	shares         []float64 // by sender, in the last sample; -1 for one that is not running
+	latestCounts   []Count   // by sender, in the last sample
+	samples        []sample  // in order
+	highestSum     float64   // of the shares
+	samplesOverOne int       // samples with a sum above one rate
+	events         []event   // in order
 }
 
-// event is a step of the run.
+// event is a step of the run, for the timeline.
 type event struct {
-	at   time.Duration
+	at   time.Duration // in the time of the environment
 	text string
 }
 
+// newMonitor returns a monitor without samples.
 func newMonitor(s environment) *monitor {
 	return &monitor{env: s, hit: make([]bool, s.size()), shares: make([]float64, s.size()),
 		latestCounts: make([]Count, s.size())}
 }
 
+// addEvent adds an event that occurs now to the timeline.
 func (w *monitor) addEvent(text string) { w.events = append(w.events, event{w.env.now(), text}) }
 
-// sample takes a sample.
+// sample takes a sample of the shares and the traffic of all senders.
 func (w *monitor) sample() {
 	w.env.shares(w.shares)
 	s := sample{at: w.env.now()}
@@ -64,6 +67,7 @@
 	w.samples = append(w.samples, s)
 }
 
+// last returns the last sample; there must be one.
 func (w *monitor) last() sample { return w.samples[len(w.samples)-1] }
 
 // runUntil lets time pass, at most d, until condition holds after a sample. It returns the time
@@ -82,8 +86,8 @@
 	}
 }
 
-// converged reports whether all senders are running and each has an even share of the whole rate,
-// so that each counts all and is counted by all.
+// converged reports whether, in the last sample, all senders are running and each has an even share of
+// the whole rate, so that each counts all and is counted by all.
 func (w *monitor) converged() bool {
 	return slices.Min(w.shares) > 0.999/float64(w.env.size())
 }
@@ -117,13 +121,13 @@
 
 // Row is one second of the timeline.
 type Row struct {
-	At         float64    `json:"at_s"`
-	LowestSum  float64    `json:"lowest_sum"`
-	HighestSum float64    `json:"highest_sum"`
-	Sums       [2]float64 `json:"sides"` // at its end: of the senders not affected by the fault, and of those affected
-	Running    int        `json:"running"`
-	BytesSent  int64      `json:"bytes_sent"` // by all senders in this second
-	Events     []string   `json:"did,omitempty"`
+	At         float64    `json:"at_s"`          // its start, in whole seconds since that of the run
+	LowestSum  float64    `json:"lowest_sum"`    // of the shares, within it
+	HighestSum float64    `json:"highest_sum"`   // likewise
+	Sums       [2]float64 `json:"sides"`         // at its end: of senders the fault does not affect, and of others
+	Running    int        `json:"running"`       // senders that are running at its end
+	BytesSent  int64      `json:"bytes_sent"`    // by all senders in this second
+	Events     []string   `json:"did,omitempty"` // steps of the run, in order
 }
 
 // rows returns the timeline by seconds.
@@ -148,7 +152,7 @@
 	return out
 }
 
-// peakBytes returns the most bytes that all senders sent in one second of an interval.
+// peakBytes returns the most bytes that all senders together sent within one second of an interval.
 func (w *monitor) peakBytes(from, to time.Duration) (best int64) {
 	k := 0
 	for i, s := range w.samples {
--- a/internal/standin/hollow/wire.go
+++ b/internal/standin/hollow/wire.go
@@ -15,11 +15,12 @@
 // network is the links between directed pairs of senders. A datagram on a cut link is lost after it
 // was counted as sent; a stream waits for an answer until it times out.
 type network struct {
-	base   string // "127.X"
-	counts []counter
+	base   string        // first two octets of all addresses: "127.X"
+	counts []counter     // by sender
 	cuts   []atomic.Bool // index: from*senders+to
 }
 
+// newNetwork returns a network without cut links. base is the first two octets of the addresses.
 func newNetwork(base string, senders int) *network {
 	return &network{base: base, counts: make([]counter, senders), cuts: make([]atomic.Bool, senders*senders)}
 }
@@ -41,10 +42,13 @@
 	return -1
 }
 
+// isCut reports whether the link from one sender to another is cut. A link to or from -1,
+// an address without a sender, is cut.
 func (w *network) isCut(from, to int) bool {
 	return from < 0 || to < 0 || w.cuts[from*len(w.counts)+to].Load()
 }
 
+// cut cuts or restores the link from one sender to another.
 func (w *network) cut(from, to int, cut bool) { w.cuts[from*len(w.counts)+to].Store(cut) }
 
 // hooks returns the hooks of sender i into its clock and sockets.
@@ -58,7 +62,7 @@
 type socket struct {
 	*net.UDPConn
 	network *network
-	sender  int
+	sender  int // index of its owner
 }
 
 // ReadFromUDP counts the datagrams received.
@@ -104,7 +108,7 @@
 // stream counts the bytes of a probe at both ends.
 type stream struct {
 	net.Conn
-	own, other *counter
+	own, other *counter // of the sender that dialed, and of the one that accepted
 }
 
 // Read counts the bytes of an answer.
--- a/internal/standin/kill/kill.go
+++ b/internal/standin/kill/kill.go
@@ -18,24 +18,25 @@
 	"cometrack/internal/standin/traffic"
 )
 
+// Traffic of a round.
 const (
-	clients           = 40
+	clients           = 40                     // clients that submit concurrently
 	trafficAfterStart = 700 * time.Millisecond // traffic continues for this long after the last start
 	retryInterval     = 20 * time.Millisecond  // between two tries without a response
-	maxRetries        = 250
-	minAccepted       = 40 // with fewer accepted messages a round counts as a violation
+	maxRetries        = 250                    // tries to submit a message before a client gives it up
+	minAccepted       = 40                     // with fewer accepted messages a round counts as a violation
 )
 
 // Round is one run of a daemon with several kills.
 type Round struct {
-	Program  string
-	Partners []partner.Options
-	Uptimes  []time.Duration // uptimes before each SIGKILL; one more start follows, stopped by SIGTERM
-	Seed     uint64
+	Program  string            // path
+	Partners []partner.Options // one for each partner
+	Uptimes  []time.Duration   // uptimes before each SIGKILL; one more start follows, stopped by SIGTERM
+	Seed     uint64            // of the clients' messages
 }
 
-// Draw returns a round with the given number of kills: two to four partners with rates, requested waits and
-// outages. The same seed gives the same round.
+// Draw returns a random round for the program at path with the given number of kills: two to four partners
+// with rates, requested waits and outages. The same seed gives the same round.
 func Draw(path string, seed uint64, kills int) Round {
 	rng := rand.New(rand.NewPCG(seed, 0))
 	between := func(low, high int) time.Duration { return time.Duration(low+rng.IntN(high-low)) * time.Millisecond }
@@ -62,16 +63,17 @@
 type Report struct {
 	Accepted   int            // number of accepted messages
 	Ends       map[string]int // number of messages by final state
-	Violations []string       // broken rules
+	Violations []string       // broken rules; empty if there are none
 }
 
 // submissions are the messages that the clients have submitted.
 type submissions struct {
-	mu       sync.Mutex
+	mu       sync.Mutex        // guards accepted while the clients run
 	accepted map[string]string // name of the partner, by message id
 }
 
-// Play executes the round. An error is a fault of the harness, or a daemon that does not start or stop.
+// Play executes the round. An error means a failure of the harness, a daemon that does not start, or a file
+// of ends that cannot be read. A daemon that does not stop regularly at the end is a violation.
 func (r Round) Play() (Report, error) {
 	dir, err := os.MkdirTemp("", "kill")
 	if err != nil {
@@ -142,8 +144,9 @@
 	r.Violations = append(r.Violations, fmt.Sprintf(format, args...))
 }
 
-// client submits messages until stop is closed, over one front and the other. A message without a response is
-// submitted again: the same id is the same message.
+// client submits messages until stop is closed, over HTTP and over RESP in turn. A message without a response
+// is submitted again: the same id is the same message. k is the number of the client; addrs are the addresses
+// of the fronts, HTTP first.
 func (f *submissions) client(k int, seed uint64, partners []*partner.Partner, addrs []string, stop <-chan struct{}) {
 	rng := rand.New(rand.NewPCG(seed, uint64(k)+1))
 	c := &http.Client{Transport: &http.Transport{}, Timeout: program.Timeout}
@@ -172,7 +175,9 @@
 	}
 }
 
-// judge compares the final states with the calls that the partners received.
+// judge compares the final states with the calls that the partners received, and adds the violations.
+// accepted holds the name of the partner and final the state, by message id; kills are the times of the
+// kills.
 func (r *Report) judge(accepted, final map[string]string, partners []*partner.Partner, kills []time.Time) {
 	ran := map[string]int{}
 	for _, p := range partners {
@@ -201,8 +206,8 @@
 	}
 }
 
-// ends compares the final states with the file of ends: each message has one end, which may be written again
-// after a kill.
+// ends compares the final states, by message id, with the file of ends at path, and adds the violations: each
+// message has one end, which may be written again after a kill. An error means that the file cannot be read.
 func (r *Report) ends(path string, final map[string]string) error {
 	lines, err := traffic.ReadEnds(path)
 	if err != nil {
--- a/internal/standin/partner/partner.go
+++ b/internal/standin/partner/partner.go
@@ -19,11 +19,11 @@
 
 // The modes.
 const (
-	Healthy    Mode = iota // answers 200 after the latency
-	Overloaded             // rejects all calls, with a requested wait if the options have one
-	Down                   // does not listen
-	Hanging                // receives calls and answers none
-	Failing                // runs calls and answers 500
+	Healthy    Mode = iota // answers 200 after the latency; rejects calls above the rate as Overloaded does
+	Overloaded             // rejects all calls: 429 with the requested wait, 503 if the options have none
+	Down                   // does not listen; its connections are closed
+	Hanging                // runs calls and answers none; their connections are closed when the mode changes
+	Failing                // runs calls and answers 500; rejects calls above the rate as Overloaded does
 )
 
 // Phase is a mode for some time.
@@ -34,12 +34,12 @@
 
 // Options configure a partner.
 type Options struct {
-	Name          string
-	Latency       time.Duration
+	Name          string        // in configurations and violations
+	Latency       time.Duration // of the responses with 200; 0 for none
 	Rate          int           // calls admitted in each window; 0 for any number
 	Window        time.Duration // 0 for 1 s
 	RequestedWait time.Duration // sent with each rejection; 0 for none
-	WaitInSeconds bool          // the wait is sent as Retry-After, in seconds, in place of X-Come-Back-Ms
+	WaitInSeconds bool          // sent as Retry-After in whole seconds, in place of X-Come-Back-Ms
 	Phases        []Phase       // repeated in a cycle; empty for always healthy
 }
 
@@ -47,12 +47,12 @@
 type Call struct {
 	At              time.Time // when its last byte was received
 	From            string    // address of the caller, without the port
-	ID              string
-	Key             string
+	ID              string    // of the message
+	Key             string    // Idempotency-Key of the request; empty if it has none
 	Ran             bool      // it took effect, or would have without an earlier call with its key
 	Status          int       // 0 if it was not answered
 	InsideWait      bool      // it came inside a wait that was requested more than WaitGrace before
-	WaitRequestedAt time.Time // when that wait was requested
+	WaitRequestedAt time.Time // when a wait was last requested before the call; zero if none was
 	Overlap         bool      // another call with this message was in flight
 }
 
@@ -60,31 +60,31 @@
 // flight.
 const WaitGrace = 100 * time.Millisecond
 
-// toleratedDelay is the bunching of calls by scheduling delays on an ordinary machine that the senders'
-// margins cover.
+// toleratedDelay is the bunching of calls, by scheduling delays on an ordinary machine, that the margins of
+// the senders cover. [Partner.Violations] allows for more only as far as the measured delays exceed it.
 const toleratedDelay = 100 * time.Millisecond
 
 // Partner is one partner with one endpoint.
 type Partner struct {
 	opts  Options
 	start time.Time
-	addr  string
+	addr  string // kept while the partner is down
 
-	mu              sync.Mutex
+	mu              sync.Mutex // guards the fields below except stop and done
 	mode            Mode
-	server          *http.Server
-	calls           []Call
+	server          *http.Server   // of the current listener, or of the last one while the partner is down
+	calls           []Call         // in the order in which they were received
 	inFlight        map[string]int // calls in flight, by message
 	waitRequestedAt time.Time      // when a wait was last requested
 	waitUntil       time.Time      // when that wait ends
 	admitted        []time.Time    // times of the calls admitted in the window
 	maxDelay        time.Duration  // longest scheduling delay of a goroutine on this machine
 	stop            context.CancelFunc
-	done            chan struct{}
+	done            chan struct{} // closed when run has returned
 	modeChanged     chan struct{} // closed when the mode changes
 }
 
-// Start starts a partner on a free loopback port.
+// Start starts a partner on a free loopback port. It runs until [Partner.Close].
 func Start(opts Options) (*Partner, error) {
 	if opts.Window == 0 {
 		opts.Window = time.Second
@@ -130,6 +130,7 @@
 // Rate returns the number of calls that the partner admits in each window; 0 for any number.
 func (p *Partner) Rate() int { return p.opts.Rate }
 
+// listen starts a server at addr and sets the address of the partner to that of its listener.
 func (p *Partner) listen(addr string) error {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -144,7 +145,7 @@
 	return nil
 }
 
-// run cycles through the phases.
+// run cycles through the phases until ctx is canceled. Without phases the mode stays as it is.
 func (p *Partner) run(ctx context.Context) {
 	defer close(p.done)
 	for i := 0; len(p.opts.Phases) > 0; i++ {
@@ -161,7 +162,7 @@
 	<-ctx.Done()
 }
 
-// SetMode changes the mode.
+// SetMode changes the mode. A partner that was down listens again at the same address.
 func (p *Partner) SetMode(m Mode) {
 	p.mu.Lock()
 	before := p.mode
@@ -190,6 +191,7 @@
 	s.Close()
 }
 
+// serve receives a call, records it and answers it as the mode prescribes that held when it was received.
 func (p *Partner) serve(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path != "/inbox" || r.Method != http.MethodPost {
 		http.NotFound(w, r)
@@ -245,8 +247,9 @@
 	return true
 }
 
-// answer waits for what the mode prescribes and returns the status for the n-th call; 0 if the connection is
-// to be aborted.
+// answer waits for what the mode prescribes and returns the status for the call with index n; 0 if the
+// connection is to be aborted. overloaded says that the call is rejected; modeChanged is closed when the mode
+// changes.
 func (p *Partner) answer(ctx context.Context, mode Mode, overloaded bool, modeChanged <-chan struct{}, n int) int {
 	if overloaded && mode != Hanging && mode != Down {
 		if p.opts.RequestedWait > 0 {
--- a/internal/standin/program/program.go
+++ b/internal/standin/program/program.go
@@ -19,12 +19,13 @@
 	Cmd      *exec.Cmd
 	Addrs    []string    // addresses of its fronts, HTTP first; set by Ready
 	LogLines chan string // lines of its log; further lines are dropped while the channel is full
-	Done     chan error  // receives the exit error
+	Done     chan error  // receives the exit error once; nil for status 0
 
-	ready chan []string
+	ready chan []string // receives the addresses of the fronts when the program logs that it is ready
 }
 
-// Start runs the program at path with env added to the environment, and waits until it is ready.
+// Start runs the program at path with the entries of env, NAME=value, added to the environment, and waits
+// until it is ready. A program that is not ready in time is killed.
 func Start(path string, env []string, args ...string) (*Program, error) {
 	p, err := Launch(path, env, args...)
 	if err != nil {
@@ -80,7 +81,7 @@
 	}
 }
 
-// lastLogLine returns the last line that is waiting in LogLines.
+// lastLogLine empties LogLines and returns the last line; empty if none is waiting.
 func (p *Program) lastLogLine() (line string) {
 	for {
 		select {
@@ -107,7 +108,8 @@
 	}
 }
 
-// AwaitLog waits for a log line that contains part.
+// AwaitLog waits for a log line that contains part and drops the lines before it. It is an error if there is
+// none in time.
 func (p *Program) AwaitLog(part string) error {
 	for stop := time.After(Timeout); ; {
 		select {
--- a/internal/standin/ready/ready.go
+++ b/internal/standin/ready/ready.go
@@ -21,25 +21,26 @@
 	"cometrack/internal/standin/traffic"
 )
 
+// Settings of the partner, the messages and the processes.
 const (
 	partnerLatency = 500 * time.Millisecond // of the partner, after the restart
 	// requestedWait is requested by the partner before the restart, so that messages stay
 	// pending; the restart ends the wait.
 	requestedWait    = time.Minute
 	remaining        = 10 * time.Minute // until the deadline of each message
-	bodySize         = 200
-	diskMB           = 64
-	pingInterval     = time.Millisecond
-	recordsPerAppend = 1000 // records per append to the journal
+	bodySize         = 200              // bytes of each message's body
+	diskMB           = 64               // disk limit of a process, in MB; half of it bounds its journal
+	pingInterval     = time.Millisecond // between a PING that is not answered with PONG and the next
+	recordsPerAppend = 1000             // records per append to the journal
 )
 
 // Scenario is a simultaneous restart of all processes.
 type Scenario struct {
-	Program         string
-	Cores           string // processors that the processes share, in the format of taskset; "" for all
-	Processes       int
+	Program         string        // path
+	Cores           string        // processors that the processes share, in the format of taskset; "" for all
+	Processes       int           // number of processes
 	Pending         int           // pending messages per process
-	DiscoveryOutage time.Duration // from the kill
+	DiscoveryOutage time.Duration // from the kill until discovery answers again
 	RestartDelay    time.Duration // from the kill to the start
 }
 
@@ -50,6 +51,8 @@
 	Pending    int           // messages restored from the journal
 }
 
+// settingsFormat is the platform's settings as JSON. Its arguments are the number of processes and the
+// maximum number of open messages.
 const settingsFormat = `{"balancers":%d,"me":0,"zone":0,"zones":["a"],"tick_s":0.005,"membership_mode":"on_request","weights":"nominal",
 "over_share_worth":0.2,"machine_types":["std"],"classes":[
 {"name":"safe","aim_s":2,"deadline_s":600,"worth":1,"late_worth":0.4,"idempotency":"retryable"},
@@ -61,11 +64,12 @@
 
 // discovery answers 503 while it is down. It always accepts the ends of messages.
 type discovery struct {
-	mu          sync.Mutex
-	instances   []map[string]any
-	availableAt time.Time
+	mu          sync.Mutex       // guards availableAt
+	instances   []map[string]any // endpoints of the list, of generation 2
+	availableAt time.Time        // until then it is down; zero if it is not down
 }
 
+// ServeHTTP answers calls for the list and posts of the ends of messages.
 func (d *discovery) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	d.mu.Lock()
 	down := time.Now().Before(d.availableAt)
@@ -84,12 +88,12 @@
 
 // sender is one process with its environment.
 type sender struct {
-	env  []string
-	proc *program.Program
+	env  []string         // environment entries, NAME=value
+	proc *program.Program // nil before the first start
 }
 
-// Run runs the scenario. An error means a failure of the test setup, or a program that is not ready
-// within [program.Timeout].
+// Run runs the scenario and returns the times of each process. An error means a failure of the test setup, or
+// a program that is not ready within [program.Timeout].
 func (p Scenario) Run() ([]StartTimes, error) {
 	dir, err := os.MkdirTemp("", "ready")
 	if err != nil {
@@ -187,7 +191,7 @@
 	return nil
 }
 
-// startAll starts all processes concurrently and waits until each is ready.
+// startAll starts all processes concurrently, waits until each is ready, and returns their times.
 func (p Scenario) startAll(senders []*sender) ([]StartTimes, error) {
 	out, errs := make([]StartTimes, len(senders)), make([]error, len(senders))
 	var wg sync.WaitGroup
@@ -198,6 +202,7 @@
 	return out, errors.Join(errs...)
 }
 
+// startOne starts a process, waits until it answers PING with PONG, and submits the first message to it.
 func (p Scenario) startOne(s *sender) (times StartTimes, err error) {
 	path, args := p.Program, []string(nil)
 	if p.Cores != "" {
@@ -241,7 +246,8 @@
 	return times, err
 }
 
-// pendingMessages returns the number of pending messages that the log of a ready process reports.
+// pendingMessages returns the number of pending messages that the log of a ready process reports. It is an
+// error if none of the log lines so far reports it.
 func (s *sender) pendingMessages() (int, error) {
 	for {
 		select {
--- a/internal/standin/traffic/resp.go
+++ b/internal/standin/traffic/resp.go
@@ -10,7 +10,7 @@
 // RESP is a connection to a RESP2 front. Requests may be pipelined.
 type RESP struct {
 	net.Conn
-	r *bufio.Reader
+	r *bufio.Reader // of Conn
 }
 
 // DialRESP connects to a RESP2 front.
@@ -36,7 +36,8 @@
 	return err
 }
 
-// Answer reads the response to the next request, without its line end.
+// Answer reads the response to the earliest request that has none yet, without its line end. The response
+// must be a single line.
 func (c *RESP) Answer() (string, error) {
 	line, err := c.r.ReadString('\n')
 	return strings.TrimSpace(line), err
--- a/internal/standin/traffic/traffic.go
+++ b/internal/standin/traffic/traffic.go
@@ -20,8 +20,8 @@
 // responseTimeout bounds the wait for one response.
 const responseTimeout = 20 * time.Second
 
-// ConfigText returns a configuration with both fronts on free ports, a class of each effect and partners with
-// one endpoint each. The text more is inserted before the first section.
+// ConfigText returns a configuration in TOML with the state folder dir, both fronts on free ports, a class of
+// each effect and partners with one endpoint each. The text more is inserted before the first section.
 func ConfigText(dir, more string, partners ...*partner.Partner) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "state = %q\n%s\n[front.http]\nlisten = \"127.0.0.1:0\"\n[front.resp]\nlisten = \"127.0.0.1:0\"\n", dir, more)
@@ -50,7 +50,8 @@
 	return text, nil
 }
 
-// PutHTTP submits a message over HTTP and returns the status; 0 if there was no response.
+// PutHTTP submits a message for the partner to, with 6 s until its deadline, to the HTTP front at addr. It
+// returns the status of the response; 0 if there was none.
 func PutHTTP(c *http.Client, addr, id, to, class string) int {
 	resp, err := c.Post(fmt.Sprintf("http://%s/v1/messages?partner=%s&class=%s&key=%s&left=6s&id=%s", addr, to, class, id, id), "",
 		strings.NewReader("body of "+id))
@@ -62,7 +63,8 @@
 	return resp.StatusCode
 }
 
-// PutRESP submits a message over RESP on a new connection and returns the response; empty if there was none.
+// PutRESP submits a message for the partner to, with 6 s until its deadline, to the RESP front at addr on a
+// new connection. It returns the response; empty if there was none.
 func PutRESP(addr, id, to, class string) string {
 	c, err := DialRESP(addr)
 	if err != nil {
@@ -77,8 +79,8 @@
 	return line
 }
 
-// Put submits a message over one of the two fronts. ok reports whether it was accepted; answered is false if
-// there was no response.
+// Put submits a message for the partner to over HTTP or, if overHTTP is false, over RESP. ok reports whether
+// it was accepted; answered is false if there was no response.
 func Put(c *http.Client, overHTTP bool, httpAddr, respAddr, id, to, class string) (ok, answered bool) {
 	if overHTTP {
 		status := PutHTTP(c, httpAddr, id, to, class)
@@ -88,8 +90,8 @@
 	return line == "+OK", line != ""
 }
 
-// State returns the state of a message, asked for over HTTP with a wait for its end of up to wait. It is empty
-// if the message is unknown.
+// State returns the state of a message from the HTTP front at addr, which waits for its end for up to wait, a
+// duration such as "20s". The state is empty if the message is unknown.
 func State(addr, id, wait string) (string, error) {
 	resp, err := http.Get("http://" + addr + "/v1/messages/" + url.PathEscape(id) + "?wait=" + wait)
 	if err != nil {
@@ -107,7 +109,8 @@
 	return "", fmt.Errorf("state of %s: %s", id, resp.Status)
 }
 
-// ReadEnds reads a file of ends.
+// ReadEnds reads a file to which a daemon has written the ends of messages, one JSON object on each line.
+// After a kill an end may be in it more than once.
 func ReadEnds(path string) (list []sink.Notice, err error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/standin/untried/untried.go
+++ b/internal/standin/untried/untried.go
@@ -20,22 +20,25 @@
 	"cometrack/internal/standin/traffic"
 )
 
+// Timing and traffic of a restart.
 const (
 	// requestedWait is requested by the partner before the restart, so that no message is
 	// attempted; the restart ends the wait.
 	requestedWait = time.Minute
-	pipelineDepth = 200 // pipelined requests
-	settleTime    = 250 * time.Millisecond
+	pipelineDepth = 200 // requests that are sent before their responses are awaited
+	// settleTime is enough for a response to be read and for the last ends to arrive. It is also the
+	// approximate duration of a restart after SIGKILL.
+	settleTime = 250 * time.Millisecond
 )
 
 // Scenario is one restart.
 type Scenario struct {
-	Program string
-	Pending int
+	Program string         // path
+	Pending int            // messages without an attempt at the restart
 	Signal  syscall.Signal // SIGTERM or SIGKILL
 	// Partner is the behavior of the partner after the restart.
 	Partner        partner.Mode
-	Latency        time.Duration
+	Latency        time.Duration // of the partner's responses
 	ListedAfter    time.Duration // when discovery lists the partner, after the start of the new process; 0 for at once
 	ShortRemaining time.Duration // approximate time left for half of the messages when the new process is ready
 	LongRemaining  time.Duration // and for the other half
@@ -43,14 +46,15 @@
 
 // Counts are the outcomes of the pending messages.
 type Counts struct {
-	Pending      int
-	Expired      int // past their deadline when the new process was ready
-	Attempted    int // of the rest: attempted at least once
-	EndedUntried int // of the rest: ended without an attempt
-	Delivered    int
-	Faults       []string
+	Pending      int      // all messages of the scenario
+	Expired      int      // past their deadline when the new process was ready
+	Attempted    int      // of the rest: attempted at least once
+	EndedUntried int      // of the rest: ended without an attempt
+	Delivered    int      // answered by the partner with 200
+	Faults       []string // broken rules, and messages with neither an attempt nor an end
 }
 
+// settingsFormat is the platform's settings as JSON. Its argument is the maximum number of open messages.
 const settingsFormat = `{"balancers":1,"me":0,"zone":0,"zones":["a"],"tick_s":0.005,"membership_mode":"on_request","weights":"nominal",
 "over_share_worth":0.2,"machine_types":["std"],"classes":[
 {"name":"safe","aim_s":2,"deadline_s":60,"worth":1,"late_worth":0.4,"idempotency":"retryable"},
@@ -63,11 +67,12 @@
 // platform is a discovery service that also receives the ends of messages.
 type platform struct {
 	mu        sync.Mutex
-	instances []map[string]any
-	listAt    time.Time // when the instances are listed
-	ended     map[string]string
+	instances []map[string]any  // endpoints of the list, of generation 2
+	listAt    time.Time         // when the instances are listed; zero for at once
+	ended     map[string]string // state of each message in a notice, by message id
 }
 
+// ServeHTTP answers calls for the list once the instances are listed, and records the ends of messages.
 func (p *platform) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if !strings.HasPrefix(r.URL.Path, "/discovery") {
 		p.mu.Lock()
@@ -231,7 +236,8 @@
 	return c, nil
 }
 
-// allEnded reports whether each message has ended.
+// allEnded reports whether each message has ended: the partner has answered it with 200, or the platform has
+// received its end.
 func (u Scenario) allEnded(target *partner.Partner, discovery *platform, ids []string) bool {
 	delivered := map[string]bool{}
 	for _, k := range target.Calls() {
@@ -247,7 +253,9 @@
 	return true
 }
 
-// submit submits messages for partner 1, each with the remaining time that remaining returns.
+// submit submits messages for partner 1 to the RESP front at addr, each with the remaining time that
+// remaining returns for its index. The class of a message is the part of its id before the first hyphen;
+// "first" is safe. It is an error if a message is not accepted.
 func submit(addr string, ids []string, remaining func(i int) time.Duration) error {
 	c, err := traffic.DialRESP(addr)
 	if err != nil {
