--- a/cmd/measure/backlog.go
+++ b/cmd/measure/backlog.go
@@ -84,26 +84,27 @@
 // backlogRun is a daemon with a partner p0 that refuses connections and has the
 // backlog, and a healthy partner p1 that receives probes.
 type backlogRun struct {
-	bin        string
-	window     int
-	bodySize   int
-	callRate   int
-	syncPolicy string
-	body       []byte
+	bin        string // path of the daemon
+	window     int    // messages of a partner that the daemon keeps in memory
+	bodySize   int    // bytes of each body
+	callRate   int    // configured rate of p0 in calls a second; 0 for no limit
+	syncPolicy string // the daemon's store.sync
+	body       []byte // bodySize bytes
 
-	proc        *process
-	configText  string
-	backlogAddr string // address of p0, which refuses connections at first
-	submitted   int    // messages submitted for p0
+	proc        *process // the running daemon; a new one after killAndRestart
+	configText  string   // configuration of the daemon
+	backlogAddr string   // address of p0, which refuses connections at first
+	submitted   int      // messages submitted for p0
 
-	mu             sync.Mutex
+	mu             sync.Mutex           // guards probeSentAt and probeLatencies
 	probeSentAt    map[string]time.Time // by message id, until the call at p1
-	probeLatencies []time.Duration
-	probeCount     int
-	backlogCalls   atomic.Int64 // calls received by p0
+	probeLatencies []time.Duration      // of the current step, from the submission to the call at p1
+	probeCount     int                  // probes submitted in all steps
+	backlogCalls   atomic.Int64         // calls received by p0
 }
 
-// run fills the backlog of p0 up to messages, and prints the figures of each step.
+// run fills the backlog of p0 up to so many messages, and prints the figures of each step: while it
+// fills up, with a full backlog, after a kill, and once p0 accepts calls.
 func (r *backlogRun) run(messages int) error {
 	probeListener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -236,7 +237,7 @@
 }
 
 // probeDuring submits a message for p1 every 10 ms while work runs, and prints
-// percentiles of the time from the submission to the call at p1.
+// percentiles of the time from the submission to the call at p1. label names the step.
 func (r *backlogRun) probeDuring(label string, work func() error) error {
 	c, err := traffic.DialRESP(r.proc.Addrs[0])
 	if err != nil {
--- a/cmd/measure/cluster.go
+++ b/cmd/measure/cluster.go
@@ -77,7 +77,8 @@
 		list[min(len(list)*99/100, len(list)-1)].Seconds(), list[len(list)-1].Seconds())
 }
 
-// withTempDir calls f with a temporary folder as opts.Dir and removes the folder afterwards.
+// withTempDir calls f with opts, of which Dir is set to a temporary folder, and removes the folder
+// afterwards.
 func withTempDir(opts fleet.Options, f func(fleet.Options) error) error {
 	dir, err := os.MkdirTemp("", "cluster")
 	if err != nil {
@@ -89,7 +90,8 @@
 }
 
 // runClusterCases runs each case of faults on real processes, and prints a table with
-// wrong suspicions and the times until all senders know of a fault.
+// wrong suspicions and the times until all senders know of a fault. Only cases whose name
+// contains only are run, each plays times with successive seeds, up to parallel at a time.
 func runClusterCases(opts fleet.Options, only string, plays, parallel int, seed uint64) error {
 	fmt.Println("| case | taken for gone | other changes | killed known by all (median, p99, longest) | views equal again |")
 	fmt.Println("| --- | --- | --- | --- | --- |")
@@ -148,7 +150,8 @@
 }
 
 // measureClusterRate runs random faults over four senders that share a partner, and
-// counts in the partner's record the seconds with more calls than its rate.
+// counts in the partner's record the windows of a second with more calls than its rate. It
+// runs plays scripts with successive seeds, up to parallel at a time.
 func measureClusterRate(opts fleet.Options, plays, parallel int, seed uint64) error {
 	const rate, senders = 200, 4
 	var mu sync.Mutex
@@ -206,7 +209,8 @@
 	return failure
 }
 
-// virtualOptions returns the options of a fleet of n senders in virtual time.
+// virtualOptions returns the options of a fleet of n senders in virtual time. Those with an
+// even seed have guards.
 func virtualOptions(seed uint64, n int) play.Options {
 	return play.Options{Seed: seed, Senders: n, MinShareTotal: 0.1, Lease: 3 * time.Second,
 		Interval: 300 * time.Millisecond, MaxClockDrift: 0.01, Delay: time.Millisecond, Jitter: 5 * time.Millisecond,
@@ -214,7 +218,8 @@
 }
 
 // runClusterVirtual runs random faults in virtual time, and counts the runs in which the
-// shares added up to more than one rate.
+// shares added up to more than one rate. Each of the plays lasts a minute; the seed also
+// determines the size of its fleet.
 func runClusterVirtual(plays int, seed uint64) error {
 	over, maxSum, gone := 0, 0.0, 0
 	var mu sync.Mutex
@@ -244,7 +249,8 @@
 }
 
 // measureClusterLarge runs fleets without faults in virtual time, and prints messages
-// and bytes sent, and the time until a kill of four senders in ten is known by all.
+// and bytes sent, and the time until a kill of four senders in ten is known by all. sizes are
+// numbers of senders, separated by commas.
 func measureClusterLarge(sizes string) error {
 	for _, text := range strings.Split(sizes, ",") {
 		n, err := strconv.Atoi(text)
@@ -279,6 +285,7 @@
 
 // measureClusterCost runs fleets without faults and prints the CPU time, the memory, the
 // descriptors and the traffic of a sender, with a guard, without one and without a cluster.
+// sizes are numbers of senders, separated by commas.
 func measureClusterCost(opts fleet.Options, sizes string) error {
 	for _, text := range strings.Split(sizes, ",") {
 		n, err := strconv.Atoi(text)
@@ -320,9 +327,9 @@
 
 // resourceUsage is the sum over the senders of a fleet.
 type resourceUsage struct {
-	cpu                time.Duration
-	ownKB, withGuardKB float64 // KB
-	descriptors        int
+	cpu                time.Duration // used since the start, by senders and their guards
+	ownKB, withGuardKB float64       // memory not backed by files, in KB, without and with the guards
+	descriptors        int           // open now, without those of the guards
 }
 
 // fleetUsage adds up the resources that the senders of a fleet and their guards use.
@@ -363,7 +370,8 @@
 	return u
 }
 
-// runClusterScript runs a script of faults and writes its time line as JSON and SVG.
+// runClusterScript runs the script of faults in the file path over senders that submit to a
+// common partner, and writes its time line as JSON and SVG into the folder out.
 func runClusterScript(opts fleet.Options, path, out string) error {
 	s, err := fleet.LoadScript(path)
 	if err != nil {
--- a/cmd/measure/daemon.go
+++ b/cmd/measure/daemon.go
@@ -14,12 +14,13 @@
 
 // process is a daemon under measurement.
 type process struct {
-	*program.Program
-	dir string
+	*program.Program        // running and ready
+	dir              string // temporary folder that holds its configuration and its state
 }
 
-// startDaemon starts a daemon with a configuration whose listeners use free ports. It
-// puts the configuration and the state into a temporary folder, which stop removes.
+// startDaemon starts the daemon at path bin with a configuration whose listeners use free
+// ports, and with further flags of its command line. It puts the configuration and the state
+// into a temporary folder, which stop removes, and returns when the daemon is ready.
 func startDaemon(bin, config string, flags ...string) (*process, error) {
 	dir, err := os.MkdirTemp("", "measure")
 	if err != nil {
@@ -63,7 +64,8 @@
 // anonymousMB returns the resident memory that is not backed by files, in MB.
 func (p *process) anonymousMB() float64 { return p.statusMB("RssAnon:") }
 
-// statusMB returns the field name of /proc/PID/status in MB; 0 if it can't be read.
+// statusMB returns the field name, given with its colon, of /proc/PID/status in MB; 0 if it
+// can't be read.
 func (p *process) statusMB(name string) float64 {
 	b, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", p.Cmd.Process.Pid))
 	if err != nil {
--- a/cmd/measure/disk.go
+++ b/cmd/measure/disk.go
@@ -18,13 +18,13 @@
 // diskRun is a journal in a real folder of limited size, and the state that the journal
 // has acknowledged.
 type diskRun struct {
-	folder   *vfs.Limited
-	opts     journal.Options
-	journal  *journal.Journal
-	rng      *rand.Rand
-	pending  map[string]int // number of attempts, by id
-	lastID   int
-	rejected int
+	folder   *vfs.Limited     // holds the journal; its limit changes within a round
+	opts     journal.Options  // with which the journal is opened
+	journal  *journal.Journal // open during a round
+	rng      *rand.Rand       // draws limits, sizes and steps
+	pending  map[string]int   // number of attempts of each pending message, by id
+	lastID   int              // number in the id of the last message
+	rejected int              // writes that the journal rejected in all rounds
 }
 
 // testFullDisk fills a real folder up to random limits and lifts the limit again, many
@@ -68,7 +68,8 @@
 }
 
 // round opens the journal, fills the folder until writes are rejected, lifts the limit,
-// appends more, and reopens the journal.
+// appends more, and reopens the journal. It returns how many messages the journal
+// acknowledged, and an error if its content is ever wrong or it rejects a write that fits.
 func (r *diskRun) round() (acked int, err error) {
 	if r.journal, err = journal.OpenOn(r.folder, r.opts); err != nil {
 		return 0, err
@@ -136,7 +137,8 @@
 	return true
 }
 
-// verify compares the journal with the acknowledged state.
+// verify returns an error if the journal differs from the acknowledged state. when names the
+// step in the error.
 func (r *diskRun) verify(when string) error {
 	if n := r.journal.Len(); n != len(r.pending) {
 		return fmt.Errorf("%s: %d pending messages, want %d", when, n, len(r.pending))
--- a/cmd/measure/doors.go
+++ b/cmd/measure/doors.go
@@ -18,8 +18,8 @@
 
 // takeoverMethod is one way to replace a listener by another one on the same address.
 type takeoverMethod struct {
-	name    string
-	replace func(old *net.TCPListener) (*net.TCPListener, error) // closes old
+	name    string                                               // as printed
+	replace func(old *net.TCPListener) (*net.TCPListener, error) // closes old and returns the new listener
 }
 
 // measureListenerTakeover counts failed connections of clients while listeners replace
@@ -85,8 +85,8 @@
 	return nil
 }
 
-// runTakeovers replaces ln by d turns times while clients connect, and prints the results of
-// their connections.
+// runTakeovers replaces ln by d turns times while so many workers connect in a loop, and prints
+// how many of their connections were answered, refused, or reset without an answer.
 func runTakeovers(d takeoverMethod, ln *net.TCPListener, turns, workers int) error {
 	serve := func(ln *net.TCPListener) {
 		for {
--- a/cmd/measure/fleet.go
+++ b/cmd/measure/fleet.go
@@ -49,31 +49,32 @@
 
 // fleetKey is a partner, with an endpoint if counted by endpoint, and an interval of time.
 type fleetKey struct {
-	label string
-	span  int
+	label string // "p" and the partner, then the endpoint if counted by endpoint
+	span  int    // number of the interval, counted from time 0 of the logs
 }
 
 // fleetRow counts the events of a partner in an interval of time.
 type fleetRow struct {
-	accepted, calls, retries int
-	outcomes                 map[string]int
-	requestedWaits           int // replies that requested a wait
-	ends                     map[string]int
-	deliveryAges             []float64 // of delivered messages, in seconds
-	senders                  map[string]bool
+	accepted, calls, retries int             // retries are calls after the first of a message
+	outcomes                 map[string]int  // replies to calls, by outcome
+	requestedWaits           int             // replies that requested a wait
+	ends                     map[string]int  // messages, by the state in which they ended
+	deliveryAges             []float64       // of delivered messages, from acceptance, in seconds
+	senders                  map[string]bool // log files of the senders that called
 }
 
+// newFleetRow returns a row without counts.
 func newFleetRow() *fleetRow {
 	return &fleetRow{outcomes: map[string]int{}, ends: map[string]int{}, senders: map[string]bool{}}
 }
 
 // fleetSummary holds the counts of all logs.
 type fleetSummary struct {
-	spanSeconds   float64
-	byRoute       bool
-	partners      []string
-	rows          map[fleetKey]*fleetRow
-	endpointRates map[string]map[string]float64 // by partner and endpoint
+	spanSeconds   float64                       // length of an interval
+	byRoute       bool                          // counted by endpoint, not only by partner
+	partners      []string                      // those that are counted; nil for all
+	rows          map[fleetKey]*fleetRow        // those with a count
+	endpointRates map[string]map[string]float64 // weights in the initial lists, by partner and endpoint
 }
 
 // readLog counts the lines of a log: a time in seconds, and then key=value pairs.
@@ -158,7 +159,8 @@
 	return r
 }
 
-// print prints the rates of endpoints, the rows by label, and the totals by interval.
+// print prints the rates of endpoints, the rows by label, and the totals by interval. senders is
+// the number of logs that were read.
 func (f *fleetSummary) print(senders int) {
 	fmt.Printf("%d senders, spans of %g s; counts over all of them\n", senders, f.spanSeconds)
 	for _, label := range slices.Sorted(maps.Keys(f.endpointRates)) {
@@ -210,7 +212,7 @@
 	maps.Copy(r.senders, x.senders)
 }
 
-// print prints r as a row of the table that starts with label and from in seconds.
+// print prints r as a row of the table. from is the start of its interval in seconds.
 func (r *fleetRow) print(label string, from float64) {
 	other := 0
 	for k, n := range r.outcomes {
--- a/cmd/measure/fronts.go
+++ b/cmd/measure/fronts.go
@@ -22,8 +22,8 @@
 
 // stubPartner is a partner that answers each call with 200 without delay and counts them.
 type stubPartner struct {
-	ln    net.Listener
-	calls atomic.Int64
+	ln    net.Listener // on a free port of loopback
+	calls atomic.Int64 // received in full so far
 }
 
 // startStubPartner starts a partner on a free port of loopback.
@@ -45,6 +45,8 @@
 	return s, nil
 }
 
+// serve answers the calls of one connection until it is closed. Of the headers it reads Content-Length only,
+// in this spelling.
 func (s *stubPartner) serve(c net.Conn) {
 	defer c.Close()
 	r := bufio.NewReader(c)
@@ -76,14 +78,15 @@
 // function that submits a message and reports whether it was accepted, and one that
 // closes the connection.
 type frontClient struct {
-	name    string
+	name    string // of the front, as printed and as in --only
 	connect func(p *process) (func(id string) (bool, error), func(), error)
 }
 
-// partnerCount is the number of partners that share one stub.
+// partnerCount is the number of configured partners, p0 and so on, which share one stub.
 const partnerCount = 16
 
-// connectRESP submits over a RESP2 connection for each worker.
+// connectRESP submits over a RESP2 connection for each worker. It is a connect function of a
+// frontClient.
 func connectRESP(p *process) (func(string) (bool, error), func(), error) {
 	c, err := traffic.DialRESP(p.Addrs[1])
 	if err != nil {
@@ -100,10 +103,11 @@
 	}, func() { c.Close() }, nil
 }
 
-// messageBody is the body of each message.
+// messageBody is the body of each submitted message: 256 bytes.
 var messageBody = bytes.Repeat([]byte("x"), 256)
 
-// connectHTTP submits over HTTP; all workers share one client.
+// connectHTTP returns a connect function of a frontClient that submits over HTTP. All workers share
+// one client, which uses the transport that transport returns.
 func connectHTTP(transport func() *http.Transport) func(p *process) (func(string) (bool, error), func(), error) {
 	var shared *http.Client
 	var once sync.Once
@@ -126,10 +130,11 @@
 
 // frontResult holds the figures of one run of one front.
 type frontResult struct {
+	// accepted messages per second of time until all were delivered, and per second of the daemon's CPU time
 	acceptedPerSecond, acceptedPerCPUSecond float64
-	p50, p99                                time.Duration
-	rejected                                int
-	residentMB                              float64
+	p50, p99                                time.Duration // from a submission until it was accepted
+	rejected                                int           // messages that the daemon did not accept
+	residentMB                              float64       // memory of the daemon after the run
 }
 
 // measureFronts measures the throughput and latency of submissions through each front, in turns.
@@ -204,7 +209,8 @@
 }
 
 // measureFront runs a daemon and submits messages with workers in a closed loop for
-// span, and then waits until all accepted messages are delivered.
+// span, and then waits until all accepted messages are delivered. With a profile folder, the
+// daemon writes a CPU profile into it. tag is part of message ids and of the profile's name.
 func measureFront(bin, config string, client frontClient, stub *stubPartner, workers int, span time.Duration, profile,
 	tag string) (frontResult, error) {
 	var flags []string
--- a/cmd/measure/held.go
+++ b/cmd/measure/held.go
@@ -31,7 +31,8 @@
 }
 
 // submitPending submits messages with bodies of bodySize bytes for a partner that refuses
-// connections. Bodies of up to inMemory bytes stay in memory.
+// connections, and prints the memory and CPU time that they take. Bodies of up to inMemory
+// bytes stay in memory, larger ones on disk.
 func submitPending(bin string, messages, bodySize, inMemory int) error {
 	config := fmt.Sprintf("[limits]\nopen_messages = %d\ndisk_mb = 1000\nmemory_mb = 1000\n[store]\nsync = \"never\"\nbody_in_memory = %d\n"+
 		"[front.resp]\nlisten = \"127.0.0.1:0\"\n[[partner]]\nname = \"p0\"\nendpoints = [\"127.0.0.1:1\"]\n", messages,
--- a/cmd/measure/hollow.go
+++ b/cmd/measure/hollow.go
@@ -108,7 +108,8 @@
 	return failure
 }
 
-// writeResult writes a result as JSON into dir, which it creates if need be.
+// writeResult writes a result as JSON into dir, which it creates if need be. The name of the file has
+// the way, the number of senders, the seed and the commit.
 func writeResult(dir string, r hollow.Result, seed uint64) error {
 	text, err := json.MarshalIndent(r, "", "\t")
 	if err != nil {
--- a/cmd/measure/journal.go
+++ b/cmd/measure/journal.go
@@ -104,7 +104,8 @@
 	return nil
 }
 
-// folderSize returns the size of the files in dir, each rounded up to blocks of 512 bytes.
+// folderSize returns the size in bytes of the files in dir, each rounded up to blocks of 512
+// bytes.
 func folderSize(dir string) (sum int64) {
 	list, _ := filepath.Glob(filepath.Join(dir, "*"))
 	for _, name := range list {
--- a/cmd/measure/knowledge.go
+++ b/cmd/measure/knowledge.go
@@ -64,7 +64,8 @@
 }
 
 // measureWaits counts in a partner's record the calls that arrived during a wait that
-// it had requested from one of the senders, over eight seconds of light traffic.
+// it had requested from one of the senders, over eight seconds of light traffic. It prints a
+// row for each size of fleet, with and without shared facts and with faulty links.
 func measureWaits(bin, sizes string, plays, parallel int, seed uint64) error {
 	const wait, length, tolerance = 3 * time.Second, 8 * time.Second, 250 * time.Millisecond
 	const totalRate = 16.0 // messages a second over the fleet
@@ -127,8 +128,9 @@
 	})
 }
 
-// playWaits runs a fleet against a partner that requests waits, and returns the calls
-// that arrived during them.
+// playWaits runs n senders for length against a partner that requests waits of the duration wait,
+// and counts the calls that arrived during them, later than tolerance after the request. link is
+// "well", "20% lost" or "s0 is heard by nobody"; totalRate is in messages a second over the fleet.
 func playWaits(bin string, n int, link string, shared bool, totalRate float64, wait, length, tolerance time.Duration,
 	seed uint64) (result fleet.Waits, err error) {
 	p, err := partner.Start(partner.Options{Name: "acme", RequestedWait: wait, WaitInSeconds: true, Phases: []partner.Phase{
@@ -162,7 +164,8 @@
 }
 
 // measureOutage counts the calls at a partner during an outage in which it rejects all
-// for overload, and measures how soon calls resume once it has recovered.
+// for overload, and measures how soon calls resume once it has recovered. It prints a row for
+// each of the sizes of fleets, without and with shared facts.
 func measureOutage(bin, sizes string, plays int) error {
 	// settleTime is the time until the outage is detected and trials have reached their longest interval.
 	const outage, settleTime = 12 * time.Second, 4 * time.Second
@@ -256,8 +259,9 @@
 	return nil
 }
 
-// playRandomFaults runs one script of random faults, and calls report with the time until
-// the replicas converged, whether they did, and the calls during later waits.
+// playRandomFaults runs one script of random faults of a length, and calls report with the time
+// until the replicas converged, whether they did, and the calls during later waits, of which those
+// within tolerance of the request are allowed.
 func playRandomFaults(bin string, senders int, length, wait time.Duration, seed uint64,
 	report func(time.Duration, bool, fleet.Waits), tolerance time.Duration) error {
 	phases := []partner.Phase{{Mode: partner.Healthy, Duration: 500 * time.Millisecond},
@@ -288,7 +292,7 @@
 	})
 }
 
-// parseSizes parses numbers above 0, separated by commas.
+// parseSizes parses the flag --senders: sizes of fleets above 0, separated by commas.
 func parseSizes(text string) (out []int, err error) {
 	for x := range strings.SplitSeq(text, ",") {
 		var n int
--- a/cmd/measure/knowledge_virtual.go
+++ b/cmd/measure/knowledge_virtual.go
@@ -14,7 +14,8 @@
 	"cometrack/internal/replicate/play"
 )
 
-// virtualFactOptions returns the options of a fleet that shares facts in virtual time.
+// virtualFactOptions returns the options of a fleet that shares facts in virtual time. The seed
+// determines its size, 2 to 6 senders, and whether it has one zone or two.
 func virtualFactOptions(seed uint64) play.Options {
 	return play.Options{Seed: seed, Senders: 2 + int(seed%5), DigestInterval: 100 * time.Millisecond, Rate: 1 << 20,
 		Drift: 0.01,
@@ -112,7 +113,7 @@
 	return nil
 }
 
-// encodedSize returns the size of a datagram with the message m in bytes.
+// encodedSize returns the size in bytes of the UDP payload that carries the message m.
 func encodedSize(m *replicate.Message) int {
 	b, _ := cbor.Marshal(m)
 	return len(b) + 21 // with the header of 21 bytes
@@ -165,7 +166,7 @@
 }
 
 // measureFactBurst publishes 10,000 facts within a second at one sender, and single waits
-// at another meanwhile.
+// at another meanwhile. It prints the times until all five senders know them.
 func measureFactBurst(seed uint64) error {
 	const total = 10_000
 	o := virtualFactOptions(seed)
@@ -192,7 +193,8 @@
 	return nil
 }
 
-// measureFactTraffic measures the traffic of a minute without changes, and the memory of a replica.
+// measureFactTraffic measures, in virtual time, the traffic of a minute without changes by size of
+// fleet and number of facts, and the memory of a replica by the fact.
 func measureFactTraffic(sizes string, seed uint64) error {
 	list, err := parseSizes(sizes)
 	if err != nil {
--- a/cmd/measure/main.go
+++ b/cmd/measure/main.go
@@ -12,6 +12,8 @@
 	"cometrack/internal/lab/capacity"
 )
 
+// main runs the measurement that the first argument names, with the other arguments. It exits with 2 for an
+// unknown name and with 1 if the measurement fails.
 func main() {
 	commands := map[string]func(args []string) error{
 		"backlog": measureBacklog, "capacity": capacity.Command, "cluster": measureCluster, "console": measureConsole,
--- a/cmd/measure/operation.go
+++ b/cmd/measure/operation.go
@@ -26,9 +26,9 @@
 // request, a partner that accepts all calls (1), one that refuses connections (2), a
 // folder and a configuration.
 type testPlatform struct {
-	dir, config, listen string
-	stub                *stubPartner
-	discovery           *httptest.Server
+	dir, config, listen string           // folder, path of the configuration, address of the front
+	stub                *stubPartner     // the partner that accepts all calls
+	discovery           *httptest.Server // also takes the sender's notices
 }
 
 // newTestPlatform starts a discovery and a partner, and writes the configuration of a
@@ -98,6 +98,7 @@
 	return &process{x, s.dir}, console, nil
 }
 
+// close ends the discovery and the partner and removes the folder; a sender must have been stopped before.
 func (s *testPlatform) close() {
 	s.discovery.CloseClientConnections()
 	s.discovery.Close()
@@ -156,18 +157,18 @@
 // loadGenerator submits messages, each on a new connection, until stop is closed, and
 // counts the replies.
 type loadGenerator struct {
-	addr                       string
-	accepted, rejected         atomic.Int64
-	connRefused, reset, unread atomic.Int64
-	mu                         sync.Mutex
-	lastAccepted               time.Time
-	maxAcceptedGap             time.Duration // longest time between two accepted messages
-	nextID                     atomic.Int64
-	stop                       chan struct{}
-	workers                    sync.WaitGroup
+	addr                       string         // of the RESP2 front of the sender
+	accepted, rejected         atomic.Int64   // replies of +OK, and other replies
+	connRefused, reset, unread atomic.Int64   // no connection; connection failed; closed without a reply
+	mu                         sync.Mutex     // guards lastAccepted and maxAcceptedGap
+	lastAccepted               time.Time      // the start of the load before the first
+	maxAcceptedGap             time.Duration  // longest time between two accepted messages
+	nextID                     atomic.Int64   // number in the id of the last message
+	stop                       chan struct{}  // closed by the user, who then waits for workers
+	workers                    sync.WaitGroup // ends once stop is closed
 }
 
-// run starts workers that submit messages, each with a pause after a message.
+// run starts workers that submit messages, each with a pause after a message. It returns at once.
 func (l *loadGenerator) run(workers int, pause time.Duration) {
 	l.stop, l.lastAccepted = make(chan struct{}), time.Now()
 	for range workers {
@@ -211,7 +212,8 @@
 	}
 }
 
-// putMessage submits a message over RESP2 and returns the line of the reply.
+// putMessage submits a message for partner dest over RESP2 and returns the line of the reply. The error is
+// io.EOF if the connection was closed without a reply.
 func putMessage(c net.Conn, id string, dest int) (string, error) {
 	opts := fmt.Sprintf("c=c,d=160000,dest=%d", dest)
 	fmt.Fprintf(c, "*5\r\n$7\r\nMSG.PUT\r\n$1\r\n0\r\n$%d\r\n%s\r\n$%d\r\n%s\r\n$%d\r\n%s\r\n", len(id), id, len(opts),
@@ -297,7 +299,7 @@
 	return nil
 }
 
-// handoverTime matches the duration in the log line of a completed handover.
+// handoverTime matches the log line of a completed handover; its group is the duration, such as "1.5ms".
 var handoverTime = regexp.MustCompile(`msg="handed over" .*took=(\S+)`)
 
 // measureUpgrades measures many upgrades in a row under load, with a number of pending
--- a/cmd/measure/platform.go
+++ b/cmd/measure/platform.go
@@ -17,7 +17,8 @@
 	"cometrack/internal/standin/program"
 )
 
-// platformSettings are the settings of a small deployment in the form of the platform.
+// platformSettings are the settings of a small deployment in the form of the platform. newTestPlatform
+// replaces max_open.
 const platformSettings = `{"balancers":1,"me":0,"zone":0,"zones":["a"],"tick_s":0.005,"membership_mode":"on_request","weights":"nominal",
 "over_share_worth":0.2,"machine_types":["std"],"classes":[{"name":"c","aim_s":2,"deadline_s":16,"worth":1,"late_worth":0.4,"idempotency":"retryable"}],
 "tenants":[],"limits":{"conn_idle_s":10,"connect_timeout_s":1.5,"max_attempts":6,"max_open":500,"max_retry_after_s":2,"multiplex":1,"may_cancel":true,
@@ -27,7 +28,8 @@
 // idleTime is how long an idle sender runs before its CPU time is read.
 const idleTime = 2 * time.Second
 
-// killAndReadCPU kills the process and returns the CPU time that it used, in milliseconds.
+// killAndReadCPU kills the process and returns the CPU time that it used since its start, in
+// milliseconds. The kernel reports it in microseconds at the exit, finer than cpuTime.
 func (p *process) killAndReadCPU() float64 {
 	p.Cmd.Process.Kill()
 	p.Wait()
@@ -55,7 +57,9 @@
 		}
 	}))
 	defer discovery.Close()
-	// The figures of each run of one program: times in milliseconds, memory in MB.
+	// The figures of each run of one program: times in milliseconds, memory in MB. usedMB is the resident
+	// memory after the messages and ownMB the part of it that is not of files; startCPU is the CPU time until
+	// it was ready, and idleCPU the same with idleTime after that.
 	type figures struct{ readyTime, freshMB, usedMB, ownMB, startCPU, idleCPU []float64 }
 	results := map[string]*figures{}
 	for range *turns {
@@ -124,7 +128,8 @@
 	return nil
 }
 
-// submitMessages submits n messages over RESP2, each after the reply to the one before.
+// submitMessages submits n messages over RESP2, each after the reply to the one before. It returns an
+// error if one is not accepted.
 func submitMessages(addr string, n int) error {
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
--- a/cmd/measure/reserve.go
+++ b/cmd/measure/reserve.go
@@ -12,8 +12,8 @@
 // process can listen on meanwhile: a daemon with pending messages for the address would
 // send them to that process.
 type reservedAddr struct {
-	addr string
-	fd   int
+	addr string // host and port
+	fd   int    // the bound socket; closed by listen
 }
 
 // reserveAddr binds a free port of loopback without listening on it.
@@ -34,7 +34,7 @@
 	return &reservedAddr{fmt.Sprintf("127.0.0.1:%d", sockaddr.(*unix.SockaddrInet4).Port), fd}, nil
 }
 
-// listen returns a listener on the address.
+// listen returns a listener on the address, which accepts connections from now on. It may be called once.
 func (r *reservedAddr) listen() (net.Listener, error) {
 	if err := unix.Listen(r.fd, unix.SOMAXCONN); err != nil {
 		return nil, fmt.Errorf("listen on %s: %w", r.addr, err)
--- a/cmd/measure/soak.go
+++ b/cmd/measure/soak.go
@@ -60,7 +60,8 @@
 }
 
 // runSeed runs the soak test with one seed in its own folder below workFolder and prints
-// its result; with verbose, or if an invariant is broken, details as well.
+// its result; with verbose, or if an invariant is broken, the lines that details returns as
+// well. Broken invariants are in the result and are no error.
 func runSeed(workFolder string, o soak.Options, details func(*soak.Result) []string,
 	verbose bool) (*soak.Result, error) {
 	o.Dir = filepath.Join(workFolder, fmt.Sprint("seed-", o.Seed))
@@ -81,7 +82,8 @@
 	return &r, nil
 }
 
-// workDir creates dir and returns it, or a temporary folder if dir is empty.
+// workDir creates dir and returns it, or a new temporary folder, which the caller removes, if dir is
+// empty.
 func workDir(dir string) (string, error) {
 	if dir == "" {
 		return os.MkdirTemp("", "soak")
--- a/internal/lab/capacity/bench_test.go
+++ b/internal/lab/capacity/bench_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// tinySizes are sizes at which each bench is as short as possible.
+// tinySizes are sizes at which each bench, by its name, is as short as possible.
 var tinySizes = map[string][]int{"held": {20}, "backlog": {20}, "out": {5}, "rate": {50}, "spread": {10},
 	"ends": {50}, "partners": {50}, "senders": {2}, "view": {3},
 	"facts-senders": {3}, "facts-number": {20}, "facts-memory": {1000}, "facts-catchup": {100}}
--- a/internal/lab/capacity/carried.go
+++ b/internal/lab/capacity/carried.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// rateBench submits messages at a rate, for healthy partners.
+// rateBench returns the bench that submits messages for 100 healthy partners; its size is the number
+// of messages per second.
 func rateBench() Bench {
 	const from = "380,000 a second / 560 senders"
 	return Bench{Name: "rate", Way: Processes, SizeOf: "messages a second to 100 destinations that are well", Sizes: []int{85, 170, 340, 680, 1360},
@@ -20,10 +21,12 @@
 		}}
 }
 
-// idleTime is the default idle timeout of a connection.
+// idleTime is the default time after which the program closes an idle connection to a partner. After
+// it the number of open connections is stable.
 const idleTime = 10 * time.Second
 
-// spreadBench submits messages at the rate of the target, for an increasing number of partners.
+// spreadBench returns the bench that submits messages at the rate of the target; its size is the
+// number of healthy partners, which get them in turn.
 func spreadBench() Bench {
 	const from = "42,000 destinations, 680 a second"
 	return Bench{Name: "spread", Way: Processes, SizeOf: "destinations that are well, 680 messages a second in turn", Sizes: []int{500, 1000, 2000, 4000, 8000},
@@ -38,8 +41,9 @@
 		}, Run: func(r *Setup, size int) ([]float64, error) { return runSpread(r, size, senderMessages) }}
 }
 
-// runSpread measures processor time, 99th percentile and descriptors while messages are submitted
-// for partners in turn, each with an address of its own.
+// runSpread submits messages for healthy partners in turn, each with an address of its own, at a rate
+// per second. It returns three values, also on an error: the processor time in percent of a core, the
+// 99th percentile in ms from the write of a message to its call, and the number of open descriptors.
 func runSpread(r *Setup, destinations int, rate float64) ([]float64, error) {
 	none := []float64{0, 0, 0}
 	p, err := newDestinationServer(destinations)
@@ -73,7 +77,8 @@
 	return []float64{used, quantile(latencies, 0.99), float64(descriptors(d.Cmd.Process.Pid))}, nil
 }
 
-// endsBench has messages delivered and their ends remembered.
+// endsBench returns the bench that has messages delivered and their ends remembered; its size is the
+// number of messages.
 func endsBench() Bench {
 	const from = "680 ends a second, remembered for an hour as remember says where a file says nothing"
 	return Bench{Name: "ends", Way: Processes, SizeOf: "ends remembered", Sizes: []int{5000, 10_000, 20_000, 40_000, 80_000},
--- a/internal/lab/capacity/command.go
+++ b/internal/lab/capacity/command.go
@@ -13,12 +13,13 @@
 
 // Locations of the slopes and of their page, relative to the root of the repository.
 const (
-	Folder = "docs/measurements/capacity"
-	Page   = "docs/CAPACITY.md"
+	Folder = "docs/measurements/capacity" // the slopes, one JSON file each
+	Page   = "docs/CAPACITY.md"           // the page with their tables
 )
 
-// Command runs `measure capacity`: it measures slopes and writes them, or generates the tables of
-// the slopes and inserts them into the page.
+// Command runs `measure capacity` with the arguments after that: it measures slopes and writes them,
+// or generates the tables of the slopes and inserts them into the page. A bench that fails does not
+// keep the others from running; the error joins all failures.
 func Command(args []string) error {
 	fs := flag.NewFlagSet("capacity", flag.ContinueOnError)
 	bin := fs.String("bin", "bin/cometrack", "the program")
@@ -69,7 +70,8 @@
 	return errors.Join(wrong...)
 }
 
-// selectBenches selects benches by name and sets their sizes.
+// selectBenches returns the benches named in only, separated by commas, or all if it is empty. If
+// sizes is not empty, its numbers replace the sizes of each of them.
 func selectBenches(only, sizes string) ([]Bench, error) {
 	var out []Bench
 	all := Benches()
@@ -108,6 +110,7 @@
 	return out, nil
 }
 
+// updatePage prints the tables of the slopes in folder dir and inserts them into the page.
 func updatePage(dir, page string) error {
 	list, err := ReadSlopes(dir)
 	if err != nil {
--- a/internal/lab/capacity/fit.go
+++ b/internal/lab/capacity/fit.go
@@ -13,9 +13,9 @@
 
 // Fit is the growth of a slope: value = base + factor · size^power.
 type Fit struct {
-	Power  float64
+	Power  float64 // NaN, as all fields that derive from it, if a median is not above the base
 	StdErr float64 // standard error of the power
-	Factor float64
+	Factor float64 // value above the base at size 1 by the fit
 
 	OmittedSize float64 // the size omitted from the fit
 	Predicted   float64 // value at the omitted size by the fit
@@ -26,7 +26,7 @@
 	// IsPowerLaw reports whether the sizes lie on one line; MaxDeviation is the largest
 	// deviation of a size from the line, as a ratio.
 	IsPowerLaw   bool
-	MaxDeviation float64
+	MaxDeviation float64 // 1 for none, infinite if a median is not above the base
 }
 
 // Fit fits the power of the growth by least squares to the logarithms of the medians less the base,
@@ -91,6 +91,7 @@
 	return power, intercept, math.Sqrt(residual / max(n-2, 1) / xx)
 }
 
+// sum adds up the values.
 func sum(list []float64) (out float64) {
 	for _, v := range list {
 		out += v
@@ -98,7 +99,7 @@
 	return out
 }
 
-// Methods by which a value or a size was determined.
+// Methods by which a value or a size was determined, as the table of shares prints them.
 const (
 	Interpolated  = "measured"   // interpolated between measured sizes
 	FromFit       = "fit"        // by the fit of all sizes
@@ -107,11 +108,11 @@
 )
 
 // extrapolation returns the power of the growth above the measured sizes, along a line through the
-// last size: the power of the fit or of the last step, whichever is steeper, and that of the last
-// step if there is no power law. The steeper one is used because a second base that all sizes
-// share, such as the first pages of a heap, flattens the line at small sizes, and an extrapolation
-// over two orders of magnitude should err towards the bound. The power is 0 if the last size is not
-// above the base.
+// last size, and which method gave it: the power of the fit or of the last step, whichever is
+// steeper, and that of the last step if there is no power law. The steeper one is used because a
+// second base that all sizes share, such as the first pages of a heap, flattens the line at small
+// sizes, and an extrapolation over two orders of magnitude should err towards the bound. The power
+// is 0 if the last size is not above the base.
 func (s Slope) extrapolation() (power float64, how string) {
 	if s.Points[len(s.Points)-1].Median() <= s.Base {
 		return 0, FromLastStep
@@ -169,7 +170,9 @@
 	return a * math.Pow(b/a, math.Log(maxRise/low)/math.Log(rise(firstAbove)/low)), Interpolated
 }
 
-// ShareAtBound returns the share of the target at which the bound is reached.
+// ShareAtBound returns the share of the target at which the bound is reached, and how its size was
+// determined. It is below 1 if the bound is reached before the target, and infinite or NaN
+// as in [Slope.SizeAtBound].
 func (s Slope) ShareAtBound() (share float64, how string) {
 	size, how := s.SizeAtBound()
 	return size / s.Target, how
--- a/internal/lab/capacity/fit_test.go
+++ b/internal/lab/capacity/fit_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-// syntheticSlope returns a slope with the values of a function and relative noise.
+// syntheticSlope returns a slope whose values are f(size), each changed by a random share of up to noise.
+// Its bound is 1 and its target 1e6.
 func syntheticSlope(noise float64, f func(size float64) float64) Slope {
 	s := Slope{Name: "drawn", Target: 1e6, Bound: 1}
 	rng := rand.New(rand.NewPCG(1, 2))
@@ -20,6 +21,7 @@
 	return s
 }
 
+// checkNear fails the test if got differs from want by more than within, or is NaN.
 func checkNear(t *testing.T, what string, got, want, within float64) {
 	t.Helper()
 	if !(math.Abs(got-want) <= within) {
@@ -27,6 +29,8 @@
 	}
 }
 
+// A fit of values without noise must find their power and factor, and the value at the target and the size
+// at the bound must follow from them.
 func TestPowersAreFound(t *testing.T) {
 	for _, power := range []float64{0.5, 1, 1.5, 2, 3} {
 		s := syntheticSlope(0, func(x float64) float64 { return 3e-5 * math.Pow(x, power) })
@@ -48,6 +52,7 @@
 	}
 }
 
+// Without the subtraction, a large base would make a linear growth look like a low power.
 func TestBaseIsSubtracted(t *testing.T) {
 	s := syntheticSlope(0, func(x float64) float64 { return 20 + 0.002*x })
 	s.Base, s.Bound = 20, 128
@@ -59,6 +64,7 @@
 	checkNear(t, "size at the bound", met, 54000, 1e-3)
 }
 
+// Noise must show as a standard error. If it is in all repeats, it must not fail the criterion.
 func TestNoiseIncreasesStdErr(t *testing.T) {
 	f := syntheticSlope(0.2, func(x float64) float64 { return 1e-3 * x }).Fit()
 	checkNear(t, "power", f.Power, 1, 0.2)
@@ -134,6 +140,7 @@
 	}
 }
 
+// A value that does not grow, with or without a base, must never reach its bound.
 func TestConstantValue(t *testing.T) {
 	s := syntheticSlope(0, func(float64) float64 { return 0.5 })
 	if met, _ := s.SizeAtBound(); !math.IsInf(met, 1) {
@@ -151,6 +158,7 @@
 	}
 }
 
+// A slope that is incomplete, or whose sizes are too few or too close for a fit, must not be stored.
 func TestInvalidSlope(t *testing.T) {
 	valid := syntheticSlope(0, func(x float64) float64 { return x })
 	valid.Measures, valid.Way, valid.Command, valid.Commit, valid.Machine, valid.SizeOf, valid.Unit,
--- a/internal/lab/capacity/held.go
+++ b/internal/lab/capacity/held.go
@@ -5,12 +5,14 @@
 	"time"
 )
 
+// Origins of a target and of a bound that several quantities share, for the field Source of a slope.
 const (
-	backlogSource = "8.2 billion held / 560 senders"
-	coreSource    = "one core / 680 a second, as one loop decides"
+	backlogSource = "8.2 billion held / 560 senders"               // of the target senderBacklog
+	coreSource    = "one core / 680 a second, as one loop decides" // of the bound msPerMessage
 )
 
-// heldBench has pending messages for one partner in outage, and another partner that is healthy.
+// heldBench returns the bench that has pending messages for one partner in outage, and measures
+// latencies at another partner that is healthy; its size is the number of pending messages.
 func heldBench() Bench {
 	q := func(name, measures, unit string, bound float64, from string) Quantity {
 		return Quantity{Slope: Slope{Name: "held-" + name, Measures: measures, Unit: unit, Target: senderBacklog,
@@ -32,7 +34,8 @@
 		}, Run: func(r *Setup, size int) ([]float64, error) { return runPending(r, size, 1) }}
 }
 
-// backlogBench has pending messages for as many destinations as are in outage at the target.
+// backlogBench returns the bench that has pending messages for as many destinations as are in outage
+// at the target; its size is the number of messages over all of them.
 func backlogBench() Bench {
 	const from = backlogSource + ", 670 destinations down; "
 	q := func(name, measures, unit string, bound float64, why string) Quantity {
@@ -55,7 +58,8 @@
 		}}
 }
 
-// runPending measures a number of pending messages, for some destinations in outage in turn.
+// runPending measures the program with size pending messages, for some destinations in outage in turn.
+// It returns the values in the order of the quantities of heldBench.
 func runPending(r *Setup, size, destinations int) ([]float64, error) {
 	p, err := newDestinationServer(1)
 	if err != nil {
@@ -115,7 +119,8 @@
 		d.startupTime.Seconds()}, nil
 }
 
-// outageBench has a few pending messages for each of many destinations in outage.
+// outageBench returns the bench that has two pending messages for each of many destinations in
+// outage; its size is the number of these destinations.
 func outageBench() Bench {
 	const from = "42,000 destinations, 1.6% out"
 	return Bench{Name: "out", Way: Processes, SizeOf: "destinations out, two messages held for each", Sizes: []int{40, 80, 160, 320, 640},
--- a/internal/lab/capacity/partners.go
+++ b/internal/lab/capacity/partners.go
@@ -8,7 +8,8 @@
 	"time"
 )
 
-// partnersBench runs a configuration with many partners, all but one of them idle.
+// partnersBench returns the bench that runs a configuration with many partners, all but one of them
+// idle; its size is the number of idle partners.
 func partnersBench() Bench {
 	const from = "42,000 destinations, each sender serves all"
 	q := func(name, measures, unit string, bound float64, why string) Quantity {
@@ -31,6 +32,8 @@
 		}, Run: runPartners}
 }
 
+// runPartners measures the program with size idle partners and a healthy one. It returns the values in
+// the order of the quantities of partnersBench.
 func runPartners(r *Setup, size int) ([]float64, error) {
 	p, err := newDestinationServer(1)
 	if err != nil {
--- a/internal/lab/capacity/process.go
+++ b/internal/lab/capacity/process.go
@@ -18,13 +18,14 @@
 
 // daemon is the program under measurement, with a configuration file and a state folder of its own.
 type daemon struct {
-	*program.Program
-	bin, dir    string
-	config      string // path
-	startupTime time.Duration
+	*program.Program               // the running process; a new one after restart
+	bin, dir         string        // path of the program, and temporary folder with the file and the state
+	config           string        // path of the configuration file
+	startupTime      time.Duration // from the last start until the program was ready
 }
 
-// start writes a configuration file and starts the program with it.
+// start writes a configuration file with text into a new temporary folder and starts the program at
+// bin with it. It returns when the program is ready.
 func start(bin, text string) (*daemon, error) {
 	dir, err := os.MkdirTemp("", "capacity")
 	if err != nil {
@@ -41,7 +42,7 @@
 	return d, nil
 }
 
-// writeConfig replaces the configuration file.
+// writeConfig replaces the configuration file by text, with the state folder set above it.
 func (d *daemon) writeConfig(text string) error {
 	return os.WriteFile(d.config, []byte(fmt.Sprintf("state = %q\n", filepath.Join(d.dir, "state"))+text), 0o600)
 }
@@ -73,10 +74,11 @@
 // that have waited longer must dial again.
 func (d *daemon) dial() (*traffic.RESP, error) { return traffic.DialRESP(d.Addrs[0]) }
 
+// cpu returns the processor time that the program has used since its last start.
 func (d *daemon) cpu() time.Duration { return processCPU(d.Cmd.Process.Pid) }
 
-// processCPU returns the processor time that a process has used. It reads the CPU clock of the
-// process, in nanoseconds, since /proc counts hundredths of a second.
+// processCPU returns the processor time that a process has used; 0 if it cannot be read. It reads
+// the CPU clock of the process, in nanoseconds, since /proc counts hundredths of a second.
 func processCPU(pid int) time.Duration {
 	var ts unix.Timespec
 	if unix.ClockGettime(int32(^pid<<3|2), &ts) != nil { // CPUCLOCK_SCHED, see clock_getcpuclockid(3)
@@ -88,7 +90,8 @@
 // residentMB returns the resident memory in MB.
 func (d *daemon) residentMB() float64 { return procStatusMB(d.Cmd.Process.Pid, "VmRSS:") }
 
-// procStatusMB returns a value of /proc/PID/status in MB.
+// procStatusMB returns the value of the field name, with its colon, of /proc/PID/status in MB; 0 if it
+// cannot be read.
 func procStatusMB(pid int, name string) float64 {
 	text, _ := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	for line := range strings.Lines(string(text)) {
@@ -147,7 +150,8 @@
 // messageOptions returns the options of a message to a partner with a deadline of an hour.
 func messageOptions(to string) string { return "c=safe,d=3600000,dest=" + to }
 
-// submit submits n messages, pipelined of them at a time, and returns the number accepted.
+// submit submits n messages, pipelined of them before their replies are read, and returns the number
+// accepted. Message i has the ID prefix followed by i and goes to the partner to(i).
 func submit(c *traffic.RESP, prefix string, n, pipelined int, to func(i int) string) (accepted int, err error) {
 	for at := 0; at < n; at += pipelined {
 		m := min(pipelined, n-at)
@@ -170,12 +174,13 @@
 }
 
 // configHeader returns the common part of all configurations: large limits, no syncs, a front, and
-// a class with a long deadline.
+// a class with a long deadline. pendingLimit is the number of pending messages that the program takes.
 func configHeader(pendingLimit int) string {
 	return fmt.Sprintf("[limits]\nopen_messages = %d\ndisk_mb = 20000\nmemory_mb = 8000\ndescriptors = 65536\n[store]\nsync = \"never\"\n"+
 		"[front.resp]\nlisten = \"127.0.0.1:0\"\n[[class]]\nname = \"safe\"\neffect = \"safe\"\naim = \"5s\"\ndeadline = \"2h\"\n", pendingLimit)
 }
 
+// partnerConfig returns a [[partner]] section with one endpoint.
 func partnerConfig(name, addr string) string {
 	return fmt.Sprintf("[[partner]]\nname = %q\nendpoints = [%q]\n", name, addr)
 }
--- a/internal/lab/capacity/run.go
+++ b/internal/lab/capacity/run.go
@@ -15,11 +15,12 @@
 // Setup holds the settings that all measurements share.
 type Setup struct {
 	Program         string        // path of the program
-	ObservationTime time.Duration // of one observation
-	Minimal         bool          // shortens the measurement, to test that it works
+	ObservationTime time.Duration // of one observation; a measurement may take a multiple or a part of it
+	Minimal         bool          // shortens the measurement, to test that it works; the values mean nothing
 }
 
-// Quantity is a slope before it is measured.
+// Quantity is a slope before it is measured: its name, what it measures, its unit, target, bound and
+// source are set.
 type Quantity struct {
 	Slope
 	SubtractBase bool    // size 0 is measured and subtracted as the base
@@ -28,13 +29,13 @@
 
 // Bench measures some quantities together at several sizes.
 type Bench struct {
-	Name       string
-	Way        string
-	SizeOf     string
-	Sizes      []int
-	Quantities []Quantity
-	// Run returns a value for each quantity. It is also called with size 0 if SubtractBase
-	// is set for one of them.
+	Name       string     // as given to --only
+	Way        string     // Slope.Way of its slopes
+	SizeOf     string     // Slope.SizeOf of its slopes: what a size counts
+	Sizes      []int      // in ascending order, each about twice the one before
+	Quantities []Quantity // a slope each
+	// Run returns a value for each quantity at a size, in order. It is also called with size 0
+	// if SubtractBase is set for one of them.
 	Run func(r *Setup, size int) ([]float64, error)
 }
 
@@ -45,7 +46,8 @@
 		factsMemoryBench(), factsCatchUpBench()}
 }
 
-// measure runs a bench over its sizes, all sizes once per repeat.
+// measure runs a bench over its sizes, all sizes once per repeat, and returns a slope for each quantity,
+// without command, commit and machine.
 func (b Bench) measure(r *Setup, repeats int, log *slog.Logger) ([]Slope, error) {
 	sizes := slices.Clone(b.Sizes)
 	if slices.ContainsFunc(b.Quantities, func(q Quantity) bool { return q.SubtractBase }) {
@@ -103,7 +105,7 @@
 	return out
 }
 
-// machineName describes the machine of a measurement.
+// machineName describes this machine for Slope.Machine.
 func machineName() string {
 	name := "unknown processor"
 	text, _ := os.ReadFile("/proc/cpuinfo")
@@ -131,7 +133,7 @@
 	return name
 }
 
-// quantile returns the q-quantile of the values.
+// quantile returns the q-quantile of the values, for q from 0 to 1. There must be a value.
 func quantile(list []float64, q float64) float64 {
 	list = slices.Sorted(slices.Values(list))
 	return list[min(int(q*float64(len(list))), len(list)-1)]
--- a/internal/lab/capacity/senders.go
+++ b/internal/lab/capacity/senders.go
@@ -11,12 +11,14 @@
 	"cometrack/internal/standin/fleet"
 )
 
+// sendersSource is the origin of the target of all slopes by the number of senders.
 const sendersSource = "560 senders, each of which knows all others"
 
 // headerBytes is the size of the IPv4 and UDP headers of a datagram.
 const headerBytes = 28
 
-// sendersBench runs real processes that know of each other and have no other load.
+// sendersBench returns the bench that runs real processes that know of each other and have no other
+// load; its size is the number of senders.
 func sendersBench() Bench {
 	q := func(name, measures, unit string, bound float64, why string) Quantity {
 		return Quantity{Slope: Slope{Name: "senders-" + name, Measures: measures, Unit: unit, Target: fleetSenders,
@@ -33,6 +35,8 @@
 		}, Run: runSenders}
 }
 
+// runSenders measures a fleet of size senders. It returns the values for each sender in the order of the
+// quantities of sendersBench.
 func runSenders(r *Setup, size int) ([]float64, error) {
 	dir, err := os.MkdirTemp("", "capacity")
 	if err != nil {
@@ -81,7 +85,7 @@
 		100 * (after - cpu).Seconds() / span / n, mb / n}, nil
 }
 
-// childProcesses returns the processes that one has started.
+// childProcesses returns the process IDs of the running children of a process.
 func childProcesses(pid int) (out []int) {
 	tasks, _ := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/children", pid))
 	for _, t := range tasks {
--- a/internal/lab/capacity/served.go
+++ b/internal/lab/capacity/served.go
@@ -17,15 +17,15 @@
 // kept simple so that its own processor time stays small compared to that of the program on the
 // same cores.
 type destinationServer struct {
-	Addrs           []string
-	server          *http.Server
-	nextDestination int // index of the destination of the next message
+	Addrs           []string     // of the destinations, by index
+	server          *http.Server // serves all listeners
+	nextDestination int          // index of the destination of the next message
 
-	mu       sync.Mutex
+	mu       sync.Mutex           // guards arrivals
 	arrivals map[string]time.Time // when the last byte of the first call of a message arrived, by message ID
 }
 
-// newDestinationServer starts n destinations, on addresses from 127.100.0.0/16 on.
+// newDestinationServer starts n destinations, on addresses from 127.100.0.0/16 on and free ports.
 func newDestinationServer(n int) (*destinationServer, error) {
 	c := &destinationServer{arrivals: map[string]time.Time{}}
 	c.server = &http.Server{Handler: c, ReadHeaderTimeout: time.Minute}
@@ -44,7 +44,7 @@
 // Close closes all listeners and connections.
 func (c *destinationServer) Close() { c.server.Close() }
 
-// ServeHTTP accepts a call and records its arrival.
+// ServeHTTP accepts a call with the status 200 and records its arrival, if it is the first of its message.
 func (c *destinationServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if _, err := io.Copy(io.Discard, r.Body); err != nil {
 		return // the request is incomplete
@@ -57,14 +57,15 @@
 	c.mu.Unlock()
 }
 
-// arrived returns the number of messages that have arrived.
+// arrived returns the number of different messages that have arrived since the start.
 func (c *destinationServer) arrived() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.arrivals)
 }
 
-// awaitArrivals waits until n messages have arrived, and reports whether they have.
+// awaitArrivals waits until n messages have arrived since the start, and reports whether they have
+// within timeout.
 func (c *destinationServer) awaitArrivals(n int, timeout time.Duration) bool {
 	for deadline := time.Now().Add(timeout); c.arrived() < n; time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(deadline) {
@@ -74,7 +75,7 @@
 	return true
 }
 
-// config returns the destinations as partners of a configuration: well0, well1 and so on.
+// config returns the destinations as [[partner]] sections of a configuration: well0, well1 and so on.
 func (c *destinationServer) config() (out string) {
 	for i, a := range c.Addrs {
 		out += partnerConfig(fmt.Sprint("well", i), a)
@@ -82,8 +83,9 @@
 	return out
 }
 
-// measureLatency submits messages at a rate, to the destinations in turn. It returns the times from
-// the write of each message to the last byte of its call, in ms.
+// measureLatency submits messages at a rate per second over span, to the destinations in turn, and
+// waits until all have arrived. It returns the times from the write of each message to the last byte of
+// its call, in ms. prefix begins the IDs of the messages and must differ between calls.
 func (c *destinationServer) measureLatency(client *traffic.RESP, prefix string, rate float64,
 	span time.Duration) ([]float64, error) {
 	n := max(int(rate*span.Seconds()), 1)
--- a/internal/lab/capacity/slope.go
+++ b/internal/lab/capacity/slope.go
@@ -36,21 +36,22 @@
 	// Points are in order of size. The last one is omitted from the fit and predicted by it.
 	Points []Point `json:"points"`
 
-	Target float64 `json:"target"` // size that must be supported
-	Bound  float64 `json:"bound"`  // maximum permitted value; 0 for none
-	Source string  `json:"from"`   // origin of the target and the bound
-	Note   string  `json:"note,omitempty"`
+	Target float64 `json:"target"`         // size that must be supported
+	Bound  float64 `json:"bound"`          // maximum permitted value; 0 for none
+	Source string  `json:"from"`           // origin of the target and the bound
+	Note   string  `json:"note,omitempty"` // what a reader of the file should know besides
 }
 
 // Point is a size with the values measured there, one for each repeat.
 type Point struct {
-	Size   float64   `json:"size"`
-	Values []float64 `json:"values"`
+	Size   float64   `json:"size"`   // counts what Slope.SizeOf says
+	Values []float64 `json:"values"` // in Slope.Unit
 }
 
-// Median returns the middle value, or the mean of the two middle ones.
+// Median returns the middle value of the repeats, or the mean of the two middle ones.
 func (p Point) Median() float64 { return median(p.Values) }
 
+// median returns the middle value, or the mean of the two middle ones; 0 for no values.
 func median(values []float64) float64 {
 	if len(values) == 0 {
 		return 0
@@ -59,7 +60,8 @@
 	return (list[(len(list)-1)/2] + list[len(list)/2]) / 2
 }
 
-// check returns an error for each invalid field.
+// check returns an error that joins one for each invalid field: a missing text, an unknown way, no target,
+// fewer than four sizes, or sizes that are less than about a factor of two apart.
 func (s Slope) check() error {
 	var wrong []error
 	for name, text := range map[string]string{"name": s.Name, "measures": s.Measures, "command": s.Command, "commit": s.Commit,
--- a/internal/lab/capacity/table.go
+++ b/internal/lab/capacity/table.go
@@ -9,13 +9,14 @@
 	"strings"
 )
 
-// Tables returns the tables of docs/CAPACITY.md by the name of their marker.
+// Tables returns the tables of docs/CAPACITY.md in Markdown by the name of their marker: "shares" and
+// "slopes".
 func Tables(list []Slope) map[string]string {
 	return map[string]string{"shares": sharesTable(list), "slopes": slopesTable(list)}
 }
 
 // FillTables inserts tables into a page: it replaces the text between the lines "<!-- capacity:NAME
-// -->" and "<!-- /capacity:NAME -->".
+// -->" and "<!-- /capacity:NAME -->". A page without exactly one such pair for a table is an error.
 func FillTables(page string, tables map[string]string) (string, error) {
 	for name, table := range tables {
 		open, end := "<!-- capacity:"+name+" -->\n", "<!-- /capacity:"+name+" -->"
@@ -76,7 +77,7 @@
 }
 
 // interpolate returns the value at a size among the measured ones, on a line between its neighbors
-// over the logarithm of the size.
+// over the logarithm of the size; below the smallest size, the value there. It is NaN above the largest.
 func (s Slope) interpolate(size float64) float64 {
 	for i, p := range s.Points {
 		if p.Size < size {
--- a/internal/lab/capacity/virtual.go
+++ b/internal/lab/capacity/virtual.go
@@ -15,11 +15,12 @@
 )
 
 const (
-	tickInterval = 300 * time.Millisecond // a tenth of the lease of 3 s
+	tickInterval = 300 * time.Millisecond // of messages and of digests of facts: a tenth of the lease of 3 s
 	sealBytes    = 21                     // bytes that sealing and its header add to a packet (internal/cluster)
 )
 
-// viewBench counts, in virtual time, the membership messages between senders.
+// viewBench returns the bench that counts, in virtual time, the membership messages between senders; its
+// size is the number of senders.
 func viewBench() Bench {
 	return Bench{Name: "view", Way: Virtual, SizeOf: "senders that know of each other, calm", Sizes: []int{10, 20, 40, 80, 160},
 		Quantities: []Quantity{
@@ -51,6 +52,7 @@
 		}}
 }
 
+// newFactsWorld returns a fleet that shares facts in virtual time, one second after its start.
 func newFactsWorld(senders int) *replicateplay.World {
 	w := replicateplay.New(replicateplay.Options{Seed: 1, Senders: senders, DigestInterval: tickInterval,
 		Rate: 1 << 20, Drift: 0.01, Delay: time.Millisecond, Jitter: 4 * time.Millisecond})
@@ -58,12 +60,14 @@
 	return w
 }
 
+// factSize returns the bytes of a datagram with a message about facts, headers included.
 func factSize(m *replicate.Message) int {
 	b, _ := cbor.Marshal(m)
 	return len(b) + sealBytes + headerBytes
 }
 
-// bytesPerSecond returns the bytes per second that each sender sends over a span.
+// bytesPerSecond runs the fleet for a span of virtual time and returns the bytes per second that each
+// sender sent in it.
 func bytesPerSecond(w *replicateplay.World, span time.Duration) float64 {
 	w.SizeOf = factSize
 	before, from := w.Bytes, w.Now
@@ -71,7 +75,7 @@
 	return float64(w.Bytes-before) / (w.Now - from).Seconds() / float64(len(w.Procs))
 }
 
-// factsBySendersBench measures, in virtual time, the traffic of facts by the number of senders:
+// factsBySendersBench returns the bench of the traffic of facts, in virtual time, by the number of senders:
 // with a hundred facts in force and none new, and with each sender publishing as many as in the
 // target.
 func factsBySendersBench() Bench {
@@ -100,7 +104,8 @@
 		}}
 }
 
-// factsByNumberBench measures, in virtual time, the traffic for facts in force with none new.
+// factsByNumberBench returns the bench of the traffic, in virtual time, for facts in force with none new;
+// its size is the number of facts.
 func factsByNumberBench() Bench {
 	return Bench{Name: "facts-number", Way: Virtual, SizeOf: "facts in force among ten senders", Sizes: []int{200, 400, 800, 1600},
 		Quantities: []Quantity{
@@ -117,7 +122,7 @@
 		}}
 }
 
-// factsMemoryBench measures the memory of the replica of a sender.
+// factsMemoryBench returns the bench of the memory of a sender's replica; its size is the number of facts.
 func factsMemoryBench() Bench {
 	return Bench{Name: "facts-memory", Way: InProcess, SizeOf: "facts in a copy", Sizes: []int{12_500, 25_000, 50_000, 100_000},
 		Quantities: []Quantity{
@@ -148,8 +153,8 @@
 		}}
 }
 
-// factsCatchUpBench measures, in virtual time, how long a sender that starts without facts needs to
-// catch up.
+// factsCatchUpBench returns the bench that measures, in virtual time, how long a sender that starts without
+// facts needs to catch up; its size is the number of facts that the others have.
 func factsCatchUpBench() Bench {
 	return Bench{Name: "facts-catchup", Way: Virtual, SizeOf: "facts that one of five senders catches up with", Sizes: []int{1250, 2500, 5000, 10_000},
 		Quantities: []Quantity{
--- a/internal/standin/fleet/busy.go
+++ b/internal/standin/fleet/busy.go
@@ -9,7 +9,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// StartBusyNeighbor binds the process to one processor that it shares with a busy loop.
+// StartBusyNeighbor binds the process to one processor, by its number, and runs a busy loop of this
+// program on the same processor until [Sender.StopBusyNeighbor]. It does nothing if the process is
+// not running.
 func (s *Sender) StartBusyNeighbor() error {
 	pid := s.PID()
 	if pid == 0 {
@@ -49,7 +51,8 @@
 	return nil
 }
 
-// StopBusyNeighbor stops the busy loop and lifts the binding.
+// StopBusyNeighbor stops the busy loop and lets the process use all processors again. It does
+// nothing if there is no busy loop.
 func (s *Sender) StopBusyNeighbor() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -60,7 +63,8 @@
 	}
 }
 
-// pin sets the processors that each thread of a process may use.
+// pin sets the processors that each present thread of a process may use. It returns an error if the
+// process has exited.
 func pin(pid int, set *unix.CPUSet) error {
 	list, err := os.ReadDir("/proc/" + strconv.Itoa(pid) + "/task")
 	if err != nil {
--- a/internal/standin/fleet/cases.go
+++ b/internal/standin/fleet/cases.go
@@ -7,12 +7,13 @@
 
 // Case is a script whose results can be compared between implementations of membership.
 type Case struct {
-	Name   string
+	Name   string // what happens, as printed in the table of results
 	Script Script
-	Killed []int // senders that are not started again
+	Killed []int // senders that the script kills and does not start again, by number
 }
 
-// Cases returns the scripts, over five senders, that membership is judged by.
+// Cases returns the scripts, over five senders, that membership is judged by. Their seed is 0; the
+// caller sets another one for each run.
 func Cases() []Case {
 	const n = 5
 	sec := func(s float64) Duration { return Duration(s * float64(time.Second)) }
@@ -84,14 +85,20 @@
 
 // Outcome is the result of a case.
 type Outcome struct {
-	FalselyGone     int           // reports of a running sender as gone
-	StateChanges    int           // other state changes that a sender reports of one that was not killed
-	DetectionTime   time.Duration // until all report the killed senders as gone; 0 if none were killed, or on a timeout
-	ConvergenceTime time.Duration // from the end of the faults until all views are equal; 0 on a timeout
+	FalselyGone  int // reports of a sender as gone whose process was running or paused
+	StateChanges int // other state changes that a sender reports of one that was not killed
+	// DetectionTime is the time from the last kill until all report the senders in Case.Killed as
+	// gone; 0 if there are none, or on a timeout.
+	DetectionTime time.Duration
+	// ConvergenceTime is the time from the end of the script, when its faults have ended, until all
+	// views are equal; 0 if Case.Killed has senders, or on a timeout.
+	ConvergenceTime time.Duration
 }
 
-// Play runs a case over a new fleet and observes the views throughout. Patience bounds the wait for
-// the views to converge.
+// Play runs a case over a new fleet and observes the views throughout. The number of senders and the
+// seed in opts are replaced by those of the script. patience bounds the wait for the views to
+// converge, before the script and after it. A timeout before the script is an error; one after it is
+// not, and leaves the time in the outcome at 0. The timeline is nil if the fleet did not start.
 func (c Case) Play(opts Options, patience time.Duration) (out Outcome, timeline *Timeline, err error) {
 	opts.Senders, opts.Seed = c.Script.Senders, c.Script.Seed
 	f, err := Start(opts)
@@ -138,8 +145,11 @@
 	return out, f.Timeline, nil
 }
 
+// length is the duration of the script.
 func (c Case) length() time.Duration { return time.Duration(c.Script.For) }
 
+// lastKill returns when the script kills senders for the last time, from its start; 0 if it kills
+// none.
 func (c Case) lastKill() (at time.Duration) {
 	for _, e := range c.Script.Events {
 		if e.Action == Kill {
@@ -149,7 +159,8 @@
 	return at
 }
 
-// allReportGone reports whether all senders that respond consider the killed ones gone.
+// allReportGone reports whether all senders that respond consider all killed ones, given by name,
+// gone.
 func allReportGone(list []SenderView, killed map[string]bool) bool {
 	for _, x := range list {
 		if !x.OK {
@@ -171,15 +182,18 @@
 // stateWatch counts the state changes that senders report of each other.
 type stateWatch struct {
 	f                         *Fleet
-	killed                    map[string]bool
-	last                      []map[string]string
-	falselyGone, stateChanges int
+	killed                    map[string]bool     // names of senders whose states are not counted
+	last                      []map[string]string // by reporter's number and name; nil before a report
+	falselyGone, stateChanges int                 // as in Outcome
 }
 
+// newStateWatch returns a watch over a fleet that has reported no view yet.
 func newStateWatch(f *Fleet, killed map[string]bool) *stateWatch {
 	return &stateWatch{f: f, killed: killed, last: make([]map[string]string, len(f.senders))}
 }
 
+// observe counts the state changes from the previous call on. The first report of a sender about
+// another is no change.
 func (w *stateWatch) observe(list []SenderView) {
 	running := map[string]bool{} // or paused
 	for _, s := range w.f.senders {
--- a/internal/standin/fleet/faults_test.go
+++ b/internal/standin/fleet/faults_test.go
@@ -14,10 +14,11 @@
 	"cometrack/internal/view"
 )
 
-// uncalledPartner is a configuration with a partner that is never called.
+// uncalledPartner is a configuration with a partner to which the tests submit no messages.
 const uncalledPartner = "[[partner]]\nname = \"acme\"\nendpoints = [\"127.0.0.1:9\"]\nrate = 100\n"
 
-// await fails the test unless the condition on the views comes to hold within 25 s.
+// await waits until the condition on the views holds and logs the time. After 25 s without it, it
+// fails the test with the last log lines of all senders. what describes the condition.
 func await(t *testing.T, f *Fleet, what string, holds func([]SenderView) bool) {
 	t.Helper()
 	if took, ok := f.WaitUntil(25*time.Second, holds); !ok {
@@ -30,8 +31,8 @@
 	}
 }
 
-// checkNoneGone returns a condition that never holds and fails the test if a running sender is
-// reported gone.
+// checkNoneGone returns a condition that never holds and fails the test if a sender is reported gone;
+// all of them must be running or paused. what names the step of the test.
 func checkNoneGone(t *testing.T, what string) func([]SenderView) bool {
 	return func(list []SenderView) bool {
 		for _, x := range list {
@@ -48,7 +49,7 @@
 	}
 }
 
-// shareSum adds up the shares that are reported.
+// shareSum adds up the shares of the rate that are reported; 1 if all of the rate is in use.
 func shareSum(list []SenderView) (all float64) {
 	for _, x := range list {
 		all += x.Share
--- a/internal/standin/fleet/feed.go
+++ b/internal/standin/fleet/feed.go
@@ -14,17 +14,18 @@
 // Feed submits messages for one partner to each running sender, evenly spaced over the fleet,
 // whatever the replies.
 type Feed struct {
-	Partner string
-	Class   string
+	Partner string  // name of the partner
+	Class   string  // name of a class of the configuration, such as "safe" of PartnerConfig
 	Rate    float64 // messages per second and sender
 
-	Accepted, Rejected, Unanswered atomic.Int64 // by reply; Unanswered counts failed writes
+	Accepted, Rejected, Unanswered atomic.Int64 // by reply; Unanswered counts failed writes only
 }
 
-// writeTimeout bounds the write of one message.
+// writeTimeout bounds the write of one message, which can block while the sender is paused.
 const writeTimeout = 5 * time.Second
 
-// Run submits messages until stop is closed. It returns once all replies have arrived.
+// Run submits messages until stop is closed. It then closes its connections, so that replies still on
+// the way are not counted, and returns when its goroutines have ended.
 func (d *Feed) Run(f *Fleet, stop <-chan struct{}) {
 	var all sync.WaitGroup
 	interval := time.Duration(float64(time.Second) / d.Rate)
@@ -42,6 +43,9 @@
 	all.Wait()
 }
 
+// feedSender submits a message to one sender at each interval until stop is closed. It reconnects
+// after a failed write; without a connection, it skips the intervals in which the sender is not
+// running or refuses one.
 func (d *Feed) feedSender(s *Sender, interval time.Duration, stop <-chan struct{}) {
 	tick := time.NewTicker(interval)
 	defer tick.Stop()
@@ -81,6 +85,7 @@
 	}
 }
 
+// readReplies counts the replies on a connection until it is closed.
 func (d *Feed) readReplies(c *traffic.RESP) {
 	for {
 		line, err := c.Answer()
@@ -95,8 +100,8 @@
 	}
 }
 
-// PartnerConfig returns the part of a configuration with a class for each of two effects and an
-// entry for each given partner.
+// PartnerConfig returns the part of a configuration with the classes "safe" and "unsafe", one for
+// each of these effects, and an entry for each given partner. It is used as [Options].Config.
 func PartnerConfig(list ...*partner.Partner) string {
 	text := ""
 	for _, class := range []string{"safe", "unsafe"} {
@@ -108,7 +113,8 @@
 	return text
 }
 
-// RecordCalls adds the calls that a partner has recorded to the timeline.
+// RecordCalls adds the calls that a partner has recorded to the timeline, in place of those of an
+// earlier call.
 func (t *Timeline) RecordCalls(p *partner.Partner) {
 	var rows []CallRow
 	for _, c := range p.Calls() {
@@ -120,7 +126,8 @@
 }
 
 // WindowsOverRate counts the windows of one second, each beginning at a call, that hold more calls
-// than rate. It returns their number and the largest number of calls in one.
+// than rate. It returns their number and the largest number of calls in one of them; 0 if there is
+// none. The calls are in order of time.
 func WindowsOverRate(calls []partner.Call, rate int) (windows int, worst int) {
 	last := 0
 	for i := range calls {
@@ -135,8 +142,8 @@
 	return windows, worst
 }
 
-// MeanRate returns the mean rate of calls per second from an address in an interval; an empty
-// address counts all calls.
+// MeanRate returns the mean rate of calls per second from an address in an interval. A port in the
+// address is ignored; an empty address counts all calls.
 func MeanRate(calls []partner.Call, addr string, from, to time.Time) float64 {
 	n := 0
 	host, _, err := net.SplitHostPort(addr)
--- a/internal/standin/fleet/fleet.go
+++ b/internal/standin/fleet/fleet.go
@@ -19,19 +19,19 @@
 
 // Ports of each sender, on a loopback address of its own.
 const (
-	ClusterPort = 7946
-	RESPPort    = 6379
-	ConsolePort = 7070
+	ClusterPort = 7946 // for the other senders: datagrams and streams; its relay has the same port
+	RESPPort    = 6379 // of the RESP2 front, to which messages are submitted
+	ConsolePort = 7070 // of the console, which reports the view and the facts
 )
 
 // Options describe a fleet.
 type Options struct {
 	Program    string // path of the cometrack binary
 	Dir        string // holds the state folders and configuration files
-	Senders    int
-	MaxSenders int // the setting "senders"; 0 for Senders
-	StartLater int // how many of the last senders Start leaves out; Restart starts them
-	Seed       uint64
+	Senders    int    // from 1 to the constant MaxSenders
+	MaxSenders int    // the setting "senders"; 0 for Senders
+	StartLater int    // how many of the last senders Start leaves out; Restart starts them
+	Seed       uint64 // of the random faults of the links
 	Cluster    string // lines of [cluster] besides listen, advertise and join; "off" for no cluster
 	Config     string // appended to each configuration file
 	// Join returns the join addresses of sender i; nil uses the relays of all senders.
@@ -42,37 +42,37 @@
 
 // Fleet is a set of running senders and the relays between them.
 type Fleet struct {
-	Timeline *Timeline
-
-	opts        Options
-	addressLock net.Listener // reserves the address range of the fleet
-	base        string       // "127.X"
-	net         *network
-	senders     []*Sender
-	stop        chan struct{}
-	watchers    sync.WaitGroup
+	Timeline *Timeline // records all that happens to the fleet, from Start on
+
+	opts        Options        // as given to Start, with MaxSenders set
+	addressLock net.Listener   // reserves the address range of the fleet
+	base        string         // "127.X", the common part of all addresses
+	net         *network       // the relays and links
+	senders     []*Sender      // by number
+	stop        chan struct{}  // closed by Close
+	watchers    sync.WaitGroup // goroutines that Close waits for
 }
 
 // Sender is one process of a fleet; it keeps its number and addresses while the process is not
 // running.
 type Sender struct {
-	Number int
-	Name   string
+	Number int    // from 0 in the fleet
+	Name   string // as the others know it
 	// Addr is the listen address of the program, Relay the address at which the others reach it.
 	Addr, Relay   string
-	RESP, Console string
-	Dir, File     string
+	RESP, Console string // listen addresses of the RESP2 front and of the console
+	Dir, File     string // state folder, and configuration file
 
 	fleet      *Fleet
-	mu         sync.Mutex
-	proc       *program.Program // nil while the process is not running
-	paused     bool
+	mu         sync.Mutex        // guards the fields below
+	proc       *program.Program  // nil while the process is not running
+	paused     bool              // by SIGSTOP
 	stopBusy   func()            // stops the busy neighbor; nil without one
 	lastStates map[string]string // the last recorded view, as state by sender name
-	lastShare  float64
+	lastShare  float64           // the share in the last recorded view
 }
 
-// Start starts a fleet and waits until each started sender is ready.
+// Start starts a fleet and waits until each started sender is ready. The caller closes the fleet.
 func Start(opts Options) (*Fleet, error) {
 	if opts.Senders < 1 || opts.Senders > MaxSenders {
 		return nil, fmt.Errorf("fleet: %d senders; 1 to %d", opts.Senders, MaxSenders)
@@ -130,7 +130,7 @@
 	return f, nil
 }
 
-// Senders returns the senders in order of number.
+// Senders returns all senders in order of number, those included that are not running.
 func (f *Fleet) Senders() []*Sender { return f.senders }
 
 // Close kills all processes and closes the relays.
@@ -146,7 +146,8 @@
 	f.addressLock.Close()
 }
 
-// SetFaults sets the faults of the link between two senders, in one direction.
+// SetFaults sets the faults of the link between two senders, in one direction, in place of earlier
+// ones. Senders are given by number.
 func (f *Fleet) SetFaults(from, to int, faults Faults) {
 	f.Timeline.add(Entry{Action: SetLink, From: []int{from}, To: []int{to}, Faults: &faults})
 	f.net.links[from][to].set(faults)
@@ -172,13 +173,14 @@
 	}
 }
 
-// Reset resets the streams that one sender has opened to another.
+// Reset resets the open streams of the link from one sender to another, whichever of them opened
+// the stream.
 func (f *Fleet) Reset(from, to int) {
 	f.Timeline.add(Entry{Action: Reset, From: []int{from}, To: []int{to}})
 	f.net.links[from][to].reset()
 }
 
-// writeConfig writes the configuration file.
+// writeConfig writes the configuration file of the sender, from the options of the fleet.
 func (s *Sender) writeConfig() error {
 	f := s.fleet
 	var relays []string
@@ -205,7 +207,7 @@
 	return os.WriteFile(s.File, []byte(b.String()), 0o600)
 }
 
-// start starts the process and waits until it is ready.
+// start opens the relay, starts the process and waits until it is ready.
 func (s *Sender) start() error {
 	if err := s.fleet.net.relays[s.Number].listen(); err != nil {
 		return err
@@ -241,7 +243,9 @@
 	return s.proc.Cmd.Process.Pid
 }
 
-// RecentLog returns the last lines of the log that have not been read yet.
+// RecentLog reads the log to its present end and returns at most so many of the last lines. Lines
+// that an earlier call or WaitForLog has read are left out. It returns nil if the process is not
+// running.
 func (s *Sender) RecentLog(lines int) (out []string) {
 	s.mu.Lock()
 	p := s.proc
@@ -257,7 +261,8 @@
 	return nil
 }
 
-// WaitForLog waits for a log line that contains part.
+// WaitForLog reads the log until a line contains part. It returns an error if the process is not
+// running, or after [program.Timeout].
 func (s *Sender) WaitForLog(part string) error {
 	s.mu.Lock()
 	p := s.proc
@@ -268,7 +273,8 @@
 	return p.AwaitLog(part)
 }
 
-// Kill kills the process and waits until it has exited.
+// Kill kills the process and waits until it has exited. It does nothing if the process is not
+// running.
 func (s *Sender) Kill() {
 	s.mu.Lock()
 	p, stopBusy := s.proc, s.stopBusy
@@ -286,7 +292,8 @@
 	p.Wait()
 }
 
-// Terminate sends SIGTERM and waits until the process has exited.
+// Terminate sends SIGTERM, waits until the process has exited and returns its exit error. It does
+// nothing if the process is not running.
 func (s *Sender) Terminate() error {
 	s.mu.Lock()
 	p := s.proc
@@ -311,7 +318,8 @@
 	return s.restart(Restart, func() error { return nil })
 }
 
-// Copy copies the state folder for [Sender.RestartOld].
+// Copy copies the state folder for [Sender.RestartOld], in place of an earlier copy. The process may
+// be running.
 func (s *Sender) Copy() error {
 	s.fleet.Timeline.add(Entry{Action: Copy, Senders: []int{s.Number}})
 	if err := os.RemoveAll(s.Dir + ".old"); err != nil {
@@ -351,7 +359,8 @@
 	})
 }
 
-// restart kills the process if it is running, changes its state folder and starts it.
+// restart kills the process if it is running, changes its state folder by change and starts it with
+// a new configuration file. The timeline records it as action.
 func (s *Sender) restart(action Action, change func() error) error {
 	s.Kill()
 	if err := change(); err != nil {
@@ -370,6 +379,8 @@
 // Resume lets a paused process continue.
 func (s *Sender) Resume() { s.signal(Resume, syscall.SIGCONT, false) }
 
+// signal sends a signal, records it as action, and sets whether the process counts as paused. It does
+// nothing if the process is not running.
 func (s *Sender) signal(action Action, sig syscall.Signal, paused bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -381,7 +392,8 @@
 	s.paused = paused
 }
 
-// Play runs a script and returns when its duration has passed.
+// Play runs a script and returns when its duration has passed, or at the first event that fails. An
+// event that takes long, such as a restart, delays those after it.
 func (f *Fleet) Play(script *Script) error {
 	start := time.Now()
 	waitUntil := func(d Duration) {
@@ -400,7 +412,7 @@
 	return nil
 }
 
-// apply applies one event of a script.
+// apply applies one event of a script, to its processes concurrently or to its links in turn.
 func (f *Fleet) apply(e *Event) error {
 	errs := make(chan error, len(e.Senders))
 	for _, w := range e.Senders { // concurrently
@@ -429,7 +441,7 @@
 	return nil
 }
 
-// apply applies one action to a process.
+// apply applies one action of a script to the process. Actions on links are ignored.
 func (s *Sender) apply(action Action) error {
 	switch action {
 	case Pause:
@@ -452,7 +464,7 @@
 	return nil
 }
 
-// visitLinks calls visit for each link that an event selects.
+// visitLinks calls visit with the sender numbers of each link that an event selects.
 func (f *Fleet) visitLinks(e *Event, visit func(from, to int)) {
 	orAll := func(list []int) []int {
 		if len(list) > 0 {
--- a/internal/standin/fleet/fleet_test.go
+++ b/internal/standin/fleet/fleet_test.go
@@ -23,6 +23,7 @@
 	return path, err
 })
 
+// TestMain removes the program that the tests have built. A run without tests builds it for that.
 func TestMain(m *testing.M) {
 	code := m.Run()
 	if path, err := buildProgram(); err == nil {
@@ -31,6 +32,7 @@
 	os.Exit(code)
 }
 
+// writeFile writes a file, or fails the test.
 func writeFile(t *testing.T, path, text string) {
 	t.Helper()
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -38,7 +40,7 @@
 	}
 }
 
-// start starts a fleet and closes it when the test ends.
+// start starts a fleet of the built program in a temporary folder and closes it when the test ends.
 func start(t *testing.T, opts Options) *Fleet {
 	t.Helper()
 	path, err := buildProgram()
--- a/internal/standin/fleet/knowledge.go
+++ b/internal/standin/fleet/knowledge.go
@@ -12,15 +12,16 @@
 	"cometrack/internal/standin/partner"
 )
 
-// Waits counts the requested waits in the record of a partner.
+// Waits counts the requested waits in the record of a partner, and the calls that came during them.
 type Waits struct {
 	Told   int           // requested waits, without those requested during another one
-	Inside int           // calls during a wait, later than the grace period
-	Latest time.Duration // the longest time from a wait to a call during it
+	Inside int           // calls during a wait, later than the grace period after its request
+	Latest time.Duration // longest time from a request to a call during its wait, early or not; 0 for none
 }
 
-// CheckWaits searches the record of a partner for calls during a requested wait. A call within
-// early of the request may already have been in flight and does not count as late.
+// CheckWaits searches the record of a partner for calls during a requested wait. A call with the
+// status 429 has requested a wait of the given duration. A call within early, the grace period, of
+// the request may already have been in flight and does not count as late.
 func CheckWaits(calls []partner.Call, wait, early time.Duration) (out Waits) {
 	var requestedAt, until time.Time
 	for _, c := range calls {
@@ -63,8 +64,10 @@
 	return true
 }
 
-// Facts returns the facts about partners that each running sender holds. Facts about to expire are
-// left out, since clocks differ and another sender may have dropped them already.
+// Facts returns the facts about partners that each running sender holds: a set for each of these
+// senders, in order of number, with each fact as a text of what identifies it, its statement
+// included. Facts about to expire are left out, since clocks differ and another sender may have
+// dropped them already.
 func (f *Fleet) Facts() (out []map[string]bool, err error) {
 	const minRemaining = 0.5 // seconds
 	for _, s := range f.senders {
@@ -92,8 +95,8 @@
 	return out, nil
 }
 
-// WaitForEqualFacts waits at most d until all senders hold the same facts about partners. It
-// returns the time taken and whether they agreed.
+// WaitForEqualFacts waits at most d until all senders are running, have caught up and hold the same
+// facts about partners. It returns the time taken and whether they agreed.
 func (f *Fleet) WaitForEqualFacts(d time.Duration) (time.Duration, bool) {
 	return f.WaitUntil(d, func(list []SenderView) bool {
 		if !AllCaughtUp(list) {
--- a/internal/standin/fleet/relay.go
+++ b/internal/standin/fleet/relay.go
@@ -10,9 +10,9 @@
 )
 
 const (
-	maxDelayed  = 20_000 // delayed datagrams of a fleet; further ones are lost
-	maxStreams  = 1024   // per relay
-	dialTimeout = 2 * time.Second
+	maxDelayed  = 20_000          // delayed datagrams of a fleet; more are lost, yet count as forwarded
+	maxStreams  = 1024            // open streams per relay; further ones are reset
+	dialTimeout = 2 * time.Second // for the connection of a relay to its sender
 )
 
 // relay is the address at which the others reach one sender. It identifies the source of a datagram
@@ -20,28 +20,29 @@
 // passes through a relay too.
 type relay struct {
 	net      *network
-	receiver int // number of the sender behind the relay
-	addr     string
-	target   string
+	receiver int    // number of the sender behind the relay
+	addr     string // address of the relay, for datagrams and streams
+	target   string // listen address of the sender behind it
 
-	udp     *net.UDPConn
-	mu      sync.Mutex
+	udp     *net.UDPConn // open until the network closes, also while the sender is not running
+	mu      sync.Mutex   // guards ln and streams
 	ln      net.Listener // nil while the sender is not running
-	streams int
+	streams int          // streams that are open now
 }
 
 // network holds the relays of a fleet and the links between its senders.
 type network struct {
-	relays       []*relay
-	links        [][]*link // by source and destination
-	senderByHost map[string]int
-	udpTargets   []*net.UDPAddr
-	delayed      atomic.Int64
-	done         chan struct{}
-	wg           sync.WaitGroup
+	relays       []*relay       // by number of the sender behind them
+	links        [][]*link      // by source and destination
+	senderByHost map[string]int // sender number by the host of its listen address
+	udpTargets   []*net.UDPAddr // listen addresses by sender number
+	delayed      atomic.Int64   // datagrams that wait for their delay to pass
+	done         chan struct{}  // closed by close
+	wg           sync.WaitGroup // goroutines that accept and forward
 }
 
-// newNetwork opens a relay for each sender: relays[i] forwards to targets[i].
+// newNetwork opens a relay for each sender: the relay at address relays[i] forwards to targets[i].
+// seed determines the random faults of the links.
 func newNetwork(relays, targets []string, seed uint64) (*network, error) {
 	n := &network{senderByHost: map[string]int{}, done: make(chan struct{})}
 	for i := range relays {
@@ -81,6 +82,7 @@
 	return n, nil
 }
 
+// close closes all relays and their streams and waits for their goroutines.
 func (n *network) close() {
 	close(n.done)
 	for _, r := range n.relays {
@@ -92,15 +94,17 @@
 	n.wg.Wait()
 }
 
-// senderOf returns the sender with a source address; false for an unknown address.
+// senderOf returns the number of the sender with a source address; false for an address that is none
+// of the senders'.
 func (n *network) senderOf(addr net.Addr) (int, bool) {
 	host, _, err := net.SplitHostPort(addr.String())
 	i, ok := n.senderByHost[host]
 	return i, ok && err == nil
 }
 
-// forwardDatagrams forwards datagrams. Those from unknown addresses are sent from the address of
-// the relay itself.
+// forwardDatagrams forwards datagrams until the relay is closed, with the faults of the link from
+// their sender. Those from unknown addresses are sent without faults from the address of the relay
+// itself.
 func (r *relay) forwardDatagrams() {
 	buf := make([]byte, 64<<10)
 	for {
@@ -133,8 +137,8 @@
 	}
 }
 
-// listen accepts streams. Without a listener the kernel refuses connections, as for a process that
-// is not running.
+// listen accepts streams; it does nothing if the relay already does. Without a listener the kernel
+// refuses connections, as for a process that is not running.
 func (r *relay) listen() error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -158,6 +162,7 @@
 	return nil
 }
 
+// stopListening closes the listener, so that new streams are refused. Open streams stay open.
 func (r *relay) stopListening() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -222,7 +227,7 @@
 	s.Close()
 }
 
-// closeWithNetwork closes connections when the network closes, until stop is called.
+// closeWithNetwork closes connections when the network closes, unless stop has been called before.
 func (r *relay) closeWithNetwork(conns ...net.Conn) (stop func()) {
 	finished := make(chan struct{})
 	go func() {
@@ -237,7 +242,8 @@
 	return sync.OnceFunc(func() { close(finished) })
 }
 
-// forward copies one direction of a stream with the faults of its link.
+// forward copies one direction of a stream with the faults of its link, until the source ends the
+// stream, either connection fails or the link is reset.
 func forward(dst, src net.Conn, l *link) {
 	buf := make([]byte, 16<<10)
 	resets, forwarded := l.resetCount(), 0
--- a/internal/standin/fleet/relay_test.go
+++ b/internal/standin/fleet/relay_test.go
@@ -14,11 +14,12 @@
 // relayPair is two parties that reach each other through relays only.
 type relayPair struct {
 	net     *network
-	relays  []string
-	targets []string
-	lock    net.Listener
+	relays  []string     // addresses of the relays, by party
+	targets []string     // addresses of the parties themselves
+	lock    net.Listener // reserves the address range, as in Fleet
 }
 
+// newPair opens the relays of two parties on a free range of loopback addresses.
 func newPair(t *testing.T) *relayPair {
 	t.Helper()
 	p := &relayPair{}
--- a/internal/standin/fleet/script.go
+++ b/internal/standin/fleet/script.go
@@ -31,7 +31,7 @@
 	Kill               Action = "kill"    // SIGKILL
 	Restart            Action = "restart" // killed if it is running, and started from its state folder
 	RestartEmpty       Action = "empty"   // killed if it is running, and started with an empty state folder
-	Copy               Action = "copy"    // the state folder is copied as it is
+	Copy               Action = "copy"    // the state folder is copied as it is, for RestartOld
 	RestartOld         Action = "old"     // killed if it is running, and started from the copy
 	AddBusyNeighbor    Action = "busy"    // the process shares a processor with a busy loop
 	RemoveBusyNeighbor Action = "calm"    // the busy loop ends
@@ -40,21 +40,22 @@
 	Heal               Action = "heal"    // removes the faults of all links
 )
 
+// actions are the actions that a script file may name.
 var actions = []Action{Pause, Resume, Kill, Restart, RestartEmpty, Copy, RestartOld, AddBusyNeighbor,
 	RemoveBusyNeighbor, SetLink, Reset, Heal}
 
-// Event is one action of a script. Senders, From and To are sender numbers from 0; an empty From or
-// To means all senders.
+// Event is one action of a script, on processes or on links. Senders, From and To are sender numbers
+// from 0; an empty From or To means all senders.
 type Event struct {
-	At      Duration `toml:"at" json:"at"` // since the start of the script
-	Action  Action   `toml:"do" json:"do"`
-	Senders []int    `toml:"who" json:"who,omitempty"`
-	From    []int    `toml:"from" json:"from,omitempty"`
-	To      []int    `toml:"to" json:"to,omitempty"`
+	At      Duration `toml:"at" json:"at"`               // since the start of the script
+	Action  Action   `toml:"do" json:"do"`               // one of the constants of a script
+	Senders []int    `toml:"who" json:"who,omitempty"`   // processes of the action; empty for one on links
+	From    []int    `toml:"from" json:"from,omitempty"` // sources of the links
+	To      []int    `toml:"to" json:"to,omitempty"`     // destinations of the links
 	Both    bool     `toml:"both" json:"both,omitempty"` // the opposite direction too
-	Delay   Duration `toml:"delay" json:"-"`
-	Jitter  Duration `toml:"jitter" json:"-"`
-	Faults
+	Delay   Duration `toml:"delay" json:"-"`             // Faults.Delay in the format of a script file
+	Jitter  Duration `toml:"jitter" json:"-"`            // Faults.Jitter in that format
+	Faults           // that SetLink sets, apart from Delay and Jitter; unused by other actions
 }
 
 // faults returns the faults that the links of the event get.
@@ -66,13 +67,14 @@
 
 // Script is a timed sequence of faults for a fleet.
 type Script struct {
-	Senders int      `toml:"senders" json:"senders"`
-	Seed    uint64   `toml:"seed" json:"seed"`
-	For     Duration `toml:"for" json:"for"`
-	Events  []Event  `toml:"event" json:"events"`
+	Senders int      `toml:"senders" json:"senders"` // size of the fleet
+	Seed    uint64   `toml:"seed" json:"seed"`       // of the random faults of the links
+	For     Duration `toml:"for" json:"for"`         // duration, or longer if an event takes long
+	Events  []Event  `toml:"event" json:"events"`    // in order of At
 }
 
-// LoadScript reads a script from a TOML file.
+// LoadScript reads a script from a TOML file. It returns an error that names the mistake for an
+// unknown key or an invalid event.
 func LoadScript(path string) (*Script, error) {
 	f, err := os.Open(path)
 	if err != nil {
--- a/internal/standin/fleet/timeline.go
+++ b/internal/standin/fleet/timeline.go
@@ -10,49 +10,52 @@
 	"time"
 )
 
-// maxEntries bounds a timeline; further entries are only counted.
+// maxEntries bounds the entries of a timeline; further ones are only counted, in Timeline.Dropped.
 const maxEntries = 500_000
 
 // Entry is an event on the timeline: a fault, or a changed view of a sender.
 type Entry struct {
-	At      float64           `json:"at"` // seconds since the fleet was created
-	Action  Action            `json:"do"` // or "ready", "terminate", "view"
-	Senders []int             `json:"who,omitempty"`
-	From    []int             `json:"from,omitempty"`
-	To      []int             `json:"to,omitempty"`
-	Faults  *Faults           `json:"faults,omitempty"`
-	States  map[string]string `json:"sees,omitempty"` // "view": the state of each sender, by name
-	Share   float64           `json:"part,omitempty"` // "view": share of each rate that the sender may use
+	At      float64           `json:"at"`               // seconds since the fleet was created
+	Action  Action            `json:"do"`               // of a script, or "ready", "terminate", "view"
+	Senders []int             `json:"who,omitempty"`    // the processes, by number; "view": the reporter
+	From    []int             `json:"from,omitempty"`   // SetLink, Reset: the source of the link
+	To      []int             `json:"to,omitempty"`     // SetLink, Reset: its destination
+	Faults  *Faults           `json:"faults,omitempty"` // SetLink: the new faults; nil otherwise
+	States  map[string]string `json:"sees,omitempty"`   // "view": the state of each sender, by name
+	Share   float64           `json:"part,omitempty"`   // "view": share of each rate that the sender may use
 }
 
-// Timeline records what happened to a fleet.
+// Timeline records what happened to a fleet. It can be written while the fleet is running.
 type Timeline struct {
-	mu      sync.Mutex
-	start   time.Time
-	Names   []string             `json:"names"`
-	Entries []Entry              `json:"entries"`
-	Dropped int                  `json:"dropped,omitempty"`
-	Calls   map[string][]CallRow `json:"calls,omitempty"` // recorded calls, by partner
+	mu      sync.Mutex           // guards Entries, Dropped and Calls
+	start   time.Time            // when the fleet was created
+	Names   []string             `json:"names"`             // of the senders, by number
+	Entries []Entry              `json:"entries"`           // in order of time, at most maxEntries
+	Dropped int                  `json:"dropped,omitempty"` // entries beyond maxEntries
+	Calls   map[string][]CallRow `json:"calls,omitempty"`   // recorded calls, by partner
 }
 
 // CallRow is one call that a partner recorded.
 type CallRow struct {
-	At   float64 `json:"at"` // seconds since the fleet was created
-	From string  `json:"from"`
-	ID   string  `json:"id"`
+	At   float64 `json:"at"`   // seconds since the fleet was created
+	From string  `json:"from"` // address of the sender, without the port
+	ID   string  `json:"id"`   // of the message
 }
 
+// newTimeline returns an empty timeline that starts now.
 func newTimeline() *Timeline { return &Timeline{start: time.Now(), Calls: map[string][]CallRow{}} }
 
+// setNames appends the names of senders, given in order of number.
 func (t *Timeline) setNames(list []*Sender) {
 	for _, s := range list {
 		t.Names = append(t.Names, s.Name)
 	}
 }
 
-// Offset returns the time from the creation of the fleet to at, in seconds.
+// Offset returns the time from the creation of the fleet to at, in seconds, as in Entry.At.
 func (t *Timeline) Offset(at time.Time) float64 { return at.Sub(t.start).Seconds() }
 
+// add appends an entry and sets its time, or counts it as dropped if the timeline is full.
 func (t *Timeline) add(e Entry) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -64,7 +67,7 @@
 	t.Entries = append(t.Entries, e)
 }
 
-// WriteJSON writes the timeline as JSON.
+// WriteJSON writes the timeline as JSON, indented by one space.
 func (t *Timeline) WriteJSON(w io.Writer) error {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -73,7 +76,7 @@
 	return enc.Encode(t)
 }
 
-// stateColors are the colors of the states that a sender can report of another.
+// stateColors are the colors in the drawing, by the state that a sender reports of another.
 var stateColors = map[string]string{"here": "#7fbf7f", "joining": "#bcdcf5", "unreachable": "#f5d76e",
 	"suspected": "#f0954b",
 	"gone":      "#c0392b", "left": "#999999", "forgotten": "#cccccc", "other version": "#b48ead", "paused": "#8e6bbf"}
--- a/internal/standin/fleet/views.go
+++ b/internal/standin/fleet/views.go
@@ -13,18 +13,20 @@
 )
 
 const (
-	requestTimeout = 700 * time.Millisecond
-	pollInterval   = 50 * time.Millisecond
+	requestTimeout = 700 * time.Millisecond // of a request to a console; a slower sender has not responded
+	pollInterval   = 50 * time.Millisecond  // between two requests for the views while a condition is awaited
 )
 
-// SenderView is the view that a sender reports; OK is false if it did not respond.
+// SenderView is the view that a sender reports. OK is false, and the status is not set, if the sender
+// is not running, is paused or did not respond in time.
 type SenderView struct {
-	Number int
+	Number int // of the sender in the fleet
 	OK     bool
 	cluster.Status
 }
 
-// Views requests the view of each running sender and records changes in the timeline.
+// Views requests the view of each running sender and records changes in the timeline. It returns an
+// element for each sender, by number.
 func (f *Fleet) Views() []SenderView {
 	out := make([]SenderView, len(f.senders))
 	var all sync.WaitGroup
@@ -64,8 +66,8 @@
 	}
 }
 
-// WaitUntil polls the views at most d until condition holds. It returns the time taken and whether
-// the condition held.
+// WaitUntil polls the views for at most d until condition holds. It returns the time taken and
+// whether the condition held. A condition that never holds makes it observe the views for d.
 func (f *Fleet) WaitUntil(d time.Duration, condition func([]SenderView) bool) (time.Duration, bool) {
 	start := time.Now()
 	tick := time.NewTicker(pollInterval)
@@ -82,7 +84,7 @@
 }
 
 // AllReachable reports whether all senders are running, consider each other reachable, and have
-// divided the rate among them.
+// divided the rate among them: their shares add up to one.
 func AllReachable(list []SenderView) bool {
 	sum := 0.0
 	for _, x := range list {
@@ -99,13 +101,14 @@
 	return sum > 0.99
 }
 
-// HasShare returns a condition: sender n has a share of at least minShare.
+// HasShare returns a condition for WaitUntil: the sender with number n responds and may use at least
+// minShare, from 0 to 1, of each rate.
 func HasShare(n int, minShare float64) func([]SenderView) bool {
 	return func(list []SenderView) bool { return list[n].OK && list[n].Share >= minShare }
 }
 
-// AllReport returns a condition: each sender that responds reports the named senders, itself
-// excepted, in a state.
+// AllReport returns a condition for WaitUntil: each sender that responds reports the named senders,
+// itself excepted, in a state.
 func AllReport(state view.State, who ...string) func([]SenderView) bool {
 	return func(list []SenderView) bool {
 		for _, x := range list {
