--- a/internal/soak/crossings.go
+++ b/internal/soak/crossings.go
@@ -17,7 +17,7 @@
 )
 
 const (
-	trafficTimeout         = 1500 * time.Millisecond // for traffic to pass a point, on the first try
+	trafficTimeout         = 1500 * time.Millisecond // for a pass by traffic, reload or upgrade, first try
 	retryTimeout           = 5 * time.Second         // for the same on later tries
 	startTimeout           = 2 * time.Second         // for a start of a process to pass a point
 	secondEventTimeout     = 400 * time.Millisecond  // for the second of two events to occur
@@ -148,9 +148,13 @@
 
 // runCrossing injects an event at a point of a sender and restores the sender's service afterwards. It
 // returns false if the point was not passed in time and the crossing may be tried again; true if the event
-// occurred, or after an error of the harness, which is kept for the result. The point has to be passed
-// within timeout, or within killDelay after SIGTERM or startTimeout after a start. Traffic passes the
-// point skip times before the event occurs.
+// occurred, or after an error of the harness, which is kept for the result.
+//
+// The trigger of the point selects the time within which it has to be passed: killDelay after SIGTERM for
+// byTerm, startTimeout after the start for byStart, and timeout for byTraffic, byReload and byUpgrade.
+// Traffic passes the point skip times before the event occurs; the other triggers ignore skip. After an
+// event other than Kill, rng draws whether a second event is armed, which one and where. out records the
+// try and the events that occurred.
 func (f *fleet) runCrossing(s *sender, x crossing, timeout time.Duration, skip int, rng *rand.Rand,
 	out *Crossings) bool {
 	s.restartMu.Lock()
@@ -259,6 +263,7 @@
 }
 
 // relaunch kills the sender's process, if it has not exited, starts another and waits until that is ready.
+// The caller holds restartMu.
 func (s *sender) relaunch() error {
 	s.kill()
 	s.records.clearWaits(s.number)
--- a/internal/soak/discovery.go
+++ b/internal/soak/discovery.go
@@ -39,9 +39,13 @@
 	return out
 }
 
+// Limits of discovery. The first two apply to calls for the list under a [discoveryFault]: failureRatio
+// fails no more than maxConsecutiveFailures until a list was written to the sender, and with a serviceTime a
+// call that has waited for queueTimeout gets 503. The third applies when a sender's discovery moves to
+// another address.
 const (
 	maxConsecutiveFailures = 3                       // of a sender's calls that failureRatio fails in a row
-	queueTimeout           = 3 * time.Second         // for a call to be served, while one is served at a time
+	queueTimeout           = 3 * time.Second         // for a call to be begun, while one is served at a time
 	oldAddressGrace        = 1500 * time.Millisecond // from a move until old connections are closed
 )
 
--- a/internal/soak/fleet.go
+++ b/internal/soak/fleet.go
@@ -25,17 +25,18 @@
 	maxStall     = 150 * time.Millisecond  // longest time for which a process is held
 )
 
-// sender is one member of the fleet, across restarts of its process.
+// sender is one member of the fleet, across restarts of its process. Once the first process is started,
+// platformServer, discoveryMoves and knownGeneration are guarded by restartMu.
 type sender struct {
 	number          int                  // from 0; index in the senders of the fleet
 	addr            string               // address for clients
 	dir             string               // folder with its state, which its processes share
 	configPath      string               // file with its configuration
 	binary          string               // path of the program
-	platform        *platform            // shared by all senders
-	platformServer  *platformServer      // server of the platform for this sender
-	discoveryMoves  int                  // moves of discovery so far
-	knownGeneration int64                // generation of the list in its configuration
+	platform        *platform            // its discovery and receiver of notices; shared by all senders
+	platformServer  *platformServer      // serves the platform to this sender at its current address
+	discoveryMoves  int                  // moves of its discovery to another address so far
+	knownGeneration int64                // generation of discovery's list in its configuration
 	listInterval    time.Duration        // ask_every_s of the settings
 	controls        *faultbuild.Controls // turn faults of its processes on and off
 	tracePath       string               // file in which its processes trace their connections
@@ -45,9 +46,9 @@
 	loseFolder bool // planted fault: its folder is emptied at each restart
 
 	connectsDelayed  atomic.Bool               // connections to the platform are delayed
-	discoveryMovedAt atomic.Pointer[time.Time] // time of the last move of discovery
+	discoveryMovedAt atomic.Pointer[time.Time] // time of the last move of discovery; nil for none
 
-	restartMu sync.Mutex // held during a restart, a reload and a move of discovery
+	restartMu sync.Mutex // held during a restart, a crossing, a reload and a move of discovery
 	mu        sync.Mutex // guards current
 	current   *process   // the process that serves, or the last one; nil before the first
 }
@@ -115,7 +116,7 @@
 
 // writeConfig writes the sender's configuration with the current list and the current address of discovery,
 // for a fleet of the given size. pushed selects the membership mode "pushed" in place of "on_request". A
-// running process reads the file at SIGHUP.
+// running process reads the file at SIGHUP. The caller holds restartMu, except before the first start.
 func (s *sender) writeConfig(senders int, pushed bool) error {
 	mode := "on_request"
 	if pushed {
--- a/internal/soak/judge_drain.go
+++ b/internal/soak/judge_drain.go
@@ -105,6 +105,12 @@
 // informedBy returns the time from which a sender counts as informed of a change. Only the last process
 // that was started before the time at is considered: it knows the list in its configuration, not what
 // earlier processes received.
+//
+// If that list has the change, the time is the start of the process. Otherwise it is the earliest of the
+// time when discovery had written a list with the change to it, the end of maxListDelay (or, if later, of
+// maxListDelayAfterHold for an unanswered call), and the end of maxListDelayAfterMove; with agents, it is
+// that of informedByAgent. The result is never zero: for a process that gets no list as discovery stays
+// down, it is after the end of the run.
 func (l *listRecords) informedBy(sender int, change published, at time.Time) time.Time {
 	s := l.sender(sender)
 	var process processStart
--- a/internal/soak/record.go
+++ b/internal/soak/record.go
@@ -10,7 +10,9 @@
 	"cometrack/internal/standin/faultbuild"
 )
 
-// Effect says what a repeated delivery of a message does.
+// Effect says what a repeated delivery of a message does. It is drawn for each message, whatever its
+// destination, and determines the class in which the message is submitted and how often it may run: Safe
+// any number of times, Keyed again only within repeatWindow of the first time, Unsafe once.
 type Effect string
 
 // The effects, named as the classes that have them in the settings.
--- a/internal/standin/discovery/discovery.go
+++ b/internal/standin/discovery/discovery.go
@@ -62,7 +62,7 @@
 
 // hosts answers a call for the list. It holds the call until the list is newer than the caller's generation,
 // and at the end of the hold answers with the generation alone. A caller that names no hold waits for an
-// hour.
+// hour. It blocks while ListCalls is full.
 func (p *Platform) hosts(w http.ResponseWriter, r *http.Request) {
 	p.ListCalls <- r.URL.RawQuery
 	from, _ := strconv.ParseInt(r.URL.Query().Get("from"), 10, 64)
@@ -114,8 +114,10 @@
 	return next, true
 }
 
-// outcomes receives a notice: accepted lines are sent to Notices, and a rejected notice is counted in
-// RejectedNotices.
+// outcomes receives a notice, a sequence of JSON objects, and accepts or rejects it as a whole. If
+// RejectNotices is set, it answers 503 and sends the number of lines to RejectedNotices; otherwise it answers
+// 204 and sends the lines to Notices. It blocks while that channel is full. Malformed JSON gets 400 and is
+// sent to neither.
 func (p *Platform) outcomes(w http.ResponseWriter, r *http.Request) {
 	p.mu.Lock()
 	reject := p.RejectNotices
--- a/internal/standin/faultbuild/points.go
+++ b/internal/standin/faultbuild/points.go
@@ -38,7 +38,8 @@
 
 // Arm injects an event at a point, given by its number, once the point has been passed
 // skip times from now on: with skip 0, at the next pass. The event occurs once, and replaces
-// one that is still armed.
+// one that is still armed. FailWrite and BreakConnection count as having occurred at that pass,
+// and affect a later write.
 func (c *Controls) Arm(point int, event Event, skip int) {
 	c.set(fieldArmedPoint, 0)
 	c.set(fieldArmedEvent, int64(event))
@@ -46,12 +47,14 @@
 	c.set(fieldArmedPoint, int64(point)+1)
 }
 
-// Disarm cancels the armed event and reports whether it had not occurred yet.
+// Disarm cancels the armed event and reports whether it had not occurred yet; false also if
+// none was armed.
 func (c *Controls) Disarm() bool {
 	return atomic.SwapInt64(&c.page[fieldArmedPoint], 0) != 0
 }
 
-// Armed reports whether the armed event has not occurred yet.
+// Armed reports whether an event set by [Controls.Arm] is still to occur in a process that uses
+// the page. It is false once the event has occurred, after [Controls.Disarm], and if none was armed.
 func (c *Controls) Armed() bool { return c.get(fieldArmedPoint) != 0 }
 
 // PassCount returns how often a point, given by its number, has been passed by the processes
--- a/internal/standin/faultbuild/trace.go
+++ b/internal/standin/faultbuild/trace.go
@@ -17,7 +17,7 @@
 type Connection struct {
 	Port      int       // of the peer; 0 if it was not known any more
 	FirstSeen time.Time // when the program first read from it or ended it
-	Reads     []Read    // in order, until the program ended its side
+	Reads     []Read    // of the program from the peer, in order, until the program ended its side
 	EndedAt   time.Time // when the program shut down or closed its side; zero if it never did
 	// Broken reports that a [BreakConnection] event shut the connection down, so that its end
 	// is no act of the program.
@@ -30,7 +30,8 @@
 	TotalBytes int64     // bytes read from the connection so far, this read included
 }
 
-// ReadTime returns when the n-th byte, counted from 1, had been read; zero if it never was.
+// ReadTime returns when the program had read the n-th byte, counted from 1, that the peer sent;
+// zero if it did not read it before it ended its side.
 func (c *Connection) ReadTime(n int64) time.Time {
 	for _, r := range c.Reads {
 		if r.TotalBytes >= n {
--- a/internal/standin/hollow/usage.go
+++ b/internal/standin/hollow/usage.go
@@ -48,7 +48,8 @@
 }
 
 // readKernel reads /proc/net/snmp, /proc/net/dev and /proc/net/udp in the format of proc(5). base
-// is the first two octets of the addresses of the fleet.
+// is the first two octets of the addresses of the fleet, such as "127.16"; it restricts Dropped alone, to
+// sockets at these addresses and clusterPort. The counters of a file that cannot be read are 0.
 func readKernel(base string) (k Kernel) {
 	text, _ := os.ReadFile("/proc/net/snmp")
 	var names []string
--- a/internal/standin/hollow/virtual.go
+++ b/internal/standin/hollow/virtual.go
@@ -10,9 +10,10 @@
 	"cometrack/internal/view/play"
 )
 
-// Settings of the senders and links in virtual time.
+// Settings of the senders and links in virtual time. virtualMinShareTotal is the fraction of each rate that
+// is divided evenly into minimum shares, which senders may use while they are cut off.
 const (
-	virtualDelay         = time.Millisecond     // least delay of a message
+	virtualDelay         = time.Millisecond     // least delay of a message between senders
 	virtualJitter        = 5 * time.Millisecond // bound of the random addition to it
 	virtualMinShareTotal = 0.1                  // the default of package config
 	typicalAddr          = "127.16.1.99:7946"   // as long as most over sockets, for the size of messages
--- a/internal/standin/untried/untried.go
+++ b/internal/standin/untried/untried.go
@@ -64,15 +64,17 @@
 "retry_after":true},"rules":{"cold_from":0.2,"drain_grace_s":2,"fall_multiple":2,"fall_s":3,"warm_after_s":14},
 "specifics":{"batch_by_kind":[1],"call_slots":60,"late":"halves","separate_routes":[false]}}`
 
-// platform is a discovery service that also receives the ends of messages.
+// platform is a discovery service that also receives the ends of messages. Its only list has generation 2,
+// which is newer than generation 1 of the list in the program's configuration.
 type platform struct {
 	mu        sync.Mutex
 	instances []map[string]any  // endpoints of the list, of generation 2
-	listAt    time.Time         // when the instances are listed; zero for at once
-	ended     map[string]string // state of each message in a notice, by message id
+	listAt    time.Time         // when the list is served; earlier calls wait for it; zero for at once
+	ended     map[string]string // state of each message in its last notice, by message id
 }
 
-// ServeHTTP answers calls for the list once the instances are listed, and records the ends of messages.
+// ServeHTTP answers calls for the list from listAt on, and records the ends of messages. A call of a program
+// that has generation 2 stays open until the program cancels it.
 func (p *platform) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if !strings.HasPrefix(r.URL.Path, "/discovery") {
 		p.mu.Lock()
