--- a/logic/dispatch.go
+++ b/logic/dispatch.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// A step visits the destinations for which something has changed or is due, and sends their messages by
+// A step visits the destinations for which something has changed or is due: it sends their messages by
 // priority until nothing more can be sent. [Sender.priority] sets the order, [Sender.admit] whether a message
 // may be sent. queue_test.go checks that each step sends what a pass over all queued messages would send.
 
@@ -83,8 +83,10 @@
 	})
 }
 
-// scheduleVisit visits a destination again at the given time, or in the next step if the time cannot be
-// determined.
+// scheduleVisit makes a later step visit d again, that is, look for messages that it can send there: at the
+// given time, or if that is never, once something changes for d. The next step visits d whenever it comes if
+// the time cannot be determined in advance: all slots are in use, an endpoint is in slow start or due for a
+// trial, or the trials occupy all their slots.
 func (s *Sender) scheduleVisit(d *destination, at Micros) {
 	if d.active {
 		return
--- a/logic/gate.go
+++ b/logic/gate.go
@@ -80,7 +80,9 @@
 	return s.rateAvailableAt(e.limiter)
 }
 
-// timeNeeded is the time that an attempt needs to end before this sender stops. An attempt that is cut off by
+// timeNeeded estimates how long an attempt of m at e takes, to tell whether it would end before this sender
+// stops: the 95th percentile of the destination's latencies for a message that may be repeated, and the age
+// at which a call counts as stuck for an unsafe one or with too few samples. An attempt that is cut off by
 // the stop is repeated if its class allows it, but an unsafe message would be lost.
 func (s *Sender) timeNeeded(m *message, e *endpoint) Micros {
 	if h := &e.dest.latencies; m.class.Effect != Unsafe && h.total >= minSamples {
--- a/logic/queue.go
+++ b/logic/queue.go
@@ -183,7 +183,7 @@
 	}
 }
 
-// activate makes the next step visit a destination.
+// activate makes the next dispatch visit a destination: that of this step if it is still to come.
 func (s *Sender) activate(d *destination) {
 	if !d.active {
 		d.active = true
--- a/logic/retry.go
+++ b/logic/retry.go
@@ -48,7 +48,8 @@
 	s.endIfUndeliverable(m)
 }
 
-// endIfUndeliverable ends a message for which no further attempt is permitted.
+// endIfUndeliverable ends m, as endMessage does, if the rules permit no further attempt of it, now or later.
+// It leaves alone a message that has an attempt in flight, as its outcome is still to come.
 func (s *Sender) endIfUndeliverable(m *message) {
 	if m.inFlight == nil && !m.ended && s.checkPermit(m, nil).Final() {
 		s.endMessage(m)
--- a/logic/slow_start.go
+++ b/logic/slow_start.go
@@ -2,7 +2,8 @@
 
 import "slices"
 
-// Slow start: the number of calls that an endpoint gets after an outage until it is warm.
+// Slow start: the number of calls that an endpoint gets after an outage until it is warm, that is, until its
+// full capacity is back after WarmAfter. Until then, it is cold.
 
 // budgetAvailableAt returns the time at which e may have its next call during a slow start, 0 for now. It
 // limits the calls to a destination after an outage to this sender's share of the number that would overload
@@ -50,14 +51,14 @@
 // coldEndpoints is the joint state of the cold endpoints of a limiter.
 type coldEndpoints struct {
 	capacityShare float64  // fraction of their capacity that they have by now
-	capacity      float64  // in calls per second, when warm
+	capacity      float64  // of them together, in calls per second, when they are warm
 	callTimes     []Micros // of the calls to them
 }
 
 // coldEndpointsOf returns the joint state of the cold endpoints with the limiter of e, including e. The
-// warmth of each depends on the time since its recovery. An endpoint still in outage counts as if it
-// recovered now. Those that have not been tried since the outage, such as e itself or draining ones, count as
-// the coldest.
+// warmth of each rises from 0 at its recovery to 1 at WarmAfter later. An endpoint still in outage counts as
+// if it recovered now. Those that have not been tried since the outage, such as e itself or draining ones,
+// count as the coldest.
 func (s *Sender) coldEndpointsOf(e *endpoint) coldEndpoints {
 	warmth, coldest, tried, count := 0.0, 1.0, 0.0, 0 // warmth is the sum over the endpoints that were tried
 	joint := coldEndpoints{}
@@ -86,7 +87,8 @@
 }
 
 // singleCallAt returns the time at which e may have a call if the budget allows less than one call per
-// window: half a window after the last call, plus a part of the window that each sender draws at random.
+// window: half a window after the last call, plus a part of the window (limiter.phase) that each sender draws
+// at random for each call.
 func (s *Sender) singleCallAt(e *endpoint, callTimes []Micros, window Micros) Micros {
 	at := max(e.limiter.waitUntil, e.dest.outageAt)
 	if n := len(callTimes); n > 0 {
--- a/logic/state.go
+++ b/logic/state.go
@@ -28,13 +28,13 @@
 	reportedAt                Micros      // time of the last snapshot
 	groups                    []*group    // of the queued messages
 	messages, pending, queued int         // numbers: known; of these, not ended; of these, not in flight
-	active                    bool        // the next step visits it
-	revisitAt                 Micros      // next visit, as far as determined in the present pass; or never
-	blockedStep, visitedStep  int         // last step in which nothing more could be sent; of the last visit
+	active                    bool        // the next dispatch visits it: sends what it can of its messages
+	revisitAt                 Micros      // next visit, as determined so far in this pass; never if not known
+	blockedStep, visitedStep  int         // last step in which it could take no more calls; of the last visit
 	timer                     timer       // of the next visit, if it is not active
 }
 
-// limiter is the state of a rate limiter.
+// limiter is the state of a rate limiter. It is warm while none of its endpoints is in outage or slow start.
 type limiter struct {
 	dest          *destination // whose calls, or the calls of one of whose endpoints, it limits
 	limit         float64      // reported or nominal calls per second for all senders together; 0 if unknown
@@ -49,8 +49,8 @@
 	overloads     int          // rejections for overload in a row
 	firstOverload Micros       // time of the first of these
 	callTimes     []Micros     // start times of the recent calls, ascending
-	peakRate      float64      // most calls within a second, while warm
-	phase         float64      // 0 to 1, drawn at random for each call to spread the calls of all senders
+	peakRate      float64      // most calls within a second, while warm; the estimated capacity if limit is 0
+	phase         float64      // random wait of a call, 0 to 1 slow start windows: spreads all senders' calls
 }
 
 // endpoint is the state of an endpoint.
@@ -69,8 +69,8 @@
 	independentSuccess       Micros   // when it was last known to be healthy during the outage of a sibling
 	lastSuccessSent          Micros   // when the last call was sent that succeeded
 	peerReportAt             Micros   // when a peer last reported an outage or a recovery, or asked for a trial
-	suspect                  bool     // in outage, as far as known
-	cold                     bool     // in outage, or in slow start until recoveredAt+WarmAfter
+	suspect                  bool     // in outage, as far as known: it takes single trials only
+	cold                     bool     // in outage, or in slow start until recoveredAt+WarmAfter; see isCold
 	recoveredAt              Micros   // end of its last outage
 	trialAt, trialInterval   Micros   // while suspect: next trial, and the time to the one after it
 	trialFactor              int      // trials are this many times rarer, as other senders try too; 0 for 1
@@ -177,7 +177,7 @@
 	pending          int                   // messages not ended
 	queued           int                   // of these, not in flight
 	groups           []*group              // those with queued messages, of all destinations, in no order
-	active           []*destination        // to be visited by the next step
+	active           []*destination        // to be visited by the next dispatch
 	timers           timerHeap             // of messages, destinations and groups
 	arrivals         []*message            // messages that arrived in this step
 	shedIndex        int                   // index of the group last considered for load shedding
--- a/logic/types.go
+++ b/logic/types.go
@@ -54,8 +54,8 @@
 	QuotaRPS float64 // quota in messages per second, over all senders; 0 for none
 }
 
-// WeightsMode is the meaning of [Entry].NominalRate: whether it is the rate limit of the destination, or of
-// the endpoint if it is independent.
+// WeightsMode says whether [Entry].NominalRate is used as the rate limit of the destination, or of the
+// endpoint if it is independent, and how exact it is.
 type WeightsMode int
 
 // The modes of weights.
@@ -83,7 +83,7 @@
 	MayCancel        bool        // attempts can be cancelled; otherwise, repeatable ones time out early
 	AdviseRetry      bool        // returned messages carry the time after which the client may retry
 	ExponentialDecay bool        // worth halves with each Aim after the first; otherwise it falls linearly
-	Weights          WeightsMode // meaning of Entry.NominalRate
+	Weights          WeightsMode // whether Entry.NominalRate is used, and how exact it is
 
 	ConnIdle  Micros  // idle connections close after this time
 	ConnCalls int     // number of calls that one connection carries at once; 0 for 1
@@ -93,12 +93,13 @@
 	OverQuotaWorth float64 // fraction, 0 to 1, of its worth that a message over its tenant's quota keeps
 
 	DrainGrace Micros // not used by the Sender; must not be negative
-	// A cold destination is overloaded if it gets, within FallWindow, more than FallMultiple times the calls
-	// that it has the capacity for at that time.
+	// A cold destination, that is, one in outage or in slow start after it, is overloaded if it gets, within
+	// FallWindow, more than FallMultiple times the calls that it has the capacity for at that time.
 	FallMultiple float64
 	FallWindow   Micros  // see FallMultiple
 	ColdFrom     float64 // fraction, 0 to 1, of its capacity that a destination has right after an outage
-	WarmAfter    Micros  // time after an outage until the full capacity is back; it grows linearly
+	// WarmAfter is the time after an outage in which the capacity grows linearly from ColdFrom to the full one.
+	WarmAfter Micros
 	// The list is requested again within ListRetryWithin, or within 4 times that after a failed request. 0 means
 	// any time.
 	ListRetryWithin Micros
@@ -135,12 +136,15 @@
 
 // Entry is one line of the endpoint list.
 type Entry struct {
-	Endpoint    EndpointID
-	Zone        int       // zone in which it runs; -1 if it is not one of the settings
-	Kind        int       // index in Settings.Kinds of its destination; -1 for the zero Kind
-	Dest        int64     // number of the destination to which it belongs
-	State       Readiness // Gone removes it
-	NominalRate float64   // see WeightsMode; 0 if not known
+	Endpoint EndpointID
+	Zone     int       // zone in which it runs; -1 if it is not one of the settings
+	Kind     int       // index in Settings.Kinds of its destination; -1 for the zero Kind
+	Dest     int64     // number of the destination to which it belongs
+	State    Readiness // Gone removes it
+	// NominalRate is the rate limit of the destination, or of the endpoint if it is independent, in calls per
+	// second of all senders together; 0 if not known. Settings.Weights says whether it is used and how exact it
+	// is. A limit from a load report takes its place.
+	NominalRate float64
 }
 
 // Event is an input of [Sender.Step]: one of the types below.
