--- a/internal/soak/plant.go
+++ b/internal/soak/plant.go
@@ -69,8 +69,9 @@
 	{Name: "one try within the time of a list", Changes: []faultbuild.Change{
 		{File: pacing, Old: "	minInterval    = 300 * time.Millisecond", New: "	minInterval    = 5400 * time.Millisecond"},
 		{File: pacing, Old: "	fastInterval   = 1200 * time.Millisecond", New: "	fastInterval   = 5400 * time.Millisecond"},
-
-		{File: pacing, Old: "	leastGuess = 500 * time.Millisecond", New: "	leastGuess = 5400 * time.Millisecond"},
+		{File: pacing, Old: "	overdueAfter       = 250 * time.Millisecond", New: "	overdueAfter       = 5400 * time.Millisecond"},
+		{File: pacing, Old: "	rampSteps = 2 ", New: "	rampSteps = 0 "},
+		{File: pacing, Old: "	jitter    = 0.25 ", New: "	jitter    = 0.05 "},
 	}, Faults: aboutLists},
 	// Messages are sent to a draining endpoint as to any other.
 	{Name: "drain not heeded", Changes: []faultbuild.Change{
