--- a/internal/soak/fleet.go
+++ b/internal/soak/fleet.go
@@ -53,11 +53,18 @@
 	current   *process   // the process that serves, or the last one; nil before the first
 }
 
-// process is one process of a sender, with the goroutine that resumes it after holds.
+// process is one process of a sender, with the goroutines that resume it after holds and sample what it
+// uses.
 type process struct {
 	*program.Program
-	stopResuming chan struct{} // closed to stop the goroutine that resumes the process after holds
-	resumingDone chan struct{} // closed when that goroutine has ended
+	stop       chan struct{}  // closed to stop these goroutines
+	goroutines sync.WaitGroup // these goroutines
+}
+
+// stopGoroutines stops the goroutines of the process and waits until they have ended. It is called once.
+func (p *process) stopGoroutines() {
+	close(p.stop)
+	p.goroutines.Wait()
 }
 
 // running reports whether the process has not exited.
@@ -89,8 +96,7 @@
 	p.Signal(syscall.SIGCONT)
 	p.Signal(syscall.SIGKILL)
 	p.endsWithin(program.Timeout)
-	close(p.stopResuming)
-	<-p.resumingDone
+	p.stopGoroutines()
 }
 
 // settings is the format of the settings of a sender's deployment, in JSON. Its arguments are the number of
@@ -126,7 +132,7 @@
 	b, err := json.Marshal(map[string]any{"name": fmt.Sprint("n", s.number), "listen": s.addr,
 		"discovery": s.platformServer.addr,
 		"seed":      fmt.Sprintf("%x", rand.Uint64()),
-		"limits":    map[string]any{"cores": 1, "memory_mb": 128, "sockets": 256, "disk_mb": 3}, "known": known,
+		"limits":    senderLimits, "known": known,
 		"settings": json.RawMessage(fmt.Sprintf(settings, senders, s.number, mode,
 			repeatWindow.Seconds(), s.listInterval.Seconds()))})
 	if err != nil {
@@ -155,8 +161,8 @@
 	s.current = p
 }
 
-// start starts a process of the sender, and the goroutines that resume it after holds and read its log. It
-// does not make the process the current one.
+// start starts a process of the sender, and the goroutines that resume it after holds, sample what it uses
+// and read its log. It does not make the process the current one.
 func (s *sender) start() (*process, error) {
 	s.records.processStarted(s.number, time.Now(), s.knownGeneration)
 	started, err := program.Launch(s.binary, []string{fmt.Sprint("BALANCER_NAME=n", s.number), "BALANCER_LISTEN=" + s.addr,
@@ -165,18 +171,20 @@
 	if err != nil {
 		return nil, err
 	}
-	p := &process{started, make(chan struct{}), make(chan struct{})}
+	p := &process{Program: started, stop: make(chan struct{})}
 	pid := p.Cmd.Process.Pid
 	rng := rand.New(rand.NewPCG(uint64(pid), 0))
-	go func() {
-		defer close(p.resumingDone)
+	sampler := newUsageSampler(s.number, pid)
+	p.goroutines.Go(func() { s.records.addUsage(sampler.run(p.stop)) })
+	p.goroutines.Go(func() {
 		faultbuild.Resume(pid, func() time.Duration {
 			from := time.Now()
 			d := maxStall/3 + time.Duration(rng.Int64N(int64(maxStall*2/3)))
+			sampler.skipUntil(from.Add(d))
 			s.records.addStall(s.number, from.Add(-5*time.Millisecond), from.Add(d+5*time.Millisecond))
 			return d
-		}, p.stopResuming)
-	}()
+		}, p.stop)
+	})
 	go s.readLog(started)
 	return p, nil
 }
--- a/internal/soak/judge.go
+++ b/internal/soak/judge.go
@@ -36,9 +36,11 @@
 // Verdict is the judge's result. Each message counts once in Messages and once by the response that its
 // client got: Accepted; Refused for -BUSY; Errors for other responses; Unanswered for none. Delivered
 // counts messages with a 200 of an endpoint, Returned and Failed the messages by their first notice, and
-// Late the accepted messages that ended later than maxNoticeDelay allows and are not lost.
+// Late the accepted messages that ended later than maxNoticeDelay allows and are not lost. MostSockets is the
+// highest number of open sockets of a process, MostMemory that of bytes of resident memory.
 type Verdict struct {
 	Messages, Accepted, Delivered, Returned, Failed, Refused, Errors, Unanswered, Late int
+	MostSockets, MostMemory                                                            int
 	Violations                                                                         []Violation
 }
 
@@ -68,6 +70,7 @@
 		judgeCalls(m, r.stalls[m.Sender], window, noise, add)
 		r.lists.judgeDrain(m, noise, add)
 	}
+	r.judgeUsage(&out, start)
 	for _, s := range r.unknownMessages {
 		out.Violations = append(out.Violations, Violation{Rule: "unknown message", History: s})
 	}
--- a/internal/soak/plant.go
+++ b/internal/soak/plant.go
@@ -81,8 +81,21 @@
 		{File: "internal/source/platform/follow.go", Old: "	f.publish(core.EndpointUpdate{List: r.list.EndpointList(),", New: "	r.list, planted = planted, r.list\n	f.publish(core.EndpointUpdate{List: r.list.EndpointList(),"},
 		{File: "internal/source/platform/follow.go", Old: "// now returns the time on", New: "var planted List\n\n// now returns the time on"},
 	}, Faults: aboutLists},
+	// Connections to clients are shut down at their end, and their descriptors are kept.
+	{Name: "descriptor of an ended connection", Changes: []faultbuild.Change{
+		{File: clientConnections, Old: "			s.serve()\n			conn.Close()",
+			New: "			s.serve()\n			if t, ok := conn.(*net.TCPConn); ok {\n" +
+				"				t.CloseWrite()\n				t.CloseRead()\n			}\n" +
+				"			c.mu.Lock()\n			planted = append(planted, conn)\n" +
+				"			c.mu.Unlock()"},
+		{File: clientConnections, Old: "// Serve accepts connections until",
+			New: "var planted []net.Conn\n\n// Serve accepts connections until"},
+	}, Faults: []string{"endpoint"}},
 }
 
+// clientConnections is the file with the connections to clients, relative to the root of the module.
+const clientConnections = "internal/front/resp/clients.go"
+
 // pacing is the file with the intervals and timeouts of the calls for the list, relative to the root of the
 // module.
 const pacing = "internal/source/platform/poll/pace.go"
--- a/internal/soak/record.go
+++ b/internal/soak/record.go
@@ -119,6 +119,7 @@
 	waits           map[route]Interval               // the last requested wait of each route
 	traces          map[int][]*faultbuild.Connection // traces of client connections, by sender
 	lists           *listRecords                     // published lists and which sender received them
+	usages          []usage                          // of the processes
 	unknownMessages []string                         // calls and notices for messages that were not submitted
 	faults          []string                         // violations that concern no message
 }
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -220,9 +220,7 @@
 			} else if err := s.exitStatus(); err != nil {
 				f.records.addFault("sender %d: ended with %v", s.number, err)
 			}
-			p := s.process()
-			close(p.stopResuming)
-			<-p.resumingDone
+			s.process().stopGoroutines()
 		})
 	}
 	all.Wait()
@@ -330,8 +328,9 @@
 // Summary describes the result of the run with a seed in one line.
 func (r *Result) Summary(seed uint64) string {
 	return fmt.Sprintf("seed %d: %d messages, %d accepted, %d delivered, %d returned, %d failed, %d refused, %d errors, %d unanswered, %d late; idle clients %v; "+
-		"%d holds, %d accepts, %d writes, %d syncs, %d connects failed; noise %v; %d violations",
+		"%d holds, %d accepts, %d writes, %d syncs, %d connects failed; noise %v; "+
+		"at most %d sockets and %d MB; %d violations",
 		seed, r.Messages, r.Accepted, r.Delivered, r.Returned, r.Failed, r.Refused, r.Errors, r.Unanswered, r.Late,
 		r.IdleClients, r.Faults.Holds, r.Faults.Accepts, r.Faults.Writes, r.Faults.Syncs, r.Faults.Connects,
-		r.Tolerance.Round(time.Millisecond), len(r.Violations))
+		r.Tolerance.Round(time.Millisecond), r.MostSockets, r.MostMemory/bytesPerMB, len(r.Violations))
 }
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -29,6 +29,9 @@
 		if r.Accepted < 100 || r.Delivered < 50 || r.Faults.Writes == 0 {
 			t.Error("too few messages or write faults for a meaningful run")
 		}
+		if r.MostSockets == 0 || r.MostMemory == 0 {
+			t.Error("no process was sampled for its usage")
+		}
 		if len(r.Violations) > 0 {
 			t.Logf("seed %d, the script:\n%s", seed, strings.Join(r.Script, "\n"))
 		}
